--- a/agreement/src/holder.rs
+++ b/agreement/src/holder.rs
@@ -48,12 +48,22 @@
 impl Holder {
     /// A sender that has just started; no two lives of one sender have the same number.
     pub fn new(floor: Rules, life: u64) -> Self {
-        Holder { floor, life, held: None, highest: Tag::default(), number: 0, asked: 0 }
+        Holder {
+            floor,
+            life,
+            held: None,
+            highest: Tag::default(),
+            number: 0,
+            asked: 0,
+        }
     }
 
     /// What it acts on now, if its lease lasts.
     pub fn tag(&self, now: Micros) -> Option<Tag> {
-        self.held.as_ref().filter(|(_, _, until)| now < *until).map(|(tag, _, _)| *tag)
+        self.held
+            .as_ref()
+            .filter(|(_, _, until)| now < *until)
+            .map(|(tag, _, _)| *tag)
     }
 
     /// The rules that it acts on now.
@@ -66,14 +76,21 @@
 
     /// Until when its lease lasts, if it does.
     pub fn until(&self, now: Micros) -> Option<Micros> {
-        self.held.as_ref().map(|(_, _, until)| *until).filter(|until| now < *until)
+        self.held
+            .as_ref()
+            .map(|(_, _, until)| *until)
+            .filter(|until| now < *until)
     }
 
     /// Asks for a lease.
     pub fn ask(&mut self, now: Micros) -> Ask {
         self.number += 1;
         self.asked = now;
-        Ask { life: self.life, number: self.number, acts_on: self.tag(now) }
+        Ask {
+            life: self.life,
+            number: self.number,
+            acts_on: self.tag(now),
+        }
     }
 
     /// The answer to a question. The lease counts from when the question was asked, for the registry may have answered at
@@ -92,6 +109,10 @@
         self.highest = grant.tag;
         let tag = grant.tag;
         self.held = Some((tag, grant.rules, self.asked + grant.lease));
-        if before == Some(tag) { Taken::Renewed } else { Taken::Changed }
+        if before == Some(tag) {
+            Taken::Renewed
+        } else {
+            Taken::Changed
+        }
     }
 }
--- a/agreement/src/leases.rs
+++ b/agreement/src/leases.rs
@@ -64,26 +64,47 @@
 impl Leases {
     /// Of one that becomes leader now.
     pub fn new(terms: Terms, now: Micros) -> Self {
-        Leases { terms, unknown_until: now + terms.longest(), senders: BTreeMap::new() }
+        Leases {
+            terms,
+            unknown_until: now + terms.longest(),
+            senders: BTreeMap::new(),
+        }
     }
 
     /// A life of a sender asks for a lease and says what it acts on; none: on the floor. To be called only once a majority
     /// has confirmed, after the question came in, that this one still leads; else the next leader may be past waiting.
-    pub fn ask(&mut self, now: Micros, sender: u64, acts_on: Option<Tag>, versions: &Versions) -> Grant {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        sender: u64,
+        acts_on: Option<Tag>,
+        versions: &Versions,
+    ) -> Grant {
         let tag = versions.tag();
         let held = self.senders.entry(sender).or_default();
         held.acts_on = held.acts_on.max(acts_on);
         // what it has gone beyond it acts on no more
         let acts_on = held.acts_on;
-        held.grants.retain(|granted, until| Some(*granted) >= acts_on && *until > now);
+        held.grants
+            .retain(|granted, until| Some(*granted) >= acts_on && *until > now);
         held.grants.insert(tag, now + self.terms.longest());
-        Grant { tag, rules: versions.rules().clone(), lease: self.terms.lease }
+        Grant {
+            tag,
+            rules: versions.rules().clone(),
+            lease: self.terms.lease,
+        }
     }
 
     /// Who may still act on rules before this step; none: nobody, and the next step may begin.
     pub fn waits_for(&self, now: Micros, tag: Tag) -> Option<Wait> {
-        let unknown = (self.unknown_until > now).then_some(Wait { sender: None, until: self.unknown_until });
-        unknown.into_iter().chain(self.behind(now, tag)).max_by_key(|wait| wait.until)
+        let unknown = (self.unknown_until > now).then_some(Wait {
+            sender: None,
+            until: self.unknown_until,
+        });
+        unknown
+            .into_iter()
+            .chain(self.behind(now, tag))
+            .max_by_key(|wait| wait.until)
     }
 
     /// The senders that may still act on rules before this step.
@@ -91,7 +112,10 @@
         self.senders.iter().filter_map(move |(sender, held)| {
             let until = held.grants.range(..tag).map(|(_, until)| *until).max()?;
             let behind = held.acts_on < Some(tag) && until > now;
-            behind.then_some(Wait { sender: Some(*sender), until })
+            behind.then_some(Wait {
+                sender: Some(*sender),
+                until,
+            })
         })
     }
 
@@ -103,7 +127,12 @@
     /// Forgets those whose leases have all run out, and tells them.
     pub fn forget(&mut self, now: Micros) -> Vec<u64> {
         let lapsed = |held: &Held| held.grants.values().all(|until| *until <= now);
-        let gone = self.senders.iter().filter(|(_, held)| lapsed(held)).map(|(sender, _)| *sender).collect();
+        let gone = self
+            .senders
+            .iter()
+            .filter(|(_, held)| lapsed(held))
+            .map(|(sender, _)| *sender)
+            .collect();
         self.senders.retain(|_, held| !lapsed(held));
         gone
     }
@@ -111,7 +140,11 @@
     /// Each sender with a lease, what it said it acts on, and until when it may act at all.
     pub fn held(&self) -> impl Iterator<Item = (u64, Option<Tag>, Micros)> {
         self.senders.iter().map(|(sender, held)| {
-            (*sender, held.acts_on, held.grants.values().copied().max().unwrap_or_default())
+            (
+                *sender,
+                held.acts_on,
+                held.grants.values().copied().max().unwrap_or_default(),
+            )
         })
     }
 }
--- a/agreement/src/rules.rs
+++ b/agreement/src/rules.rs
@@ -132,7 +132,11 @@
     fn meet(&self, other: &Class, name: &str) -> Result<Class, NoMeet> {
         if self.in_order && other.in_order && self.keyed_by != other.keyed_by {
             let (one, other) = (self.keyed_by.clone(), other.keyed_by.clone());
-            return Err(NoMeet { class: name.to_string(), one, other });
+            return Err(NoMeet {
+                class: name.to_string(),
+                one,
+                other,
+            });
         }
         let ordered = if self.in_order { self } else { other };
         Ok(Class {
@@ -153,21 +157,46 @@
     /// Names the first place that does not.
     pub fn validate(&self) -> Result<(), Senseless> {
         let holds = |holds: bool, place: &str, problem| {
-            if holds { Ok(()) } else { Err(Senseless { place: place.to_string(), problem }) }
+            if holds {
+                Ok(())
+            } else {
+                Err(Senseless {
+                    place: place.to_string(),
+                    problem,
+                })
+            }
         };
-        holds(self.classes.len() <= CLASSES_MOST, "classes", "more than 256")?;
+        holds(
+            self.classes.len() <= CLASSES_MOST,
+            "classes",
+            "more than 256",
+        )?;
         for (name, class) in &self.classes {
             let named = |text: &str| (1..=NAME_MOST).contains(&text.len());
             let place = |key: &str| format!("classes.{name}.{key}");
-            holds(named(name), "classes", "a name is empty or longer than 128 bytes")?;
+            holds(
+                named(name),
+                "classes",
+                "a name is empty or longer than 128 bytes",
+            )?;
             holds(class.attempts > 0, &place("attempts"), "must be above zero")?;
             let keyed = !class.in_order || named(&class.keyed_by);
-            holds(keyed, &place("keyed_by"), "a class in order names what its keys mean")?;
+            holds(
+                keyed,
+                &place("keyed_by"),
+                "a class in order names what its keys mean",
+            )?;
             let window = match class.effect {
-                Effect::DeduplicatedInZone { window_ms } | Effect::Deduplicated { window_ms } => window_ms,
+                Effect::DeduplicatedInZone { window_ms } | Effect::Deduplicated { window_ms } => {
+                    window_ms
+                }
                 Effect::AtMostOnce | Effect::Idempotent => 1,
             };
-            holds(window > 0, &place("effect"), "its window must be above zero")?;
+            holds(
+                window > 0,
+                &place("effect"),
+                "its window must be above zero",
+            )?;
         }
         for (name, most) in &self.limits {
             let place = format!("limits.{name}");
@@ -179,10 +208,15 @@
 
     /// Whether all that these rules allow is allowed by the others too.
     pub fn within(&self, other: &Rules) -> bool {
-        self.classes
+        self.classes.iter().all(|(name, class)| {
+            other
+                .classes
+                .get(name)
+                .is_some_and(|other| class.within(other))
+        }) && other
+            .limits
             .iter()
-            .all(|(name, class)| other.classes.get(name).is_some_and(|other| class.within(other)))
-            && other.limits.iter().all(|(name, most)| self.limits.get(name).is_some_and(|own| own <= most))
+            .all(|(name, most)| self.limits.get(name).is_some_and(|own| own <= most))
     }
 
     /// Whether each allows what the other forbids.
@@ -240,7 +274,9 @@
                 rules.classes.insert(name.to_string(), class(random));
             }
             if random.random() {
-                rules.limits.insert(name.to_string(), random.random_range(1..4));
+                rules
+                    .limits
+                    .insert(name.to_string(), random.random_range(1..4));
             }
         }
         rules
@@ -253,13 +289,22 @@
         for _ in 0..20_000 {
             let (one, other, third) = (rules(&mut random), rules(&mut random), rules(&mut random));
             let meet = one.meet(&other).expect("one meaning of keys");
-            assert!(meet.within(&one) && meet.within(&other), "{one:?} {other:?} {meet:?}");
+            assert!(
+                meet.within(&one) && meet.within(&other),
+                "{one:?} {other:?} {meet:?}"
+            );
             let back = other.meet(&one).expect("one meaning of keys");
-            assert!(meet.within(&back) && back.within(&meet), "the same either way");
+            assert!(
+                meet.within(&back) && back.within(&meet),
+                "the same either way"
+            );
             assert!(one.within(&one) && !one.contradicts(&one));
             if third.within(&one) && third.within(&other) {
                 freer += 1;
-                assert!(third.within(&meet), "{third:?} is within both and not within {meet:?}");
+                assert!(
+                    third.within(&meet),
+                    "{third:?} is within both and not within {meet:?}"
+                );
             }
             if one.within(&other) && other.within(&third) {
                 assert!(one.within(&third));
@@ -281,7 +326,10 @@
             ("\"calls\":4", "\"calls\":0", "limits.calls"),
             ("\"calls\":4", "\"cals\":4", "limits.cals"),
         ] {
-            assert_eq!(read(&good.replace(from, to)).map_err(|error| error.place), Err(place.to_string()));
+            assert_eq!(
+                read(&good.replace(from, to)).map_err(|error| error.place),
+                Err(place.to_string())
+            );
         }
     }
 
@@ -295,22 +343,53 @@
             keyed_by: "reader".to_string(),
             gap_ms: 300,
         };
-        let rules = |class: Class| Rules { classes: [("c".to_string(), class)].into(), ..Rules::default() };
+        let rules = |class: Class| Rules {
+            classes: [("c".to_string(), class)].into(),
+            ..Rules::default()
+        };
         for stricter in [
-            Class { accepted: false, ..base.clone() },
-            Class { effect: Effect::AtMostOnce, ..base.clone() },
-            Class { effect: Effect::Deduplicated { window_ms: 5_000 }, ..base.clone() },
-            Class { effect: Effect::DeduplicatedInZone { window_ms: 10_000 }, ..base.clone() },
-            Class { attempts: 3, ..base.clone() },
-            Class { gap_ms: 400, ..base.clone() },
+            Class {
+                accepted: false,
+                ..base.clone()
+            },
+            Class {
+                effect: Effect::AtMostOnce,
+                ..base.clone()
+            },
+            Class {
+                effect: Effect::Deduplicated { window_ms: 5_000 },
+                ..base.clone()
+            },
+            Class {
+                effect: Effect::DeduplicatedInZone { window_ms: 10_000 },
+                ..base.clone()
+            },
+            Class {
+                attempts: 3,
+                ..base.clone()
+            },
+            Class {
+                gap_ms: 400,
+                ..base.clone()
+            },
         ] {
             let (strict, free) = (rules(stricter), rules(base.clone()));
             assert!(strict.within(&free) && !free.within(&strict), "{strict:?}");
             assert_eq!(strict.meet(&free), Ok(strict));
         }
-        let free = rules(Class { in_order: false, ..base.clone() });
+        let free = rules(Class {
+            in_order: false,
+            ..base.clone()
+        });
         assert!(rules(base.clone()).within(&free) && !free.within(&rules(base.clone())));
-        let other = rules(Class { keyed_by: "shop".to_string(), ..base.clone() });
-        assert!(other.meet(&rules(base)).is_err_and(|error| error.class == "c"));
+        let other = rules(Class {
+            keyed_by: "shop".to_string(),
+            ..base.clone()
+        });
+        assert!(
+            other
+                .meet(&rules(base))
+                .is_err_and(|error| error.class == "c")
+        );
     }
 }
--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -5,7 +5,9 @@
 use thiserror::Error;
 
 /// A version and the step on the way to it. Greater ones come later.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(deny_unknown_fields)]
 pub struct Tag {
     /// The version that holds, or is to hold.
@@ -63,7 +65,15 @@
         if !floor.within(&rules) {
             return Err(Refusal::BelowFloor);
         }
-        Ok(Versions { floor, tag: Tag { version: 1, whole: true }, meet: rules.clone(), new: rules })
+        Ok(Versions {
+            floor,
+            tag: Tag {
+                version: 1,
+                whole: true,
+            },
+            meet: rules.clone(),
+            new: rules,
+        })
     }
 
     /// The version and step in force.
@@ -73,7 +83,11 @@
 
     /// The rules that are granted now.
     pub fn rules(&self) -> &Rules {
-        if self.tag.whole { &self.new } else { &self.meet }
+        if self.tag.whole {
+            &self.new
+        } else {
+            &self.meet
+        }
     }
 
     /// The rules that hold once the change under way is through.
@@ -93,7 +107,10 @@
     /// Says why it is not taken; nothing has changed then.
     pub fn propose(&mut self, proposal: Proposal) -> Result<Tag, Refusal> {
         if proposal.from != self.tag.version {
-            return Err(Refusal::Stale { now: self.tag.version, from: proposal.from });
+            return Err(Refusal::Stale {
+                now: self.tag.version,
+                from: proposal.from,
+            });
         }
         if proposal.rules == self.new {
             return Ok(self.tag);
@@ -107,14 +124,21 @@
         let meet = self.new.meet(&proposal.rules)?;
         self.new = proposal.rules;
         self.meet = meet;
-        self.tag = Tag { version: self.tag.version + 1, whole: false };
+        self.tag = Tag {
+            version: self.tag.version + 1,
+            whole: false,
+        };
         Ok(self.tag)
     }
 
     /// Goes on from the meet of this version to its rules; whether it did. It is for the leader to see first that nobody
     /// can still act on the rules before ([`crate::Leases::waits_for`]).
     pub fn advance(&mut self, version: u64) -> bool {
-        let goes = self.tag == Tag { version, whole: false };
+        let goes = self.tag
+            == Tag {
+                version,
+                whole: false,
+            };
         self.tag.whole |= goes;
         goes
     }
--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -27,9 +27,21 @@
 /// Few messages at once and more questions, the other way round, and more senders: together they reach what none alone
 /// does.
 const SIZES: [Size; 3] = [
-    Size { senders: 2, under_way: 1, asks: 3 },
-    Size { senders: 2, under_way: 2, asks: 2 },
-    Size { senders: 3, under_way: 1, asks: 1 },
+    Size {
+        senders: 2,
+        under_way: 1,
+        asks: 3,
+    },
+    Size {
+        senders: 2,
+        under_way: 2,
+        asks: 2,
+    },
+    Size {
+        senders: 3,
+        under_way: 1,
+        asks: 1,
+    },
 ];
 
 /// What is taken out.
@@ -63,8 +75,16 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Message {
-    Ask { sender: usize, ask: Ask },
-    Grant { sender: usize, ask: Ask, tag: Tag, rules: Rules },
+    Ask {
+        sender: usize,
+        ask: Ask,
+    },
+    Grant {
+        sender: usize,
+        ask: Ask,
+        tag: Tag,
+        rules: Rules,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -117,7 +137,10 @@
         gap_ms: 0,
     };
     Rules {
-        classes: names.iter().map(|name| (name.to_string(), class.clone())).collect(),
+        classes: names
+            .iter()
+            .map(|name| (name.to_string(), class.clone()))
+            .collect(),
         ..Rules::default()
     }
 }
@@ -129,24 +152,45 @@
 
 impl Steps {
     fn floor(&self, sender: usize) -> Rules {
-        if self.0 == Without::Floor && sender == 0 { rules(&["w"]) } else { Rules::default() }
+        if self.0 == Without::Floor && sender == 0 {
+            rules(&["w"])
+        } else {
+            Rules::default()
+        }
     }
 
     /// A sender's clock: the first one's runs slow by the bound.
     fn local(&self, sender: usize, now: Micros) -> Micros {
-        if sender == 0 { now * LEASE / (LEASE + DRIFT) } else { now }
+        if sender == 0 {
+            now * LEASE / (LEASE + DRIFT)
+        } else {
+            now
+        }
     }
 
     /// The answer that goes back.
     fn grant(&self, sender: usize, ask: Ask, Grant { tag, rules, .. }: Grant) -> Message {
         let early = self.0 == Without::Meet && !tag.whole;
-        let rules = if early { version(tag.version as usize - 1) } else { rules };
-        Message::Grant { sender, ask, tag, rules }
+        let rules = if early {
+            version(tag.version as usize - 1)
+        } else {
+            rules
+        };
+        Message::Grant {
+            sender,
+            ask,
+            tag,
+            rules,
+        }
     }
 
     /// What a sender acts on.
     fn acts_on<'a>(&self, state: &'a State, sender: usize) -> &'a Rules {
-        let now = if self.0 == Without::LeaseCheck { 0 } else { self.local(sender, state.now) };
+        let now = if self.0 == Without::LeaseCheck {
+            0
+        } else {
+            self.local(sender, state.now)
+        };
         state.holders[sender].rules(now)
     }
 }
@@ -163,9 +207,17 @@
             now: 0,
             versions,
             appended: None,
-            leases: Leases::new(Terms { lease: LEASE, drift }, 0),
+            leases: Leases::new(
+                Terms {
+                    lease: LEASE,
+                    drift,
+                },
+                0,
+            ),
             deposed: None,
-            holders: (0..senders).map(|sender| Holder::new(self.floor(sender), 0)).collect(),
+            holders: (0..senders)
+                .map(|sender| Holder::new(self.floor(sender), 0))
+                .collect(),
             under_way: Vec::new(),
             proposed: 0,
             restarted: 0,
@@ -176,12 +228,20 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let Size { senders, under_way, asks } = self.1;
+        let Size {
+            senders,
+            under_way,
+            asks,
+        } = self.1;
         if state.now < TIME {
             actions.push(Action::Tick);
         }
         if state.under_way.len() < under_way {
-            actions.extend((0..senders).filter(|sender| state.asked[*sender] < asks).map(Action::Ask));
+            actions.extend(
+                (0..senders)
+                    .filter(|sender| state.asked[*sender] < asks)
+                    .map(Action::Ask),
+            );
         }
         for at in 0..state.under_way.len() {
             actions.extend([Action::Deliver(at, false), Action::Lose(at)]);
@@ -221,24 +281,50 @@
                 state.under_way.push(Message::Ask { sender, ask });
             }
             Action::Deliver(at, again) => {
-                let message = if again { state.under_way[at].clone() } else { state.under_way.remove(at) };
+                let message = if again {
+                    state.under_way[at].clone()
+                } else {
+                    state.under_way.remove(at)
+                };
                 match message {
                     Message::Ask { sender, ask } => {
                         let key = (sender as u64) << 8 | ask.life;
                         let grant = state.leases.ask(now, key, ask.acts_on, &state.versions);
                         state.under_way.push(self.grant(sender, ask, grant));
                     }
-                    Message::Grant { sender, ask, tag, rules } => {
-                        let ask = Ask { life: if self.0 == Without::Life { 0 } else { ask.life }, ..ask };
+                    Message::Grant {
+                        sender,
+                        ask,
+                        tag,
+                        rules,
+                    } => {
+                        let ask = Ask {
+                            life: if self.0 == Without::Life { 0 } else { ask.life },
+                            ..ask
+                        };
                         let local = self.local(sender, now);
-                        state.holders[sender].granted(ask, Grant { tag, rules, lease: LEASE }, local);
+                        state.holders[sender].granted(
+                            ask,
+                            Grant {
+                                tag,
+                                rules,
+                                lease: LEASE,
+                            },
+                            local,
+                        );
                     }
                 }
             }
             Action::DeliverDeposed(at) => {
-                let Message::Ask { sender, ask } = state.under_way.remove(at) else { return None };
+                let Message::Ask { sender, ask } = state.under_way.remove(at) else {
+                    return None;
+                };
                 let versions = state.deposed.as_ref()?;
-                let grant = Grant { tag: versions.tag(), rules: versions.rules().clone(), lease: LEASE };
+                let grant = Grant {
+                    tag: versions.tag(),
+                    rules: versions.rules().clone(),
+                    lease: LEASE,
+                };
                 state.under_way.push(self.grant(sender, ask, grant));
             }
             Action::Lose(at) => {
@@ -249,13 +335,16 @@
                     return None;
                 }
                 let from = state.versions.tag().version;
-                state.appended =
-                    Some(Command::Propose(Proposal { from, rules: version(state.proposed + 1) }));
+                state.appended = Some(Command::Propose(Proposal {
+                    from,
+                    rules: version(state.proposed + 1),
+                }));
                 state.proposed += 1;
             }
             Action::Advance => {
                 let tag = state.versions.tag();
-                let waits = state.leases.waits_for(now, tag).is_some() && self.0 != Without::Acknowledgement;
+                let waits = state.leases.waits_for(now, tag).is_some()
+                    && self.0 != Without::Acknowledgement;
                 if state.appended.is_some() || tag.whole || waits {
                     return None;
                 }
@@ -272,7 +361,11 @@
             },
             Action::Restart(sender) => {
                 state.restarted += 1;
-                let life = if self.0 == Without::Life { 0 } else { state.restarted as u64 };
+                let life = if self.0 == Without::Life {
+                    0
+                } else {
+                    state.restarted as u64
+                };
                 state.holders[sender] = Holder::new(self.floor(sender), life);
             }
             Action::TakeOver(keeps) => {
@@ -284,7 +377,13 @@
                     _ => now,
                 };
                 let drift = if self.0 == Without::Drift { 0 } else { DRIFT };
-                state.leases = Leases::new(Terms { lease: LEASE, drift }, since);
+                state.leases = Leases::new(
+                    Terms {
+                        lease: LEASE,
+                        drift,
+                    },
+                    since,
+                );
                 state.deposed = (self.0 == Without::Confirmation).then(|| state.versions.clone());
             }
         }
@@ -297,8 +396,10 @@
                 "no two act on rules that contradict each other",
                 |model: &Steps, state: &State| {
                     let senders = 0..model.1.senders;
-                    let acts: Vec<&Rules> = senders.map(|sender| model.acts_on(state, sender)).collect();
-                    acts.iter().all(|one| acts.iter().all(|other| !one.contradicts(other)))
+                    let acts: Vec<&Rules> =
+                        senders.map(|sender| model.acts_on(state, sender)).collect();
+                    acts.iter()
+                        .all(|one| acts.iter().all(|other| !one.contradicts(other)))
                 },
             ),
             Property::always(
@@ -307,15 +408,24 @@
                     // the bound: from the moment at which a change was taken up
                     (0..model.1.senders).all(|sender| {
                         let local = model.local(sender, state.now);
-                        let tag = state.holders[sender].tag(local).filter(|_| model.0 == Without::Nothing);
+                        let tag = state.holders[sender]
+                            .tag(local)
+                            .filter(|_| model.0 == Without::Nothing);
                         let next = tag.and_then(|tag| state.since.get(&(tag.version + 1)));
                         next.is_none_or(|since| state.now <= since + LEASE + DRIFT)
                     })
                 },
             ),
             Property::sometimes("a change goes through", |_, state: &State| {
-                state.versions.tag() == Tag { version: 2, whole: true }
-                    && state.holders.iter().any(|holder| holder.tag(0) == Some(state.versions.tag()))
+                state.versions.tag()
+                    == Tag {
+                        version: 2,
+                        whole: true,
+                    }
+                    && state
+                        .holders
+                        .iter()
+                        .any(|holder| holder.tag(0) == Some(state.versions.tag()))
             }),
         ]
     }
@@ -325,8 +435,14 @@
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let steps = Steps(without, size).checker().threads(threads);
     // one that breaks is found and no more is asked
-    let checker = steps.finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
-    (checker.unique_state_count(), checker.discoveries().into_keys().collect())
+    let checker = steps
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_dfs()
+        .join();
+    (
+        checker.unique_state_count(),
+        checker.discoveries().into_keys().collect(),
+    )
 }
 
 #[test]
@@ -334,7 +450,11 @@
     for size in SIZES {
         let (states, found) = check(Without::Nothing, size);
         println!("{size:?}: {states} states");
-        assert_eq!(found, BTreeSet::from(["a change goes through"]), "in {states} states of {size:?}");
+        assert_eq!(
+            found,
+            BTreeSet::from(["a change goes through"]),
+            "in {states} states of {size:?}"
+        );
         assert!(states > 500_000, "{states} states");
     }
 }
@@ -356,6 +476,9 @@
         let size = SIZES[usize::from(without == Without::Life)];
         let (states, found) = check(without, size);
         println!("without {without:?}: {states} states");
-        assert!(found.contains(contradiction), "without {without:?}: none in {states} states");
+        assert!(
+            found.contains(contradiction),
+            "without {without:?}: none in {states} states"
+        );
     }
 }
--- a/lab/examples/faulty.rs
+++ b/lab/examples/faulty.rs
@@ -23,11 +23,16 @@
         let mut line = String::new();
         reader.read_line(&mut line)?;
         match line.trim_end().split_once(": ") {
-            Some((name, value)) => drop(headers.insert(name.to_ascii_lowercase(), value.to_string())),
+            Some((name, value)) => {
+                drop(headers.insert(name.to_ascii_lowercase(), value.to_string()))
+            }
             None => break,
         }
     }
-    let length = headers.get("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let length = headers
+        .get("content-length")
+        .and_then(|length| length.parse().ok())
+        .unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body)?;
     Ok((first, headers, body))
@@ -54,7 +59,9 @@
             let (first, headers, _) = read(&mut reader)?;
             let posted = first.starts_with("POST");
             let status = if posted { 202 } else { 200 };
-            stream.write_all(format!("HTTP/1.1 {status} Ok\r\ncontent-length: 0\r\n\r\n").as_bytes())?;
+            stream.write_all(
+                format!("HTTP/1.1 {status} Ok\r\ncontent-length: 0\r\n\r\n").as_bytes(),
+            )?;
             if posted {
                 self.taken(&headers)?;
             }
@@ -64,11 +71,17 @@
     fn taken(&self, headers: &HashMap<String, String>) -> Result<(), Fault> {
         let number = self.taken.fetch_add(1, Ordering::SeqCst);
         let id = headers.get("x-request-id").ok_or("no id")?;
-        let destination =
-            headers.get("envelope").and_then(|text| text.strip_prefix("dest=")).ok_or("no dest")?;
-        let endpoint = self.endpoints.get(&destination.parse()?).ok_or("no endpoint")?;
+        let destination = headers
+            .get("envelope")
+            .and_then(|text| text.strip_prefix("dest="))
+            .ok_or("no dest")?;
+        let endpoint = self
+            .endpoints
+            .get(&destination.parse()?)
+            .ok_or("no endpoint")?;
         let call = |id: &str| {
-            let head = format!("POST /inbox HTTP/1.1\r\nx-request-id: {id}\r\ncontent-length: 0\r\n\r\n");
+            let head =
+                format!("POST /inbox HTTP/1.1\r\nx-request-id: {id}\r\ncontent-length: 0\r\n\r\n");
             ask(endpoint, &head).map(drop)
         };
         match self.way.as_str() {
@@ -85,16 +98,25 @@
     let config = std::fs::read(std::env::var("RELAY_CONFIG")?)?;
     let config: serde_json::Value = serde_json::from_slice(&config)?;
     let text = |name: &str| config[name].as_str().unwrap_or_default().to_string();
-    let list = ask(&text("discovery"), "GET /v1/endpoints HTTP/1.1\r\nhost: a\r\n\r\n")?;
+    let list = ask(
+        &text("discovery"),
+        "GET /v1/endpoints HTTP/1.1\r\nhost: a\r\n\r\n",
+    )?;
     let list: serde_json::Value = serde_json::from_slice(&list)?;
     let mut endpoints = HashMap::new();
     for target in list["targets"].as_array().ok_or("no list")? {
         let destination = target["pod_group"].as_u64().ok_or("no destination")?;
         let address = target["endpoint"].as_str().ok_or("no address")?;
-        endpoints.entry(destination).or_insert_with(|| address.to_string());
+        endpoints
+            .entry(destination)
+            .or_insert_with(|| address.to_string());
     }
     let way = std::env::var("FAULTY")?;
-    let faulty = Arc::new(Faulty { way, endpoints, taken: AtomicUsize::new(0) });
+    let faulty = Arc::new(Faulty {
+        way,
+        endpoints,
+        taken: AtomicUsize::new(0),
+    });
     let mut serving = Vec::new();
     for address in [text("listen"), text("control")] {
         let (listener, faulty) = (TcpListener::bind(address)?, faulty.clone());
--- a/lab/src/agreement.rs
+++ b/lab/src/agreement.rs
@@ -45,9 +45,11 @@
 
 fn reports(records: &[Record]) -> impl Iterator<Item = (u64, usize, Report)> {
     records.iter().filter_map(|record| match &record.event {
-        Event::Rules { sender, report } => {
-            Some((record.at_us, *sender, serde_json::from_value(report.clone()).ok()?))
-        }
+        Event::Rules { sender, report } => Some((
+            record.at_us,
+            *sender,
+            serde_json::from_value(report.clone()).ok()?,
+        )),
         _ => None,
     })
 }
@@ -56,17 +58,25 @@
     let (mut all, mut known): (Vec<Span>, Vec<Rules>) = Default::default();
     let mut last: BTreeMap<usize, (Option<Tag>, usize)> = BTreeMap::new();
     for (at, sender, report) in reports(records) {
-        let rules = known.iter().position(|rules| *rules == report.rules).unwrap_or_else(|| {
-            known.push(report.rules.clone());
-            known.len() - 1
-        });
+        let rules = known
+            .iter()
+            .position(|rules| *rules == report.rules)
+            .unwrap_or_else(|| {
+                known.push(report.rules.clone());
+                known.len() - 1
+            });
         let before = last.get(&sender).copied();
         match before {
             Some((tag, at_span)) if tag == report.acts_on && all[at_span].rules == rules => {
                 all[at_span].until_us = at;
             }
             _ => {
-                all.push(Span { sender, from_us: at, until_us: at, rules });
+                all.push(Span {
+                    sender,
+                    from_us: at,
+                    until_us: at,
+                    rules,
+                });
                 last.insert(sender, (report.acts_on, all.len() - 1));
             }
         }
@@ -80,8 +90,13 @@
     let mut worst = None;
     for (at, one) in spans.iter().enumerate() {
         for other in &spans[at + 1..] {
-            let (from, until) = (one.from_us.max(other.from_us), one.until_us.min(other.until_us));
-            if one.sender != other.sender && until > from && known[one.rules].contradicts(&known[other.rules])
+            let (from, until) = (
+                one.from_us.max(other.from_us),
+                one.until_us.min(other.until_us),
+            );
+            if one.sender != other.sender
+                && until > from
+                && known[one.rules].contradicts(&known[other.rules])
             {
                 worst = worst.max(Some((until - from, until, one.sender, other.sender)));
             }
@@ -98,7 +113,11 @@
 /// or a version was made twice.
 fn not_linear(records: &[Record]) -> Option<(Operation, Operation)> {
     let operation = |record: &Record| match record.event {
-        Event::Revised { asked_us, rev, wrote } => Some((asked_us, record.at_us, rev, wrote)),
+        Event::Revised {
+            asked_us,
+            rev,
+            wrote,
+        } => Some((asked_us, record.at_us, rev, wrote)),
         _ => None,
     };
     let mut all: Vec<Operation> = records.iter().filter_map(operation).collect();
@@ -125,11 +144,21 @@
 
 /// No two contradict each other, none goes back within a life, no answered version is lost.
 pub fn check(records: &[Record]) -> Vec<Violation> {
-    let violation = |at_us, what| Violation { rule: "agreement", at_us, what };
+    let violation = |at_us, what| Violation {
+        rule: "agreement",
+        at_us,
+        what,
+    };
     let mut violations: Vec<Violation> = longest_contradiction(records)
         .into_iter()
         .map(|(lasts, at, one, other)| {
-            violation(at, format!("n{one} and n{other} contradicted each other for {} ms", lasts / 1000))
+            violation(
+                at,
+                format!(
+                    "n{one} and n{other} contradicted each other for {} ms",
+                    lasts / 1000
+                ),
+            )
         })
         .collect();
     if let Some((one, other)) = not_linear(records) {
@@ -152,7 +181,10 @@
             }
             Event::Proposed { version } => answered = *version,
             Event::Rules { sender, report } => {
-                let Ok(Report { acts_on: Some(tag), .. }) = serde_json::from_value(report.clone()) else {
+                let Ok(Report {
+                    acts_on: Some(tag), ..
+                }) = serde_json::from_value(report.clone())
+                else {
                     continue;
                 };
                 seen = tag.version.max(seen);
@@ -191,14 +223,24 @@
             }
             Event::Ended { sender, .. } => drop(acts.remove(sender)),
             Event::Rules { sender, report } => {
-                let Ok(report) = serde_json::from_value::<Report>(report.clone()) else { continue };
+                let Ok(report) = serde_json::from_value::<Report>(report.clone()) else {
+                    continue;
+                };
                 agreed.reports += 1;
                 agreed.on_floor += usize::from(report.acts_on.is_none());
                 acts.insert(*sender, report.acts_on);
                 told.insert(*sender);
-                let Some((since, version)) = waiting else { continue };
-                let whole = Tag { version, whole: true };
-                if acts.iter().all(|(sender, tag)| told.contains(sender) && *tag >= Some(whole)) {
+                let Some((since, version)) = waiting else {
+                    continue;
+                };
+                let whole = Tag {
+                    version,
+                    whole: true,
+                };
+                if acts
+                    .iter()
+                    .all(|(sender, tag)| told.contains(sender) && *tag >= Some(whole))
+                {
                     times.push((record.at_us - since) as f64 / 1e6);
                     waiting = None;
                 }
@@ -209,7 +251,9 @@
     times.sort_by(f64::total_cmp);
     agreed.median_s = times.get(times.len() / 2).copied();
     agreed.longest_s = times.last().copied();
-    let dialled = records.iter().filter(|record| matches!(record.event, Event::Dialled { .. }));
+    let dialled = records
+        .iter()
+        .filter(|record| matches!(record.event, Event::Dialled { .. }));
     let mut bins: BTreeMap<u64, usize> = BTreeMap::new();
     dialled.for_each(|record| *bins.entry(record.at_us / 100_000).or_default() += 1);
     agreed.most_asked_100ms = bins.values().copied().max().unwrap_or_default();
@@ -218,10 +262,15 @@
     }
     for record in records {
         if let Event::Revised { wrote, .. } = record.event {
-            *(if wrote { &mut agreed.writes } else { &mut agreed.reads }) += 1;
+            *(if wrote {
+                &mut agreed.writes
+            } else {
+                &mut agreed.reads
+            }) += 1;
         }
     }
-    agreed.contradiction_s = longest_contradiction(records).map_or(0.0, |(lasts, ..)| lasts as f64 / 1e6);
+    agreed.contradiction_s =
+        longest_contradiction(records).map_or(0.0, |(lasts, ..)| lasts as f64 / 1e6);
     agreed
 }
 
@@ -233,7 +282,10 @@
     fn said(at_ms: u64, sender: usize, version: u64, whole: bool, limits: [u64; 2]) -> Record {
         let report = json!({ "acts_on": { "version": version, "whole": whole },
             "rules": { "limits": { "calls": limits[0], "messages": limits[1] } }, "left_ms": 5 });
-        Record { at_us: at_ms * 1000, event: Event::Rules { sender, report } }
+        Record {
+            at_us: at_ms * 1000,
+            event: Event::Rules { sender, report },
+        }
     }
 
     const OLD: [u64; 2] = [4, 3];
@@ -241,7 +293,10 @@
     const MEET: [u64; 2] = [3, 3];
 
     fn proposed(at_ms: u64, version: u64) -> Record {
-        Record { at_us: at_ms * 1000, event: Event::Proposed { version } }
+        Record {
+            at_us: at_ms * 1000,
+            event: Event::Proposed { version },
+        }
     }
 
     #[test]
@@ -259,14 +314,21 @@
         ];
         assert_eq!(check(&records), []);
         let figures = figures(&records);
-        assert_eq!((figures.changes, figures.longest_s, figures.contradiction_s), (1, Some(0.3), 0.0));
+        assert_eq!(
+            (figures.changes, figures.longest_s, figures.contradiction_s),
+            (1, Some(0.3), 0.0)
+        );
     }
 
     #[test]
     fn versions_that_no_order_explains_are_found() {
         let done = |asked_us: u64, at_us: u64, rev: u64, wrote: bool| Record {
             at_us,
-            event: Event::Revised { asked_us, rev, wrote },
+            event: Event::Revised {
+                asked_us,
+                rev,
+                wrote,
+            },
         };
         let good = vec![
             done(0, 10, 1, true),
@@ -278,10 +340,19 @@
             done(22, 60, 4, true),
         ];
         assert_eq!(check(&good), []);
-        for bad in [done(70, 80, 3, false), done(41, 80, 4, true), done(61, 80, 2, true), done(1, 3, 4, true)]
-        {
+        for bad in [
+            done(70, 80, 3, false),
+            done(41, 80, 4, true),
+            done(61, 80, 2, true),
+            done(1, 3, 4, true),
+        ] {
             let broken = check(&[good.clone(), vec![bad.clone()]].concat());
-            assert!(broken.iter().any(|violation| violation.what.contains("no order")), "{bad:?}");
+            assert!(
+                broken
+                    .iter()
+                    .any(|violation| violation.what.contains("no order")),
+                "{bad:?}"
+            );
         }
         assert_eq!(figures(&good).writes, 4);
     }
@@ -302,12 +373,17 @@
         assert!(check(&back)[0].what.contains("went back"));
         let restarted = [
             said(0, 0, 2, true, NEW),
-            Record { at_us: 10_000, event: Event::Ready { sender: 0 } },
+            Record {
+                at_us: 10_000,
+                event: Event::Ready { sender: 0 },
+            },
             said(50, 0, 2, false, MEET),
         ];
         assert_eq!(check(&restarted), []);
         assert!(
-            check(&[proposed(0, 5), said(9, 0, 2, true, NEW)])[0].what.contains("none acts on more than 2")
+            check(&[proposed(0, 5), said(9, 0, 2, true, NEW)])[0]
+                .what
+                .contains("none acts on more than 2")
         );
         assert!(
             check(&[proposed(0, 5), proposed(9, 5), said(9, 0, 5, true, NEW)])[0]
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -24,7 +24,9 @@
 /// All violations of all rules, in order of time.
 pub fn check(head: &Head, records: &[Record]) -> Vec<Violation> {
     // what the lab does to the processes after the run breaks nothing
-    let over = records.iter().position(|record| record.event == Event::Over {});
+    let over = records
+        .iter()
+        .position(|record| record.event == Event::Over {});
     let records = over.map_or(records, |over| &records[..=over]);
     let members = members::check(head, records);
     let agreement = agreement::check(records);
@@ -70,12 +72,19 @@
         let at_us = *at_us;
         match event {
             Event::Step { what } => match serde_json::from_str(what) {
-                Ok(Act::Stop { sender }) => stood.entry(sender).or_default().push((at_us, u64::MAX)),
+                Ok(Act::Stop { sender }) => {
+                    stood.entry(sender).or_default().push((at_us, u64::MAX))
+                }
                 Ok(Act::Continue { sender }) => {
                     let spans = stood.get_mut(&sender).and_then(|spans| spans.last_mut());
                     spans.into_iter().for_each(|(_, until)| *until = at_us);
                 }
-                Ok(Act::FailCalls { sender, call, percent: 100, .. }) if TELLING.contains(&call.as_str()) => {
+                Ok(Act::FailCalls {
+                    sender,
+                    call,
+                    percent: 100,
+                    ..
+                }) if TELLING.contains(&call.as_str()) => {
                     speechless.insert((sender, call), at_us);
                 }
                 Ok(Act::RestoreCalls { sender, call }) => {
@@ -85,28 +94,53 @@
                 }
                 _ => {}
             },
-            Event::Handed { id, sender, deadline_us, .. } => {
+            Event::Handed {
+                id,
+                sender,
+                deadline_us,
+                ..
+            } => {
                 handed.insert(id, (*sender, *deadline_us));
             }
-            Event::Answered { id, status: 200 | 202 } => {
+            Event::Answered {
+                id,
+                status: 200 | 202,
+            } => {
                 if let Some(&(sender, deadline)) = handed.get(id.as_str()) {
-                    owed.entry(id).or_insert(Owed { sender, deadline, end: None, notice: None });
+                    owed.entry(id).or_insert(Owed {
+                        sender,
+                        deadline,
+                        end: None,
+                        notice: None,
+                    });
                 }
             }
-            Event::Replied { id, status: 200, .. } => {
+            Event::Replied {
+                id, status: 200, ..
+            } => {
                 // it may be delivered before its client has read the answer
                 match owed.get_mut(id.as_str()) {
                     Some(owed) => owed.end = owed.end.or(Some(at_us)),
                     None => {
                         if let Some(&(sender, deadline)) = handed.get(id.as_str()) {
                             let end = Some(at_us);
-                            owed.insert(id, Owed { sender, deadline, end, notice: None });
+                            owed.insert(
+                                id,
+                                Owed {
+                                    sender,
+                                    deadline,
+                                    end,
+                                    notice: None,
+                                },
+                            );
                         }
                     }
                 }
             }
             Event::Notice { id, state } => {
-                let Some(owed) = owed.get_mut(id.as_str()) else { continue };
+                let Some(owed) = owed.get_mut(id.as_str()) else {
+                    continue;
+                };
                 match &owed.notice {
                     Some(before) if before != state => violations.push(Violation {
                         rule: "ends once",
@@ -150,7 +184,11 @@
                 Some(end) => format!("{id} ended {} ms too late", (end - due) / 1000),
                 None => format!("{id} never ended"),
             };
-            violations.push(Violation { rule: "ends once", at_us: due, what });
+            violations.push(Violation {
+                rule: "ends once",
+                at_us: due,
+                what,
+            });
         }
     }
     violations
@@ -167,11 +205,17 @@
                 classes.insert(id, *class);
             }
             Event::Called { id, run: true, .. } => {
-                let class = classes.get(id.as_str()).and_then(|&class| CLASSES.get(class));
+                let class = classes
+                    .get(id.as_str())
+                    .and_then(|&class| CLASSES.get(class));
                 let once = class.is_some_and(|class| class.effect == "at_most_once");
                 if once && !run.insert(id) {
                     let what = format!("{id} took effect twice");
-                    violations.push(Violation { rule: "effects", at_us: *at_us, what });
+                    violations.push(Violation {
+                        rule: "effects",
+                        at_us: *at_us,
+                        what,
+                    });
                 }
             }
             _ => {}
@@ -190,8 +234,13 @@
                 handed.insert(id);
             }
             Event::Called { id, endpoint, .. } if !handed.contains(id.as_str()) => {
-                let what = format!("endpoint e{endpoint} was called with {id}, which no client handed in");
-                violations.push(Violation { rule: "calls", at_us: *at_us, what });
+                let what =
+                    format!("endpoint e{endpoint} was called with {id}, which no client handed in");
+                violations.push(Violation {
+                    rule: "calls",
+                    at_us: *at_us,
+                    what,
+                });
             }
             _ => {}
         }
@@ -207,10 +256,18 @@
     let mut violations = Vec::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Told { sender, endpoint, up: true } => {
+            Event::Told {
+                sender,
+                endpoint,
+                up: true,
+            } => {
                 down.remove(&(*sender, *endpoint));
             }
-            Event::Told { sender, endpoint, up: false } => {
+            Event::Told {
+                sender,
+                endpoint,
+                up: false,
+            } => {
                 down.entry((*sender, *endpoint)).or_insert(*at_us);
             }
             // another process is told again
@@ -226,14 +283,27 @@
                 }
                 _ => {}
             },
-            Event::Called { id, endpoint, sender, .. } => {
-                let since = down.get(&(*sender, *endpoint)).filter(|_| !stopped.contains(sender));
-                if let Some(late) = since.and_then(|since| at_us.checked_sub(since + DRAIN_US + SLACK_US)) {
+            Event::Called {
+                id,
+                endpoint,
+                sender,
+                ..
+            } => {
+                let since = down
+                    .get(&(*sender, *endpoint))
+                    .filter(|_| !stopped.contains(sender));
+                if let Some(late) =
+                    since.and_then(|since| at_us.checked_sub(since + DRAIN_US + SLACK_US))
+                {
                     let what = format!(
                         "{id} came to e{endpoint} from n{sender} {} ms after the grace of its drain",
                         late / 1000
                     );
-                    violations.push(Violation { rule: "drains", at_us: *at_us, what });
+                    violations.push(Violation {
+                        rule: "drains",
+                        at_us: *at_us,
+                        what,
+                    });
                 }
             }
             _ => {}
@@ -247,7 +317,11 @@
     let violated = |record: &Record| match &record.event {
         Event::Violated { sender, line } => {
             let what = format!("n{sender}: {line}");
-            Some(Violation { rule: "invariants", at_us: record.at_us, what })
+            Some(Violation {
+                rule: "invariants",
+                at_us: record.at_us,
+                what,
+            })
         }
         _ => None,
     };
@@ -257,13 +331,31 @@
 /// No process ends but by the lab.
 fn processes(records: &[Record]) -> Vec<Violation> {
     let ended = |record: &Record| match &record.event {
-        Event::ReplicaEnded { replica, meant: false, status, .. } => {
+        Event::ReplicaEnded {
+            replica,
+            meant: false,
+            status,
+            ..
+        } => {
             let what = format!("r{replica} ended by itself: {status}");
-            Some(Violation { rule: "processes", at_us: record.at_us, what })
+            Some(Violation {
+                rule: "processes",
+                at_us: record.at_us,
+                what,
+            })
         }
-        Event::Ended { sender, meant: false, status, .. } => {
+        Event::Ended {
+            sender,
+            meant: false,
+            status,
+            ..
+        } => {
             let what = format!("n{sender} ended by itself: {status}");
-            Some(Violation { rule: "processes", at_us: record.at_us, what })
+            Some(Violation {
+                rule: "processes",
+                at_us: record.at_us,
+                what,
+            })
         }
         _ => None,
     };
@@ -276,27 +368,55 @@
 
     fn handed(id: &str, class: usize) -> Event {
         let (id, key, deadline_us) = (id.to_string(), None, 6_000_000);
-        Event::Handed { id, arrival: 0, sender: 1, class, key, dest: 0, deadline_us }
+        Event::Handed {
+            id,
+            arrival: 0,
+            sender: 1,
+            class,
+            key,
+            dest: 0,
+            deadline_us,
+        }
     }
 
     fn answered(id: &str, status: u16) -> Event {
-        Event::Answered { id: id.to_string(), status }
+        Event::Answered {
+            id: id.to_string(),
+            status,
+        }
     }
 
     fn called(id: &str) -> Event {
-        Event::Called { id: id.to_string(), endpoint: 0, sender: 1, run: true }
+        Event::Called {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 1,
+            run: true,
+        }
     }
 
     fn replied(id: &str, status: u16) -> Event {
-        Event::Replied { id: id.to_string(), endpoint: 0, sender: 1, status }
+        Event::Replied {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 1,
+            status,
+        }
     }
 
     fn notice(id: &str, state: &str) -> Event {
-        Event::Notice { id: id.to_string(), state: state.to_string() }
+        Event::Notice {
+            id: id.to_string(),
+            state: state.to_string(),
+        }
     }
 
     fn told(up: bool) -> Event {
-        Event::Told { sender: 1, endpoint: 0, up }
+        Event::Told {
+            sender: 1,
+            endpoint: 0,
+            up,
+        }
     }
 
     fn end() -> Event {
@@ -305,16 +425,34 @@
 
     /// The rules that a history with these events, at these seconds, breaks.
     fn broken(events: Vec<(f64, Event)>) -> Vec<&'static str> {
-        let record = |(at, event): (f64, Event)| Record { at_us: (at * 1e6) as u64, event };
+        let record = |(at, event): (f64, Event)| Record {
+            at_us: (at * 1e6) as u64,
+            event,
+        };
         let records: Vec<Record> = events.into_iter().map(record).collect();
         let scenario = "s".to_string();
-        let head = Head { version: 1, scenario, seed: 1, senders: 2, ends_us: 0, period_us: None };
-        check(&head, &records).iter().map(|violation| violation.rule).collect()
+        let head = Head {
+            version: 1,
+            scenario,
+            seed: 1,
+            senders: 2,
+            ends_us: 0,
+            period_us: None,
+        };
+        check(&head, &records)
+            .iter()
+            .map(|violation| violation.rule)
+            .collect()
     }
 
     #[test]
     fn what_keeps_the_rules_breaks_none() {
-        let down = Event::Ended { sender: 1, pid: 9, meant: true, status: String::new() };
+        let down = Event::Ended {
+            sender: 1,
+            pid: 9,
+            meant: true,
+            status: String::new(),
+        };
         let up = Event::Ready { sender: 1 };
         for events in [
             // delivered, ended by a notice, refused, given up on by its client
@@ -331,7 +469,11 @@
                 (6.2, notice("a", "failed")),
                 (9.0, end()),
             ],
-            vec![(0.0, handed("a", 1)), (0.1, answered("a", 503)), (9.0, end())],
+            vec![
+                (0.0, handed("a", 1)),
+                (0.1, answered("a", 503)),
+                (9.0, end()),
+            ],
             vec![(0.0, handed("a", 1)), (0.4, answered("a", 0)), (9.0, end())],
             // its sender was down over its deadline
             vec![
@@ -352,7 +494,11 @@
                 (3.1, replied("a", 200)),
             ],
             // the run ended before it was due
-            vec![(0.0, handed("a", 1)), (0.1, answered("a", 202)), (2.0, end())],
+            vec![
+                (0.0, handed("a", 1)),
+                (0.1, answered("a", 202)),
+                (2.0, end()),
+            ],
         ] {
             assert_eq!(broken(events.clone()), [""; 0], "{events:?}");
         }
@@ -360,25 +506,58 @@
 
     #[test]
     fn each_way_to_break_a_rule_is_found() {
-        let crash = Event::Ended { sender: 1, pid: 9, meant: false, status: "signal 6".to_string() };
-        let violated = Event::Violated { sender: 1, line: "violation: one".to_string() };
+        let crash = Event::Ended {
+            sender: 1,
+            pid: 9,
+            meant: false,
+            status: "signal 6".to_string(),
+        };
+        let violated = Event::Violated {
+            sender: 1,
+            line: "violation: one".to_string(),
+        };
         let taken = || vec![(0.0, handed("a", 2)), (0.1, answered("a", 202))];
         for (more, rule) in [
             (vec![(9.0, end())], "ends once"),
-            (vec![(7.0, notice("a", "failed")), (9.0, end())], "ends once"),
-            (vec![(2.0, notice("a", "failed")), (3.0, notice("a", "returned"))], "ends once"),
-            (vec![(1.0, called("a")), (2.0, called("a")), (2.5, replied("a", 200))], "effects"),
+            (
+                vec![(7.0, notice("a", "failed")), (9.0, end())],
+                "ends once",
+            ),
+            (
+                vec![(2.0, notice("a", "failed")), (3.0, notice("a", "returned"))],
+                "ends once",
+            ),
+            (
+                vec![
+                    (1.0, called("a")),
+                    (2.0, called("a")),
+                    (2.5, replied("a", 200)),
+                ],
+                "effects",
+            ),
             (vec![(1.0, called("b")), (1.5, replied("a", 200))], "calls"),
-            (vec![(1.0, told(false)), (3.2, called("a")), (3.5, replied("a", 200))], "drains"),
+            (
+                vec![
+                    (1.0, told(false)),
+                    (3.2, called("a")),
+                    (3.5, replied("a", 200)),
+                ],
+                "drains",
+            ),
             (vec![(1.0, replied("a", 200)), (2.0, crash)], "processes"),
-            (vec![(1.0, replied("a", 200)), (2.0, violated)], "invariants"),
+            (
+                vec![(1.0, replied("a", 200)), (2.0, violated)],
+                "invariants",
+            ),
         ] {
             assert_eq!(broken([taken(), more.clone()].concat()), [rule], "{more:?}");
         }
     }
 
     fn handed_and_ended(end: u64) -> Vec<Record> {
-        let step = |what: &Act| Event::Step { what: serde_json::to_string(what).unwrap_or_default() };
+        let step = |what: &Act| Event::Step {
+            what: serde_json::to_string(what).unwrap_or_default(),
+        };
         let id = "m1".to_string();
         let deadline_us = 5_000_000;
         let handed = Event::Handed {
@@ -392,26 +571,58 @@
         };
         let events = [
             (1, handed),
-            (2, Event::Answered { id: id.clone(), status: 202 }),
+            (
+                2,
+                Event::Answered {
+                    id: id.clone(),
+                    status: 202,
+                },
+            ),
             (3_000_000, step(&Act::Stop { sender: 3 })),
             (7_000_000, step(&Act::Continue { sender: 3 })),
-            (end, Event::Notice { id, state: "returned".to_string() }),
+            (
+                end,
+                Event::Notice {
+                    id,
+                    state: "returned".to_string(),
+                },
+            ),
             (20_000_000, Event::Over {}),
         ];
-        events.into_iter().map(|(at_us, event)| Record { at_us, event }).collect()
+        events
+            .into_iter()
+            .map(|(at_us, event)| Record { at_us, event })
+            .collect()
     }
 
     #[test]
     fn the_slack_of_one_that_stood_still_counts_from_when_it_went_on() {
         assert_eq!(ends(&handed_and_ended(7_000_000 + END_SLACK_US)), []);
         let late = ends(&handed_and_ended(7_100_000 + END_SLACK_US));
-        assert!(late.len() == 1 && late[0].what.contains("too late"), "{late:?}");
+        assert!(
+            late.len() == 1 && late[0].what.contains("too late"),
+            "{late:?}"
+        );
         // nor can one whose every send fails tell an end; one whose sends fail now and then can
         for (percent, late) in [(100, 0), (30, 1)] {
             let mut failing = handed_and_ended(7_000_000 + END_SLACK_US);
             let call = || "send".to_string();
-            let begin = Act::FailCalls { sender: 3, call: call(), number: 110, percent };
-            let steps = [(2, begin), (3, Act::RestoreCalls { sender: 3, call: call() })];
+            let begin = Act::FailCalls {
+                sender: 3,
+                call: call(),
+                number: 110,
+                percent,
+            };
+            let steps = [
+                (2, begin),
+                (
+                    3,
+                    Act::RestoreCalls {
+                        sender: 3,
+                        call: call(),
+                    },
+                ),
+            ];
             for (at, step) in steps {
                 let what = serde_json::to_string(&step).unwrap_or_default();
                 failing[at].event = Event::Step { what };
@@ -420,7 +631,9 @@
         }
         // another's standing still is no excuse
         let mut others = handed_and_ended(7_000_000);
-        others[2].event = Event::Step { what: r#"{"stop":{"sender":4}}"#.to_string() };
+        others[2].event = Event::Step {
+            what: r#"{"stop":{"sender":4}}"#.to_string(),
+        };
         assert_eq!(ends(&others).len(), 1);
     }
 }
--- a/lab/src/check/order.rs
+++ b/lab/src/check/order.rs
@@ -36,19 +36,37 @@
         let mut change = |id: &str, change: fn(&mut Message, u64)| {
             let messages = key_of.get(id).and_then(|key| keys.get_mut(key));
             let message = messages.and_then(|all| all.iter_mut().find(|message| message.id == id));
-            message.into_iter().for_each(|message| change(message, *at_us));
+            message
+                .into_iter()
+                .for_each(|message| change(message, *at_us));
         };
         match event {
-            Event::Handed { id, sender, key: Some(key), .. } => {
+            Event::Handed {
+                id,
+                sender,
+                key: Some(key),
+                ..
+            } => {
                 key_of.insert(id, (*sender, *key));
-                let message =
-                    Message { id, taken: false, over: false, called: false, calls: 0, abandoned_us: None };
+                let message = Message {
+                    id,
+                    taken: false,
+                    over: false,
+                    called: false,
+                    calls: 0,
+                    abandoned_us: None,
+                };
                 keys.entry((*sender, *key)).or_default().push(message);
             }
-            Event::Answered { id, status: 200 | 202 } => change(id, |message, _| message.taken = true),
+            Event::Answered {
+                id,
+                status: 200 | 202,
+            } => change(id, |message, _| message.taken = true),
             Event::Notice { id, .. } => change(id, |message, _| message.over = true),
             Event::Replied { id, status, .. } => {
-                change(id, |message, _| message.calls = message.calls.saturating_sub(1));
+                change(id, |message, _| {
+                    message.calls = message.calls.saturating_sub(1)
+                });
                 if *status == 200 {
                     change(id, |message, _| message.over = true);
                 }
@@ -59,9 +77,15 @@
             }),
             Event::FolderLost { sender } => keys.retain(|(of, _), _| of != sender),
             Event::Called { id, sender, .. } => {
-                let Some(key) = key_of.get(id.as_str()) else { continue };
-                let Some(messages) = keys.get_mut(key) else { continue };
-                let Some(at) = messages.iter().position(|message| message.id == id) else { continue };
+                let Some(key) = key_of.get(id.as_str()) else {
+                    continue;
+                };
+                let Some(messages) = keys.get_mut(key) else {
+                    continue;
+                };
+                let Some(at) = messages.iter().position(|message| message.id == id) else {
+                    continue;
+                };
                 for before in &messages[..at] {
                     let why = overtaken(before, *at_us, impaired);
                     violations.extend(why.map(|why| Violation {
@@ -70,7 +94,9 @@
                         what: format!("{id} came from n{sender} {why} {} of its key", before.id),
                     }));
                 }
-                let after = messages[at + 1..].iter().find(|later| messages[at].taken && later.called);
+                let after = messages[at + 1..]
+                    .iter()
+                    .find(|later| messages[at].taken && later.called);
                 violations.extend(after.map(|later| Violation {
                     rule: "order",
                     at_us: *at_us,
@@ -106,45 +132,101 @@
 
     fn handed(id: &str) -> Event {
         let (id, key, deadline_us) = (id.to_string(), Some(7), 6_000_000);
-        Event::Handed { id, arrival: 0, sender: 1, class: 2, key, dest: 0, deadline_us }
+        Event::Handed {
+            id,
+            arrival: 0,
+            sender: 1,
+            class: 2,
+            key,
+            dest: 0,
+            deadline_us,
+        }
     }
 
     fn answered(id: &str) -> Event {
-        Event::Answered { id: id.to_string(), status: 202 }
+        Event::Answered {
+            id: id.to_string(),
+            status: 202,
+        }
     }
 
     fn called(id: &str) -> Event {
-        Event::Called { id: id.to_string(), endpoint: 0, sender: 1, run: true }
+        Event::Called {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 1,
+            run: true,
+        }
     }
 
     fn replied(id: &str, status: u16) -> Event {
-        Event::Replied { id: id.to_string(), endpoint: 0, sender: 1, status }
+        Event::Replied {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 1,
+            status,
+        }
     }
 
     fn abandoned(id: &str) -> Event {
-        Event::Abandoned { id: id.to_string(), endpoint: 0, sender: 1 }
+        Event::Abandoned {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 1,
+        }
     }
 
     fn notice(id: &str) -> Event {
-        Event::Notice { id: id.to_string(), state: "failed".to_string() }
+        Event::Notice {
+            id: id.to_string(),
+            state: "failed".to_string(),
+        }
     }
 
     fn found(events: Vec<(f64, Event)>) -> usize {
-        let two = [(0.0, handed("a")), (0.1, answered("a")), (0.2, handed("b")), (0.3, answered("b"))];
+        let two = [
+            (0.0, handed("a")),
+            (0.1, answered("a")),
+            (0.2, handed("b")),
+            (0.3, answered("b")),
+        ];
         let all = two.into_iter().chain(events);
-        let records: Vec<Record> =
-            all.map(|(at, event)| Record { at_us: (at * 1e6) as u64, event }).collect();
+        let records: Vec<Record> = all
+            .map(|(at, event)| Record {
+                at_us: (at * 1e6) as u64,
+                event,
+            })
+            .collect();
         check(&records).len()
     }
 
     #[test]
     fn what_goes_in_turn_breaks_nothing() {
         for events in [
-            vec![(1.0, called("a")), (1.1, replied("a", 200)), (1.1, called("b"))],
-            vec![(1.0, called("a")), (1.1, replied("a", 503)), (1.2, notice("a")), (1.3, called("b"))],
-            vec![(1.0, called("a")), (1.1, abandoned("a")), (1.2, notice("a")), (1.41, called("b"))],
+            vec![
+                (1.0, called("a")),
+                (1.1, replied("a", 200)),
+                (1.1, called("b")),
+            ],
+            vec![
+                (1.0, called("a")),
+                (1.1, replied("a", 503)),
+                (1.2, notice("a")),
+                (1.3, called("b")),
+            ],
+            vec![
+                (1.0, called("a")),
+                (1.1, abandoned("a")),
+                (1.2, notice("a")),
+                (1.41, called("b")),
+            ],
             // a repeat of what is delivered comes before the next one
-            vec![(1.0, called("a")), (1.1, replied("a", 200)), (1.2, called("a")), (1.3, replied("a", 200))],
+            vec![
+                (1.0, called("a")),
+                (1.1, replied("a", 200)),
+                (1.2, called("a")),
+                (1.3, replied("a", 200)),
+            ],
         ] {
             assert_eq!(found(events.clone()), 0, "{events:?}");
         }
@@ -157,7 +239,12 @@
             vec![(1.0, called("b"))],
             vec![(1.0, called("a")), (1.1, called("b"))],
             vec![(1.0, called("a")), (1.1, notice("a")), (1.2, called("b"))],
-            vec![(1.0, called("a")), (1.1, abandoned("a")), (1.2, notice("a")), (1.3, called("b"))],
+            vec![
+                (1.0, called("a")),
+                (1.1, abandoned("a")),
+                (1.2, notice("a")),
+                (1.3, called("b")),
+            ],
             // a next life sends what was delivered after the second
             vec![
                 (1.0, called("a")),
@@ -173,8 +260,16 @@
 
     #[test]
     fn a_repeat_of_the_first_after_the_second_is_found() {
-        let first = [(1.0, called("a")), (1.1, replied("a", 200)), (1.2, called("b"))];
-        let again = [(1.3, replied("b", 200)), (2.0, called("a")), (2.1, replied("a", 200))];
+        let first = [
+            (1.0, called("a")),
+            (1.1, replied("a", 200)),
+            (1.2, called("b")),
+        ];
+        let again = [
+            (1.3, replied("b", 200)),
+            (2.0, called("a")),
+            (2.1, replied("a", 200)),
+        ];
         assert_eq!(found([first, again].concat()), 1);
     }
 }
--- a/lab/src/check/recovery.rs
+++ b/lab/src/check/recovery.rs
@@ -14,9 +14,17 @@
 /// At most one violation: the fleet serves too little after its faults.
 pub fn check(records: &[Record], ends_us: u64) -> Vec<Violation> {
     let disturbed = |record: &&Record| {
-        matches!(record.event, Event::Step { .. } | Event::Ready { .. } | Event::Started { .. })
+        matches!(
+            record.event,
+            Event::Step { .. } | Event::Ready { .. } | Event::Started { .. }
+        )
     };
-    let last = records.iter().filter(disturbed).map(|record| record.at_us).max().unwrap_or(0);
+    let last = records
+        .iter()
+        .filter(disturbed)
+        .map(|record| record.at_us)
+        .max()
+        .unwrap_or(0);
     let from = last + RECOVERED_AFTER_US;
     let mut delivered: HashSet<&str> = HashSet::new();
     let mut taken: HashSet<&str> = HashSet::new();
@@ -25,23 +33,41 @@
     for Record { at_us, event } in records {
         match event {
             Event::Handed { id, arrival, .. } => {
-                asked.entry(*arrival).or_insert((*at_us, Vec::new())).1.push(id);
+                asked
+                    .entry(*arrival)
+                    .or_insert((*at_us, Vec::new()))
+                    .1
+                    .push(id);
             }
-            Event::Answered { id, status: 200 | 202 } => drop(taken.insert(id)),
-            Event::Replied { id, status: 200, .. } => drop(delivered.insert(id)),
+            Event::Answered {
+                id,
+                status: 200 | 202,
+            } => drop(taken.insert(id)),
+            Event::Replied {
+                id, status: 200, ..
+            } => drop(delivered.insert(id)),
             _ => {}
         }
     }
     let late: Vec<_> = asked.values().filter(|(at, _)| *at >= from).collect();
-    let is_served = |ids: &[&str]| ids.iter().any(|id| taken.contains(id) && delivered.contains(id));
+    let is_served = |ids: &[&str]| {
+        ids.iter()
+            .any(|id| taken.contains(id) && delivered.contains(id))
+    };
     let served = late.iter().filter(|(_, ids)| is_served(ids)).count();
     if late.len() < LEAST_MESSAGES || served as f64 >= LEAST_SHARE * late.len() as f64 {
         return Vec::new();
     }
     let seconds = ends_us.saturating_sub(from) as f64 / 1e6;
-    let what =
-        format!("{served} of {} messages delivered in the last {seconds:.1} s, with no fault", late.len());
-    vec![Violation { rule: "recovery", at_us: from, what }]
+    let what = format!(
+        "{served} of {} messages delivered in the last {seconds:.1} s, with no fault",
+        late.len()
+    );
+    vec![Violation {
+        rule: "recovery",
+        at_us: from,
+        what,
+    }]
 }
 
 #[cfg(test)]
@@ -50,8 +76,13 @@
 
     /// A fault until the second 10, and a message every tenth of a second until 25, some of them delivered.
     fn history(delivers: impl Fn(u64) -> bool) -> Vec<Record> {
-        let step = Event::Step { what: String::new() };
-        let mut records = vec![Record { at_us: 10_000_000, event: step }];
+        let step = Event::Step {
+            what: String::new(),
+        };
+        let mut records = vec![Record {
+            at_us: 10_000_000,
+            event: step,
+        }];
         for number in 0..250 {
             let (at_us, id) = (number * 100_000, format!("m{number}"));
             let (arrival, deadline_us) = (number as usize, at_us + 6_000_000);
@@ -64,9 +95,20 @@
                 dest: 0,
                 deadline_us,
             };
-            let mut events = vec![handed, Event::Answered { id: id.clone(), status: 202 }];
+            let mut events = vec![
+                handed,
+                Event::Answered {
+                    id: id.clone(),
+                    status: 202,
+                },
+            ];
             if delivers(at_us) {
-                events.push(Event::Replied { id, endpoint: 0, sender: 0, status: 200 });
+                events.push(Event::Replied {
+                    id,
+                    endpoint: 0,
+                    sender: 0,
+                    status: 200,
+                });
             }
             records.extend(events.into_iter().map(|event| Record { at_us, event }));
         }
@@ -88,7 +130,10 @@
     #[test]
     fn too_few_messages_tell_nothing() {
         let mut records = history(|_| false);
-        records.push(Record { at_us: 15_000_000, event: Event::Ready { sender: 0 } });
+        records.push(Record {
+            at_us: 15_000_000,
+            event: Event::Ready { sender: 0 },
+        });
         assert_eq!(check(&records, 25_000_000), []);
     }
 }
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -42,7 +42,13 @@
     pub fn new(net: Arc<Net>, senders: Vec<SocketAddr>) -> Arc<Self> {
         let used = Mutex::new(vec![false; senders.len()]);
         let idle = senders.iter().map(|_| Mutex::default()).collect();
-        Arc::new(Front { net, senders, used, idle, keys: Mutex::default() })
+        Arc::new(Front {
+            net,
+            senders,
+            used,
+            idle,
+            keys: Mutex::default(),
+        })
     }
 
     /// Tells the front that a sender can be used, or no more.
@@ -65,7 +71,9 @@
     }
 
     async fn client(self: Arc<Self>, arrival: Arrival) {
-        let turn = arrival.key.map(|key| lock(&self.keys).entry(key).or_default().clone());
+        let turn = arrival
+            .key
+            .map(|key| lock(&self.keys).entry(key).or_default().clone());
         let _turn = match &turn {
             Some(turn) => Some(turn.lock().await),
             None => None,
@@ -74,7 +82,9 @@
         let deadline_us = self.net.history.now_us() + micros(class.deadline_s);
         for again in 0..=AGAIN {
             let left_us = deadline_us.saturating_sub(self.net.history.now_us());
-            let Some(sender) = self.choose(&arrival, again).filter(|_| left_us > 0) else { return };
+            let Some(sender) = self.choose(&arrival, again).filter(|_| left_us > 0) else {
+                return;
+            };
             let id = format!("{:012x}{again:04x}", arrival.number);
             self.net.history.tell(Event::Handed {
                 id: id.clone(),
@@ -85,7 +95,11 @@
                 dest: arrival.destination,
                 deadline_us,
             });
-            let answer = timeout(PATIENCE, self.hand_in(&arrival, &id, sender, left_us, again)).await;
+            let answer = timeout(
+                PATIENCE,
+                self.hand_in(&arrival, &id, sender, left_us, again),
+            )
+            .await;
             let (status, wait) = answer.ok().flatten().unwrap_or((0, None));
             self.net.history.tell(Event::Answered { id, status });
             match status {
@@ -103,15 +117,24 @@
             Some(key) => u64::from(key).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32,
             None => arrival.draw.rotate_left(again),
         };
-        used.get((draw % used.len().max(1) as u64) as usize).copied()
+        used.get((draw % used.len().max(1) as u64) as usize)
+            .copied()
     }
 
     /// The status and the wait that is told; none if no answer came.
     async fn hand_in(
-        &self, arrival: &Arrival, id: &str, sender: usize, left_us: u64, again: u32,
+        &self,
+        arrival: &Arrival,
+        id: &str,
+        sender: usize,
+        left_us: u64,
+        again: u32,
     ) -> Option<(u16, Option<Duration>)> {
         let class = CLASSES[arrival.class].name;
-        let query = arrival.key.map(|key| format!("?subject=reader-{key}")).unwrap_or_default();
+        let query = arrival
+            .key
+            .map(|key| format!("?subject=reader-{key}"))
+            .unwrap_or_default();
         let request = || {
             let builder = Request::post(format!("/{class}{query}"))
                 .header("host", "app.svc")
@@ -121,7 +144,11 @@
                 .header("x-timeout", format!("{left_us}u"))
                 .header("idempotency-key", format!("key-{:016x}", arrival.number))
                 .header("envelope", format!("dest={}", arrival.destination));
-            let builder = if again > 0 { builder.header("x-retried", "1") } else { builder };
+            let builder = if again > 0 {
+                builder.header("x-retried", "1")
+            } else {
+                builder
+            };
             builder.body(Full::from(vec![b'x'; BODY])).ok()
         };
         // an idle connection that was closed meanwhile is no refusal: once more on a new one
@@ -138,18 +165,29 @@
     }
 
     async fn answered(
-        &self, response: hyper::Response<hyper::body::Incoming>, link: Link, sender: usize,
+        &self,
+        response: hyper::Response<hyper::body::Incoming>,
+        link: Link,
+        sender: usize,
     ) -> Option<(u16, Option<Duration>)> {
         let status = response.status();
-        let wait = response.headers().get("retry-after").and_then(|wait| wait.to_str().ok()?.parse().ok());
+        let wait = response
+            .headers()
+            .get("retry-after")
+            .and_then(|wait| wait.to_str().ok()?.parse().ok());
         response.into_body().collect().await.ok()?;
         lock(&self.idle[sender]).push(link);
-        Some((status.as_u16(), wait.map(|wait: f64| Duration::from_secs_f64(wait.clamp(0.0, 10.0)))))
+        Some((
+            status.as_u16(),
+            wait.map(|wait: f64| Duration::from_secs_f64(wait.clamp(0.0, 10.0))),
+        ))
     }
 
     async fn dial(&self, sender: usize) -> Option<Link> {
         let stream = TcpStream::connect(self.senders[sender]).await.ok()?;
-        let io = self.net.connect(stream, Party::Sender(sender), Party::Clients);
+        let io = self
+            .net
+            .connect(stream, Party::Sender(sender), Party::Clients);
         let (link, connection) = http1::handshake(TokioIo::new(io)).await.ok()?;
         tokio::spawn(connection);
         Some(link)
@@ -157,7 +195,11 @@
 }
 
 /// One GET on a connection of its own; the status and body.
-pub async fn get(address: SocketAddr, path: &str, patience: Duration) -> Option<(StatusCode, Bytes)> {
+pub async fn get(
+    address: SocketAddr,
+    path: &str,
+    patience: Duration,
+) -> Option<(StatusCode, Bytes)> {
     ask(address, Method::GET, path, None, String::new(), patience).await
 }
 
@@ -171,17 +213,31 @@
 
 /// One request on a connection of its own, on a version if one is named; the status and body.
 pub async fn ask(
-    address: SocketAddr, method: Method, path: &str, version: Option<u64>, body: String, patience: Duration,
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    version: Option<u64>,
+    body: String,
+    patience: Duration,
 ) -> Option<(StatusCode, Bytes)> {
     let ask = async {
         let mut link = link(address).await?;
-        let mut request = Request::builder().method(method).uri(path).header("host", "lab");
+        let mut request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", "lab");
         if let Some(version) = version {
             request = request.header("if-match", version);
         }
-        let response = link.send_request(request.body(Full::from(body)).ok()?).await.ok()?;
+        let response = link
+            .send_request(request.body(Full::from(body)).ok()?)
+            .await
+            .ok()?;
         let status = response.status();
-        Some((status, response.into_body().collect().await.ok()?.to_bytes()))
+        Some((
+            status,
+            response.into_body().collect().await.ok()?.to_bytes(),
+        ))
     };
     timeout(patience, ask).await.ok().flatten()
 }
--- a/lab/src/figures.rs
+++ b/lab/src/figures.rs
@@ -34,7 +34,9 @@
 
 /// The worth of a message of this class that is delivered so long after it was handed in.
 fn worth_at(class: usize, after_us: u64) -> f64 {
-    let Some(class) = CLASSES.get(class) else { return 0.0 };
+    let Some(class) = CLASSES.get(class) else {
+        return 0.0;
+    };
     let after = after_us as f64 / 1e6;
     if after > class.deadline_s {
         return 0.0;
@@ -55,7 +57,9 @@
     let mut asked: BTreeMap<usize, Asked> = BTreeMap::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Handed { id, arrival, class, .. } => {
+            Event::Handed {
+                id, arrival, class, ..
+            } => {
                 by_id.insert(id, *arrival);
                 asked.entry(*arrival).or_insert(Asked {
                     at: *at_us,
@@ -64,13 +68,24 @@
                     served: 0.0,
                 });
             }
-            Event::Answered { id, status: 200 | 202 } => {
-                if let Some(asked) = by_id.get(id.as_str()).and_then(|arrival| asked.get_mut(arrival)) {
+            Event::Answered {
+                id,
+                status: 200 | 202,
+            } => {
+                if let Some(asked) = by_id
+                    .get(id.as_str())
+                    .and_then(|arrival| asked.get_mut(arrival))
+                {
                     asked.taken = true;
                 }
             }
-            Event::Replied { id, status: 200, .. } => {
-                if let Some(asked) = by_id.get(id.as_str()).and_then(|arrival| asked.get_mut(arrival)) {
+            Event::Replied {
+                id, status: 200, ..
+            } => {
+                if let Some(asked) = by_id
+                    .get(id.as_str())
+                    .and_then(|arrival| asked.get_mut(arrival))
+                {
                     asked.served = asked.served.max(worth_at(asked.class, at_us - asked.at));
                 }
             }
@@ -85,12 +100,18 @@
         }
         if wanted > 0.0 { served / wanted } else { 1.0 }
     };
-    let (first, last) = (asked.values().map(|one| one.at).min(), asked.values().map(|one| one.at).max());
+    let (first, last) = (
+        asked.values().map(|one| one.at).min(),
+        asked.values().map(|one| one.at).max(),
+    );
     let (first, last) = (first.unwrap_or(0), last.unwrap_or(0));
     let spans = (first..=last.saturating_sub(WORST_US).max(first)).step_by(1_000_000);
-    let worst = spans.map(|from| share(&|one| (from..from + WORST_US).contains(&one.at))).fold(1.0, f64::min);
-    let class =
-        |(at, class): (usize, &crate::plan::Class)| (class.name.to_string(), share(&|one| one.class == at));
+    let worst = spans
+        .map(|from| share(&|one| (from..from + WORST_US).contains(&one.at)))
+        .fold(1.0, f64::min);
+    let class = |(at, class): (usize, &crate::plan::Class)| {
+        (class.name.to_string(), share(&|one| one.class == at))
+    };
     Worth {
         all: share(&|_| true),
         worst_10s: worst,
@@ -100,7 +121,11 @@
 
 /// How even the arrivals were while clients handed in.
 pub fn evenness(records: &[Record], endpoints: usize) -> Evenness {
-    let handed = || records.iter().filter(|record| matches!(record.event, Event::Handed { .. }));
+    let handed = || {
+        records
+            .iter()
+            .filter(|record| matches!(record.event, Event::Handed { .. }))
+    };
     let (Some(first), Some(last)) = (handed().next(), handed().next_back()) else {
         return Evenness::default();
     };
@@ -125,7 +150,10 @@
         }
         counts
     };
-    let called: Vec<&Vec<u64>> = arrivals.iter().filter(|arrivals| !arrivals.is_empty()).collect();
+    let called: Vec<&Vec<u64>> = arrivals
+        .iter()
+        .filter(|arrivals| !arrivals.is_empty())
+        .collect();
     let mean_of = |figure: &dyn Fn(&[u64]) -> f64| {
         called.iter().map(|arrivals| figure(arrivals)).sum::<f64>() / called.len().max(1) as f64
     };
@@ -133,14 +161,21 @@
         let counts = counts(arrivals, 100_000);
         f64::from(counts.iter().copied().max().unwrap_or(0)) / mean(&counts).max(f64::MIN_POSITIVE)
     };
-    let totals: Vec<f64> = arrivals.iter().map(|arrivals| arrivals.len() as f64).collect();
+    let totals: Vec<f64> = arrivals
+        .iter()
+        .map(|arrivals| arrivals.len() as f64)
+        .collect();
     let squares: f64 = totals.iter().map(|total| total * total).sum();
     let sum: f64 = totals.iter().sum();
     Evenness {
         dispersion_100ms: mean_of(&|arrivals| dispersion(&counts(arrivals, 100_000))),
         dispersion_1s: mean_of(&|arrivals| dispersion(&counts(arrivals, 1_000_000))),
         peak_over_mean: called.iter().map(peak).fold(0.0, f64::max),
-        jain: if squares > 0.0 { sum * sum / (totals.len() as f64 * squares) } else { 1.0 },
+        jain: if squares > 0.0 {
+            sum * sum / (totals.len() as f64 * squares)
+        } else {
+            1.0
+        },
         idle: endpoints - called.len(),
     }
 }
@@ -162,27 +197,49 @@
     use super::*;
 
     fn at(seconds: f64, event: Event) -> Record {
-        Record { at_us: micros(seconds), event }
+        Record {
+            at_us: micros(seconds),
+            event,
+        }
     }
 
     fn handed(arrival: usize, class: usize, again: u32) -> Event {
         let id = format!("{arrival}-{again}");
-        Event::Handed { id, arrival, sender: 0, class, key: None, dest: 0, deadline_us: 0 }
+        Event::Handed {
+            id,
+            arrival,
+            sender: 0,
+            class,
+            key: None,
+            dest: 0,
+            deadline_us: 0,
+        }
     }
 
     fn answered(id: &str, status: u16) -> Event {
-        Event::Answered { id: id.to_string(), status }
+        Event::Answered {
+            id: id.to_string(),
+            status,
+        }
     }
 
     fn replied(id: &str) -> Event {
-        Event::Replied { id: id.to_string(), endpoint: 0, sender: 0, status: 200 }
+        Event::Replied {
+            id: id.to_string(),
+            endpoint: 0,
+            sender: 0,
+            status: 200,
+        }
     }
 
     #[test]
     fn worth_falls_after_the_aim_and_a_second_try_belongs_to_the_first() {
         // a title-status, worth 2 within 1 s, a tenth of it at 6 s
         assert_eq!((worth_at(1, 900_000), worth_at(1, 6_000_001)), (2.0, 0.0));
-        assert!((worth_at(1, 6_000_000) - 0.2).abs() < 1e-9 && (worth_at(1, 3_500_000) - 1.1).abs() < 1e-9);
+        assert!(
+            (worth_at(1, 6_000_000) - 0.2).abs() < 1e-9
+                && (worth_at(1, 3_500_000) - 1.1).abs() < 1e-9
+        );
         let records = [
             at(0.0, handed(0, 1, 0)),
             at(0.1, answered("0-0", 503)),
@@ -194,14 +251,26 @@
         ];
         let worth = worth(&records);
         assert!((worth.all - 1.1 / 4.0).abs() < 1e-9, "{worth:?}");
-        assert_eq!(worth.by_class["reader-charge"], 1.0, "nothing was asked for");
+        assert_eq!(
+            worth.by_class["reader-charge"], 1.0,
+            "nothing was asked for"
+        );
     }
 
     #[test]
     fn turns_chance_and_herds_are_told_apart() {
         let played = |times: Vec<f64>| {
-            let call =
-                |at_s| at(at_s, Event::Called { id: String::new(), endpoint: 0, sender: 0, run: true });
+            let call = |at_s| {
+                at(
+                    at_s,
+                    Event::Called {
+                        id: String::new(),
+                        endpoint: 0,
+                        sender: 0,
+                        run: true,
+                    },
+                )
+            };
             let mut records = vec![at(0.0, handed(0, 0, 0))];
             records.extend(times.into_iter().map(call));
             records.push(at(101.0, handed(1, 0, 0)));
@@ -212,7 +281,14 @@
             turns.dispersion_100ms < 0.1 && turns.idle == 1 && (turns.jain - 0.5).abs() < 1e-9,
             "{turns:?}"
         );
-        let herd = played((0..1000).map(|n| 1.0 + f64::from(n / 100) * 10.0 + 0.01).collect());
-        assert!(herd.dispersion_100ms > 50.0 && herd.peak_over_mean > 50.0, "{herd:?}");
+        let herd = played(
+            (0..1000)
+                .map(|n| 1.0 + f64::from(n / 100) * 10.0 + 0.01)
+                .collect(),
+        );
+        assert!(
+            herd.dispersion_100ms > 50.0 && herd.peak_over_mean > 50.0,
+            "{herd:?}"
+        );
     }
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -48,7 +48,10 @@
         let first = std::process::id() as u8 & 63;
         for block in (0..120).map(|step| 2 + (first + step) % 120) {
             if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, block, 255, 254), CLAIM)) {
-                return Ok(Addresses { block, _claim: claim });
+                return Ok(Addresses {
+                    block,
+                    _claim: claim,
+                });
             }
         }
         bail!("no block 127.B.0.0/16 is free for a run: port {CLAIM} is taken on all of them")
@@ -84,7 +87,11 @@
 
     /// Where one replica finds another.
     pub fn between(&self, from: usize, to: usize, peers: bool) -> SocketAddr {
-        (self.ip(210 + from as u8, to), if peers { 8600 } else { 8500 }).into()
+        (
+            self.ip(210 + from as u8, to),
+            if peers { 8600 } else { 8500 },
+        )
+            .into()
     }
 
     /// Where a sender finds a replica.
@@ -130,11 +137,19 @@
 
 impl Fleet {
     pub fn new(
-        program: PathBuf, folder: PathBuf, addresses: Arc<Addresses>, history: Arc<History>,
-        discovery: Vec<SocketAddr>, scenario: Scenario, seed: u64,
+        program: PathBuf,
+        folder: PathBuf,
+        addresses: Arc<Addresses>,
+        history: Arc<History>,
+        discovery: Vec<SocketAddr>,
+        scenario: Scenario,
+        seed: u64,
     ) -> Self {
         let processes = discovery.iter().map(|_| None).collect();
-        let (ports, controls) = (vec![CONTROL_NEXT; discovery.len()], vec![None; discovery.len()]);
+        let (ports, controls) = (
+            vec![CONTROL_NEXT; discovery.len()],
+            vec![None; discovery.len()],
+        );
         let starts = 0;
         Fleet {
             program,
@@ -171,7 +186,9 @@
         });
         let per_sender = self.scenario.traffic.per_s / self.scenario.senders as f64;
         // as the deployment has it: 2.2 times what its part of the load keeps busy, and 5 s of that load
-        let slots = (2.2 * per_sender * self.scenario.destinations.latency_ms / 1e3).ceil().max(3.0);
+        let slots = (2.2 * per_sender * self.scenario.destinations.latency_ms / 1e3)
+            .ceil()
+            .max(3.0);
         let held = (5.0 * per_sender).ceil().max(12.0);
         let mut config = json!({
             "name": format!("n{sender}"),
@@ -198,7 +215,10 @@
         if let Some(membership) = &self.scenario.membership {
             let mut membership = serde_json::to_value(membership).unwrap_or_default();
             // any one seed suffices: each names the two after it, so that no process is asked by all
-            let next = |step| self.addresses.stands((sender + step) % self.scenario.senders);
+            let next = |step| {
+                self.addresses
+                    .stands((sender + step) % self.scenario.senders)
+            };
             let defaults = json!({
                 "listen": self.addresses.members(sender), "advertise": self.addresses.stands(sender),
                 "fleet": "lab", "seeds": [next(1), next(2)]
@@ -213,7 +233,10 @@
         if let Some(registry) = &self.scenario.registry {
             // the lab's own discovery grants no lease: all replicas are asked in turn
             let others: Vec<_> = (0..registry.replicas)
-                .map(|step| self.addresses.registry_of(sender, (sender + step) % registry.replicas))
+                .map(|step| {
+                    self.addresses
+                        .registry_of(sender, (sender + step) % registry.replicas)
+                })
                 .collect();
             if let Some(ledger) = &registry.ledger {
                 config["ledger"] = json!({ "senders": self.scenario.senders, "others": others,
@@ -230,7 +253,10 @@
 
     /// Tells whether its last process has ended.
     pub fn ended(&self, sender: usize) -> Arc<AtomicBool> {
-        self.processes[sender].as_ref().map(|process| process.ended.clone()).unwrap_or_default()
+        self.processes[sender]
+            .as_ref()
+            .map(|process| process.ended.clone())
+            .unwrap_or_default()
     }
 
     /// Starts a sender's process, after one that runs if this is an upgrade.
@@ -244,12 +270,17 @@
             before.relieved.store(true, Ordering::SeqCst);
         }
         // the process before it may still be there: it leaves slowly, or hands over
-        let port = if self.ports[sender] == CONTROL { CONTROL_NEXT } else { CONTROL };
+        let port = if self.ports[sender] == CONTROL {
+            CONTROL_NEXT
+        } else {
+            CONTROL
+        };
         self.ports[sender] = port;
         let control = SocketAddr::new(self.addresses.own(sender), port);
         let home = self.home(sender);
         let temporary = home.join(format!("tmp{}", self.starts));
-        std::fs::create_dir_all(home.join("state")).and_then(|()| std::fs::create_dir_all(&temporary))?;
+        std::fs::create_dir_all(home.join("state"))
+            .and_then(|()| std::fs::create_dir_all(&temporary))?;
         let config = home.join("config.json");
         std::fs::write(&config, serde_json::to_vec(&self.config(sender, control))?)?;
         let mut variables = vec![
@@ -263,10 +294,24 @@
             variables.push(("FAULT_DIR", switches.into_os_string()));
         }
         let history = self.history.clone();
-        let process = spawn(&self.program, &[], &variables, &home.join("log"), move |pid, meant, status| {
-            history.tell(Event::Ended { sender, pid, meant, status });
-        })?;
-        self.history.tell(Event::Started { sender, pid: process.pid.as_raw_nonzero().get() as u32 });
+        let process = spawn(
+            &self.program,
+            &[],
+            &variables,
+            &home.join("log"),
+            move |pid, meant, status| {
+                history.tell(Event::Ended {
+                    sender,
+                    pid,
+                    meant,
+                    status,
+                });
+            },
+        )?;
+        self.history.tell(Event::Started {
+            sender,
+            pid: process.pid.as_raw_nonzero().get() as u32,
+        });
         self.processes[sender] = Some(process);
         self.controls[sender] = Some(control);
         Ok(())
@@ -301,7 +346,13 @@
     ///
     /// # Errors
     /// The switch can't be written.
-    pub fn fail_calls(&self, sender: usize, call: &str, number: i32, percent: u8) -> anyhow::Result<()> {
+    pub fn fail_calls(
+        &self,
+        sender: usize,
+        call: &str,
+        number: i32,
+        percent: u8,
+    ) -> anyhow::Result<()> {
         let switches = self.switches(sender)?;
         // whole from the first moment on
         let new = switches.join(".new");
@@ -327,15 +378,23 @@
         let of_sender = |sender: usize| {
             let log = std::fs::read_to_string(self.home(sender).join("log")).unwrap_or_default();
             let lines = log.lines().filter(|line| line.starts_with("violation: "));
-            lines.map(|line| (sender, line.to_string())).collect::<Vec<_>>()
+            lines
+                .map(|line| (sender, line.to_string()))
+                .collect::<Vec<_>>()
         };
         (0..self.processes.len()).flat_map(of_sender).collect()
     }
 
     /// Signals a sender's process; one that is gone hears nothing, which the history tells.
     pub fn signal(&mut self, sender: usize, signal: Signal, ends: bool) {
-        let process = if ends { self.processes[sender].take() } else { None };
-        let Some(process) = process.as_ref().or(self.processes[sender].as_ref()) else { return };
+        let process = if ends {
+            self.processes[sender].take()
+        } else {
+            None
+        };
+        let Some(process) = process.as_ref().or(self.processes[sender].as_ref()) else {
+            return;
+        };
         process.signal(signal, ends);
     }
 
@@ -382,12 +441,19 @@
 /// # Errors
 /// It can't be started.
 pub fn spawn(
-    program: &Path, arguments: &[OsString], variables: &[(&str, OsString)], log: &Path,
+    program: &Path,
+    arguments: &[OsString],
+    variables: &[(&str, OsString)],
+    log: &Path,
     ended: impl FnOnce(u32, bool, String) + Send + 'static,
 ) -> anyhow::Result<Process> {
     let log = File::options().create(true).append(true).open(log)?;
     let mut command = Command::new(std::env::current_exe()?);
-    command.args(["exec", &std::process::id().to_string()]).arg(program).arg("--").args(arguments);
+    command
+        .args(["exec", &std::process::id().to_string()])
+        .arg(program)
+        .arg("--")
+        .args(arguments);
     command.envs(variables.iter().map(|(name, value)| (name, value)));
     let mut child = command
         .stdin(Stdio::null())
@@ -395,15 +461,29 @@
         .stderr(log)
         .spawn()
         .with_context(|| format!("{} can't be started", program.display()))?;
-    let pid = child.id().and_then(|id| Pid::from_raw(id as i32)).context("it has no id")?;
-    let (meant, relieved, has_ended) = <(Arc<AtomicBool>, Arc<AtomicBool>, Arc<AtomicBool>)>::default();
-    let process = Process { pid, meant: meant.clone(), relieved: relieved.clone(), ended: has_ended.clone() };
+    let pid = child
+        .id()
+        .and_then(|id| Pid::from_raw(id as i32))
+        .context("it has no id")?;
+    let (meant, relieved, has_ended) =
+        <(Arc<AtomicBool>, Arc<AtomicBool>, Arc<AtomicBool>)>::default();
+    let process = Process {
+        pid,
+        meant: meant.clone(),
+        relieved: relieved.clone(),
+        ended: has_ended.clone(),
+    };
     tokio::spawn(async move {
         let status = child.wait().await;
-        let left = status.as_ref().is_ok_and(|status| status.success()) && relieved.load(Ordering::SeqCst);
+        let left =
+            status.as_ref().is_ok_and(|status| status.success()) && relieved.load(Ordering::SeqCst);
         let status = status.map_or_else(|error| error.to_string(), |status| status.to_string());
         has_ended.store(true, Ordering::SeqCst);
-        ended(pid.as_raw_nonzero().get() as u32, left || meant.load(Ordering::SeqCst), status);
+        ended(
+            pid.as_raw_nonzero().get() as u32,
+            left || meant.load(Ordering::SeqCst),
+            status,
+        );
     });
     Ok(process)
 }
@@ -419,5 +499,6 @@
     if now != Some(parent) {
         bail!("the lab is gone");
     }
-    Err(std::process::Command::new(program).args(arguments).exec()).context(program.display().to_string())
+    Err(std::process::Command::new(program).args(arguments).exec())
+        .context(program.display().to_string())
 }
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -186,8 +186,14 @@
 impl Open {
     fn learn(&mut self, event: &Event) {
         let (id, taken, ended) = match event {
-            Event::Answered { id, status: 200 | 202 } => (id, true, false),
-            Event::Replied { id, status: 200, .. } | Event::Notice { id, .. } => (id, false, true),
+            Event::Answered {
+                id,
+                status: 200 | 202,
+            } => (id, true, false),
+            Event::Replied {
+                id, status: 200, ..
+            }
+            | Event::Notice { id, .. } => (id, false, true),
             _ => return,
         };
         let state = self.states.entry(id.clone()).or_default();
@@ -235,7 +241,10 @@
     pub fn tell(&self, event: Event) {
         lock(&self.open).learn(&event);
         let mut file = lock(&self.file);
-        let record = Record { at_us: self.now_us(), event };
+        let record = Record {
+            at_us: self.now_us(),
+            event,
+        };
         let written = serde_json::to_writer(&mut *file, &record).map_err(std::io::Error::from);
         if let Err(error) = written.and_then(|()| file.write_all(b"\n")) {
             tracing::error!(%error, "the history can't be written");
@@ -248,17 +257,21 @@
     }
 
     pub fn step(&self, what: &Act) {
-        self.tell(Event::Step { what: serde_json::to_string(what).unwrap_or_default() });
+        self.tell(Event::Step {
+            what: serde_json::to_string(what).unwrap_or_default(),
+        });
     }
 
     /// The lab was so late once.
     pub fn late(&self, late: Duration) {
-        self.worst_late_us.fetch_max(late.as_micros() as u64, Ordering::Relaxed);
+        self.worst_late_us
+            .fetch_max(late.as_micros() as u64, Ordering::Relaxed);
     }
 
     pub fn count_datagram(&self, bytes: usize, copies: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
-        self.datagram_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.datagram_bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
         if copies == 0 {
             self.datagrams_lost.fetch_add(1, Ordering::Relaxed);
         }
@@ -268,7 +281,10 @@
     pub fn counts(&self) -> (Duration, [u64; 3]) {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         let late = Duration::from_micros(read(&self.worst_late_us));
-        (late, [&self.datagrams, &self.datagram_bytes, &self.datagrams_lost].map(read))
+        (
+            late,
+            [&self.datagrams, &self.datagram_bytes, &self.datagrams_lost].map(read),
+        )
     }
 
     /// Writes out what is buffered.
@@ -286,8 +302,11 @@
 /// Names the line that can't be read.
 pub fn read(path: &Path) -> anyhow::Result<(Head, Vec<Record>)> {
     let mut lines = BufReader::new(File::open(path)?).lines();
-    let first = lines.next().ok_or_else(|| anyhow::anyhow!("the history is empty"))??;
-    let head: Head = serde_json::from_str(&first).map_err(|error| anyhow::anyhow!("line 1: {error}"))?;
+    let first = lines
+        .next()
+        .ok_or_else(|| anyhow::anyhow!("the history is empty"))??;
+    let head: Head =
+        serde_json::from_str(&first).map_err(|error| anyhow::anyhow!("line 1: {error}"))?;
     if head.version != VERSION {
         anyhow::bail!("the history has version {}, not {VERSION}", head.version);
     }
--- a/lab/src/limits.rs
+++ b/lab/src/limits.rs
@@ -69,16 +69,30 @@
             Event::Limited { total } => limits.push((*at_us, *total)),
             Event::Ended { sender, .. } => ends.entry(*sender).or_default().push(*at_us),
             Event::Parts { sender, report } => {
-                let Ok(report) = Report::deserialize(report) else { continue };
+                let Ok(report) = Report::deserialize(report) else {
+                    continue;
+                };
                 (lease_us, floor) = (
                     report.lease_ms * 1000,
                     report.floors.senders * report.floors.each.get("rate").copied().unwrap_or(0),
                 );
-                for Part { key, part, until_us } in report.parts {
+                for Part {
+                    key,
+                    part,
+                    until_us,
+                } in report.parts
+                {
                     let left = until_us.saturating_sub(report.now_us);
-                    let Some(part) = part.filter(|part| *part > 0) else { continue };
+                    let Some(part) = part.filter(|part| *part > 0) else {
+                        continue;
+                    };
                     let (from_us, until_us) = (*at_us, at_us + left);
-                    spans.entry(key).or_default().push(Span { sender: *sender, from_us, until_us, part });
+                    spans.entry(key).or_default().push(Span {
+                        sender: *sender,
+                        from_us,
+                        until_us,
+                        part,
+                    });
                 }
             }
             _ => {}
@@ -86,26 +100,50 @@
     }
     let longest = (lease_us as f64 * SLACK) as u64 + ANSWERED_US;
     let allowed = |at_us: u64| {
-        let now = limits.iter().rposition(|(since, _)| *since <= at_us).unwrap_or(0);
-        let still = limits[..=now.min(limits.len().saturating_sub(1))].iter().enumerate();
-        let lasts = |number: usize| limits.get(number + 1).is_none_or(|(since, _)| at_us < since + longest);
-        still.filter(|(number, _)| lasts(*number)).map(|(_, (_, total))| *total).max()
+        let now = limits
+            .iter()
+            .rposition(|(since, _)| *since <= at_us)
+            .unwrap_or(0);
+        let still = limits[..=now.min(limits.len().saturating_sub(1))]
+            .iter()
+            .enumerate();
+        let lasts = |number: usize| {
+            limits
+                .get(number + 1)
+                .is_none_or(|(since, _)| at_us < since + longest)
+        };
+        still
+            .filter(|(number, _)| lasts(*number))
+            .map(|(_, (_, total))| *total)
+            .max()
     };
     let mut all = Vec::new();
     for (key, spans) in &mut spans {
         for span in spans.iter_mut() {
-            let end = ends.get(&span.sender).and_then(|ends| ends.iter().find(|end| **end >= span.from_us));
+            let end = ends
+                .get(&span.sender)
+                .and_then(|ends| ends.iter().find(|end| **end >= span.from_us));
             span.until_us = span.until_us.min(end.copied().unwrap_or(u64::MAX));
         }
         // sums change only where one is said to begin
         for at_us in spans.iter().map(|span| span.from_us).collect::<Vec<_>>() {
             let mut held: HashMap<usize, u64> = HashMap::new();
-            for span in spans.iter().filter(|span| span.from_us <= at_us && at_us < span.until_us) {
+            for span in spans
+                .iter()
+                .filter(|span| span.from_us <= at_us && at_us < span.until_us)
+            {
                 let most = held.entry(span.sender).or_default();
                 *most = span.part.max(*most);
             }
-            let Some(allowed) = allowed(at_us).filter(|_| !limits.is_empty()) else { continue };
-            all.push(Moment { at_us, key: key.clone(), sum: held.values().sum::<u64>() + floor, allowed });
+            let Some(allowed) = allowed(at_us).filter(|_| !limits.is_empty()) else {
+                continue;
+            };
+            all.push(Moment {
+                at_us,
+                key: key.clone(),
+                sum: held.values().sum::<u64>() + floor,
+                allowed,
+            });
         }
     }
     all
@@ -113,13 +151,22 @@
 
 /// Nothing is over a limit at any moment at which the senders' words tell.
 pub fn check(records: &[Record]) -> Vec<Violation> {
-    let over = moments(records).into_iter().filter(|moment| moment.sum > moment.allowed);
+    let over = moments(records)
+        .into_iter()
+        .filter(|moment| moment.sum > moment.allowed);
     let worst = over.max_by_key(|moment| moment.sum - moment.allowed);
-    let told = worst.map(|Moment { at_us, key, sum, allowed }| Violation {
-        rule: "limits",
-        at_us,
-        what: format!("{key}: {sum} may be used together, {allowed} is the limit"),
-    });
+    let told = worst.map(
+        |Moment {
+             at_us,
+             key,
+             sum,
+             allowed,
+         }| Violation {
+            rule: "limits",
+            at_us,
+            what: format!("{key}: {sum} may be used together, {allowed} is the limit"),
+        },
+    );
     told.into_iter().collect()
 }
 
@@ -130,8 +177,10 @@
         _ => None,
     };
     let reports: Vec<bool> = records.iter().filter_map(report).collect();
-    let mut used: Vec<f64> =
-        moments(records).iter().map(|moment| moment.sum as f64 / moment.allowed.max(1) as f64).collect();
+    let mut used: Vec<f64> = moments(records)
+        .iter()
+        .map(|moment| moment.sum as f64 / moment.allowed.max(1) as f64)
+        .collect();
     used.sort_by(f64::total_cmp);
     Limited {
         reports: reports.len(),
@@ -150,28 +199,55 @@
         let report: Value = json!({ "lease_ms": 1500, "now_us": 5_000_000 + at_us,
             "floors": { "senders": 2, "each": { "rate": 100 } },
             "parts": [{ "key": "rate/0", "part": part, "until_us": 5_000_000 + at_us + left_us }] });
-        Record { at_us, event: Event::Parts { sender, report } }
+        Record {
+            at_us,
+            event: Event::Parts { sender, report },
+        }
     }
 
     #[test]
     fn a_sum_over_the_limit_is_found_and_one_after_an_end_is_none() {
-        let limited = |at_us, total| Record { at_us, event: Event::Limited { total } };
-        let held = |last: Record| check(&[limited(0, 1000), said(10, 0, 500, 1_000_000), last]).is_empty();
+        let limited = |at_us, total| Record {
+            at_us,
+            event: Event::Limited { total },
+        };
+        let held =
+            |last: Record| check(&[limited(0, 1000), said(10, 0, 500, 1_000_000), last]).is_empty();
         assert!(held(said(20, 1, 300, 900_000)));
         assert!(!held(said(20, 1, 301, 900_000)));
-        assert!(held(said(1_100_000, 1, 800, 900_000)), "the first part has ended");
+        assert!(
+            held(said(1_100_000, 1, 800, 900_000)),
+            "the first part has ended"
+        );
         // lowered: the one before counts for a lease
-        let lowered =
-            |at_us| check(&[limited(0, 1000), limited(100, 600), said(at_us, 0, 500, 1_000_000)]).is_empty();
+        let lowered = |at_us| {
+            check(&[
+                limited(0, 1000),
+                limited(100, 600),
+                said(at_us, 0, 500, 1_000_000),
+            ])
+            .is_empty()
+        };
         assert!(lowered(1_600_000) && !lowered(1_700_000));
-        let ended = Event::Ended { sender: 0, pid: 1, meant: true, status: String::new() };
+        let ended = Event::Ended {
+            sender: 0,
+            pid: 1,
+            meant: true,
+            status: String::new(),
+        };
         let records = [
             limited(0, 1000),
             said(10, 0, 700, 9_000_000),
-            Record { at_us: 15, event: ended },
+            Record {
+                at_us: 15,
+                event: ended,
+            },
             said(20, 1, 800, 9),
         ];
         assert!(check(&records).is_empty());
-        assert_eq!((figures(&records).reports, figures(&records).most), (2, 1.0));
+        assert_eq!(
+            (figures(&records).reports, figures(&records).most),
+            (2, 1.0)
+        );
     }
 }
--- a/lab/src/links.rs
+++ b/lab/src/links.rs
@@ -32,13 +32,21 @@
 impl Links {
     /// Links without faults; what they draw follows from the seed.
     pub fn new(seed: u64) -> Self {
-        Links { rules: Vec::new(), random: Pcg64::seed_from_u64(seed ^ 0x11a5) }
+        Links {
+            rules: Vec::new(),
+            random: Pcg64::seed_from_u64(seed ^ 0x11a5),
+        }
     }
 
     /// Puts a fault in force. Where two meet on a link, it suffers both.
     pub fn impair(&mut self, fault: usize, from: &[Party], to: &[Party], how: Impairment) {
         let set = |parties: &[Party]| parties.iter().copied().collect();
-        self.rules.push(Rule { fault, from: set(from), to: set(to), how });
+        self.rules.push(Rule {
+            fault,
+            from: set(from),
+            to: set(to),
+            how,
+        });
     }
 
     /// Ends a fault.
@@ -49,7 +57,9 @@
     /// Whether nothing passes from one to the other.
     pub fn cut(&self, from: Party, to: Party) -> bool {
         self.rules.iter().any(|rule| match rule.how {
-            Impairment::Cut { there, back } => there && rule.names(from, to) || back && rule.names(to, from),
+            Impairment::Cut { there, back } => {
+                there && rule.names(from, to) || back && rule.names(to, from)
+            }
             _ => false,
         })
     }
@@ -57,11 +67,18 @@
     /// What becomes of the next piece.
     pub fn pass(&mut self, from: Party, to: Party) -> Passage {
         if self.cut(from, to) {
-            return Passage { cut: true, copies: Vec::new() };
+            return Passage {
+                cut: true,
+                copies: Vec::new(),
+            };
         }
         let (mut lost, mut twice) = (1.0, 0.0);
         let mut delays = Vec::new();
-        for rule in self.rules.iter().filter(|rule| rule.names(from, to) || rule.names(to, from)) {
+        for rule in self
+            .rules
+            .iter()
+            .filter(|rule| rule.names(from, to) || rule.names(to, from))
+        {
             match rule.how {
                 Impairment::Loss { share } => lost *= 1.0 - share,
                 Impairment::Duplicate { share } => twice = share.max(twice),
@@ -72,11 +89,21 @@
         if lost < 1.0 && self.random.random::<f64>() >= lost {
             return Passage::default();
         }
-        let copies = if twice > 0.0 && self.random.random::<f64>() < twice { 2 } else { 1 };
+        let copies = if twice > 0.0 && self.random.random::<f64>() < twice {
+            2
+        } else {
+            1
+        };
         let mut delay = || {
-            delays.iter().map(|&(us, jitter)| us + (self.random.random::<f64>() * jitter as f64) as u64).sum()
+            delays
+                .iter()
+                .map(|&(us, jitter)| us + (self.random.random::<f64>() * jitter as f64) as u64)
+                .sum()
         };
-        Passage { cut: false, copies: (0..copies).map(|_| delay()).collect() }
+        Passage {
+            cut: false,
+            copies: (0..copies).map(|_| delay()).collect(),
+        }
     }
 }
 
@@ -96,9 +123,25 @@
     #[test]
     fn a_one_sided_cut_cuts_one_side() {
         let mut links = Links::new(1);
-        links.impair(0, &[A], &[B], Impairment::Cut { there: true, back: false });
+        links.impair(
+            0,
+            &[A],
+            &[B],
+            Impairment::Cut {
+                there: true,
+                back: false,
+            },
+        );
         assert!(links.cut(A, B) && !links.cut(B, A));
-        links.impair(1, &[A], &[B], Impairment::Cut { there: false, back: true });
+        links.impair(
+            1,
+            &[A],
+            &[B],
+            Impairment::Cut {
+                there: false,
+                back: true,
+            },
+        );
         assert!(links.cut(A, B) && links.cut(B, A));
         links.heal(0);
         assert!(!links.cut(A, B) && links.cut(B, A));
@@ -108,13 +151,25 @@
     fn two_faults_on_one_link_are_both_suffered() {
         let mut links = Links::new(1);
         links.impair(0, &[A], &[B], Impairment::Loss { share: 0.5 });
-        links.impair(1, &[A], &[B], Impairment::Delay { us: 100, jitter_us: 50 });
+        links.impair(
+            1,
+            &[A],
+            &[B],
+            Impairment::Delay {
+                us: 100,
+                jitter_us: 50,
+            },
+        );
         links.impair(2, &[A], &[B], Impairment::Duplicate { share: 1.0 });
         let passed: Vec<Passage> = (0..1000).map(|_| links.pass(B, A)).collect();
-        let lost = passed.iter().filter(|passage| passage.copies.is_empty()).count();
+        let lost = passed
+            .iter()
+            .filter(|passage| passage.copies.is_empty())
+            .count();
         assert!((400..600).contains(&lost), "{lost} of 1000 lost");
         let mut arrived = passed.iter().filter(|passage| !passage.copies.is_empty());
-        let late = |copies: &[u64]| copies.len() == 2 && copies.iter().all(|us| (100..150).contains(us));
+        let late =
+            |copies: &[u64]| copies.len() == 2 && copies.iter().all(|us| (100..150).contains(us));
         assert!(arrived.all(|passage| late(&passage.copies)));
     }
 }
--- a/lab/src/listing.rs
+++ b/lab/src/listing.rs
@@ -45,7 +45,9 @@
         let mut told = Vec::new();
         for target in list["targets"].as_array_mut()? {
             // what the registry's other clients write is no endpoint of the lab
-            let Some(endpoint) = number(&target["uid"]) else { continue };
+            let Some(endpoint) = number(&target["uid"]) else {
+                continue;
+            };
             told.push((endpoint, target["state"] == "up"));
             target["endpoint"] = self.endpoints.get(endpoint)?.to_string().into();
         }
@@ -57,27 +59,40 @@
         let begin = async {
             let mut link = clients::link(self.place).await?;
             let path = format!("/v1/endpoints?{query}");
-            let request = Request::get(path).header("host", "lab").body(Full::default()).ok()?;
-            link.send_request(request).await.ok().filter(|response| response.status() == StatusCode::OK)
+            let request = Request::get(path)
+                .header("host", "lab")
+                .body(Full::default())
+                .ok()?;
+            link.send_request(request)
+                .await
+                .ok()
+                .filter(|response| response.status() == StatusCode::OK)
         };
         let mut body = timeout(PATIENCE, begin).await.ok()??.into_body();
         let (lines, passed) = mpsc::channel(AHEAD);
         tokio::spawn(async move {
             let mut rest = Vec::new();
             while let Some(Ok(frame)) = body.frame().await {
-                let Ok(data) = frame.into_data() else { continue };
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                };
                 rest.extend_from_slice(&data);
                 while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
                     let line: Vec<u8> = rest.drain(..=end).collect();
                     let passed = self.rewrite(&line);
                     let (line, told) = passed.unwrap_or_else(|| (Bytes::from(line), Vec::new()));
                     // what a cut holds up is told when it heals
-                    net.uncut(Party::Registry(self.replica), Party::Sender(self.sender)).await;
+                    net.uncut(Party::Registry(self.replica), Party::Sender(self.sender))
+                        .await;
                     if lines.send(line).await.is_err() {
                         return;
                     }
                     for (endpoint, up) in told {
-                        net.history.tell(Event::Told { sender: self.sender, endpoint, up });
+                        net.history.tell(Event::Told {
+                            sender: self.sender,
+                            endpoint,
+                            up,
+                        });
                     }
                 }
             }
@@ -95,9 +110,12 @@
     type Error = Infallible;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.0.poll_recv(context).map(|line| line.map(|line| Ok(Frame::data(line))))
+        self.0
+            .poll_recv(context)
+            .map(|line| line.map(|line| Ok(Frame::data(line))))
     }
 }
 
@@ -109,12 +127,20 @@
     fn a_line_has_the_addresses_of_its_sender_and_tells_who_is_up() {
         let place = SocketAddr::from(([127, 0, 0, 1], 9));
         let endpoints = vec![place, SocketAddr::from(([127, 0, 0, 2], 80))];
-        let listing = Listing { sender: 0, replica: 0, place, endpoints };
+        let listing = Listing {
+            sender: 0,
+            replica: 0,
+            place,
+            endpoints,
+        };
         let line =
             br#"{"rev":3,"all":false,"targets":[{"uid":"e1","endpoint":"127.0.0.1:1","state":"draining"}]}"#;
         let (line, told) = listing.rewrite(line).expect("a list");
         assert!(String::from_utf8_lossy(&line).contains(r#""endpoint":"127.0.0.2:80""#));
         assert_eq!(told, [(1, false)]);
-        assert!(listing.rewrite(b"\n").is_none(), "an empty line is passed on as it is");
+        assert!(
+            listing.rewrite(b"\n").is_none(),
+            "an empty line is passed on as it is"
+        );
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -133,7 +133,11 @@
 
 fn main() -> ExitCode {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("warn"));
-    tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
     match carry_out(Arguments::parse().command) {
         Ok(code) => code,
         Err(error) => {
@@ -145,47 +149,92 @@
 
 fn carry_out(command: Command) -> anyhow::Result<ExitCode> {
     match command {
-        Command::Run { scenario, program, registry, seed, senders, out } => {
+        Command::Run {
+            scenario,
+            program,
+            registry,
+            seed,
+            senders,
+            out,
+        } => {
             let mut scenario = run::read_scenario(&scenario)?;
             scenario.senders = senders.unwrap_or(scenario.senders);
             let seed = seed.unwrap_or(scenario.seed);
-            let order = run::Order { scenario, seed, program, registry, out };
+            let order = run::Order {
+                scenario,
+                seed,
+                program,
+                registry,
+                out,
+            };
             let outcome = runtime()?.block_on(run::bounded(&order))?;
             println!("{}", serde_json::to_string(&outcome.figures)?);
             let code = verdict(&outcome.violations, outcome.void.as_deref());
             println!("history: {}", order.out.join("history.jsonl").display());
             Ok(code)
         }
-        Command::Soak { from, seeds, least, most, seconds, program, out } => {
-            let soak =
-                soak::Soak { seeds: from..=from + seeds - 1, senders: least..=most, seconds, program, out };
+        Command::Soak {
+            from,
+            seeds,
+            least,
+            most,
+            seconds,
+            program,
+            out,
+        } => {
+            let soak = soak::Soak {
+                seeds: from..=from + seeds - 1,
+                senders: least..=most,
+                seconds,
+                program,
+                out,
+            };
             let broken = soak::soak(&soak)?;
             println!("{broken} of {seeds} seeds broke a rule");
-            Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+            Ok(if broken == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(BROKEN)
+            })
         }
         Command::Check { history } => {
             let (head, records) = history::read(&history)?;
             let violations = check::check(&head, &records);
             Ok(verdict(&violations, None))
         }
-        Command::Site { base, set, draw, seed, out } => write_site(&base, set, draw, seed, &out),
+        Command::Site {
+            base,
+            set,
+            draw,
+            seed,
+            out,
+        } => write_site(&base, set, draw, seed, &out),
         Command::Axes => {
             list_axes();
             Ok(ExitCode::SUCCESS)
         }
         Command::Scale { what } => scale::carry_out(&what).map(|()| ExitCode::SUCCESS),
-        Command::Exec { parent, program, arguments } => {
-            fleet::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS)
-        }
+        Command::Exec {
+            parent,
+            program,
+            arguments,
+        } => fleet::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS),
     }
 }
 
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
 }
 
 fn write_site(
-    base: &Path, mut choices: Vec<site::Choice>, draw: usize, seed: u64, out: &Path,
+    base: &Path,
+    mut choices: Vec<site::Choice>,
+    draw: usize,
+    seed: u64,
+    out: &Path,
 ) -> anyhow::Result<ExitCode> {
     choices.extend(site::drawn(seed, draw, &choices));
     let path = site::write(base, out, &choices)?;
--- a/lab/src/members.rs
+++ b/lab/src/members.rs
@@ -85,7 +85,12 @@
             Act::Upgrade { sender } => {
                 self.disturbed.insert(*sender, at);
             }
-            Act::Impair { fault, from, to, how: Impairment::Cut { .. } } => {
+            Act::Impair {
+                fault,
+                from,
+                to,
+                how: Impairment::Cut { .. },
+            } => {
                 let only = |parties: &[Party]| -> BTreeSet<usize> {
                     let sender = |party: &Party| match party {
                         Party::Sender(sender) => Some(*sender),
@@ -124,7 +129,10 @@
         self.running.contains(&sender)
             && !self.stopped.contains(&sender)
             && !self.cut.values().any(|cut| cut.contains(&sender))
-            && self.disturbed.get(&sender).is_none_or(|since| at >= since + settles)
+            && self
+                .disturbed
+                .get(&sender)
+                .is_none_or(|since| at >= since + settles)
     }
 
     fn undisturbed(&self, at: u64, settles: u64) -> bool {
@@ -140,17 +148,25 @@
 
 /// No member that runs undisturbed is held for gone by another one, and all agree once nothing disturbs them.
 pub fn check(head: &Head, records: &[Record]) -> Vec<Violation> {
-    let Some(period_us) = head.period_us else { return Vec::new() };
+    let Some(period_us) = head.period_us else {
+        return Vec::new();
+    };
     let settles = SETTLES * period_us;
     let mut truth = Truth::default();
     let mut violations = Vec::new();
     let mut told = BTreeSet::new();
     for record in records {
         truth.learn(head.senders, record);
-        let Event::Members { sender, view } = &record.event else { continue };
+        let Event::Members { sender, view } = &record.event else {
+            continue;
+        };
         let Ok(view) = serde_json::from_value::<View>(view.clone()) else {
             let what = format!("n{sender} told no view");
-            violations.push(Violation { rule: "members", at_us: record.at_us, what });
+            violations.push(Violation {
+                rule: "members",
+                at_us: record.at_us,
+                what,
+            });
             continue;
         };
         let at_us = record.at_us;
@@ -159,17 +175,30 @@
         }
         for listed in &view.members {
             let gone = matches!(listed.state.as_str(), "dead" | "left");
-            let Some(of) = number(&listed.name).filter(|_| gone) else { continue };
+            let Some(of) = number(&listed.name).filter(|_| gone) else {
+                continue;
+            };
             if truth.clean(of, at_us, settles) && told.insert((*sender, of)) {
                 let what = format!("n{sender} holds n{of} for {}, which runs", listed.state);
-                violations.push(Violation { rule: "members", at_us, what });
+                violations.push(Violation {
+                    rule: "members",
+                    at_us,
+                    what,
+                });
             }
         }
         let right = view.living == truth.running.len() && view.suspects == 0;
         if truth.undisturbed(at_us, settles) && !right && told.insert((*sender, usize::MAX)) {
             let (living, runs) = (view.living, truth.running.len());
-            let what = format!("n{sender} sees {living} living and {} suspect, {runs} run", view.suspects);
-            violations.push(Violation { rule: "members", at_us, what });
+            let what = format!(
+                "n{sender} sees {living} living and {} suspect, {runs} run",
+                view.suspects
+            );
+            violations.push(Violation {
+                rule: "members",
+                at_us,
+                what,
+            });
         }
     }
     violations
@@ -186,7 +215,10 @@
         })
         .collect();
     for (at, act) in &acts {
-        let until = acts.iter().map(|(other, _)| *other).find(|other| *other > *at + 100_000);
+        let until = acts
+            .iter()
+            .map(|(other, _)| *other)
+            .find(|other| *other > *at + 100_000);
         let until = until.unwrap_or(u64::MAX);
         let what = match act {
             Act::Kill { sender } => Some((format!("n{sender} killed"), *sender)),
@@ -196,9 +228,13 @@
         };
         let seconds = |then: u64| (then - at) as f64 / 1e6;
         if let Some((what, of)) = what {
-            let first =
-                |states: &[&str]| views(records, *at, until).find(|(_, _, view)| holds(view, of, states));
-            let (suspected, gone) = (first(&["suspect", "dead", "left"]), first(&["dead", "left"]));
+            let first = |states: &[&str]| {
+                views(records, *at, until).find(|(_, _, view)| holds(view, of, states))
+            };
+            let (suspected, gone) = (
+                first(&["suspect", "dead", "left"]),
+                first(&["dead", "left"]),
+            );
             let all = all_hold(head, records, (*at, until), |sender, view| {
                 sender == of || holds(view, of, &["dead", "left"])
             });
@@ -209,7 +245,10 @@
                 first_s: gone.map(|found| seconds(found.0)),
                 all_s: all.map(seconds),
             });
-        } else if matches!(act, Act::Heal { .. } | Act::Continue { .. } | Act::Start { .. }) {
+        } else if matches!(
+            act,
+            Act::Heal { .. } | Act::Continue { .. } | Act::Start { .. }
+        ) {
             let mut truth = Truth::default();
             records
                 .iter()
@@ -236,12 +275,17 @@
 
 fn views(records: &[Record], from: u64, until: u64) -> impl Iterator<Item = (u64, usize, View)> {
     let within = move |record: &&Record| (from..until).contains(&record.at_us);
-    records.iter().filter(within).filter_map(|record| match &record.event {
-        Event::Members { sender, view } => {
-            Some((record.at_us, *sender, serde_json::from_value(view.clone()).ok()?))
-        }
-        _ => None,
-    })
+    records
+        .iter()
+        .filter(within)
+        .filter_map(|record| match &record.event {
+            Event::Members { sender, view } => Some((
+                record.at_us,
+                *sender,
+                serde_json::from_value(view.clone()).ok()?,
+            )),
+            _ => None,
+        })
 }
 
 fn holds(view: &View, of: usize, states: &[&str]) -> bool {
@@ -252,7 +296,10 @@
 
 /// When the last view of each sender that tells one at all agrees, and stays so within the span.
 fn all_hold(
-    head: &Head, records: &[Record], (from, until): (u64, u64), agrees: impl Fn(usize, &View) -> bool,
+    head: &Head,
+    records: &[Record],
+    (from, until): (u64, u64),
+    agrees: impl Fn(usize, &View) -> bool,
 ) -> Option<u64> {
     let mut last: BTreeMap<usize, bool> = BTreeMap::new();
     let mut since = None;
@@ -285,23 +332,40 @@
 
     fn view(sender: usize, states: [&str; 3]) -> Event {
         let others = (0..3).filter(|other| *other != sender);
-        let members: Vec<_> =
-            others.map(|n| json!({ "name": format!("n{n}"), "state": states[n] })).collect();
-        let living = states.iter().filter(|state| matches!(**state, "alive" | "suspect")).count();
+        let members: Vec<_> = others
+            .map(|n| json!({ "name": format!("n{n}"), "state": states[n] }))
+            .collect();
+        let living = states
+            .iter()
+            .filter(|state| matches!(**state, "alive" | "suspect"))
+            .count();
         let suspects = states.iter().filter(|state| **state == "suspect").count();
-        Event::Members { sender, view: json!({ "living": living, "suspects": suspects, "members": members }) }
+        Event::Members {
+            sender,
+            view: json!({ "living": living, "suspects": suspects, "members": members }),
+        }
     }
 
     fn step(act: Act) -> Event {
-        Event::Step { what: serde_json::to_string(&act).expect("JSON") }
+        Event::Step {
+            what: serde_json::to_string(&act).expect("JSON"),
+        }
     }
 
     /// Violationes of a history at these periods, of 1 s each, after three senders have run for long.
     fn broken(events: Vec<(u64, Event)>) -> Vec<String> {
         let ready = (0..3).map(|sender| (0, Event::Ready { sender }));
-        let records: Vec<Record> =
-            ready.chain(events).map(|(at, event)| Record { at_us: at * 1_000_000, event }).collect();
-        check(&head(), &records).into_iter().map(|violation| violation.what).collect()
+        let records: Vec<Record> = ready
+            .chain(events)
+            .map(|(at, event)| Record {
+                at_us: at * 1_000_000,
+                event,
+            })
+            .collect();
+        check(&head(), &records)
+            .into_iter()
+            .map(|violation| violation.what)
+            .collect()
     }
 
     #[test]
@@ -346,17 +410,37 @@
             fault: 0,
             from: vec![Party::Sender(0)],
             to: vec![Party::Sender(1)],
-            how: Impairment::Cut { there: true, back: true },
+            how: Impairment::Cut {
+                there: true,
+                back: true,
+            },
         };
-        let dead = broken(vec![(200, step(cut)), (300, view(0, ["alive", "dead", "alive"]))]);
+        let dead = broken(vec![
+            (200, step(cut)),
+            (300, view(0, ["alive", "dead", "alive"])),
+        ]);
         assert_eq!(dead[0], "n0 holds n1 for dead, which runs");
     }
 
     #[test]
     fn one_that_hears_nobody_may_be_held_for_dead() {
         let all = vec![Party::Sender(0), Party::Sender(1), Party::Sender(2)];
-        let how = Impairment::Cut { there: true, back: false };
-        let deaf = Act::Impair { fault: 0, from: all, to: vec![Party::Sender(1)], how };
-        assert_eq!(broken(vec![(200, step(deaf)), (300, view(0, ["alive", "dead", "alive"]))]), [""; 0]);
+        let how = Impairment::Cut {
+            there: true,
+            back: false,
+        };
+        let deaf = Act::Impair {
+            fault: 0,
+            from: all,
+            to: vec![Party::Sender(1)],
+            how,
+        };
+        assert_eq!(
+            broken(vec![
+                (200, step(deaf)),
+                (300, view(0, ["alive", "dead", "alive"]))
+            ]),
+            [""; 0]
+        );
     }
 }
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -64,7 +64,11 @@
 }
 
 /// Shops and their shares of the messages.
-pub const SHOPS: [(&str, f64); 3] = [("sach-vui", 0.53), ("thu-vien-nho", 0.33), ("doc-cung-em", 0.14)];
+pub const SHOPS: [(&str, f64); 3] = [
+    ("sach-vui", 0.53),
+    ("thu-vien-nho", 0.33),
+    ("doc-cung-em", 0.14),
+];
 
 /// A message that a client will hand in.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -212,17 +216,31 @@
         for (number, fault) in scenario.faults.iter().enumerate() {
             let fault = fault.get_ref();
             let (from, to) = (micros(fault.at), micros(fault.at + fault.seconds));
-            draw_fault(scenario, number, &fault.what, (from, to), &mut random, &mut steps)?;
+            draw_fault(
+                scenario,
+                number,
+                &fault.what,
+                (from, to),
+                &mut random,
+                &mut steps,
+            )?;
         }
         steps.sort_by_key(|step| step.at_us);
-        Ok(Plan { seed, arrivals, steps })
+        Ok(Plan {
+            seed,
+            arrivals,
+            steps,
+        })
     }
 }
 
 fn draw_arrivals(scenario: &Scenario, random: &mut Pcg64) -> Vec<Arrival> {
     let (mut at, mut arrivals) = (0.0, Vec::new());
     // as many keys as messages of two seconds: some wait for one another, most do not
-    let keys = scenario.traffic.keys.unwrap_or((2.0 * scenario.traffic.per_s).ceil() as u32);
+    let keys = scenario
+        .traffic
+        .keys
+        .unwrap_or((2.0 * scenario.traffic.per_s).ceil() as u32);
     loop {
         // gaps of a Poisson process
         at += -(1.0 - random.random::<f64>()).ln() / scenario.traffic.per_s;
@@ -255,7 +273,11 @@
 }
 
 fn draw_fault(
-    scenario: &Scenario, fault: usize, what: &What, (from_us, to_us): (u64, u64), random: &mut Pcg64,
+    scenario: &Scenario,
+    fault: usize,
+    what: &What,
+    (from_us, to_us): (u64, u64),
+    random: &mut Pcg64,
     steps: &mut Vec<Step>,
 ) -> Result<(), String> {
     let mut parties = |name: &str| -> Result<Vec<Party>, String> {
@@ -263,9 +285,11 @@
         Ok(match scenario.group(name)? {
             Group::Sender(sender) => vec![Party::Sender(sender)],
             Group::Senders => senders((0..scenario.senders).collect()),
-            Group::Zone(zone) => {
-                senders((0..scenario.senders).filter(|&sender| scenario.zone_of(sender) == zone).collect())
-            }
+            Group::Zone(zone) => senders(
+                (0..scenario.senders)
+                    .filter(|&sender| scenario.zone_of(sender) == zone)
+                    .collect(),
+            ),
             Group::Share(share) => {
                 let mut all: Vec<usize> = (0..scenario.senders).collect();
                 all.shuffle(random);
@@ -286,8 +310,19 @@
     let lasts = to_us > from_us;
     let mut impair = |from: &str, to: &str, how: Impairment| {
         let (from, to) = (parties(from)?, parties(to)?);
-        steps.push(Step { at_us: from_us, what: Act::Impair { fault, from, to, how } });
-        steps.push(Step { at_us: to_us, what: Act::Heal { fault } });
+        steps.push(Step {
+            at_us: from_us,
+            what: Act::Impair {
+                fault,
+                from,
+                to,
+                how,
+            },
+        });
+        steps.push(Step {
+            at_us: to_us,
+            what: Act::Heal { fault },
+        });
         Ok(())
     };
     match what {
@@ -295,21 +330,37 @@
             let (there, back) = (*way != Way::Back, *way != Way::There);
             return impair(from, to, Impairment::Cut { there, back });
         }
-        What::Loss { from, to, share } => return impair(from, to, Impairment::Loss { share: *share }),
+        What::Loss { from, to, share } => {
+            return impair(from, to, Impairment::Loss { share: *share });
+        }
         What::Duplicate { from, to, share } => {
             return impair(from, to, Impairment::Duplicate { share: *share });
         }
-        What::Delay { from, to, ms, jitter_ms } => {
+        What::Delay {
+            from,
+            to,
+            ms,
+            jitter_ms,
+        } => {
             let (us, jitter_us) = (micros(ms / 1e3), micros(jitter_ms / 1e3));
             return impair(from, to, Impairment::Delay { us, jitter_us });
         }
         What::Reset { from, to } => {
             let (from, to) = (parties(from)?, parties(to)?);
-            steps.push(Step { at_us: from_us, what: Act::Reset { from, to } });
+            steps.push(Step {
+                at_us: from_us,
+                what: Act::Reset { from, to },
+            });
         }
         What::DiscoveryDown {} => {
-            steps.push(Step { at_us: from_us, what: Act::Discovery { up: false } });
-            steps.push(Step { at_us: to_us, what: Act::Discovery { up: true } });
+            steps.push(Step {
+                at_us: from_us,
+                what: Act::Discovery { up: false },
+            });
+            steps.push(Step {
+                at_us: to_us,
+                what: Act::Discovery { up: true },
+            });
         }
         What::Kill { who, .. }
         | What::Term { who }
@@ -320,7 +371,10 @@
         | What::Shut { who } => {
             for party in parties(who)? {
                 let (first, last) = acts_on(what, party);
-                steps.push(Step { at_us: from_us, what: first });
+                steps.push(Step {
+                    at_us: from_us,
+                    what: first,
+                });
                 if let Some(what) = last.filter(|_| lasts) {
                     steps.push(Step { at_us: to_us, what });
                 }
@@ -333,18 +387,47 @@
 /// What begins and what ends a fault of one party.
 fn acts_on(what: &What, party: Party) -> (Act, Option<Act>) {
     match (what, party) {
-        (What::Kill { folder_lost, .. }, Party::Sender(sender)) => {
-            (Act::Kill { sender }, Some(Act::Start { sender, folder_lost: *folder_lost }))
-        }
-        (What::Term { .. }, Party::Sender(sender)) => {
-            (Act::Term { sender }, Some(Act::Start { sender, folder_lost: false }))
-        }
-        (What::Calls { call, number, percent, .. }, Party::Sender(sender)) => {
+        (What::Kill { folder_lost, .. }, Party::Sender(sender)) => (
+            Act::Kill { sender },
+            Some(Act::Start {
+                sender,
+                folder_lost: *folder_lost,
+            }),
+        ),
+        (What::Term { .. }, Party::Sender(sender)) => (
+            Act::Term { sender },
+            Some(Act::Start {
+                sender,
+                folder_lost: false,
+            }),
+        ),
+        (
+            What::Calls {
+                call,
+                number,
+                percent,
+                ..
+            },
+            Party::Sender(sender),
+        ) => {
             let (call, number, percent) = (call.clone(), *number, *percent);
-            let restored = Act::RestoreCalls { sender, call: call.clone() };
-            (Act::FailCalls { sender, call, number, percent }, Some(restored))
+            let restored = Act::RestoreCalls {
+                sender,
+                call: call.clone(),
+            };
+            (
+                Act::FailCalls {
+                    sender,
+                    call,
+                    number,
+                    percent,
+                },
+                Some(restored),
+            )
+        }
+        (What::Stop { .. }, Party::Sender(sender)) => {
+            (Act::Stop { sender }, Some(Act::Continue { sender }))
         }
-        (What::Stop { .. }, Party::Sender(sender)) => (Act::Stop { sender }, Some(Act::Continue { sender })),
         (What::Kill { .. } | What::Term { .. } | What::Stop { .. }, Party::Registry(replica)) => {
             let (first, last) = match what {
                 What::Kill { .. } => (ReplicaAct::Kill, ReplicaAct::Start),
@@ -352,15 +435,35 @@
                 _ => (ReplicaAct::Stop, ReplicaAct::Continue),
             };
             let replica = Some(replica).filter(|replica| *replica != usize::MAX);
-            (Act::Replica { replica, what: first }, Some(Act::Replica { replica, what: last }))
+            (
+                Act::Replica {
+                    replica,
+                    what: first,
+                },
+                Some(Act::Replica {
+                    replica,
+                    what: last,
+                }),
+            )
         }
         (What::Upgrade { .. }, Party::Sender(sender)) => (Act::Upgrade { sender }, None),
-        (What::Drain { .. }, Party::Endpoint(endpoint)) => {
-            (Act::List { endpoint, up: false }, Some(Act::List { endpoint, up: true }))
-        }
-        (_, Party::Endpoint(endpoint)) => {
-            (Act::Shut { endpoint, shut: true }, Some(Act::Shut { endpoint, shut: false }))
-        }
+        (What::Drain { .. }, Party::Endpoint(endpoint)) => (
+            Act::List {
+                endpoint,
+                up: false,
+            },
+            Some(Act::List { endpoint, up: true }),
+        ),
+        (_, Party::Endpoint(endpoint)) => (
+            Act::Shut {
+                endpoint,
+                shut: true,
+            },
+            Some(Act::Shut {
+                endpoint,
+                shut: false,
+            }),
+        ),
         // the scenario was checked: no other kind names these parties
         (_, party) => unreachable!("{party:?} suffers no {what:?}"),
     }
@@ -399,7 +502,9 @@
     #[test]
     fn one_seed_gives_one_plan_and_another_another() {
         let scenario = Scenario::read(TEXT).expect("good");
-        let text = |seed| serde_json::to_string(&Plan::draw(&scenario, seed).expect("drawn")).expect("JSON");
+        let text = |seed| {
+            serde_json::to_string(&Plan::draw(&scenario, seed).expect("drawn")).expect("JSON")
+        };
         assert_eq!(text(5), text(5));
         assert_ne!(text(5), text(6));
     }
@@ -408,12 +513,28 @@
     fn a_plan_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
         let scenario = Scenario::read(TEXT).expect("good");
         let plan = Plan::draw(&scenario, 3).expect("drawn");
-        assert!((900..1100).contains(&plan.arrivals.len()), "{}", plan.arrivals.len());
-        let charges = plan.arrivals.iter().filter(|arrival| arrival.key.is_some()).count() as f64;
+        assert!(
+            (900..1100).contains(&plan.arrivals.len()),
+            "{}",
+            plan.arrivals.len()
+        );
+        let charges = plan
+            .arrivals
+            .iter()
+            .filter(|arrival| arrival.key.is_some())
+            .count() as f64;
         assert!((0.2..0.3).contains(&(charges / plan.arrivals.len() as f64)));
         assert!(plan.steps.is_sorted_by_key(|step| step.at_us));
-        let kills = plan.steps.iter().filter(|step| matches!(step.what, Act::Kill { .. })).count();
-        let starts = plan.steps.iter().filter(|step| matches!(step.what, Act::Start { .. })).count();
+        let kills = plan
+            .steps
+            .iter()
+            .filter(|step| matches!(step.what, Act::Kill { .. }))
+            .count();
+        let starts = plan
+            .steps
+            .iter()
+            .filter(|step| matches!(step.what, Act::Start { .. }))
+            .count();
         assert_eq!((kills, starts), (3, 3));
     }
 
--- a/lab/src/registry.rs
+++ b/lab/src/registry.rs
@@ -37,7 +37,11 @@
 
 /// Rules: none is freer in `calls` and in `messages` than the other.
 fn rules(version: u64) -> Value {
-    let (calls, messages) = if version % 2 == 1 { (400, 300) } else { (300, 400) };
+    let (calls, messages) = if version % 2 == 1 {
+        (400, 300)
+    } else {
+        (300, 400)
+    };
     document(calls, messages)
 }
 
@@ -66,10 +70,16 @@
     /// # Errors
     /// Something is not to be had.
     pub async fn start_all(
-        scenario: &Scenario, settings: &Settings, program: PathBuf, folder: &Path, addresses: Arc<Addresses>,
+        scenario: &Scenario,
+        settings: &Settings,
+        program: PathBuf,
+        folder: &Path,
+        addresses: Arc<Addresses>,
         net: &Arc<Net>,
     ) -> anyhow::Result<Self> {
-        let program = program.canonicalize().with_context(|| program.display().to_string())?;
+        let program = program
+            .canonicalize()
+            .with_context(|| program.display().to_string())?;
         let folder = folder.join("registry");
         std::fs::create_dir_all(&folder)?;
         std::fs::write(folder.join("floor.json"), floor().to_string())?;
@@ -84,7 +94,11 @@
             );
             for to in 0..count {
                 let place = |peers| {
-                    if from == to { addresses.replica(to, peers) } else { addresses.between(from, to, peers) }
+                    if from == to {
+                        addresses.replica(to, peers)
+                    } else {
+                        addresses.between(from, to, peers)
+                    }
                 };
                 text += &format!(
                     "[[replica]]\nid = {}\npeers = \"{}\"\nclients = \"{}\"\n",
@@ -94,8 +108,13 @@
                 );
                 for peers in [true, false].into_iter().filter(|_| from != to) {
                     let (one, other) = (Party::Registry(from), Party::Registry(to));
-                    net.forward(addresses.between(from, to, peers), one, other, addresses.replica(to, peers))
-                        .await?;
+                    net.forward(
+                        addresses.between(from, to, peers),
+                        one,
+                        other,
+                        addresses.replica(to, peers),
+                    )
+                    .await?;
                 }
             }
             text += &format!(
@@ -114,17 +133,32 @@
             std::fs::write(folder.join(format!("r{from}.toml")), text)?;
             for sender in 0..scenario.senders {
                 let (one, other) = (Party::Sender(sender), Party::Registry(from));
-                net.forward(addresses.registry_of(sender, from), one, other, addresses.replica(from, false))
-                    .await?;
+                net.forward(
+                    addresses.registry_of(sender, from),
+                    one,
+                    other,
+                    addresses.replica(from, false),
+                )
+                .await?;
             }
         }
         let processes = (0..count).map(|_| None).collect();
         let history = net.history.clone();
-        let mut replicas = Replicas { program, folder, addresses, history, processes, led: Vec::new() };
+        let mut replicas = Replicas {
+            program,
+            folder,
+            addresses,
+            history,
+            processes,
+            led: Vec::new(),
+        };
         (0..count).try_for_each(|replica| replicas.start(replica))?;
         let begin = Instant::now();
         while replicas.leader().await.is_none() {
-            anyhow::ensure!(begin.elapsed() < LEADS_WITHIN, "no replica of the registry leads: see its log");
+            anyhow::ensure!(
+                begin.elapsed() < LEADS_WITHIN,
+                "no replica of the registry leads: see its log"
+            );
             sleep(AGAIN).await;
         }
         Ok(replicas)
@@ -132,21 +166,39 @@
 
     fn start(&mut self, replica: usize) -> anyhow::Result<()> {
         let mut arguments = vec!["run".into(), "--config".into()];
-        arguments.push(self.folder.join(format!("r{replica}.toml")).into_os_string());
+        arguments.push(
+            self.folder
+                .join(format!("r{replica}.toml"))
+                .into_os_string(),
+        );
         let log = self.folder.join(format!("r{replica}.log"));
         let history = self.history.clone();
-        let process = spawn(&self.program, &arguments, &[], &log, move |pid, meant, status| {
-            history.tell(Event::ReplicaEnded { replica, pid, meant, status });
-        })?;
+        let process = spawn(
+            &self.program,
+            &arguments,
+            &[],
+            &log,
+            move |pid, meant, status| {
+                history.tell(Event::ReplicaEnded {
+                    replica,
+                    pid,
+                    meant,
+                    status,
+                });
+            },
+        )?;
         self.processes[replica] = Some(process);
         Ok(())
     }
 
     async fn leader(&self) -> Option<usize> {
-        for replica in (0..self.processes.len()).filter(|replica| self.processes[*replica].is_some()) {
+        for replica in
+            (0..self.processes.len()).filter(|replica| self.processes[*replica].is_some())
+        {
             let address = self.addresses.replica(replica, false);
             let answer = clients::get(address, "/v1/status", Duration::from_millis(300)).await;
-            let report: Option<Value> = answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
+            let report: Option<Value> =
+                answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
             if report.is_some_and(|report| report["role"] == "leader") {
                 return Some(replica);
             }
@@ -178,7 +230,11 @@
             ReplicaAct::Continue => Signal::CONT,
         };
         let ends = matches!(what, ReplicaAct::Kill | ReplicaAct::Term);
-        let process = if ends { self.processes[replica].take() } else { self.processes[replica].clone() };
+        let process = if ends {
+            self.processes[replica].take()
+        } else {
+            self.processes[replica].clone()
+        };
         if let Some(process) = process {
             process.signal(signal, ends);
         }
@@ -187,7 +243,10 @@
 
     /// The way to ask them.
     pub fn asker(&self) -> Asker {
-        Asker { addresses: self.addresses.clone(), replicas: self.processes.len() }
+        Asker {
+            addresses: self.addresses.clone(),
+            replicas: self.processes.len(),
+        }
     }
 
     /// Ends all, outright.
@@ -208,7 +267,12 @@
 impl Asker {
     /// What the replica whose turn it is answers, if it answers with success.
     async fn ask(
-        &self, turn: usize, method: Method, path: &str, version: Option<u64>, body: String,
+        &self,
+        turn: usize,
+        method: Method,
+        path: &str,
+        version: Option<u64>,
+        body: String,
     ) -> Option<Value> {
         let address = self.addresses.replica(turn % self.replicas, false);
         let answer = clients::ask(address, method, path, version, body, PATIENCE).await;
@@ -219,7 +283,11 @@
     /// Writes by whichever replica answers, until one has done it.
     pub async fn write(&self, method: Method, path: &str, body: String) {
         let mut turn = 0;
-        while self.ask(turn, method.clone(), path, None, body.clone()).await.is_none() {
+        while self
+            .ask(turn, method.clone(), path, None, body.clone())
+            .await
+            .is_none()
+        {
             turn += 1;
             sleep(AGAIN).await;
         }
@@ -231,16 +299,41 @@
         for turn in client.. {
             sleep(AGAIN * 4).await;
             let asked_us = history.now_us();
-            let read = self.ask(turn, Method::GET, "/v1/endpoints?fresh=1", None, String::new()).await;
+            let read = self
+                .ask(
+                    turn,
+                    Method::GET,
+                    "/v1/endpoints?fresh=1",
+                    None,
+                    String::new(),
+                )
+                .await;
             let Some(known) = rev(read) else { continue };
-            history.tell(Event::Revised { asked_us, rev: known, wrote: false });
+            history.tell(Event::Revised {
+                asked_us,
+                rev: known,
+                wrote: false,
+            });
             // a destination that no message has
-            let target = json!({ "endpoint": "127.0.0.1:1", "pod_group": 60_000, "capacity_hint": turn });
+            let target =
+                json!({ "endpoint": "127.0.0.1:1", "pod_group": 60_000, "capacity_hint": turn });
             let asked_us = history.now_us();
             let path = format!("/v1/endpoints/w{client}");
-            let wrote = self.ask(turn + 1, Method::PUT, &path, Some(known), target.to_string()).await;
+            let wrote = self
+                .ask(
+                    turn + 1,
+                    Method::PUT,
+                    &path,
+                    Some(known),
+                    target.to_string(),
+                )
+                .await;
             if let Some(rev) = rev(wrote) {
-                history.tell(Event::Revised { asked_us, rev, wrote: true });
+                history.tell(Event::Revised {
+                    asked_us,
+                    rev,
+                    wrote: true,
+                });
             }
         }
     }
@@ -250,7 +343,8 @@
         let total = Ledger::thousandths(per_s);
         for destination in 0..destinations {
             let body = json!({ "total": total }).to_string();
-            self.write(Method::PUT, &format!("/v1/limits/rate/{destination}"), body).await;
+            self.write(Method::PUT, &format!("/v1/limits/rate/{destination}"), body)
+                .await;
         }
         history.tell(Event::Limited { total });
     }
@@ -269,12 +363,20 @@
     /// Has other rules taken up once the last ones are in force; false if they are not, or nobody answers.
     async fn change_once(&self, turn: &mut usize, history: &History) -> bool {
         *turn += 2;
-        let report = self.ask(*turn, Method::GET, "/v1/rules", None, String::new()).await;
+        let report = self
+            .ask(*turn, Method::GET, "/v1/rules", None, String::new())
+            .await;
         let settled = report.filter(|report| report["settled"] == true);
-        let Some(version) = settled.and_then(|report| report["version"].as_u64()) else { return false };
+        let Some(version) = settled.and_then(|report| report["version"].as_u64()) else {
+            return false;
+        };
         let next = rules(version + 1).to_string();
-        let tag = self.ask(*turn + 1, Method::PUT, "/v1/rules", Some(version), next).await;
-        let Some(version) = tag.and_then(|tag| tag["version"].as_u64()) else { return false };
+        let tag = self
+            .ask(*turn + 1, Method::PUT, "/v1/rules", Some(version), next)
+            .await;
+        let Some(version) = tag.and_then(|tag| tag["version"].as_u64()) else {
+            return false;
+        };
         history.tell(Event::Proposed { version });
         true
     }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -42,7 +42,12 @@
 impl Net {
     pub fn new(seed: u64, history: Arc<History>) -> Arc<Self> {
         let links = Mutex::new(Links::new(seed));
-        Arc::new(Net { links, changed: watch::channel(0).0, resets: Mutex::default(), history })
+        Arc::new(Net {
+            links,
+            changed: watch::channel(0).0,
+            resets: Mutex::default(),
+            history,
+        })
     }
 
     /// Changes the links.
@@ -61,7 +66,8 @@
     fn is_reset(&self, since: u64, one: Party, other: Party) -> bool {
         lock(&self.resets).iter().any(|Reset { number, from, to }| {
             *number > since
-                && (from.contains(&one) && to.contains(&other) || from.contains(&other) && to.contains(&one))
+                && (from.contains(&one) && to.contains(&other)
+                    || from.contains(&other) && to.contains(&one))
         })
     }
 
@@ -70,7 +76,11 @@
     /// # Errors
     /// The address is not to be had.
     pub async fn forward(
-        self: &Arc<Self>, at: SocketAddr, from: Party, to: Party, target: SocketAddr,
+        self: &Arc<Self>,
+        at: SocketAddr,
+        from: Party,
+        to: Party,
+        target: SocketAddr,
     ) -> io::Result<()> {
         let listener = TcpListener::bind(at).await?;
         let net = self.clone();
@@ -86,7 +96,9 @@
                 }
                 tokio::spawn(async move {
                     // one that is not there refuses, as far as the dialler can tell
-                    let Ok(mut inside) = TcpStream::connect(target).await else { return };
+                    let Ok(mut inside) = TcpStream::connect(target).await else {
+                        return;
+                    };
                     let _ = inside.set_nodelay(true);
                     let mut near = net.connect(stream, from, to);
                     let _ = tokio::io::copy_bidirectional(&mut near, &mut inside).await;
@@ -98,7 +110,12 @@
 
     /// The other end of a connection between two parties, which passes what the links let pass. It ends when
     /// either side does or when it is reset.
-    pub fn connect(self: &Arc<Self>, stream: TcpStream, outside: Party, inside: Party) -> DuplexStream {
+    pub fn connect(
+        self: &Arc<Self>,
+        stream: TcpStream,
+        outside: Party,
+        inside: Party,
+    ) -> DuplexStream {
         // without it pieces wait for one another, and only that
         let _ = stream.set_nodelay(true);
         let (near, far) = tokio::io::duplex(PIECE);
@@ -135,16 +152,25 @@
 
     /// Carries one direction until its end, which is passed on.
     async fn carry(
-        &self, mut from: impl AsyncRead + Unpin, mut to: impl AsyncWrite + Unpin, sender: Party,
+        &self,
+        mut from: impl AsyncRead + Unpin,
+        mut to: impl AsyncWrite + Unpin,
+        sender: Party,
         receiver: Party,
     ) {
         let (ahead, mut waiting) = mpsc::channel::<(Instant, Vec<u8>)>(AHEAD);
         let read = async move {
             loop {
                 let mut piece = vec![0; PIECE];
-                let Ok(length @ 1..) = from.read(&mut piece).await else { return };
+                let Ok(length @ 1..) = from.read(&mut piece).await else {
+                    return;
+                };
                 piece.truncate(length);
-                let delay = lock(&self.links).pass(sender, receiver).copies.first().copied();
+                let delay = lock(&self.links)
+                    .pass(sender, receiver)
+                    .copies
+                    .first()
+                    .copied();
                 let due = Instant::now() + Duration::from_micros(delay.unwrap_or(0));
                 if ahead.send((due, piece)).await.is_err() {
                     return;
@@ -197,9 +223,18 @@
         for (stand, own) in stands.iter().zip(own) {
             sockets.push((Arc::new(UdpSocket::bind(stand).await?), *own));
         }
-        let by_address = own.iter().enumerate().map(|(index, address)| (*address, index)).collect();
+        let by_address = own
+            .iter()
+            .enumerate()
+            .map(|(index, address)| (*address, index))
+            .collect();
         let on_the_way = Arc::new(tokio::sync::Semaphore::new(ON_THE_WAY));
-        let all = Arc::new(Datagrams { net, sockets, by_address, on_the_way });
+        let all = Arc::new(Datagrams {
+            net,
+            sockets,
+            by_address,
+            on_the_way,
+        });
         for to in 0..all.sockets.len() {
             tokio::spawn(all.clone().carry(to));
         }
@@ -214,17 +249,23 @@
                 sleep(Duration::from_millis(1)).await;
                 continue;
             };
-            let Some(&from) = self.by_address.get(&source) else { continue };
+            let Some(&from) = self.by_address.get(&source) else {
+                continue;
+            };
             let (sender, receiver) = (Party::Sender(from), Party::Sender(to));
             let passage = lock(&self.net.links).pass(sender, receiver);
-            self.net.history.count_datagram(length, passage.copies.len());
+            self.net
+                .history
+                .count_datagram(length, passage.copies.len());
             for delay in passage.copies {
                 let (socket, address) = (self.sockets[from].0.clone(), self.sockets[to].1);
                 if delay == 0 {
                     let _ = socket.try_send_to(&datagram[..length], address);
                     continue;
                 }
-                let Ok(place) = self.on_the_way.clone().try_acquire_owned() else { continue };
+                let Ok(place) = self.on_the_way.clone().try_acquire_owned() else {
+                    continue;
+                };
                 let piece = datagram[..length].to_vec();
                 tokio::spawn(async move {
                     sleep(Duration::from_micros(delay)).await;
@@ -250,7 +291,9 @@
         let late = due.elapsed();
         history.late(late);
         if late > Duration::from_millis(100) {
-            history.tell(Event::LabLate { ms: late.as_millis() as u64 });
+            history.tell(Event::LabLate {
+                ms: late.as_millis() as u64,
+            });
         }
     }
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -95,10 +95,18 @@
 /// # Errors
 /// Something that the lab needs is not to be had, or a sender never got ready.
 pub async fn run(order: &Order) -> anyhow::Result<Outcome> {
-    let Order { scenario, seed, program, registry, out } = order;
+    let Order {
+        scenario,
+        seed,
+        program,
+        registry,
+        out,
+    } = order;
     let plan = Plan::draw(scenario, *seed).map_err(anyhow::Error::msg)?;
     check_means(scenario)?;
-    let program = program.canonicalize().with_context(|| program.display().to_string())?;
+    let program = program
+        .canonicalize()
+        .with_context(|| program.display().to_string())?;
     std::fs::create_dir_all(out).with_context(|| out.display().to_string())?;
     let out = out.canonicalize()?;
     std::fs::write(out.join("plan.json"), serde_json::to_vec(&plan)?)?;
@@ -115,22 +123,30 @@
     tokio::spawn(watch_lateness(history.clone()));
     let net = Net::new(*seed, history.clone());
     let addresses = Arc::new(Addresses::claim()?);
-    let places = (0..scenario.replicas()).map(|replica| addresses.replica(replica, false)).collect();
+    let places = (0..scenario.replicas())
+        .map(|replica| addresses.replica(replica, false))
+        .collect();
     let world = World::new(scenario, *seed, net.clone(), places);
     let all = 0..scenario.senders;
     let mut discovery = Vec::new();
     for sender in all.clone() {
         discovery.push(world.listen_for(sender, addresses.lab(sender)).await?);
     }
-    let (stands, own): (Vec<_>, Vec<_>) =
-        all.clone().map(|sender| (addresses.stands(sender), addresses.members(sender))).unzip();
+    let (stands, own): (Vec<_>, Vec<_>) = all
+        .clone()
+        .map(|sender| (addresses.stands(sender), addresses.members(sender)))
+        .unzip();
     Datagrams::start(net.clone(), &stands, &own).await?;
     let replicas = match &scenario.registry {
         Some(settings) => {
             let program = registry.clone();
             let replicas =
-                Replicas::start_all(scenario, settings, program, &out, addresses.clone(), &net).await?;
-            replicas.asker().write(Method::POST, "/v1/endpoints", world.batch()).await;
+                Replicas::start_all(scenario, settings, program, &out, addresses.clone(), &net)
+                    .await?;
+            replicas
+                .asker()
+                .write(Method::POST, "/v1/endpoints", world.batch())
+                .await;
             if let Some(ledger) = &settings.ledger {
                 let (asker, count) = (replicas.asker(), scenario.destinations.count);
                 asker.limit(count, ledger.limit_per_s, &history).await;
@@ -144,10 +160,29 @@
         }
         None => None,
     };
-    let front = Front::new(net.clone(), all.clone().map(|sender| addresses.clients(sender)).collect());
-    let fleet =
-        Fleet::new(program, out.clone(), addresses, history.clone(), discovery, scenario.clone(), *seed);
-    let mut play = Play { net, world, front: front.clone(), fleet, replicas, history: history.clone() };
+    let front = Front::new(
+        net.clone(),
+        all.clone()
+            .map(|sender| addresses.clients(sender))
+            .collect(),
+    );
+    let fleet = Fleet::new(
+        program,
+        out.clone(),
+        addresses,
+        history.clone(),
+        discovery,
+        scenario.clone(),
+        *seed,
+    );
+    let mut play = Play {
+        net,
+        world,
+        front: front.clone(),
+        fleet,
+        replicas,
+        history: history.clone(),
+    };
     let played = play.play(&plan, scenario).await;
     for (sender, line) in play.fleet.violations() {
         history.tell(Event::Violated { sender, line });
@@ -161,11 +196,21 @@
     played?;
     let (_, records) = history::read(&path)?;
     let (late, [datagrams, datagram_bytes, datagrams_lost]) = history.counts();
-    let members = if head.period_us.is_some() { members::figures(&head, &records) } else { Vec::new() };
+    let members = if head.period_us.is_some() {
+        members::figures(&head, &records)
+    } else {
+        Vec::new()
+    };
     let figures = Figures {
         members,
-        agreement: scenario.registry.is_some().then(|| agreement::figures(&records)),
-        limits: scenario.ledger().is_some().then(|| limits::figures(&records)),
+        agreement: scenario
+            .registry
+            .is_some()
+            .then(|| agreement::figures(&records)),
+        limits: scenario
+            .ledger()
+            .is_some()
+            .then(|| limits::figures(&records)),
         usage,
         worth: figures::worth(&records),
         evenness: figures::evenness(&records, scenario.endpoints()),
@@ -176,7 +221,11 @@
         ..count(&records)
     };
     let void = (late > VOID_LATE).then(|| format!("the lab was {} ms late", late.as_millis()));
-    Ok(Outcome { violations: check(&head, &records), void, figures })
+    Ok(Outcome {
+        violations: check(&head, &records),
+        void,
+        figures,
+    })
 }
 
 /// Descriptors: a listener for each sender and endpoint, and connections beside them.
@@ -185,7 +234,9 @@
     let needed = scenario.senders as u64 * each + 200;
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     if limit < needed {
-        bail!("descriptors are short: a run of this size needs {needed}, the limit is {limit} (ulimit -n)");
+        bail!(
+            "descriptors are short: a run of this size needs {needed}, the limit is {limit} (ulimit -n)"
+        );
     }
     Ok(())
 }
@@ -196,10 +247,14 @@
     for record in records {
         match &record.event {
             Event::Handed { .. } => figures.handed += 1,
-            Event::Answered { status: 200 | 202, .. } => figures.taken += 1,
+            Event::Answered {
+                status: 200 | 202, ..
+            } => figures.taken += 1,
             Event::Called { .. } => figures.calls += 1,
             Event::Replied { status: 503, .. } => figures.refused_calls += 1,
-            Event::Replied { id, status: 200, .. } if ids.insert(id) => figures.delivered += 1,
+            Event::Replied {
+                id, status: 200, ..
+            } if ids.insert(id) => figures.delivered += 1,
             Event::Notice { .. } => figures.notices += 1,
             _ => {}
         }
@@ -225,7 +280,9 @@
             }
             for &sender in some {
                 let ended = self.fleet.ended(sender);
-                if !clients::ready(self.fleet.addresses().clients(sender), READY_WITHIN, &ended).await {
+                if !clients::ready(self.fleet.addresses().clients(sender), READY_WITHIN, &ended)
+                    .await
+                {
                     bail!("n{sender} never got ready: see its log");
                 }
                 self.history.tell(Event::Ready { sender });
@@ -238,7 +295,11 @@
             let (asker, every) = (replicas.asker(), Duration::from_secs_f64(settings.change_s));
             tokio::spawn(asker.clone().change_rules(every, self.history.clone()));
             for client in 0..WRITERS {
-                tokio::spawn(asker.clone().write_conditionally(client, self.history.clone()));
+                tokio::spawn(
+                    asker
+                        .clone()
+                        .write_conditionally(client, self.history.clone()),
+                );
             }
         }
         let mut handing = tokio::spawn(self.front.clone().play(plan.arrivals.clone(), begin));
@@ -250,8 +311,13 @@
         let mut next = steps.next();
         let last_step = plan.steps.last().map_or(0, |step| step.at_us);
         // the members are given their time to agree, and some views more
-        let agreed_by = scenario.period_us().map_or(0, |period| last_step + period * (members::SETTLES + 10));
-        let longest = CLASSES.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
+        let agreed_by = scenario
+            .period_us()
+            .map_or(0, |period| last_step + period * (members::SETTLES + 10));
+        let longest = CLASSES
+            .iter()
+            .map(|class| class.deadline_s)
+            .fold(0.0, f64::max);
         let mut ends = None;
         let mut settled = None;
         let mut told = 0;
@@ -300,11 +366,21 @@
         }
     }
 
-    async fn act(&mut self, what: &Act, later: &mpsc::UnboundedSender<Later>) -> anyhow::Result<()> {
+    async fn act(
+        &mut self,
+        what: &Act,
+        later: &mpsc::UnboundedSender<Later>,
+    ) -> anyhow::Result<()> {
         self.history.step(what);
         match what {
-            Act::Impair { fault, from, to, how } => {
-                self.net.change(|links| links.impair(*fault, from, to, *how));
+            Act::Impair {
+                fault,
+                from,
+                to,
+                how,
+            } => {
+                self.net
+                    .change(|links| links.impair(*fault, from, to, *how));
             }
             Act::Heal { fault } => self.net.change(|links| links.heal(*fault)),
             Act::Reset { from, to } => self.net.reset(from.clone(), to.clone()),
@@ -316,7 +392,10 @@
                 self.front.set_used(*sender, false);
                 self.fleet.signal(*sender, Signal::TERM, true);
             }
-            Act::Start { sender, folder_lost } => {
+            Act::Start {
+                sender,
+                folder_lost,
+            } => {
                 if *folder_lost {
                     self.fleet.lose_folder(*sender);
                 }
@@ -331,7 +410,12 @@
                 let end_old = end_old.map(|end| Box::new(end) as Box<dyn FnOnce() + Send>);
                 self.when_ready(*sender, later, end_old);
             }
-            Act::FailCalls { sender, call, number, percent } => {
+            Act::FailCalls {
+                sender,
+                call,
+                number,
+                percent,
+            } => {
                 self.fleet.fail_calls(*sender, call, *number, *percent)?;
             }
             Act::RestoreCalls { sender, call } => self.fleet.restore_calls(*sender, call)?,
@@ -358,18 +442,36 @@
     }
 
     fn when_ready(
-        &self, sender: usize, later: &mpsc::UnboundedSender<Later>, then: Option<Box<dyn FnOnce() + Send>>,
+        &self,
+        sender: usize,
+        later: &mpsc::UnboundedSender<Later>,
+        then: Option<Box<dyn FnOnce() + Send>>,
     ) {
-        let (control, later, ended) = (self.fleet.control(sender), later.clone(), self.fleet.ended(sender));
+        let (control, later, ended) = (
+            self.fleet.control(sender),
+            later.clone(),
+            self.fleet.ended(sender),
+        );
         tokio::spawn(async move {
             let Some(control) = control else { return };
             let ready = clients::ready(control, READY_WITHIN, &ended).await;
             // the run has ended meanwhile
-            let _ = later.send(Later { sender, ready, then });
+            let _ = later.send(Later {
+                sender,
+                ready,
+                then,
+            });
         });
     }
 
-    fn follow_up(&mut self, Later { sender, ready, then }: Later) {
+    fn follow_up(
+        &mut self,
+        Later {
+            sender,
+            ready,
+            then,
+        }: Later,
+    ) {
         if !ready {
             tracing::warn!(sender, "never got ready after its start");
             return;
@@ -382,9 +484,16 @@
     }
 
     /// Asks each sender for a report, beside all else.
-    fn ask_all(&self, all: &[usize], path: &'static str, event: fn(usize, serde_json::Value) -> Event) {
+    fn ask_all(
+        &self,
+        all: &[usize],
+        path: &'static str,
+        event: fn(usize, serde_json::Value) -> Event,
+    ) {
         for &sender in all {
-            let Some(control) = self.fleet.control(sender) else { continue };
+            let Some(control) = self.fleet.control(sender) else {
+                continue;
+            };
             let history = self.history.clone();
             tokio::spawn(async move {
                 let answer = clients::get(control, path, Duration::from_secs(1)).await;
@@ -415,7 +524,14 @@
 
 /// Ends a run that takes longer than its faults, deadlines and starts can.
 pub async fn bounded(order: &Order) -> anyhow::Result<Outcome> {
-    let faults = order.scenario.faults.iter().map(|fault| fault.get_ref().at + fault.get_ref().seconds);
-    let longest = faults.fold(order.scenario.seconds, f64::max) + 60.0 + 0.2 * order.scenario.senders as f64;
-    timeout(Duration::from_secs_f64(longest), run(order)).await.context("the run hung")?
+    let faults = order
+        .scenario
+        .faults
+        .iter()
+        .map(|fault| fault.get_ref().at + fault.get_ref().seconds);
+    let longest =
+        faults.fold(order.scenario.seconds, f64::max) + 60.0 + 0.2 * order.scenario.senders as f64;
+    timeout(Duration::from_secs_f64(longest), run(order))
+        .await
+        .context("the run hung")?
 }
--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, ensure};
 use clap::Args;
 use milletturn::{
-    Action, Class, DestinationId, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId,
-    Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
+    Action, Class, DestinationId, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND,
+    MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -98,8 +98,14 @@
 /// # Errors
 /// Sizes that make no sense.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    ensure!(order.destinations > 0 && order.rate > 0, "there must be destinations and messages");
-    ensure!((0.0..=1.0).contains(&order.down) && (0.0..=1.0).contains(&order.tried), "shares are 0 to 1");
+    ensure!(
+        order.destinations > 0 && order.rate > 0,
+        "there must be destinations and messages"
+    );
+    ensure!(
+        (0.0..=1.0).contains(&order.down) && (0.0..=1.0).contains(&order.tried),
+        "shares are 0 to 1"
+    );
     let before = Memory::own()?;
     let mut play = Play::new(order)?;
     play.list(order);
@@ -112,13 +118,19 @@
     let began = thread_time();
     let demand = play.sender.demand().len();
     let demand_us = (thread_time() - began).as_secs_f64() * 1e6;
-    ensure!(demand >= order.destinations as usize, "every listed destination has a demand");
+    ensure!(
+        demand >= order.destinations as usize,
+        "every listed destination has a demand"
+    );
     let played_s = (play.now - begin).max(1) as f64 / SECOND as f64;
     let busy: Duration = play.turns.iter().sum();
     play.turns.sort_unstable();
     let ranked = |part: f64| {
-        let rank = ((play.turns.len() as f64 * part) as usize).min(play.turns.len().saturating_sub(1));
-        play.turns.get(rank).map_or(0.0, |turn| turn.as_secs_f64() * 1e6)
+        let rank =
+            ((play.turns.len() as f64 * part) as usize).min(play.turns.len().saturating_sub(1));
+        play.turns
+            .get(rank)
+            .map_or(0.0, |turn| turn.as_secs_f64() * 1e6)
     };
     let mut figures = Figures {
         measure: "decisions",
@@ -195,12 +207,22 @@
 
     fn list(&mut self, order: &Order) {
         let weight = FLEET_RATE / f64::from(order.destinations);
-        let entry = |number| Entry { weight, ..Entry::new(EndpointId(number), u64::from(number)) };
+        let entry = |number| Entry {
+            weight,
+            ..Entry::new(EndpointId(number), u64::from(number))
+        };
         let entries = (0..order.destinations).map(entry).collect();
-        self.turn(&[Event::Listed { listing: Listing::Full, entries }]);
+        self.turn(&[Event::Listed {
+            listing: Listing::Full,
+            entries,
+        }]);
         let out = true;
-        let words: Vec<Event> =
-            (0..self.down).map(|number| Event::Word { destination: number.into(), out }).collect();
+        let words: Vec<Event> = (0..self.down)
+            .map(|number| Event::Word {
+                destination: number.into(),
+                out,
+            })
+            .collect();
         self.turn(&words);
     }
 
@@ -210,7 +232,11 @@
         for number in 0..order.backlog {
             let endpoint = (number % u64::from(self.down)) as u32;
             let tried = (number as f64 * order.tried).fract() + order.tried >= 1.0;
-            let past = PastAttempt { endpoint: EndpointId(endpoint), sent: START, may_have_run: false };
+            let past = PastAttempt {
+                endpoint: EndpointId(endpoint),
+                sent: START,
+                may_have_run: false,
+            };
             let attempts = if tried { vec![past] } else { Vec::new() };
             let message = self.message(endpoint.into());
             self.messages.insert(message.id, attempts.len());
@@ -288,7 +314,15 @@
             self.delivered += usize::from(self.messages.remove(&message).is_some());
         }
         let (closed, report) = (outcome == Outcome::Success, Vec::new());
-        Some(Event::Ended { message, attempt, endpoint, outcome, latency, closed, report })
+        Some(Event::Ended {
+            message,
+            attempt,
+            endpoint,
+            outcome,
+            latency,
+            closed,
+            report,
+        })
     }
 
     fn turn(&mut self, events: &[Event]) -> Duration {
@@ -297,17 +331,27 @@
         self.sender.handle(self.now, events, &mut actions);
         let spent = thread_time() - began;
         self.turns.push(spent);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(action));
         spent
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { message, endpoint, .. } => {
+            Action::Send {
+                message, endpoint, ..
+            } => {
                 let attempts = self.messages.entry(message).or_default();
                 let is_down = endpoint.0 < self.down;
                 let lasts = if is_down { DIAL_TIMEOUT } else { LATENCY };
-                self.calls.push(Reverse((self.now + lasts, message, *attempts, endpoint, self.now)));
+                self.calls.push(Reverse((
+                    self.now + lasts,
+                    message,
+                    *attempts,
+                    endpoint,
+                    self.now,
+                )));
                 *attempts += 1;
                 self.calls_down += usize::from(is_down);
                 self.calls_up += usize::from(!is_down);
@@ -332,11 +376,25 @@
     settings.max_attempts = 1_000;
     settings.weight_trust = 0.5;
     settings.connection_idle = 10 * SECOND;
-    let keyed = Effect::Keyed { window: 10 * SECOND, zone_only: false };
-    for (name, effect) in [("repeatable", Effect::Repeatable), ("keyed", keyed), ("unsafe", Effect::Unsafe)] {
+    let keyed = Effect::Keyed {
+        window: 10 * SECOND,
+        zone_only: false,
+    };
+    for (name, effect) in [
+        ("repeatable", Effect::Repeatable),
+        ("keyed", keyed),
+        ("unsafe", Effect::Unsafe),
+    ] {
         let class = Class::new(name, effect, 4 * SECOND, KEPT);
-        settings.classes.push(Class { late_share: 0.1, ..class });
+        settings.classes.push(Class {
+            late_share: 0.1,
+            ..class
+        });
     }
-    settings.kinds.push(Kind { name: "one".into(), separate_routes: false, bundle_max: 1 });
+    settings.kinds.push(Kind {
+        name: "one".into(),
+        separate_routes: false,
+        bundle_max: 1,
+    });
     settings
 }
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -19,7 +19,10 @@
         let last = first.saturating_add(per_line).min(destinations);
         let targets: Vec<String> = (first..last).map(target).collect();
         let (version, whole) = (lines.len() + 1, first == 0);
-        lines.push(format!(r#"{{"rev":{version},"all":{whole},"targets":[{}]}}"#, targets.join(",")));
+        lines.push(format!(
+            r#"{{"rev":{version},"all":{whole},"targets":[{}]}}"#,
+            targets.join(",")
+        ));
         first = last;
     }
     lines
--- a/lab/src/scale/fit.rs
+++ b/lab/src/scale/fit.rs
@@ -98,14 +98,21 @@
 /// # Errors
 /// The file can't be read, or has too few sizes.
 pub fn fit(order: &Order) -> anyhow::Result<Fit> {
-    let text =
-        std::fs::read_to_string(&order.figures).with_context(|| format!("{}", order.figures.display()))?;
+    let text = std::fs::read_to_string(&order.figures)
+        .with_context(|| format!("{}", order.figures.display()))?;
     let points = points(&text, order)?;
     let line = line(&points, order.form)?;
     let largest = points.iter().map(|point| point.size).fold(0.0, f64::max);
     let value = line.intercept + line.slope * order.form.of(order.at);
     let extrapolation = order.at / largest;
-    Ok(Fit { form: order.form, points, line, at: order.at, value, extrapolation })
+    Ok(Fit {
+        form: order.form,
+        points,
+        line,
+        at: order.at,
+        value,
+        extrapolation,
+    })
 }
 
 fn field<'a>(line: &'a Value, path: &str) -> &'a Value {
@@ -125,7 +132,8 @@
 fn points(text: &str, order: &Order) -> anyhow::Result<Vec<Point>> {
     let mut runs: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for (number, text) in text.lines().enumerate() {
-        let line: Value = serde_json::from_str(text).with_context(|| format!("line {}", number + 1))?;
+        let line: Value =
+            serde_json::from_str(text).with_context(|| format!("line {}", number + 1))?;
         let mut wanted = true;
         for only in &order.only {
             wanted &= matches(&line, only)?;
@@ -136,20 +144,32 @@
             runs.entry(size).or_default().push(figure);
         }
     }
-    Ok(runs.into_iter().map(|(size, runs)| point(size as f64, runs)).collect())
+    Ok(runs
+        .into_iter()
+        .map(|(size, runs)| point(size as f64, runs))
+        .collect())
 }
 
 fn point(size: f64, mut runs: Vec<f64>) -> Point {
     runs.sort_by(f64::total_cmp);
     let at = |index: usize| runs.get(index).copied().unwrap_or(f64::NAN);
     let range = (at(0), at(runs.len().saturating_sub(1)));
-    Point { size, runs: runs.len(), median: at(runs.len() / 2), range }
+    Point {
+        size,
+        runs: runs.len(),
+        median: at(runs.len() / 2),
+        range,
+    }
 }
 
 /// Fits the medians. The squares are of the distances as parts of the medians, so that small sizes count as much as large
 /// ones.
 pub fn line(points: &[Point], form: Form) -> anyhow::Result<Line> {
-    ensure!(points.len() >= 3, "{} sizes: a line and its error need three", points.len());
+    ensure!(
+        points.len() >= 3,
+        "{} sizes: a line and its error need three",
+        points.len()
+    );
     if points.iter().any(|point| point.median == 0.0) {
         bail!("a median is zero: parts of it mean nothing");
     }
@@ -160,7 +180,11 @@
         });
         each.sum()
     };
-    let (weights, xs, ys) = (weighted(&|_, _| 1.0), weighted(&|x, _| x), weighted(&|_, y| y));
+    let (weights, xs, ys) = (
+        weighted(&|_, _| 1.0),
+        weighted(&|x, _| x),
+        weighted(&|_, y| y),
+    );
     let (mean_x, mean_y) = (xs / weights, ys / weights);
     let spread_x = weighted(&|x, _| (x - mean_x).powi(2));
     ensure!(spread_x > 0.0, "all sizes are the same");
@@ -173,5 +197,10 @@
         ((point.median - value) / point.median).abs()
     };
     let worst_residual = points.iter().map(residual).fold(0.0, f64::max);
-    Ok(Line { intercept, slope, slope_error, worst_residual })
+    Ok(Line {
+        intercept,
+        slope,
+        slope_error,
+        worst_residual,
+    })
 }
--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -121,7 +121,11 @@
     first.kill()?;
     let mut second = setup.start()?;
     let ready = second.ready(patience)?;
-    ensure!(ready.is_none() || owed(&second)? >= order.backlog, "owed: {}", second.log()?);
+    ensure!(
+        ready.is_none() || owed(&second)? >= order.backlog,
+        "owed: {}",
+        second.log()?
+    );
     let after = Memory::of(second.pid()?)?;
     Ok(Figures {
         measure: "journal",
@@ -138,9 +142,17 @@
 /// How many messages the sender found in its journal.
 fn owed(process: &Process) -> anyhow::Result<u64> {
     let log = process.log()?;
-    let line = log.lines().find(|line| line.contains(" messages owed")).context("nothing is owed")?;
-    let number = line.split(" messages owed").next().and_then(|head| head.rsplit(' ').next());
-    number.and_then(|number| number.parse().ok()).context("no number")
+    let line = log
+        .lines()
+        .find(|line| line.contains(" messages owed"))
+        .context("nothing is owed")?;
+    let number = line
+        .split(" messages owed")
+        .next()
+        .and_then(|head| head.rsplit(' ').next());
+    number
+        .and_then(|number| number.parse().ok())
+        .context("no number")
 }
 
 /// Writes a journal in which the messages are owed; its bytes.
@@ -158,7 +170,10 @@
 }
 
 fn record(number: u64, now: i64, destination: u64) -> anyhow::Result<Vec<u8>> {
-    let keyed = milletturn::Effect::Keyed { window: WINDOW, zone_only: false };
+    let keyed = milletturn::Effect::Keyed {
+        window: WINDOW,
+        zone_only: false,
+    };
     let classes = [
         ("status", milletturn::Effect::Repeatable),
         ("report", keyed),
@@ -174,10 +189,20 @@
         deadline: now + DEADLINE,
         body: vec![b'x'; BODY],
     };
-    let origin = Origin { subject: None, tenant: None };
+    let origin = Origin {
+        subject: None,
+        tenant: None,
+    };
     let (worth, late_share) = (1.0, 0.0);
-    let terms =
-        Terms { effect, aim: AIM, deadline: DEADLINE, worth, late_share, ordered: false, attempts: 12 };
+    let terms = Terms {
+        effect,
+        aim: AIM,
+        deadline: DEADLINE,
+        worth,
+        late_share,
+        ordered: false,
+        attempts: 12,
+    };
     let mut payload = vec![TAKEN_ON];
     payload.extend(postcard::to_allocvec(&(number, taken, origin, terms))?);
     let mut record = Vec::with_capacity(MARK.len() + 8 + payload.len());
