--- a/lab/src/scale/ledger.rs
+++ b/lab/src/scale/ledger.rs
@@ -17,7 +17,10 @@
 use serde::Serialize;
 
 /// The registry's default lease, and what its clock may be wrong by.
-pub(super) const TERMS: Terms = Terms { lease: 1_500_000, drift: 30_000 };
+pub(super) const TERMS: Terms = Terms {
+    lease: 1_500_000,
+    drift: 30_000,
+};
 /// A sender asks a quarter of a lease after it asked last.
 const QUESTIONS_A_LEASE: f64 = 4.0;
 /// Every sender's floor and wish, and what a destination takes beyond its floors: thousandths of a call a second.
@@ -111,8 +114,14 @@
 /// # Errors
 /// Memory can't be read, or the ledger refuses something that no limit of size explains.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    anyhow::ensure!(order.senders > 0 && order.destinations > 0, "a fleet has senders and destinations");
-    anyhow::ensure!(order.holders <= order.senders, "--holders: no more than there are senders");
+    anyhow::ensure!(
+        order.senders > 0 && order.destinations > 0,
+        "a fleet has senders and destinations"
+    );
+    anyhow::ensure!(
+        order.holders <= order.senders,
+        "--holders: no more than there are senders"
+    );
     Ok(Figures {
         destinations: order.destinations,
         senders: order.senders,
@@ -125,11 +134,17 @@
 }
 
 fn floors(senders: u32) -> Floors {
-    Floors { senders, each: [("rate".to_string(), FLOOR)].into() }
+    Floors {
+        senders,
+        each: [("rate".to_string(), FLOOR)].into(),
+    }
 }
 
 fn limit(senders: u32) -> Limit {
-    Limit { total: FLOOR * u64::from(senders) + BEYOND_FLOORS, linger_ms: 0 }
+    Limit {
+        total: FLOOR * u64::from(senders) + BEYOND_FLOORS,
+        linger_ms: 0,
+    }
 }
 
 pub(super) fn rate(destination: u64) -> Key {
@@ -144,13 +159,21 @@
 fn book(order: &Order) -> anyhow::Result<BookFigures> {
     let before = resident()?;
     let mut book = None;
-    let begin = Entry::Begin { floors: floors(order.senders), terms: TERMS, split_at: Vec::new() };
+    let begin = Entry::Begin {
+        floors: floors(order.senders),
+        terms: TERMS,
+        split_at: Vec::new(),
+    };
     Book::apply(&mut book, begin)?;
     let cpu = thread_time();
     let (mut limits, mut refused) = (0, None);
     for destination in 0..order.destinations {
         let limit = Some(limit(order.senders));
-        let entry = Entry::Limit { key: rate(destination), limit, if_match: None };
+        let entry = Entry::Limit {
+            key: rate(destination),
+            limit,
+            if_match: None,
+        };
         match Book::apply(&mut book, entry) {
             Ok(()) => limits += 1,
             Err(error @ BookError::Limit(_)) => {
@@ -162,12 +185,20 @@
     }
     let set_us = microseconds(thread_time().saturating_sub(cpu), limits);
     let bytes = resident()?.saturating_sub(before);
-    Ok(BookFigures { limits, refused, bytes_each: bytes as f64 / limits.max(1) as f64, set_us })
+    Ok(BookFigures {
+        limits,
+        refused,
+        bytes_each: bytes as f64 / limits.max(1) as f64,
+        set_us,
+    })
 }
 
 /// Allocates a part to one sender.
 fn allocate(keeper: &mut Keeper, now: Micros, senders: u32, destination: u64, sender: u64) {
-    let want = Want { key: rate(destination), want: WISH };
+    let want = Want {
+        key: rate(destination),
+        want: WISH,
+    };
     keeper.deal(now, sender, &want, limit(senders), &floors(senders));
 }
 
@@ -224,7 +255,12 @@
 
 /// What is asked and answered of one sender's whole list.
 fn question(order: &Order) -> anyhow::Result<QuestionFigures> {
-    let wants = (0..order.destinations).map(|destination| Want { key: rate(destination), want: 0 }).collect();
+    let wants = (0..order.destinations)
+        .map(|destination| Want {
+            key: rate(destination),
+            want: 0,
+        })
+        .collect();
     let question = PartsQuestion {
         sender: "s-0001".to_string(),
         life: 1_800_000_000_000_000,
@@ -235,8 +271,12 @@
         words: Vec::new(),
     };
     let total = limit(order.senders).total;
-    let dealt =
-        |destination| Dealt { key: rate(destination), part: Some(WISH), total: Some(total), linger_ms: 0 };
+    let dealt = |destination| Dealt {
+        key: rate(destination),
+        part: Some(WISH),
+        total: Some(total),
+        linger_ms: 0,
+    };
     let answer = PartsAnswer {
         lease: TERMS.lease,
         rev: order.destinations,
@@ -252,7 +292,18 @@
     let (request_bytes, answer_bytes) = (request.len() as u64, reply.len() as u64);
     let a_second = QUESTIONS_A_LEASE * 1e6 / TERMS.lease as f64;
     let bytes_a_second = (request_bytes + answer_bytes) as f64 * a_second;
-    let verdict = Verdict { destination: order.destinations, out: true, epoch: EPOCHS + 1, observers: 2 };
+    let verdict = Verdict {
+        destination: order.destinations,
+        out: true,
+        epoch: EPOCHS + 1,
+        observers: 2,
+    };
     let verdict_bytes = serde_json::to_vec(&verdict)?.len() as u64;
-    Ok(QuestionFigures { request_bytes, answer_bytes, bytes_a_second, codec_us, verdict_bytes })
+    Ok(QuestionFigures {
+        request_bytes,
+        answer_bytes,
+        bytes_a_second,
+        codec_us,
+        verdict_bytes,
+    })
 }
--- a/lab/src/scale/ledger/tests.rs
+++ b/lab/src/scale/ledger/tests.rs
@@ -3,14 +3,22 @@
 use super::*;
 
 fn order(destinations: u64, senders: u32, holders: u32) -> Order {
-    Order { destinations, senders, holders, seed: 1 }
+    Order {
+        destinations,
+        senders,
+        holders,
+        seed: 1,
+    }
 }
 
 #[test]
 fn a_question_grows_with_the_list_and_no_faster() {
     let bytes = [64, 256].map(|destinations| {
-        let QuestionFigures { request_bytes, answer_bytes, .. } =
-            question(&order(destinations, 100, 1)).expect("measured");
+        let QuestionFigures {
+            request_bytes,
+            answer_bytes,
+            ..
+        } = question(&order(destinations, 100, 1)).expect("measured");
         (request_bytes + answer_bytes) as f64
     });
     // four times the destinations, whose numbers are up to a digit longer
@@ -29,5 +37,8 @@
 fn an_allocation_is_found_in_a_table_of_pairs() {
     let figures = table(&order(500, 50, 4)).expect("measured");
     assert_eq!(figures.pairs, 2_000);
-    assert!(figures.allocation_us > 0.0 && figures.shared_by_all_us > 0.0, "{figures:?}");
+    assert!(
+        figures.allocation_us > 0.0 && figures.shared_by_all_us > 0.0,
+        "{figures:?}"
+    );
 }
--- a/lab/src/scale/list.rs
+++ b/lab/src/scale/list.rs
@@ -57,8 +57,14 @@
 /// # Errors
 /// The sender can't be started or ends.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    let lines = discovery::lines(order.destinations, order.per_line.unwrap_or(order.destinations).max(1));
-    let (count, longest) = (lines.len(), lines.iter().map(String::len).max().unwrap_or(0));
+    let lines = discovery::lines(
+        order.destinations,
+        order.per_line.unwrap_or(order.destinations).max(1),
+    );
+    let (count, longest) = (
+        lines.len(),
+        lines.iter().map(String::len).max().unwrap_or(0),
+    );
     let bytes = lines.iter().map(|line| line.len() + 1).sum();
     let setup = Setup {
         program: program(&order.program)?,
@@ -73,7 +79,11 @@
     let ready = process.ready(patience)?;
     let cpu = process.settle(patience)?;
     let memory = Memory::of(process.pid()?)?;
-    let refused = process.log()?.lines().filter(|line| line.contains("can't be read")).count();
+    let refused = process
+        .log()?
+        .lines()
+        .filter(|line| line.contains("can't be read"))
+        .count();
     Ok(Figures {
         measure: "list",
         destinations: order.destinations,
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -82,7 +82,11 @@
 
 fn probability(text: &str) -> Result<f64, String> {
     let value: f64 = text.parse().map_err(|error| format!("{error}"))?;
-    if (0.0..1.0).contains(&value) { Ok(value) } else { Err("not from 0 to below 1".to_string()) }
+    if (0.0..1.0).contains(&value) {
+        Ok(value)
+    } else {
+        Err("not from 0 to below 1".to_string())
+    }
 }
 
 /// What each member used in a span of time.
@@ -169,7 +173,9 @@
 fn settings(member: usize, members: usize) -> Settings {
     let configured = u32::try_from(members).unwrap_or(u32::MAX);
     let mut settings = Settings::new(&name(member), address(member), configured);
-    settings.seeds = [1, 2].map(|step| address((member + step) % members)).to_vec();
+    settings.seeds = [1, 2]
+        .map(|step| address((member + step) % members))
+        .to_vec();
     settings.key = Some(KEY.to_vec());
     // a table has to have room for the whole fleet
     settings.most = settings.most.max(members);
@@ -179,7 +185,13 @@
 /// A member that starts now.
 pub fn real(member: usize, members: usize, seed: u64, now: Micros) -> Result<Node, SettingsError> {
     // no two processes start at the same microsecond
-    Node::new(settings(member, members), Remembered::default(), seed, now + member as Micros, now)
+    Node::new(
+        settings(member, members),
+        Remembered::default(),
+        seed,
+        now + member as Micros,
+        now,
+    )
 }
 
 /// Makes the members of a fleet: number, members of the fleet, seed, time.
@@ -190,7 +202,10 @@
 /// # Errors
 /// The module refuses the settings, or memory can't be read.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    anyhow::ensure!(order.members > 1, "--members: a fleet has two members at least");
+    anyhow::ensure!(
+        order.members > 1,
+        "--members: a fleet has two members at least"
+    );
     Run::begin(order, real)?.play()
 }
 
@@ -211,7 +226,13 @@
     pub fn begin(order: &Order, make: Make<M>) -> anyhow::Result<Self> {
         let resident_before = resident()?;
         let fleet = Simulation::new(order.members, order.seed, order.loss);
-        let mut run = Run { order: order.clone(), make, fleet, resident_before, wrong_deaths: 0 };
+        let mut run = Run {
+            order: order.clone(),
+            make,
+            fleet,
+            resident_before,
+            wrong_deaths: 0,
+        };
         for member in 0..order.members {
             run.start(member)?;
         }
@@ -289,7 +310,10 @@
         let time = seconds(self.fleet.now - since).max(f64::MIN_POSITIVE);
         let used = self.fleet.used();
         let spread = |of: fn(&Used) -> u64| {
-            let each = used.iter().zip(&before).map(|(now, before)| (of(now) - of(before)) as f64 / time);
+            let each = used
+                .iter()
+                .zip(&before)
+                .map(|(now, before)| (of(now) - of(before)) as f64 / time);
             Spread::of(each.collect())
         };
         Rates {
@@ -300,7 +324,11 @@
             messages_in: spread(|used| used.messages_in),
             cpu: {
                 let Spread { median, p99, worst } = spread(|used| used.cpu_ns);
-                Spread { median: median / 1e9, p99: p99 / 1e9, worst: worst / 1e9 }
+                Spread {
+                    median: median / 1e9,
+                    p99: p99 / 1e9,
+                    worst: worst / 1e9,
+                }
             },
         }
     }
@@ -323,7 +351,10 @@
         self.change(|_| ());
         let since = self.fleet.now;
         self.start(subject)?;
-        let joined = self.fleet.until(KNOWN, |fleet| fleet.counts_all(subject)).map(seconds);
+        let joined = self
+            .fleet
+            .until(KNOWN, |fleet| fleet.counts_all(subject))
+            .map(seconds);
         Ok((self.wait_known(&[subject], State::Alive, since), joined))
     }
 
@@ -335,13 +366,21 @@
     }
 
     fn count_wrong_deaths(&mut self) {
-        let wrong = self.fleet.seen.iter().filter(|seen| seen.state == State::Dead && seen.reachable);
+        let wrong = self
+            .fleet
+            .seen
+            .iter()
+            .filter(|seen| seen.state == State::Dead && seen.reachable);
         self.wrong_deaths += wrong.count();
     }
 
     /// Waits until every member that runs knows of these.
     fn wait_known(&mut self, subjects: &[usize], state: State, since: Micros) -> Known {
-        let observers: Vec<usize> = self.fleet.running().filter(|index| !subjects.contains(index)).collect();
+        let observers: Vec<usize> = self
+            .fleet
+            .running()
+            .filter(|index| !subjects.contains(index))
+            .collect();
         let pairs = observers.len() * subjects.len();
         // pairs are counted only where something was told since the last look
         let mut told = 0;
@@ -353,16 +392,25 @@
             times(fleet, &observers, subjects, state, since).len() >= pairs
         });
         let times = times(&self.fleet, &observers, subjects, state, since);
-        Known { missing: pairs - times.len(), seconds: Spread::of(times) }
+        Known {
+            missing: pairs - times.len(),
+            seconds: Spread::of(times),
+        }
     }
 
     /// Cuts a domain off, and heals.
     fn domain(&mut self, domain: Domain) -> FaultFigures {
-        let direction = if self.order.one_way { Direction::Outward } else { Direction::Both };
-        let group: Vec<usize> =
-            (0..self.order.members).filter(|&member| is_in_first(domain, member)).collect();
-        let others: Vec<usize> =
-            (0..self.order.members).filter(|&member| !is_in_first(domain, member)).collect();
+        let direction = if self.order.one_way {
+            Direction::Outward
+        } else {
+            Direction::Both
+        };
+        let group: Vec<usize> = (0..self.order.members)
+            .filter(|&member| is_in_first(domain, member))
+            .collect();
+        let others: Vec<usize> = (0..self.order.members)
+            .filter(|&member| !is_in_first(domain, member))
+            .collect();
         let since = self.fleet.now;
         self.change(|fleet| fleet.cut(Some(direction), |member| is_in_first(domain, member)));
         let before = (since, self.fleet.used());
@@ -370,9 +418,15 @@
         let during = self.rates(before);
         let times = times(&self.fleet, &others, &group, State::Dead, since);
         let missing = others.len() * group.len() - times.len();
-        let dead = Some(Known { missing, seconds: Spread::of(times) });
+        let dead = Some(Known {
+            missing,
+            seconds: Spread::of(times),
+        });
         self.change(|fleet| fleet.cut(None, |_| false));
-        FaultFigures { dead, ..self.recovery(group.len(), during) }
+        FaultFigures {
+            dead,
+            ..self.recovery(group.len(), during)
+        }
     }
 
     /// Restarts batch after batch.
@@ -398,25 +452,45 @@
     fn recovery(&mut self, affected: usize, during: Rates) -> FaultFigures {
         let wrong_during = self.wrong_deaths;
         let before = (self.fleet.now, self.fleet.used());
-        let agreed = self.fleet.until(KNOWN, Simulation::counts_agree).map(seconds);
+        let agreed = self
+            .fleet
+            .until(KNOWN, Simulation::counts_agree)
+            .map(seconds);
         let after = self.rates(before);
         self.change(|_| ());
         let wrong_deaths = (wrong_during, self.wrong_deaths - wrong_during);
-        FaultFigures { affected, dead: None, during, agreed, after, wrong_deaths }
+        FaultFigures {
+            affected,
+            dead: None,
+            during,
+            agreed,
+            after,
+            wrong_deaths,
+        }
     }
 }
 
 /// Seconds after which each observer first held each subject for this.
 fn times<M: Member>(
-    fleet: &Simulation<M>, observers: &[usize], subjects: &[usize], state: State, since: Micros,
+    fleet: &Simulation<M>,
+    observers: &[usize],
+    subjects: &[usize],
+    state: State,
+    since: Micros,
 ) -> Vec<f64> {
     let mut first: HashMap<(usize, usize), Micros> = HashMap::new();
     for seen in fleet.seen.iter().filter(|seen| seen.state == state) {
-        first.entry((seen.observer, seen.subject)).or_insert(seen.at);
+        first
+            .entry((seen.observer, seen.subject))
+            .or_insert(seen.at);
     }
-    let pairs =
-        observers.iter().flat_map(|&observer| subjects.iter().map(move |&subject| (observer, subject)));
-    pairs.filter_map(|pair| first.get(&pair)).map(|at| seconds(at.saturating_sub(since))).collect()
+    let pairs = observers
+        .iter()
+        .flat_map(|&observer| subjects.iter().map(move |&subject| (observer, subject)));
+    pairs
+        .filter_map(|pair| first.get(&pair))
+        .map(|at| seconds(at.saturating_sub(since)))
+        .collect()
 }
 
 fn seconds(time: Micros) -> f64 {
--- a/lab/src/scale/membership/tests.rs
+++ b/lab/src/scale/membership/tests.rs
@@ -9,7 +9,13 @@
 const GROWTH_MOST: f64 = 1.5;
 
 fn order(members: usize, fault: Fault) -> Order {
-    Order { members, seed: 1, loss: 0.0, fault, one_way: false }
+    Order {
+        members,
+        seed: 1,
+        loss: 0.0,
+        fault,
+        one_way: false,
+    }
 }
 
 /// How often the planted fault tells everyone: seldom, so that the test is short.
@@ -22,8 +28,17 @@
     next: Micros,
 }
 
-fn broadcaster(member: usize, members: usize, seed: u64, now: Micros) -> Result<Broadcaster, SettingsError> {
-    Ok(Broadcaster { node: real(member, members, seed, now)?, members, next: now })
+fn broadcaster(
+    member: usize,
+    members: usize,
+    seed: u64,
+    now: Micros,
+) -> Result<Broadcaster, SettingsError> {
+    Ok(Broadcaster {
+        node: real(member, members, seed, now)?,
+        members,
+        next: now,
+    })
 }
 
 impl Member for Broadcaster {
@@ -33,7 +48,9 @@
         }
         if now >= self.next {
             self.next = now + BROADCAST_EVERY;
-            output.datagrams.extend((0..self.members).map(|member| (address(member), vec![0; 64])));
+            output
+                .datagrams
+                .extend((0..self.members).map(|member| (address(member), vec![0; 64])));
         }
     }
 
@@ -69,21 +86,34 @@
 #[test]
 fn what_a_member_sends_at_rest_hardly_grows_with_the_fleet() {
     let growth = growth(real);
-    assert!(growth <= GROWTH_MOST, "{growth:.2} times the bytes for four times the members");
+    assert!(
+        growth <= GROWTH_MOST,
+        "{growth:.2} times the bytes for four times the members"
+    );
 }
 
 #[test]
 fn a_planted_message_of_everyone_to_everyone_breaks_that_bound() {
     let growth = growth(broadcaster);
-    assert!(growth > GROWTH_MOST, "the planted fault was not caught: {growth:.2}");
+    assert!(
+        growth > GROWTH_MOST,
+        "the planted fault was not caught: {growth:.2}"
+    );
 }
 
 #[test]
 fn a_fleet_of_64_learns_of_each_change_and_kills_nobody_wrongly() {
     let figures = measure(&order(64, Fault::None)).expect("measured");
-    for (what, known) in [("leave", figures.leave), ("death", figures.death), ("join", figures.join)] {
+    for (what, known) in [
+        ("leave", figures.leave),
+        ("death", figures.death),
+        ("join", figures.join),
+    ] {
         let known = known.expect("measured");
-        assert!(known.missing == 0 && known.seconds.worst > 0.0, "{what}: {known:?}");
+        assert!(
+            known.missing == 0 && known.seconds.worst > 0.0,
+            "{what}: {known:?}"
+        );
     }
     assert_eq!((figures.wrong_deaths, figures.disagreements), (0, 0));
 }
@@ -92,14 +122,22 @@
 fn a_zone_that_was_cut_off_is_back_in_everyones_table() {
     let figures = measure(&order(64, Fault::Zone)).expect("measured");
     let failed = figures.failed.expect("measured");
-    assert!(failed.agreed.is_some() && failed.dead.is_some_and(|dead| dead.missing == 0), "{failed:?}");
+    assert!(
+        failed.agreed.is_some() && failed.dead.is_some_and(|dead| dead.missing == 0),
+        "{failed:?}"
+    );
     assert_eq!((figures.wrong_deaths, figures.disagreements), (0, 0));
 }
 
 #[test]
 fn more_members_than_a_table_may_hold_are_refused() {
-    let error = measure(&order(2049, Fault::None)).expect_err("refused").to_string();
-    assert!(error.contains("most is not a number from 2 to 2048"), "{error}");
+    let error = measure(&order(2049, Fault::None))
+        .expect_err("refused")
+        .to_string();
+    assert!(
+        error.contains("most is not a number from 2 to 2048"),
+        "{error}"
+    );
 }
 
 #[test]
@@ -107,7 +145,11 @@
     let traffic = || {
         let mut run = Run::begin(&order(64, Fault::None), real).expect("good settings");
         run.cold_start();
-        run.fleet.used().iter().map(|used| (used.messages_out, used.bytes_in)).collect::<Vec<_>>()
+        run.fleet
+            .used()
+            .iter()
+            .map(|used| (used.messages_out, used.bytes_in))
+            .collect::<Vec<_>>()
     };
     assert_eq!(traffic(), traffic());
 }
--- a/lab/src/scale/points.rs
+++ b/lab/src/scale/points.rs
@@ -52,7 +52,10 @@
         }
         let spread = weights * squares - xs * xs;
         let slope = (weights * products - xs * ys) / spread;
-        let line = Line { start: (ys - slope * xs) / weights, slope };
+        let line = Line {
+            start: (ys - slope * xs) / weights,
+            slope,
+        };
         (slope.is_finite() && line.start.is_finite()).then_some(line)
     }
 
@@ -62,7 +65,10 @@
 
     /// The largest part by which a point lies off the line.
     fn error(self, points: &[(f64, f64)]) -> f64 {
-        points.iter().map(|&(x, y)| (self.at(x) / y - 1.0).abs()).fold(0.0, f64::max)
+        points
+            .iter()
+            .map(|&(x, y)| (self.at(x) / y - 1.0).abs())
+            .fold(0.0, f64::max)
     }
 }
 
@@ -71,7 +77,8 @@
 /// # Errors
 /// The file can't be read, or holds too few points for a line.
 pub fn row(order: &Order) -> anyhow::Result<String> {
-    let text = std::fs::read_to_string(&order.points).context(order.points.display().to_string())?;
+    let text =
+        std::fs::read_to_string(&order.points).context(order.points.display().to_string())?;
     let mut sizes: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
     for line in text.lines().filter(|line| line.starts_with('{')) {
         let point: Value = serde_json::from_str(line).context("a line of the points")?;
@@ -79,7 +86,9 @@
             let (field, value) = only.split_once('=').unwrap_or((only, ""));
             point[field].to_string().trim_matches('"') == value
         };
-        let (Some(x), Some(y)) = (point[&order.x].as_f64(), point[&order.y].as_f64()) else { continue };
+        let (Some(x), Some(y)) = (point[&order.x].as_f64(), point[&order.y].as_f64()) else {
+            continue;
+        };
         if order.only.iter().all(same) {
             sizes.entry(x as u64).or_default().push(y);
         }
@@ -90,13 +99,26 @@
         values.sort_by(f64::total_cmp);
         let median = values[values.len() / 2];
         let (least, most) = (values[0], values[values.len() - 1]);
-        writeln!(rows, "{} {size}: {median:.4} ({least:.4} to {most:.4}), {} runs", order.x, values.len())?;
+        writeln!(
+            rows,
+            "{} {size}: {median:.4} ({least:.4} to {most:.4}), {} runs",
+            order.x,
+            values.len()
+        )?;
         medians.push((size as f64, median));
     }
-    ensure!(medians.len() >= 2, "a line needs two sizes, there are {}", medians.len());
+    ensure!(
+        medians.len() >= 2,
+        "a line needs two sizes, there are {}",
+        medians.len()
+    );
     let line = Line::through(&medians).context("no line fits")?;
     let (value, largest) = (line.at(order.at), medians[medians.len() - 1].0);
-    let far = if order.at > FAR * largest { ", extrapolated over 10 times" } else { "" };
+    let far = if order.at > FAR * largest {
+        ", extrapolated over 10 times"
+    } else {
+        ""
+    };
     writeln!(
         rows,
         "{} = {:.6} + {:.6e} x {}, off by {:.0}% at most",
--- a/lab/src/scale/process.rs
+++ b/lab/src/scale/process.rs
@@ -76,7 +76,10 @@
         let log = self.folder.join("log");
         let errors = File::create(&log)?;
         let mut command = Command::new(std::env::current_exe()?);
-        command.args(["exec", &std::process::id().to_string()]).arg(&self.program).arg("--");
+        command
+            .args(["exec", &std::process::id().to_string()])
+            .arg(&self.program)
+            .arg("--");
         command
             .env("RELAY_CONFIG", self.folder.join("config.json"))
             .env("RELAY_STATE", self.state())
@@ -84,15 +87,23 @@
             .stdout(Stdio::null())
             .stderr(errors);
         let started = Instant::now();
-        let child =
-            command.spawn().with_context(|| format!("{} can't be started", self.program.display()))?;
-        Ok(Process { child, log, started })
+        let child = command
+            .spawn()
+            .with_context(|| format!("{} can't be started", self.program.display()))?;
+        Ok(Process {
+            child,
+            log,
+            started,
+        })
     }
 }
 
 impl Process {
     pub fn pid(&self) -> anyhow::Result<Pid> {
-        i32::try_from(self.child.id()).ok().and_then(Pid::from_raw).context("it has no id")
+        i32::try_from(self.child.id())
+            .ok()
+            .and_then(Pid::from_raw)
+            .context("it has no id")
     }
 
     /// The lines of its log.
@@ -132,7 +143,8 @@
         let mut spent = super::resources::process_time(self.pid()?)?;
         while Instant::now() < until {
             std::thread::sleep(QUIET);
-            let before = std::mem::replace(&mut spent, super::resources::process_time(self.pid()?)?);
+            let before =
+                std::mem::replace(&mut spent, super::resources::process_time(self.pid()?)?);
             // a tick of the kernel's clock may fall to one that only hears that discovery lives
             if spent - before <= QUIET / 50 {
                 break;
@@ -161,11 +173,15 @@
 
 /// Where the log says that it listens.
 fn listens(log: &str) -> Option<SocketAddr> {
-    log.lines().find_map(|line| line.split_once("listening on ")?.1.trim().parse().ok())
+    log.lines()
+        .find_map(|line| line.split_once("listening on ")?.1.trim().parse().ok())
 }
 
 fn says_ready(address: SocketAddr, until: Instant) -> bool {
-    let patience = until.saturating_duration_since(Instant::now()).min(ANSWER).max(LOOK);
+    let patience = until
+        .saturating_duration_since(Instant::now())
+        .min(ANSWER)
+        .max(LOOK);
     let ask = || {
         let mut stream = TcpStream::connect_timeout(&address, patience)?;
         stream.set_read_timeout(Some(patience))?;
@@ -182,7 +198,8 @@
 /// # Errors
 /// There is none.
 pub fn program(path: &Path) -> anyhow::Result<PathBuf> {
-    path.canonicalize().with_context(|| format!("{}: build it first", path.display()))
+    path.canonicalize()
+        .with_context(|| format!("{}: build it first", path.display()))
 }
 
 /// The folder, empty.
--- a/lab/src/scale/questions.rs
+++ b/lab/src/scale/questions.rs
@@ -99,8 +99,14 @@
 /// # Errors
 /// The order makes no sense.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    anyhow::ensure!(order.destinations > 0 && order.seconds > 0, "there is nothing to measure");
-    let floors = Floors { senders: 2_100, each: [("rate".to_string(), 0)].into() };
+    anyhow::ensure!(
+        order.destinations > 0 && order.seconds > 0,
+        "there is nothing to measure"
+    );
+    let floors = Floors {
+        senders: 2_100,
+        each: [("rate".to_string(), 0)].into(),
+    };
     let begin = TERMS.longest();
     let mut sender = Sender {
         holder: Holder::new(floors.clone()),
@@ -118,7 +124,8 @@
     let look = TERMS.lease / LOOKS;
     for number in 0..order.seconds * SECOND / look {
         let now = begin + number * look;
-        let events = (number + 1) * look * order.events / SECOND - number * look * order.events / SECOND;
+        let events =
+            (number + 1) * look * order.events / SECOND - number * look * order.events / SECOND;
         for _ in 0..events {
             let destination = random.random_range(0..order.destinations);
             // spread over the time since the last look
@@ -144,7 +151,11 @@
         question: Spread::of(bytes),
         names: Spread::of(asked.iter().map(|(_, names)| *names as f64).collect()),
         wait: Spread::of(waits),
-        waiting: sender.uses.values().map(|used| used.since.len() as u64).sum(),
+        waiting: sender
+            .uses
+            .values()
+            .map(|used| used.since.len() as u64)
+            .sum(),
         cpu: 100.0 * sender.cpu.as_secs_f64() / seconds,
     })
 }
@@ -163,15 +174,32 @@
 
 impl Sender {
     /// Asks if there is room and something to name; the bytes and the names of the question.
-    fn ask(&mut self, now: Micros, lease_holder: &mut Keeper, asked: &mut Vec<(u64, usize)>) -> bool {
+    fn ask(
+        &mut self,
+        now: Micros,
+        lease_holder: &mut Keeper,
+        asked: &mut Vec<(u64, usize)>,
+    ) -> bool {
         let cpu = thread_time();
         let room = self.budget.room(now, TERMS.lease);
         if room == 0 {
             return false;
         }
         let wanted = match self.names {
-            Names::Used => self.naming.choose(now, &self.holder, TERMS.lease, self.demand(), self.list, room),
-            Names::Whole => (0..self.list as u64).map(|place| Wanted { key: rate(place), want: 0 }).collect(),
+            Names::Used => self.naming.choose(
+                now,
+                &self.holder,
+                TERMS.lease,
+                self.demand(),
+                self.list,
+                room,
+            ),
+            Names::Whole => (0..self.list as u64)
+                .map(|place| Wanted {
+                    key: rate(place),
+                    want: 0,
+                })
+                .collect(),
         };
         let (number, wants) = self.holder.ask(now, wanted);
         let question = Question {
@@ -185,10 +213,20 @@
         };
         let request = question.write();
         self.cpu += thread_time().saturating_sub(cpu);
-        let limit = Limit { total: TOTAL, linger_ms: 0 };
-        let quotas = question.wants.iter().map(|want| lease_holder.deal(now, 0, want, limit, &self.floors));
-        let answer =
-            Answer { lease: TERMS.lease, rev: 480_000, quotas: quotas.collect(), verdicts: Vec::new() };
+        let limit = Limit {
+            total: TOTAL,
+            linger_ms: 0,
+        };
+        let quotas = question
+            .wants
+            .iter()
+            .map(|want| lease_holder.deal(now, 0, want, limit, &self.floors));
+        let answer = Answer {
+            lease: TERMS.lease,
+            rev: 480_000,
+            quotas: quotas.collect(),
+            verdicts: Vec::new(),
+        };
         let reply = answer.write();
         let cpu = thread_time();
         if let Ok(answer) = Answer::read(&reply) {
@@ -205,8 +243,16 @@
         let demand = |(destination, used): (&u64, &Use)| {
             let calls = used.since.len() as u64 + used.calls - used.counted;
             let want = calls.saturating_mul(1_000_000_000).div_ceil(TERMS.lease);
-            let wanted = Wanted { key: rate(*destination), want };
-            KeyDemand { wanted, waiting: !used.since.is_empty(), sick: false, calls: used.calls }
+            let wanted = Wanted {
+                key: rate(*destination),
+                want,
+            };
+            KeyDemand {
+                wanted,
+                waiting: !used.since.is_empty(),
+                sick: false,
+                calls: used.calls,
+            }
         };
         self.uses.iter().map(demand).collect()
     }
@@ -216,14 +262,21 @@
         for (destination, used) in &mut self.uses {
             if !used.since.is_empty() && !self.holder.lacks(now, &rate(*destination)) {
                 used.calls += used.since.len() as u64;
-                waits.extend(used.since.drain(..).map(|since| (now - since) as f64 / SECOND as f64));
+                waits.extend(
+                    used.since
+                        .drain(..)
+                        .map(|since| (now - since) as f64 / SECOND as f64),
+                );
             }
         }
     }
 
     /// Counts what was sent once a lease, and forgets what is not used.
     fn count(&mut self) {
-        self.uses.retain(|_, used| !used.since.is_empty() || used.calls > used.counted);
-        self.uses.values_mut().for_each(|used| used.counted = used.calls);
+        self.uses
+            .retain(|_, used| !used.since.is_empty() || used.calls > used.counted);
+        self.uses
+            .values_mut()
+            .for_each(|used| used.counted = used.calls);
     }
 }
--- a/lab/src/scale/registry.rs
+++ b/lab/src/scale/registry.rs
@@ -80,9 +80,16 @@
 /// # Errors
 /// Memory can't be read, or a change is refused for another reason than the list's size.
 pub fn measure(order: &Order) -> anyhow::Result<Figures> {
-    anyhow::ensure!(order.destinations > 0, "--destinations: a list has one at least");
+    anyhow::ensure!(
+        order.destinations > 0,
+        "--destinations: a list has one at least"
+    );
     let before = resident()?;
-    let mut state = State { rev: 1, targets: targets(order.destinations), ..State::default() };
+    let mut state = State {
+        rev: 1,
+        targets: targets(order.destinations),
+        ..State::default()
+    };
     let mut feed = Feed::default();
     feed.reset(state.rev, &state.targets);
     let bytes = resident()?.saturating_sub(before);
@@ -131,20 +138,31 @@
 }
 
 fn targets(destinations: u64) -> BTreeMap<String, Target> {
-    (0..destinations).map(|destination| (uid(destination), target(destination))).collect()
+    (0..destinations)
+        .map(|destination| (uid(destination), target(destination)))
+        .collect()
 }
 
 /// One that is there comes back from a later start.
 fn restarted(number: u64) -> Target {
-    Target { boot_ms: BOOT_MS + number, ..target(0) }
+    Target {
+        boot_ms: BOOT_MS + number,
+        ..target(0)
+    }
 }
 
 /// Applies changes of one endpoint one after the other: why not, or the CPU time of one.
 fn apply(state: &mut State) -> anyhow::Result<(Option<String>, Option<f64>)> {
     let cpu = thread_time();
     for number in 1..=TIMED {
-        let put = Change::Put { uid: uid(0), target: restarted(number) };
-        match state.apply(Command::List { if_match: None, changes: vec![put] }) {
+        let put = Change::Put {
+            uid: uid(0),
+            target: restarted(number),
+        };
+        match state.apply(Command::List {
+            if_match: None,
+            changes: vec![put],
+        }) {
             Ok(_) => {}
             Err(refused @ (Refused::Size(_) | Refused::Target(_))) => {
                 return Ok((Some(refused.to_string()), None));
@@ -152,7 +170,10 @@
             Err(refused) => return Err(refused.into()),
         }
     }
-    Ok((None, Some(microseconds(thread_time().saturating_sub(cpu), TIMED))))
+    Ok((
+        None,
+        Some(microseconds(thread_time().saturating_sub(cpu), TIMED)),
+    ))
 }
 
 /// Bytes of lines for one watcher.
@@ -168,11 +189,21 @@
     let first = feed.rev();
     let cpu = thread_time();
     for number in 1..=AWAY {
-        let changed: Changed = (uid(number), Target { boot_ms: BOOT_MS + 1, ..target(number) }, false);
+        let changed: Changed = (
+            uid(number),
+            Target {
+                boot_ms: BOOT_MS + 1,
+                ..target(number)
+            },
+            false,
+        );
         feed.push(first + number, &[changed]);
     }
     let push_us = microseconds(thread_time().saturating_sub(cpu), AWAY);
     let mut bytes = |from| answer(feed, from).map_or(0, |line| line.len() as u64);
-    let lines = Lines { one: bytes(first + AWAY - 1), hour: bytes(first) };
+    let lines = Lines {
+        one: bytes(first + AWAY - 1),
+        hour: bytes(first),
+    };
     (push_us, lines)
 }
--- a/lab/src/scale/registry/tests.rs
+++ b/lab/src/scale/registry/tests.rs
@@ -29,20 +29,42 @@
 #[test]
 fn a_planted_resend_of_the_whole_list_breaks_that_bound() {
     let growth = growth(whole_again);
-    assert!(growth > GROWTH_MOST, "the planted fault was not caught: {growth:.2}");
+    assert!(
+        growth > GROWTH_MOST,
+        "the planted fault was not caught: {growth:.2}"
+    );
 }
 
 #[test]
 fn an_hour_of_changes_is_sent_as_changes() {
-    let figures = measure(&Order { destinations: 2_000, senders: 100, seed: 1 }).expect("measured");
-    assert!(figures.hour_bytes <= AWAY * figures.change_bytes, "{figures:?}");
+    let figures = measure(&Order {
+        destinations: 2_000,
+        senders: 100,
+        seed: 1,
+    })
+    .expect("measured");
+    assert!(
+        figures.hour_bytes <= AWAY * figures.change_bytes,
+        "{figures:?}"
+    );
     assert!(figures.hour_bytes * 10 < figures.whole_bytes, "{figures:?}");
-    assert_eq!((figures.change_bytes_all, figures.refused), (100 * figures.change_bytes, None));
+    assert_eq!(
+        (figures.change_bytes_all, figures.refused),
+        (100 * figures.change_bytes, None)
+    );
 }
 
 #[test]
 fn a_change_of_a_list_over_ten_thousand_is_refused() {
-    let figures = measure(&Order { destinations: 10_001, senders: 100, seed: 1 }).expect("measured");
-    assert_eq!(figures.refused.as_deref(), Some("more than 10000 endpoints"));
+    let figures = measure(&Order {
+        destinations: 10_001,
+        senders: 100,
+        seed: 1,
+    })
+    .expect("measured");
+    assert_eq!(
+        figures.refused.as_deref(),
+        Some("more than 10000 endpoints")
+    );
     assert_eq!(figures.apply_us, None);
 }
--- a/lab/src/scale/resources.rs
+++ b/lab/src/scale/resources.rs
@@ -8,7 +8,10 @@
 /// Processor time of this thread so far. Time in which it waits for a core is not in it.
 pub fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
-    Duration::new(time.tv_sec.try_into().unwrap_or(0), time.tv_nsec.try_into().unwrap_or(0))
+    Duration::new(
+        time.tv_sec.try_into().unwrap_or(0),
+        time.tv_nsec.try_into().unwrap_or(0),
+    )
 }
 
 /// Resident memory of a process in KiB: now, and the greatest so far.
@@ -25,10 +28,19 @@
         let path = format!("/proc/{}/status", pid.as_raw_nonzero());
         let status = std::fs::read_to_string(&path).context(path)?;
         let field = |name: &str| {
-            let line = status.lines().find_map(|line| line.strip_prefix(name)).context("no memory listed")?;
-            line.trim().trim_end_matches(" kB").parse::<u64>().context("not a size")
+            let line = status
+                .lines()
+                .find_map(|line| line.strip_prefix(name))
+                .context("no memory listed")?;
+            line.trim()
+                .trim_end_matches(" kB")
+                .parse::<u64>()
+                .context("not a size")
         };
-        Ok(Memory { resident_kib: field("VmRSS:")?, peak_kib: field("VmHWM:")? })
+        Ok(Memory {
+            resident_kib: field("VmRSS:")?,
+            peak_kib: field("VmHWM:")?,
+        })
     }
 
     /// # Errors
@@ -60,8 +72,16 @@
     let path = format!("/proc/{}/stat", pid.as_raw_nonzero());
     let stat = std::fs::read_to_string(&path).context(path)?;
     // the name in parentheses may hold anything; user and system time are the 12th and 13th field after it
-    let fields = stat.rsplit_once(')').context("no name")?.1.split_whitespace().skip(11).take(2);
+    let fields = stat
+        .rsplit_once(')')
+        .context("no name")?
+        .1
+        .split_whitespace()
+        .skip(11)
+        .take(2);
     let ticks = fields.map(str::parse::<u64>).sum::<Result<u64, _>>()?;
     let ticks_per_second = rustix::param::clock_ticks_per_second();
-    Ok(Duration::from_secs_f64(ticks as f64 / ticks_per_second as f64))
+    Ok(Duration::from_secs_f64(
+        ticks as f64 / ticks_per_second as f64,
+    ))
 }
--- a/lab/src/scale/simulation.rs
+++ b/lab/src/scale/simulation.rs
@@ -115,7 +115,11 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake(usize),
-    Arrive { to: usize, from: usize, bytes: Vec<u8> },
+    Arrive {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
 }
 
 /// A fleet under way.
@@ -158,9 +162,15 @@
             sequence: 0,
             queued: vec![Micros::MAX; members],
             random: Pcg64::seed_from_u64(seed),
-            network: Network { loss, cut: None, group: vec![false; members] },
+            network: Network {
+                loss,
+                cut: None,
+                group: vec![false; members],
+            },
             used: vec![Used::default(); members],
-            by_address: (0..members).map(|member| (address(member), member)).collect(),
+            by_address: (0..members)
+                .map(|member| (address(member), member))
+                .collect(),
             by_name: (0..members).map(|member| (name(member), member)).collect(),
         }
     }
@@ -213,8 +223,14 @@
     /// Goes on for a time.
     pub fn run(&mut self, time: Micros) {
         let until = self.now + time;
-        while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
+        while self
+            .queue
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at <= until)
+        {
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.happen(at, event);
         }
@@ -232,7 +248,9 @@
             }
             self.queued[index] = Micros::MAX;
         }
-        let Some(member) = self.members[index].as_mut() else { return };
+        let Some(member) = self.members[index].as_mut() else {
+            return;
+        };
         let mut output = Output::default();
         let begin = thread_time();
         match event {
@@ -258,10 +276,19 @@
             let used = &mut self.used[index];
             used.messages_out += 1;
             used.bytes_out += bytes.len() as u64 + HEADERS;
-            let Some(&to) = self.by_address.get(&to) else { continue };
+            let Some(&to) = self.by_address.get(&to) else {
+                continue;
+            };
             if self.network.passes(index, to) && !self.random.random_bool(self.network.loss) {
                 let at = self.now + delay(&mut self.random, index, to);
-                self.push(at, Event::Arrive { to, from: index, bytes });
+                self.push(
+                    at,
+                    Event::Arrive {
+                        to,
+                        from: index,
+                        bytes,
+                    },
+                );
             }
         }
         if let Some(at) = self.members[index].as_ref().map(Member::wake_at) {
@@ -270,11 +297,22 @@
     }
 
     fn note(&mut self, observer: usize, change: &Change) {
-        let Change::State { name, now, .. } = change else { return };
-        let Some(&subject) = self.by_name.get(name) else { return };
-        let together = self.network.passes(observer, subject) && self.network.passes(subject, observer);
+        let Change::State { name, now, .. } = change else {
+            return;
+        };
+        let Some(&subject) = self.by_name.get(name) else {
+            return;
+        };
+        let together =
+            self.network.passes(observer, subject) && self.network.passes(subject, observer);
         let reachable = together && self.members[subject].is_some();
-        self.seen.push(Seen { at: self.now, observer, subject, state: *now, reachable });
+        self.seen.push(Seen {
+            at: self.now,
+            observer,
+            subject,
+            state: *now,
+            reachable,
+        });
     }
 
     /// Forgets what members have told so far.
@@ -296,7 +334,9 @@
     pub fn counts_agree(&self) -> bool {
         let count = self.running().count();
         let agrees = |index: usize| {
-            let view = self.members[index].as_ref().map(|member| member.node().view());
+            let view = self.members[index]
+                .as_ref()
+                .map(|member| member.node().view());
             view.is_some_and(|view| view.living as usize == count && view.suspects == 0)
         };
         self.running().all(agrees)
@@ -304,7 +344,9 @@
 
     /// Whether a member counts just as many as run.
     pub fn counts_all(&self, index: usize) -> bool {
-        let view = self.members[index].as_ref().map(|member| member.node().view());
+        let view = self.members[index]
+            .as_ref()
+            .map(|member| member.node().view());
         view.is_some_and(|view| view.living as usize == self.running().count())
     }
 
@@ -312,9 +354,14 @@
     pub fn disagreements(&self) -> usize {
         let names: Vec<String> = (0..self.members.len()).map(name).collect();
         let wrong = |observer: usize| {
-            let Some(member) = &self.members[observer] else { return 0 };
+            let Some(member) = &self.members[observer] else {
+                return 0;
+            };
             let differs = |&subject: &usize| {
-                let held = member.node().state_of(&names[subject]).map(|(state, _)| state);
+                let held = member
+                    .node()
+                    .state_of(&names[subject])
+                    .map(|(state, _)| state);
                 let lives = held.is_some_and(State::lives);
                 subject != observer && lives != self.members[subject].is_some()
             };
@@ -324,7 +371,11 @@
     }
 
     /// Time until a condition holds, looked at ten times a second; none if it does not in time.
-    pub fn until(&mut self, longest: Micros, mut holds: impl FnMut(&Self) -> bool) -> Option<Micros> {
+    pub fn until(
+        &mut self,
+        longest: Micros,
+        mut holds: impl FnMut(&Self) -> bool,
+    ) -> Option<Micros> {
         const LOOK: Micros = 100_000;
         let begin = self.now;
         loop {
--- a/lab/src/scale/spread.rs
+++ b/lab/src/scale/spread.rs
@@ -21,6 +21,10 @@
             let index = (values.len().saturating_sub(1) as f64 * part).ceil() as usize;
             values.get(index).copied().unwrap_or(0.0)
         };
-        Spread { median: at(0.5), p99: at(0.99), worst: at(1.0) }
+        Spread {
+            median: at(0.5),
+            p99: at(0.99),
+            worst: at(1.0),
+        }
     }
 }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -120,11 +120,24 @@
     /// Nothing passes; what was sent over a connection comes late, datagrams are lost.
     Cut { from: String, to: String, way: Way },
     /// Datagrams are lost with this chance.
-    Loss { from: String, to: String, share: f64 },
+    Loss {
+        from: String,
+        to: String,
+        share: f64,
+    },
     /// All that passes takes so much longer, ms, and up to so much more, drawn for each.
-    Delay { from: String, to: String, ms: f64, jitter_ms: f64 },
+    Delay {
+        from: String,
+        to: String,
+        ms: f64,
+        jitter_ms: f64,
+    },
     /// Datagrams come twice with this chance.
-    Duplicate { from: String, to: String, share: f64 },
+    Duplicate {
+        from: String,
+        to: String,
+        share: f64,
+    },
     /// Connections between the two are reset, once.
     Reset { from: String, to: String },
     /// SIGKILL, and a start again after `seconds`, with its folder kept or lost; 0 seconds: no start.
@@ -244,41 +257,102 @@
             }
             let named = |line: &str| line.trim_start().starts_with(key);
             let line = text.lines().position(named).map_or(1, |line| line + 1);
-            Err(ScenarioError::Line { line, what: format!("{key} is not {wanted}") })
+            Err(ScenarioError::Line {
+                line,
+                what: format!("{key} is not {wanted}"),
+            })
         };
         let above = |number: f64| number.is_finite() && number > 0.0;
-        key("senders", (1..=MOST_SENDERS).contains(&self.senders), "a number from 1 to 1000")?;
-        key("seconds", above(self.seconds) && self.seconds <= 3600.0, "a time above 0 and up to 3600")?;
-        key("zones", (1..=16).contains(&self.zones.len()), "a list of 1 to 16 names")?;
-        key("per_s", above(self.traffic.per_s) && self.traffic.per_s <= 5000.0, "a rate up to 5000")?;
-        let Destinations { count, endpoints, latency_ms, capacity } = self.destinations;
-        key("count", (1..=100).contains(&count), "a number from 1 to 100")?;
-        key("endpoints", (1..=4).contains(&endpoints), "a number from 1 to 4")?;
+        key(
+            "senders",
+            (1..=MOST_SENDERS).contains(&self.senders),
+            "a number from 1 to 1000",
+        )?;
+        key(
+            "seconds",
+            above(self.seconds) && self.seconds <= 3600.0,
+            "a time above 0 and up to 3600",
+        )?;
+        key(
+            "zones",
+            (1..=16).contains(&self.zones.len()),
+            "a list of 1 to 16 names",
+        )?;
+        key(
+            "per_s",
+            above(self.traffic.per_s) && self.traffic.per_s <= 5000.0,
+            "a rate up to 5000",
+        )?;
+        let Destinations {
+            count,
+            endpoints,
+            latency_ms,
+            capacity,
+        } = self.destinations;
+        key(
+            "count",
+            (1..=100).contains(&count),
+            "a number from 1 to 100",
+        )?;
+        key(
+            "endpoints",
+            (1..=4).contains(&endpoints),
+            "a number from 1 to 4",
+        )?;
         key("latency_ms", above(latency_ms), "a time above 0")?;
         key("capacity", above(capacity), "a rate above 0")?;
-        if let Some(Registry { replicas, lease_ms, change_s, ref ledger }) = self.registry {
+        if let Some(Registry {
+            replicas,
+            lease_ms,
+            change_s,
+            ref ledger,
+        }) = self.registry
+        {
             if let Some(ledger) = ledger {
                 let floors = ledger.floor_per_s * self.senders as f64;
                 let least = ledger.limit_per_s.min(ledger.lower_to_per_s);
-                key("ledger", floors <= least, "a limit that is not below all floors together")?;
+                key(
+                    "ledger",
+                    floors <= least,
+                    "a limit that is not below all floors together",
+                )?;
             }
-            key("replicas", (1..=7).contains(&replicas), "a number from 1 to 7")?;
-            key("lease_ms", (300..=600_000).contains(&lease_ms), "a time from 300 to 600000")?;
+            key(
+                "replicas",
+                (1..=7).contains(&replicas),
+                "a number from 1 to 7",
+            )?;
+            key(
+                "lease_ms",
+                (300..=600_000).contains(&lease_ms),
+                "a time from 300 to 600000",
+            )?;
             key("change_s", above(change_s), "a time above 0")?;
         }
         self.faults.iter().try_for_each(|fault| {
             self.check_fault(fault.get_ref())
-                .map_err(|what| ScenarioError::Line { line: line_of(text, fault.span()), what })
+                .map_err(|what| ScenarioError::Line {
+                    line: line_of(text, fault.span()),
+                    what,
+                })
         })
     }
 
     fn check_fault(&self, fault: &Fault) -> Result<(), String> {
         let time = |name: &str, time: f64| {
             let holds = time.is_finite() && (0.0..=3600.0).contains(&time);
-            if holds { Ok(()) } else { Err(format!("{name} is not a time from 0 to 3600")) }
+            if holds {
+                Ok(())
+            } else {
+                Err(format!("{name} is not a time from 0 to 3600"))
+            }
         };
         let share = |share: f64| {
-            if (0.0..=1.0).contains(&share) { Ok(()) } else { Err("share is not from 0 to 1".to_string()) }
+            if (0.0..=1.0).contains(&share) {
+                Ok(())
+            } else {
+                Err("share is not from 0 to 1".to_string())
+            }
         };
         time("at", fault.at)?;
         time("seconds", fault.seconds)?;
@@ -290,18 +364,39 @@
             What::Cut { from, to, .. } | What::Reset { from, to } => {
                 let (from, to) = (self.group(from)?, self.group(to)?);
                 let leader = from == Group::Leader || to == Group::Leader;
-                if leader { Err("leader names nobody before the run".to_string()) } else { Ok(()) }
+                if leader {
+                    Err("leader names nobody before the run".to_string())
+                } else {
+                    Ok(())
+                }
+            }
+            What::Loss {
+                from,
+                to,
+                share: part,
             }
-            What::Loss { from, to, share: part } | What::Duplicate { from, to, share: part } => {
+            | What::Duplicate {
+                from,
+                to,
+                share: part,
+            } => {
                 self.group(from).and(self.group(to))?;
                 share(*part)
             }
-            What::Delay { from, to, ms, jitter_ms } => {
+            What::Delay {
+                from,
+                to,
+                ms,
+                jitter_ms,
+            } => {
                 self.group(from).and(self.group(to))?;
                 time("ms", ms / 1e3).and(time("jitter_ms", jitter_ms / 1e3))
             }
             What::Kill { who: name, .. } | What::Term { who: name } | What::Stop { who: name }
-                if matches!(self.group(name), Ok(Group::Replica(_) | Group::Registry | Group::Leader)) =>
+                if matches!(
+                    self.group(name),
+                    Ok(Group::Replica(_) | Group::Registry | Group::Leader)
+                ) =>
             {
                 Ok(())
             }
@@ -317,7 +412,12 @@
                 _ => Err(format!("{name} names no endpoints")),
             },
             What::DiscoveryDown {} => Ok(()),
-            What::Calls { who: name, call, percent, .. } => {
+            What::Calls {
+                who: name,
+                call,
+                percent,
+                ..
+            } => {
                 who(name)?;
                 if !CALLS.contains(&call.as_str()) {
                     return Err(format!("{call} is no call that can fail"));
@@ -333,14 +433,19 @@
 
     /// True if system calls of senders are to fail.
     pub fn fails_calls(&self) -> bool {
-        self.faults.iter().any(|fault| matches!(fault.get_ref().what, What::Calls { .. }))
+        self.faults
+            .iter()
+            .any(|fault| matches!(fault.get_ref().what, What::Calls { .. }))
     }
 
     /// The members' protocol period, us, if there is membership.
     pub fn period_us(&self) -> Option<u64> {
         let told = self.membership.as_ref()?.get("period_ms");
-        let told =
-            told.and_then(|period| period.as_float().or(period.as_integer().map(|whole| whole as f64)));
+        let told = told.and_then(|period| {
+            period
+                .as_float()
+                .or(period.as_integer().map(|whole| whole as f64))
+        });
         Some((told.unwrap_or(1000.0) * 1e3) as u64)
     }
 
@@ -351,7 +456,9 @@
 
     /// Replicas of the registry.
     pub fn replicas(&self) -> usize {
-        self.registry.as_ref().map_or(0, |registry| registry.replicas)
+        self.registry
+            .as_ref()
+            .map_or(0, |registry| registry.replicas)
     }
 
     /// The zone of a sender or endpoint, by number.
@@ -365,7 +472,10 @@
     /// Says what the name lacks.
     pub fn group(&self, name: &str) -> Result<Group, String> {
         let numbered = |prefix: char, most: usize| {
-            name.strip_prefix(prefix)?.parse::<usize>().ok().filter(|number| *number < most)
+            name.strip_prefix(prefix)?
+                .parse::<usize>()
+                .ok()
+                .filter(|number| *number < most)
         };
         let fixed = match name {
             "senders" => Some(Group::Senders),
@@ -382,18 +492,24 @@
             .or_else(|| numbered('r', self.replicas()).map(Group::Replica))
             .or_else(|| {
                 let zone = name.strip_prefix("zone:")?;
-                self.zones.iter().position(|known| known == zone).map(Group::Zone)
+                self.zones
+                    .iter()
+                    .position(|known| known == zone)
+                    .map(Group::Zone)
             })
             .or_else(|| {
                 let share = name.strip_prefix("share:")?.parse::<f64>().ok();
-                share.filter(|share| (0.0..=1.0).contains(share)).map(Group::Share)
+                share
+                    .filter(|share| (0.0..=1.0).contains(share))
+                    .map(Group::Share)
             })
             .ok_or_else(|| format!("{name} names nobody of this scenario"))
     }
 }
 
 fn line_of(text: &str, span: Range<usize>) -> usize {
-    text.get(..span.start).map_or(1, |before| before.matches('\n').count() + 1)
+    text.get(..span.start)
+        .map_or(1, |before| before.matches('\n').count() + 1)
 }
 
 #[cfg(test)]
@@ -425,25 +541,55 @@
     #[test]
     fn a_scenario_is_read() {
         let scenario = Scenario::read(GOOD).expect("good");
-        assert_eq!((scenario.senders, scenario.faults.len(), scenario.endpoints()), (5, 1, 4));
+        assert_eq!(
+            (
+                scenario.senders,
+                scenario.faults.len(),
+                scenario.endpoints()
+            ),
+            (5, 1, 4)
+        );
         assert_eq!(scenario.group("zone:b"), Ok(Group::Zone(1)));
     }
 
     #[test]
     fn a_mistake_is_refused_with_its_line() {
         for (from, to, line, what) in [
-            ("per_s = 20", "per_s = 20\nburst = 3", 9, "unknown field `burst`"),
+            (
+                "per_s = 20",
+                "per_s = 20\nburst = 3",
+                9,
+                "unknown field `burst`",
+            ),
             ("seconds = 4", "seconds = -4", 5, "seconds is not"),
             ("at = 1", "at = -1", 14, "at is not a time"),
             (r#"from = "n1""#, r#"from = "n5""#, 14, "n5 names nobody"),
-            (r#"way = "both""#, r#"way = "up""#, 14, "unknown variant `up`"),
-            (r#"kind = "cut""#, r#"kind = "cutt""#, 14, "unknown variant `cutt`"),
-            (r#"way = "both""#, "way = \"both\"\nshare = 0.5", 14, "unknown field `share`"),
+            (
+                r#"way = "both""#,
+                r#"way = "up""#,
+                14,
+                "unknown variant `up`",
+            ),
+            (
+                r#"kind = "cut""#,
+                r#"kind = "cutt""#,
+                14,
+                "unknown variant `cutt`",
+            ),
+            (
+                r#"way = "both""#,
+                "way = \"both\"\nshare = 0.5",
+                14,
+                "unknown field `share`",
+            ),
             ("count = 2", "count = 0", 10, "count is not"),
         ] {
             let text = GOOD.replacen(from, to, 1);
             let error = Scenario::read(&text).expect_err(to).to_string();
-            assert!(error.contains(&format!("line {line}")) && error.contains(what), "{to}: {error}");
+            assert!(
+                error.contains(&format!("line {line}")) && error.contains(what),
+                "{to}: {error}"
+            );
         }
     }
 }
--- a/lab/src/serve.rs
+++ b/lab/src/serve.rs
@@ -50,12 +50,22 @@
 }
 
 impl World {
-    pub fn new(scenario: &Scenario, seed: u64, net: Arc<Net>, replicas: Vec<SocketAddr>) -> Arc<Self> {
+    pub fn new(
+        scenario: &Scenario,
+        seed: u64,
+        net: Arc<Net>,
+        replicas: Vec<SocketAddr>,
+    ) -> Arc<Self> {
         let each = scenario.destinations.endpoints;
         let destination = |index: usize| {
             let sizes = &scenario.destinations;
             let seed = seed ^ (0xde57 << 16 | index as u64);
-            Mutex::new(Destination::new(sizes.capacity, sizes.latency_ms, each, seed))
+            Mutex::new(Destination::new(
+                sizes.capacity,
+                sizes.latency_ms,
+                each,
+                seed,
+            ))
         };
         Arc::new(World {
             net,
@@ -89,7 +99,10 @@
             let listener = TcpListener::bind((ip, 0)).await?;
             endpoints.push(listener.local_addr()?);
             let source = Source::Lab(String::new());
-            tokio::spawn(self.clone().accept(listener, sender, Party::Endpoint(endpoint), source));
+            tokio::spawn(
+                self.clone()
+                    .accept(listener, sender, Party::Endpoint(endpoint), source),
+            );
         }
         let listener = TcpListener::bind((ip, 0)).await?;
         let discovery = listener.local_addr()?;
@@ -98,8 +111,16 @@
             count => {
                 let replica = sender % count;
                 let place = self.replicas[replica];
-                let listing = Listing { sender, replica, place, endpoints };
-                (Party::Registry(replica), Source::Registry(Arc::new(listing)))
+                let listing = Listing {
+                    sender,
+                    replica,
+                    place,
+                    endpoints,
+                };
+                (
+                    Party::Registry(replica),
+                    Source::Registry(Arc::new(listing)),
+                )
             }
         };
         tokio::spawn(self.clone().accept(listener, sender, party, source));
@@ -108,10 +129,13 @@
 
     /// All endpoints as the registry is to list them; where they are is told to each sender apart.
     pub fn batch(&self) -> String {
-        let endpoints = vec![SocketAddr::from(([127, 0, 0, 1], 1)); self.destinations.len() * self.each];
+        let endpoints =
+            vec![SocketAddr::from(([127, 0, 0, 1], 1)); self.destinations.len() * self.each];
         let entry = |(number, address)| {
             let mut target = self.entry(number, address);
-            let uid = target.as_object_mut().and_then(|target| target.remove("uid"));
+            let uid = target
+                .as_object_mut()
+                .and_then(|target| target.remove("uid"));
             serde_json::json!({ "put": { "uid": uid, "target": target } })
         };
         let changes: Vec<_> = endpoints.iter().enumerate().map(entry).collect();
@@ -141,7 +165,13 @@
         serde_json::json!({ "rev": 1, "all": true, "targets": targets }).to_string()
     }
 
-    async fn accept(self: Arc<Self>, listener: TcpListener, sender: usize, party: Party, source: Source) {
+    async fn accept(
+        self: Arc<Self>,
+        listener: TcpListener,
+        sender: usize,
+        party: Party,
+        source: Source,
+    ) {
         let list = Arc::new(source);
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -159,7 +189,9 @@
                     watches.fetch_or(watch, Ordering::Relaxed);
                     async move {
                         match party {
-                            Party::Endpoint(endpoint) => world.call(request, endpoint, sender).await,
+                            Party::Endpoint(endpoint) => {
+                                world.call(request, endpoint, sender).await
+                            }
                             _ => world.discover(request, &list).await,
                         }
                     }
@@ -186,22 +218,43 @@
     }
 
     async fn call(
-        &self, request: Request<Incoming>, endpoint: usize, sender: usize,
+        &self,
+        request: Request<Incoming>,
+        endpoint: usize,
+        sender: usize,
     ) -> Result<Response<Body>, io::Error> {
-        let id = request.headers().get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default();
+        let id = request
+            .headers()
+            .get("x-request-id")
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or_default();
         let id = id.to_string();
         let proper = request.method() == Method::POST && request.uri().path() == "/inbox";
         let body = Limited::new(request.into_body(), BODY_MOST).collect().await;
         body.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
         let history = &self.net.history;
-        let fate = match self.destinations.get(endpoint / self.each).filter(|_| proper) {
+        let fate = match self
+            .destinations
+            .get(endpoint / self.each)
+            .filter(|_| proper)
+        {
             Some(destination) => lock(destination).call(history.now_us(), endpoint % self.each),
             None => Fate::Full,
         };
         let run = fate != Fate::Full;
-        history.tell(Event::Called { id: id.clone(), endpoint, sender, run });
-        let mut call =
-            OpenCall { history: history.clone(), id: id.clone(), endpoint, sender, answered: false };
+        history.tell(Event::Called {
+            id: id.clone(),
+            endpoint,
+            sender,
+            run,
+        });
+        let mut call = OpenCall {
+            history: history.clone(),
+            id: id.clone(),
+            endpoint,
+            sender,
+            answered: false,
+        };
         let status = match fate {
             Fate::Runs { after_us } => {
                 sleep(Duration::from_micros(after_us)).await;
@@ -210,19 +263,30 @@
             Fate::Full => StatusCode::SERVICE_UNAVAILABLE,
         };
         call.answered = true;
-        history.tell(Event::Replied { id, endpoint, sender, status: status.as_u16() });
+        history.tell(Event::Replied {
+            id,
+            endpoint,
+            sender,
+            status: status.as_u16(),
+        });
         Ok(plain(status, ""))
     }
 
     async fn discover(
-        &self, request: Request<Incoming>, source: &Source,
+        &self,
+        request: Request<Incoming>,
+        source: &Source,
     ) -> Result<Response<Body>, io::Error> {
         let query = request.uri().query().unwrap_or_default().to_string();
         match (request.method(), request.uri().path()) {
             // notices are answered even while discovery is down
             (&Method::POST, "/v1/outcomes") => {
-                let body = Limited::new(request.into_body(), NOTICES_MOST).collect().await;
-                let body = body.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?.to_bytes();
+                let body = Limited::new(request.into_body(), NOTICES_MOST)
+                    .collect()
+                    .await;
+                let body = body
+                    .map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?
+                    .to_bytes();
                 Ok(self.noticed(&body))
             }
             (&Method::GET, "/v1/endpoints") if let Source::Registry(listing) = source => {
@@ -247,7 +311,9 @@
     }
 
     fn noticed(&self, body: &[u8]) -> Response<Body> {
-        let lines = body.split(|byte| *byte == b'\n').filter(|line| !line.is_empty());
+        let lines = body
+            .split(|byte| *byte == b'\n')
+            .filter(|line| !line.is_empty());
         let read = |line: &[u8]| serde_json::from_slice::<Notice>(line);
         let Ok(notices) = lines.map(read).collect::<Result<Vec<Notice>, _>>() else {
             return plain(StatusCode::BAD_REQUEST, "");
@@ -272,7 +338,11 @@
     fn drop(&mut self) {
         if !self.answered {
             let (id, endpoint, sender) = (std::mem::take(&mut self.id), self.endpoint, self.sender);
-            self.history.tell(Event::Abandoned { id, endpoint, sender });
+            self.history.tell(Event::Abandoned {
+                id,
+                endpoint,
+                sender,
+            });
         }
     }
 }
@@ -317,7 +387,8 @@
     type Error = Infallible;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         let line = match self.first.take() {
             Some(line) => Bytes::from(line),
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -53,14 +53,21 @@
     type Err = ChoiceError;
 
     fn from_str(text: &str) -> Result<Choice, ChoiceError> {
-        let (name, wanted) = text.split_once('=').ok_or_else(|| ChoiceError::Form(text.to_string()))?;
+        let (name, wanted) = text
+            .split_once('=')
+            .ok_or_else(|| ChoiceError::Form(text.to_string()))?;
         let axis = AXES.iter().find(|axis| axis.name == name);
         let axis = axis.ok_or_else(|| ChoiceError::Axis(name.to_string()))?;
         let value = axis.values.iter().position(|value| value.name == wanted);
         let value = value.ok_or_else(|| ChoiceError::Value {
             axis: axis.name,
             value: wanted.to_string(),
-            known: axis.values.iter().map(|value| value.name).collect::<Vec<_>>().join(", "),
+            known: axis
+                .values
+                .iter()
+                .map(|value| value.name)
+                .collect::<Vec<_>>()
+                .join(", "),
         })?;
         Ok(Choice { axis, value })
     }
@@ -68,7 +75,11 @@
 
 impl std::fmt::Display for Choice {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "{}={}", self.axis.name, self.axis.values[self.value].name)
+        write!(
+            out,
+            "{}={}",
+            self.axis.name, self.axis.values[self.value].name
+        )
     }
 }
 
@@ -86,7 +97,10 @@
 
 /// Writes the folder of a site derived from `base`, named after the folder, and returns the site file's path.
 pub fn write(base: &Path, out: &Path, choices: &[Choice]) -> anyhow::Result<PathBuf> {
-    let name = out.file_name().and_then(|name| name.to_str()).context("the folder has no name")?;
+    let name = out
+        .file_name()
+        .and_then(|name| name.to_str())
+        .context("the folder has no name")?;
     let text = fs::read_to_string(base).with_context(|| base.display().to_string())?;
     let site = derive(&text, name, choices)?;
     fs::create_dir_all(out)?;
--- a/lab/src/site/axes.rs
+++ b/lab/src/site/axes.rs
@@ -32,7 +32,11 @@
 const KIND: Place = Place::EachIn("fam", "kind");
 
 const fn axis(name: &'static str, about: &'static str, values: &'static [AxisValue]) -> Axis {
-    Axis { name, about, values }
+    Axis {
+        name,
+        about,
+        values,
+    }
 }
 
 const fn value(name: &'static str, edits: &'static [Edit]) -> AxisValue {
@@ -70,7 +74,10 @@
     axis(
         "aim",
         "share of the deadline within which a message has its full worth",
-        &[value("tenth", &[Edit::Aim(0.1)]), value("all", &[Edit::Aim(1.0)])],
+        &[
+            value("tenth", &[Edit::Aim(0.1)]),
+            value("all", &[Edit::Aim(1.0)]),
+        ],
     ),
     axis(
         "work",
@@ -119,7 +126,10 @@
     axis(
         "tells-wait",
         "share of refusals that say for how long",
-        &[value("never", &[whole(KIND, "tells_wait", 0)]), value("always", &[whole(KIND, "tells_wait", 1)])],
+        &[
+            value("never", &[whole(KIND, "tells_wait", 0)]),
+            value("always", &[whole(KIND, "tells_wait", 1)]),
+        ],
     ),
     axis(
         "wait",
@@ -141,7 +151,13 @@
         "connections",
         "connections that a destination takes, over the calls that it serves at once; idle ones count",
         &[
-            value("scarce", &[range(KIND, "conns", 0.8, 1.2), range(KIND, "least_conns", 4.0, 8.0)]),
+            value(
+                "scarce",
+                &[
+                    range(KIND, "conns", 0.8, 1.2),
+                    range(KIND, "least_conns", 4.0, 8.0),
+                ],
+            ),
             value("any", &[whole(KIND, "conns", 0)]),
         ],
     ),
@@ -157,15 +173,30 @@
         "slots",
         "calls that a sender may have out at once",
         &[
-            value("one", &[range(FAM, "slots_room", 1.0, 1.0), whole(FAM, "least_slots", 1)]),
-            value("many", &[range(FAM, "slots_room", 8.0, 10.0), whole(FAM, "least_slots", 200)]),
+            value(
+                "one",
+                &[
+                    range(FAM, "slots_room", 1.0, 1.0),
+                    whole(FAM, "least_slots", 1),
+                ],
+            ),
+            value(
+                "many",
+                &[
+                    range(FAM, "slots_room", 8.0, 10.0),
+                    whole(FAM, "least_slots", 200),
+                ],
+            ),
         ],
     ),
     axis(
         "held",
         "messages that a sender may hold, as time of its traffic at load 1",
         &[
-            value("short", &[range(FAM, "hold_s", 0.5, 1.0), whole(FAM, "least_open", 4)]),
+            value(
+                "short",
+                &[range(FAM, "hold_s", 0.5, 1.0), whole(FAM, "least_open", 4)],
+            ),
             value("long", &[range(FAM, "hold_s", 30.0, 40.0)]),
         ],
     ),
@@ -178,7 +209,11 @@
             value("thirty", &[whole(ALLOW, "max_attempts", 30)]),
         ],
     ),
-    axis("cancel", "whether calls may be cancelled", &[value("no", &[flag(ALLOW, "cancel", false)])]),
+    axis(
+        "cancel",
+        "whether calls may be cancelled",
+        &[value("no", &[flag(ALLOW, "cancel", false)])],
+    ),
     axis(
         "copies",
         "whether a second copy of a message may be out",
@@ -200,7 +235,10 @@
     axis(
         "classes",
         "number of classes, of equal shares",
-        &[value("one", &[Edit::Classes(1)]), value("eight", &[Edit::Classes(8)])],
+        &[
+            value("one", &[Edit::Classes(1)]),
+            value("eight", &[Edit::Classes(8)]),
+        ],
     ),
     axis(
         "tenants",
@@ -211,8 +249,19 @@
             value("small", &[Edit::SmallTenant]),
         ],
     ),
-    axis("worth", "spread of worth over the classes", &[value("hundredfold", &[Edit::WorthSpread(100.0)])]),
-    axis("zones", "number of zones", &[value("one", &[Edit::Zones(1)]), value("six", &[Edit::Zones(6)])]),
+    axis(
+        "worth",
+        "spread of worth over the classes",
+        &[value("hundredfold", &[Edit::WorthSpread(100.0)])],
+    ),
+    axis(
+        "zones",
+        "number of zones",
+        &[
+            value("one", &[Edit::Zones(1)]),
+            value("six", &[Edit::Zones(6)]),
+        ],
+    ),
     axis(
         "prices",
         "what handshakes, waste, zones and late failures cost",
@@ -243,13 +292,22 @@
         "how senders come by the list",
         &[
             value("pushed", &[text(DISCOVERY, "mode", "push")]),
-            value("scarce", &[text(DISCOVERY, "mode", "ask"), range(DISCOVERY, "capacity", 1.0, 1.0)]),
+            value(
+                "scarce",
+                &[
+                    text(DISCOVERY, "mode", "ask"),
+                    range(DISCOVERY, "capacity", 1.0, 1.0),
+                ],
+            ),
         ],
     ),
     axis(
         "traffic",
         "how traffic spreads over destinations",
-        &[value("steep", &[range(FAM, "zipf", 1.5, 1.8)]), value("even", &[range(FAM, "zipf", 0.0, 0.1)])],
+        &[
+            value("steep", &[range(FAM, "zipf", 1.5, 1.8)]),
+            value("even", &[range(FAM, "zipf", 0.0, 0.1)]),
+        ],
     ),
     axis(
         "load",
--- a/lab/src/site/classes.rs
+++ b/lab/src/site/classes.rs
@@ -94,8 +94,14 @@
     let known = classes.len();
     for number in 0..count {
         if number >= known {
-            let mut copy = classes.get(number % known).context("the base has no class")?.clone();
-            let name = format!("{}-{number}", copy["name"].as_str().context("a class has no name")?);
+            let mut copy = classes
+                .get(number % known)
+                .context("the base has no class")?
+                .clone();
+            let name = format!(
+                "{}-{number}",
+                copy["name"].as_str().context("a class has no name")?
+            );
             copy["name"] = toml_edit::value(name);
             classes.push(copy);
         }
@@ -106,8 +112,13 @@
     for class in classes.iter_mut() {
         class["share"] = toml_edit::value(1.0 / count as f64);
     }
-    let kinds = site["fam"]["class"].as_array_of_tables_mut().context("the base has no [[fam.class]]")?;
-    let pattern = kinds.get(0).context("the base has no [[fam.class]]")?.clone();
+    let kinds = site["fam"]["class"]
+        .as_array_of_tables_mut()
+        .context("the base has no [[fam.class]]")?;
+    let pattern = kinds
+        .get(0)
+        .context("the base has no [[fam.class]]")?
+        .clone();
     kinds.clear();
     (0..count).for_each(|_| kinds.push(pattern.clone()));
     let is_ordered = |class: &Table| class.get("in_order").is_some();
--- a/lab/src/site/draw.rs
+++ b/lab/src/site/draw.rs
@@ -12,6 +12,9 @@
     let mut free: Vec<_> = AXES.iter().filter(|axis| !is_fixed(axis.name)).collect();
     free.shuffle(&mut random);
     free.truncate(count);
-    let pick = |axis: &'static super::Axis| Choice { axis, value: random.random_range(0..axis.values.len()) };
+    let pick = |axis: &'static super::Axis| Choice {
+        axis,
+        value: random.random_range(0..axis.values.len()),
+    };
     free.into_iter().map(pick).collect()
 }
--- a/lab/src/site/edit.rs
+++ b/lab/src/site/edit.rs
@@ -78,10 +78,12 @@
                 table[key] = Item::Value(setting.into());
                 Ok(())
             }),
-            Edit::Scale(place, key, factor) => each(site, place, |table| match table.get_mut(key) {
-                Some(Item::Value(value)) => scale(value, factor),
-                _ => Ok(()),
-            }),
+            Edit::Scale(place, key, factor) => {
+                each(site, place, |table| match table.get_mut(key) {
+                    Some(Item::Value(value)) => scale(value, factor),
+                    _ => Ok(()),
+                })
+            }
             Edit::Deadline(deadline_ms) => classes::set_deadline(site, deadline_ms),
             Edit::Aim(share) => classes::set_aim(site, share),
             Edit::Work(share) => classes::set_work(site, share),
--- a/lab/src/site/parties.rs
+++ b/lab/src/site/parties.rs
@@ -14,9 +14,10 @@
 pub fn set_tenants(site: &mut DocumentMut, shares: &[f64]) -> anyhow::Result<()> {
     site.remove("tenant");
     each(site, Place::One("load"), |load| {
-        for (key, setting) in
-            [("over_share_worth", OVER_SHARE_WORTH), ("quota_of_capacity", QUOTA_OF_CAPACITY)]
-        {
+        for (key, setting) in [
+            ("over_share_worth", OVER_SHARE_WORTH),
+            ("quota_of_capacity", QUOTA_OF_CAPACITY),
+        ] {
             load.remove(key);
             if !shares.is_empty() {
                 load[key] = Item::Value(setting.into());
@@ -48,7 +49,9 @@
     let names: Array = (0..count).map(|number| format!("zone-{number}")).collect();
     site["net"]["zones"] = toml_edit::value(names);
     // one fee for each zone; the base's come round again
-    let Some(fees) = site["fam"].get_mut("zone_fee").and_then(Item::as_array_mut) else { return Ok(()) };
+    let Some(fees) = site["fam"].get_mut("zone_fee").and_then(Item::as_array_mut) else {
+        return Ok(());
+    };
     let known: Vec<Value> = fees.iter().cloned().map(undecorated).collect();
     if !known.is_empty() {
         *fees = known.into_iter().cycle().take(count).collect();
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -66,10 +66,18 @@
         let scenario = Scenario::read(&text).context("the drawn scenario")?;
         let (senders, faults) = (scenario.senders, scenario.faults.len());
         let program = soak.program.clone();
-        let order = Order { scenario, seed, registry: program.clone(), program, out: out.clone() };
+        let order = Order {
+            scenario,
+            seed,
+            registry: program.clone(),
+            program,
+            out: out.clone(),
+        };
         // what a run leaves behind ends with its runtime
         let runtime = crate::runtime()?;
-        let outcome = runtime.block_on(run::bounded(&order)).with_context(|| format!("seed {seed}"))?;
+        let outcome = runtime
+            .block_on(run::bounded(&order))
+            .with_context(|| format!("seed {seed}"))?;
         drop(runtime);
         let verdict = match (&outcome.violations[..], &outcome.void) {
             ([], None) => "HELD".to_string(),
@@ -107,7 +115,11 @@
     for _ in 0..faults {
         let at = FIRST_FAULT_S + random.random_range(0.0..span);
         let lasts = random.random_range(0.3..LONGEST_S);
-        let _ = writeln!(text, "[[fault]]\nat = {at:.2}\n{}", draw_fault(&mut random, senders, lasts));
+        let _ = writeln!(
+            text,
+            "[[fault]]\nat = {at:.2}\n{}",
+            draw_fault(&mut random, senders, lasts)
+        );
     }
     text
 }
@@ -115,7 +127,11 @@
 /// The rest of a fault's table.
 fn draw_fault(random: &mut Pcg64, senders: usize, lasts: f64) -> String {
     let sender = format!("n{}", random.random_range(0..senders));
-    let many = if random.random_bool(0.3) { "share:0.5".to_string() } else { sender.clone() };
+    let many = if random.random_bool(0.3) {
+        "share:0.5".to_string()
+    } else {
+        sender.clone()
+    };
     match random.random_range(0..20) {
         0..10 => {
             let (call, numbers) = FAILING_CALLS.choose(random).expect("there are some");
@@ -132,12 +148,21 @@
             )
         }
         11..14 => format!("seconds = {lasts:.2}\nkind = \"kill\"\nwho = \"{sender}\""),
-        14 => format!("seconds = {:.2}\nkind = \"term\"\nwho = \"{sender}\"", 4.0 + lasts),
-        15 => format!("seconds = {:.2}\nkind = \"stop\"\nwho = \"{sender}\"", lasts.min(1.0)),
+        14 => format!(
+            "seconds = {:.2}\nkind = \"term\"\nwho = \"{sender}\"",
+            4.0 + lasts
+        ),
+        15 => format!(
+            "seconds = {:.2}\nkind = \"stop\"\nwho = \"{sender}\"",
+            lasts.min(1.0)
+        ),
         16 => format!("kind = \"reset\"\nfrom = \"{many}\"\nto = \"endpoints\""),
         17 => format!("seconds = {lasts:.2}\nkind = \"discovery_down\""),
         18 => format!("kind = \"upgrade\"\nwho = \"{sender}\""),
-        _ => format!("seconds = {lasts:.2}\nkind = \"shut\"\nwho = \"e{}\"", random.random_range(0..12)),
+        _ => format!(
+            "seconds = {lasts:.2}\nkind = \"shut\"\nwho = \"e{}\"",
+            random.random_range(0..12)
+        ),
     }
 }
 
--- a/lab/src/usage.rs
+++ b/lab/src/usage.rs
@@ -23,7 +23,9 @@
     let ticks = fields.next()?.parse::<u64>().ok()? + fields.next()?.parse::<u64>().ok()?;
     let cpu_ms = ticks * 1000 / rustix::param::clock_ticks_per_second();
     let status = std::fs::read_to_string(format!("{folder}/status")).ok()?;
-    let memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    let memory = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))?;
     let memory_kib = memory.trim().trim_end_matches(" kB").parse().ok()?;
     let descriptors = std::fs::read_dir(format!("{folder}/fd")).ok()?.count() as u64;
     Some([cpu_ms, memory_kib, descriptors])
@@ -35,9 +37,16 @@
     let spread = |at: usize| {
         let mut values: Vec<u64> = all.iter().map(|one| one[at]).collect();
         values.sort_unstable();
-        (values.get(values.len() / 2).copied().unwrap_or(0), values.last().copied().unwrap_or(0))
+        (
+            values.get(values.len() / 2).copied().unwrap_or(0),
+            values.last().copied().unwrap_or(0),
+        )
     };
-    Usage { cpu_ms: spread(0), memory_kib: spread(1), descriptors: spread(2) }
+    Usage {
+        cpu_ms: spread(0),
+        memory_kib: spread(1),
+        descriptors: spread(2),
+    }
 }
 
 #[cfg(test)]
@@ -49,6 +58,9 @@
         let own = measure([rustix::process::getpid()].into_iter());
         assert!(own.memory_kib.0 > 500 && own.descriptors.0 >= 3, "{own:?}");
         // beyond the greatest id that the kernel gives
-        assert_eq!(measure(Pid::from_raw(1 << 23).into_iter()), Usage::default());
+        assert_eq!(
+            measure(Pid::from_raw(1 << 23).into_iter()),
+            Usage::default()
+        );
     }
 }
--- a/lab/src/world.rs
+++ b/lab/src/world.rs
@@ -58,7 +58,9 @@
         self.tokens -= 1.0;
         // half to twice the median, even in its logarithm
         let factor = 2f64.powf(self.random.random_range(-1.0..1.0));
-        Fate::Runs { after_us: (self.latency_us * factor) as u64 }
+        Fate::Runs {
+            after_us: (self.latency_us * factor) as u64,
+        }
     }
 }
 
@@ -71,7 +73,10 @@
         let mut destination = Destination::new(100.0, 40.0, 2, 1);
         let mut call = |n: u64| destination.call(n * 5_000, 0) != Fate::Full;
         let taken = (0..2000).filter(|&n| call(n)).count();
-        assert!((1000..=1030).contains(&taken), "{taken} of 2000 calls in 10 s");
+        assert!(
+            (1000..=1030).contains(&taken),
+            "{taken} of 2000 calls in 10 s"
+        );
     }
 
     #[test]
@@ -79,7 +84,12 @@
         let mut destination = Destination::new(100.0, 40.0, 2, 1);
         destination.shut(0, true);
         assert_eq!(destination.call(0, 0), Fate::Full);
-        assert!(matches!(destination.call(0, 1), Fate::Runs { after_us: 20_000..=80_000 }));
+        assert!(matches!(
+            destination.call(0, 1),
+            Fate::Runs {
+                after_us: 20_000..=80_000
+            }
+        ));
         destination.shut(0, false);
         assert_ne!(destination.call(0, 0), Fate::Full);
     }
--- a/lab/tests/fleets.rs
+++ b/lab/tests/fleets.rs
@@ -12,7 +12,11 @@
 /// The sender's program, of the same build.
 fn program() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_milletturn-lab")).with_file_name("milletturn");
-    assert!(path.exists(), "{} is built by cargo test --workspace", path.display());
+    assert!(
+        path.exists(),
+        "{} is built by cargo test --workspace",
+        path.display()
+    );
     path
 }
 
@@ -25,12 +29,22 @@
 fn play(text: &str, program: &Path, folder: &Path) -> Output {
     let scenario = scenario(text, folder);
     let mut command = lab();
-    command.arg("run").arg(scenario).arg("--program").arg(program).arg("--out").arg(folder.join("out"));
+    command
+        .arg("run")
+        .arg(scenario)
+        .arg("--program")
+        .arg(program)
+        .arg("--out")
+        .arg(folder.join("out"));
     command.output().expect("the lab runs")
 }
 
 fn said(output: &Output) -> String {
-    format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
+    format!(
+        "{}{}",
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr)
+    )
 }
 
 const SMALL: &str = r#"
@@ -68,9 +82,14 @@
     let said = said(&output);
     // a machine that is busy makes the lab late, which voids the figures and breaks no rule
     assert!(said.contains("HELD") || said.contains("VOID"), "{said}");
-    let history = std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
+    let history =
+        std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
     let count = |event: &str| history.matches(&format!(r#""event":"{event}""#)).count();
-    assert_eq!((count("started"), count("ended")), (6, 6), "five, and one again; all have ended");
+    assert_eq!(
+        (count("started"), count("ended")),
+        (6, 6),
+        "five, and one again; all have ended"
+    );
     assert!(count("replied") > 50, "{} answers", count("replied"));
 }
 
@@ -113,18 +132,26 @@
     let output = play(&format!("{text}{faults}"), &program(), folder.path());
     let said = said(&output);
     assert!(said.contains("HELD") || said.contains("VOID"), "{said}");
-    let history = std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
-    let views: Vec<&str> = history.lines().filter(|line| line.contains(r#""event":"members""#)).collect();
+    let history =
+        std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
+    let views: Vec<&str> = history
+        .lines()
+        .filter(|line| line.contains(r#""event":"members""#))
+        .collect();
     let last = views.last().expect("views");
-    assert!(last.contains(r#""living":5"#) && last.contains(r#""holders":5"#), "{last}");
+    assert!(
+        last.contains(r#""living":5"#) && last.contains(r#""holders":5"#),
+        "{last}"
+    );
 }
 
 #[test]
 fn senders_agree_while_the_leader_is_killed_a_sender_stands_still_and_one_is_cut_off() {
     let folder = tempfile::tempdir().expect("a folder");
-    let text = SMALL
-        .replace("seconds = 3", "seconds = 9")
-        .replace("[traffic]", "[registry]\nreplicas = 3\nlease_ms = 500\nchange_s = 0.1\n[traffic]");
+    let text = SMALL.replace("seconds = 3", "seconds = 9").replace(
+        "[traffic]",
+        "[registry]\nreplicas = 3\nlease_ms = 500\nchange_s = 0.1\n[traffic]",
+    );
     let faults = r#"
         [[fault]]
         at = 1.5
@@ -151,13 +178,23 @@
     "#;
     let scenario = scenario(&format!("{text}{faults}"), folder.path());
     let mut command = lab();
-    command.arg("run").arg(scenario).arg("--program").arg(program()).arg("--registry");
+    command
+        .arg("run")
+        .arg(scenario)
+        .arg("--program")
+        .arg(program())
+        .arg("--registry");
     command.arg(program().with_file_name("milletturn-registry"));
-    let output = command.arg("--out").arg(folder.path().join("out")).output().expect("the lab runs");
+    let output = command
+        .arg("--out")
+        .arg(folder.path().join("out"))
+        .output()
+        .expect("the lab runs");
     let said = said(&output);
     assert!(said.contains("HELD") || said.contains("VOID"), "{said}");
     assert!(said.contains(r#""contradiction_s":0.0"#), "{said}");
-    let history = std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
+    let history =
+        std::fs::read_to_string(folder.path().join("out/history.jsonl")).expect("recorded");
     let proposed = history.matches(r#""event":"proposed""#).count();
     assert!(proposed >= 2, "{proposed} changes were taken up");
 }
@@ -165,7 +202,9 @@
 #[test]
 fn a_faulty_sender_is_caught_by_the_rule_that_it_breaks() {
     // examples are built with the tests
-    let faulty = Path::new(env!("CARGO_BIN_EXE_milletturn-lab")).with_file_name("examples").join("faulty");
+    let faulty = Path::new(env!("CARGO_BIN_EXE_milletturn-lab"))
+        .with_file_name("examples")
+        .join("faulty");
     let ways = [
         ("drops", "never ended"),
         ("uninvited", "nobody's, which no client handed in"),
@@ -174,17 +213,29 @@
     ];
     let caught = &|(way, rule): (&str, &str)| {
         let folder = tempfile::tempdir().expect("a folder");
-        let text = SMALL.replace("senders = 5", "senders = 1").replace("seconds = 3", "seconds = 0.8");
+        let text = SMALL
+            .replace("senders = 5", "senders = 1")
+            .replace("seconds = 3", "seconds = 0.8");
         let path = scenario(&text, folder.path());
         let mut command = lab();
-        command.env("FAULTY", way).arg("run").arg(path).arg("--program").arg(&faulty);
-        let output = command.arg("--out").arg(folder.path().join("out")).output().expect("the lab runs");
+        command
+            .env("FAULTY", way)
+            .arg("run")
+            .arg(path)
+            .arg("--program")
+            .arg(&faulty);
+        let output = command
+            .arg("--out")
+            .arg(folder.path().join("out"))
+            .output()
+            .expect("the lab runs");
         assert_eq!(output.status.code(), Some(1), "{way}: {}", said(&output));
         assert!(said(&output).contains(rule), "{way}: {}", said(&output));
     };
     // each waits for the last deadline of what it does not end
     std::thread::scope(|scope| {
-        ways.map(|way| scope.spawn(move || caught(way))).map(|run| run.join().expect("caught"))
+        ways.map(|way| scope.spawn(move || caught(way)))
+            .map(|run| run.join().expect("caught"))
     });
 }
 
@@ -202,15 +253,35 @@
     "#;
     let output = play(&format!("{text}{fault}"), &program(), folder.path());
     assert_eq!(output.status.code(), Some(1), "{}", said(&output));
-    assert!(said(&output).contains("broken: recovery"), "{}", said(&output));
+    assert!(
+        said(&output).contains("broken: recovery"),
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
 fn a_fleet_serves_again_after_faults_that_overlap() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut command = lab();
-    command.args(["soak", "--from", "3", "--seeds", "1", "--least", "10", "--most", "10", "--seconds", "18"]);
-    command.arg("--program").arg(program()).arg("--out").arg(folder.path());
+    command.args([
+        "soak",
+        "--from",
+        "3",
+        "--seeds",
+        "1",
+        "--least",
+        "10",
+        "--most",
+        "10",
+        "--seconds",
+        "18",
+    ]);
+    command
+        .arg("--program")
+        .arg(program())
+        .arg("--out")
+        .arg(folder.path());
     let said = said(&command.output().expect("the lab runs"));
     // a machine that is busy makes the lab late, which voids the figures and breaks no rule
     assert!(said.contains("HELD") || said.contains("VOID"), "{said}");
@@ -221,7 +292,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let output = play(SMALL, Path::new("/bin/false"), folder.path());
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("n0 never got ready"), "{}", said(&output));
+    assert!(
+        said(&output).contains("n0 never got ready"),
+        "{}",
+        said(&output)
+    );
 }
 
 #[test]
@@ -230,12 +305,23 @@
     let scenario = scenario(&SMALL.replace("seconds = 3", "seconds = 60"), folder.path());
     let out = folder.path().join("out");
     let mut command = lab();
-    command.arg("run").arg(scenario).arg("--program").arg(program()).arg("--out").arg(&out);
-    let mut running = command.stdout(std::process::Stdio::null()).spawn().expect("the lab runs");
+    command
+        .arg("run")
+        .arg(scenario)
+        .arg("--program")
+        .arg(program())
+        .arg("--out")
+        .arg(&out);
+    let mut running = command
+        .stdout(std::process::Stdio::null())
+        .spawn()
+        .expect("the lab runs");
     let ids = || -> Vec<u32> {
         let children = format!("/proc/{0}/task/{0}/children", running.id());
         let text = std::fs::read_to_string(children).unwrap_or_default();
-        text.split_whitespace().filter_map(|id| id.parse().ok()).collect()
+        text.split_whitespace()
+            .filter_map(|id| id.parse().ok())
+            .collect()
     };
     let until = Instant::now() + Duration::from_secs(30);
     while ids().len() < 5 {
@@ -248,7 +334,10 @@
     let lives = |id: &u32| {
         // one that has ended and waits to be reaped is no process that runs
         let status = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-        status.rsplit(')').next().is_some_and(|rest| !rest.trim().is_empty() && !rest.trim().starts_with('Z'))
+        status
+            .rsplit(')')
+            .next()
+            .is_some_and(|rest| !rest.trim().is_empty() && !rest.trim().starts_with('Z'))
     };
     while started.iter().any(lives) {
         assert!(Instant::now() < until, "all senders end with the lab");
--- a/lab/tests/sites.rs
+++ b/lab/tests/sites.rs
@@ -64,7 +64,12 @@
 
 fn derive(folder: &Path, name: &str, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletturn-lab"));
-    command.arg("site").arg("--base").arg(base(folder)).arg("--out").arg(folder.join(name));
+    command
+        .arg("site")
+        .arg("--base")
+        .arg(base(folder))
+        .arg("--out")
+        .arg(folder.join(name));
     command.args(arguments).output().expect("the lab runs")
 }
 
@@ -77,7 +82,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let arguments: Vec<&str> = sets.iter().flat_map(|set| ["--set", set]).collect();
     let output = derive(folder.path(), "other", &arguments);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     text(folder.path(), "other").parse().expect("TOML")
 }
 
@@ -89,7 +98,10 @@
 fn a_site_without_changes_differs_from_its_base_in_the_name_alone() {
     let folder = tempfile::tempdir().expect("a folder");
     assert!(derive(folder.path(), "other", &[]).status.success());
-    assert_eq!(text(folder.path(), "other"), BASE.replace("\"base\"", "\"other\""));
+    assert_eq!(
+        text(folder.path(), "other"),
+        BASE.replace("\"base\"", "\"other\"")
+    );
     let beside = std::fs::read_to_string(folder.path().join("other/wire.json"));
     assert_eq!(beside.expect("copied"), "wire.json");
 }
@@ -110,7 +122,12 @@
 fn a_deadline_keeps_the_share_of_each_classs_aim() {
     let site = derived(&["deadline=500ms"]);
     let classes = tables(&site, "class").iter();
-    let times = classes.map(|class| (class["aim_ms"].as_integer(), class["deadline_ms"].as_integer()));
+    let times = classes.map(|class| {
+        (
+            class["aim_ms"].as_integer(),
+            class["deadline_ms"].as_integer(),
+        )
+    });
     let times: Vec<_> = times.collect();
     assert_eq!(times, [(Some(125), Some(500)), (Some(50), Some(500))]);
 }
@@ -139,32 +156,51 @@
     let is_in_order =
         |class: &Value| class["in_order"].as_bool() == Some(true) && class.get("group").is_none();
     assert!(tables(&ordered, "class").iter().all(is_in_order));
-    assert!(ordered["rules"].get("order_settle_ms").is_some() && ordered["fam"].get("key_gap_s").is_some());
+    assert!(
+        ordered["rules"].get("order_settle_ms").is_some()
+            && ordered["fam"].get("key_gap_s").is_some()
+    );
     let safe = derived(&["effect=in-order", "effect=safe"]);
-    assert!(safe["rules"].get("order_settle_ms").is_none() && safe["fam"].get("key_gap_s").is_none());
+    assert!(
+        safe["rules"].get("order_settle_ms").is_none() && safe["fam"].get("key_gap_s").is_none()
+    );
 }
 
 #[test]
 fn eight_classes_repeat_the_bases_under_names_of_their_own() {
     let site = derived(&["classes=eight", "worth=hundredfold"]);
     let classes = tables(&site, "class");
-    let names: std::collections::BTreeSet<_> = classes.iter().map(|class| class["name"].as_str()).collect();
+    let names: std::collections::BTreeSet<_> =
+        classes.iter().map(|class| class["name"].as_str()).collect();
     assert_eq!((classes.len(), names.len()), (8, 8));
     assert_eq!(site["fam"]["class"].as_array().map(Vec::len), Some(8));
-    assert_eq!((classes[0]["worth"].as_float(), classes[7]["worth"].as_float()), (Some(1.0), Some(100.0)));
+    assert_eq!(
+        (
+            classes[0]["worth"].as_float(),
+            classes[7]["worth"].as_float()
+        ),
+        (Some(1.0), Some(100.0))
+    );
 }
 
 #[test]
 fn one_class_is_the_bases_first() {
     let site = derived(&["classes=one"]);
-    let [class] = tables(&site, "class") else { panic!("one class") };
-    assert_eq!((class["name"].as_str(), class["share"].as_float()), (Some("notice"), Some(1.0)));
+    let [class] = tables(&site, "class") else {
+        panic!("one class")
+    };
+    assert_eq!(
+        (class["name"].as_str(), class["share"].as_float()),
+        (Some("notice"), Some(1.0))
+    );
 }
 
 #[test]
 fn tenants_bring_the_settings_of_shares_and_none_takes_them_away() {
     let ten = derived(&["tenants=ten"]);
-    let shares = tables(&ten, "tenant").iter().filter_map(|tenant| tenant["share"].as_float());
+    let shares = tables(&ten, "tenant")
+        .iter()
+        .filter_map(|tenant| tenant["share"].as_float());
     assert!((shares.sum::<f64>() - 1.0).abs() < 1e-9);
     assert!(ten["load"].get("over_share_worth").is_some());
     let none = derived(&["tenants=ten", "tenants=none"]);
@@ -182,7 +218,10 @@
 fn prices_are_multiplied_where_they_stand() {
     let site = derived(&["prices=tenfold"]);
     assert!((site["prices"]["handshake"].as_float().expect("a price") - 0.6).abs() < 1e-9);
-    assert!(site["prices"].get("cross_zone").is_none(), "no price that the base has not");
+    assert!(
+        site["prices"].get("cross_zone").is_none(),
+        "no price that the base has not"
+    );
 }
 
 #[test]
@@ -191,7 +230,11 @@
     let drawn = |name: &str, seed: &str| {
         let arguments = ["--set", "attempts=two", "--draw", "5", "--seed", seed];
         let output = derive(folder.path(), name, &arguments);
-        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{}",
+            String::from_utf8_lossy(&output.stderr)
+        );
         text(folder.path(), name).replace(name, "")
     };
     let first = drawn("first", "7");
@@ -202,7 +245,9 @@
 
 #[test]
 fn every_value_of_every_axis_leaves_a_site_file() {
-    let output = Command::new(env!("CARGO_BIN_EXE_milletturn-lab")).arg("axes").output();
+    let output = Command::new(env!("CARGO_BIN_EXE_milletturn-lab"))
+        .arg("axes")
+        .output();
     let listed = String::from_utf8(output.expect("the lab runs").stdout).expect("text");
     let mut choices = 0;
     for line in listed.lines() {
@@ -221,6 +266,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let output = derive(folder.path(), "other", &["--set", "attempts=seven"]);
     let said = String::from_utf8_lossy(&output.stderr).to_string();
-    assert!(!output.status.success() && said.contains("one, two, thirty"), "{said}");
+    assert!(
+        !output.status.success() && said.contains("one, two, thirty"),
+        "{said}"
+    );
     assert!(!folder.path().join("other").exists());
 }
--- a/ledger/src/book.rs
+++ b/ledger/src/book.rs
@@ -3,7 +3,9 @@
 
 use crate::keys::Key;
 use crate::limits::{Floors, LIMITS_MOST, Limit, LimitError};
-use crate::splits::{self, ENDED_MOST, Ended, Flag, Plant, Query, Records, Rows, Split, SplitError, compare};
+use crate::splits::{
+    self, ENDED_MOST, Ended, Flag, Plant, Query, Records, Rows, Split, SplitError, compare,
+};
 use miette::Diagnostic;
 use milletturn_agreement::Terms;
 use serde::{Deserialize, Serialize};
@@ -98,7 +100,10 @@
     Begun,
     /// Ranges make no sense.
     #[error("split_at is not a growing list of up to {SHARDS_MOST} places above zero")]
-    #[diagnostic(code(ledger::ranges), help("name the first destination of each range after the first one"))]
+    #[diagnostic(
+        code(ledger::ranges),
+        help("name the first destination of each range after the first one")
+    )]
     Ranges,
     /// The limits have another version.
     #[error("the limits have version {now}, not {wanted}")]
@@ -143,30 +148,72 @@
     pub fn apply(book: &mut Option<Book>, entry: Entry) -> Result<(), BookError> {
         match (book, entry) {
             (Some(_), Entry::Begin { .. }) => Err(BookError::Begun),
-            (book, Entry::Begin { floors, terms, split_at }) => {
+            (
+                book,
+                Entry::Begin {
+                    floors,
+                    terms,
+                    split_at,
+                },
+            ) => {
                 let grows = split_at.windows(2).all(|two| two[0] < two[1]);
                 if !grows || split_at.first() == Some(&0) || split_at.len() >= SHARDS_MOST {
                     return Err(BookError::Ranges);
                 }
-                let shards = [0].into_iter().chain(split_at).map(|first| (first, Shard::default())).collect();
+                let shards = [0]
+                    .into_iter()
+                    .chain(split_at)
+                    .map(|first| (first, Shard::default()))
+                    .collect();
                 let (rev, linger_most, split, ended) = (0, 0, None, Vec::new());
-                *book = Some(Book { floors, terms, rev, shards, linger_most, split, ended });
+                *book = Some(Book {
+                    floors,
+                    terms,
+                    rev,
+                    shards,
+                    linger_most,
+                    split,
+                    ended,
+                });
                 Ok(())
             }
             (None, _) => Err(BookError::None),
-            (Some(book), Entry::Limit { key, limit, if_match }) => {
+            (
+                Some(book),
+                Entry::Limit {
+                    key,
+                    limit,
+                    if_match,
+                },
+            ) => {
                 if let Some(wanted) = if_match.filter(|wanted| *wanted != book.rev) {
-                    return Err(BookError::Version { now: book.rev, wanted });
+                    return Err(BookError::Version {
+                        now: book.rev,
+                        wanted,
+                    });
                 }
                 book.set(key, limit).map_err(BookError::from)
             }
-            (Some(book), Entry::Keeper { shard, epoch, replica }) => {
-                if let Some(shard) = book.shards.get_mut(&shard).filter(|shard| shard.epoch == epoch) {
+            (
+                Some(book),
+                Entry::Keeper {
+                    shard,
+                    epoch,
+                    replica,
+                },
+            ) => {
+                if let Some(shard) = book
+                    .shards
+                    .get_mut(&shard)
+                    .filter(|shard| shard.epoch == epoch)
+                {
                     (shard.epoch, shard.keeper, shard.from) = (epoch + 1, Some(replica), None);
                 }
                 Ok(())
             }
-            (Some(book), Entry::Split { first, at, plant }) => Ok(book.begin_split(first, at, plant)?),
+            (Some(book), Entry::Split { first, at, plant }) => {
+                Ok(book.begin_split(first, at, plant)?)
+            }
             (Some(book), Entry::Step(count)) => {
                 let fence = book.rev;
                 if let Some((split, records)) = book.splitting() {
@@ -179,7 +226,13 @@
                 }
                 Ok(())
             }
-            (Some(book), Entry::Read { queries: [compared, not], flags }) => {
+            (
+                Some(book),
+                Entry::Read {
+                    queries: [compared, not],
+                    flags,
+                },
+            ) => {
                 if let Some(split) = &mut book.split {
                     (split.queries, split.not_compared) =
                         (split.queries + compared, split.not_compared + not);
@@ -199,7 +252,9 @@
     fn set(&mut self, key: Key, limit: Option<Limit>) -> Result<(), LimitError> {
         let count: usize = self.shards.values().map(|shard| shard.records.len()).sum();
         let (first, _) = self.shard_of(&key);
-        let Some(shard) = self.shards.get_mut(&first) else { return Err(LimitError::Unknown(key)) };
+        let Some(shard) = self.shards.get_mut(&first) else {
+            return Err(LimitError::Unknown(key));
+        };
         match limit {
             None if !shard.records.contains_key(&key) => return Err(LimitError::Unknown(key)),
             None => drop(shard.records.remove(&key)),
@@ -245,13 +300,32 @@
 
     /// Cuts over, if all has been compared equal: else nothing is done, and no fault.
     fn cut(&mut self) -> Result<(), SplitError> {
-        let split = self.split.take_if(|split| split.is_proven()).ok_or(SplitError::None)?;
+        let split = self
+            .split
+            .take_if(|split| split.is_proven())
+            .ok_or(SplitError::None)?;
         let Split { first, at, .. } = *split;
         let parent = self.shards.get(&first).ok_or(SplitError::Range(first))?;
         let (from, keeper, epoch) = (Some((first, parent.epoch)), parent.keeper, parent.epoch + 1);
         let [left, right] = split.children.clone();
-        self.shards.insert(first, Shard { epoch, keeper, from, records: left });
-        self.shards.insert(at, Shard { epoch, keeper, from, records: right });
+        self.shards.insert(
+            first,
+            Shard {
+                epoch,
+                keeper,
+                from,
+                records: left,
+            },
+        );
+        self.shards.insert(
+            at,
+            Shard {
+                epoch,
+                keeper,
+                from,
+                records: right,
+            },
+        );
         self.end(split.ended(None));
         Ok(())
     }
@@ -282,7 +356,9 @@
     /// a flag tells where its children disagree.
     pub fn read(&self, query: &Query) -> (Rows, Option<Flag>) {
         let rows = self.plain(query);
-        let Some(split) = self.split.as_ref().filter(|split| split.reads_both()) else { return (rows, None) };
+        let Some(split) = self.split.as_ref().filter(|split| split.reads_both()) else {
+            return (rows, None);
+        };
         let parent = self.shards.get(&split.first).map(|shard| &shard.records);
         let parent = splits::read(query, parent.into_iter().flatten());
         let flag = compare(Some(query), &parent, &split.read(query), self.rev);
@@ -316,7 +392,13 @@
 
     /// One limit.
     pub fn limit(&self, key: &Key) -> Option<Limit> {
-        self.shards.range(..=key.place()).next_back()?.1.records.get(key).copied()
+        self.shards
+            .range(..=key.place())
+            .next_back()?
+            .1
+            .records
+            .get(key)
+            .copied()
     }
 
     /// The ranges by their first places.
@@ -343,9 +425,15 @@
             if shard.keeper.is_some_and(|id| alive.contains(&id)) {
                 continue;
             }
-            let Some((&replica, _)) = kept.iter().min_by_key(|(id, count)| (**count, **id)) else { break };
+            let Some((&replica, _)) = kept.iter().min_by_key(|(id, count)| (**count, **id)) else {
+                break;
+            };
             kept.entry(replica).and_modify(|count| *count += 1);
-            due.push(Entry::Keeper { shard: *first, epoch: shard.epoch, replica });
+            due.push(Entry::Keeper {
+                shard: *first,
+                epoch: shard.epoch,
+                replica,
+            });
         }
         due
     }
@@ -357,10 +445,24 @@
     use crate::keys::What;
 
     fn begun(split_at: Vec<u64>) -> Option<Book> {
-        let floors = Floors { senders: 3, each: [("rate".to_string(), 10)].into() };
+        let floors = Floors {
+            senders: 3,
+            each: [("rate".to_string(), 10)].into(),
+        };
         let mut book = None;
-        let terms = Terms { lease: 1_500_000, drift: 30_000 };
-        Book::apply(&mut book, Entry::Begin { floors, terms, split_at }).expect("begun");
+        let terms = Terms {
+            lease: 1_500_000,
+            drift: 30_000,
+        };
+        Book::apply(
+            &mut book,
+            Entry::Begin {
+                floors,
+                terms,
+                split_at,
+            },
+        )
+        .expect("begun");
         book
     }
 
@@ -369,13 +471,23 @@
         let mut book = begun(vec![10, 20]);
         let due = book.as_ref().expect("begun").due(&[1, 2]);
         assert_eq!(due.len(), 3);
-        due.into_iter().for_each(|entry| Book::apply(&mut book, entry).expect("applied"));
+        due.into_iter()
+            .for_each(|entry| Book::apply(&mut book, entry).expect("applied"));
         let kept = |book: &Option<Book>| -> Vec<_> {
-            book.as_ref().expect("begun").shards().values().map(|shard| (shard.keeper, shard.epoch)).collect()
+            book.as_ref()
+                .expect("begun")
+                .shards()
+                .values()
+                .map(|shard| (shard.keeper, shard.epoch))
+                .collect()
         };
         assert_eq!(kept(&book), [(Some(1), 1), (Some(2), 1), (Some(1), 1)]);
         // the second is gone; a proposal of before does nothing once another has gone through
-        let late = Entry::Keeper { shard: 10, epoch: 1, replica: 3 };
+        let late = Entry::Keeper {
+            shard: 10,
+            epoch: 1,
+            replica: 3,
+        };
         for entry in book.as_ref().expect("begun").due(&[1]) {
             Book::apply(&mut book, entry).expect("applied");
         }
@@ -391,17 +503,36 @@
         let mut book = begun(vec![]);
         let key = Key::of(7, What::Rate);
         let set = |book: &mut Option<Book>, total, if_match| {
-            let limit = Some(Limit { total, linger_ms: 0 });
-            Book::apply(book, Entry::Limit { key: key.clone(), limit, if_match })
+            let limit = Some(Limit {
+                total,
+                linger_ms: 0,
+            });
+            Book::apply(
+                book,
+                Entry::Limit {
+                    key: key.clone(),
+                    limit,
+                    if_match,
+                },
+            )
         };
         assert_eq!(set(&mut book, 100, Some(0)), Ok(()));
         assert_eq!(set(&mut book, 100, None), Ok(()));
-        assert_eq!(set(&mut book, 90, Some(0)), Err(BookError::Version { now: 1, wanted: 0 }));
-        assert!(matches!(set(&mut book, 29, None), Err(BookError::Limit(LimitError::Floors { .. }))));
+        assert_eq!(
+            set(&mut book, 90, Some(0)),
+            Err(BookError::Version { now: 1, wanted: 0 })
+        );
+        assert!(matches!(
+            set(&mut book, 29, None),
+            Err(BookError::Limit(LimitError::Floors { .. }))
+        ));
         assert_eq!(book.as_ref().map(Book::rev), Some(1));
         assert_eq!(set(&mut None, 1, None), Err(BookError::None));
-        let again =
-            Entry::Begin { floors: Floors::default(), terms: Terms { lease: 1, drift: 0 }, split_at: vec![] };
+        let again = Entry::Begin {
+            floors: Floors::default(),
+            terms: Terms { lease: 1, drift: 0 },
+            split_at: vec![],
+        };
         assert_eq!(Book::apply(&mut book, again), Err(BookError::Begun));
     }
 
@@ -412,23 +543,45 @@
     fn with_limits(count: u64) -> Option<Book> {
         let mut book = begun(vec![]);
         for destination in 0..count {
-            let limit = Some(Limit { total: 100 + destination, linger_ms: 0 });
-            let entry = Entry::Limit { key: Key::of(destination, What::Rate), limit, if_match: None };
+            let limit = Some(Limit {
+                total: 100 + destination,
+                linger_ms: 0,
+            });
+            let entry = Entry::Limit {
+                key: Key::of(destination, What::Rate),
+                limit,
+                if_match: None,
+            };
             Book::apply(&mut book, entry).expect("set");
         }
         book
     }
 
     fn write(book: &mut Option<Book>, destination: u64, total: u64) {
-        let limit = Some(Limit { total, linger_ms: 0 });
-        let entry = Entry::Limit { key: Key::of(destination, What::Rate), limit, if_match: None };
+        let limit = Some(Limit {
+            total,
+            linger_ms: 0,
+        });
+        let entry = Entry::Limit {
+            key: Key::of(destination, What::Rate),
+            limit,
+            if_match: None,
+        };
         Book::apply(book, entry).expect("written");
     }
 
     #[test]
     fn a_split_under_writes_is_cut_over_with_every_key_on_its_side() {
         let mut book = with_limits(20);
-        Book::apply(&mut book, Entry::Split { first: 0, at: 10, plant: None }).expect("begun");
+        Book::apply(
+            &mut book,
+            Entry::Split {
+                first: 0,
+                at: 10,
+                plant: None,
+            },
+        )
+        .expect("begun");
         for step in 0..30 {
             write(&mut book, step * 7 % 24, 200 + step);
             stepped(&mut book, 1);
@@ -439,21 +592,48 @@
             }
         }
         stepped(&mut book, 12);
-        let before: Vec<_> = book.as_ref().expect("begun").limits().map(|(k, l)| (k.clone(), *l)).collect();
+        let before: Vec<_> = book
+            .as_ref()
+            .expect("begun")
+            .limits()
+            .map(|(k, l)| (k.clone(), *l))
+            .collect();
         Book::apply(&mut book, Entry::Cut).expect("cut over");
         let book = book.expect("begun");
         let after: Vec<_> = book.limits().map(|(k, l)| (k.clone(), *l)).collect();
         assert_eq!(before, after);
         assert_eq!(book.shards().keys().copied().collect::<Vec<_>>(), [0, 10]);
-        assert!(book.shards()[&10].records.keys().all(|key| key.place() >= 10));
-        assert_eq!((book.ended()[0].undone.as_ref(), book.ended()[0].flagged), (None, 0));
+        assert!(
+            book.shards()[&10]
+                .records
+                .keys()
+                .all(|key| key.place() >= 10)
+        );
+        assert_eq!(
+            (book.ended()[0].undone.as_ref(), book.ended()[0].flagged),
+            (None, 0)
+        );
     }
 
     #[test]
     fn each_planted_difference_is_flagged_by_queries_and_by_the_walk_and_never_cut_over() {
-        for plant in [Plant::Lost, Plant::Doubled, Plant::WrongSide, Plant::Stale, Plant::Order] {
+        for plant in [
+            Plant::Lost,
+            Plant::Doubled,
+            Plant::WrongSide,
+            Plant::Stale,
+            Plant::Order,
+        ] {
             let mut book = with_limits(20);
-            Book::apply(&mut book, Entry::Split { first: 0, at: 10, plant: Some(plant) }).expect("begun");
+            Book::apply(
+                &mut book,
+                Entry::Split {
+                    first: 0,
+                    at: 10,
+                    plant: Some(plant),
+                },
+            )
+            .expect("begun");
             stepped(&mut book, 6);
             write(&mut book, 4, 999);
             let queries = [
@@ -462,39 +642,86 @@
                 Query::Sum("rate".to_string()),
             ];
             let here = book.as_ref().expect("begun");
-            let found: Vec<_> = queries.iter().filter_map(|query| here.read(query).1).collect();
+            let found: Vec<_> = queries
+                .iter()
+                .filter_map(|query| here.read(query).1)
+                .collect();
             assert!(!found.is_empty(), "{plant:?}");
             assert!(found.iter().all(|flag| flag.fence == here.rev()));
-            assert_eq!(here.read(&queries[1]).0, [(Some(Key::of(4, What::Rate)), 999)], "the parent answers");
+            assert_eq!(
+                here.read(&queries[1]).0,
+                [(Some(Key::of(4, What::Rate)), 999)],
+                "the parent answers"
+            );
             if plant == Plant::Order {
                 assert_eq!(found[0].difference, crate::splits::Difference::Order);
-                Book::apply(&mut book, Entry::Read { queries: [1, 0], flags: found }).expect("told");
+                Book::apply(
+                    &mut book,
+                    Entry::Read {
+                        queries: [1, 0],
+                        flags: found,
+                    },
+                )
+                .expect("told");
             }
             stepped(&mut book, 12);
-            let split = book.as_ref().and_then(Book::split).expect("under way").clone();
-            assert!(split.flagged > 0 && split.compared_all, "{plant:?}: {split:?}");
-            assert_eq!(Book::apply(&mut book, Entry::Cut), Err(SplitError::None.into()));
+            let split = book
+                .as_ref()
+                .and_then(Book::split)
+                .expect("under way")
+                .clone();
+            assert!(
+                split.flagged > 0 && split.compared_all,
+                "{plant:?}: {split:?}"
+            );
+            assert_eq!(
+                Book::apply(&mut book, Entry::Cut),
+                Err(SplitError::None.into())
+            );
             let why = SplitError::Flags(split.flagged);
             Book::apply(&mut book, Entry::Undo(why.clone())).expect("undone");
             let book = book.expect("begun");
-            assert_eq!((book.shards().len(), book.ended()[0].undone.as_ref()), (1, Some(&why)));
+            assert_eq!(
+                (book.shards().len(), book.ended()[0].undone.as_ref()),
+                (1, Some(&why))
+            );
         }
     }
 
     #[test]
     fn a_split_that_makes_no_sense_is_refused() {
         let mut book = with_limits(5);
-        let split = |first, at| Entry::Split { first, at, plant: None };
-        assert_eq!(Book::apply(&mut book, split(3, 4)), Err(SplitError::Range(3).into()));
-        assert_eq!(Book::apply(&mut book, split(0, 0)), Err(SplitError::Place { first: 0, at: 0 }.into()));
+        let split = |first, at| Entry::Split {
+            first,
+            at,
+            plant: None,
+        };
+        assert_eq!(
+            Book::apply(&mut book, split(3, 4)),
+            Err(SplitError::Range(3).into())
+        );
+        assert_eq!(
+            Book::apply(&mut book, split(0, 0)),
+            Err(SplitError::Place { first: 0, at: 0 }.into())
+        );
         Book::apply(&mut book, split(0, 3)).expect("begun");
-        assert_eq!(Book::apply(&mut book, split(0, 2)), Err(SplitError::UnderWay(0).into()));
+        assert_eq!(
+            Book::apply(&mut book, split(0, 2)),
+            Err(SplitError::UnderWay(0).into())
+        );
     }
 
     #[test]
     fn an_entry_has_these_bytes() {
         let key = Key::of(7, What::Rate);
-        let entry = Entry::Limit { key, limit: Some(Limit { total: 300, linger_ms: 0 }), if_match: None };
+        let entry = Entry::Limit {
+            key,
+            limit: Some(Limit {
+                total: 300,
+                linger_ms: 0,
+            }),
+            if_match: None,
+        };
         let bytes = postcard::to_allocvec(&entry).expect("encoded");
         assert_eq!(bytes, [&[1, 6][..], b"rate/7", &[1, 172, 2, 0, 0]].concat());
         assert_eq!(postcard::from_bytes::<Entry>(&bytes), Ok(entry));
--- a/ledger/src/calendar.rs
+++ b/ledger/src/calendar.rs
@@ -48,8 +48,12 @@
 
 impl Window {
     fn read(&self) -> Result<(TimeZone, DateTime, DateTime), String> {
-        let zone = TimeZone::get(&self.zone).map_err(|_| format!("zone {} is not known", self.zone))?;
-        let time = |text: &str| text.parse::<DateTime>().map_err(|error| format!("{text}: {error}"));
+        let zone =
+            TimeZone::get(&self.zone).map_err(|_| format!("zone {} is not known", self.zone))?;
+        let time = |text: &str| {
+            text.parse::<DateTime>()
+                .map_err(|error| format!("{text}: {error}"))
+        };
         let (begin, end) = (time(&self.begin)?, time(&self.end)?);
         if end <= begin {
             return Err("it has no length".to_string());
@@ -69,7 +73,10 @@
     fn spans(&self, now_ms: u64) -> Result<Vec<Span>, String> {
         let (zone, begin, end) = self.read()?;
         let now = Timestamp::from_millisecond(i64::try_from(now_ms).unwrap_or(i64::MAX / 2));
-        let now = now.map_err(|error| error.to_string())?.to_zoned(zone.clone()).datetime();
+        let now = now
+            .map_err(|error| error.to_string())?
+            .to_zoned(zone.clone())
+            .datetime();
         let first = match self.every {
             None => 0,
             Some(Every::Year) => i64::from(now.year()) - i64::from(begin.year()) - 1,
@@ -84,10 +91,14 @@
         };
         let mut spans = Vec::new();
         for number in first.max(0)..first.max(0) + count {
-            let (Ok(begin), Ok(end)) = (at(begin, number), at(end, number)) else { break };
+            let (Ok(begin), Ok(end)) = (at(begin, number), at(end, number)) else {
+                break;
+            };
             let early = zone.to_ambiguous_zoned(begin).earlier();
             let late = zone.to_ambiguous_zoned(end).later();
-            let (Ok(begin), Ok(end)) = (early, late) else { break };
+            let (Ok(begin), Ok(end)) = (early, late) else {
+                break;
+            };
             let span = (ms(begin.timestamp()), ms(end.timestamp()));
             if span.1 > now_ms {
                 spans.push(span);
@@ -99,7 +110,13 @@
 
     fn on(&self, until_ms: u64) -> On {
         let (reason, owner) = (self.reason.clone(), self.owner.clone());
-        On { until_ms, scope: self.scope.clone(), holds: self.holds.clone(), reason, owner }
+        On {
+            until_ms,
+            scope: self.scope.clone(),
+            holds: self.holds.clone(),
+            reason,
+            owner,
+        }
     }
 }
 
@@ -111,14 +128,21 @@
     pub fn check(&self) -> Result<(), FreezeError> {
         self.windows.iter().try_for_each(|(name, window)| {
             let read = window.read().map(drop);
-            read.map_err(|problem| FreezeError::Window { window: name.clone(), problem })
+            read.map_err(|problem| FreezeError::Window {
+                window: name.clone(),
+                problem,
+            })
         })
     }
 
     /// Windows that have ended for good.
     pub fn ended(&self, now_ms: u64) -> Vec<&String> {
         let ended = |window: &Window| window.spans(now_ms).is_ok_and(|spans| spans.is_empty());
-        self.windows.iter().filter(|(_, window)| ended(window)).map(|(name, _)| name).collect()
+        self.windows
+            .iter()
+            .filter(|(_, window)| ended(window))
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
@@ -130,8 +154,13 @@
         // of two windows of one name that of the new calendar comes last, and stays on no shorter than the other
         let mut wanted: BTreeMap<&String, On> = BTreeMap::new();
         for (name, window) in calendars.flat_map(|calendar| &calendar.windows) {
-            let spans = window.spans(clocks.earliest().saturating_sub(SKEW_MS)).unwrap_or_default();
-            if let Some((_, end)) = spans.into_iter().find(|(begin, _)| *begin <= clocks.latest() + SKEW_MS) {
+            let spans = window
+                .spans(clocks.earliest().saturating_sub(SKEW_MS))
+                .unwrap_or_default();
+            if let Some((_, end)) = spans
+                .into_iter()
+                .find(|(begin, _)| *begin <= clocks.latest() + SKEW_MS)
+            {
                 let until = wanted.get(name).map_or(end, |on| end.max(on.until_ms));
                 wanted.insert(name, window.on(until));
             }
@@ -143,7 +172,10 @@
         }
         let over = self.on().keys().filter(|name| !wanted.contains_key(name));
         due.extend(over.cloned().map(FreezeEntry::End));
-        if self.glass().is_some_and(|glass| glass.until_ms <= clocks.latest()) {
+        if self
+            .glass()
+            .is_some_and(|glass| glass.until_ms <= clocks.latest())
+        {
             due.push(FreezeEntry::Mend);
         }
         let windows = !self.calendar().windows.is_empty() || self.before().is_some();
@@ -160,7 +192,9 @@
         let soon = windows.flat_map(|(name, window)| {
             let spans = window.spans(clocks.latest()).unwrap_or_default();
             let now = clocks.latest() + SKEW_MS;
-            let next = spans.into_iter().filter(move |(begin, _)| *begin > now && *begin <= now + within_ms);
+            let next = spans
+                .into_iter()
+                .filter(move |(begin, _)| *begin > now && *begin <= now + within_ms);
             next.map(move |(begin, end)| (name.clone(), begin - now, window.on(end)))
         });
         soon.collect()
@@ -191,28 +225,46 @@
     }
 
     fn both(ms: u64) -> Clocks {
-        Clocks { wall_ms: ms, log_ms: ms }
+        Clocks {
+            wall_ms: ms,
+            log_ms: ms,
+        }
     }
 
     fn with(window: Window) -> Freeze {
         let mut freeze = Freeze::default();
-        let calendar = Calendar { windows: [("w".to_string(), window)].into() };
+        let calendar = Calendar {
+            windows: [("w".to_string(), window)].into(),
+        };
         calendar.check().expect("good");
-        freeze.apply(FreezeEntry::Put { calendar, if_match: None }).expect("put");
+        freeze
+            .apply(FreezeEntry::Put {
+                calendar,
+                if_match: None,
+            })
+            .expect("put");
         freeze.apply(FreezeEntry::Settle(1)).expect("settled");
         freeze
     }
 
     /// Has a leader's proposals applied at a time; whether the window is on after that.
     fn on_at(freeze: &mut Freeze, clocks: Clocks) -> bool {
-        freeze.due(clocks).into_iter().for_each(|entry| freeze.apply(entry).expect("applied"));
+        freeze
+            .due(clocks)
+            .into_iter()
+            .for_each(|entry| freeze.apply(entry).expect("applied"));
         assert!(freeze.due(clocks).is_empty(), "nothing is due twice");
         !freeze.on().is_empty()
     }
 
     #[test]
     fn a_window_is_on_by_its_zone_a_little_early_and_a_little_late() {
-        let tet = window("Asia/Ho_Chi_Minh", "2027-02-04T00:00", "2027-02-12T00:00", None);
+        let tet = window(
+            "Asia/Ho_Chi_Minh",
+            "2027-02-04T00:00",
+            "2027-02-12T00:00",
+            None,
+        );
         let mut freeze = with(tet);
         let (begin, end) = (at("2027-02-03T17:00:00Z"), at("2027-02-11T17:00:00Z"));
         for (time, on) in [
@@ -230,52 +282,133 @@
     #[test]
     fn a_clock_that_jumps_neither_opens_a_window_nor_skips_one() {
         let mut freeze = with(window("UTC", "2027-01-01T00:00", "2027-01-02T00:00", None));
-        let (begin, end, day) = (at("2027-01-01T00:00:00Z"), at("2027-01-02T00:00:00Z"), 24 * 3600 * 1000);
+        let (begin, end, day) = (
+            at("2027-01-01T00:00:00Z"),
+            at("2027-01-02T00:00:00Z"),
+            24 * 3600 * 1000,
+        );
         assert!(on_at(&mut freeze, both(begin)));
         // the leader's clock is a day ahead, then a day behind: the log's is carried on
         for wall_ms in [begin + 2 * day, begin - day] {
-            let clocks = Clocks { wall_ms, log_ms: begin + 1000 };
+            let clocks = Clocks {
+                wall_ms,
+                log_ms: begin + 1000,
+            };
             assert!(clocks.differ() && on_at(&mut freeze, clocks));
         }
-        assert!(on_at(&mut freeze, Clocks { wall_ms: end + day, log_ms: end }));
+        assert!(on_at(
+            &mut freeze,
+            Clocks {
+                wall_ms: end + day,
+                log_ms: end
+            }
+        ));
         assert!(!on_at(&mut freeze, both(end + SKEW_MS)));
     }
 
     #[test]
     fn hours_that_a_zone_skips_or_repeats_make_a_window_longer() {
         // clocks go from 02:00 to 03:00, and later from 03:00 to 02:00
-        let spring = window("Europe/Berlin", "2027-03-28T02:30", "2027-03-28T04:00", None);
-        assert_eq!(spring.spans(0), Ok(vec![(at("2027-03-28T00:30:00Z"), at("2027-03-28T02:00:00Z"))]));
-        let autumn = window("Europe/Berlin", "2027-10-31T02:15", "2027-10-31T02:45", None);
-        assert_eq!(autumn.spans(0), Ok(vec![(at("2027-10-31T00:15:00Z"), at("2027-10-31T01:45:00Z"))]));
+        let spring = window(
+            "Europe/Berlin",
+            "2027-03-28T02:30",
+            "2027-03-28T04:00",
+            None,
+        );
+        assert_eq!(
+            spring.spans(0),
+            Ok(vec![(
+                at("2027-03-28T00:30:00Z"),
+                at("2027-03-28T02:00:00Z")
+            )])
+        );
+        let autumn = window(
+            "Europe/Berlin",
+            "2027-10-31T02:15",
+            "2027-10-31T02:45",
+            None,
+        );
+        assert_eq!(
+            autumn.spans(0),
+            Ok(vec![(
+                at("2027-10-31T00:15:00Z"),
+                at("2027-10-31T01:45:00Z")
+            )])
+        );
     }
 
     #[test]
     fn windows_come_again() {
-        let weekly = window("Asia/Ho_Chi_Minh", "2027-01-01T18:00", "2027-01-02T06:00", Some(Every::Week));
+        let weekly = window(
+            "Asia/Ho_Chi_Minh",
+            "2027-01-01T18:00",
+            "2027-01-02T06:00",
+            Some(Every::Week),
+        );
         let spans = weekly.spans(at("2027-03-10T00:00:00Z")).expect("read");
-        assert_eq!(spans[0], (at("2027-03-12T11:00:00Z"), at("2027-03-12T23:00:00Z")));
+        assert_eq!(
+            spans[0],
+            (at("2027-03-12T11:00:00Z"), at("2027-03-12T23:00:00Z"))
+        );
         assert_eq!(spans[1].0 - spans[0].0, 7 * 24 * 3600 * 1000);
-        let yearly = window("UTC", "2024-02-29T00:00", "2024-03-02T00:00", Some(Every::Year));
+        let yearly = window(
+            "UTC",
+            "2024-02-29T00:00",
+            "2024-03-02T00:00",
+            Some(Every::Year),
+        );
         let spans = yearly.spans(at("2026-12-01T00:00:00Z")).expect("read");
-        assert_eq!(spans[0], (at("2027-02-28T00:00:00Z"), at("2027-03-02T00:00:00Z")));
+        assert_eq!(
+            spans[0],
+            (at("2027-02-28T00:00:00Z"), at("2027-03-02T00:00:00Z"))
+        );
         // over the turn of the year
-        let turn = window("UTC", "2025-12-30T00:00", "2026-01-03T00:00", Some(Every::Year));
+        let turn = window(
+            "UTC",
+            "2025-12-30T00:00",
+            "2026-01-03T00:00",
+            Some(Every::Year),
+        );
         let spans = turn.spans(at("2028-01-01T00:00:00Z")).expect("read");
-        assert_eq!(spans[0], (at("2027-12-30T00:00:00Z"), at("2028-01-03T00:00:00Z")));
+        assert_eq!(
+            spans[0],
+            (at("2027-12-30T00:00:00Z"), at("2028-01-03T00:00:00Z"))
+        );
     }
 
     #[test]
     fn what_makes_no_sense_is_named() {
         for (bad, told) in [
-            (window("Asia/Hue", "2027-01-01T00:00", "2027-01-02T00:00", None), "zone Asia/Hue is not known"),
-            (window("UTC", "2027-01-01T00:00", "2027-01-01T00:00", None), "no length"),
-            (window("UTC", "tomorrow", "2027-01-01T00:00", None), "tomorrow"),
-            (window("UTC", "2027-01-01T00:00", "2027-01-09T00:00", Some(Every::Week)), "on again"),
+            (
+                window("Asia/Hue", "2027-01-01T00:00", "2027-01-02T00:00", None),
+                "zone Asia/Hue is not known",
+            ),
+            (
+                window("UTC", "2027-01-01T00:00", "2027-01-01T00:00", None),
+                "no length",
+            ),
+            (
+                window("UTC", "tomorrow", "2027-01-01T00:00", None),
+                "tomorrow",
+            ),
+            (
+                window(
+                    "UTC",
+                    "2027-01-01T00:00",
+                    "2027-01-09T00:00",
+                    Some(Every::Week),
+                ),
+                "on again",
+            ),
         ] {
-            let calendar = Calendar { windows: [("w".to_string(), bad)].into() };
+            let calendar = Calendar {
+                windows: [("w".to_string(), bad)].into(),
+            };
             let error = calendar.check().expect_err(told).to_string();
-            assert!(error.starts_with("window w: ") && error.contains(told), "{error}");
+            assert!(
+                error.starts_with("window w: ") && error.contains(told),
+                "{error}"
+            );
         }
     }
 }
--- a/ledger/src/compact.rs
+++ b/ledger/src/compact.rs
@@ -24,7 +24,10 @@
 pub enum CompactError {
     /// They are of another version, or of something else.
     #[error("the first byte is {0:?}, not {VERSION}")]
-    #[diagnostic(code(ledger::compact::version), help("ask in JSON, or upgrade the older side"))]
+    #[diagnostic(
+        code(ledger::compact::version),
+        help("ask in JSON, or upgrade the older side")
+    )]
     Version(Option<u8>),
     /// They end too soon, are too many, or hold a number that is out of range.
     #[error("malformed: {0}")]
@@ -114,7 +117,8 @@
 
 impl<T> Table<T> {
     fn of(rows: impl Iterator<Item = (Key, T)>) -> Self {
-        let (mut rate, mut out, mut cold, mut named) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (mut rate, mut out, mut cold, mut named) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for (key, row) in rows {
             match key.what() {
                 What::Rate => rate.push((key.place(), row)),
@@ -123,18 +127,35 @@
                 What::Connections(_) | What::Tenant(_) => named.push((key.to_string(), row)),
             }
         }
-        Table { rate: differences(rate), out: differences(out), cold: differences(cold), named }
+        Table {
+            rate: differences(rate),
+            out: differences(out),
+            cold: differences(cold),
+            named,
+        }
     }
 
     fn rows(self) -> Result<Vec<(Key, T)>, CompactError> {
         let mut all = Vec::new();
-        for (rows, what) in [(self.rate, What::Rate), (self.out, What::Out), (self.cold, What::Cold)] {
-            all.extend(places(rows)?.into_iter().map(|(place, row)| (Key::of(place, what.clone()), row)));
+        for (rows, what) in [
+            (self.rate, What::Rate),
+            (self.out, What::Out),
+            (self.cold, What::Cold),
+        ] {
+            all.extend(
+                places(rows)?
+                    .into_iter()
+                    .map(|(place, row)| (Key::of(place, what.clone()), row)),
+            );
         }
         for (text, row) in self.named {
             all.push((text.parse()?, row));
         }
-        if all.len() > NAMES_MOST { Err(CompactError::Many) } else { Ok(all) }
+        if all.len() > NAMES_MOST {
+            Err(CompactError::Many)
+        } else {
+            Ok(all)
+        }
     }
 }
 
@@ -171,7 +192,11 @@
     };
     let malformed = |error: postcard::Error| CompactError::Malformed(error.to_string());
     let (form, left) = postcard::take_from_bytes(rest).map_err(malformed)?;
-    if left.is_empty() { Ok(form) } else { Err(CompactError::Malformed("bytes are left over".to_string())) }
+    if left.is_empty() {
+        Ok(form)
+    } else {
+        Err(CompactError::Malformed("bytes are left over".to_string()))
+    }
 }
 
 impl Question {
@@ -183,9 +208,16 @@
             number: self.number,
             floors: self.floors.clone(),
             zone: self.zone.clone(),
-            wants: Table::of(self.wants.iter().map(|Want { key, want }| (key.clone(), *want))),
+            wants: Table::of(
+                self.wants
+                    .iter()
+                    .map(|Want { key, want }| (key.clone(), *want)),
+            ),
             reports: differences(
-                self.reports.iter().map(|report| (report.destination, report.out)).collect(),
+                self.reports
+                    .iter()
+                    .map(|report| (report.destination, report.out))
+                    .collect(),
             ),
         })
     }
@@ -196,24 +228,56 @@
     /// The bytes are none, or of another version.
     pub fn read(bytes: &[u8]) -> Result<Self, CompactError> {
         let form: QuestionForm = read(bytes)?;
-        let wants = form.wants.rows()?.into_iter().map(|(key, want)| Want { key, want }).collect();
+        let wants = form
+            .wants
+            .rows()?
+            .into_iter()
+            .map(|(key, want)| Want { key, want })
+            .collect();
         let reports = places(form.reports)?;
         if reports.len() > NAMES_MOST {
             return Err(CompactError::Many);
         }
-        let reports = reports.into_iter().map(|(destination, out)| Word { destination, out }).collect();
-        let QuestionForm { sender, life, number, floors, zone, .. } = form;
-        Ok(Question { sender, life, number, floors, zone, wants, reports })
+        let reports = reports
+            .into_iter()
+            .map(|(destination, out)| Word { destination, out })
+            .collect();
+        let QuestionForm {
+            sender,
+            life,
+            number,
+            floors,
+            zone,
+            ..
+        } = form;
+        Ok(Question {
+            sender,
+            life,
+            number,
+            floors,
+            zone,
+            wants,
+            reports,
+        })
     }
 }
 
 impl Answer {
     /// Its bytes.
     pub fn write(&self) -> Vec<u8> {
-        let quota = |quota: &Dealt| (quota.key.clone(), quota.part.map_or(0, |part| part.saturating_add(1)));
+        let quota = |quota: &Dealt| {
+            (
+                quota.key.clone(),
+                quota.part.map_or(0, |part| part.saturating_add(1)),
+            )
+        };
         let lingering = self.quotas.iter().filter(|quota| quota.linger_ms > 0);
-        let verdict =
-            |verdict: &Verdict| (verdict.destination, (verdict.out, verdict.epoch, verdict.observers as u64));
+        let verdict = |verdict: &Verdict| {
+            (
+                verdict.destination,
+                (verdict.out, verdict.epoch, verdict.observers as u64),
+            )
+        };
         written(&AnswerForm {
             lease: self.lease,
             rev: self.rev,
@@ -228,11 +292,22 @@
     /// # Errors
     /// The bytes are none, or of another version.
     pub fn read(bytes: &[u8]) -> Result<Self, CompactError> {
-        let AnswerForm { lease, rev, quotas, lingers, verdicts } = read(bytes)?;
+        let AnswerForm {
+            lease,
+            rev,
+            quotas,
+            lingers,
+            verdicts,
+        } = read(bytes)?;
         let lingers: BTreeMap<Key, u64> = lingers.rows()?.into_iter().collect();
         let quota = |(key, row): (Key, u64)| {
             let linger_ms = lingers.get(&key).copied().unwrap_or(0);
-            Dealt { key, part: row.checked_sub(1), total: None, linger_ms }
+            Dealt {
+                key,
+                part: row.checked_sub(1),
+                total: None,
+                linger_ms,
+            }
         };
         let verdict = |(destination, (out, epoch, observers))| Verdict {
             destination,
--- a/ledger/src/freeze.rs
+++ b/ledger/src/freeze.rs
@@ -65,7 +65,12 @@
 impl Matter {
     /// One that concerns all.
     pub fn of_all(widening: Widening) -> Self {
-        Matter { widening, zones: Vec::new(), destinations: Vec::new(), tenants: Vec::new() }
+        Matter {
+            widening,
+            zones: Vec::new(),
+            destinations: Vec::new(),
+            tenants: Vec::new(),
+        }
     }
 }
 
@@ -91,17 +96,31 @@
     fn touches(&self, matter: &Matter) -> bool {
         self.is_all()
             || matter.zones.iter().any(|zone| self.zones.contains(zone))
-            || matter.destinations.iter().any(|destination| self.destinations.contains(destination))
-            || matter.tenants.iter().any(|tenant| self.tenants.contains(tenant))
+            || matter
+                .destinations
+                .iter()
+                .any(|destination| self.destinations.contains(destination))
+            || matter
+                .tenants
+                .iter()
+                .any(|tenant| self.tenants.contains(tenant))
     }
 
     /// Whether a change has to do with nothing else.
     fn covers(&self, matter: &Matter) -> bool {
-        let Matter { zones, destinations, tenants, .. } = matter;
+        let Matter {
+            zones,
+            destinations,
+            tenants,
+            ..
+        } = matter;
         let zones = !zones.is_empty() && zones.iter().all(|zone| self.zones.contains(zone));
         let destinations = !destinations.is_empty()
-            && destinations.iter().all(|destination| self.destinations.contains(destination));
-        let tenants = !tenants.is_empty() && tenants.iter().all(|tenant| self.tenants.contains(tenant));
+            && destinations
+                .iter()
+                .all(|destination| self.destinations.contains(destination));
+        let tenants =
+            !tenants.is_empty() && tenants.iter().all(|tenant| self.tenants.contains(tenant));
         self.is_all() || zones || destinations || tenants
     }
 }
@@ -242,7 +261,10 @@
     },
     /// A batch relieves and widens.
     #[error("window {0} holds a part of the batch, and the rest relieves: nothing of it is done")]
-    #[diagnostic(code(freeze::mixed), help("send what relieves by itself: it passes at any time"))]
+    #[diagnostic(
+        code(freeze::mixed),
+        help("send what relieves by itself: it passes at any time")
+    )]
     Mixed(String),
     /// It would leave a destination without an endpoint.
     #[error("window {window}: destination {destination} would be left without an endpoint")]
@@ -299,7 +321,10 @@
     Glass(&'static str),
     /// It is whole.
     #[error("the glass is whole")]
-    #[diagnostic(code(freeze::whole), help("nothing is to be done: all windows that are on hold"))]
+    #[diagnostic(
+        code(freeze::whole),
+        help("nothing is to be done: all windows that are on hold")
+    )]
     Whole,
 }
 
@@ -324,7 +349,10 @@
         match entry {
             FreezeEntry::Put { calendar, if_match } => {
                 if let Some(wanted) = if_match.filter(|wanted| *wanted != self.rev) {
-                    return Err(FreezeError::Version { now: self.rev, wanted });
+                    return Err(FreezeError::Version {
+                        now: self.rev,
+                        wanted,
+                    });
                 }
                 if calendar == self.calendar {
                     return Ok(());
@@ -345,7 +373,11 @@
             FreezeEntry::End(name) => drop(self.on.remove(&name)),
             FreezeEntry::Break { glass, now_ms } => {
                 let two = glass.by.len() == 2 && glass.by[0] != glass.by[1];
-                let named = glass.by.iter().chain([&glass.reason]).all(|text| is_text(text));
+                let named = glass
+                    .by
+                    .iter()
+                    .chain([&glass.reason])
+                    .all(|text| is_text(text));
                 if !two || !named {
                     return Err(FreezeError::Glass("it takes two names and a reason"));
                 }
@@ -409,12 +441,24 @@
 /// # Errors
 /// Names the first window that holds one of them.
 pub fn judge(
-    on: &BTreeMap<String, On>, glass: Option<&Glass>, matters: &[Matter], relieves: bool,
+    on: &BTreeMap<String, On>,
+    glass: Option<&Glass>,
+    matters: &[Matter],
+    relieves: bool,
 ) -> Result<(), FreezeError> {
     for matter in matters {
         let broken = glass.is_some_and(|glass| glass.scope.covers(matter));
         let held = on.iter().find(|(_, on)| !broken && on.holds(matter));
-        if let Some((window, On { until_ms, reason, owner, .. })) = held {
+        if let Some((
+            window,
+            On {
+                until_ms,
+                reason,
+                owner,
+                ..
+            },
+        )) = held
+        {
             let window = window.clone();
             if relieves {
                 return Err(FreezeError::Mixed(window));
@@ -446,7 +490,10 @@
             let texts = [name, &window.zone, &window.reason, &window.owner];
             if !texts.into_iter().all(|text| is_text(text)) {
                 let problem = "name, zone, reason and owner have 1 to 256 bytes".to_string();
-                return Err(FreezeError::Window { window: name.clone(), problem });
+                return Err(FreezeError::Window {
+                    window: name.clone(),
+                    problem,
+                });
             }
         }
         Ok(())
@@ -459,28 +506,64 @@
 
     fn on(scope: Scope, holds: &[Widening]) -> On {
         let (reason, owner) = ("term begins".to_string(), "lan".to_string());
-        On { until_ms: 9, scope, holds: holds.iter().copied().collect(), reason, owner }
+        On {
+            until_ms: 9,
+            scope,
+            holds: holds.iter().copied().collect(),
+            reason,
+            owner,
+        }
     }
 
     fn added(zone: &str, destination: u64) -> Matter {
         let (zones, destinations) = (vec![zone.to_string()], vec![destination]);
-        Matter { zones, destinations, ..Matter::of_all(Widening::Added) }
+        Matter {
+            zones,
+            destinations,
+            ..Matter::of_all(Widening::Added)
+        }
     }
 
     #[test]
     fn a_window_holds_what_it_names_and_nothing_else() {
         let mut freeze = Freeze::default();
-        let seven = Scope { destinations: [7].into(), ..Scope::default() };
-        freeze.apply(FreezeEntry::Begin("w".into(), on(seven.clone(), &[Widening::Added]))).expect("begun");
-        assert!(matches!(freeze.judge(&[added("a", 7)], false), Err(FreezeError::Held { until_ms: 9, .. })));
+        let seven = Scope {
+            destinations: [7].into(),
+            ..Scope::default()
+        };
+        freeze
+            .apply(FreezeEntry::Begin(
+                "w".into(),
+                on(seven.clone(), &[Widening::Added]),
+            ))
+            .expect("begun");
+        assert!(matches!(
+            freeze.judge(&[added("a", 7)], false),
+            Err(FreezeError::Held { until_ms: 9, .. })
+        ));
         assert_eq!(freeze.judge(&[added("a", 8)], false), Ok(()));
-        let raised = Matter { widening: Widening::Raised, ..added("a", 7) };
+        let raised = Matter {
+            widening: Widening::Raised,
+            ..added("a", 7)
+        };
         assert_eq!(freeze.judge(&[raised], false), Ok(()));
-        assert_eq!(freeze.judge(&[added("a", 7)], true), Err(FreezeError::Mixed("w".into())));
+        assert_eq!(
+            freeze.judge(&[added("a", 7)], true),
+            Err(FreezeError::Mixed("w".into()))
+        );
         // of all: rules and replicas too
-        assert_eq!(freeze.judge(&[Matter::of_all(Widening::Rules)], false), Ok(()));
-        freeze.apply(FreezeEntry::Begin("v".into(), on(Scope::default(), &[]))).expect("begun");
-        assert!(freeze.judge(&[Matter::of_all(Widening::Rules)], false).is_err());
+        assert_eq!(
+            freeze.judge(&[Matter::of_all(Widening::Rules)], false),
+            Ok(())
+        );
+        freeze
+            .apply(FreezeEntry::Begin("v".into(), on(Scope::default(), &[])))
+            .expect("begun");
+        assert!(
+            freeze
+                .judge(&[Matter::of_all(Widening::Rules)], false)
+                .is_err()
+        );
         freeze.apply(FreezeEntry::End("v".into())).expect("ended");
         freeze.apply(FreezeEntry::End("w".into())).expect("ended");
         assert_eq!(freeze.judge(&[added("a", 7)], false), Ok(()));
@@ -489,12 +572,25 @@
     #[test]
     fn the_glass_takes_two_names_an_end_and_lets_its_scope_through() {
         let mut freeze = Freeze::default();
-        freeze.apply(FreezeEntry::Begin("w".into(), on(Scope::default(), &[]))).expect("begun");
-        let seven = Scope { destinations: [7].into(), ..Scope::default() };
+        freeze
+            .apply(FreezeEntry::Begin("w".into(), on(Scope::default(), &[])))
+            .expect("begun");
+        let seven = Scope {
+            destinations: [7].into(),
+            ..Scope::default()
+        };
         let glass = |by: &[&str], until_ms| {
             let by = by.iter().map(|name| name.to_string()).collect();
-            let glass = Glass { by, reason: "pump fails".into(), scope: seven.clone(), until_ms };
-            FreezeEntry::Break { glass, now_ms: 1000 }
+            let glass = Glass {
+                by,
+                reason: "pump fails".into(),
+                scope: seven.clone(),
+                until_ms,
+            };
+            FreezeEntry::Break {
+                glass,
+                now_ms: 1000,
+            }
         };
         for bad in [
             glass(&["lan"], 2000),
@@ -508,7 +604,11 @@
         assert_eq!(freeze.judge(&[added("a", 7)], false), Ok(()));
         assert!(freeze.judge(&[added("a", 8)], false).is_err());
         // one that moves between a destination in scope and one that is not
-        let moved = Matter { destinations: vec![7, 8], zones: vec![], ..added("a", 7) };
+        let moved = Matter {
+            destinations: vec![7, 8],
+            zones: vec![],
+            ..added("a", 7)
+        };
         assert!(freeze.judge(&[moved], false).is_err());
         freeze.apply(FreezeEntry::Mend).expect("mended");
         assert!(freeze.judge(&[added("a", 7)], false).is_err());
@@ -528,13 +628,26 @@
             reason: "r".into(),
             owner: "o".into(),
         };
-        let one = Calendar { windows: [("w".to_string(), window)].into() };
-        let put = |calendar: &Calendar, if_match| FreezeEntry::Put { calendar: calendar.clone(), if_match };
+        let one = Calendar {
+            windows: [("w".to_string(), window)].into(),
+        };
+        let put = |calendar: &Calendar, if_match| FreezeEntry::Put {
+            calendar: calendar.clone(),
+            if_match,
+        };
         freeze.apply(put(&one, Some(0))).expect("put");
-        freeze.apply(put(&one, None)).expect("the same makes no version");
+        freeze
+            .apply(put(&one, None))
+            .expect("the same makes no version");
         let none = Calendar::default();
-        assert_eq!(freeze.apply(put(&none, Some(0))), Err(FreezeError::Version { now: 1, wanted: 0 }));
-        assert_eq!(freeze.apply(put(&none, None)), Err(FreezeError::UnderWay(1)));
+        assert_eq!(
+            freeze.apply(put(&none, Some(0))),
+            Err(FreezeError::Version { now: 1, wanted: 0 })
+        );
+        assert_eq!(
+            freeze.apply(put(&none, None)),
+            Err(FreezeError::UnderWay(1))
+        );
         freeze.apply(FreezeEntry::Settle(0)).expect("no fault");
         assert_eq!(freeze.before(), Some(&none));
         freeze.apply(FreezeEntry::Settle(1)).expect("settled");
--- a/ledger/src/gate.rs
+++ b/ledger/src/gate.rs
@@ -60,32 +60,60 @@
 impl Gate {
     /// Of a sender that starts now, and holds what widens for so long unless it hears of the calendar.
     pub fn new(now: Micros, unknown: Micros) -> Self {
-        Gate { unknown_until: now + unknown, known: None }
+        Gate {
+            unknown_until: now + unknown,
+            known: None,
+        }
     }
 
     /// The registry's answer to a question that was asked then. A broken glass counts for no longer than `fresh`
     /// without another answer.
     pub fn hear(&mut self, asked: Micros, now: Micros, fresh: Micros, news: News) {
         let windows = news.on.into_iter().chain(news.soon).map(|told| {
-            let (begins, ends) =
-                (told.begins_in_ms.saturating_mul(1000), told.ends_in_ms.saturating_mul(1000));
-            (asked + (begins - begins / DRIFT), now.saturating_add(ends).saturating_add(ends / DRIFT), told)
+            let (begins, ends) = (
+                told.begins_in_ms.saturating_mul(1000),
+                told.ends_in_ms.saturating_mul(1000),
+            );
+            (
+                asked + (begins - begins / DRIFT),
+                now.saturating_add(ends).saturating_add(ends / DRIFT),
+                told,
+            )
         });
         let lasts = news.glass_ends_in_ms.saturating_mul(1000);
-        let glass = news.glass.map(|glass| (glass, asked + (lasts - lasts / DRIFT).min(fresh)));
-        self.known = Some(Known { rev: news.rev, windows: windows.collect(), glass });
+        let glass = news
+            .glass
+            .map(|glass| (glass, asked + (lasts - lasts / DRIFT).min(fresh)));
+        self.known = Some(Known {
+            rev: news.rev,
+            windows: windows.collect(),
+            glass,
+        });
     }
 
     /// The windows that are on.
     pub fn on(&self, now: Micros) -> BTreeMap<String, On> {
         let Some(known) = &self.known else {
-            let (reason, owner) = ("the calendar is not known".to_string(), "this sender".to_string());
-            let on = On { until_ms: 0, scope: Default::default(), holds: Default::default(), reason, owner };
+            let (reason, owner) = (
+                "the calendar is not known".to_string(),
+                "this sender".to_string(),
+            );
+            let on = On {
+                until_ms: 0,
+                scope: Default::default(),
+                holds: Default::default(),
+                reason,
+                owner,
+            };
             let unknown = (now < self.unknown_until).then(|| (UNKNOWN.to_string(), on));
             return unknown.into_iter().collect();
         };
-        let on = known.windows.iter().filter(|(begin, end, _)| *begin <= now && now < *end);
-        on.map(|(_, _, told)| (told.window.clone(), told.on.clone())).collect()
+        let on = known
+            .windows
+            .iter()
+            .filter(|(begin, end, _)| *begin <= now && now < *end);
+        on.map(|(_, _, told)| (told.window.clone(), told.on.clone()))
+            .collect()
     }
 
     /// Judges a change that widens.
@@ -94,7 +122,9 @@
     /// A window holds it.
     pub fn judge(&self, now: Micros, matter: &Matter) -> Result<(), FreezeError> {
         let glass = self.known.as_ref().and_then(|known| known.glass.as_ref());
-        let glass = glass.filter(|(_, until)| now < *until).map(|(glass, _)| glass);
+        let glass = glass
+            .filter(|(_, until)| now < *until)
+            .map(|(glass, _)| glass);
         judge(&self.on(now), glass, std::slice::from_ref(matter), false)
     }
 
@@ -146,12 +176,29 @@
 
     fn told(begins_in_ms: u64, ends_in_ms: u64) -> Told {
         let (reason, owner) = ("r".to_string(), "o".to_string());
-        let on = On { until_ms: 1, scope: Default::default(), holds: Default::default(), reason, owner };
-        Told { window: "w".to_string(), begins_in_ms, ends_in_ms, on }
+        let on = On {
+            until_ms: 1,
+            scope: Default::default(),
+            holds: Default::default(),
+            reason,
+            owner,
+        };
+        Told {
+            window: "w".to_string(),
+            begins_in_ms,
+            ends_in_ms,
+            on,
+        }
     }
 
     fn news(on: Vec<Told>, soon: Vec<Told>) -> News {
-        News { rev: 1, on, soon, glass: None, glass_ends_in_ms: 0 }
+        News {
+            rev: 1,
+            on,
+            soon,
+            glass: None,
+            glass_ends_in_ms: 0,
+        }
     }
 
     fn held(gate: &Gate, now: Micros) -> bool {
@@ -170,7 +217,12 @@
     fn one_that_hears_nothing_more_goes_by_what_it_knows_on_the_strict_side() {
         let mut gate = Gate::new(0, 0);
         // asked at 10, answered at 11: on in 100 s, over in 200 s
-        gate.hear(10 * SECOND, 11 * SECOND, SECOND, news(vec![], vec![told(100_000, 200_000)]));
+        gate.hear(
+            10 * SECOND,
+            11 * SECOND,
+            SECOND,
+            news(vec![], vec![told(100_000, 200_000)]),
+        );
         for (at, on) in [(108, false), (109, true), (212, true), (213, false)] {
             assert_eq!(held(&gate, at * SECOND), on, "at {at} s");
         }
@@ -185,23 +237,41 @@
             scope: Default::default(),
             until_ms: 9,
         };
-        let news =
-            News { glass: Some(glass), glass_ends_in_ms: 600_000, ..news(vec![told(0, 900_000)], vec![]) };
+        let news = News {
+            glass: Some(glass),
+            glass_ends_in_ms: 600_000,
+            ..news(vec![told(0, 900_000)], vec![])
+        };
         gate.hear(SECOND, SECOND, 3 * SECOND, news);
         assert!(!held(&gate, 3 * SECOND) && held(&gate, 4 * SECOND));
     }
 
     #[test]
     fn what_relieves_widens_nothing() {
-        let seen = |up, destination, weight| Seen { up, destination, zone: "a".into(), weight };
-        let kind = |before: Option<&Seen>, after| widens(before, &after).map(|matter| matter.widening);
+        let seen = |up, destination, weight| Seen {
+            up,
+            destination,
+            zone: "a".into(),
+            weight,
+        };
+        let kind =
+            |before: Option<&Seen>, after| widens(before, &after).map(|matter| matter.widening);
         let before = seen(true, 7, 1.0);
         assert_eq!(kind(None, seen(true, 7, 1.0)), Some(Widening::Added));
         assert_eq!(kind(None, seen(false, 7, 1.0)), None);
         assert_eq!(kind(Some(&before), seen(false, 7, 2.0)), None);
-        assert_eq!(kind(Some(&before), seen(true, 8, 1.0)), Some(Widening::Moved));
-        assert_eq!(kind(Some(&before), seen(true, 7, 1.5)), Some(Widening::Raised));
+        assert_eq!(
+            kind(Some(&before), seen(true, 8, 1.0)),
+            Some(Widening::Moved)
+        );
+        assert_eq!(
+            kind(Some(&before), seen(true, 7, 1.5)),
+            Some(Widening::Raised)
+        );
         assert_eq!(kind(Some(&before), seen(true, 7, 0.5)), None);
-        assert_eq!(kind(Some(&seen(false, 7, 1.0)), seen(true, 7, 1.0)), Some(Widening::Back));
+        assert_eq!(
+            kind(Some(&seen(false, 7, 1.0)), seen(true, 7, 1.0)),
+            Some(Widening::Back)
+        );
     }
 }
--- a/ledger/src/holder.rs
+++ b/ledger/src/holder.rs
@@ -20,7 +20,9 @@
         if self.dealt.part.is_none() && now < self.until {
             return Some((None, self.until));
         }
-        self.grants.most(now).map(|(part, until)| (Some(part), until))
+        self.grants
+            .most(now)
+            .map(|(part, until)| (Some(part), until))
     }
 }
 
@@ -45,16 +47,30 @@
 impl Holder {
     /// A sender that has just started.
     pub fn new(floors: Floors) -> Self {
-        Holder { floors, parts: BTreeMap::new(), number: 0, asked: 0 }
+        Holder {
+            floors,
+            parts: BTreeMap::new(),
+            number: 0,
+            asked: 0,
+        }
     }
 
     /// Asks for parts: the question's number, and the wants as the keeper is to see them.
-    pub fn ask(&mut self, now: Micros, wanted: impl IntoIterator<Item = Wanted>) -> (u64, Vec<Want>) {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        wanted: impl IntoIterator<Item = Wanted>,
+    ) -> (u64, Vec<Want>) {
         self.number += 1;
         self.asked = now;
-        self.parts.values_mut().for_each(|part| part.grants.lapse(now));
-        self.parts.retain(|_, part| part.until > now || !part.grants.is_empty());
-        let wants = wanted.into_iter().map(|Wanted { key, want }| Want { key, want });
+        self.parts
+            .values_mut()
+            .for_each(|part| part.grants.lapse(now));
+        self.parts
+            .retain(|_, part| part.until > now || !part.grants.is_empty());
+        let wants = wanted
+            .into_iter()
+            .map(|Wanted { key, want }| Want { key, want });
         (self.number, wants.collect())
     }
 
@@ -66,9 +82,23 @@
         }
         let until = self.asked + lease;
         for dealt in dealt {
-            let mut grants = self.parts.remove(&dealt.key).map(|part| part.grants).unwrap_or_default();
-            dealt.part.into_iter().for_each(|part| grants.push(part, until));
-            self.parts.insert(dealt.key.clone(), Part { dealt, until, grants });
+            let mut grants = self
+                .parts
+                .remove(&dealt.key)
+                .map(|part| part.grants)
+                .unwrap_or_default();
+            dealt
+                .part
+                .into_iter()
+                .for_each(|part| grants.push(part, until));
+            self.parts.insert(
+                dealt.key.clone(),
+                Part {
+                    dealt,
+                    until,
+                    grants,
+                },
+            );
         }
         true
     }
@@ -88,7 +118,10 @@
 
     /// Until when what was allocated of a limit lasts; the time that is passed in where nothing does.
     pub fn lasts_until(&self, now: Micros, key: &Key) -> Micros {
-        self.parts.get(key).and_then(|part| part.at(now)).map_or(now, |(_, until)| until)
+        self.parts
+            .get(key)
+            .and_then(|part| part.at(now))
+            .map_or(now, |(_, until)| until)
     }
 
     /// The floors.
--- a/ledger/src/keys.rs
+++ b/ledger/src/keys.rs
@@ -42,13 +42,19 @@
     pub fn of(destination: u64, what: What) -> Self {
         match what {
             What::Tenant(name) => Key::tenant(&name),
-            what => Key { place: destination, what },
+            what => Key {
+                place: destination,
+                what,
+            },
         }
     }
 
     /// Of a tenant: it belongs to no destination, so its name says in which range it lies.
     pub fn tenant(name: &str) -> Self {
-        Key { place: u64::from(crc32fast::hash(name.as_bytes())), what: What::Tenant(name.to_string()) }
+        Key {
+            place: u64::from(crc32fast::hash(name.as_bytes())),
+            what: What::Tenant(name.to_string()),
+        }
     }
 
     /// What orders keys into ranges.
@@ -105,12 +111,20 @@
 
     fn from_str(text: &str) -> Result<Self, BadKey> {
         let bad = || BadKey(text.chars().take(NAME_MOST).collect());
-        let named = |name: &str| (1..=NAME_MOST).contains(&name.len()).then(|| name.to_string());
+        let named = |name: &str| {
+            (1..=NAME_MOST)
+                .contains(&name.len())
+                .then(|| name.to_string())
+        };
         let (kind, rest) = text.split_once('/').ok_or_else(bad)?;
         let number = |text: &str| {
             // one text for one key: no sign, no leading zero
             let number: u64 = text.parse().map_err(|_| bad())?;
-            if number.to_string() == text { Ok(number) } else { Err(bad()) }
+            if number.to_string() == text {
+                Ok(number)
+            } else {
+                Err(bad())
+            }
         };
         match kind {
             "rate" => Ok(Key::of(number(rest)?, What::Rate)),
@@ -118,7 +132,10 @@
             "cold" => Ok(Key::of(number(rest)?, What::Cold)),
             "connections" => {
                 let (destination, uid) = rest.split_once('/').ok_or_else(bad)?;
-                Ok(Key::of(number(destination)?, What::Connections(named(uid).ok_or_else(bad)?)))
+                Ok(Key::of(
+                    number(destination)?,
+                    What::Connections(named(uid).ok_or_else(bad)?),
+                ))
             }
             "tenant" => Ok(Key::tenant(&named(rest).ok_or_else(bad)?)),
             _ => Err(bad()),
@@ -168,9 +185,17 @@
 
     #[test]
     fn what_names_nothing_is_refused() {
-        for text in
-            ["rate", "rate/", "rate/x", "rate/07", "rate/-1", "out/1/2", "connections/7", "tenant/", "x/1"]
-        {
+        for text in [
+            "rate",
+            "rate/",
+            "rate/x",
+            "rate/07",
+            "rate/-1",
+            "out/1/2",
+            "connections/7",
+            "tenant/",
+            "x/1",
+        ] {
             assert_eq!(text.parse::<Key>(), Err(BadKey(text.to_string())));
         }
     }
--- a/ledger/src/limits.rs
+++ b/ledger/src/limits.rs
@@ -26,7 +26,10 @@
 impl Floors {
     /// One sender's floor of a key.
     pub fn of(&self, key: &Key) -> u64 {
-        let named = self.each.get(&key.to_string()).or_else(|| self.each.get(key.kind()));
+        let named = self
+            .each
+            .get(&key.to_string())
+            .or_else(|| self.each.get(key.kind()));
         named.copied().unwrap_or(0).min(TOTAL_MOST)
     }
 
@@ -79,7 +82,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LimitError {
     /// Floors alone are more.
-    #[error("{key}: {senders} senders have a floor of {floor} each, which is more than {total} together")]
+    #[error(
+        "{key}: {senders} senders have a floor of {floor} each, which is more than {total} together"
+    )]
     #[diagnostic(
         code(ledger::limit::floors),
         help(
@@ -139,7 +144,12 @@
         }
         if floors.sum(key) > self.total {
             let (senders, floor, total) = (floors.senders, floors.of(key), self.total);
-            return Err(LimitError::Floors { key: key.clone(), senders, floor, total });
+            return Err(LimitError::Floors {
+                key: key.clone(),
+                senders,
+                floor,
+                total,
+            });
         }
         Ok(())
     }
@@ -152,12 +162,16 @@
 
     #[test]
     fn no_limit_is_below_its_floors_and_each_no_says_what_to_do() {
-        let each =
-            [("rate", 5), ("rate/7", 20), ("out", 0)].map(|(name, floor)| (name.to_string(), floor)).into();
+        let each = [("rate", 5), ("rate/7", 20), ("out", 0)]
+            .map(|(name, floor)| (name.to_string(), floor))
+            .into();
         let floors = Floors { senders: 10, each };
         let (other, seven) = (Key::of(3, What::Rate), Key::of(7, What::Rate));
         let out = Key::of(7, What::Out);
-        assert_eq!((floors.of(&other), floors.of(&seven), floors.of(&out)), (5, 20, 0));
+        assert_eq!(
+            (floors.of(&other), floors.of(&seven), floors.of(&out)),
+            (5, 20, 0)
+        );
         let check = |key: &Key, total, linger_ms| Limit { total, linger_ms }.check(&floors, key);
         assert_eq!(check(&seven, 200, 0), Ok(()));
         assert_eq!(check(&out, 3, 500), Ok(()));
--- a/ledger/src/naming.rs
+++ b/ledger/src/naming.rs
@@ -55,7 +55,12 @@
 impl Naming {
     /// The wants that the next question names, `room` of them at most. `list` is the number of keys that could be named.
     pub fn choose(
-        &mut self, now: Micros, holder: &Holder, lease: Micros, demand: Vec<KeyDemand>, list: usize,
+        &mut self,
+        now: Micros,
+        holder: &Holder,
+        lease: Micros,
+        demand: Vec<KeyDemand>,
+        list: usize,
         room: usize,
     ) -> Vec<Wanted> {
         let room = room.min(NAMES_MOST);
@@ -63,11 +68,15 @@
         if list <= room {
             return demand.into_iter().map(|demand| demand.wanted).collect();
         }
-        let (mut waiting, mut in_use, mut sick) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (mut waiting, mut in_use, mut sick) =
+            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for demand in demand {
             let key = demand.wanted.key.clone();
             let lasts = holder.lasts_until(now, &key).saturating_sub(now);
-            let calls = self.named.get(&key).map_or(0, |named| demand.calls.saturating_sub(named.calls));
+            let calls = self
+                .named
+                .get(&key)
+                .map_or(0, |named| demand.calls.saturating_sub(named.calls));
             if demand.sick {
                 sick.insert(key, demand);
             } else if demand.waiting && holder.lacks(now, &key) {
@@ -81,7 +90,13 @@
             take_turns(demands, turn, room, &mut chosen);
         }
         for demand in &chosen {
-            self.named.insert(demand.wanted.key.clone(), Named { calls: demand.calls, at: now });
+            self.named.insert(
+                demand.wanted.key.clone(),
+                Named {
+                    calls: demand.calls,
+                    at: now,
+                },
+            );
         }
         chosen.into_iter().map(|demand| demand.wanted).collect()
     }
@@ -89,12 +104,18 @@
 
 /// Adds demands until `room` are chosen, from `turn` on and then from the beginning; the next turn begins behind them.
 fn take_turns(
-    mut demands: BTreeMap<Key, KeyDemand>, turn: &mut Option<Key>, room: usize, chosen: &mut Vec<KeyDemand>,
+    mut demands: BTreeMap<Key, KeyDemand>,
+    turn: &mut Option<Key>,
+    room: usize,
+    chosen: &mut Vec<KeyDemand>,
 ) {
     let later = match turn.as_ref() {
-        Some(first) => {
-            demands.extract_if((Bound::Included(first.clone()), Bound::Unbounded), |_, _| true).collect()
-        }
+        Some(first) => demands
+            .extract_if(
+                (Bound::Included(first.clone()), Bound::Unbounded),
+                |_, _| true,
+            )
+            .collect(),
         None => Vec::new(),
     };
     let mut in_turn = later.into_iter().chain(demands);
@@ -123,7 +144,11 @@
 impl ByteBudget {
     /// A budget of so many bytes a second that begins full, a lease's worth.
     pub fn new(rate: u64, lease: Micros, now: Micros) -> Self {
-        let mut budget = ByteBudget { rate, tokens: 0, at: now };
+        let mut budget = ByteBudget {
+            rate,
+            tokens: 0,
+            at: now,
+        };
         budget.tokens = budget.most(lease);
         budget
     }
@@ -132,10 +157,15 @@
     pub fn room(&mut self, now: Micros, lease: Micros) -> usize {
         let earned = now.saturating_sub(self.at).saturating_mul(self.rate) / 1_000_000;
         if earned > 0 {
-            self.tokens = self.tokens.saturating_add_unsigned(earned).min(self.most(lease));
+            self.tokens = self
+                .tokens
+                .saturating_add_unsigned(earned)
+                .min(self.most(lease));
             self.at = now;
         }
-        let bytes = u64::try_from(self.tokens).unwrap_or(0).saturating_sub(HEADS_BYTES);
+        let bytes = u64::try_from(self.tokens)
+            .unwrap_or(0)
+            .saturating_sub(HEADS_BYTES);
         usize::try_from(bytes / NAME_BYTES).unwrap_or(usize::MAX)
     }
 
--- a/ledger/src/parts.rs
+++ b/ledger/src/parts.rs
@@ -50,7 +50,11 @@
 impl Grants {
     /// A further part. Those that end no later and are no larger are forgotten.
     pub(crate) fn push(&mut self, part: u64, until: Micros) {
-        if !self.0.iter().any(|(other, end)| *other >= part && *end >= until) {
+        if !self
+            .0
+            .iter()
+            .any(|(other, end)| *other >= part && *end >= until)
+        {
             self.0.retain(|(other, end)| *other > part || *end > until);
             self.0.push((part, until));
         }
@@ -63,7 +67,11 @@
 
     /// The largest that lasts, and until when.
     pub(crate) fn most(&self, now: Micros) -> Option<(u64, Micros)> {
-        self.0.iter().filter(|(_, until)| *until > now).copied().max()
+        self.0
+            .iter()
+            .filter(|(_, until)| *until > now)
+            .copied()
+            .max()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -113,7 +121,11 @@
 impl Keeper {
     /// One that begins now, and does not know what one before it has dealt.
     pub fn new(terms: Terms, now: Micros) -> Self {
-        Keeper { terms, from: now + terms.longest(), accounts: BTreeMap::new() }
+        Keeper {
+            terms,
+            from: now + terms.longest(),
+            accounts: BTreeMap::new(),
+        }
     }
 
     /// When it begins to deal.
@@ -123,7 +135,14 @@
 
     /// A sender's life asks. To be called only once a majority has confirmed, after the question came in, that this is
     /// still the keeper: the next one waits no longer than the leases that were asked for before it was named.
-    pub fn deal(&mut self, now: Micros, sender: u64, want: &Want, limit: Limit, floors: &Floors) -> Dealt {
+    pub fn deal(
+        &mut self,
+        now: Micros,
+        sender: u64,
+        want: &Want,
+        limit: Limit,
+        floors: &Floors,
+    ) -> Dealt {
         let Want { key, want } = want;
         let (terms, linger) = (self.terms, limit.linger_ms * 1000);
         let pool = limit.total.saturating_sub(floors.sum(key));
@@ -135,40 +154,59 @@
         let held = account.held.get(&sender).map_or(0, |held| held.most(now));
         let others = account.out - held;
         let first_come = account.turn(now, sender, terms);
-        let fair = account.level.saturating_mul(unit) + if first_come < account.extra { unit } else { 0 };
+        let fair =
+            account.level.saturating_mul(unit) + if first_come < account.extra { unit } else { 0 };
         let target = (*want).min(fair).saturating_add(account.spare);
         // the one line: what others may still use is not dealt again
-        let left = if now < self.from { 0 } else { pool.saturating_sub(others) };
+        let left = if now < self.from {
+            0
+        } else {
+            pool.saturating_sub(others)
+        };
         let part = target.min(left);
         let until = now + terms.longest() + linger;
         if let Some(held) = account.held.get_mut(&sender) {
             held.grants.push(part, until);
             account.out = others + held.most(now);
         }
-        Dealt { key: key.clone(), part: Some(part), total: Some(limit.total), linger_ms: limit.linger_ms }
+        Dealt {
+            key: key.clone(),
+            part: Some(part),
+            total: Some(limit.total),
+            linger_ms: limit.linger_ms,
+        }
     }
 
     /// Takes over what another keeper of the same replica has dealt of these keys, whose range is this one's now.
     pub fn take_over(&mut self, other: &mut Keeper, theirs: impl Fn(&Key) -> bool) {
-        self.accounts.extend(other.accounts.extract_if(.., |key, _| theirs(key)));
+        self.accounts
+            .extend(other.accounts.extract_if(.., |key, _| theirs(key)));
         // this one knows all that was dealt of its keys
         self.from = other.from;
     }
 
     /// Forgets what has lapsed.
     pub fn forget(&mut self, now: Micros) {
-        self.accounts.values_mut().for_each(|account| account.lapse(now));
+        self.accounts
+            .values_mut()
+            .for_each(|account| account.lapse(now));
         self.accounts.retain(|_, account| !account.held.is_empty());
     }
 
     /// Each key that was asked for, what is out of it, and how many hold or want some.
     pub fn accounts(&self) -> impl Iterator<Item = (&Key, u64, usize)> {
-        self.accounts.iter().map(|(key, account)| (key, account.out, account.held.len()))
+        self.accounts
+            .iter()
+            .map(|(key, account)| (key, account.out, account.held.len()))
     }
 
     /// What one sender may still use of a key, and wants.
     pub fn held(&self, now: Micros, key: &Key) -> impl Iterator<Item = (u64, u64, u64)> {
-        let held = self.accounts.get(key).into_iter().flat_map(|account| &account.held);
+        let held = self
+            .accounts
+            .get(key)
+            .into_iter()
+            .flat_map(|account| &account.held);
         held.map(move |(sender, held)| (*sender, held.most(now), held.want))
     }
 }
@@ -176,20 +214,30 @@
 /// The least that is worth dealing: one call in a lease, or one at once. A smaller part of a rate would be worth nothing
 /// within a message's time.
 fn unit(key: &Key, terms: Terms) -> u64 {
-    if key.is_rate() { (1_000_000_000 / terms.lease.max(1)).max(1) } else { 1 }
+    if key.is_rate() {
+        (1_000_000_000 / terms.lease.max(1)).max(1)
+    } else {
+        1
+    }
 }
 
 impl Account {
     fn lapse(&mut self, now: Micros) {
-        self.held.values_mut().for_each(|held| held.grants.lapse(now));
-        self.held.retain(|_, held| !held.grants.is_empty() || held.wants_until > now);
+        self.held
+            .values_mut()
+            .for_each(|held| held.grants.lapse(now));
+        self.held
+            .retain(|_, held| !held.grants.is_empty() || held.wants_until > now);
         self.out = self.held.values().map(|held| held.most(now)).sum();
     }
 
     /// Finds the level up to which all wants can be met at once, in whole units, when it was not found a short while ago.
     fn look(&mut self, now: Micros, pool: u64, unit: u64, terms: Terms) {
         self.lapse(now);
-        if self.looked.is_some_and(|looked| now < looked + LEVEL_GOOD.min(terms.lease / 4)) {
+        if self
+            .looked
+            .is_some_and(|looked| now < looked + LEVEL_GOOD.min(terms.lease / 4))
+        {
             return;
         }
         self.looked = Some(now);
@@ -211,7 +259,11 @@
             }
             (left, rest) = (left - want, rest - 1);
         }
-        let asked = self.held.values().filter(|held| held.wants_until > now).count() as u64;
+        let asked = self
+            .held
+            .values()
+            .filter(|held| held.wants_until > now)
+            .count() as u64;
         // in whole units: less is worth no call
         self.spare = (left / (AHEAD * asked).max(1)).saturating_mul(unit);
     }
@@ -227,7 +279,10 @@
             (crc32fast::hash(&bytes), sender)
         };
         let own = place(sender);
-        let before = self.held.iter().filter(|(_, held)| held.want > 0 && held.wants_until > now);
+        let before = self
+            .held
+            .iter()
+            .filter(|(_, held)| held.want > 0 && held.wants_until > now);
         before.filter(|(other, _)| place(**other) < own).count() as u64
     }
 }
--- a/ledger/src/splits.rs
+++ b/ledger/src/splits.rs
@@ -85,13 +85,20 @@
         let row = |(key, limit): (&Key, &Limit)| (Some(key.clone()), limit.total);
         match self {
             Query::Range { from, to } => {
-                let within = |key: &Key| key.place() >= *from && to.is_none_or(|to| key.place() < to);
+                let within =
+                    |key: &Key| key.place() >= *from && to.is_none_or(|to| key.place() < to);
                 records.filter(|(key, _)| within(key)).map(row).collect()
             }
-            Query::One(key) => records.filter(|(other, _)| *other == key).map(row).collect(),
+            Query::One(key) => records
+                .filter(|(other, _)| *other == key)
+                .map(row)
+                .collect(),
             Query::Sum(kind) => {
                 let of_kind = records.filter(|(key, _)| key.kind() == kind);
-                vec![(None, of_kind.fold(0, |sum: u64, (_, limit)| sum.saturating_add(limit.total)))]
+                vec![(
+                    None,
+                    of_kind.fold(0, |sum: u64, (_, limit)| sum.saturating_add(limit.total)),
+                )]
             }
         }
     }
@@ -120,17 +127,32 @@
         return None;
     }
     let of = |rows: &Rows, key: &Option<Key>| -> Vec<u64> {
-        rows.iter().filter(|(other, _)| other == key).map(|(_, total)| *total).collect()
+        rows.iter()
+            .filter(|(other, _)| other == key)
+            .map(|(_, total)| *total)
+            .collect()
     };
     let keys = parent.iter().chain(children).map(|(key, _)| key);
-    let differing =
-        keys.map(|key| (key, of(parent, key), of(children, key))).find(|(_, one, other)| one != other);
+    let differing = keys
+        .map(|key| (key, of(parent, key), of(children, key)))
+        .find(|(_, one, other)| one != other);
     let query = query.cloned();
     Some(match differing {
         None => {
-            let (key, _) = parent.iter().zip(children).find(|(one, other)| one != other)?.0;
+            let (key, _) = parent
+                .iter()
+                .zip(children)
+                .find(|(one, other)| one != other)?
+                .0;
             let (parent, children) = (Vec::new(), Vec::new());
-            Flag { query, key: key.clone(), difference: Difference::Order, parent, children, fence }
+            Flag {
+                query,
+                key: key.clone(),
+                difference: Difference::Order,
+                parent,
+                children,
+                fence,
+            }
         }
         Some((key, parent, children)) => {
             let difference = match (parent.len(), children.len()) {
@@ -138,7 +160,14 @@
                 (1, 1) => Difference::Value,
                 _ => Difference::Twice,
             };
-            Flag { query, key: key.clone(), difference, parent, children, fence }
+            Flag {
+                query,
+                key: key.clone(),
+                difference,
+                parent,
+                children,
+                fence,
+            }
         }
     })
 }
@@ -148,7 +177,10 @@
 pub enum SplitError {
     /// There is no such range.
     #[error("no range begins at {0}")]
-    #[diagnostic(code(ledger::split::range), help("GET /v1/limits lists the ranges by their first places"))]
+    #[diagnostic(
+        code(ledger::split::range),
+        help("GET /v1/limits lists the ranges by their first places")
+    )]
     Range(u64),
     /// The place is not inside it.
     #[error("{at} is not inside the range that begins at {first}")]
@@ -171,7 +203,10 @@
     UnderWay(u64),
     /// None is under way.
     #[error("no split is under way")]
-    #[diagnostic(code(ledger::split::none), help("GET /v1/splits tells how the last ones ended"))]
+    #[diagnostic(
+        code(ledger::split::none),
+        help("GET /v1/splits tells how the last ones ended")
+    )]
     None,
     /// The sides disagree.
     #[error("{0} answers of the two sides disagree")]
@@ -184,7 +219,10 @@
     Flags(u64),
     /// It took too long.
     #[error("it was not compared in whole in time")]
-    #[diagnostic(code(ledger::split::late), help("split it at a quieter time, or a smaller part of it"))]
+    #[diagnostic(
+        code(ledger::split::late),
+        help("split it at a quieter time, or a smaller part of it")
+    )]
     Late,
     /// A freeze began.
     #[error("window {0} began before every key had been compared")]
@@ -278,9 +316,14 @@
 
     /// Copies the next keys of the parent.
     pub(crate) fn copy(&mut self, parent: &Records, count: usize) {
-        let after = |(key, _): &(&Key, &Limit)| self.copied.as_ref().is_none_or(|copied| *key > copied);
-        let next: Vec<(Key, Limit)> =
-            parent.iter().filter(after).take(count).map(|(key, limit)| (key.clone(), *limit)).collect();
+        let after =
+            |(key, _): &(&Key, &Limit)| self.copied.as_ref().is_none_or(|copied| *key > copied);
+        let next: Vec<(Key, Limit)> = parent
+            .iter()
+            .filter(after)
+            .take(count)
+            .map(|(key, limit)| (key.clone(), *limit))
+            .collect();
         self.copied_all = next.len() < count;
         for (key, limit) in next {
             self.copied = Some(key.clone());
@@ -318,7 +361,11 @@
     /// The children's records, merged: of one side and then the other, only what belongs there.
     fn merged(&self) -> impl Iterator<Item = (&Key, &Limit)> {
         let [left, right] = &self.children;
-        let (first, second) = if self.plant == Some(Plant::Order) { (right, left) } else { (left, right) };
+        let (first, second) = if self.plant == Some(Plant::Order) {
+            (right, left)
+        } else {
+            (left, right)
+        };
         first.iter().chain(second.iter())
     }
 
@@ -339,12 +386,20 @@
             return;
         }
         let rows = |records: &Records| -> Rows {
-            records.get(key).map(|limit| (Some(key.clone()), limit.total)).into_iter().collect()
+            records
+                .get(key)
+                .map(|limit| (Some(key.clone()), limit.total))
+                .into_iter()
+                .collect()
         };
         let side = self.side(key);
         let (own, other) = (rows(&self.children[side]), rows(&self.children[1 - side]));
         // in the wrong child it is missing where it belongs, beside the right one it is there twice
-        let children = if own.is_empty() { own } else { [own, other].concat() };
+        let children = if own.is_empty() {
+            own
+        } else {
+            [own, other].concat()
+        };
         if let Some(flag) = compare(None, &rows(parent), &children, fence) {
             self.flag(flag);
         }
@@ -353,10 +408,18 @@
     /// Compares the next keys.
     pub(crate) fn walk(&mut self, parent: &Records, count: usize, fence: u64) {
         let after = |key: &Key| self.compared.as_ref().is_none_or(|compared| key > compared);
-        let mut keys: Vec<&Key> = parent.keys().chain(self.children.iter().flat_map(Records::keys)).collect();
+        let mut keys: Vec<&Key> = parent
+            .keys()
+            .chain(self.children.iter().flat_map(Records::keys))
+            .collect();
         keys.sort_unstable();
         keys.dedup();
-        let keys: Vec<Key> = keys.into_iter().filter(|key| after(key)).take(count).cloned().collect();
+        let keys: Vec<Key> = keys
+            .into_iter()
+            .filter(|key| after(key))
+            .take(count)
+            .cloned()
+            .collect();
         keys.iter().for_each(|key| self.look(parent, key, fence));
         self.compared_all = keys.len() < count;
         self.compared = keys.into_iter().next_back().or(self.compared.take());
@@ -378,8 +441,21 @@
     /// How it ended.
     pub(crate) fn ended(self, undone: Option<SplitError>) -> Ended {
         let queries = [self.queries, self.not_compared];
-        let Split { first, at, flags, flagged, .. } = self;
-        Ended { first, at, undone, queries, flags, flagged }
+        let Split {
+            first,
+            at,
+            flags,
+            flagged,
+            ..
+        } = self;
+        Ended {
+            first,
+            at,
+            undone,
+            queries,
+            flags,
+            flagged,
+        }
     }
 }
 
--- a/ledger/src/verdicts.rs
+++ b/ledger/src/verdicts.rs
@@ -38,7 +38,11 @@
     /// The one that holds of two of one destination; the same either way round, and of any number in any order.
     pub fn join(self, other: Verdict) -> Verdict {
         let rank = |verdict: &Verdict| (verdict.epoch, verdict.out, verdict.observers);
-        if rank(&other) > rank(&self) { other } else { self }
+        if rank(&other) > rank(&self) {
+            other
+        } else {
+            self
+        }
     }
 }
 
@@ -69,20 +73,32 @@
     /// Takes a sender's word. `first` is the epoch that the verdicts of a keeper before this one were all below.
     pub fn hear(&mut self, now: Micros, sender: &str, zone: &str, word: Word, first: u64) {
         self.zones.insert(zone.to_string());
-        let tally =
-            self.all.entry(word.destination).or_insert_with(|| Tally { epoch: first, ..Tally::default() });
+        let tally = self.all.entry(word.destination).or_insert_with(|| Tally {
+            epoch: first,
+            ..Tally::default()
+        });
         let until = now + WORD_LASTS;
-        tally.words.insert(sender.to_string(), Said { zone: zone.to_string(), out: word.out, until });
+        tally.words.insert(
+            sender.to_string(),
+            Said {
+                zone: zone.to_string(),
+                out: word.out,
+                until,
+            },
+        );
         tally.words.retain(|_, said| said.until > now);
         let count = |out: bool| tally.words.values().filter(|said| said.out == out).count();
         let zones = |out: bool| {
             let said = tally.words.values().filter(|said| said.out == out);
-            said.map(|said| said.zone.as_str()).collect::<BTreeSet<_>>().len()
+            said.map(|said| said.zone.as_str())
+                .collect::<BTreeSet<_>>()
+                .len()
         };
         // out: more say so than may lie, and more than say that it lives. Back is bolder: as many, from two zones if there are
         let out = count(true) > LIARS && count(true) > count(false);
-        let back =
-            count(false) > LIARS && zones(false) >= self.zones.len().min(2) && count(false) > count(true);
+        let back = count(false) > LIARS
+            && zones(false) >= self.zones.len().min(2)
+            && count(false) > count(true);
         if (out && !tally.out) || (back && tally.out) {
             (tally.out, tally.epoch) = (!tally.out, tally.epoch + 1);
         }
@@ -90,19 +106,28 @@
 
     /// The verdicts on these destinations, of those that ever had one.
     pub fn on<'a>(
-        &'a self, destinations: impl Iterator<Item = u64> + 'a,
+        &'a self,
+        destinations: impl Iterator<Item = u64> + 'a,
     ) -> impl Iterator<Item = Verdict> + 'a {
         destinations.filter_map(|destination| {
             let Tally { words, out, epoch } = self.all.get(&destination)?;
             let observers = words.values().filter(|said| said.out == *out).count();
-            (epoch % EPOCHS > 0).then_some(Verdict { destination, out: *out, epoch: *epoch, observers })
+            (epoch % EPOCHS > 0).then_some(Verdict {
+                destination,
+                out: *out,
+                epoch: *epoch,
+                observers,
+            })
         })
     }
 
     /// Forgets destinations of which nobody has said anything for long.
     pub fn forget(&mut self, now: Micros) {
-        self.all.values_mut().for_each(|tally| tally.words.retain(|_, said| said.until > now));
-        self.all.retain(|_, tally| tally.out || !tally.words.is_empty());
+        self.all
+            .values_mut()
+            .for_each(|tally| tally.words.retain(|_, said| said.until > now));
+        self.all
+            .retain(|_, tally| tally.out || !tally.words.is_empty());
     }
 }
 
@@ -114,9 +139,27 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn said(tallies: &mut Tallies, now: Micros, sender: &str, zone: &str, out: bool) -> Option<(bool, u64)> {
-        tallies.hear(now, sender, zone, Word { destination: 7, out }, EPOCHS);
-        tallies.on([7].into_iter()).next().map(|verdict| (verdict.out, verdict.epoch - EPOCHS))
+    fn said(
+        tallies: &mut Tallies,
+        now: Micros,
+        sender: &str,
+        zone: &str,
+        out: bool,
+    ) -> Option<(bool, u64)> {
+        tallies.hear(
+            now,
+            sender,
+            zone,
+            Word {
+                destination: 7,
+                out,
+            },
+            EPOCHS,
+        );
+        tallies
+            .on([7].into_iter())
+            .next()
+            .map(|verdict| (verdict.out, verdict.epoch - EPOCHS))
     }
 
     #[test]
@@ -154,7 +197,13 @@
         said(&mut tallies, 0, "one", "a", true);
         assert_eq!(said(&mut tallies, WORD_LASTS, "two", "a", true), None);
         tallies.forget(3 * WORD_LASTS);
-        assert_eq!(tallies, Tallies { zones: ["a".to_string()].into(), ..Tallies::default() });
+        assert_eq!(
+            tallies,
+            Tallies {
+                zones: ["a".to_string()].into(),
+                ..Tallies::default()
+            }
+        );
     }
 
     proptest! {
