--- a/ledger/tests/compact.rs
+++ b/ledger/tests/compact.rs
@@ -11,15 +11,33 @@
         sender: "n3".to_string(),
         life: 300,
         number: 2,
-        floors: Floors { senders: 4, each: [("rate".to_string(), 1)].into() },
+        floors: Floors {
+            senders: 4,
+            each: [("rate".to_string(), 1)].into(),
+        },
         zone: "a".to_string(),
         wants: vec![
-            Want { key: Key::of(70_000, What::Rate), want: 5 },
-            Want { key: Key::of(70_003, What::Rate), want: 667 },
-            Want { key: Key::of(9, What::Out), want: 1 },
-            Want { key: Key::tenant("acme"), want: 2 },
+            Want {
+                key: Key::of(70_000, What::Rate),
+                want: 5,
+            },
+            Want {
+                key: Key::of(70_003, What::Rate),
+                want: 667,
+            },
+            Want {
+                key: Key::of(9, What::Out),
+                want: 1,
+            },
+            Want {
+                key: Key::tenant("acme"),
+                want: 2,
+            },
         ],
-        reports: vec![Word { destination: 9, out: true }],
+        reports: vec![Word {
+            destination: 9,
+            out: true,
+        }],
     }
 }
 
@@ -28,25 +46,55 @@
         lease: 1_500_000,
         rev: 7,
         quotas: vec![
-            Dealt { key: Key::of(70_000, What::Rate), part: Some(4), total: None, linger_ms: 0 },
-            Dealt { key: Key::of(9, What::Out), part: Some(0), total: None, linger_ms: 300 },
-            Dealt { key: Key::of(9, What::Cold), part: None, total: None, linger_ms: 0 },
+            Dealt {
+                key: Key::of(70_000, What::Rate),
+                part: Some(4),
+                total: None,
+                linger_ms: 0,
+            },
+            Dealt {
+                key: Key::of(9, What::Out),
+                part: Some(0),
+                total: None,
+                linger_ms: 300,
+            },
+            Dealt {
+                key: Key::of(9, What::Cold),
+                part: None,
+                total: None,
+                linger_ms: 0,
+            },
         ],
-        verdicts: vec![Verdict { destination: 9, out: true, epoch: 3, observers: 2 }],
+        verdicts: vec![Verdict {
+            destination: 9,
+            out: true,
+            epoch: 3,
+            observers: 2,
+        }],
     }
 }
 
 #[test]
 fn the_bytes_of_version_1_stay_as_they_are() {
     let rates = [2, 0xf0, 0xa2, 4, 5, 3, 0x9b, 5];
-    let named = [1, 11, b't', b'e', b'n', b'a', b'n', b't', b'/', b'a', b'c', b'm', b'e', 2];
-    let head = [1, 2, b'n', b'3', 0xac, 2, 2, 4, 1, 4, b'r', b'a', b't', b'e', 1, 1, b'a'];
+    let named = [
+        1, 11, b't', b'e', b'n', b'a', b'n', b't', b'/', b'a', b'c', b'm', b'e', 2,
+    ];
+    let head = [
+        1, 2, b'n', b'3', 0xac, 2, 2, 4, 1, 4, b'r', b'a', b't', b'e', 1, 1, b'a',
+    ];
     let bytes = [&head[..], &rates, &[1, 9, 1], &[0], &named, &[1, 9, 1]].concat();
     assert_eq!(question().write(), bytes);
     assert_eq!(Question::read(&bytes), Ok(question()));
     let quotas = [1, 0xf0, 0xa2, 4, 5, 1, 9, 1, 1, 9, 0, 0];
     let lingers = [0, 1, 9, 0xac, 2, 0, 0];
-    let bytes = [&[1, 0xe0, 0xc6, 0x5b, 7][..], &quotas, &lingers, &[1, 9, 1, 3, 2]].concat();
+    let bytes = [
+        &[1, 0xe0, 0xc6, 0x5b, 7][..],
+        &quotas,
+        &lingers,
+        &[1, 9, 1, 3, 2],
+    ]
+    .concat();
     assert_eq!(answer().write(), bytes);
     assert_eq!(Answer::read(&bytes), Ok(answer()));
 }
@@ -56,7 +104,10 @@
     let mut bytes = question().write();
     bytes[0] = 2;
     assert_eq!(Question::read(&bytes), Err(CompactError::Version(Some(2))));
-    assert_eq!(Question::read(b"{\"sender\":\"a\"}"), Err(CompactError::Version(Some(b'{'))));
+    assert_eq!(
+        Question::read(b"{\"sender\":\"a\"}"),
+        Err(CompactError::Version(Some(b'{')))
+    );
     assert_eq!(Answer::read(&[]), Err(CompactError::Version(None)));
 }
 
@@ -65,19 +116,38 @@
     for bytes in [question().write(), answer().write()] {
         for cut in 1..bytes.len() {
             let part = &bytes[..cut];
-            assert!(Question::read(part).is_err() && Answer::read(part).is_err(), "{cut} of {bytes:?}");
+            assert!(
+                Question::read(part).is_err() && Answer::read(part).is_err(),
+                "{cut} of {bytes:?}"
+            );
         }
     }
     let longer = [question().write(), vec![0]].concat();
-    assert!(matches!(Question::read(&longer), Err(CompactError::Malformed(_))));
+    assert!(matches!(
+        Question::read(&longer),
+        Err(CompactError::Malformed(_))
+    ));
 }
 
 #[test]
 fn no_more_is_read_than_a_question_may_name_and_no_destination_beyond_the_numbers() {
-    let wants = |count| (0..count).map(|place| Want { key: Key::of(place, What::Rate), want: 1 }).collect();
-    let full = Question { wants: wants(NAMES_MOST as u64), ..question() };
+    let wants = |count| {
+        (0..count)
+            .map(|place| Want {
+                key: Key::of(place, What::Rate),
+                want: 1,
+            })
+            .collect()
+    };
+    let full = Question {
+        wants: wants(NAMES_MOST as u64),
+        ..question()
+    };
     assert_eq!(Question::read(&full.write()), Ok(full));
-    let over = Question { wants: wants(NAMES_MOST as u64 + 1), ..question() };
+    let over = Question {
+        wants: wants(NAMES_MOST as u64 + 1),
+        ..question()
+    };
     assert_eq!(Question::read(&over.write()), Err(CompactError::Many));
     let head = [1, 0, 0, 0, 0, 0, 0];
     let most = [0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1];
--- a/ledger/tests/model.rs
+++ b/ledger/tests/model.rs
@@ -3,7 +3,9 @@
 //! sender's clock at the bound of its drift. Every reachable state of the size given is visited; with any one guard taken out
 //! more is used than the limit allows.
 
-use milletturn_ledger::{Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What};
+use milletturn_ledger::{
+    Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What,
+};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -27,9 +29,21 @@
 }
 
 const SIZES: [Size; 3] = [
-    Size { senders: 2, under_way: 1, asks: 2 },
-    Size { senders: 2, under_way: 2, asks: 1 },
-    Size { senders: 3, under_way: 1, asks: 1 },
+    Size {
+        senders: 2,
+        under_way: 1,
+        asks: 2,
+    },
+    Size {
+        senders: 2,
+        under_way: 2,
+        asks: 1,
+    },
+    Size {
+        senders: 3,
+        under_way: 1,
+        asks: 1,
+    },
 ];
 
 /// What is taken out.
@@ -58,8 +72,18 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Message {
-    Ask { sender: usize, life: u64, number: u64, want: Want },
-    Answer { sender: usize, life: u64, number: u64, dealt: Dealt },
+    Ask {
+        sender: usize,
+        life: u64,
+        number: u64,
+        want: Want,
+    },
+    Answer {
+        sender: usize,
+        life: u64,
+        number: u64,
+        dealt: Dealt,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -99,51 +123,103 @@
 impl Dealing {
     fn floors(&self) -> Floors {
         let Size { senders, .. } = self.1;
-        Floors { senders: senders as u32, each: [("rate".to_string(), FLOOR)].into() }
+        Floors {
+            senders: senders as u32,
+            each: [("rate".to_string(), FLOOR)].into(),
+        }
     }
 
     /// The floors as the keeper counts them.
     fn counted(&self) -> Floors {
-        if self.0 == Without::Floors { Floors::default() } else { self.floors() }
+        if self.0 == Without::Floors {
+            Floors::default()
+        } else {
+            self.floors()
+        }
     }
 
     fn terms(&self) -> Terms {
-        Terms { lease: LEASE, drift: if self.0 == Without::Drift { 0 } else { DRIFT } }
+        Terms {
+            lease: LEASE,
+            drift: if self.0 == Without::Drift { 0 } else { DRIFT },
+        }
     }
 
     /// A sender's clock: the first one's runs slow by the bound.
     fn local(&self, sender: usize, now: Micros) -> Micros {
-        if sender == 0 { now * LEASE / (LEASE + DRIFT) } else { now }
+        if sender == 0 {
+            now * LEASE / (LEASE + DRIFT)
+        } else {
+            now
+        }
     }
 
     fn uses(&self, state: &State, sender: usize) -> u64 {
-        let now = if self.0 == Without::End { 0 } else { self.local(sender, state.now) };
-        state.holders[sender].may_use(now, &key()).unwrap_or(u64::MAX / 8)
+        let now = if self.0 == Without::End {
+            0
+        } else {
+            self.local(sender, state.now)
+        };
+        state.holders[sender]
+            .may_use(now, &key())
+            .unwrap_or(u64::MAX / 8)
     }
 
     fn used(&self, state: &State) -> u64 {
-        (0..self.1.senders).map(|sender| self.uses(state, sender)).sum()
+        (0..self.1.senders)
+            .map(|sender| self.uses(state, sender))
+            .sum()
     }
 
-    fn answer(&self, keeper: &mut Keeper, now: Micros, total: u64, ask: Message) -> Option<Message> {
-        let Message::Ask { sender, life, number, want } = ask else { return None };
+    fn answer(
+        &self,
+        keeper: &mut Keeper,
+        now: Micros,
+        total: u64,
+        ask: Message,
+    ) -> Option<Message> {
+        let Message::Ask {
+            sender,
+            life,
+            number,
+            want,
+        } = ask
+        else {
+            return None;
+        };
         let number_of = (sender as u64) << 8 | if self.0 == Without::Life { 0 } else { life };
-        let limit = Limit { total, linger_ms: 0 };
+        let limit = Limit {
+            total,
+            linger_ms: 0,
+        };
         let mut alone = Keeper::new(self.terms(), 0);
         // the sender before is known by another number, and what it had by none
-        let keeper = if self.0 == Without::Line { &mut alone } else { keeper };
+        let keeper = if self.0 == Without::Line {
+            &mut alone
+        } else {
+            keeper
+        };
         if self.0 == Without::Largest {
             let others = (0..self.1.senders).filter(|other| *other != sender);
             let held: Vec<(u64, u64, u64)> = keeper.held(now, &key()).collect();
             let mut fresh = Keeper::new(self.terms(), now - LEASE - DRIFT);
             for other in others {
-                for (number, part, _) in held.iter().filter(|(number, ..)| *number >> 8 == other as u64) {
-                    let want = Want { key: key(), want: *part };
+                for (number, part, _) in held
+                    .iter()
+                    .filter(|(number, ..)| *number >> 8 == other as u64)
+                {
+                    let want = Want {
+                        key: key(),
+                        want: *part,
+                    };
                     fresh.deal(
                         now,
                         *number,
                         &want,
-                        Limit { total: u64::MAX >> 20, linger_ms: 0 },
+                        Limit {
+                            total: u64::MAX >> 20,
+                            linger_ms: 0,
+                        },
                         &Floors::default(),
                     );
                 }
@@ -151,7 +227,12 @@
             *keeper = fresh;
         }
         let dealt = keeper.deal(now, number_of, &want, limit, &self.counted());
-        Some(Message::Answer { sender, life, number, dealt })
+        Some(Message::Answer {
+            sender,
+            life,
+            number,
+            dealt,
+        })
     }
 }
 
@@ -178,12 +259,20 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let Size { senders, under_way, asks } = self.1;
+        let Size {
+            senders,
+            under_way,
+            asks,
+        } = self.1;
         if state.now < LEASE + DRIFT + TIME {
             actions.push(Action::Tick);
         }
         if state.under_way.len() < under_way {
-            actions.extend((0..senders).filter(|sender| state.asked[*sender] < asks).map(Action::Ask));
+            actions.extend(
+                (0..senders)
+                    .filter(|sender| state.asked[*sender] < asks)
+                    .map(Action::Ask),
+            );
         }
         for at in 0..state.under_way.len() {
             actions.extend([Action::Deliver(at, false), Action::Lose(at)]);
@@ -215,16 +304,34 @@
                 state.keeper.forget(state.now);
             }
             Action::Ask(sender) => {
-                let wanted = Wanted { key: key(), want: 2 * UNIT };
-                let (number, mut wants) = state.holders[sender].ask(self.local(sender, now), [wanted]);
+                let wanted = Wanted {
+                    key: key(),
+                    want: 2 * UNIT,
+                };
+                let (number, mut wants) =
+                    state.holders[sender].ask(self.local(sender, now), [wanted]);
                 state.asked[sender] += 1;
                 let (life, want) = (state.lives[sender], wants.pop()?);
-                state.under_way.push(Message::Ask { sender, life, number, want });
+                state.under_way.push(Message::Ask {
+                    sender,
+                    life,
+                    number,
+                    want,
+                });
             }
             Action::Deliver(at, again) => {
-                let message = if again { state.under_way[at].clone() } else { state.under_way.remove(at) };
+                let message = if again {
+                    state.under_way[at].clone()
+                } else {
+                    state.under_way.remove(at)
+                };
                 match message {
-                    Message::Answer { sender, life, number, dealt } => {
+                    Message::Answer {
+                        sender,
+                        life,
+                        number,
+                        dealt,
+                    } => {
                         if life != state.lives[sender] && self.0 != Without::Life {
                             return None;
                         }
@@ -256,7 +363,11 @@
             }
             Action::TakeOver => {
                 state.taken_over = true;
-                let since = if self.0 == Without::TakeOver { now - LEASE - DRIFT } else { now };
+                let since = if self.0 == Without::TakeOver {
+                    now - LEASE - DRIFT
+                } else {
+                    now
+                };
                 let next = Keeper::new(self.terms(), since);
                 let before = std::mem::replace(&mut state.keeper, next);
                 state.deposed = (self.0 == Without::Confirmation).then_some(before);
@@ -267,18 +378,29 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more is used than the limit", |model: &Dealing, state: &State| {
-                // the bound: a limit of before counts until every lease of before has lapsed
-                let fresh = state.lowered.is_some_and(|since| state.now < since + LEASE + DRIFT);
-                model.used(state) <= if fresh { TOTAL } else { state.total }
-            }),
-            Property::sometimes("all of the limit is used", |model: &Dealing, state: &State| {
-                model.used(state) == TOTAL
-            }),
-            Property::sometimes("all of the lower one is", |model: &Dealing, state: &State| {
-                let old = state.lowered.is_some_and(|since| state.now >= since + LEASE + DRIFT);
-                old && model.used(state) == LOWERED
-            }),
+            Property::always(
+                "no more is used than the limit",
+                |model: &Dealing, state: &State| {
+                    // the bound: a limit of before counts until every lease of before has lapsed
+                    let fresh = state
+                        .lowered
+                        .is_some_and(|since| state.now < since + LEASE + DRIFT);
+                    model.used(state) <= if fresh { TOTAL } else { state.total }
+                },
+            ),
+            Property::sometimes(
+                "all of the limit is used",
+                |model: &Dealing, state: &State| model.used(state) == TOTAL,
+            ),
+            Property::sometimes(
+                "all of the lower one is",
+                |model: &Dealing, state: &State| {
+                    let old = state
+                        .lowered
+                        .is_some_and(|since| state.now >= since + LEASE + DRIFT);
+                    old && model.used(state) == LOWERED
+                },
+            ),
         ]
     }
 }
@@ -286,8 +408,14 @@
 fn check(without: Without, size: Size) -> (usize, BTreeSet<&'static str>) {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     let model = Dealing(without, size).checker().threads(threads);
-    let checker = model.finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
-    (checker.unique_state_count(), checker.discoveries().into_keys().collect())
+    let checker = model
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_dfs()
+        .join();
+    (
+        checker.unique_state_count(),
+        checker.discoveries().into_keys().collect(),
+    )
 }
 
 #[test]
@@ -295,8 +423,14 @@
     for size in SIZES {
         let (states, found) = check(Without::Nothing, size);
         println!("{size:?}: {states} states");
-        assert!(!found.contains("no more is used than the limit"), "in {states} states of {size:?}");
-        assert!(size.senders > 2 || found.len() == 2, "{found:?} in {states} states of {size:?}");
+        assert!(
+            !found.contains("no more is used than the limit"),
+            "in {states} states of {size:?}"
+        );
+        assert!(
+            size.senders > 2 || found.len() == 2,
+            "{found:?} in {states} states of {size:?}"
+        );
         assert!(states > 20_000, "{states} states");
     }
 }
@@ -315,11 +449,21 @@
         Without::Floors,
     ] {
         // an answer of an earlier life is under way beside a question of the next
-        let life = Size { senders: 2, under_way: 2, asks: 2 };
-        let sizes = if without == Without::Life { vec![life] } else { SIZES.to_vec() };
+        let life = Size {
+            senders: 2,
+            under_way: 2,
+            asks: 2,
+        };
+        let sizes = if without == Without::Life {
+            vec![life]
+        } else {
+            SIZES.to_vec()
+        };
         let found = sizes.into_iter().find_map(|size| {
             let (states, found) = check(without, size);
-            found.contains("no more is used than the limit").then_some((states, size))
+            found
+                .contains("no more is used than the limit")
+                .then_some((states, size))
         });
         println!("without {without:?}: {found:?}");
         assert!(found.is_some(), "without {without:?} nothing was found");
--- a/ledger/tests/naming.rs
+++ b/ledger/tests/naming.rs
@@ -1,6 +1,8 @@
 //! What questions name: a short list whole, of a long one what is used, in turns and within the budget of bytes.
 
-use milletturn_ledger::naming::{ByteBudget, HEADS_BYTES, KeyDemand, NAMES_MOST, Naming, choose_reports};
+use milletturn_ledger::naming::{
+    ByteBudget, HEADS_BYTES, KeyDemand, NAMES_MOST, Naming, choose_reports,
+};
 use milletturn_ledger::{Dealt, Floors, Holder, Key, Micros, Wanted, What};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +10,10 @@
 const LONG: usize = 480_000;
 
 fn holder() -> Holder {
-    Holder::new(Floors { senders: 2_100, each: [("rate".to_string(), 1)].into() })
+    Holder::new(Floors {
+        senders: 2_100,
+        each: [("rate".to_string(), 1)].into(),
+    })
 }
 
 fn key(destination: u64) -> Key {
@@ -16,7 +21,15 @@
 }
 
 fn demand(destination: u64, want: u64, waiting: bool, calls: u64) -> KeyDemand {
-    KeyDemand { wanted: Wanted { key: key(destination), want }, waiting, sick: false, calls }
+    KeyDemand {
+        wanted: Wanted {
+            key: key(destination),
+            want,
+        },
+        waiting,
+        sick: false,
+        calls,
+    }
 }
 
 fn places(wanted: &[Wanted]) -> Vec<u64> {
@@ -40,23 +53,47 @@
 fn a_list_that_fits_is_named_whole() {
     let all: Vec<KeyDemand> = (0..20).map(|place| demand(place, 0, false, 0)).collect();
     let chosen = Naming::default().choose(0, &holder(), LEASE, all.clone(), 20, 20);
-    assert_eq!(chosen, all.into_iter().map(|demand| demand.wanted).collect::<Vec<_>>());
+    assert_eq!(
+        chosen,
+        all.into_iter()
+            .map(|demand| demand.wanted)
+            .collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn of_a_long_list_what_waits_without_a_quota_is_named_and_what_is_idle_is_not() {
     let (mut naming, mut holder) = (Naming::default(), holder());
-    let now = vec![demand(1, 0, false, 0), demand(2, 700, true, 0), demand(3, 700, false, 9)];
+    let now = vec![
+        demand(1, 0, false, 0),
+        demand(2, 700, true, 0),
+        demand(3, 700, false, 9),
+    ];
     let chosen = naming.choose(0, &holder, LEASE, now.clone(), LONG, 100);
     assert_eq!(places(&chosen), [2]);
     allocate(&mut holder, 0, chosen, 700);
     // it has a quota: one call under it is no sign of another
     let used = |calls| vec![demand(2, 700, false, calls)];
-    assert!(naming.choose(LEASE / 4, &holder, LEASE, used(1), LONG, 100).is_empty());
-    assert!(naming.choose(LEASE * 3 / 4, &holder, LEASE, used(1), LONG, 100).is_empty());
+    assert!(
+        naming
+            .choose(LEASE / 4, &holder, LEASE, used(1), LONG, 100)
+            .is_empty()
+    );
+    assert!(
+        naming
+            .choose(LEASE * 3 / 4, &holder, LEASE, used(1), LONG, 100)
+            .is_empty()
+    );
     // two are, once no more than half of the lease is left
-    assert!(naming.choose(LEASE / 4, &holder, LEASE, used(2), LONG, 100).is_empty());
-    assert_eq!(places(&naming.choose(LEASE / 2, &holder, LEASE, used(2), LONG, 100)), [2]);
+    assert!(
+        naming
+            .choose(LEASE / 4, &holder, LEASE, used(2), LONG, 100)
+            .is_empty()
+    );
+    assert_eq!(
+        places(&naming.choose(LEASE / 2, &holder, LEASE, used(2), LONG, 100)),
+        [2]
+    );
 }
 
 #[test]
@@ -65,7 +102,10 @@
     let waits = || vec![demand(2, 700, true, 0)];
     let chosen = naming.choose(0, &holder, LEASE, waits(), LONG, 100);
     allocate(&mut holder, 0, chosen, 0);
-    assert_eq!(places(&naming.choose(1, &holder, LEASE, waits(), LONG, 100)), [2]);
+    assert_eq!(
+        places(&naming.choose(1, &holder, LEASE, waits(), LONG, 100)),
+        [2]
+    );
 }
 
 #[test]
@@ -73,21 +113,33 @@
     let (mut naming, holder) = (Naming::default(), holder());
     let mut seen = BTreeMap::new();
     for round in 0..10 {
-        let flood: Vec<KeyDemand> = (0..1_000).map(|place| demand(place, 700 + round, true, 0)).collect();
+        let flood: Vec<KeyDemand> = (0..1_000)
+            .map(|place| demand(place, 700 + round, true, 0))
+            .collect();
         let chosen = naming.choose(round, &holder, LEASE, flood, LONG, 100);
         assert_eq!(chosen.len(), 100);
         for Wanted { key, want } in chosen {
             assert_eq!(want, 700 + round);
-            assert!(seen.insert(key.place(), round).is_none(), "{} twice before others once", key.place());
+            assert!(
+                seen.insert(key.place(), round).is_none(),
+                "{} twice before others once",
+                key.place()
+            );
         }
     }
-    assert_eq!(seen.keys().copied().collect::<BTreeSet<u64>>(), (0..1_000).collect());
+    assert_eq!(
+        seen.keys().copied().collect::<BTreeSet<u64>>(),
+        (0..1_000).collect()
+    );
 }
 
 #[test]
 fn thousands_that_are_down_keep_nothing_that_is_well_waiting() {
     let mut naming = Naming::default();
-    let down = (0..7_200).map(|place| KeyDemand { sick: true, ..demand(place, 700, true, 0) });
+    let down = (0..7_200).map(|place| KeyDemand {
+        sick: true,
+        ..demand(place, 700, true, 0)
+    });
     let well = (10_000..10_050).map(|place| demand(place, 700, true, 0));
     let all: Vec<KeyDemand> = down.chain(well).collect();
     let chosen = places(&naming.choose(0, &holder(), LEASE, all.clone(), LONG, 100));
@@ -100,8 +152,15 @@
 
 #[test]
 fn no_question_names_more_than_the_registry_takes() {
-    let flood: Vec<KeyDemand> = (0..10_000).map(|place| demand(place, 700, true, 0)).collect();
-    assert_eq!(Naming::default().choose(0, &holder(), LEASE, flood, LONG, usize::MAX).len(), NAMES_MOST);
+    let flood: Vec<KeyDemand> = (0..10_000)
+        .map(|place| demand(place, 700, true, 0))
+        .collect();
+    assert_eq!(
+        Naming::default()
+            .choose(0, &holder(), LEASE, flood, LONG, usize::MAX)
+            .len(),
+        NAMES_MOST
+    );
 }
 
 #[test]
@@ -143,11 +202,17 @@
         }
     }
     assert!((15..=20).contains(&asked), "{asked}");
-    assert_eq!(budget.room(9_000_000, 100_000), budget.room(9_000_000, 100_000));
+    assert_eq!(
+        budget.room(9_000_000, 100_000),
+        budget.room(9_000_000, 100_000)
+    );
 }
 
 #[test]
 fn reports_of_failing_destinations_go_first() {
     let reports = vec![(1, false), (2, true), (3, false), (4, true)];
-    assert_eq!(choose_reports(reports, |(_, failing)| *failing, 3), [(2, true), (4, true), (1, false)]);
+    assert_eq!(
+        choose_reports(reports, |(_, failing)| *failing, 3),
+        [(2, true), (4, true), (1, false)]
+    );
 }
--- a/ledger/tests/worlds.rs
+++ b/ledger/tests/worlds.rs
@@ -4,14 +4,19 @@
 //!
 //! `MILLETTURN_SEEDS=100 MILLETTURN_SENDERS=300 cargo test --release -p milletturn-ledger --test worlds -- --nocapture`
 
-use milletturn_ledger::{Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What};
+use milletturn_ledger::{
+    Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
 
 const MS: Micros = 1000;
 const STEP: Micros = 25 * MS;
-const TERMS: Terms = Terms { lease: 1500 * MS, drift: 31 * MS };
+const TERMS: Terms = Terms {
+    lease: 1500 * MS,
+    drift: 31 * MS,
+};
 const TIME: Micros = 40_000 * MS;
 /// How long a message may wait.
 const DEADLINE: Micros = 6000 * MS;
@@ -26,7 +31,10 @@
 
 impl Bucket {
     fn new(now: Micros) -> Self {
-        Bucket { tokens: CALL, at: now }
+        Bucket {
+            tokens: CALL,
+            at: now,
+        }
     }
 
     /// A part that is larger by so much may be used up at once.
@@ -57,7 +65,10 @@
 
 impl Line {
     fn new(now: Micros) -> Self {
-        Line { waiting: VecDeque::new(), bucket: Bucket::new(now) }
+        Line {
+            waiting: VecDeque::new(),
+            bucket: Bucket::new(now),
+        }
     }
 
     fn serve(&mut self, now: Micros, rate: u64, served: &mut Served) {
@@ -93,8 +104,18 @@
 }
 
 enum Message {
-    Ask { sender: usize, life: u64, number: u64, wants: Vec<Want> },
-    Answer { sender: usize, life: u64, number: u64, dealt: Vec<Dealt> },
+    Ask {
+        sender: usize,
+        life: u64,
+        number: u64,
+        wants: Vec<Want>,
+    },
+    Answer {
+        sender: usize,
+        life: u64,
+        number: u64,
+        dealt: Vec<Dealt>,
+    },
 }
 
 #[derive(Default)]
@@ -114,11 +135,15 @@
 fn play(seed: u64, senders: usize, faults: bool) -> Figures {
     let mut random = Pcg64::seed_from_u64(seed);
     let keys = (senders / 10).max(3);
-    let floors = Floors { senders: senders as u32, each: [("rate".to_string(), 5)].into() };
+    let floors = Floors {
+        senders: senders as u32,
+        each: [("rate".to_string(), 5)].into(),
+    };
     let key = |number: usize| Key::of(number as u64, What::Rate);
     // calls a second of a destination, all senders together; each sender sees 0.1 to 0.3 messages a second
-    let mut totals: Vec<u64> =
-        (0..keys).map(|_| random.random_range(2000..20_000) + 5 * senders as u64).collect();
+    let mut totals: Vec<u64> = (0..keys)
+        .map(|_| random.random_range(2000..20_000) + 5 * senders as u64)
+        .collect();
     let mut lowered: Vec<Option<(u64, Micros)>> = vec![None; keys];
     let mut keeper = Keeper::new(TERMS, 0);
     let mut all: Vec<Sender> = (0..senders)
@@ -152,8 +177,18 @@
             for _ in 0..count {
                 let sender = random.random_range(0..senders);
                 figures.arrived += 1;
-                all[sender].lines.entry(destination).or_insert_with(|| Line::new(now)).waiting.push_back(now);
-                all[sender].fixed.entry(destination).or_insert_with(|| Line::new(now)).waiting.push_back(now);
+                all[sender]
+                    .lines
+                    .entry(destination)
+                    .or_insert_with(|| Line::new(now))
+                    .waiting
+                    .push_back(now);
+                all[sender]
+                    .fixed
+                    .entry(destination)
+                    .or_insert_with(|| Line::new(now))
+                    .waiting
+                    .push_back(now);
                 central[destination].waiting.push_back(now);
             }
         }
@@ -163,7 +198,8 @@
             }
             if random.random_bool(0.004) {
                 let until = now + random.random_range(500..6000) * MS;
-                (0..senders / 5).for_each(|_| all[random.random_range(0..senders)].cut_until = until);
+                (0..senders / 5)
+                    .for_each(|_| all[random.random_range(0..senders)].cut_until = until);
             }
             if random.random_bool(0.01) {
                 let sender = &mut all[random.random_range(0..senders)];
@@ -174,8 +210,9 @@
                 let before = totals[destination];
                 let least = floors.sum(&key(destination));
                 totals[destination] = (before / 2).max(least).max(1000);
-                let earlier =
-                    lowered[destination].filter(|(_, until)| *until > now).map_or(0, |(before, _)| before);
+                let earlier = lowered[destination]
+                    .filter(|(_, until)| *until > now)
+                    .map_or(0, |(before, _)| before);
                 lowered[destination] = Some((before.max(earlier), now + TERMS.longest()));
             }
         }
@@ -184,42 +221,77 @@
             let local = sender.local(now);
             let lacks = sender.lines.iter().any(|(destination, line)| {
                 let key = key(*destination);
-                !line.waiting.is_empty() && sender.holder.may_use(local, &key) == Some(floors.of(&key))
+                !line.waiting.is_empty()
+                    && sender.holder.may_use(local, &key) == Some(floors.of(&key))
             });
-            if now < sender.next && !(lacks && now + TERMS.lease / 4 >= sender.next + TERMS.lease / 12) {
+            if now < sender.next
+                && !(lacks && now + TERMS.lease / 4 >= sender.next + TERMS.lease / 12)
+            {
                 continue;
             }
             sender.next = now + TERMS.lease / 4 * random.random_range(75..125) / 100;
             let wanted = sender.lines.iter().map(|(destination, line)| {
                 let want = (line.waiting.len() as u64 * CALL).div_ceil(TERMS.lease);
-                Wanted { key: key(*destination), want }
+                Wanted {
+                    key: key(*destination),
+                    want,
+                }
             });
             let wanted: Vec<Wanted> = wanted.collect();
             let (asked, wants) = sender.holder.ask(local, wanted);
             figures.asks += 1;
-            let lost = random.random_bool(if faults { 0.02 } else { 0.0 }) || now < sender.cut_until;
+            let lost =
+                random.random_bool(if faults { 0.02 } else { 0.0 }) || now < sender.cut_until;
             if !lost {
                 let at = now + random.random_range(1..20) * MS;
-                under_way
-                    .push((at, Message::Ask { sender: number, life: sender.life, number: asked, wants }));
+                under_way.push((
+                    at,
+                    Message::Ask {
+                        sender: number,
+                        life: sender.life,
+                        number: asked,
+                        wants,
+                    },
+                ));
             }
         }
         let due: Vec<(Micros, Message)> = under_way.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, message) in due {
             match message {
-                Message::Ask { sender, life, number, wants } => {
+                Message::Ask {
+                    sender,
+                    life,
+                    number,
+                    wants,
+                } => {
                     let dealt = wants.iter().map(|want| {
-                        let limit = Limit { total: totals[want.key.place() as usize], linger_ms: 0 };
+                        let limit = Limit {
+                            total: totals[want.key.place() as usize],
+                            linger_ms: 0,
+                        };
                         figures.deals += 1;
                         keeper.deal(now, (sender as u64) << 16 | life, want, limit, &floors)
                     });
                     let dealt = dealt.collect();
                     if now >= all[sender].cut_until {
                         let at = now + random.random_range(1..20) * MS;
-                        under_way.push((at, Message::Answer { sender, life, number, dealt }));
+                        under_way.push((
+                            at,
+                            Message::Answer {
+                                sender,
+                                life,
+                                number,
+                                dealt,
+                            },
+                        ));
                     }
                 }
-                Message::Answer { sender, life, number, dealt } if life == all[sender].life => {
+                Message::Answer {
+                    sender,
+                    life,
+                    number,
+                    dealt,
+                } if life == all[sender].life => {
                     let local = all[sender].local(now);
                     let Sender { holder, lines, .. } = &mut all[sender];
                     let part = |holder: &Holder, destination: &usize| {
@@ -242,8 +314,10 @@
         let mut used = vec![0u64; keys];
         for sender in &all {
             let local = sender.local(now);
-            let parts =
-                sender.holder.parts(local).filter_map(|(dealt, part, _)| Some((dealt.key.place(), part?)));
+            let parts = sender
+                .holder
+                .parts(local)
+                .filter_map(|(dealt, part, _)| Some((dealt.key.place(), part?)));
             parts.for_each(|(place, part)| used[place as usize] += part);
         }
         for (destination, used) in used.iter().enumerate() {
@@ -259,11 +333,18 @@
         for sender in &mut all {
             let local = sender.local(now);
             for (destination, line) in &mut sender.lines {
-                let rate = sender.holder.may_use(local, &key(*destination)).unwrap_or(0);
+                let rate = sender
+                    .holder
+                    .may_use(local, &key(*destination))
+                    .unwrap_or(0);
                 line.serve(now, rate, &mut figures.dealt);
             }
             for (destination, line) in &mut sender.fixed {
-                line.serve(now, totals[*destination] / senders as u64, &mut figures.fixed);
+                line.serve(
+                    now,
+                    totals[*destination] / senders as u64,
+                    &mut figures.fixed,
+                );
             }
         }
         for (destination, line) in central.iter_mut().enumerate() {
@@ -274,12 +355,18 @@
 }
 
 fn setting(name: &str, default: usize) -> usize {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(default)
 }
 
 #[test]
 fn what_may_be_used_together_is_never_over_the_limit_whatever_fails() {
-    let (seeds, senders) = (setting("MILLETTURN_SEEDS", 3), setting("MILLETTURN_SENDERS", 30));
+    let (seeds, senders) = (
+        setting("MILLETTURN_SEEDS", 3),
+        setting("MILLETTURN_SENDERS", 30),
+    );
     for seed in 0..seeds as u64 {
         let figures = play(seed, senders, true);
         assert_eq!(figures.most_over, 0, "seed {seed}");
@@ -289,13 +376,25 @@
 
 #[test]
 fn dealing_serves_more_than_fixed_shares_and_close_to_one_that_sees_all() {
-    let (seeds, senders) = (setting("MILLETTURN_SEEDS", 3), setting("MILLETTURN_SENDERS", 30));
+    let (seeds, senders) = (
+        setting("MILLETTURN_SEEDS", 3),
+        setting("MILLETTURN_SENDERS", 30),
+    );
     for faults in [false, true] {
         let mut rows: Vec<[f64; 8]> = Vec::new();
         for seed in 0..seeds as u64 {
             let begin = std::time::Instant::now();
-            let Figures { dealt, fixed, central, arrived, asks, deals, idle, looks, .. } =
-                play(1000 + seed, senders, faults);
+            let Figures {
+                dealt,
+                fixed,
+                central,
+                arrived,
+                asks,
+                deals,
+                idle,
+                looks,
+                ..
+            } = play(1000 + seed, senders, faults);
             let part = |count: u64| count as f64 / arrived as f64;
             rows.push([
                 part(fixed.calls),
@@ -308,7 +407,10 @@
                 idle / looks as f64,
             ]);
             if seeds > 3 {
-                println!("seed {seed}: {deals} deals, {:?} for the world", begin.elapsed());
+                println!(
+                    "seed {seed}: {deals} deals, {:?} for the world",
+                    begin.elapsed()
+                );
             }
         }
         let median = |column: usize| {
--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -24,7 +24,9 @@
                         return;
                     }
                     let result = run(seed);
-                    done.lock().expect("no thread panicked").push((seed, result));
+                    done.lock()
+                        .expect("no thread panicked")
+                        .push((seed, result));
                 }
             });
         }
@@ -42,7 +44,9 @@
 }
 
 fn together(members: usize, seed: u64, lifeguard: bool) -> Fleet {
-    let mut fleet = Fleet::with(members, seed, move |settings| settings.lifeguard = lifeguard);
+    let mut fleet = Fleet::with(members, seed, move |settings| {
+        settings.lifeguard = lifeguard
+    });
     if fleet.until(200.0, Fleet::agrees).is_none() {
         println!("seed {seed}: {members} members were not all together after 200 periods");
     }
@@ -58,21 +62,40 @@
         let victim = seed as usize % members;
         fleet.kill(victim);
         let all = fleet.until(300.0, |fleet| {
-            fleet.running().iter().all(|&other| fleet.state(other, victim) == Some(State::Dead))
+            fleet
+                .running()
+                .iter()
+                .all(|&other| fleet.state(other, victim) == Some(State::Dead))
         });
         let first = |state: State| {
             let of = |change: &Change| matches!(change, Change::State { name: n, now, .. } if *n == name(victim) && *now == state);
-            let found = fleet.seen.iter().find(|seen| seen.at >= since && of(&seen.change));
+            let found = fleet
+                .seen
+                .iter()
+                .find(|seen| seen.at >= since && of(&seen.change));
             found.map_or(f64::NAN, |seen| (seen.at - since) as f64 / PERIOD as f64)
         };
-        (first(State::Suspect), first(State::Dead), all.unwrap_or(f64::NAN))
+        (
+            first(State::Suspect),
+            first(State::Dead),
+            all.unwrap_or(f64::NAN),
+        )
     });
     let of = |pick: fn(&(f64, f64, f64)) -> f64| spread(times.iter().map(pick).collect());
-    println!("| {members} | {} | {} | {} |", of(|t| t.0), of(|t| t.1), of(|t| t.2));
+    println!(
+        "| {members} | {} | {} | {} |",
+        of(|t| t.0),
+        of(|t| t.1),
+        of(|t| t.2)
+    );
 }
 
 fn joining(members: usize, seeds: u64) {
-    let times = each(seeds, |seed| Fleet::new(members, seed).until(200.0, Fleet::agrees).unwrap_or(f64::NAN));
+    let times = each(seeds, |seed| {
+        Fleet::new(members, seed)
+            .until(200.0, Fleet::agrees)
+            .unwrap_or(f64::NAN)
+    });
     println!("| {members} | {} |", spread(times));
 }
 
@@ -125,7 +148,10 @@
             fleet.run(periods);
             let after = sum(fleet);
             let each = periods * fleet.running().len() as f64;
-            ((after.0 - before.0) as f64 / each, (after.1 - before.1) as f64 / each)
+            (
+                (after.0 - before.0) as f64 / each,
+                (after.1 - before.1) as f64 / each,
+            )
         };
         let rest = spent(&mut fleet, 40.0);
         // the sums are of those that run all along
@@ -134,7 +160,13 @@
         [rest.0, rest.1, death.0, death.1]
     });
     let of = |at: usize| spread(costs.iter().map(|cost| cost[at]).collect());
-    println!("| {members} | {} | {} | {} | {} |", of(0), of(1), of(2), of(3));
+    println!(
+        "| {members} | {} | {} | {} | {} |",
+        of(0),
+        of(1),
+        of(2),
+        of(3)
+    );
 }
 
 type Cut = fn(usize, usize, usize) -> bool;
@@ -142,12 +174,19 @@
 fn splits(members: usize, seeds: u64) {
     let cuts: [(&str, Cut); 5] = [
         ("halves", |n, from, to| (from < n / 2) == (to < n / 2)),
-        ("a fifth cut off", |n, from, to| (from < n / 5) == (to < n / 5)),
-        ("a fifth hears nobody else", |n, from, to| to >= n / 5 || from < n / 5),
-        ("nobody else hears a fifth", |n, from, to| from >= n / 5 || to < n / 5),
-        ("overlapping thirds: the first and the last apart", |n, from, to| {
-            !(from < n / 3 && to >= 2 * n / 3 || to < n / 3 && from >= 2 * n / 3)
+        ("a fifth cut off", |n, from, to| {
+            (from < n / 5) == (to < n / 5)
         }),
+        ("a fifth hears nobody else", |n, from, to| {
+            to >= n / 5 || from < n / 5
+        }),
+        ("nobody else hears a fifth", |n, from, to| {
+            from >= n / 5 || to < n / 5
+        }),
+        (
+            "overlapping thirds: the first and the last apart",
+            |n, from, to| !(from < n / 3 && to >= 2 * n / 3 || to < n / 3 && from >= 2 * n / 3),
+        ),
     ];
     for (what, passes) in cuts {
         let results = each(seeds, |seed| {
@@ -155,34 +194,54 @@
             let since = fleet.now;
             fleet.passes = Box::new(move |from, to| passes(members, from, to));
             fleet.run(100.0);
-            let dead =
-                (0..members).filter(|&of| (0..members).any(|by| fleet.state(by, of) == Some(State::Dead)));
+            let dead = (0..members)
+                .filter(|&of| (0..members).any(|by| fleet.state(by, of) == Some(State::Dead)));
             let dead = dead.count();
             fleet.passes = Box::new(|_, _| true);
             let agreed = fleet.until(300.0, Fleet::agrees).unwrap_or(f64::NAN);
-            let flaps = fleet.verdicts(since).values().filter(|states| states.len() > 2).count();
+            let flaps = fleet
+                .verdicts(since)
+                .values()
+                .filter(|states| states.len() > 2)
+                .count();
             (dead as f64, agreed, flaps)
         });
         let flaps: usize = results.iter().map(|result| result.2).sum();
-        let (dead, agreed) = (results.iter().map(|r| r.0).collect(), results.iter().map(|r| r.1).collect());
-        println!("| {what} | {} | {} | {flaps} |", spread(dead), spread(agreed));
+        let (dead, agreed) = (
+            results.iter().map(|r| r.0).collect(),
+            results.iter().map(|r| r.1).collect(),
+        );
+        println!(
+            "| {what} | {} | {} | {flaps} |",
+            spread(dead),
+            spread(agreed)
+        );
     }
 }
 
 fn main() {
     let mut arguments = std::env::args().skip(1);
-    let mut number = |default: u64| arguments.next().and_then(|text| text.parse().ok()).unwrap_or(default);
+    let mut number = |default: u64| {
+        arguments
+            .next()
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(default)
+    };
     let (large, seeds) = (number(300) as usize, number(20));
     let part = arguments.next();
     let wanted = |name: &str| part.as_deref().is_none_or(|part| part == name);
     println!("{seeds} seeds each; in periods: median / 99th percentile / worst.");
     if wanted("times") {
         println!("\n| members | until all know all, from a start together |\n| --- | --- |");
-        [10, 100, large].into_iter().for_each(|members| joining(members, seeds));
+        [10, 100, large]
+            .into_iter()
+            .for_each(|members| joining(members, seeds));
         println!(
             "\n| members | first suspects a death | first knows it | all know it |\n| --- | --- | --- | --- |"
         );
-        [10, 100, large].into_iter().for_each(|members| detection(members, seeds));
+        [10, 100, large]
+            .into_iter()
+            .for_each(|members| detection(members, seeds));
     }
     if wanted("deaths") {
         println!(
@@ -191,16 +250,29 @@
         println!("| datagrams lost | with all rules | plain SWIM |\n| --- | --- | --- |");
         for loss in [0.0, 0.1, 0.3] {
             let count = |lifeguard| false_deaths(large, seeds, loss, false, lifeguard);
-            println!("| {:.0}% | {} | {} |", loss * 100.0, count(true), count(false));
+            println!(
+                "| {:.0}% | {} | {} |",
+                loss * 100.0,
+                count(true),
+                count(false)
+            );
         }
         let count = |lifeguard| false_deaths(large, seeds, 0.0, true, lifeguard);
-        println!("| 0%, one in twenty stands still for 2 to 10 s | {} | {} |", count(true), count(false));
+        println!(
+            "| 0%, one in twenty stands still for 2 to 10 s | {} | {} |",
+            count(true),
+            count(false)
+        );
     }
     if wanted("cost") {
         println!("\nOut for each member and period:\n");
-        println!("| members | datagrams | bytes | datagrams, after a death | bytes, after a death |");
+        println!(
+            "| members | datagrams | bytes | datagrams, after a death | bytes, after a death |"
+        );
         println!("| --- | --- | --- | --- | --- |");
-        [10, 100, large].into_iter().for_each(|members| cost(members, seeds));
+        [10, 100, large]
+            .into_iter()
+            .for_each(|members| cost(members, seeds));
     }
     if wanted("splits") {
         println!("\nSplits of 100 periods, 100 members:\n");
--- a/membership/src/node/learn.rs
+++ b/membership/src/node/learn.rs
@@ -23,7 +23,9 @@
         if record.name == self.settings.name {
             return self.learn_of_oneself(&record, output);
         }
-        let Some(peer) = self.table.get(&record.name) else { return self.meet_new(now, record, output) };
+        let Some(peer) = self.table.get(&record.name) else {
+            return self.meet_new(now, record, output);
+        };
         let new = rank(record.incarnation, record.state, record.instance);
         if new < peer.rank() {
             return;
@@ -56,12 +58,20 @@
         if self.table.len() + 1 >= self.settings.most {
             let before = now.saturating_sub(FORGET_PERIODS * self.settings.period);
             if !self.table.forget_gone(before) {
-                *self.counts.dropped.entry(crate::wire::Dropped::Full).or_default() += 1;
+                *self
+                    .counts
+                    .dropped
+                    .entry(crate::wire::Dropped::Full)
+                    .or_default() += 1;
                 return;
             }
         }
         if record.state == State::Suspect {
-            let alive = Record { state: State::Alive, observer: None, ..record.clone() };
+            let alive = Record {
+                state: State::Alive,
+                observer: None,
+                ..record.clone()
+            };
             self.settle(now, &alive, output);
             let observer = record.observer.clone().unwrap_or_default();
             return self.suspect(now, &record, observer, false, output);
@@ -73,8 +83,11 @@
     fn settle(&mut self, now: Micros, record: &Record, output: &mut Output) {
         let old = self.table.get(&record.name);
         let before = old.map(|peer| peer.state);
-        let (heard, window) = old.map_or((None, Window::default()), |peer| (peer.heard, peer.window));
-        let since = old.filter(|peer| peer.state == record.state).map_or(now, |peer| peer.since);
+        let (heard, window) =
+            old.map_or((None, Window::default()), |peer| (peer.heard, peer.window));
+        let since = old
+            .filter(|peer| peer.state == record.state)
+            .map_or(now, |peer| peer.since);
         if record.state.lives() && !before.is_some_and(State::lives) {
             self.join_round(&record.name);
         }
@@ -96,18 +109,41 @@
     }
 
     fn tell_change(&self, name: &str, before: Option<State>, output: &mut Output) {
-        let Some(peer) = self.table.get(name).filter(|peer| Some(peer.state) != before) else { return };
+        let Some(peer) = self
+            .table
+            .get(name)
+            .filter(|peer| Some(peer.state) != before)
+        else {
+            return;
+        };
         let (name, now) = (name.to_string(), peer.state);
         let (incarnation, address) = (peer.incarnation, peer.address);
-        output.changes.push(Change::State { name, before, now, incarnation, address });
+        output.changes.push(Change::State {
+            name,
+            before,
+            now,
+            incarnation,
+            address,
+        });
     }
 
     fn suspect(
-        &mut self, now: Micros, record: &Record, observer: String, told_dead: bool, output: &mut Output,
+        &mut self,
+        now: Micros,
+        record: &Record,
+        observer: String,
+        told_dead: bool,
+        output: &mut Output,
     ) {
-        let Some(old) = self.table.get(&record.name).cloned() else { return };
+        let Some(old) = self.table.get(&record.name).cloned() else {
+            return;
+        };
         let (before, name) = (Some(old.state), &record.name);
-        let since = if old.state == State::Suspect { old.since } else { now };
+        let since = if old.state == State::Suspect {
+            old.since
+        } else {
+            now
+        };
         if old.state == State::Alive {
             self.unrest = now;
         }
@@ -115,11 +151,29 @@
             self.join_round(name);
         }
         let observers = BTreeSet::from([observer.clone()]);
-        let suspicion =
-            Suspicion { since: now, observers, told_dead, answered: 0, unanswered: 0, not_before: 0 };
-        let (address, incarnation, instance) = (record.address, record.incarnation, record.instance);
+        let suspicion = Suspicion {
+            since: now,
+            observers,
+            told_dead,
+            answered: 0,
+            unanswered: 0,
+            not_before: 0,
+        };
+        let (address, incarnation, instance) =
+            (record.address, record.incarnation, record.instance);
         let (state, suspicion) = (State::Suspect, Some(suspicion));
-        self.table.insert(name, Peer { address, incarnation, instance, state, since, suspicion, ..old });
+        self.table.insert(
+            name,
+            Peer {
+                address,
+                incarnation,
+                instance,
+                state,
+                since,
+                suspicion,
+                ..old
+            },
+        );
         self.gossip.forget(name);
         self.gossip.suspect(name, &observer);
         self.tell_change(name, before, output);
@@ -127,12 +181,23 @@
 
     /// The own probe of a member has failed.
     pub(super) fn accuse(&mut self, now: Micros, name: &str, output: &mut Output) {
-        let Some(peer) = self.table.get(name) else { return };
+        let Some(peer) = self.table.get(name) else {
+            return;
+        };
         let own = self.settings.name.clone();
         match peer.state {
             State::Alive => {
                 if let Some(record) = self.table.record(name, None) {
-                    self.suspect(now, &Record { state: State::Suspect, ..record }, own, false, output);
+                    self.suspect(
+                        now,
+                        &Record {
+                            state: State::Suspect,
+                            ..record
+                        },
+                        own,
+                        false,
+                        output,
+                    );
                 }
             }
             State::Suspect => self.confirm(name, own),
@@ -142,7 +207,9 @@
 
     /// A further observer agrees; its word is passed on, as far as it changes anything (Lifeguard, section IV-C).
     fn confirm(&mut self, name: &str, observer: String) {
-        let Some(suspicion) = self.suspicion_of(name) else { return };
+        let Some(suspicion) = self.suspicion_of(name) else {
+            return;
+        };
         if suspicion.observers.len() < OBSERVERS && suspicion.observers.insert(observer.clone()) {
             self.gossip.suspect(name, &observer);
         }
@@ -164,7 +231,11 @@
             return suspicion.since + least as Micros;
         }
         let most = least * self.settings.suspicion_most;
-        let agreed = if suspicion.told_dead { OBSERVERS } else { suspicion.observers.len() };
+        let agreed = if suspicion.told_dead {
+            OBSERVERS
+        } else {
+            suspicion.observers.len()
+        };
         // the first observer opens the suspicion, the others confirm it
         let others = agreed.saturating_sub(1) as f64;
         let wanted = f64::from(self.settings.confirmations);
@@ -174,22 +245,36 @@
         let worse = f64::from(self.health + 1);
         let time = time.max(least) * worse;
         // once a majority stands again, those that can be heard again must have the time to say so
-        let Some(stands) = self.stands else { return Micros::MAX };
+        let Some(stands) = self.stands else {
+            return Micros::MAX;
+        };
         // where as many again would leave no majority, all must have been tried first. In a half of a split fleet a
         // member of the other half that nobody suspects yet is found with a chance of 0.4 a period (half of the
         // probes, of half of the fleet; seen with 12 members), so that none is left after so long without a new
         // suspicion, but for one in 5,000 of the splits
         let (sure, suspects) = (self.table.unsuspected(), self.table.suspects().len());
         let margin = 2 * sure.saturating_sub(suspects) > self.settings.configured as usize;
-        let calm = if margin { 0 } else { self.unrest.max(stands) + 4 * (least * worse) as Micros };
-        (suspicion.since.max(stands) + time as Micros).max(suspicion.not_before).max(calm)
+        let calm = if margin {
+            0
+        } else {
+            self.unrest.max(stands) + 4 * (least * worse) as Micros
+        };
+        (suspicion.since.max(stands) + time as Micros)
+            .max(suspicion.not_before)
+            .max(calm)
     }
 
     /// An own probe of a member that was not suspect is over: what it tells of the own reach bears on all suspicions.
     pub(super) fn weigh(&mut self, answered: bool) {
         for name in self.table.suspects().clone() {
-            let Some(suspicion) = self.suspicion_of(&name) else { continue };
-            let count = if answered { &mut suspicion.answered } else { &mut suspicion.unanswered };
+            let Some(suspicion) = self.suspicion_of(&name) else {
+                continue;
+            };
+            let count = if answered {
+                &mut suspicion.answered
+            } else {
+                &mut suspicion.unanswered
+            };
             *count += 1;
         }
     }
@@ -201,24 +286,37 @@
         if stands && self.stands.is_none() {
             // those that were cut off meanwhile did not hear what they are accused of
             for name in self.table.suspects().clone() {
-                let Some(suspicion) = self.suspicion_of(&name) else { continue };
+                let Some(suspicion) = self.suspicion_of(&name) else {
+                    continue;
+                };
                 (suspicion.answered, suspicion.unanswered) = (0, 0);
                 let observers = suspicion.observers.clone();
-                observers.iter().for_each(|observer| self.gossip.suspect(&name, observer));
+                observers
+                    .iter()
+                    .for_each(|observer| self.gossip.suspect(&name, observer));
             }
         }
-        self.stands = if stands { self.stands.or(Some(now)) } else { None };
+        self.stands = if stands {
+            self.stands.or(Some(now))
+        } else {
+            None
+        };
     }
 
     pub(super) fn next_suspicion(&self) -> Option<Micros> {
-        let suspicions =
-            self.table.suspects().iter().filter_map(|name| self.table.get(name)?.suspicion.as_ref());
+        let suspicions = self
+            .table
+            .suspects()
+            .iter()
+            .filter_map(|name| self.table.get(name)?.suspicion.as_ref());
         suspicions.map(|suspicion| self.ends(suspicion)).min()
     }
 
     pub(super) fn put_off_suspicions(&mut self, now: Micros, by: Micros) {
         for name in self.table.suspects().clone() {
-            let Some(suspicion) = self.suspicion_of(&name) else { continue };
+            let Some(suspicion) = self.suspicion_of(&name) else {
+                continue;
+            };
             suspicion.since += by;
             (suspicion.answered, suspicion.unanswered) = (0, 0);
             suspicion.not_before = suspicion.not_before.max(now + by.min(1));
@@ -229,7 +327,10 @@
     pub(super) fn work_suspicions(&mut self, now: Micros, output: &mut Output) {
         self.look_who_stands(now);
         let due = |name: &&String| {
-            let suspicion = self.table.get(name).and_then(|peer| peer.suspicion.as_ref());
+            let suspicion = self
+                .table
+                .get(name)
+                .and_then(|peer| peer.suspicion.as_ref());
             suspicion.is_some_and(|suspicion| self.ends(suspicion) <= now)
         };
         let due: Vec<String> = self.table.suspects().iter().filter(due).cloned().collect();
@@ -238,19 +339,38 @@
             // one that is doubted itself, or gone, is no witness
             let witness = |observer: &&String| {
                 **observer == self.settings.name
-                    || self.table.get(observer).is_some_and(|peer| peer.state == State::Alive)
+                    || self
+                        .table
+                        .get(observer)
+                        .is_some_and(|peer| peer.state == State::Alive)
+            };
+            let observers = self
+                .table
+                .get(&name)
+                .and_then(|peer| Some(&peer.suspicion.as_ref()?.observers));
+            let witnesses =
+                observers.map_or(0, |observers| observers.iter().filter(witness).count());
+            let Some(peer) = self.table.get_mut(&name) else {
+                continue;
             };
-            let observers = self.table.get(&name).and_then(|peer| Some(&peer.suspicion.as_ref()?.observers));
-            let witnesses = observers.map_or(0, |observers| observers.iter().filter(witness).count());
-            let Some(peer) = self.table.get_mut(&name) else { continue };
             let (incarnation, instance, address) = (peer.incarnation, peer.instance, peer.address);
-            let Some(suspicion) = peer.suspicion.as_mut() else { continue };
+            let Some(suspicion) = peer.suspicion.as_mut() else {
+                continue;
+            };
             // what is not suspect may only not have been tried: in the smaller part of a split most probes fail
-            let reaches = suspicion.answered >= REACHED && suspicion.answered > 2 * suspicion.unanswered;
+            let reaches =
+                suspicion.answered >= REACHED && suspicion.answered > 2 * suspicion.unanswered;
             let agreed = (suspicion.told_dead || witnesses >= agree) && reaches;
             if agreed || !self.settings.lifeguard {
                 let (state, observer) = (State::Dead, None);
-                let record = Record { name, address, incarnation, instance, state, observer };
+                let record = Record {
+                    name,
+                    address,
+                    incarnation,
+                    instance,
+                    state,
+                    observer,
+                };
                 self.settle(now, &record, output);
             } else {
                 suspicion.not_before = now + self.settings.period;
@@ -286,12 +406,22 @@
             // both live, and all others would see first one and then the other: the elder is the member. A younger
             // one that claims the name lives; an elder may be this one's own earlier life until it answers
             let (elder, address) = (record.instance < self.instance, record.address);
-            if !elder && self.rival.is_none_or(|(instance, ..)| instance != record.instance) {
-                output.changes.push(Change::Rival { address, yields: false });
+            if !elder
+                && self
+                    .rival
+                    .is_none_or(|(instance, ..)| instance != record.instance)
+            {
+                output.changes.push(Change::Rival {
+                    address,
+                    yields: false,
+                });
             }
             if elder && answers >= RIVAL_ANSWERS {
                 let doubted = self.doubts();
-                output.changes.push(Change::Rival { address, yields: true });
+                output.changes.push(Change::Rival {
+                    address,
+                    yields: true,
+                });
                 self.yielded = true;
                 self.probe = None;
                 self.relays.clear();
@@ -306,10 +436,14 @@
         self.incarnation = record.incarnation + 1;
         self.gossip.tell(&self.settings.name);
         self.outcry = true;
-        if matches!(record.state, State::Suspect | State::Dead) && record.instance == self.instance {
+        if matches!(record.state, State::Suspect | State::Dead) && record.instance == self.instance
+        {
             // it was too slow for others (Lifeguard, section IV-A)
             self.worsen(1);
         }
-        output.changes.push(Change::Refuted { held: record.state, incarnation: self.incarnation });
+        output.changes.push(Change::Refuted {
+            held: record.state,
+            incarnation: self.incarnation,
+        });
     }
 }
--- a/membership/src/node/mod.rs
+++ b/membership/src/node/mod.rs
@@ -175,7 +175,11 @@
     /// # Errors
     /// A setting makes no sense.
     pub fn new(
-        settings: Settings, remembered: Remembered, seed: u64, instance: u64, now: Micros,
+        settings: Settings,
+        remembered: Remembered,
+        seed: u64,
+        instance: u64,
+        now: Micros,
     ) -> Result<Self, SettingsError> {
         settings.validate()?;
         let mut random = Pcg64::seed_from_u64(seed);
@@ -193,7 +197,11 @@
         contacts.dedup();
         Ok(Node {
             // what an earlier life said of itself is older than anything this one says
-            incarnation: if remembered == Remembered::default() { 0 } else { remembered.incarnation + 1 },
+            incarnation: if remembered == Remembered::default() {
+                0
+            } else {
+                remembered.incarnation + 1
+            },
             instance,
             counter: 0,
             left: false,
@@ -264,12 +272,23 @@
     }
 
     fn next_wake(&self, now: Micros) -> Micros {
-        let probe =
-            self.probe.as_ref().filter(|probe| !probe.asked && !probe.acked).map(|probe| probe.ask_at);
-        let relay = self.relays.values().filter(|relay| !relay.nacked).map(|relay| relay.nack_at).min();
+        let probe = self
+            .probe
+            .as_ref()
+            .filter(|probe| !probe.asked && !probe.acked)
+            .map(|probe| probe.ask_at);
+        let relay = self
+            .relays
+            .values()
+            .filter(|relay| !relay.nacked)
+            .map(|relay| relay.nack_at)
+            .min();
         let suspicion = self.next_suspicion();
         let outcry = self.outcry.then_some(self.next_outcry);
-        let due = [probe, relay, suspicion, outcry, Some(self.next_probe)].into_iter().flatten().min();
+        let due = [probe, relay, suspicion, outcry, Some(self.next_probe)]
+            .into_iter()
+            .flatten()
+            .min();
         let due = if self.yielded { None } else { due };
         due.unwrap_or(Micros::MAX).min(self.sync.at).max(now + 1)
     }
@@ -283,7 +302,9 @@
         self.next_outcry = now + self.settings.period;
         let record = self.own_record();
         for name in self.some_living(self.settings.helpers, &[]) {
-            let Some(address) = self.table.get(&name).map(|peer| peer.address) else { continue };
+            let Some(address) = self.table.get(&name).map(|peer| peer.address) else {
+                continue;
+            };
             self.send(address, &name, Message::News, vec![record.clone()], output);
         }
     }
@@ -327,14 +348,19 @@
     }
 
     fn take(
-        &mut self, now: Micros, source: SocketAddr, packet: Packet, output: &mut Output,
+        &mut self,
+        now: Micros,
+        source: SocketAddr,
+        packet: Packet,
+        output: &mut Output,
     ) -> Result<(), Dropped> {
         if packet.from == self.settings.name {
             return Err(Dropped::OwnName);
         }
         if !packet.listener {
             self.meet(now, &packet, output)?;
-            self.table.learn_holders(&packet.from, packet.view, &packet.holders);
+            self.table
+                .learn_holders(&packet.from, packet.view, &packet.holders);
         }
         for record in packet.records {
             self.learn(now, record, &packet.from, output);
@@ -354,17 +380,22 @@
             Message::PingFor { number, target } => {
                 self.probe_for(now, source, &packet.from, number, target, output)
             }
-            Message::Pull { after, until, digest } => {
-                self.give_part(source, &packet.from, after, until, digest, output)
-            }
+            Message::Pull {
+                after,
+                until,
+                digest,
+            } => self.give_part(source, &packet.from, after, until, digest, output),
         }
     }
 
     /// What a datagram itself says of its sender: that it is there, in this life, and that this is a new word of it.
     fn meet(&mut self, now: Micros, packet: &Packet, output: &mut Output) -> Result<(), Dropped> {
         if let Some(peer) = self.table.get_mut(&packet.from) {
-            let older = packet.instance != peer.window.instance() && packet.incarnation < peer.incarnation;
-            if older && peer.window.instance() != 0 || !peer.window.accept(packet.instance, packet.counter) {
+            let older =
+                packet.instance != peer.window.instance() && packet.incarnation < peer.incarnation;
+            if older && peer.window.instance() != 0
+                || !peer.window.accept(packet.instance, packet.counter)
+            {
                 return Err(Dropped::Replayed);
             }
             peer.heard = Some(now);
@@ -392,7 +423,11 @@
 
     /// Answers within the bound of a period.
     fn answer(
-        &mut self, to: SocketAddr, name: &str, message: Message, output: &mut Output,
+        &mut self,
+        to: SocketAddr,
+        name: &str,
+        message: Message,
+        output: &mut Output,
     ) -> Result<(), Dropped> {
         self.answers.0 = self.answers.0.checked_sub(1).ok_or(Dropped::Busy)?;
         self.send(to, name, message, Vec::new(), output);
@@ -401,7 +436,12 @@
 
     /// Sends a datagram with the records given, and with as much news as has room.
     fn send(
-        &mut self, to: SocketAddr, name: &str, message: Message, records: Vec<Record>, output: &mut Output,
+        &mut self,
+        to: SocketAddr,
+        name: &str,
+        message: Message,
+        records: Vec<Record>,
+        output: &mut Output,
     ) {
         self.counter += 1;
         let compares = matches!(message, Message::Pull { .. } | Message::Part { .. });
@@ -419,7 +459,13 @@
     }
 
     /// A packet of this member, with this number.
-    fn packet(&self, counter: u64, holders: Vec<u8>, message: Message, records: Vec<Record>) -> Packet {
+    fn packet(
+        &self,
+        counter: u64,
+        holders: Vec<u8>,
+        message: Message,
+        records: Vec<Record>,
+    ) -> Packet {
         Packet {
             fleet: self.settings.fleet.clone(),
             from: self.settings.name.clone(),
@@ -444,8 +490,15 @@
     /// The receiver first hears what is held against itself, so that it can refute it (Lifeguard's buddy system,
     /// section IV-B; for the dead as well, which is ours), then what is news.
     fn add_news(&mut self, to: &str, records: &mut Vec<Record>, room: &mut usize) {
-        let accused = self.table.get(to).is_some_and(|peer| peer.state != State::Alive);
-        let buddy = if accused && self.settings.lifeguard { self.table.record(to, None) } else { None };
+        let accused = self
+            .table
+            .get(to)
+            .is_some_and(|peer| peer.state != State::Alive);
+        let buddy = if accused && self.settings.lifeguard {
+            self.table.record(to, None)
+        } else {
+            None
+        };
         let mut add = |record: Record, room: &mut usize| {
             let size = wire::size(&record);
             let fits = size <= *room && !records.contains(&record);
@@ -518,7 +571,9 @@
         self.left = true;
         let record = self.own_record();
         for name in self.some_living(TOLD_AT_LEAVING, &[]) {
-            let Some(address) = self.table.get(&name).map(|peer| peer.address) else { continue };
+            let Some(address) = self.table.get(&name).map(|peer| peer.address) else {
+                continue;
+            };
             self.send(address, &name, Message::News, vec![record.clone()], output);
         }
     }
@@ -539,8 +594,15 @@
         let living = self.table.iter().filter(|(_, peer)| peer.state.lives());
         let mut latest: Vec<(&String, &Peer)> = living.collect();
         latest.sort_by_key(|(_, peer)| std::cmp::Reverse(peer.heard));
-        let contacts = latest.iter().take(REMEMBERED).map(|(_, peer)| peer.address).collect();
-        Remembered { incarnation: self.incarnation, contacts }
+        let contacts = latest
+            .iter()
+            .take(REMEMBERED)
+            .map(|(_, peer)| peer.address)
+            .collect();
+        Remembered {
+            incarnation: self.incarnation,
+            contacts,
+        }
     }
 
     /// The own name.
@@ -570,6 +632,8 @@
 
     /// How another member stands, and in which incarnation.
     pub fn state_of(&self, name: &str) -> Option<(State, u64)> {
-        self.table.get(name).map(|peer| (peer.state, peer.incarnation))
+        self.table
+            .get(name)
+            .map(|peer| (peer.state, peer.incarnation))
     }
 }
--- a/membership/src/node/probe.rs
+++ b/membership/src/node/probe.rs
@@ -46,7 +46,11 @@
 
 impl Node {
     pub(super) fn work_probe(&mut self, now: Micros, output: &mut Output) {
-        if self.probe.as_ref().is_some_and(|probe| !probe.asked && !probe.acked && now >= probe.ask_at) {
+        if self
+            .probe
+            .as_ref()
+            .is_some_and(|probe| !probe.asked && !probe.acked && now >= probe.ask_at)
+        {
             self.ask_helpers(output);
         }
         if now < self.next_probe {
@@ -58,17 +62,38 @@
         let period = self.stretched(self.settings.period);
         // a late turn does not make up for what it missed
         self.next_probe = (self.next_probe + period).max(now + period / 2);
-        let Some(target) = self.next_target() else { return };
-        let Some(peer) = self.table.get(&target) else { return };
+        let Some(target) = self.next_target() else {
+            return;
+        };
+        let Some(peer) = self.table.get(&target) else {
+            return;
+        };
         let (address, suspect) = (peer.address, peer.state == State::Suspect);
         self.number = self.number.wrapping_add(1);
         let number = self.number;
         let ask_at = now + self.stretched(self.settings.period / ASK_AFTER);
         let (helpers, nacks) = (Vec::new(), BTreeSet::new());
         let (asked, acked) = (false, false);
-        self.probe =
-            Some(Probe { target: target.clone(), number, suspect, ask_at, asked, acked, helpers, nacks });
-        self.send(address, &target, Message::Ping { number, to: target.clone() }, Vec::new(), output);
+        self.probe = Some(Probe {
+            target: target.clone(),
+            number,
+            suspect,
+            ask_at,
+            asked,
+            acked,
+            helpers,
+            nacks,
+        });
+        self.send(
+            address,
+            &target,
+            Message::Ping {
+                number,
+                to: target.clone(),
+            },
+            Vec::new(),
+            output,
+        );
     }
 
     /// Each member once in a round, in an order of its own for each round (SWIM, section IV-C). Ours: while there are
@@ -76,7 +101,12 @@
     fn next_target(&mut self) -> Option<String> {
         self.turn = !self.turn && !self.table.suspects().is_empty() && self.settings.lifeguard;
         if self.turn {
-            return self.table.suspects().iter().choose(&mut self.random).cloned();
+            return self
+                .table
+                .suspects()
+                .iter()
+                .choose(&mut self.random)
+                .cloned();
         }
         for _ in 0..2 {
             while let Some(name) = self.round.pop() {
@@ -85,7 +115,13 @@
                 }
             }
             let own = &self.settings.name;
-            self.round = self.table.living().iter().filter(|name| *name != own).cloned().collect();
+            self.round = self
+                .table
+                .living()
+                .iter()
+                .filter(|name| *name != own)
+                .cloned()
+                .collect();
             self.round.shuffle(&mut self.random);
         }
         None
@@ -103,28 +139,49 @@
         let fits = |name: &&String| **name != own && !without.contains(&name.as_str());
         let (mut sure, mut unsure): (Vec<&String>, Vec<&String>) = (Vec::new(), Vec::new());
         for name in self.table.living().iter().filter(fits) {
-            let list = if self.table.suspects().contains(name) { &mut unsure } else { &mut sure };
+            let list = if self.table.suspects().contains(name) {
+                &mut unsure
+            } else {
+                &mut sure
+            };
             list.push(name);
         }
-        let mut chosen: Vec<String> =
-            sure.choose_multiple(&mut self.random, most).map(|name| name.to_string()).collect();
+        let mut chosen: Vec<String> = sure
+            .choose_multiple(&mut self.random, most)
+            .map(|name| name.to_string())
+            .collect();
         let left = most - chosen.len();
-        chosen.extend(unsure.choose_multiple(&mut self.random, left).map(|name| name.to_string()));
+        chosen.extend(
+            unsure
+                .choose_multiple(&mut self.random, left)
+                .map(|name| name.to_string()),
+        );
         chosen
     }
 
     fn ask_helpers(&mut self, output: &mut Output) {
-        let Some(mut probe) = self.probe.take() else { return };
+        let Some(mut probe) = self.probe.take() else {
+            return;
+        };
         probe.asked = true;
         // the papers draw all helpers at random. Ours: of three, one is who last brought an answer that the own way
         // did not, and one who was heard last, so that a wide cut costs one failed probe and not half of them, and
         // somebody is asked who answers where most have died at once
         let alive = |name: &&String| {
-            **name != probe.target && self.table.get(name).is_some_and(|peer| peer.state == State::Alive)
+            **name != probe.target
+                && self
+                    .table
+                    .get(name)
+                    .is_some_and(|peer| peer.state == State::Alive)
         };
         let proven = self.bridge.as_ref().filter(alive).cloned();
-        let heard = self.table.iter().filter(|(name, peer)| alive(name) && peer.heard.is_some());
-        let last = heard.max_by_key(|(_, peer)| peer.heard).map(|(name, _)| name.clone());
+        let heard = self
+            .table
+            .iter()
+            .filter(|(name, peer)| alive(name) && peer.heard.is_some());
+        let last = heard
+            .max_by_key(|(_, peer)| peer.heard)
+            .map(|(name, _)| name.clone());
         let mut helpers: Vec<String> = proven.into_iter().chain(last).collect();
         helpers.dedup();
         helpers.truncate(self.settings.helpers.saturating_sub(1));
@@ -133,9 +190,17 @@
         let drawn = self.some_living(self.settings.helpers - helpers.len(), &without);
         helpers.extend(drawn);
         for helper in &helpers {
-            let Some(address) = self.table.get(helper).map(|peer| peer.address) else { continue };
+            let Some(address) = self.table.get(helper).map(|peer| peer.address) else {
+                continue;
+            };
             let (number, target) = (probe.number, probe.target.clone());
-            self.send(address, helper, Message::PingFor { number, target }, Vec::new(), output);
+            self.send(
+                address,
+                helper,
+                Message::PingFor { number, target },
+                Vec::new(),
+                output,
+            );
         }
         probe.helpers = helpers;
         self.probe = Some(probe);
@@ -156,7 +221,11 @@
         if !probe.suspect {
             // a helper that says nothing speaks for a fault here; one that had no answer either, for one there
             let missed = probe.helpers.len() - probe.nacks.len();
-            self.worsen(if probe.helpers.is_empty() { 1 } else { missed as u32 });
+            self.worsen(if probe.helpers.is_empty() {
+                1
+            } else {
+                missed as u32
+            });
         }
         self.tell_doubt(doubted, output);
         // ours: no suspicion without a sign in this very probe that this member is heard, and hears. Where there
@@ -184,8 +253,17 @@
     }
 
     /// The target answers, or a helper passes its answer on.
-    pub(super) fn acked(&mut self, from: &str, number: u32, output: &mut Output) -> Result<(), Dropped> {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number && !probe.acked) {
+    pub(super) fn acked(
+        &mut self,
+        from: &str,
+        number: u32,
+        output: &mut Output,
+    ) -> Result<(), Dropped> {
+        if let Some(probe) = self
+            .probe
+            .as_mut()
+            .filter(|probe| probe.number == number && !probe.acked)
+        {
             if probe.target != from && !probe.helpers.iter().any(|helper| helper == from) {
                 return Err(Dropped::Unknown);
             }
@@ -197,43 +275,86 @@
             self.hears(output);
             return Ok(());
         }
-        let relay = self.relays.get(&number).filter(|relay| relay.target == from);
+        let relay = self
+            .relays
+            .get(&number)
+            .filter(|relay| relay.target == from);
         if relay.is_none() {
             return Err(Dropped::Unknown); // it came too late, or is nobody's
         }
         if let Some(relay) = self.relays.remove(&number) {
-            let message = Message::Ack { number: relay.number };
+            let message = Message::Ack {
+                number: relay.number,
+            };
             self.send(relay.address, &relay.requester, message, Vec::new(), output);
         }
         Ok(())
     }
 
     /// A helper hears who asked, and had no answer.
-    pub(super) fn nacked(&mut self, from: &str, number: u32, output: &mut Output) -> Result<(), Dropped> {
+    pub(super) fn nacked(
+        &mut self,
+        from: &str,
+        number: u32,
+        output: &mut Output,
+    ) -> Result<(), Dropped> {
         let probe = self.probe.as_mut().filter(|probe| probe.number == number);
         let probe = probe.filter(|probe| probe.helpers.iter().any(|helper| helper == from));
-        probe.ok_or(Dropped::Unknown)?.nacks.insert(from.to_string());
+        probe
+            .ok_or(Dropped::Unknown)?
+            .nacks
+            .insert(from.to_string());
         self.hears(output);
         Ok(())
     }
 
     /// Probes another one on somebody's behalf.
     pub(super) fn probe_for(
-        &mut self, now: Micros, source: SocketAddr, requester: &str, number: u32, target: String,
+        &mut self,
+        now: Micros,
+        source: SocketAddr,
+        requester: &str,
+        number: u32,
+        target: String,
         output: &mut Output,
     ) -> Result<(), Dropped> {
-        let address = self.table.get(&target).map(|peer| peer.address).ok_or(Dropped::Unknown)?;
+        let address = self
+            .table
+            .get(&target)
+            .map(|peer| peer.address)
+            .ok_or(Dropped::Unknown)?;
         if self.relays.len() >= RELAYS {
             return Err(Dropped::Busy);
         }
         self.number = self.number.wrapping_add(1);
         let own = self.number;
-        self.answer(address, &target, Message::Ping { number: own, to: target.clone() }, output)?;
+        self.answer(
+            address,
+            &target,
+            Message::Ping {
+                number: own,
+                to: target.clone(),
+            },
+            output,
+        )?;
         let requester = requester.to_string();
-        let (nack_at, ends_at) =
-            (now + self.settings.period * NACK_NUM / NACK_DEN, now + 4 * self.settings.period);
+        let (nack_at, ends_at) = (
+            now + self.settings.period * NACK_NUM / NACK_DEN,
+            now + 4 * self.settings.period,
+        );
         let (address, nacked) = (source, false);
-        self.relays.insert(own, Relay { target, requester, address, number, nack_at, nacked, ends_at });
+        self.relays.insert(
+            own,
+            Relay {
+                target,
+                requester,
+                address,
+                number,
+                nack_at,
+                nacked,
+                ends_at,
+            },
+        );
         Ok(())
     }
 
@@ -244,7 +365,13 @@
         for relay in self.relays.values_mut().filter(due) {
             // an answer that comes later is passed on all the same: the requester's period may be longer
             relay.nacked = true;
-            nacks.push((relay.address, relay.requester.clone(), Message::Nack { number: relay.number }));
+            nacks.push((
+                relay.address,
+                relay.requester.clone(),
+                Message::Nack {
+                    number: relay.number,
+                },
+            ));
         }
         for (address, requester, message) in nacks {
             self.send(address, &requester, message, Vec::new(), output);
--- a/membership/src/node/sync.rs
+++ b/membership/src/node/sync.rs
@@ -32,7 +32,13 @@
 
 impl Sync {
     pub fn new(now: Micros) -> Self {
-        Sync { at: now, after: String::new(), asked: None, unanswered: 0, joined: false }
+        Sync {
+            at: now,
+            after: String::new(),
+            asked: None,
+            unanswered: 0,
+            joined: false,
+        }
     }
 }
 
@@ -49,13 +55,25 @@
             (true, false) => period * Micros::from(self.settings.sync),
         };
         self.sync.at = now + every / 2 + self.random.random_range(0..=every);
-        let Some((name, address)) = self.partner() else { return };
+        let Some((name, address)) = self.partner() else {
+            return;
+        };
         self.sync.unanswered += 1;
         let after = self.sync.after.clone();
         // as much as an answer could hold, were all of it different
         let (_, until) = self.part(&after, None, &[]);
         let digest = self.table.digest(&after, until.as_deref(), &name);
-        self.send(address, &name, Message::Pull { after, until, digest }, Vec::new(), output);
+        self.send(
+            address,
+            &name,
+            Message::Pull {
+                after,
+                until,
+                digest,
+            },
+            Vec::new(),
+            output,
+        );
         self.sync.asked = Some(name);
     }
 
@@ -67,7 +85,11 @@
         if self.table.living().len() == 1 || !self.sync.joined && self.sync.asked.is_none() {
             return self.contact();
         }
-        let asked = self.sync.asked.as_ref().filter(|_| self.sync.unanswered < PATIENCE);
+        let asked = self
+            .sync
+            .asked
+            .as_ref()
+            .filter(|_| self.sync.unanswered < PATIENCE);
         let peer = asked.and_then(|name| Some((name.clone(), self.table.get(name)?.address)));
         if let Some(peer) = peer.filter(|_| !self.sync.after.is_empty() || !self.sync.joined) {
             return Some(peer);
@@ -79,11 +101,26 @@
                 return self.contact();
             }
         }
-        if self.random.random_ratio(1, if self.is_few() { TO_THE_GONE_FEW } else { TO_THE_GONE }) {
+        if self.random.random_ratio(
+            1,
+            if self.is_few() {
+                TO_THE_GONE_FEW
+            } else {
+                TO_THE_GONE
+            },
+        ) {
             let dead = |(_, peer): &(&String, &crate::table::Peer)| peer.state == State::Dead;
-            let dead = self.table.iter().filter(dead).map(|(name, peer)| (name.clone(), peer.address));
+            let dead = self
+                .table
+                .iter()
+                .filter(dead)
+                .map(|(name, peer)| (name.clone(), peer.address));
             let mut gone: Vec<(String, SocketAddr)> = dead.collect();
-            gone.extend(self.strangers().into_iter().map(|address| (String::new(), address)));
+            gone.extend(
+                self.strangers()
+                    .into_iter()
+                    .map(|address| (String::new(), address)),
+            );
             if let Some(gone) = gone.choose(&mut self.random) {
                 return Some(gone.clone());
             }
@@ -100,8 +137,13 @@
 
     /// Addresses once known that are no known member's.
     fn strangers(&self) -> Vec<SocketAddr> {
-        let known = |address: &SocketAddr| self.table.iter().any(|(_, peer)| peer.address == *address);
-        self.contacts.iter().filter(|address| !known(address)).copied().collect()
+        let known =
+            |address: &SocketAddr| self.table.iter().any(|(_, peer)| peer.address == *address);
+        self.contacts
+            .iter()
+            .filter(|address| !known(address))
+            .copied()
+            .collect()
     }
 
     fn contact(&mut self) -> Option<(String, SocketAddr)> {
@@ -111,16 +153,26 @@
 
     /// The records of the members after a name and up to another, as many as an answer has room for beside these, and
     /// the last one's name where there are more.
-    fn part(&self, after: &str, until: Option<&str>, beside: &[Record]) -> (Vec<Record>, Option<String>) {
+    fn part(
+        &self,
+        after: &str,
+        until: Option<&str>,
+        beside: &[Record],
+    ) -> (Vec<Record>, Option<String>) {
         let holders = self.table.view().1.to_vec();
-        let message = Message::Part { after: after.to_string(), until: None };
+        let message = Message::Part {
+            after: after.to_string(),
+            until: None,
+        };
         let frame = self.packet(u64::MAX, holders, message, beside.to_vec());
         // the answer names the last member of the part, which is not known yet
         let mut room = self.room(&frame).saturating_sub(NAME_MOST + 2);
         let mut records = Vec::new();
         let mut last = None;
         for (name, _) in self.table.between(after, until) {
-            let Some(record) = self.table.record(name, None) else { continue };
+            let Some(record) = self.table.record(name, None) else {
+                continue;
+            };
             let size = wire::size(&record);
             if size > room {
                 return (records, last);
@@ -134,25 +186,47 @@
 
     /// Tells what is held of the members after a name, if it differs.
     pub(super) fn give_part(
-        &mut self, source: SocketAddr, to: &str, after: String, until: Option<String>, digest: u64,
+        &mut self,
+        source: SocketAddr,
+        to: &str,
+        after: String,
+        until: Option<String>,
+        digest: u64,
         output: &mut Output,
     ) -> Result<(), Dropped> {
         self.answers.0 = self.answers.0.checked_sub(1).ok_or(Dropped::Busy)?;
         // what is held against the one that asks comes before all else
-        let accused = self.table.get(to).is_some_and(|peer| peer.state != State::Alive);
-        let mut first: Vec<Record> =
-            if accused { self.table.record(to, None).into_iter().collect() } else { Vec::new() };
+        let accused = self
+            .table
+            .get(to)
+            .is_some_and(|peer| peer.state != State::Alive);
+        let mut first: Vec<Record> = if accused {
+            self.table.record(to, None).into_iter().collect()
+        } else {
+            Vec::new()
+        };
         let same = self.table.digest(&after, until.as_deref(), to) == digest;
-        let (records, until) =
-            if same { (Vec::new(), until) } else { self.part(&after, until.as_deref(), &first) };
-        first.extend(records.into_iter().filter(|record| !accused || record.name != to));
+        let (records, until) = if same {
+            (Vec::new(), until)
+        } else {
+            self.part(&after, until.as_deref(), &first)
+        };
+        first.extend(
+            records
+                .into_iter()
+                .filter(|record| !accused || record.name != to),
+        );
         self.send(source, to, Message::Part { after, until }, first, output);
         Ok(())
     }
 
     /// The records were learned already; this tells how far they go.
     pub(super) fn take_part(
-        &mut self, now: Micros, from: &str, after: String, until: Option<String>,
+        &mut self,
+        now: Micros,
+        from: &str,
+        after: String,
+        until: Option<String>,
     ) -> Result<(), Dropped> {
         if self.sync.after != after {
             return Err(Dropped::Unknown); // a late answer to an earlier question
--- a/membership/src/settings.rs
+++ b/membership/src/settings.rs
@@ -83,20 +83,69 @@
     /// # Errors
     /// Names the first that does not.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let check =
-            |name, holds: bool, wanted| if holds { Ok(()) } else { Err(SettingsError { name, wanted }) };
-        check("name", is_name(&self.name), "one to 64 letters, digits or signs without spaces")?;
-        check("fleet", is_name(&self.fleet), "one to 64 letters, digits or signs without spaces")?;
+        let check = |name, holds: bool, wanted| {
+            if holds {
+                Ok(())
+            } else {
+                Err(SettingsError { name, wanted })
+            }
+        };
+        check(
+            "name",
+            is_name(&self.name),
+            "one to 64 letters, digits or signs without spaces",
+        )?;
+        check(
+            "fleet",
+            is_name(&self.fleet),
+            "one to 64 letters, digits or signs without spaces",
+        )?;
         check("configured", self.configured > 0, "a number above zero")?;
-        check("period", (10_000..=60_000_000).contains(&self.period), "a time from 10 ms to 60 s")?;
-        check("helpers", (1..=8).contains(&self.helpers), "a number from 1 to 8")?;
-        check("suspicion", (1.0..=100.0).contains(&self.suspicion), "a number from 1 to 100")?;
-        check("suspicion_most", (1.0..=100.0).contains(&self.suspicion_most), "a number from 1 to 100")?;
-        check("confirmations", (1..=8).contains(&self.confirmations), "a number from 1 to 8")?;
-        check("retransmit", (1..=16).contains(&self.retransmit), "a number from 1 to 16")?;
-        check("sync", (1..=1000).contains(&self.sync), "a number from 1 to 1000")?;
-        check("most", (2..=MEMBERS_MOST).contains(&self.most), "a number from 2 to 2048")?;
-        check("key", self.key.as_ref().is_none_or(|key| key.len() >= 16), "at least 16 bytes long")?;
+        check(
+            "period",
+            (10_000..=60_000_000).contains(&self.period),
+            "a time from 10 ms to 60 s",
+        )?;
+        check(
+            "helpers",
+            (1..=8).contains(&self.helpers),
+            "a number from 1 to 8",
+        )?;
+        check(
+            "suspicion",
+            (1.0..=100.0).contains(&self.suspicion),
+            "a number from 1 to 100",
+        )?;
+        check(
+            "suspicion_most",
+            (1.0..=100.0).contains(&self.suspicion_most),
+            "a number from 1 to 100",
+        )?;
+        check(
+            "confirmations",
+            (1..=8).contains(&self.confirmations),
+            "a number from 1 to 8",
+        )?;
+        check(
+            "retransmit",
+            (1..=16).contains(&self.retransmit),
+            "a number from 1 to 16",
+        )?;
+        check(
+            "sync",
+            (1..=1000).contains(&self.sync),
+            "a number from 1 to 1000",
+        )?;
+        check(
+            "most",
+            (2..=MEMBERS_MOST).contains(&self.most),
+            "a number from 2 to 2048",
+        )?;
+        check(
+            "key",
+            self.key.as_ref().is_none_or(|key| key.len() >= 16),
+            "at least 16 bytes long",
+        )?;
         check(
             "advertise",
             !self.advertise.ip().is_unspecified() && self.advertise.port() != 0,
--- a/membership/src/table.rs
+++ b/membership/src/table.rs
@@ -62,7 +62,11 @@
     /// Notes a datagram; false if it came before or is too old to tell.
     pub fn accept(&mut self, instance: u64, counter: u64) -> bool {
         if instance != self.instance {
-            *self = Window { instance, highest: counter, came: 1 };
+            *self = Window {
+                instance,
+                highest: counter,
+                came: 1,
+            };
             return true;
         }
         if counter > self.highest {
@@ -71,7 +75,9 @@
             self.highest = counter;
             return true;
         }
-        let bit = 1u64.checked_shl(u32::try_from(self.highest - counter).unwrap_or(64)).unwrap_or(0);
+        let bit = 1u64
+            .checked_shl(u32::try_from(self.highest - counter).unwrap_or(64))
+            .unwrap_or(0);
         let new = bit != 0 && self.came & bit == 0;
         self.came |= bit;
         new
@@ -167,13 +173,23 @@
     /// Forgets the member that has been gone longest, at least since this time; whether there was one.
     pub fn forget_gone(&mut self, before: Micros) -> bool {
         let gone = |(_, peer): &(&String, &Peer)| !peer.state.lives() && peer.since <= before;
-        let oldest = self.peers.iter().filter(gone).min_by_key(|(_, peer)| peer.since);
-        let Some(name) = oldest.map(|(name, _)| name.clone()) else { return false };
+        let oldest = self
+            .peers
+            .iter()
+            .filter(gone)
+            .min_by_key(|(_, peer)| peer.since);
+        let Some(name) = oldest.map(|(name, _)| name.clone()) else {
+            return false;
+        };
         self.peers.remove(&name).is_some()
     }
 
     fn look_again(&mut self) {
-        let others = self.peers.iter().filter(|(_, peer)| peer.state.lives()).map(|(name, _)| name);
+        let others = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.state.lives())
+            .map(|(name, _)| name);
         self.living = others.chain([&self.own]).cloned().collect();
         self.living.sort_unstable();
         let mut hash = Xxh3::new();
@@ -190,7 +206,10 @@
 
     /// The member is known to hold this view.
     fn holds(&mut self, name: &str) {
-        if let Ok(place) = self.living.binary_search_by(|known| known.as_str().cmp(name)) {
+        if let Ok(place) = self
+            .living
+            .binary_search_by(|known| known.as_str().cmp(name))
+        {
             self.holders[place / 8] |= 1 << (place % 8);
         }
     }
@@ -216,7 +235,11 @@
     pub fn tell_holders(&mut self, compares: bool) -> Vec<u8> {
         let tells = self.fresh > 0 || compares;
         self.fresh = self.fresh.saturating_sub(1);
-        if tells { self.holders.clone() } else { Vec::new() }
+        if tells {
+            self.holders.clone()
+        } else {
+            Vec::new()
+        }
     }
 
     /// The view's hash and who holds it.
@@ -250,7 +273,10 @@
     /// What is told of a member: its record, by one observer if it is suspect.
     pub fn record(&self, name: &str, observer: Option<&str>) -> Option<Record> {
         let peer = self.peers.get(name)?;
-        let observers = peer.suspicion.as_ref().map(|suspicion| &suspicion.observers);
+        let observers = peer
+            .suspicion
+            .as_ref()
+            .map(|suspicion| &suspicion.observers);
         let observer = match (peer.state, observer) {
             (State::Suspect, Some(observer)) => observers?.get(observer).cloned(),
             (State::Suspect, None) => observers?.first().cloned(),
@@ -268,16 +294,25 @@
     }
 
     /// The members after a name and up to another or to the end; an end before the begin is none.
-    pub fn between(&self, after: &str, until: Option<&str>) -> impl Iterator<Item = (&String, &Peer)> {
+    pub fn between(
+        &self,
+        after: &str,
+        until: Option<&str>,
+    ) -> impl Iterator<Item = (&String, &Peer)> {
         use std::ops::Bound::{Excluded, Included, Unbounded};
-        let until = until.filter(|until| *until >= after).map_or(Unbounded, Included);
+        let until = until
+            .filter(|until| *until >= after)
+            .map_or(Unbounded, Included);
         self.peers.range::<str, _>((Excluded(after), until))
     }
 
     /// A digest of the records of these members but for one's: neither of two that compare holds itself.
     pub fn digest(&self, after: &str, until: Option<&str>, without: &str) -> u64 {
         let mut hash = Xxh3::new();
-        for (name, peer) in self.between(after, until).filter(|(name, _)| *name != without) {
+        for (name, peer) in self
+            .between(after, until)
+            .filter(|(name, _)| *name != without)
+        {
             hash.update(name.as_bytes());
             hash.update(&[peer.state as u8]);
             hash.update(&peer.incarnation.to_le_bytes());
@@ -313,7 +348,16 @@
     fn peer(state: State) -> Peer {
         let address = "127.0.0.1:1".parse().expect("an address");
         let (suspicion, heard, window) = (None, None, Window::default());
-        Peer { address, incarnation: 0, instance: 0, state, since: 0, suspicion, heard, window }
+        Peer {
+            address,
+            incarnation: 0,
+            instance: 0,
+            state,
+            since: 0,
+            suspicion,
+            heard,
+            window,
+        }
     }
 
     #[test]
@@ -321,7 +365,10 @@
         let mut window = Window::default();
         assert!(window.accept(5, 10) && window.accept(5, 12) && window.accept(5, 11));
         assert!(!window.accept(5, 11) && !window.accept(5, 10) && !window.accept(5, 12));
-        assert!(window.accept(5, 200) && !window.accept(5, 100), "too old to tell");
+        assert!(
+            window.accept(5, 200) && !window.accept(5, 100),
+            "too old to tell"
+        );
         assert!(window.accept(6, 1), "another life");
     }
 
@@ -339,9 +386,16 @@
         table.learn_holders("x", view, &[]);
         assert_eq!(table.held_by(), 3, "another view");
         table.insert("c", peer(State::Suspect));
-        assert_eq!((table.held_by(), table.unsuspected()), (3, 3), "a suspect lives");
+        assert_eq!(
+            (table.held_by(), table.unsuspected()),
+            (3, 3),
+            "a suspect lives"
+        );
         table.insert("c", peer(State::Dead));
-        assert_eq!((table.held_by(), table.living().len(), table.gone()), (1, 3, 1));
+        assert_eq!(
+            (table.held_by(), table.living().len(), table.gone()),
+            (1, 3, 1)
+        );
     }
 
     #[test]
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -69,9 +69,16 @@
     /// A helper has had no answer, but hears who asked.
     Nack { number: u32 },
     /// What do you hold of the members after this name, up to that or to the end? Mine have this digest.
-    Pull { after: String, until: Option<String>, digest: u64 },
+    Pull {
+        after: String,
+        until: Option<String>,
+        digest: u64,
+    },
     /// What I hold of them, up to this name or to the end; nothing where it is the same.
-    Part { after: String, until: Option<String> },
+    Part {
+        after: String,
+        until: Option<String>,
+    },
     /// News alone; nothing is to be answered.
     News,
 }
@@ -144,10 +151,13 @@
         let at = body.len().checked_sub(TAG).ok_or(Dropped::Unsigned)?;
         let signed = &bytes[..bytes.len() - TAG];
         // compared in constant time
-        tag(key, signed).verify_truncated_left(&body[at..]).map_err(|_| Dropped::Unsigned)?;
+        tag(key, signed)
+            .verify_truncated_left(&body[at..])
+            .map_err(|_| Dropped::Unsigned)?;
         body = &body[..at];
     }
-    let (packet, left) = postcard::take_from_bytes::<Packet>(body).map_err(|_| Dropped::Unreadable)?;
+    let (packet, left) =
+        postcard::take_from_bytes::<Packet>(body).map_err(|_| Dropped::Unreadable)?;
     if packet.fleet != fleet {
         return Err(Dropped::Fleet);
     }
@@ -159,7 +169,11 @@
             && (record.state == State::Suspect) == record.observer.is_some()
             && !record.address.ip().is_unspecified()
     };
-    if sound && packet.records.iter().all(record) { Ok(packet) } else { Err(Dropped::Unreadable) }
+    if sound && packet.records.iter().all(record) {
+        Ok(packet)
+    } else {
+        Err(Dropped::Unreadable)
+    }
 }
 
 #[cfg(test)]
@@ -187,7 +201,10 @@
             listener: false,
             view: 0x1234,
             holders: vec![3],
-            message: Message::Ping { number: 8, to: "n2".to_string() },
+            message: Message::Ping {
+                number: 8,
+                to: "n2".to_string(),
+            },
             records: vec![record],
         }
     }
@@ -205,12 +222,18 @@
         let (plain, signed) = (encode(&packet(), None), encode(&packet(), Some(key)));
         assert_eq!(decode(&plain, "saigon", None), Err(Dropped::Fleet));
         assert_eq!(decode(&plain, "hue", Some(key)), Err(Dropped::Unsigned));
-        assert_eq!(decode(&signed, "hue", Some(b"another key of that length")), Err(Dropped::Unsigned));
+        assert_eq!(
+            decode(&signed, "hue", Some(b"another key of that length")),
+            Err(Dropped::Unsigned)
+        );
         assert_eq!(decode(&signed, "hue", None), Err(Dropped::Unreadable));
         let mut other = plain.clone();
         other[2] = VERSION + 1;
         assert_eq!(decode(&other, "hue", None), Err(Dropped::Version));
-        assert_eq!(decode(&[plain, vec![0; LONGEST]].concat(), "hue", None), Err(Dropped::TooLong));
+        assert_eq!(
+            decode(&[plain, vec![0; LONGEST]].concat(), "hue", None),
+            Err(Dropped::TooLong)
+        );
     }
 
     #[test]
@@ -220,7 +243,11 @@
         for at in 3..signed.len() {
             let mut changed = signed.clone();
             changed[at] ^= 1;
-            assert_eq!(decode(&changed, "hue", Some(key)), Err(Dropped::Unsigned), "byte {at}");
+            assert_eq!(
+                decode(&changed, "hue", Some(key)),
+                Err(Dropped::Unsigned),
+                "byte {at}"
+            );
         }
     }
 
@@ -228,7 +255,10 @@
     fn cut_changed_and_random_bytes_are_dropped_or_sound() {
         let whole = encode(&packet(), None);
         for length in 0..whole.len() {
-            assert!(decode(&whole[..length], "hue", None).is_err(), "cut at {length}");
+            assert!(
+                decode(&whole[..length], "hue", None).is_err(),
+                "cut at {length}"
+            );
         }
         let mut random = Pcg64::seed_from_u64(1);
         let mut read = 0;
@@ -247,7 +277,12 @@
         for _ in 0..100_000 {
             let length = random.random_range(0..LONGEST + 10);
             let mut bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
-            bytes.splice(0..length.min(3), [MAGIC[0], MAGIC[1], VERSION].into_iter().take(length.min(3)));
+            bytes.splice(
+                0..length.min(3),
+                [MAGIC[0], MAGIC[1], VERSION]
+                    .into_iter()
+                    .take(length.min(3)),
+            );
             let _ = decode(&bytes, "hue", None);
         }
     }
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -13,7 +13,9 @@
 const BUFFERED: usize = 256;
 
 pub fn address(index: usize) -> SocketAddr {
-    format!("127.1.{}.{}:9000", index / 250, index % 250 + 1).parse().expect("an address")
+    format!("127.1.{}.{}:9000", index / 250, index % 250 + 1)
+        .parse()
+        .expect("an address")
 }
 
 pub fn name(index: usize) -> String {
@@ -25,7 +27,11 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Happening {
     Tick(usize),
-    Arrive { to: usize, from: usize, bytes: Vec<u8> },
+    Arrive {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
 }
 
 /// A change of what one holds of another.
@@ -93,7 +99,9 @@
     pub fn settings(&self, index: usize) -> Settings {
         let members = self.nodes.len();
         let mut settings = Settings::new(&name(index), address(index), members as u32);
-        settings.seeds = (1..3).map(|step| address((index + step) % members)).collect();
+        settings.seeds = (1..3)
+            .map(|step| address((index + step) % members))
+            .collect();
         (self.adjust)(&mut settings);
         settings
     }
@@ -109,7 +117,8 @@
         };
         let seed = self.random.random();
         let instance = self.now + self.starts;
-        let node = Node::new(settings, remembered, seed, instance, self.now).expect("good settings");
+        let node =
+            Node::new(settings, remembered, seed, instance, self.now).expect("good settings");
         self.push(self.now, Happening::Tick(index));
         self.nodes[index] = Some(node);
     }
@@ -146,7 +155,9 @@
             if *at > until {
                 break;
             }
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, what))) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.happen(what);
         }
@@ -166,7 +177,9 @@
             }
             return;
         }
-        let Some(node) = self.nodes[to].as_mut() else { return };
+        let Some(node) = self.nodes[to].as_mut() else {
+            return;
+        };
         let mut output = Output::default();
         match what {
             Happening::Tick(_) => {
@@ -184,17 +197,30 @@
 
     fn carry_out(&mut self, index: usize, output: Output) {
         for change in output.changes {
-            self.seen.push(Seen { at: self.now, observer: index, change });
+            self.seen.push(Seen {
+                at: self.now,
+                observer: index,
+                change,
+            });
         }
         for (to, bytes) in output.datagrams {
             assert!(bytes.len() < 1400, "{} bytes", bytes.len());
-            let Some(&to) = self.by_address.get(&to) else { continue };
+            let Some(&to) = self.by_address.get(&to) else {
+                continue;
+            };
             if self.keep {
                 self.last.push((index, to, bytes.clone()));
             }
             if (self.passes)(index, to) && self.random.random::<f64>() >= self.loss {
                 let delay = self.random.random_range(1_000..20_000);
-                self.push(self.now + delay, Happening::Arrive { to, from: index, bytes });
+                self.push(
+                    self.now + delay,
+                    Happening::Arrive {
+                        to,
+                        from: index,
+                        bytes,
+                    },
+                );
             }
         }
         if let Some(wake) = self.nodes[index].as_ref().map(Node::wake_at) {
@@ -204,7 +230,14 @@
 
     /// Hands a member a datagram from somewhere.
     pub fn inject(&mut self, to: usize, from: usize, bytes: &[u8]) {
-        self.push(self.now, Happening::Arrive { to, from, bytes: bytes.to_vec() });
+        self.push(
+            self.now,
+            Happening::Arrive {
+                to,
+                from,
+                bytes: bytes.to_vec(),
+            },
+        );
     }
 
     pub fn node(&self, index: usize) -> &Node {
@@ -212,12 +245,16 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|&index| self.nodes[index].is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|&index| self.nodes[index].is_some())
+            .collect()
     }
 
     /// How one holds another.
     pub fn state(&self, observer: usize, of: usize) -> Option<State> {
-        self.node(observer).state_of(&name(of)).map(|(state, _)| state)
+        self.node(observer)
+            .state_of(&name(of))
+            .map(|(state, _)| state)
     }
 
     /// Whether all that run hold just those for alive that run, and nobody for suspect.
@@ -226,7 +263,11 @@
         running.iter().all(|&observer| {
             let view = self.node(observer).view();
             let right = |&of: &usize| {
-                let state = if of == observer { Some(State::Alive) } else { self.state(observer, of) };
+                let state = if of == observer {
+                    Some(State::Alive)
+                } else {
+                    self.state(observer, of)
+                };
                 state == Some(State::Alive)
             };
             view.living as usize == running.len() && view.suspects == 0 && running.iter().all(right)
@@ -250,10 +291,26 @@
     /// Verdicts since a time: changes between living and gone, by observer and member.
     pub fn verdicts(&self, since: Micros) -> BTreeMap<(usize, String), Vec<State>> {
         let mut verdicts: BTreeMap<(usize, String), Vec<State>> = BTreeMap::new();
-        for Seen { at, observer, change } in &self.seen {
-            let Change::State { name, before: Some(before), now, .. } = change else { continue };
+        for Seen {
+            at,
+            observer,
+            change,
+        } in &self.seen
+        {
+            let Change::State {
+                name,
+                before: Some(before),
+                now,
+                ..
+            } = change
+            else {
+                continue;
+            };
             if *at >= since && before.lives() != now.lives() {
-                verdicts.entry((*observer, name.clone())).or_default().push(*now);
+                verdicts
+                    .entry((*observer, name.clone()))
+                    .or_default()
+                    .push(*now);
             }
         }
         verdicts
--- a/membership/tests/fleets.rs
+++ b/membership/tests/fleets.rs
@@ -9,7 +9,10 @@
 fn together(members: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(members, seed);
     let joined = fleet.until(60.0, Fleet::agrees);
-    assert!(joined.is_some(), "{members} members, seed {seed}: never all together");
+    assert!(
+        joined.is_some(),
+        "{members} members, seed {seed}: never all together"
+    );
     fleet
 }
 
@@ -22,7 +25,11 @@
     let mut fleet = Fleet::with(10, 5, |settings| settings.seeds = vec![address(0)]);
     fleet.kill(0);
     fleet.run(5.0);
-    assert_eq!(fleet.node(3).view().living, 1, "nobody else is known, which only means waiting");
+    assert_eq!(
+        fleet.node(3).view().living,
+        1,
+        "nobody else is known, which only means waiting"
+    );
     fleet.start(0, false);
     assert!(fleet.until(20.0, Fleet::agrees).is_some());
 }
@@ -38,7 +45,10 @@
             fleet.start(index, false);
         }
         let agreed = fleet.until(60.0, Fleet::agrees);
-        assert!(agreed.is_some_and(|periods| periods < 30.0), "seed {seed}: {agreed:?}");
+        assert!(
+            agreed.is_some_and(|periods| periods < 30.0),
+            "seed {seed}: {agreed:?}"
+        );
     }
 }
 
@@ -49,9 +59,15 @@
         let since = fleet.now;
         fleet.kill(7);
         let known = fleet.until(60.0, |fleet| {
-            fleet.running().iter().all(|&observer| fleet.state(observer, 7) == Some(State::Dead))
+            fleet
+                .running()
+                .iter()
+                .all(|&observer| fleet.state(observer, 7) == Some(State::Dead))
         });
-        assert!(known.is_some_and(|periods| periods < 40.0), "seed {seed}: {known:?} periods");
+        assert!(
+            known.is_some_and(|periods| periods < 40.0),
+            "seed {seed}: {known:?} periods"
+        );
         assert_eq!(fleet.false_deaths(since, &[7]), 0, "seed {seed}");
         assert!(fleet.agrees());
     }
@@ -73,19 +89,43 @@
 
 fn cuts() -> Vec<Cut> {
     vec![
-        ("1 does not reach 2", Box::new(|from, to| (from, to) != (1, 2)), vec![]),
-        ("1 and 2 are cut", Box::new(|from, to| (from, to) != (1, 2) && (from, to) != (2, 1)), vec![]),
+        (
+            "1 does not reach 2",
+            Box::new(|from, to| (from, to) != (1, 2)),
+            vec![],
+        ),
+        (
+            "1 and 2 are cut",
+            Box::new(|from, to| (from, to) != (1, 2) && (from, to) != (2, 1)),
+            vec![],
+        ),
         ("1 hears nobody", Box::new(|_, to| to != 1), vec![1]),
         ("nobody hears 1", Box::new(|from, _| from != 1), vec![1]),
-        ("1 is cut off", Box::new(|from, to| from != 1 && to != 1), vec![1]),
+        (
+            "1 is cut off",
+            Box::new(|from, to| from != 1 && to != 1),
+            vec![1],
+        ),
         (
             "1 and 2 hear nobody else",
             Box::new(|from, to| to > 2 || from <= 2 && from > 0 || to == 0),
             vec![1, 2],
         ),
-        ("0 to 4 do not reach 5 to 9", Box::new(|from, to| !(from < 5 && (5..10).contains(&to))), vec![]),
-        ("0 to 4 reach nobody else", Box::new(|from, to| !(from < 5 && to >= 5)), vec![0, 1, 2, 3, 4]),
-        ("nobody else reaches 0 to 4", Box::new(|from, to| !(from >= 5 && to < 5)), vec![0, 1, 2, 3, 4]),
+        (
+            "0 to 4 do not reach 5 to 9",
+            Box::new(|from, to| !(from < 5 && (5..10).contains(&to))),
+            vec![],
+        ),
+        (
+            "0 to 4 reach nobody else",
+            Box::new(|from, to| !(from < 5 && to >= 5)),
+            vec![0, 1, 2, 3, 4],
+        ),
+        (
+            "nobody else reaches 0 to 4",
+            Box::new(|from, to| !(from >= 5 && to < 5)),
+            vec![0, 1, 2, 3, 4],
+        ),
         (
             "0, 1, 2 are apart from 7, 8, 9",
             Box::new(|from, to| !(from < 3 && to > 6 || from > 6 && to < 3)),
@@ -102,15 +142,20 @@
             fleet.run(10.0);
             let since = fleet.now;
             // the closure lives as long as the list of cuts: it is asked through a table of who reaches whom
-            let table: Vec<Vec<bool>> =
-                (0..12).map(|from| (0..12).map(|to| passes(from, to)).collect()).collect();
+            let table: Vec<Vec<bool>> = (0..12)
+                .map(|from| (0..12).map(|to| passes(from, to)).collect())
+                .collect();
             fleet.passes = Box::new(move |from, to| table[from][to]);
             fleet.run(100.0);
             let others: Vec<usize> = (0..12).filter(|index| !outcome.contains(index)).collect();
             for &observer in &others {
                 for of in 0..12 {
                     let dead = fleet.state(observer, of) == Some(State::Dead);
-                    assert_eq!(dead, outcome.contains(&of), "{what}, seed {seed}: {observer} of {of}");
+                    assert_eq!(
+                        dead,
+                        outcome.contains(&of),
+                        "{what}, seed {seed}: {observer} of {of}"
+                    );
                 }
             }
             for (who, states) in fleet.verdicts(since) {
@@ -119,9 +164,15 @@
             let healed = fleet.now;
             fleet.passes = Box::new(|_, _| true);
             let agreed = fleet.until(60.0, Fleet::agrees);
-            assert!(agreed.is_some_and(|periods| periods <= 40.0), "{what}, seed {seed}: {agreed:?} periods");
+            assert!(
+                agreed.is_some_and(|periods| periods <= 40.0),
+                "{what}, seed {seed}: {agreed:?} periods"
+            );
             for (who, states) in fleet.verdicts(healed) {
-                assert!(states.len() <= 1, "{what}, seed {seed}, healed: {who:?} {states:?}");
+                assert!(
+                    states.len() <= 1,
+                    "{what}, seed {seed}, healed: {who:?} {states:?}"
+                );
             }
         }
     }
@@ -133,11 +184,23 @@
     fleet.passes = Box::new(|_, to| to != 1);
     fleet.run(60.0);
     let view = fleet.node(1).view();
-    assert!(view.doubt && view.suspects == 0 && view.living == 12, "{view:?}");
+    assert!(
+        view.doubt && view.suspects == 0 && view.living == 12,
+        "{view:?}"
+    );
     let told = |change: &Change| *change == Change::Doubt { doubts: true };
-    assert!(fleet.seen.iter().any(|seen| seen.observer == 1 && told(&seen.change)));
+    assert!(
+        fleet
+            .seen
+            .iter()
+            .any(|seen| seen.observer == 1 && told(&seen.change))
+    );
     fleet.passes = Box::new(|_, _| true);
-    assert!(fleet.until(40.0, |fleet| fleet.agrees() && !fleet.node(1).view().doubt).is_some());
+    assert!(
+        fleet
+            .until(40.0, |fleet| fleet.agrees() && !fleet.node(1).view().doubt)
+            .is_some()
+    );
 }
 
 #[test]
@@ -148,7 +211,11 @@
         fleet.passes = Box::new(move |from, to| (from < first) == (to < first));
         fleet.run(80.0);
         for observer in 0..12 {
-            let majority = if observer < first { first > 6 } else { 12 - first > 6 };
+            let majority = if observer < first {
+                first > 6
+            } else {
+                12 - first > 6
+            };
             for of in 0..12 {
                 let across = (of < first) != (observer < first);
                 let dead = fleet.state(observer, of) == Some(State::Dead);
@@ -172,10 +239,29 @@
             let since = fleet.now;
             fleet.pause(4, periods * PERIOD);
             fleet.run(periods as f64 + 30.0);
-            let told = fleet.seen.iter().filter(|seen| seen.at >= since && seen.observer == 4);
-            let dead = |change: &Change| matches!(change, Change::State { now: State::Dead, .. });
-            assert_eq!(told.filter(|seen| dead(&seen.change)).count(), 0, "seed {seed}, {periods} periods");
-            assert_eq!(fleet.false_deaths(since, &[4]), 0, "seed {seed}, {periods} periods");
+            let told = fleet
+                .seen
+                .iter()
+                .filter(|seen| seen.at >= since && seen.observer == 4);
+            let dead = |change: &Change| {
+                matches!(
+                    change,
+                    Change::State {
+                        now: State::Dead,
+                        ..
+                    }
+                )
+            };
+            assert_eq!(
+                told.filter(|seen| dead(&seen.change)).count(),
+                0,
+                "seed {seed}, {periods} periods"
+            );
+            assert_eq!(
+                fleet.false_deaths(since, &[4]),
+                0,
+                "seed {seed}, {periods} periods"
+            );
             assert!(fleet.agrees(), "seed {seed}, {periods} periods");
         }
     }
@@ -216,7 +302,12 @@
     let mut fleet = together(20, 1);
     let since = fleet.now;
     fleet.leave(3);
-    let all = |fleet: &Fleet| fleet.running().iter().all(|&other| fleet.state(other, 3) == Some(State::Left));
+    let all = |fleet: &Fleet| {
+        fleet
+            .running()
+            .iter()
+            .all(|&other| fleet.state(other, 3) == Some(State::Left))
+    };
     let known = fleet.until(20.0, all);
     assert!(known.is_some_and(|periods| periods < 10.0), "{known:?}");
     assert_eq!(fleet.false_deaths(since, &[]), 0);
@@ -237,7 +328,11 @@
             && matches!(&seen.change, Change::State { name, .. } if *name == "n3")
             && seen.observer != 3
     };
-    assert_eq!(fleet.seen.iter().filter(of_it).count(), 0, "no other saw it change its state");
+    assert_eq!(
+        fleet.seen.iter().filter(of_it).count(),
+        0,
+        "no other saw it change its state"
+    );
 }
 
 #[test]
@@ -256,9 +351,19 @@
             _ => None,
         })
     };
-    assert_eq!((rival(3), rival(11)), (Some(false), Some(true)), "n3 was first");
-    let at =
-        |fleet: &Fleet| fleet.node(0).members(fleet.now).iter().find(|m| m.name == "n3").map(|m| m.address);
+    assert_eq!(
+        (rival(3), rival(11)),
+        (Some(false), Some(true)),
+        "n3 was first"
+    );
+    let at = |fleet: &Fleet| {
+        fleet
+            .node(0)
+            .members(fleet.now)
+            .iter()
+            .find(|m| m.name == "n3")
+            .map(|m| m.address)
+    };
     assert_eq!(at(&fleet), Some(address(3)));
     let settled = fleet.now;
     fleet.run(60.0);
@@ -277,14 +382,19 @@
     let mut fleet = together(8, 1);
     fleet.keep = true;
     fleet.run(3.0);
-    let old: Vec<_> = std::mem::take(&mut fleet.last).into_iter().filter(|(from, _, _)| *from == 5).collect();
+    let old: Vec<_> = std::mem::take(&mut fleet.last)
+        .into_iter()
+        .filter(|(from, _, _)| *from == 5)
+        .collect();
     fleet.keep = false;
     assert!(old.len() > 3);
     fleet.kill(5);
     fleet.run(40.0);
     let since = fleet.now;
     for (from, _, bytes) in &old {
-        (0..8).filter(|to| *to != 5).for_each(|to| fleet.inject(to, *from, bytes));
+        (0..8)
+            .filter(|to| *to != 5)
+            .for_each(|to| fleet.inject(to, *from, bytes));
     }
     fleet.run(5.0);
     assert!(fleet.verdicts(since).is_empty());
@@ -308,9 +418,16 @@
     let key = |key: &'static [u8]| Some(key.to_vec());
     let mut fleet = Fleet::with(6, 1, move |settings| {
         let stranger = settings.name == "n5";
-        settings.key = if stranger { key(b"not the fleet's key") } else { key(b"the key of this fleet") };
+        settings.key = if stranger {
+            key(b"not the fleet's key")
+        } else {
+            key(b"the key of this fleet")
+        };
     });
     fleet.run(30.0);
-    assert_eq!((fleet.node(0).view().living, fleet.node(5).view().living), (5, 1));
+    assert_eq!(
+        (fleet.node(0).view().living, fleet.node(5).view().living),
+        (5, 1)
+    );
     assert!(fleet.node(0).counts().dropped.values().sum::<u64>() > 0);
 }
--- a/membership/tests/orders.rs
+++ b/membership/tests/orders.rs
@@ -27,7 +27,10 @@
 
 fn settings(index: usize) -> Settings {
     let mut settings = Settings::new(&name(index), address(index), MEMBERS as u32);
-    settings.seeds = (0..MEMBERS).filter(|other| *other != index).map(address).collect();
+    settings.seeds = (0..MEMBERS)
+        .filter(|other| *other != index)
+        .map(address)
+        .collect();
     settings
 }
 
@@ -35,11 +38,25 @@
     fn new() -> Self {
         let now = 1_000 * PERIOD;
         let node = |index: usize| {
-            Node::new(settings(index), Remembered::default(), index as u64, now + index as u64, now)
-                .expect("good")
+            Node::new(
+                settings(index),
+                Remembered::default(),
+                index as u64,
+                now + index as u64,
+                now,
+            )
+            .expect("good")
         };
         let (nodes, held) = ((0..MEMBERS).map(node).collect(), BTreeMap::new());
-        let mut world = World { now, nodes, under_way: Vec::new(), restarts: 0, turns: 0, held, claimed: 0 };
+        let mut world = World {
+            now,
+            nodes,
+            under_way: Vec::new(),
+            restarts: 0,
+            turns: 0,
+            held,
+            claimed: 0,
+        };
         for _ in 0..400 {
             world.turn(PERIOD / 10);
             while !world.under_way.is_empty() {
@@ -47,7 +64,11 @@
             }
         }
         for index in 0..MEMBERS {
-            assert_eq!(world.nodes[index].view().living as usize, MEMBERS, "all together");
+            assert_eq!(
+                world.nodes[index].view().living as usize,
+                MEMBERS,
+                "all together"
+            );
         }
         world.turns = 0;
         world
@@ -83,14 +104,22 @@
     fn restart(&mut self) {
         self.restarts += 1;
         let instance = self.now + u64::from(self.restarts);
-        self.nodes[ACCUSED] =
-            Node::new(settings(ACCUSED), Remembered::default(), 9, instance, self.now).expect("good");
+        self.nodes[ACCUSED] = Node::new(
+            settings(ACCUSED),
+            Remembered::default(),
+            9,
+            instance,
+            self.now,
+        )
+        .expect("good");
     }
 
     /// Nothing that is held goes back, and nobody raises the accused but by its own word.
     fn check(&mut self, path: &[String]) {
         for observer in (0..MEMBERS).filter(|index| *index != ACCUSED) {
-            let Some((state, incarnation)) = self.nodes[observer].state_of(&name(ACCUSED)) else { continue };
+            let Some((state, incarnation)) = self.nodes[observer].state_of(&name(ACCUSED)) else {
+                continue;
+            };
             let now = (incarnation, state);
             let before = self.held.insert(observer, now);
             assert!(
@@ -143,19 +172,26 @@
         // the accused is not heard until the others suspect it, or hold it for dead
         let wanted = if silent { State::Dead } else { State::Suspect };
         for _ in 0..2000 {
-            if world.nodes[0].state_of(&name(ACCUSED)).is_some_and(|(state, _)| state >= wanted) {
+            if world.nodes[0]
+                .state_of(&name(ACCUSED))
+                .is_some_and(|(state, _)| state >= wanted)
+            {
                 break;
             }
             world.turn(PERIOD / 10);
-            while let Some(at) =
-                world.under_way.iter().position(|(from, to, _)| *from != ACCUSED && *to != ACCUSED)
+            while let Some(at) = world
+                .under_way
+                .iter()
+                .position(|(from, to, _)| *from != ACCUSED && *to != ACCUSED)
             {
                 world.deliver(at);
             }
             world.under_way.clear();
         }
         assert!(
-            world.nodes[0].state_of(&name(ACCUSED)).is_some_and(|(state, _)| state >= wanted),
+            world.nodes[0]
+                .state_of(&name(ACCUSED))
+                .is_some_and(|(state, _)| state >= wanted),
             "{wanted:?}"
         );
         world.turns = 0;
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -154,27 +154,66 @@
 pub async fn ask(ask: Ask) -> anyhow::Result<bool> {
     match ask {
         Ask::Status { at } => at.show(Method::GET, "/v1/status", None, Value::Null).await,
-        Ask::List { at } => at.show(Method::GET, "/v1/endpoints", None, Value::Null).await,
-        Ask::Put { at, uid, endpoint, pod_group, az, model, capacity_hint, boot_ms, ttl_ms, if_match } => {
+        Ask::List { at } => {
+            at.show(Method::GET, "/v1/endpoints", None, Value::Null)
+                .await
+        }
+        Ask::Put {
+            at,
+            uid,
+            endpoint,
+            pod_group,
+            az,
+            model,
+            capacity_hint,
+            boot_ms,
+            ttl_ms,
+            if_match,
+        } => {
             let target = json!({ "endpoint": endpoint, "pod_group": pod_group, "az": az, "model": model,
                 "capacity_hint": capacity_hint, "boot_ms": boot_ms, "ttl_ms": ttl_ms });
-            at.show(Method::PUT, &format!("/v1/endpoints/{uid}"), if_match, target).await
+            at.show(
+                Method::PUT,
+                &format!("/v1/endpoints/{uid}"),
+                if_match,
+                target,
+            )
+            .await
         }
         Ask::Drain { at, uid, wait } => {
             let path = format!("/v1/endpoints/{uid}/drain");
             let (status, body) = at.ask(Method::POST, &path, None, Value::Null).await?;
             let rev = print(status, &body)["rev"].as_u64();
             match (wait, rev) {
-                (Some(seconds), Some(rev)) => at.wait(seconds, |report| acts_on_list(report, rev)).await,
+                (Some(seconds), Some(rev)) => {
+                    at.wait(seconds, |report| acts_on_list(report, rev)).await
+                }
                 _ => Ok(status.is_success()),
             }
         }
         Ask::Remove { at, uid } => {
-            at.show(Method::DELETE, &format!("/v1/endpoints/{uid}"), None, Value::Null).await
+            at.show(
+                Method::DELETE,
+                &format!("/v1/endpoints/{uid}"),
+                None,
+                Value::Null,
+            )
+            .await
         }
-        Ask::Show { at, version: None } => at.show(Method::GET, "/v1/rules", None, Value::Null).await,
-        Ask::Show { at, version: Some(version) } => {
-            at.show(Method::GET, &format!("/v1/rules/{version}"), None, Value::Null).await
+        Ask::Show { at, version: None } => {
+            at.show(Method::GET, "/v1/rules", None, Value::Null).await
+        }
+        Ask::Show {
+            at,
+            version: Some(version),
+        } => {
+            at.show(
+                Method::GET,
+                &format!("/v1/rules/{version}"),
+                None,
+                Value::Null,
+            )
+            .await
         }
         Ask::Compare { at, one, other } => compare(&at, one, other).await,
         Ask::Rules { at, file, if_match } => {
@@ -182,38 +221,71 @@
             at.show(Method::PUT, "/v1/rules", if_match, rules).await
         }
         Ask::Undo { at, version } => match at.version(version).await? {
-            Some(rules) => at.show(Method::PUT, "/v1/rules", None, serde_json::to_value(rules)?).await,
+            Some(rules) => {
+                at.show(Method::PUT, "/v1/rules", None, serde_json::to_value(rules)?)
+                    .await
+            }
             None => Ok(false),
         },
-        Ask::Wait { at, version, seconds } => {
+        Ask::Wait {
+            at,
+            version,
+            seconds,
+        } => {
             at.wait(seconds, |report| {
                 let passed = report["version"].as_u64().is_some_and(|now| now > version);
                 passed || report["version"] == version && report["settled"] == true
             })
             .await
         }
-        Ask::Join { at, id, peers, clients } => {
+        Ask::Join {
+            at,
+            id,
+            peers,
+            clients,
+        } => {
             let place = json!({ "peers": peers, "clients": clients });
-            at.show(Method::PUT, &format!("/v1/replicas/{id}"), None, place).await
+            at.show(Method::PUT, &format!("/v1/replicas/{id}"), None, place)
+                .await
         }
         Ask::Leave { at, id } => {
-            at.show(Method::DELETE, &format!("/v1/replicas/{id}"), None, Value::Null).await
+            at.show(
+                Method::DELETE,
+                &format!("/v1/replicas/{id}"),
+                None,
+                Value::Null,
+            )
+            .await
+        }
+        Ask::Transfer { at } => {
+            at.show(Method::POST, "/v1/transfer", None, Value::Null)
+                .await
         }
-        Ask::Transfer { at } => at.show(Method::POST, "/v1/transfer", None, Value::Null).await,
     }
 }
 
 /// Every sender that holds a lease acts on this list or a later one.
 fn acts_on_list(report: &Value, rev: u64) -> bool {
     let leases = report["leases"].as_array();
-    leases.is_some_and(|leases| leases.iter().all(|lease| lease["rev"].as_u64() >= Some(rev)))
+    leases.is_some_and(|leases| {
+        leases
+            .iter()
+            .all(|lease| lease["rev"].as_u64() >= Some(rev))
+    })
 }
 
 /// Prints an answer, a refusal on the other stream; the answer as JSON, if it is.
 fn print(status: StatusCode, body: &[u8]) -> Value {
     let text = String::from_utf8_lossy(body);
     if status.is_success() {
-        println!("{}", if text.trim().is_empty() { "done" } else { text.trim_end() });
+        println!(
+            "{}",
+            if text.trim().is_empty() {
+                "done"
+            } else {
+                text.trim_end()
+            }
+        );
     } else {
         eprintln!("milletturn-registry: {status}: {}", text.trim_end());
     }
@@ -239,9 +311,15 @@
 fn differences(path: &str, one: &Value, other: &Value) {
     match (one, other) {
         (Value::Object(first), Value::Object(second)) => {
-            let names = first.keys().chain(second.keys().filter(|name| !first.contains_key(*name)));
+            let names = first
+                .keys()
+                .chain(second.keys().filter(|name| !first.contains_key(*name)));
             for name in names {
-                let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                let path = if path.is_empty() {
+                    name.clone()
+                } else {
+                    format!("{path}.{name}")
+                };
                 differences(&path, &one[name], &other[name]);
             }
         }
@@ -252,8 +330,14 @@
 
 impl Where {
     async fn version(&self, version: u64) -> anyhow::Result<Option<Rules>> {
-        let (status, body) =
-            self.ask(Method::GET, &format!("/v1/rules/{version}"), None, Value::Null).await?;
+        let (status, body) = self
+            .ask(
+                Method::GET,
+                &format!("/v1/rules/{version}"),
+                None,
+                Value::Null,
+            )
+            .await?;
         if !status.is_success() {
             print(status, &body);
             return Ok(None);
@@ -263,7 +347,11 @@
     }
 
     async fn show(
-        &self, method: Method, path: &str, if_match: Option<u64>, body: Value,
+        &self,
+        method: Method,
+        path: &str,
+        if_match: Option<u64>,
+        body: Value,
     ) -> anyhow::Result<bool> {
         let (status, body) = self.ask(method, path, if_match, body).await?;
         print(status, &body);
@@ -295,9 +383,17 @@
 
     /// Asks the replicas in turn until one answers for good.
     async fn ask(
-        &self, method: Method, path: &str, if_match: Option<u64>, body: Value,
+        &self,
+        method: Method,
+        path: &str,
+        if_match: Option<u64>,
+        body: Value,
     ) -> anyhow::Result<(StatusCode, Bytes)> {
-        let text = if body.is_null() { String::new() } else { body.to_string() };
+        let text = if body.is_null() {
+            String::new()
+        } else {
+            body.to_string()
+        };
         let mut last = Err(anyhow::anyhow!("no registry is named"));
         for address in &self.registries {
             let once = call(*address, method.clone(), path, if_match, text.clone());
@@ -305,7 +401,10 @@
                 .await
                 .unwrap_or_else(|_| Err(anyhow::anyhow!("no answer in time")))
                 .map_err(|error| error.context(address.to_string()));
-            if last.as_ref().is_ok_and(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE) {
+            if last
+                .as_ref()
+                .is_ok_and(|(status, _)| *status != StatusCode::SERVICE_UNAVAILABLE)
+            {
                 break;
             }
         }
@@ -314,12 +413,21 @@
 }
 
 async fn call(
-    address: SocketAddr, method: Method, path: &str, if_match: Option<u64>, body: String,
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    if_match: Option<u64>,
+    body: String,
 ) -> anyhow::Result<(StatusCode, Bytes)> {
-    let mut request = Request::builder().method(method).uri(path).header(HOST, address.to_string());
+    let mut request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header(HOST, address.to_string());
     if let Some(version) = if_match {
         request = request.header(IF_MATCH, version);
     }
-    let (head, body) = exchange(address, request.body(body.into())?).await?.into_parts();
+    let (head, body) = exchange(address, request.body(body.into())?)
+        .await?
+        .into_parts();
     Ok((head.status, body))
 }
--- a/registry/src/core.rs
+++ b/registry/src/core.rs
@@ -67,7 +67,8 @@
     /// # Errors
     /// The thread has too much to do, or has ended.
     pub async fn look<T: Send + 'static>(
-        &self, look: impl FnOnce(&mut Replica, Micros) -> T + Send + 'static,
+        &self,
+        look: impl FnOnce(&mut Replica, Micros) -> T + Send + 'static,
     ) -> Result<T, Overloaded> {
         let (reply, answer) = oneshot::channel();
         let look = move |replica: &mut Replica, now| drop(reply.send(look(replica, now)));
@@ -92,17 +93,34 @@
 
 /// Starts the thread; it ends when nobody can ask any more, or when the log can't be kept, which `ended` is told.
 pub fn start(
-    replica: Replica, peers: Peers, places: BTreeMap<u64, Place>, ended: oneshot::Sender<String>,
+    replica: Replica,
+    peers: Peers,
+    places: BTreeMap<u64, Place>,
+    ended: oneshot::Sender<String>,
 ) -> std::io::Result<Core> {
     let (inputs, received) = sync_channel(WAITING);
     let (seen, seen_by_all) = watch::channel(Seen::default());
     let feed = Arc::new(Mutex::new(Feed::default()));
-    let core = Core { inputs, feed: feed.clone(), seen: seen_by_all };
+    let core = Core {
+        inputs,
+        feed: feed.clone(),
+        seen: seen_by_all,
+    };
     let own = core.inputs.clone();
     let turner = move || {
         let waiting = HashMap::new();
         let (begin, next, told) = (Instant::now(), 0, None);
-        let mut turner = Turner { replica, peers, begin, waiting, next, feed, seen, places, told };
+        let mut turner = Turner {
+            replica,
+            peers,
+            begin,
+            waiting,
+            next,
+            feed,
+            seen,
+            places,
+            told,
+        };
         turner.peers.attach(own);
         turner.reset();
         if let Err(error) = turner.run(&received) {
@@ -110,7 +128,9 @@
             let _ = ended.send(error);
         }
     };
-    std::thread::Builder::new().name("replica".to_string()).spawn(turner)?;
+    std::thread::Builder::new()
+        .name("replica".to_string())
+        .spawn(turner)?;
     Ok(core)
 }
 
@@ -135,14 +155,18 @@
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
             if Instant::now() >= next {
-                let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+                let unix = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default();
                 self.replica.tell_time(self.now(), unix.as_millis() as u64);
                 self.replica.tick(self.now(), &mut output);
                 // ticks that a pause swallowed are not made up for: others have seen the time pass
                 next = (next + tick).max(Instant::now());
             }
             let now = self.now();
-            self.replica.settle(now, &mut output).map_err(|error| error.to_string())?;
+            self.replica
+                .settle(now, &mut output)
+                .map_err(|error| error.to_string())?;
             self.carry_out(output);
         }
     }
@@ -176,7 +200,10 @@
             self.reset();
         } else if !output.changes.is_empty() {
             let mut feed = lock(&self.feed);
-            output.changes.iter().for_each(|(rev, changed)| feed.push(*rev, changed));
+            output
+                .changes
+                .iter()
+                .for_each(|(rev, changed)| feed.push(*rev, changed));
         }
         self.publish();
         for (ticket, answer) in output.answers {
@@ -203,9 +230,19 @@
             self.seen.borrow().places.clone()
         } else {
             self.told = Some(told.clone());
-            Arc::new(self.places.iter().chain(told).map(|(id, place)| (*id, *place)).collect())
+            Arc::new(
+                self.places
+                    .iter()
+                    .chain(told)
+                    .map(|(id, place)| (*id, *place))
+                    .collect(),
+            )
+        };
+        let now = Seen {
+            rev,
+            leader,
+            places,
         };
-        let now = Seen { rev, leader, places };
         if *self.seen.borrow() != now {
             self.peers.know(&now.places);
             self.seen.send_replace(now);
--- a/registry/src/exchange.rs
+++ b/registry/src/exchange.rs
@@ -25,7 +25,8 @@
 /// # Errors
 /// It is not there, or the connection broke.
 pub async fn exchange(
-    place: SocketAddr, request: Request<Full<Bytes>>,
+    place: SocketAddr,
+    request: Request<Full<Bytes>>,
 ) -> Result<Response<Bytes>, ExchangeError> {
     let stream = TcpStream::connect(place).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
--- a/registry/src/feed.rs
+++ b/registry/src/feed.rs
@@ -35,13 +35,23 @@
 impl Feed {
     /// Begins anew with a list: changes up to it are not known.
     pub fn reset(&mut self, rev: u64, targets: &BTreeMap<String, Target>) {
-        let entries = targets.iter().map(|(uid, target)| (uid.clone(), target.line(uid, false))).collect();
-        *self = Feed { rev, entries, ..Feed::default() };
+        let entries = targets
+            .iter()
+            .map(|(uid, target)| (uid.clone(), target.line(uid, false)))
+            .collect();
+        *self = Feed {
+            rev,
+            entries,
+            ..Feed::default()
+        };
     }
 
     /// A version came, with these changes.
     pub fn push(&mut self, rev: u64, changed: &[Changed]) {
-        let lines: Vec<String> = changed.iter().map(|(uid, target, gone)| target.line(uid, *gone)).collect();
+        let lines: Vec<String> = changed
+            .iter()
+            .map(|(uid, target, gone)| target.line(uid, *gone))
+            .collect();
         for ((uid, _, gone), line) in changed.iter().zip(&lines) {
             if *gone {
                 self.entries.remove(uid);
@@ -51,8 +61,16 @@
         }
         let encoded = line(rev, false, lines.iter());
         self.bytes += encoded.len();
-        let entries = changed.iter().map(|(uid, ..)| uid.clone()).zip(lines).collect();
-        self.changes.push_back(Recent { rev, entries, line: encoded });
+        let entries = changed
+            .iter()
+            .map(|(uid, ..)| uid.clone())
+            .zip(lines)
+            .collect();
+        self.changes.push_back(Recent {
+            rev,
+            entries,
+            line: encoded,
+        });
         (self.rev, self.whole) = (rev, None);
         while self.bytes > KEPT_MOST
             && let Some(oldest) = self.changes.pop_front()
@@ -68,7 +86,10 @@
 
     /// The whole list, as a line.
     pub fn whole(&mut self) -> Bytes {
-        let whole = self.whole.take().unwrap_or_else(|| line(self.rev, true, self.entries.values()));
+        let whole = self
+            .whole
+            .take()
+            .unwrap_or_else(|| line(self.rev, true, self.entries.values()));
         self.whole.insert(whole).clone()
     }
 
@@ -88,8 +109,10 @@
             // each entry as it was last
             _ => {
                 let lacked = self.changes.iter().skip((from + 1 - first) as usize);
-                let entries: BTreeMap<&String, &String> =
-                    lacked.flat_map(|change| &change.entries).map(|(uid, line)| (uid, line)).collect();
+                let entries: BTreeMap<&String, &String> = lacked
+                    .flat_map(|change| &change.entries)
+                    .map(|(uid, line)| (uid, line))
+                    .collect();
                 line(self.rev, false, entries.into_values())
             }
         };
@@ -145,11 +168,16 @@
                     let target = serde_json::json!({
                         "endpoint": format!("10.0.0.1:{}", random.random_range(1..5)), "pod_group": 1, "boot_ms": turn
                     });
-                    Change::Put { uid, target: serde_json::from_value(target).expect("a target") }
+                    Change::Put {
+                        uid,
+                        target: serde_json::from_value(target).expect("a target"),
+                    }
                 }
             };
-            if let Ok(applied) = state.apply(Command::List { if_match: None, changes: vec![change] })
-                && !applied.changed.is_empty()
+            if let Ok(applied) = state.apply(Command::List {
+                if_match: None,
+                changes: vec![change],
+            }) && !applied.changed.is_empty()
             {
                 feed.push(applied.rev, &applied.changed);
             }
@@ -184,7 +212,10 @@
         feed.reset(7, &BTreeMap::new());
         for from in [0, 6, 8] {
             let (rev, line) = feed.since(from).expect("the list");
-            assert_eq!((rev, &line[..]), (7, &b"{\"rev\":7,\"all\":true,\"targets\":[]}\n"[..]));
+            assert_eq!(
+                (rev, &line[..]),
+                (7, &b"{\"rev\":7,\"all\":true,\"targets\":[]}\n"[..])
+            );
         }
         assert!(feed.since(7).is_none());
     }
--- a/registry/src/frames.rs
+++ b/registry/src/frames.rs
@@ -52,7 +52,10 @@
         at = end;
     }
     let after = file.get(at + 1..).unwrap_or_default();
-    let marks = after.windows(MARK.len()).enumerate().filter(|(_, bytes)| *bytes == MARK);
+    let marks = after
+        .windows(MARK.len())
+        .enumerate()
+        .filter(|(_, bytes)| *bytes == MARK);
     let mut marks = marks.map(|(step, _)| at + 1 + step);
     match marks.find(|mark| read_one(file, *mark).is_some()) {
         Some(sound) => Err(Damage { at, sound }),
@@ -79,7 +82,11 @@
         for length in 0..=file.len() {
             let whole = ends.iter().filter(|end| **end <= length).count();
             let (records, sound) = read(&file[..length]).expect("torn, not damaged");
-            assert_eq!((records.len(), sound), (whole, [0, 17, 29, file.len()][whole]), "cut at {length}");
+            assert_eq!(
+                (records.len(), sound),
+                (whole, [0, 17, 29, file.len()][whole]),
+                "cut at {length}"
+            );
         }
     }
 
@@ -89,10 +96,18 @@
             let mut file = file();
             file[at] ^= 0x20;
             let broken = if at < 17 { 0 } else { 17 };
-            assert_eq!(read(&file).map_err(|damage| damage.at), Err(broken), "byte {at}");
+            assert_eq!(
+                read(&file).map_err(|damage| damage.at),
+                Err(broken),
+                "byte {at}"
+            );
         }
         let mut last = file();
         *last.last_mut().expect("bytes") ^= 1;
-        assert_eq!(read(&last).map(|(records, _)| records.len()), Ok(2), "the last one is torn");
+        assert_eq!(
+            read(&last).map(|(records, _)| records.len()),
+            Ok(2),
+            "the last one is torn"
+        );
     }
 }
--- a/registry/src/heartbeats.rs
+++ b/registry/src/heartbeats.rs
@@ -38,9 +38,15 @@
 
     /// Entries that have run out now and are to go, and how many are newly kept.
     pub fn run_out(
-        &mut self, now: Micros, targets: &BTreeMap<String, Target>,
+        &mut self,
+        now: Micros,
+        targets: &BTreeMap<String, Target>,
     ) -> (Vec<(String, Target)>, usize) {
-        let living = |uid: &String| targets.get(uid).is_some_and(|target| target.ttl_ms.is_some());
+        let living = |uid: &String| {
+            targets
+                .get(uid)
+                .is_some_and(|target| target.ttl_ms.is_some())
+        };
         self.due.retain(|uid, _| living(uid));
         self.kept.retain(|uid, _| living(uid));
         for (uid, target) in targets {
@@ -56,20 +62,34 @@
         let all = self.due.len() + self.kept.len();
         // those that are about to, too: a registry that was cut off sees them run out one after another
         let silent = |(uid, due): &(&String, &Micros)| {
-            let ttl = targets.get(*uid).and_then(|target| target.ttl_ms).unwrap_or_default() * 1000;
+            let ttl = targets
+                .get(*uid)
+                .and_then(|target| target.ttl_ms)
+                .unwrap_or_default()
+                * 1000;
             **due <= now + ttl / MISSED
         };
         let soon = self.due.iter().filter(silent).count()
-            + self.kept.values().filter(|since| **since + AT_ONCE > now).count();
-        let late: Vec<String> =
-            self.due.iter().filter(|(_, due)| **due <= now).map(|(uid, _)| uid.clone()).collect();
+            + self
+                .kept
+                .values()
+                .filter(|since| **since + AT_ONCE > now)
+                .count();
+        let late: Vec<String> = self
+            .due
+            .iter()
+            .filter(|(_, due)| **due <= now)
+            .map(|(uid, _)| uid.clone())
+            .collect();
         self.due.retain(|_, due| *due > now);
         if soon > FEW && soon as f64 > LARGE_SHARE * all as f64 {
             let newly = late.len();
             self.kept.extend(late.into_iter().map(|uid| (uid, now)));
             return (Vec::new(), newly);
         }
-        let gone = late.into_iter().filter_map(|uid| Some((uid.clone(), targets.get(&uid)?.clone())));
+        let gone = late
+            .into_iter()
+            .filter_map(|uid| Some((uid.clone(), targets.get(&uid)?.clone())));
         (gone.collect(), 0)
     }
 }
@@ -79,9 +99,12 @@
     use super::*;
 
     fn targets(count: usize) -> BTreeMap<String, Target> {
-        let target = serde_json::json!({ "endpoint": "10.0.0.1:80", "pod_group": 1, "ttl_ms": 1000 });
+        let target =
+            serde_json::json!({ "endpoint": "10.0.0.1:80", "pod_group": 1, "ttl_ms": 1000 });
         let target: Target = serde_json::from_value(target).expect("a target");
-        (0..count).map(|number| (format!("e{number:02}"), target.clone())).collect()
+        (0..count)
+            .map(|number| (format!("e{number:02}"), target.clone()))
+            .collect()
     }
 
     #[test]
@@ -89,10 +112,21 @@
         let (targets, mut heartbeats) = (targets(10), Heartbeats::default());
         assert_eq!(heartbeats.run_out(0, &targets), (vec![], 0));
         for now in [500_000, 1_000_000, 1_500_000] {
-            targets.keys().skip(1).for_each(|uid| heartbeats.beat(now, uid, &targets[uid]));
+            targets
+                .keys()
+                .skip(1)
+                .for_each(|uid| heartbeats.beat(now, uid, &targets[uid]));
             let (gone, kept) = heartbeats.run_out(now, &targets);
             let gone: Vec<&String> = gone.iter().map(|(uid, _)| uid).collect();
-            assert_eq!(gone, if now == 1_000_000 { vec!["e00"] } else { vec![] }, "at {now}");
+            assert_eq!(
+                gone,
+                if now == 1_000_000 {
+                    vec!["e00"]
+                } else {
+                    vec![]
+                },
+                "at {now}"
+            );
             assert_eq!(kept, 0);
         }
     }
@@ -102,10 +136,15 @@
         let (targets, mut heartbeats) = (targets(10), Heartbeats::default());
         heartbeats.run_out(0, &targets);
         // half of them, a little apart
-        targets.keys().skip(5).for_each(|uid| heartbeats.beat(900_000, uid, &targets[uid]));
+        targets
+            .keys()
+            .skip(5)
+            .for_each(|uid| heartbeats.beat(900_000, uid, &targets[uid]));
         assert_eq!(heartbeats.run_out(1_000_000, &targets), (vec![], 5));
         assert_eq!(heartbeats.kept().count(), 5);
-        targets.keys().for_each(|uid| heartbeats.beat(1_500_000, uid, &targets[uid]));
+        targets
+            .keys()
+            .for_each(|uid| heartbeats.beat(1_500_000, uid, &targets[uid]));
         assert_eq!(heartbeats.kept().count(), 0);
         assert_eq!(heartbeats.run_out(2_400_000, &targets), (vec![], 0));
     }
--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -62,8 +62,15 @@
 
 fn main() -> ExitCode {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-    tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).init();
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(error) => return told(BAD_INPUT, &error),
     };
@@ -104,9 +111,16 @@
         most: settings.limits.log_bytes,
         sync: true,
     };
-    let store = Store::open(&settings.folder, purpose, &postcard::to_allocvec(&State::default())?)?;
+    let store = Store::open(
+        &settings.folder,
+        purpose,
+        &postcard::to_allocvec(&State::default())?,
+    )?;
     let torn = store.torn();
-    let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let life = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
     let begin = begin.into_iter().chain(settings.begin_ledger());
     let replica = Replica::new(settings.id, store, life, begin)?;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -146,7 +160,10 @@
         let mut seen = core.seen.clone();
         let handed = seen.wait_for(|seen| seen.leader.is_some_and(|leader| leader != settings.id));
         let handed = timeout(TRANSFER, handed).await;
-        tracing::info!(handed = matches!(handed, Ok(Ok(_))), "the lead is handed over");
+        tracing::info!(
+            handed = matches!(handed, Ok(Ok(_))),
+            "the lead is handed over"
+        );
     }
     let _ = end.send(true);
     // answers that are being written
--- a/registry/src/mirror.rs
+++ b/registry/src/mirror.rs
@@ -120,7 +120,13 @@
             _ => Kind::Replicas,
         };
         let (data, context) = (entry.data.to_vec(), entry.context.to_vec());
-        Entry { kind, term: entry.term, index: entry.index, data, context }
+        Entry {
+            kind,
+            term: entry.term,
+            index: entry.index,
+            data,
+            context,
+        }
     }
 }
 
@@ -144,7 +150,11 @@
 
 impl From<&eraftpb::HardState> for Hard {
     fn from(hard: &eraftpb::HardState) -> Self {
-        Hard { term: hard.term, vote: hard.vote, commit: hard.commit }
+        Hard {
+            term: hard.term,
+            vote: hard.vote,
+            commit: hard.commit,
+        }
     }
 }
 
@@ -163,7 +173,10 @@
             ids.sort_unstable();
             ids
         };
-        Voters { voters: sorted(&conf.voters), learners: sorted(&conf.learners) }
+        Voters {
+            voters: sorted(&conf.voters),
+            learners: sorted(&conf.learners),
+        }
     }
 }
 
@@ -179,13 +192,21 @@
     fn from(snapshot: &eraftpb::Snapshot) -> Self {
         let about = snapshot.get_metadata();
         let voters = about.get_conf_state().into();
-        Snapshot { index: about.index, term: about.term, voters, data: snapshot.data.to_vec() }
+        Snapshot {
+            index: about.index,
+            term: about.term,
+            voters,
+            data: snapshot.data.to_vec(),
+        }
     }
 }
 
 impl From<&Snapshot> for eraftpb::Snapshot {
     fn from(snapshot: &Snapshot) -> Self {
-        let mut read = eraftpb::Snapshot { data: snapshot.data.clone().into(), ..Default::default() };
+        let mut read = eraftpb::Snapshot {
+            data: snapshot.data.clone().into(),
+            ..Default::default()
+        };
         let about = read.mut_metadata();
         (about.index, about.term) = (snapshot.index, snapshot.term);
         about.set_conf_state((&snapshot.voters).into());
@@ -226,15 +247,29 @@
 /// The bytes are none that a replica sends.
 pub fn decode(bytes: &[u8]) -> Result<eraftpb::Message, Unfit> {
     let message: Message = postcard::from_bytes(bytes)?;
-    let kind = KINDS.get(usize::from(message.kind)).ok_or(Unfit::Kind(message.kind))?;
-    let mut read = eraftpb::Message { msg_type: *kind, ..Default::default() };
+    let kind = KINDS
+        .get(usize::from(message.kind))
+        .ok_or(Unfit::Kind(message.kind))?;
+    let mut read = eraftpb::Message {
+        msg_type: *kind,
+        ..Default::default()
+    };
     (read.to, read.from, read.term) = (message.to, message.from, message.term);
     (read.log_term, read.index) = (message.log_term, message.index);
     (read.commit, read.commit_term) = (message.commit, message.commit_term);
-    (read.request_snapshot, read.reject, read.reject_hint) =
-        (message.request_snapshot, message.reject, message.reject_hint);
+    (read.request_snapshot, read.reject, read.reject_hint) = (
+        message.request_snapshot,
+        message.reject,
+        message.reject_hint,
+    );
     (read.context, read.priority) = (message.context.into(), message.priority);
-    read.set_entries(message.entries.into_iter().map(eraftpb::Entry::from).collect());
+    read.set_entries(
+        message
+            .entries
+            .into_iter()
+            .map(eraftpb::Entry::from)
+            .collect(),
+    );
     if let Some(snapshot) = &message.snapshot {
         read.set_snapshot(snapshot.into());
     }
@@ -248,21 +283,50 @@
 
     fn message() -> eraftpb::Message {
         let msg_type = eraftpb::MessageType::MsgAppend;
-        let mut message = eraftpb::Message { msg_type, ..Default::default() };
+        let mut message = eraftpb::Message {
+            msg_type,
+            ..Default::default()
+        };
         (message.from, message.to, message.term, message.commit) = (1, 2, 7, 40);
-        let entry = Entry { kind: Kind::Replicas, term: 7, index: 41, data: vec![1, 2], context: vec![3] };
+        let entry = Entry {
+            kind: Kind::Replicas,
+            term: 7,
+            index: 41,
+            data: vec![1, 2],
+            context: vec![3],
+        };
         message.set_entries(vec![eraftpb::Entry::from(entry)].into());
-        let voters = Voters { voters: vec![1, 2, 3], learners: vec![4] };
-        message.set_snapshot((&Snapshot { index: 9, term: 3, voters, data: vec![8; 20] }).into());
+        let voters = Voters {
+            voters: vec![1, 2, 3],
+            learners: vec![4],
+        };
+        message.set_snapshot(
+            (&Snapshot {
+                index: 9,
+                term: 3,
+                voters,
+                data: vec![8; 20],
+            })
+                .into(),
+        );
         message
     }
 
     #[test]
     fn a_message_comes_back_as_it_was() {
         let message = message();
-        assert_eq!(decode(&encode(&message).expect("goes between replicas")), Ok(message));
-        let own = eraftpb::Message { msg_type: eraftpb::MessageType::MsgPropose, ..Default::default() };
-        assert_eq!(encode(&own), Err(Unfit::Kind(eraftpb::MessageType::MsgPropose as u8)));
+        assert_eq!(
+            decode(&encode(&message).expect("goes between replicas")),
+            Ok(message)
+        );
+        let own = eraftpb::Message {
+            msg_type: eraftpb::MessageType::MsgPropose,
+            ..Default::default()
+        };
+        assert_eq!(
+            encode(&own),
+            Err(Unfit::Kind(eraftpb::MessageType::MsgPropose as u8))
+        );
     }
 
     #[test]
--- a/registry/src/peers.rs
+++ b/registry/src/peers.rs
@@ -61,7 +61,13 @@
     /// For this replica, before it runs.
     pub fn new(cluster: &str, id: u64, runtime: Handle) -> Self {
         let (inputs, queues) = Default::default();
-        Peers { cluster: cluster.into(), id, runtime, inputs, queues }
+        Peers {
+            cluster: cluster.into(),
+            id,
+            runtime,
+            inputs,
+            queues,
+        }
     }
 
     /// Where what comes in goes.
@@ -80,12 +86,20 @@
     /// The replicas are there and nowhere else.
     pub fn know(&self, places: &BTreeMap<u64, Place>) {
         let mut queues = lock(&self.queues);
-        queues.retain(|id, queue| places.get(id).is_some_and(|place| place.peers == queue.place));
+        queues.retain(|id, queue| {
+            places
+                .get(id)
+                .is_some_and(|place| place.peers == queue.place)
+        });
         for (id, place) in places.iter().filter(|(id, _)| **id != self.id) {
             queues.entry(*id).or_insert_with(|| {
                 let (messages, waiting) = mpsc::channel(WAITING);
-                self.runtime.spawn(self.clone().carry(*id, place.peers, waiting));
-                Queue { place: place.peers, messages }
+                self.runtime
+                    .spawn(self.clone().carry(*id, place.peers, waiting));
+                Queue {
+                    place: place.peers,
+                    messages,
+                }
             });
         }
     }
@@ -98,7 +112,9 @@
         let queues = lock(&self.queues);
         for message in messages {
             let (to, snapshot) = (message.to, message.msg_type == MessageType::MsgSnapshot);
-            let queued = queues.get(&to).is_some_and(|queue| queue.messages.try_send(message).is_ok());
+            let queued = queues
+                .get(&to)
+                .is_some_and(|queue| queue.messages.try_send(message).is_ok());
             if !queued && snapshot {
                 self.tell(Input::SnapshotSent(to, false));
             }
@@ -136,7 +152,12 @@
     async fn dial(&self, to: u64, place: SocketAddr) -> io::Result<TcpStream> {
         let mut link = TcpStream::connect(place).await?;
         link.set_nodelay(true)?;
-        let hello = Hello { format: FORMAT, cluster: self.cluster.to_string(), from: self.id, to };
+        let hello = Hello {
+            format: FORMAT,
+            cluster: self.cluster.to_string(),
+            from: self.id,
+            to,
+        };
         let hello = postcard::to_allocvec(&hello).map_err(io::Error::other)?;
         let mut bytes = Vec::new();
         frames::write(&hello, &mut bytes);
@@ -145,7 +166,12 @@
     }
 
     /// Whether nobody sends any more; else the link is lost.
-    async fn feed(&self, to: u64, link: &mut TcpStream, waiting: &mut mpsc::Receiver<Message>) -> bool {
+    async fn feed(
+        &self,
+        to: u64,
+        link: &mut TcpStream,
+        waiting: &mut mpsc::Receiver<Message>,
+    ) -> bool {
         loop {
             let mut byte = [0; 1];
             let message = tokio::select! {
@@ -157,8 +183,12 @@
                 // the other side says nothing on this link: what can be read is its end
                 _ = link.read(&mut byte) => return false,
             };
-            let snapshot = message.as_ref().is_some_and(|one| one.msg_type == MessageType::MsgSnapshot);
-            let Ok(encoded) = message.as_ref().map_or(Ok(Vec::new()), mirror::encode) else { continue };
+            let snapshot = message
+                .as_ref()
+                .is_some_and(|one| one.msg_type == MessageType::MsgSnapshot);
+            let Ok(encoded) = message.as_ref().map_or(Ok(Vec::new()), mirror::encode) else {
+                continue;
+            };
             let mut bytes = Vec::with_capacity(encoded.len() + 16);
             frames::write(&encoded, &mut bytes);
             let written = timeout(PATIENCE, link.write_all(&bytes)).await;
@@ -177,7 +207,8 @@
         let places = Arc::new(Semaphore::new(CALLERS));
         loop {
             let accepted = listener.accept().await;
-            let (Ok((link, from)), Ok(place)) = (accepted, places.clone().acquire_owned().await) else {
+            let (Ok((link, from)), Ok(place)) = (accepted, places.clone().acquire_owned().await)
+            else {
                 sleep(AGAIN_FIRST).await; // no descriptor is free just now
                 continue;
             };
@@ -194,8 +225,12 @@
     async fn read(&self, mut link: TcpStream) -> io::Result<()> {
         let hello = timeout(PATIENCE, read_frame(&mut link)).await??;
         let hello: Hello = postcard::from_bytes(&hello).map_err(io::Error::other)?;
-        let wanted =
-            Hello { format: FORMAT, cluster: self.cluster.to_string(), from: hello.from, to: self.id };
+        let wanted = Hello {
+            format: FORMAT,
+            cluster: self.cluster.to_string(),
+            from: hello.from,
+            to: self.id,
+        };
         if hello != wanted {
             tracing::warn!(?hello, "a stranger called");
             return Ok(());
@@ -221,7 +256,10 @@
     let (length, sum) = frames::read_head(&head).ok_or_else(|| io::Error::other("no frame"))?;
     // memory is given as the bytes come, not as the head promises
     let mut bytes = Vec::new();
-    let read = (&mut *link).take(length as u64).read_to_end(&mut bytes).await?;
+    let read = (&mut *link)
+        .take(length as u64)
+        .read_to_end(&mut bytes)
+        .await?;
     if read < length || crc32fast::hash(&bytes) != sum {
         return Err(io::Error::other("a frame is cut short or damaged"));
     }
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -74,12 +74,17 @@
     /// # Errors
     /// The store holds what can't be read.
     pub fn new(
-        id: u64, store: Store, life: u64, begin: impl IntoIterator<Item = Command>,
+        id: u64,
+        store: Store,
+        life: u64,
+        begin: impl IntoIterator<Item = Command>,
     ) -> Result<Self, ReplicaError> {
         let snapshot = store.snapshot();
         let applied = snapshot.index;
-        let state =
-            State::read(&snapshot.data).map_err(|error| ReplicaError::Entry { index: applied, error })?;
+        let state = State::read(&snapshot.data).map_err(|error| ReplicaError::Entry {
+            index: applied,
+            error,
+        })?;
         let config = Config {
             id,
             election_tick: ELECTION_TICKS,
@@ -138,7 +143,8 @@
             self.look_for_steps(now, output);
             self.log_dual_reads();
         }
-        self.keeping.follow(now, self.id, self.state.ledger.as_ref());
+        self.keeping
+            .follow(now, self.id, self.state.ledger.as_ref());
         self.age_batches(output);
     }
 
@@ -155,13 +161,19 @@
 
     /// A snapshot was sent, or could not be.
     pub fn snapshot_sent(&mut self, id: u64, sent: bool) {
-        let status = if sent { raft::SnapshotStatus::Finish } else { raft::SnapshotStatus::Failure };
+        let status = if sent {
+            raft::SnapshotStatus::Finish
+        } else {
+            raft::SnapshotStatus::Failure
+        };
         self.raw.report_snapshot(id, status);
     }
 
     /// A heartbeat of an endpoint came in. It changes no version.
     pub fn beat(&mut self, now: Micros, uid: &str) -> Answer {
-        let Some(leading) = &mut self.leading else { return Answer::NotLeader(self.leader()) };
+        let Some(leading) = &mut self.leading else {
+            return Answer::NotLeader(self.leader());
+        };
         let Some(target) = self.state.targets.get(uid) else {
             return Answer::Refused(Refused::Unknown(uid.to_string()));
         };
@@ -185,7 +197,9 @@
                 self.install(snapshot, hard, output)?;
             }
             let entries = ready.entries().iter().map(Logged::from).collect();
-            self.raw.mut_store().append(entries, hard, ready.must_sync())?;
+            self.raw
+                .mut_store()
+                .append(entries, hard, ready.must_sync())?;
             self.apply(now, ready.take_committed_entries(), output)?;
             output.messages.extend(ready.take_persisted_messages());
             let states = ready.take_read_states();
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -17,12 +17,16 @@
     /// What the two clocks show that a calendar goes by; none while no clock was told.
     pub fn clocks(&self, now: Micros) -> Option<Clocks> {
         let carried = self.carried_ms(now);
-        (self.wall_ms > 0).then(|| Clocks { wall_ms: self.wall_ms, log_ms: carried.unwrap_or(self.wall_ms) })
+        (self.wall_ms > 0).then(|| Clocks {
+            wall_ms: self.wall_ms,
+            log_ms: carried.unwrap_or(self.wall_ms),
+        })
     }
 
     /// The log's clock, carried on by the time that has passed since it showed.
     fn carried_ms(&self, now: Micros) -> Option<u64> {
-        self.clock.map(|(ms, at)| ms + now.saturating_sub(at) / 1000)
+        self.clock
+            .map(|(ms, at)| ms + now.saturating_sub(at) / 1000)
     }
 
     /// The log's clock was written. One that is read again after a start is as old as that.
--- a/registry/src/replica/confirmations.rs
+++ b/registry/src/replica/confirmations.rs
@@ -49,7 +49,9 @@
         if self.leads() {
             self.collecting.asks.push((ticket, question));
         } else {
-            output.answers.push((ticket, Answer::NotLeader(self.leader())));
+            output
+                .answers
+                .push((ticket, Answer::NotLeader(self.leader())));
         }
     }
 
@@ -82,9 +84,15 @@
         }
         self.asked.retain(|batch| !batch.is_empty());
         // the engine drops such questions while it knows no leader or has not committed in its term
-        again.into_iter().for_each(|number| self.ask_majority(number));
+        again
+            .into_iter()
+            .for_each(|number| self.ask_majority(number));
         let leader = self.leader().filter(|leader| *leader != self.id);
-        output.answers.extend(given_up.into_iter().map(|ticket| (ticket, Answer::NotLeader(leader))));
+        output.answers.extend(
+            given_up
+                .into_iter()
+                .map(|ticket| (ticket, Answer::NotLeader(leader))),
+        );
     }
 
     fn ask_majority(&mut self, number: u64) {
@@ -96,7 +104,10 @@
     pub(super) fn confirm(&mut self, states: Vec<ReadState>) {
         for ReadState { index, request_ctx } in states {
             let number = self.number_of(&request_ctx);
-            let batch = self.asked.iter_mut().find(|batch| Some(batch.number) == number);
+            let batch = self
+                .asked
+                .iter_mut()
+                .find(|batch| Some(batch.number) == number);
             if let Some(batch) = batch {
                 batch.index = batch.index.or(Some(index));
             }
@@ -108,13 +119,21 @@
         let applied = self.applied;
         let ready = |batch: &mut Batch| batch.index.is_some_and(|index| index <= applied);
         for batch in self.asked.extract_if(.., ready) {
-            output.answers.extend(batch.reads.into_iter().map(|ticket| (ticket, Answer::Fresh)));
+            output.answers.extend(
+                batch
+                    .reads
+                    .into_iter()
+                    .map(|ticket| (ticket, Answer::Fresh)),
+            );
             if !batch.parts.is_empty() {
                 // whoever keeps a range now did so when the question came, or is asked with a later word
-                self.keeping.follow(now, self.id, self.state.ledger.as_ref());
+                self.keeping
+                    .follow(now, self.id, self.state.ledger.as_ref());
             }
             for (ticket, question) in batch.parts {
-                let answer = self.keeping.deal(now, question, self.id, self.state.ledger.as_ref());
+                let answer = self
+                    .keeping
+                    .deal(now, question, self.id, self.state.ledger.as_ref());
                 output.answers.push((ticket, answer));
             }
             for (ticket, question) in batch.asks {
--- a/registry/src/replica/engine_log.rs
+++ b/registry/src/replica/engine_log.rs
@@ -9,7 +9,9 @@
 
     fn log(&self, record: &slog::Record<'_>, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
         match record.level() {
-            slog::Level::Critical | slog::Level::Error => tracing::error!(target: "raft", "{}", record.msg()),
+            slog::Level::Critical | slog::Level::Error => {
+                tracing::error!(target: "raft", "{}", record.msg())
+            }
             slog::Level::Warning => tracing::warn!(target: "raft", "{}", record.msg()),
             _ => tracing::debug!(target: "raft", "{}", record.msg()),
         }
--- a/registry/src/replica/keeping.rs
+++ b/registry/src/replica/keeping.rs
@@ -70,11 +70,20 @@
 impl Keeping {
     /// Begins and ends to keep ranges as the log says.
     pub fn follow(&mut self, now: Micros, id: u64, book: Option<&Book>) {
-        let Some(book) = book else { return self.ranges.clear() };
-        let own = || book.shards().iter().filter(|(_, shard)| shard.keeper == Some(id));
+        let Some(book) = book else {
+            return self.ranges.clear();
+        };
+        let own = || {
+            book.shards()
+                .iter()
+                .filter(|(_, shard)| shard.keeper == Some(id))
+        };
         let same = self.ranges.len() == own().count()
-            && own()
-                .all(|(first, shard)| self.ranges.get(first).is_some_and(|(epoch, _)| *epoch == shard.epoch));
+            && own().all(|(first, shard)| {
+                self.ranges
+                    .get(first)
+                    .is_some_and(|(epoch, _)| *epoch == shard.epoch)
+            });
         if !same {
             // another keeper's words, or of another range: senders say theirs again within a lease
             self.tallies.clear();
@@ -82,8 +91,13 @@
             for (first, shard) in own() {
                 let mut kept = Keeper::new(book.terms(), now);
                 // after a cut-over the parent's keeper knows its keys; what one child does not take stays for the other
-                for (from, epoch) in [Some((*first, shard.epoch)), shard.from].into_iter().flatten() {
-                    if let Some((_, keeper)) = before.get_mut(&from).filter(|(known, _)| *known == epoch) {
+                for (from, epoch) in [Some((*first, shard.epoch)), shard.from]
+                    .into_iter()
+                    .flatten()
+                {
+                    if let Some((_, keeper)) =
+                        before.get_mut(&from).filter(|(known, _)| *known == epoch)
+                    {
                         kept.take_over(keeper, |key| book.shard_of(key).0 == *first);
                     }
                 }
@@ -92,16 +106,36 @@
         }
         if now >= self.forgot + FORGET {
             self.forgot = now;
-            self.ranges.values_mut().for_each(|(_, keeper)| keeper.forget(now));
-            self.tallies.values_mut().for_each(|tallies| tallies.forget(now));
+            self.ranges
+                .values_mut()
+                .for_each(|(_, keeper)| keeper.forget(now));
+            self.tallies
+                .values_mut()
+                .for_each(|tallies| tallies.forget(now));
             self.numbers.retain(|_, (_, until)| *until > now);
         }
     }
 
     /// Deals what is kept here, a majority having said that what is applied here was current.
-    pub fn deal(&mut self, now: Micros, question: PartsQuestion, id: u64, book: Option<&Book>) -> Answer {
-        let Some(book) = book else { return Answer::Refused(Refused::Ledger(BookError::None)) };
-        let PartsQuestion { sender, life, floors, wants, zone, words, .. } = question;
+    pub fn deal(
+        &mut self,
+        now: Micros,
+        question: PartsQuestion,
+        id: u64,
+        book: Option<&Book>,
+    ) -> Answer {
+        let Some(book) = book else {
+            return Answer::Refused(Refused::Ledger(BookError::None));
+        };
+        let PartsQuestion {
+            sender,
+            life,
+            floors,
+            wants,
+            zone,
+            words,
+            ..
+        } = question;
         if &floors != book.floors() {
             return Answer::OtherFloor;
         }
@@ -120,7 +154,11 @@
         });
         entry.1 = until;
         let holder = entry.0;
-        let mut answer = PartsAnswer { lease: book.terms().lease, rev: book.rev(), ..PartsAnswer::default() };
+        let mut answer = PartsAnswer {
+            lease: book.terms().lease,
+            rev: book.rev(),
+            ..PartsAnswer::default()
+        };
         let destinations: BTreeSet<u64> = wants.iter().map(|want| want.key.place()).collect();
         for word in words {
             let (first, _) = book.shard_of(&Key::of(word.destination, What::Rate));
@@ -129,17 +167,29 @@
                 tallies.hear(now, &sender, &zone, word, epoch * EPOCHS);
             }
         }
-        let kept = self.tallies.iter().filter(|(first, _)| self.ranges.contains_key(first));
-        answer.verdicts = kept.flat_map(|(_, tallies)| tallies.on(destinations.iter().copied())).collect();
+        let kept = self
+            .tallies
+            .iter()
+            .filter(|(first, _)| self.ranges.contains_key(first));
+        answer.verdicts = kept
+            .flat_map(|(_, tallies)| tallies.on(destinations.iter().copied()))
+            .collect();
         for want in wants {
             let (first, keeper) = book.shard_of(&want.key);
             match (self.ranges.get_mut(&first), book.limit(&want.key)) {
                 (Some(_), None) => {
-                    answer.dealt.push(Dealt { key: want.key, part: None, total: None, linger_ms: 0 });
+                    answer.dealt.push(Dealt {
+                        key: want.key,
+                        part: None,
+                        total: None,
+                        linger_ms: 0,
+                    });
                 }
                 (Some((_, keeper)), Some(limit)) => {
                     self.dealt += 1;
-                    answer.dealt.push(keeper.deal(now, holder, &want, limit, book.floors()));
+                    answer
+                        .dealt
+                        .push(keeper.deal(now, holder, &want, limit, book.floors()));
                 }
                 (None, _) => {
                     if let Some(keeper) = keeper.filter(|keeper| *keeper != id) {
@@ -172,7 +222,10 @@
     use super::*;
     use milletturn_ledger::{Entry, Limit, Terms};
 
-    const TERMS: Terms = Terms { lease: 1_500_000, drift: 30_000 };
+    const TERMS: Terms = Terms {
+        lease: 1_500_000,
+        drift: 30_000,
+    };
 
     fn applied(book: &mut Option<Book>, entry: Entry) {
         Book::apply(book, entry).expect("applied");
@@ -180,7 +233,10 @@
 
     /// What a sender gets of destinations 3 and 12.
     fn parts(keeping: &mut Keeping, now: Micros, sender: &str, book: &Option<Book>) -> Vec<u64> {
-        let wants = [3, 12].map(|destination| Want { key: Key::of(destination, What::Rate), want: 20_000 });
+        let wants = [3, 12].map(|destination| Want {
+            key: Key::of(destination, What::Rate),
+            want: 20_000,
+        });
         let question = PartsQuestion {
             sender: sender.to_string(),
             life: 1,
@@ -192,21 +248,50 @@
         };
         keeping.follow(now, 1, book.as_ref());
         match keeping.deal(now, question, 1, book.as_ref()) {
-            Answer::Parts(answer) => {
-                answer.dealt.iter().map(|dealt| dealt.part.unwrap_or(u64::MAX)).collect()
-            }
+            Answer::Parts(answer) => answer
+                .dealt
+                .iter()
+                .map(|dealt| dealt.part.unwrap_or(u64::MAX))
+                .collect(),
             other => panic!("{other:?}"),
         }
     }
 
     fn split_book() -> Option<Book> {
         let mut book = None;
-        let floors = Floors { senders: 3, each: [("rate".to_string(), 0)].into() };
-        applied(&mut book, Entry::Begin { floors, terms: TERMS, split_at: Vec::new() });
-        applied(&mut book, Entry::Keeper { shard: 0, epoch: 0, replica: 1 });
+        let floors = Floors {
+            senders: 3,
+            each: [("rate".to_string(), 0)].into(),
+        };
+        applied(
+            &mut book,
+            Entry::Begin {
+                floors,
+                terms: TERMS,
+                split_at: Vec::new(),
+            },
+        );
+        applied(
+            &mut book,
+            Entry::Keeper {
+                shard: 0,
+                epoch: 0,
+                replica: 1,
+            },
+        );
         for destination in [3, 12] {
-            let limit = Some(Limit { total: 10_000, linger_ms: 0 });
-            applied(&mut book, Entry::Limit { key: Key::of(destination, What::Rate), limit, if_match: None });
+            let limit = Some(Limit {
+                total: 10_000,
+                linger_ms: 0,
+            });
+            applied(
+                &mut book,
+                Entry::Limit {
+                    key: Key::of(destination, What::Rate),
+                    limit,
+                    if_match: None,
+                },
+            );
         }
         book
     }
@@ -214,10 +299,25 @@
     #[test]
     fn a_cut_over_deals_nothing_twice_and_the_parents_keeper_goes_on_at_once() {
         let (mut book, mut keeping) = (split_book(), Keeping::default());
-        assert_eq!(parts(&mut keeping, 0, "a", &book), [0, 0], "what one before dealt may last");
+        assert_eq!(
+            parts(&mut keeping, 0, "a", &book),
+            [0, 0],
+            "what one before dealt may last"
+        );
         let now = TERMS.longest();
-        assert_eq!(parts(&mut keeping, now, "a", &book), [9990, 9990], "in whole calls a lease");
-        applied(&mut book, Entry::Split { first: 0, at: 10, plant: None });
+        assert_eq!(
+            parts(&mut keeping, now, "a", &book),
+            [9990, 9990],
+            "in whole calls a lease"
+        );
+        applied(
+            &mut book,
+            Entry::Split {
+                first: 0,
+                at: 10,
+                plant: None,
+            },
+        );
         (0..4).for_each(|_| applied(&mut book, Entry::Step(8)));
         applied(&mut book, Entry::Cut);
         assert_eq!(book.as_ref().map(|book| book.shards().len()), Some(2));
@@ -226,11 +326,25 @@
         let again = parts(&mut keeping, now + 2, "a", &book);
         assert!(again.iter().all(|part| *part > 0), "{again:?}");
         // another replica that keeps one of them from now on waits
-        applied(&mut book, Entry::Keeper { shard: 10, epoch: 2, replica: 2 });
-        assert_eq!(parts(&mut keeping, now + 3, "a", &book).len(), 1, "the other is kept elsewhere");
+        applied(
+            &mut book,
+            Entry::Keeper {
+                shard: 10,
+                epoch: 2,
+                replica: 2,
+            },
+        );
+        assert_eq!(
+            parts(&mut keeping, now + 3, "a", &book).len(),
+            1,
+            "the other is kept elsewhere"
+        );
         let mut other = Keeping::default();
         other.follow(now + 3, 2, book.as_ref());
         let keeper = &other.ranges[&10].1;
-        assert_eq!((other.ranges.len(), keeper.deals_from()), (1, now + 3 + TERMS.longest()));
+        assert_eq!(
+            (other.ranges.len(), keeper.deals_from()),
+            (1, now + 3 + TERMS.longest())
+        );
     }
 }
--- a/registry/src/replica/leading.rs
+++ b/registry/src/replica/leading.rs
@@ -102,7 +102,9 @@
 
     /// The answer to a proposal that must not be appended now.
     pub fn judge(&self, now: Micros, command: &Command, state: &State) -> Option<Answer> {
-        let Command::Rules(proposal) = command else { return None };
+        let Command::Rules(proposal) = command else {
+            return None;
+        };
         let (Some(versions), Some(leases)) = (&state.versions, &self.leases) else {
             return Some(Answer::Refused(Refused::NoRules));
         };
@@ -136,11 +138,19 @@
         if &question.floor != versions.floor() {
             return Answer::OtherFloor;
         }
-        let Question { sender: name, life, acts_on, rev, .. } = question;
+        let Question {
+            sender: name,
+            life,
+            acts_on,
+            rev,
+            ..
+        } = question;
         let key = (name.clone(), life);
         let number = match self.numbers.get(&key) {
             Some(number) => *number,
-            None if self.numbers.len() >= LIVES_MOST => return Answer::Busy("too many senders hold leases"),
+            None if self.numbers.len() >= LIVES_MOST => {
+                return Answer::Busy("too many senders hold leases");
+            }
             None => {
                 self.next += 1;
                 self.numbers.insert(key, self.next);
@@ -161,10 +171,20 @@
     }
 
     /// Windows that begin or end, calendars that have settled.
-    pub fn freeze_steps(&mut self, now: Micros, freeze: &Freeze, clocks: Clocks) -> Vec<FreezeEntry> {
+    pub fn freeze_steps(
+        &mut self,
+        now: Micros,
+        freeze: &Freeze,
+        clocks: Clocks,
+    ) -> Vec<FreezeEntry> {
         if std::mem::replace(&mut self.clocks_differ, clocks.differ()) != clocks.differ() {
             let Clocks { wall_ms, log_ms } = clocks;
-            tracing::warn!(wall_ms, log_ms, differ = clocks.differ(), "the strict side of the clocks holds");
+            tracing::warn!(
+                wall_ms,
+                log_ms,
+                differ = clocks.differ(),
+                "the strict side of the clocks holds"
+            );
         }
         if now < self.froze + FREEZE_REST {
             return Vec::new();
@@ -175,7 +195,9 @@
             self.settles = rev.map(|rev| (rev, now));
         }
         due.extend(
-            self.settles.filter(|(_, since)| now >= since + SETTLES).map(|(rev, _)| FreezeEntry::Settle(rev)),
+            self.settles
+                .filter(|(_, since)| now >= since + SETTLES)
+                .map(|(rev, _)| FreezeEntry::Settle(rev)),
         );
         if !due.is_empty() {
             self.froze = now;
@@ -186,7 +208,9 @@
     /// What the ledger lacks: its beginning, or keepers for ranges that have none that is alive.
     fn ledger_steps(&mut self, now: Micros, state: &State, begin: &[Command]) -> Vec<Command> {
         let Some(book) = &state.ledger else {
-            let begin = begin.iter().find(|command| matches!(command, Command::Ledger(_)));
+            let begin = begin
+                .iter()
+                .find(|command| matches!(command, Command::Ledger(_)));
             let begin = begin.filter(|_| !std::mem::replace(&mut self.ledger_beginning, true));
             return begin.cloned().into_iter().collect();
         };
@@ -195,13 +219,19 @@
             None => self.split_since = None,
             Some(split) => {
                 let since = *self.split_since.get_or_insert(now);
-                let frozen = Matter { destinations: vec![split.first], ..Matter::of_all(Widening::Split) };
+                let frozen = Matter {
+                    destinations: vec![split.first],
+                    ..Matter::of_all(Widening::Split)
+                };
                 let frozen = state.freeze.judge(&[frozen], false);
                 let proven = split.is_proven();
                 // what is compared in whole is finished; what is not is undone, so that nothing is left half
                 due.extend(match frozen {
                     _ if split.flagged > 0 => Some(Entry::Undo(SplitError::Flags(split.flagged))),
-                    _ if split.plant.is_some() && split.compared_all && now >= since + SPLIT_LEAST => {
+                    _ if split.plant.is_some()
+                        && split.compared_all
+                        && now >= since + SPLIT_LEAST =>
+                    {
                         Some(Entry::Undo(SplitError::Rehearsed))
                     }
                     Err(FreezeError::Held { window, .. }) if !proven => {
@@ -219,14 +249,21 @@
         due.extend(book.due(&alive));
         due.retain(|entry| match entry {
             // proposed already, and neither applied nor lost yet
-            Entry::Keeper { shard, epoch, .. } => self.naming.insert(*shard, *epoch) != Some(*epoch),
+            Entry::Keeper { shard, epoch, .. } => {
+                self.naming.insert(*shard, *epoch) != Some(*epoch)
+            }
             _ => true,
         });
         due.into_iter().map(Command::Ledger).collect()
     }
 
     /// The commands that are due, and how many endpoints are newly kept though they have run out.
-    pub fn steps(&mut self, now: Micros, state: &State, begin: &[Command]) -> (Vec<Command>, usize) {
+    pub fn steps(
+        &mut self,
+        now: Micros,
+        state: &State,
+        begin: &[Command],
+    ) -> (Vec<Command>, usize) {
         let mut steps = self.ledger_steps(now, state, begin);
         if let Some(leases) = &mut self.leases {
             for number in leases.forget(now) {
@@ -235,13 +272,17 @@
                     self.numbers.remove(&(name, life));
                 }
             }
-            let waits = state.tag().is_none_or(|tag| tag.whole || leases.waits_for(now, tag).is_some());
+            let waits = state
+                .tag()
+                .is_none_or(|tag| tag.whole || leases.waits_for(now, tag).is_some());
             if let Some(tag) = state.tag().filter(|_| !waits && self.advancing.is_none()) {
                 self.advancing = Some(tag.version);
                 steps.push(Command::Advance(tag.version));
             }
         }
-        let begin = begin.iter().find(|command| matches!(command, Command::Begin { .. }));
+        let begin = begin
+            .iter()
+            .find(|command| matches!(command, Command::Begin { .. }));
         if let Some(begin) = begin.filter(|_| state.versions.is_none() && !self.beginning) {
             self.beginning = true;
             steps.push(begin.clone());
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -42,18 +42,27 @@
         self.next += 1;
         let number = self.next;
         let context = postcard::to_allocvec(&(self.mark(number), change)).ok()?;
-        self.raw.propose_conf_change(context, change.engine()).ok().map(|()| number)
+        self.raw
+            .propose_conf_change(context, change.engine())
+            .ok()
+            .map(|()| number)
     }
 
     /// Hands the lead to the replica that has most of the log; false if there is none or this one does not lead.
     pub fn transfer(&mut self) -> bool {
         let id = self.id;
         let others = self.raw.raft.prs().iter().filter(|(other, progress)| {
-            **other != id && progress.recent_active && self.raw.raft.prs().conf().voters().contains(**other)
+            **other != id
+                && progress.recent_active
+                && self.raw.raft.prs().conf().voters().contains(**other)
         });
-        let next = others.max_by_key(|(_, progress)| progress.matched).map(|(other, _)| *other);
+        let next = others
+            .max_by_key(|(_, progress)| progress.matched)
+            .map(|(other, _)| *other);
         let transfers = next.filter(|_| self.leads());
-        transfers.into_iter().for_each(|next| self.raw.transfer_leader(next));
+        transfers
+            .into_iter()
+            .for_each(|next| self.raw.transfer_leader(next));
         transfers.is_some()
     }
 
@@ -61,16 +70,26 @@
     pub(super) fn next_voter(&self) -> Option<ReplicaChange> {
         let prs = self.raw.raft.prs();
         let committed = self.raw.raft.raft_log.committed;
-        let ready = |id: &&u64| prs.get(**id).is_some_and(|progress| progress.matched >= committed);
+        let ready = |id: &&u64| {
+            prs.get(**id)
+                .is_some_and(|progress| progress.matched >= committed)
+        };
         let id = *self.raw.store().voters().learners.iter().find(ready)?;
-        Some(ReplicaChange { id, place: self.state.replicas.get(&id).copied(), votes: true })
+        Some(ReplicaChange {
+            id,
+            place: self.state.replicas.get(&id).copied(),
+            votes: true,
+        })
     }
 }
 
 impl ReplicaChange {
     /// The same as the engine has it.
     pub(super) fn engine(self) -> ConfChange {
-        let mut change = ConfChange { node_id: self.id, ..Default::default() };
+        let mut change = ConfChange {
+            node_id: self.id,
+            ..Default::default()
+        };
         change.set_change_type(match (self.place, self.votes) {
             (None, _) => ConfChangeType::RemoveNode,
             (Some(_), true) => ConfChangeType::AddNode,
--- a/registry/src/replica/proposals.rs
+++ b/registry/src/replica/proposals.rs
@@ -9,16 +9,22 @@
     /// Proposes a command; the answer comes once a majority has it.
     pub fn propose(&mut self, now: Micros, ticket: Ticket, command: Command, output: &mut Output) {
         if !self.leads() {
-            return output.answers.push((ticket, Answer::NotLeader(self.leader())));
+            return output
+                .answers
+                .push((ticket, Answer::NotLeader(self.leader())));
         }
-        if let Some(answer) =
-            self.leading.as_ref().and_then(|leading| leading.judge(now, &command, &self.state))
+        if let Some(answer) = self
+            .leading
+            .as_ref()
+            .and_then(|leading| leading.judge(now, &command, &self.state))
         {
             return output.answers.push((ticket, answer));
         }
         match self.append(&command) {
             Some(number) => drop(self.proposals.insert(number, ticket)),
-            None => output.answers.push((ticket, Answer::Busy("too much waits to be committed"))),
+            None => output
+                .answers
+                .push((ticket, Answer::Busy("too much waits to be committed"))),
         }
     }
 
@@ -27,7 +33,10 @@
         self.next += 1;
         let number = self.next;
         let data = postcard::to_allocvec(command).ok()?;
-        self.raw.propose(self.mark(number), data).ok().map(|()| number)
+        self.raw
+            .propose(self.mark(number), data)
+            .ok()
+            .map(|()| number)
     }
 
     /// Marks what this process proposes or asks.
