--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -32,7 +32,9 @@
 
     /// The ledger: its ranges, and what of those that this replica keeps is out; null where there is none.
     pub fn ledger_report(&self, now: Micros) -> Value {
-        let Some(book) = &self.state.ledger else { return Value::Null };
+        let Some(book) = &self.state.ledger else {
+            return Value::Null;
+        };
         let mut report = self.keeping.report(now, book);
         report["rev"] = book.rev().into();
         report["lease_ms"] = (book.terms().lease / 1000).into();
@@ -47,7 +49,9 @@
     /// The freeze: the windows that are on or come soon, with the times until then, and how the clocks stand.
     pub fn freeze_report(&self, now: Micros) -> Value {
         let freeze = &self.state.freeze;
-        let Some(clocks) = self.clocks(now) else { return Value::Null };
+        let Some(clocks) = self.clocks(now) else {
+            return Value::Null;
+        };
         let on = freeze.on().iter().map(|(name, on)| {
             let left = (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest());
             json!({ "window": name, "ends_in_ms": left, "on": on })
@@ -66,12 +70,17 @@
     }
 
     fn kept(&self) -> Vec<&String> {
-        self.leading.iter().flat_map(|leading| leading.heartbeats.kept()).collect()
+        self.leading
+            .iter()
+            .flat_map(|leading| leading.heartbeats.kept())
+            .collect()
     }
 
     /// The rules' version and step, and who is waited for.
     pub fn rules_report(&self, now: Micros) -> Value {
-        let Some(versions) = &self.state.versions else { return Value::Null };
+        let Some(versions) = &self.state.versions else {
+            return Value::Null;
+        };
         let (tag, terms) = (versions.tag(), self.state.terms);
         let mut report = json!({
             "version": tag.version, "whole": tag.whole,
@@ -79,8 +88,10 @@
             "drift_ms": terms.map(|terms| terms.drift / 1000),
             "kept": self.state.kept.keys().collect::<Vec<_>>(),
         });
-        let Some((leading, leases)) =
-            self.leading.as_ref().and_then(|leading| Some((leading, leading.leases.as_ref()?)))
+        let Some((leading, leases)) = self
+            .leading
+            .as_ref()
+            .and_then(|leading| Some((leading, leading.leases.as_ref()?)))
         else {
             return report;
         };
@@ -89,10 +100,11 @@
         let waits = leases.waits_for(now, tag);
         report["settled"] = leases.is_settled(now, versions).into();
         report["waits_ms"] = waits.map(|wait| left(wait.until)).into();
-        report["waits_for_leases_of_before"] = waits.is_some_and(|wait| wait.sender.is_none()).into();
-        let behind = leases
-            .behind(now, tag)
-            .map(|wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left(wait.until) }));
+        report["waits_for_leases_of_before"] =
+            waits.is_some_and(|wait| wait.sender.is_none()).into();
+        let behind = leases.behind(now, tag).map(
+            |wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left(wait.until) }),
+        );
         report["not_acknowledged"] = behind.collect();
         let held = leases.held().filter_map(|(number, acts_on, until)| {
             let known = leading.known.get(&number)?;
--- a/registry/src/replica/role.rs
+++ b/registry/src/replica/role.rs
@@ -37,10 +37,15 @@
     fn stop_leading(&mut self, output: &mut Output) {
         self.leading = None;
         let unsure = std::mem::take(&mut self.proposals).into_values();
-        output.answers.extend(unsure.map(|ticket| (ticket, Answer::Unsure)));
+        output
+            .answers
+            .extend(unsure.map(|ticket| (ticket, Answer::Unsure)));
         let next = self.leader().filter(|leader| *leader != self.id);
         for batch in &mut self.asked {
-            let asks = batch.asks.drain(..).map(|(ticket, _)| (ticket, Answer::NotLeader(next)));
+            let asks = batch
+                .asks
+                .drain(..)
+                .map(|(ticket, _)| (ticket, Answer::NotLeader(next)));
             output.answers.extend(asks);
         }
         self.asked.retain(|batch| !batch.is_empty());
@@ -51,9 +56,13 @@
     pub(super) fn look_for_steps(&mut self, now: Micros, output: &mut Output) {
         let voters = self.raw.store().voters().voters.clone();
         let prs = self.raw.raft.prs();
-        let active = |id: &u64| *id == self.id || prs.get(*id).is_some_and(|progress| progress.recent_active);
+        let active = |id: &u64| {
+            *id == self.id || prs.get(*id).is_some_and(|progress| progress.recent_active)
+        };
         let active: Vec<u64> = voters.iter().copied().filter(active).collect();
-        let Some(leading) = &mut self.leading else { return };
+        let Some(leading) = &mut self.leading else {
+            return;
+        };
         leading.hear_of(now, &voters, &active);
         self.take_freeze_steps(now, output);
         self.take_steps(now, output);
@@ -65,7 +74,9 @@
     }
 
     fn take_freeze_steps(&mut self, now: Micros, output: &mut Output) {
-        let (Some(clocks), Some(leading)) = (self.clocks(now), &mut self.leading) else { return };
+        let (Some(clocks), Some(leading)) = (self.clocks(now), &mut self.leading) else {
+            return;
+        };
         for entry in leading.freeze_steps(now, &self.state.freeze, clocks) {
             if !matches!(entry, FreezeEntry::Clock(_)) {
                 output.notes.push(format!("freeze: {entry:?}"));
@@ -76,11 +87,15 @@
     }
 
     fn take_steps(&mut self, now: Micros, output: &mut Output) {
-        let Some(leading) = &mut self.leading else { return };
+        let Some(leading) = &mut self.leading else {
+            return;
+        };
         let (steps, kept) = leading.steps(now, &self.state, &self.begin);
         if kept > 0 {
             let why = "heartbeats of many are missing at once: the fault is likelier here";
-            output.notes.push(format!("{kept} endpoints are kept though they have run out: {why}"));
+            output.notes.push(format!(
+                "{kept} endpoints are kept though they have run out: {why}"
+            ));
         }
         for command in steps {
             // one that can't be appended now comes up again
--- a/registry/src/server.rs
+++ b/registry/src/server.rs
@@ -92,7 +92,11 @@
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: {COME_BACK}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
     );
     // one that does not read it finds its connection closed
-    let _ = timeout(Duration::from_millis(200), stream.write_all(text.as_bytes())).await;
+    let _ = timeout(
+        Duration::from_millis(200),
+        stream.write_all(text.as_bytes()),
+    )
+    .await;
 }
 
 async fn serve_one(stream: TcpStream, server: Arc<Server>) {
@@ -130,7 +134,10 @@
 
 impl No {
     fn new(status: StatusCode, what: impl ToString) -> Self {
-        No { status, what: what.to_string() }
+        No {
+            status,
+            what: what.to_string(),
+        }
     }
 
     fn bad(what: impl ToString) -> Self {
@@ -159,7 +166,11 @@
     body: Bytes,
 }
 
-async fn answer(request: Request<Incoming>, server: Arc<Server>, cut: Arc<Notify>) -> Response<Body> {
+async fn answer(
+    request: Request<Incoming>,
+    server: Arc<Server>,
+    cut: Arc<Notify>,
+) -> Response<Body> {
     let answer = match read(request).await {
         Ok(asked) => routes::answer(&asked, &server, cut).await,
         Err(no) => Err(no),
@@ -191,10 +202,18 @@
     let body = match timeout(BODY_TIME, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Err(No::new(StatusCode::PAYLOAD_TOO_LARGE, format!("the body is over {most} bytes")));
+            return Err(No::new(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("the body is over {most} bytes"),
+            ));
         }
         Ok(Err(_)) => return Err(No::bad("the body is malformed")),
-        Err(_) => return Err(No::new(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
+        Err(_) => {
+            return Err(No::new(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body did not come in time",
+            ));
+        }
     };
     Ok(Asked {
         method: head.method,
@@ -215,7 +234,9 @@
 
 fn json(value: &serde_json::Value) -> Response<Body> {
     let mut response = text(StatusCode::OK, format!("{value}\n"));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
@@ -230,13 +251,15 @@
                 pass_on(place.clients, asked).await
             }
             Answer::NotLeader(_) => Err(No::busy("no leader is known")),
-            Answer::Unsure => {
-                Err(No::new(StatusCode::GATEWAY_TIMEOUT, "the leader changed: it may be done or not"))
-            }
+            Answer::Unsure => Err(No::new(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the leader changed: it may be done or not",
+            )),
             Answer::Busy(what) => Err(No::busy(what)),
-            Answer::OtherFloor => {
-                Err(No::new(StatusCode::CONFLICT, "the floor is not the one that is agreed here"))
-            }
+            Answer::OtherFloor => Err(No::new(
+                StatusCode::CONFLICT,
+                "the floor is not the one that is agreed here",
+            )),
             Answer::Refused(refused) => {
                 let status = match &refused {
                     Refused::Version { .. } => StatusCode::PRECONDITION_FAILED,
@@ -246,8 +269,12 @@
                     Refused::Ledger(error) => return Err(ledger::no(error)),
                     Refused::Freeze(error) => return Err(freeze::no(error)),
                     Refused::Unknown(_) | Refused::NoRules => StatusCode::NOT_FOUND,
-                    Refused::Target(_) | Refused::Rules(_) | Refused::Size(_) => StatusCode::BAD_REQUEST,
-                    Refused::Senseless { .. } | Refused::Begun | Refused::Proposal(_) => StatusCode::CONFLICT,
+                    Refused::Target(_) | Refused::Rules(_) | Refused::Size(_) => {
+                        StatusCode::BAD_REQUEST
+                    }
+                    Refused::Senseless { .. } | Refused::Begun | Refused::Proposal(_) => {
+                        StatusCode::CONFLICT
+                    }
                 };
                 Err(No::new(status, refused))
             }
@@ -272,12 +299,17 @@
         "" => asked.path.clone(),
         query => format!("{}?{query}", asked.path),
     };
-    let mut request =
-        Request::builder().method(asked.method.clone()).uri(path).header("host", place.to_string());
+    let mut request = Request::builder()
+        .method(asked.method.clone())
+        .uri(path)
+        .header("host", place.to_string());
     if let Some(version) = &asked.if_match {
         request = request.header(IF_MATCH, version);
     }
-    let request = request.header(HOP, "1").body(Full::<Bytes>::from(asked.body.clone())).map_err(No::bad)?;
+    let request = request
+        .header(HOP, "1")
+        .body(Full::<Bytes>::from(asked.body.clone()))
+        .map_err(No::bad)?;
     match timeout(PASSED_ON, exchange(place, request)).await {
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
@@ -290,9 +322,10 @@
             Ok(answer)
         }
         // it may have come to the leader
-        _ if asked.method != Method::GET => {
-            Err(No::new(StatusCode::GATEWAY_TIMEOUT, "the leader did not answer: it may be done or not"))
-        }
+        _ if asked.method != Method::GET => Err(No::new(
+            StatusCode::GATEWAY_TIMEOUT,
+            "the leader did not answer: it may be done or not",
+        )),
         _ => Err(No::busy("the leader did not answer")),
     }
 }
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -13,7 +13,9 @@
 /// The answer to what a freeze holds or does not take.
 pub(super) fn no(error: &FreezeError) -> No {
     let status = match error {
-        FreezeError::Window { .. } | FreezeError::Many | FreezeError::Glass(_) => StatusCode::BAD_REQUEST,
+        FreezeError::Window { .. } | FreezeError::Many | FreezeError::Glass(_) => {
+            StatusCode::BAD_REQUEST
+        }
         FreezeError::Version { .. } => StatusCode::PRECONDITION_FAILED,
         FreezeError::Whole => StatusCode::NOT_FOUND,
         FreezeError::Held { .. }
@@ -24,29 +26,48 @@
     No::new(status, explained(error))
 }
 
-pub(super) async fn answer(asked: &Asked, server: &Arc<Server>, rest: &[&str]) -> Result<Response<Body>, No> {
+pub(super) async fn answer(
+    asked: &Asked,
+    server: &Arc<Server>,
+    rest: &[&str],
+) -> Result<Response<Body>, No> {
     let entry = match (rest, &asked.method) {
         ([], &Method::GET) => return show(asked, server).await,
         ([], &Method::PUT) => {
             let calendar: Calendar = read(asked)?;
             calendar.check().map_err(|error| no(&error))?;
-            FreezeEntry::Put { calendar, if_match: wanted(asked)? }
+            FreezeEntry::Put {
+                calendar,
+                if_match: wanted(asked)?,
+            }
         }
         (["glass"], &Method::POST) => {
             let glass: Glass = read(asked)?;
             let clocks = server.core.look(|replica, now| replica.clocks(now)).await?;
-            let now_ms = clocks.ok_or_else(|| No::busy("the clock is not known yet"))?.earliest();
+            let now_ms = clocks
+                .ok_or_else(|| No::busy("the clock is not known yet"))?
+                .earliest();
             FreezeEntry::Break { glass, now_ms }
         }
         (["glass"], &Method::DELETE) => FreezeEntry::Mend,
         ([] | ["glass"], method) => {
-            return Err(No::new(StatusCode::METHOD_NOT_ALLOWED, format!("{method} means nothing here")));
+            return Err(No::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                format!("{method} means nothing here"),
+            ));
         }
         _ => return Err(No::new(StatusCode::NOT_FOUND, "no such path")),
     };
-    match server.core.ask(Question::Change(Command::Freeze(entry))).await? {
+    match server
+        .core
+        .ask(Question::Change(Command::Freeze(entry)))
+        .await?
+    {
         Answer::Applied(_) => {
-            let rev = server.core.look(|replica, _| replica.state().freeze.rev()).await?;
+            let rev = server
+                .core
+                .look(|replica, _| replica.state().freeze.rev())
+                .await?;
             Ok(json(&value!({ "rev": rev })))
         }
         other => server.otherwise(asked, other).await,
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -25,8 +25,14 @@
 
 /// What is wrong, its code, and what an operator can do, on one line.
 pub(super) fn explained(error: &dyn Diagnostic) -> String {
-    let code = error.code().map(|code| format!(" [{code}]")).unwrap_or_default();
-    let help = error.help().map(|help| format!("; {help}")).unwrap_or_default();
+    let code = error
+        .code()
+        .map(|code| format!(" [{code}]"))
+        .unwrap_or_default();
+    let help = error
+        .help()
+        .map(|help| format!("; {help}"))
+        .unwrap_or_default();
     format!("{error}{code}{help}")
 }
 
@@ -48,8 +54,15 @@
 /// Parts of limits: those that this replica keeps, and by one hop those that others keep. What a keeper does not answer
 /// in time is left out, and the sender goes on with what it has.
 pub(super) async fn parts(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    let compact = asked.content_type.as_ref().is_some_and(|media| media == compact::MEDIA_TYPE);
-    let question = if compact { read_compact(asked)? } else { read(asked)? };
+    let compact = asked
+        .content_type
+        .as_ref()
+        .is_some_and(|media| media == compact::MEDIA_TYPE);
+    let question = if compact {
+        read_compact(asked)?
+    } else {
+        read(asked)?
+    };
     let mut whole = match server.core.ask(Question::Parts(question.clone())).await? {
         Answer::Parts(answer) => *answer,
         // any replica deals what it keeps: no other is asked in this one's place
@@ -61,8 +74,15 @@
     for (keeper, wants) in elsewhere.into_iter().filter(|_| !asked.hop) {
         let place = server.core.seen.borrow().places.get(&keeper).copied();
         if let Some(place) = place {
-            let question = PartsQuestion { wants, ..question.clone() };
-            others.spawn(async move { timeout(KEEPER, of_keeper(place.clients, question)).await.ok()? });
+            let question = PartsQuestion {
+                wants,
+                ..question.clone()
+            };
+            others.spawn(async move {
+                timeout(KEEPER, of_keeper(place.clients, question))
+                    .await
+                    .ok()?
+            });
         }
     }
     while let Some(answer) = others.join_next().await {
@@ -80,34 +100,75 @@
 /// A question in the compact form. An older replica takes it for broken JSON and refuses it in the same way, and the sender
 /// asks in JSON then.
 fn read_compact(asked: &Asked) -> Result<PartsQuestion, No> {
-    let question = compact::Question::read(&asked.body).map_err(|error| No::bad(explained(&error)))?;
-    let compact::Question { sender, life, number, floors, zone, wants, reports } = question;
-    Ok(PartsQuestion { sender, life, number, floors, wants, zone, words: reports })
+    let question =
+        compact::Question::read(&asked.body).map_err(|error| No::bad(explained(&error)))?;
+    let compact::Question {
+        sender,
+        life,
+        number,
+        floors,
+        zone,
+        wants,
+        reports,
+    } = question;
+    Ok(PartsQuestion {
+        sender,
+        life,
+        number,
+        floors,
+        wants,
+        zone,
+        words: reports,
+    })
 }
 
 fn written_compact(answer: PartsAnswer) -> Response<Body> {
-    let PartsAnswer { lease, rev, dealt, verdicts, .. } = answer;
-    let bytes = compact::Answer { lease, rev, quotas: dealt, verdicts }.write();
+    let PartsAnswer {
+        lease,
+        rev,
+        dealt,
+        verdicts,
+        ..
+    } = answer;
+    let bytes = compact::Answer {
+        lease,
+        rev,
+        quotas: dealt,
+        verdicts,
+    }
+    .write();
     let mut response = text(StatusCode::OK, bytes);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(compact::MEDIA_TYPE));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(compact::MEDIA_TYPE));
     response
 }
 
 async fn of_keeper(place: std::net::SocketAddr, question: PartsQuestion) -> Option<PartsAnswer> {
     let body = Full::new(Bytes::from(serde_json::to_vec(&question).ok()?));
-    let request =
-        Request::post("/v1/parts").header("host", place.to_string()).header(HOP, "1").body(body).ok()?;
+    let request = Request::post("/v1/parts")
+        .header("host", place.to_string())
+        .header(HOP, "1")
+        .body(body)
+        .ok()?;
     let response = exchange(place, request).await.ok()?;
     let good = response.status() == StatusCode::OK;
     good.then(|| serde_json::from_slice(response.body()).ok())?
 }
 
 /// All limits, or one of them set or removed.
-pub(super) async fn limits(asked: &Asked, server: &Arc<Server>, key: &[&str]) -> Result<Response<Body>, No> {
+pub(super) async fn limits(
+    asked: &Asked,
+    server: &Arc<Server>,
+    key: &[&str],
+) -> Result<Response<Body>, No> {
     if asked.method == Method::GET && key.is_empty() {
         return list(asked, server).await;
     }
-    let key: Key = key.join("/").parse().map_err(|error: BadKey| No::bad(explained(&error)))?;
+    let key: Key = key
+        .join("/")
+        .parse()
+        .map_err(|error: BadKey| No::bad(explained(&error)))?;
     let limit: Option<Limit> = match asked.method {
         Method::PUT => Some(read(asked)?),
         Method::DELETE => None,
@@ -118,11 +179,21 @@
             ));
         }
     };
-    let entry = Entry::Limit { key, limit, if_match: wanted(asked)? };
-    match server.core.ask(Question::Change(Command::Ledger(entry))).await? {
+    let entry = Entry::Limit {
+        key,
+        limit,
+        if_match: wanted(asked)?,
+    };
+    match server
+        .core
+        .ask(Question::Change(Command::Ledger(entry)))
+        .await?
+    {
         Answer::Applied(_) => {
-            let rev =
-                server.core.look(|replica, _| replica.state().ledger.as_ref().map(|book| book.rev())).await?;
+            let rev = server
+                .core
+                .look(|replica, _| replica.state().ledger.as_ref().map(|book| book.rev()))
+                .await?;
             Ok(json(&value!({ "rev": rev })))
         }
         other => server.otherwise(asked, other).await,
@@ -162,11 +233,21 @@
                 return Ok(response);
             }
             let report = server.core.look(move |replica, _| report(replica)).await?;
-            return report.map(|report| json(&report)).ok_or_else(|| no(&BookError::None));
+            return report
+                .map(|report| json(&report))
+                .ok_or_else(|| no(&BookError::None));
         }
         Method::POST => {
-            let Wish { first, at, rehearse } = read(asked)?;
-            Entry::Split { first, at, plant: rehearse }
+            let Wish {
+                first,
+                at,
+                rehearse,
+            } = read(asked)?;
+            Entry::Split {
+                first,
+                at,
+                plant: rehearse,
+            }
         }
         Method::DELETE => Entry::Undo(SplitError::Undone),
         _ => {
@@ -176,7 +257,10 @@
             ));
         }
     };
-    let answer = server.core.ask(Question::Change(Command::Ledger(entry))).await?;
+    let answer = server
+        .core
+        .ask(Question::Change(Command::Ledger(entry)))
+        .await?;
     server.otherwise(asked, answer).await
 }
 
@@ -191,8 +275,12 @@
     if let Some(response) = elsewhere(asked, server).await? {
         return Ok(response);
     }
-    let rows = server.core.look(move |replica, now| replica.query(now, &query)).await?;
-    rows.map(|rows| json(&value!({ "rows": rows }))).ok_or_else(|| no(&BookError::None))
+    let rows = server
+        .core
+        .look(move |replica, now| replica.query(now, &query))
+        .await?;
+    rows.map(|rows| json(&value!({ "rows": rows })))
+        .ok_or_else(|| no(&BookError::None))
 }
 
 async fn list(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
@@ -222,7 +310,12 @@
     #[test]
     fn each_no_has_a_code_and_tells_what_to_do() {
         let key = Key::of(7, What::Rate);
-        let floors = LimitError::Floors { key: key.clone(), senders: 3, floor: 5, total: 2 };
+        let floors = LimitError::Floors {
+            key: key.clone(),
+            senders: 3,
+            floor: 5,
+            total: 2,
+        };
         for (error, status) in [
             (BookError::None, 404),
             (BookError::Begun, 409),
@@ -234,10 +327,15 @@
         ] {
             let no = no(&error);
             assert_eq!(no.status, status, "{}", no.what);
-            assert!(no.what.contains(" [ledger::") && no.what.contains("; "), "{}", no.what);
+            assert!(
+                no.what.contains(" [ledger::") && no.what.contains("; "),
+                "{}",
+                no.what
+            );
         }
-        let want =
-            serde_json::from_str::<Want>(r#"{"key":"rate/x","want":1}"#).expect_err("no key").to_string();
+        let want = serde_json::from_str::<Want>(r#"{"key":"rate/x","want":1}"#)
+            .expect_err("no key")
+            .to_string();
         assert!(want.contains("names nothing that can be limited"), "{want}");
     }
 }
--- a/registry/src/server/routes.rs
+++ b/registry/src/server/routes.rs
@@ -47,7 +47,9 @@
 }
 
 pub(super) async fn answer(
-    asked: &Asked, server: &Arc<Server>, cut: Arc<Notify>,
+    asked: &Asked,
+    server: &Arc<Server>,
+    cut: Arc<Notify>,
 ) -> Result<Response<Body>, No> {
     let parts: Vec<&str> = asked.path.trim_start_matches('/').split('/').collect();
     let (get, put, post, delete) = (&Method::GET, &Method::PUT, &Method::POST, &Method::DELETE);
@@ -59,14 +61,31 @@
             change(asked, server, changes).await
         }
         (["v1", "endpoints", uid], method) if method == put => {
-            let change_to = Change::Put { uid: uid.to_string(), target: read(asked)? };
+            let change_to = Change::Put {
+                uid: uid.to_string(),
+                target: read(asked)?,
+            };
             change(asked, server, vec![change_to]).await
         }
         (["v1", "endpoints", uid], method) if method == delete => {
-            change(asked, server, vec![Change::Remove { uid: uid.to_string() }]).await
+            change(
+                asked,
+                server,
+                vec![Change::Remove {
+                    uid: uid.to_string(),
+                }],
+            )
+            .await
         }
         (["v1", "endpoints", uid, "drain"], method) if method == post => {
-            change(asked, server, vec![Change::Drain { uid: uid.to_string() }]).await
+            change(
+                asked,
+                server,
+                vec![Change::Drain {
+                    uid: uid.to_string(),
+                }],
+            )
+            .await
         }
         (["v1", "endpoints", uid, "beat"], method) if method == post => {
             let answer = server.core.ask(Question::Beat(uid.to_string())).await?;
@@ -87,20 +106,28 @@
         (["v1", "rules"], method) if method == get => rules(asked, server).await,
         (["v1", "rules"], method) if method == put => propose(asked, server).await,
         (["v1", "rules", version], method) if method == get => {
-            let version: u64 = version.parse().map_err(|_| No::bad("the version is no number"))?;
-            fresh(asked, server, move |state| state.kept.get(&version).cloned()).await.and_then(|found| {
-                match found {
-                    Found::Here(Some(rules)) => Ok(json(&value!({ "version": version, "rules": rules }))),
-                    Found::Here(None) => Err(No::new(StatusCode::NOT_FOUND, "no such version is kept")),
-                    Found::Elsewhere(response) => Ok(response),
+            let version: u64 = version
+                .parse()
+                .map_err(|_| No::bad("the version is no number"))?;
+            fresh(asked, server, move |state| {
+                state.kept.get(&version).cloned()
+            })
+            .await
+            .and_then(|found| match found {
+                Found::Here(Some(rules)) => {
+                    Ok(json(&value!({ "version": version, "rules": rules })))
                 }
+                Found::Here(None) => Err(No::new(StatusCode::NOT_FOUND, "no such version is kept")),
+                Found::Elsewhere(response) => Ok(response),
             })
         }
         (["v1", "status"], method) if method == get => status(server).await,
         (["v1", "replicas", id], method) if method == put => {
             replicas(asked, server, id, Some(read(asked)?)).await
         }
-        (["v1", "replicas", id], method) if method == delete => replicas(asked, server, id, None).await,
+        (["v1", "replicas", id], method) if method == delete => {
+            replicas(asked, server, id, None).await
+        }
         (["v1", "transfer"], method) if method == post => {
             match server.core.look(|replica, _| replica.transfer()).await? {
                 true => Ok(text(StatusCode::NO_CONTENT, "")),
@@ -124,7 +151,10 @@
             ]
             .contains(known) =>
         {
-            Err(No::new(StatusCode::METHOD_NOT_ALLOWED, format!("{method} means nothing here")))
+            Err(No::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                format!("{method} means nothing here"),
+            ))
         }
         _ => Err(No::new(StatusCode::NOT_FOUND, "no such path")),
     }
@@ -136,17 +166,29 @@
 
 /// The version that a write wants to find: `If-Match: 41`, with quotes or without.
 pub(super) fn wanted(asked: &Asked) -> Result<Option<u64>, No> {
-    let Some(version) = &asked.if_match else { return Ok(None) };
-    let version = version.to_str().ok().and_then(|text| text.trim().trim_matches('"').parse().ok());
-    version.map(Some).ok_or_else(|| No::bad("If-Match is no version"))
+    let Some(version) = &asked.if_match else {
+        return Ok(None);
+    };
+    let version = version
+        .to_str()
+        .ok()
+        .and_then(|text| text.trim().trim_matches('"').parse().ok());
+    version
+        .map(Some)
+        .ok_or_else(|| No::bad("If-Match is no version"))
 }
 
 async fn list(asked: &Asked, server: &Arc<Server>, cut: Arc<Notify>) -> Result<Response<Body>, No> {
     let pair = |name: &str| {
-        asked.query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_string))
+        asked.query.split('&').find_map(|pair| {
+            pair.strip_prefix(name)?
+                .strip_prefix('=')
+                .map(str::to_string)
+        })
     };
-    let from =
-        pair("from").map(|from| from.parse().map_err(|_| No::bad("from is no version"))).transpose()?;
+    let from = pair("from")
+        .map(|from| from.parse().map_err(|_| No::bad("from is no version")))
+        .transpose()?;
     match pair("fresh").as_deref() {
         None => {}
         Some("1") => {
@@ -165,7 +207,11 @@
     }
 }
 
-async fn change(asked: &Asked, server: &Server, changes: Vec<Change>) -> Result<Response<Body>, No> {
+async fn change(
+    asked: &Asked,
+    server: &Server,
+    changes: Vec<Change>,
+) -> Result<Response<Body>, No> {
     let if_match = wanted(asked)?;
     let command = match asked.query.as_str() {
         "" => Command::List { if_match, changes },
@@ -201,10 +247,17 @@
 
 /// Looks at the state once it is as late as the question.
 async fn fresh<T: Send + 'static>(
-    asked: &Asked, server: &Server, look: impl FnOnce(&State) -> T + Send + 'static,
+    asked: &Asked,
+    server: &Server,
+    look: impl FnOnce(&State) -> T + Send + 'static,
 ) -> Result<Found<T>, No> {
     match elsewhere(asked, server).await? {
-        None => Ok(Found::Here(server.core.look(move |replica, _| look(replica.state())).await?)),
+        None => Ok(Found::Here(
+            server
+                .core
+                .look(move |replica, _| look(replica.state()))
+                .await?,
+        )),
         Some(response) => Ok(Found::Elsewhere(response)),
     }
 }
@@ -240,11 +293,18 @@
     let from = match wanted(asked)? {
         Some(version) => version,
         None => {
-            let version = server.core.look(|replica, _| replica.state().tag().map(|tag| tag.version)).await?;
+            let version = server
+                .core
+                .look(|replica, _| replica.state().tag().map(|tag| tag.version))
+                .await?;
             version.ok_or_else(|| No::new(StatusCode::NOT_FOUND, "no rules are agreed here"))?
         }
     };
-    match server.core.ask(Question::Change(Command::Rules(Proposal { from, rules }))).await? {
+    match server
+        .core
+        .ask(Question::Change(Command::Rules(Proposal { from, rules })))
+        .await?
+    {
         Answer::Applied(applied) => Ok(json(&serde_json::to_value(applied.tag).map_err(No::busy)?)),
         other => server.otherwise(asked, other).await,
     }
@@ -261,10 +321,19 @@
 }
 
 async fn replicas(
-    asked: &Asked, server: &Server, id: &str, place: Option<Place>,
+    asked: &Asked,
+    server: &Server,
+    id: &str,
+    place: Option<Place>,
 ) -> Result<Response<Body>, No> {
-    let id = id.parse().map_err(|_| No::bad("the replica's id is no number"))?;
-    let change = ReplicaChange { id, place, votes: false };
+    let id = id
+        .parse()
+        .map_err(|_| No::bad("the replica's id is no number"))?;
+    let change = ReplicaChange {
+        id,
+        place,
+        votes: false,
+    };
     match server.core.ask(Question::Replicas(change)).await? {
         Answer::Applied(_) => Ok(text(StatusCode::NO_CONTENT, "")),
         other => server.otherwise(asked, other).await,
--- a/registry/src/server/watch.rs
+++ b/registry/src/server/watch.rs
@@ -37,14 +37,19 @@
 ///
 /// # Errors
 /// No leader is known, all places are taken, or this replica is behind the version and can't learn why.
-pub async fn begin(server: &Arc<Server>, from: u64, cut: Arc<Notify>) -> Result<Response<Body>, No> {
+pub async fn begin(
+    server: &Arc<Server>,
+    from: u64,
+    cut: Arc<Notify>,
+) -> Result<Response<Body>, No> {
     let place = server.watchers.clone().try_acquire_owned();
     let place = place.map_err(|_| No::busy("all places for watches are taken"))?;
     if server.core.seen.borrow().leader.is_none() {
         return Err(No::busy("no leader is known: the list may be old"));
     }
     // a watcher that has seen more than this replica must not be shown less, unless nobody has more
-    if from > lock(&server.core.feed).rev() && server.core.ask(Asked::Read).await? != Answer::Fresh {
+    if from > lock(&server.core.feed).rev() && server.core.ask(Asked::Read).await? != Answer::Fresh
+    {
         return Err(No::busy("this replica is behind that version"));
     }
     let (lines, receiver) = mpsc::channel(AHEAD);
@@ -78,7 +83,9 @@
         let news = lock(&server.core.feed).since(at);
         let send = match news {
             Some((rev, news)) => {
-                server.backlog.store(rev.saturating_sub(at), Ordering::Relaxed);
+                server
+                    .backlog
+                    .store(rev.saturating_sub(at), Ordering::Relaxed);
                 at = rev;
                 news
             }
@@ -105,8 +112,11 @@
     type Error = Infallible;
 
     fn poll_frame(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.0.poll_recv(context).map(|line| line.map(|line| Ok(Frame::data(line))))
+        self.0
+            .poll_recv(context)
+            .map(|line| line.map(|line| Ok(Frame::data(line))))
     }
 }
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -124,7 +124,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { clients: 2048, watchers: 1024, log_bytes: 4 << 20, stalled_ms: 8000 }
+        Limits {
+            clients: 2048,
+            watchers: 1024,
+            log_bytes: 4 << 20,
+            stalled_ms: 8000,
+        }
     }
 }
 
@@ -178,8 +183,11 @@
     /// Names the first thing that is wrong, and its line.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = read(path)?;
-        let mut settings: Settings = toml::from_str(&text)
-            .map_err(|error| SettingsError::Toml { path: path.to_path_buf(), error: Box::new(error) })?;
+        let mut settings: Settings =
+            toml::from_str(&text).map_err(|error| SettingsError::Toml {
+                path: path.to_path_buf(),
+                error: Box::new(error),
+            })?;
         let beside = |other: &mut PathBuf| {
             *other = path.parent().unwrap_or(Path::new("")).join(&*other);
         };
@@ -194,25 +202,62 @@
 
     fn validate(&self) -> Result<(), SettingsError> {
         let holds = |holds: bool, key, wanted| {
-            if holds { Ok(()) } else { Err(SettingsError::Value(key, wanted)) }
+            if holds {
+                Ok(())
+            } else {
+                Err(SettingsError::Value(key, wanted))
+            }
         };
-        holds(is_name(&self.cluster), "cluster", "a name of up to 128 visible characters")?;
+        holds(
+            is_name(&self.cluster),
+            "cluster",
+            "a name of up to 128 visible characters",
+        )?;
         holds(self.id > 0, "id", "above zero")?;
         let ids: Vec<u64> = self.replicas.iter().map(|other| other.id).collect();
         let once = |id: &u64| *id > 0 && ids.iter().filter(|other| *other == id).count() == 1;
-        holds(ids.iter().all(once), "replica", "a list of ids above zero, each once")?;
+        holds(
+            ids.iter().all(once),
+            "replica",
+            "a list of ids above zero, each once",
+        )?;
         holds(ids.len() <= 7, "replica", "a list of up to 7")?;
         holds(
             ids.is_empty() || self.join || ids.contains(&self.id),
             "replica",
             "a list with this one in it",
         )?;
-        holds(ids.len() < 2 && !self.join || self.peers.is_some(), "peers", "there, and there are others")?;
-        let Limits { clients, watchers, log_bytes, stalled_ms } = self.limits;
-        holds((1..=100_000).contains(&clients), "limits.clients", "a number from 1 to 100000")?;
-        holds((1..=clients).contains(&watchers), "limits.watchers", "a number from 1 to limits.clients")?;
-        holds((4096..=1 << 30).contains(&log_bytes), "limits.log_bytes", "a size from 4096 to 1073741824")?;
-        holds((100..=600_000).contains(&stalled_ms), "limits.stalled_ms", "a time from 100 to 600000")?;
+        holds(
+            ids.len() < 2 && !self.join || self.peers.is_some(),
+            "peers",
+            "there, and there are others",
+        )?;
+        let Limits {
+            clients,
+            watchers,
+            log_bytes,
+            stalled_ms,
+        } = self.limits;
+        holds(
+            (1..=100_000).contains(&clients),
+            "limits.clients",
+            "a number from 1 to 100000",
+        )?;
+        holds(
+            (1..=clients).contains(&watchers),
+            "limits.watchers",
+            "a number from 1 to limits.clients",
+        )?;
+        holds(
+            (4096..=1 << 30).contains(&log_bytes),
+            "limits.log_bytes",
+            "a size from 4096 to 1073741824",
+        )?;
+        holds(
+            (100..=600_000).contains(&stalled_ms),
+            "limits.stalled_ms",
+            "a time from 100 to 600000",
+        )?;
         if let Some(agreement) = &self.agreement {
             let lease = (300..=600_000).contains(&agreement.lease_ms);
             holds(lease, "agreement.lease_ms", "a time from 300 to 600000")?;
@@ -225,11 +270,24 @@
             holds(lease, "ledger.lease_ms", "a time from 300 to 600000")?;
             let drift = (0.0..=10.0).contains(&ledger.drift_percent);
             holds(drift, "ledger.drift_percent", "a share from 0 to 10")?;
-            holds((1..=100_000).contains(&ledger.senders), "ledger.senders", "a number from 1 to 100000")?;
-            let named = |name: &String| KINDS.contains(&name.as_str()) || name.parse::<Key>().is_ok();
-            holds(ledger.floors.keys().all(named), "ledger.floors", "a table of keys, or kinds of them")?;
+            holds(
+                (1..=100_000).contains(&ledger.senders),
+                "ledger.senders",
+                "a number from 1 to 100000",
+            )?;
+            let named =
+                |name: &String| KINDS.contains(&name.as_str()) || name.parse::<Key>().is_ok();
+            holds(
+                ledger.floors.keys().all(named),
+                "ledger.floors",
+                "a table of keys, or kinds of them",
+            )?;
             let grows = ledger.split_at.windows(2).all(|two| two[0] < two[1]);
-            holds(grows && ledger.split_at.first() != Some(&0), "ledger.split_at", "a growing list")?;
+            holds(
+                grows && ledger.split_at.first() != Some(&0),
+                "ledger.split_at",
+                "a growing list",
+            )?;
         }
         Ok(())
     }
@@ -245,7 +303,15 @@
 
     /// Where the replicas are, as far as these settings tell.
     pub fn places(&self) -> BTreeMap<u64, Place> {
-        let place = |other: &Other| (other.id, Place { peers: other.peers, clients: other.clients });
+        let place = |other: &Other| {
+            (
+                other.id,
+                Place {
+                    peers: other.peers,
+                    clients: other.clients,
+                },
+            )
+        };
         self.replicas.iter().map(place).collect()
     }
 
@@ -254,23 +320,45 @@
     /// # Errors
     /// A file is missing, no rules, or the floor is not within them.
     pub fn begin(&self) -> Result<Option<Command>, SettingsError> {
-        let Some(agreement) = &self.agreement else { return Ok(None) };
+        let Some(agreement) = &self.agreement else {
+            return Ok(None);
+        };
         let (floor, rules) = (rules_of(&agreement.floor)?, rules_of(&agreement.rules)?);
         Versions::new(floor.clone(), rules.clone()).map_err(|_| SettingsError::Floor)?;
         let terms = terms(agreement.lease_ms, agreement.drift_percent);
-        Ok(Some(Command::Begin { floor, rules, terms }))
+        Ok(Some(Command::Begin {
+            floor,
+            rules,
+            terms,
+        }))
     }
 
     /// The ledger, as the command that begins it.
     pub fn begin_ledger(&self) -> Option<Command> {
-        let Ledger { lease_ms, drift_percent, senders, floors, split_at } = self.ledger.clone()?;
-        let floors = Floors { senders, each: floors };
-        Some(Command::Ledger(Entry::Begin { floors, terms: terms(lease_ms, drift_percent), split_at }))
+        let Ledger {
+            lease_ms,
+            drift_percent,
+            senders,
+            floors,
+            split_at,
+        } = self.ledger.clone()?;
+        let floors = Floors {
+            senders,
+            each: floors,
+        };
+        Some(Command::Ledger(Entry::Begin {
+            floors,
+            terms: terms(lease_ms, drift_percent),
+            split_at,
+        }))
     }
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
-    std::fs::read_to_string(path).map_err(|error| SettingsError::Read { path: path.to_path_buf(), error })
+    std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
+        path: path.to_path_buf(),
+        error,
+    })
 }
 
 /// Reads rules from a JSON file.
@@ -279,9 +367,14 @@
 /// It can't be read, or makes no sense.
 pub fn rules_of(path: &Path) -> Result<Rules, SettingsError> {
     let text = read(path)?;
-    let rules: Rules = serde_json::from_str(&text)
-        .map_err(|error| SettingsError::Json { path: path.to_path_buf(), error })?;
-    rules.validate().map_err(|error| SettingsError::Rules { path: path.to_path_buf(), error })?;
+    let rules: Rules = serde_json::from_str(&text).map_err(|error| SettingsError::Json {
+        path: path.to_path_buf(),
+        error,
+    })?;
+    rules.validate().map_err(|error| SettingsError::Rules {
+        path: path.to_path_buf(),
+        error,
+    })?;
     Ok(rules)
 }
 
@@ -311,7 +404,9 @@
     #[test]
     fn settings_are_read_and_a_mistake_is_named() {
         let folder = tempfile::tempdir().expect("a folder");
-        let write = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).expect("written");
+        let write = |name: &str, text: &str| {
+            std::fs::write(folder.path().join(name), text).expect("written")
+        };
         write("floor.json", "{}");
         write("rules.json", r#"{"limits":{}}"#);
         let path = folder.path().join("registry.toml");
@@ -320,20 +415,49 @@
             Settings::read(&path)
         };
         let settings = read(GOOD).expect("good");
-        assert_eq!((settings.voters(), settings.folder), (vec![1, 2], folder.path().join("state")));
+        assert_eq!(
+            (settings.voters(), settings.folder),
+            (vec![1, 2], folder.path().join("state"))
+        );
         let Ok(Some(Command::Begin { terms, .. })) = read(GOOD).expect("good").begin() else {
             panic!("rules")
         };
-        assert_eq!(terms, Terms { lease: 6_000_000, drift: 121_213 });
+        assert_eq!(
+            terms,
+            Terms {
+                lease: 6_000_000,
+                drift: 121_213
+            }
+        );
         for (from, to, told) in [
             ("id = 2\nlisten", "id = 0\nlisten", "id is not above zero"),
-            ("id = 2\nlisten", "id = 3\nlisten", "replica is not a list with this one in it"),
+            (
+                "id = 2\nlisten",
+                "id = 3\nlisten",
+                "replica is not a list with this one in it",
+            ),
             ("cluster =", "custer =", "unknown field `custer`"),
-            ("peers = \"127.0.0.1:8600\"\nfolder", "folder", "peers is not there"),
-            ("[agreement]", "[limits]\nwatchers = 0\n[agreement]", "limits.watchers is not"),
-            ("[agreement]", "[agreement]\nlease_ms = 1", "agreement.lease_ms is not"),
+            (
+                "peers = \"127.0.0.1:8600\"\nfolder",
+                "folder",
+                "peers is not there",
+            ),
+            (
+                "[agreement]",
+                "[limits]\nwatchers = 0\n[agreement]",
+                "limits.watchers is not",
+            ),
+            (
+                "[agreement]",
+                "[agreement]\nlease_ms = 1",
+                "agreement.lease_ms is not",
+            ),
             ("rules.json", "none.json", "none.json: No such file"),
-            ("[agreement]", "[ledger]\nsenders = 0\n[agreement]", "ledger.senders is not"),
+            (
+                "[agreement]",
+                "[ledger]\nsenders = 0\n[agreement]",
+                "ledger.senders is not",
+            ),
             (
                 "[agreement]",
                 "[ledger]\nsenders = 3\nfloors = { rat = 1 }\n[agreement]",
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -199,7 +199,8 @@
             Command::List { if_match, changes } => self.change(if_match, &changes, false)?,
             Command::Forced { if_match, changes } => self.change(if_match, &changes, true)?,
             Command::Expire(gone) => {
-                let still = |(uid, target): &(String, Target)| self.targets.get(uid) == Some(target);
+                let still =
+                    |(uid, target): &(String, Target)| self.targets.get(uid) == Some(target);
                 let changes: Vec<Change> = gone
                     .into_iter()
                     .filter(|gone| still(gone))
@@ -208,7 +209,11 @@
                 // what has run out is gone, whatever is frozen
                 self.change(None, &changes, true)?
             }
-            Command::Begin { floor, rules, terms } => {
+            Command::Begin {
+                floor,
+                rules,
+                terms,
+            } => {
                 if self.versions.is_some() {
                     return Err(Refused::Begun);
                 }
@@ -230,7 +235,10 @@
             }
             Command::Advance(version) => {
                 // a step that has been taken already is no fault: two leaders may have proposed it
-                self.versions.as_mut().ok_or(Refused::NoRules)?.advance(version);
+                self.versions
+                    .as_mut()
+                    .ok_or(Refused::NoRules)?
+                    .advance(version);
                 Vec::new()
             }
             Command::Freeze(entry) => {
@@ -243,14 +251,22 @@
                 }
                 if let Entry::Split { first, .. } = &entry {
                     let destinations = vec![*first];
-                    let split = Matter { destinations, ..Matter::of_all(Widening::Split) };
+                    let split = Matter {
+                        destinations,
+                        ..Matter::of_all(Widening::Split)
+                    };
                     self.freeze.judge(&[split], false)?;
                 }
                 Book::apply(&mut self.ledger, entry)?;
                 Vec::new()
             }
         };
-        Ok(Applied { rev: self.rev, tag: self.tag(), changed, ledger })
+        Ok(Applied {
+            rev: self.rev,
+            tag: self.tag(),
+            changed,
+            ledger,
+        })
     }
 
     /// The rules' version and step.
@@ -259,33 +275,49 @@
     }
 
     fn keep(&mut self, versions: &Versions) {
-        self.kept.insert(versions.tag().version, versions.new_rules().clone());
+        self.kept
+            .insert(versions.tag().version, versions.new_rules().clone());
         while self.kept.len() > KEPT {
             self.kept.pop_first();
         }
     }
 
     fn change(
-        &mut self, if_match: Option<u64>, changes: &[Change], forced: bool,
+        &mut self,
+        if_match: Option<u64>,
+        changes: &[Change],
+        forced: bool,
     ) -> Result<Vec<Changed>, Refused> {
         if let Some(wanted) = if_match.filter(|wanted| *wanted != self.rev) {
-            return Err(Refused::Version { now: self.rev, wanted });
+            return Err(Refused::Version {
+                now: self.rev,
+                wanted,
+            });
         }
         if changes.len() > TARGETS_MOST {
             return Err(Refused::Size("more than 10000 changes at once"));
         }
         let mut targets = self.targets.clone();
-        changes.iter().try_for_each(|change| change.apply(&mut targets))?;
+        changes
+            .iter()
+            .try_for_each(|change| change.apply(&mut targets))?;
         if targets.len() > TARGETS_MOST {
             return Err(Refused::Size("more than 10000 endpoints"));
         }
         judge_list(self, &self.targets, &targets, forced)?;
         let before = std::mem::replace(&mut self.targets, targets);
-        let now = self.targets.iter().filter(|(uid, target)| before.get(*uid) != Some(target));
-        let gone = before.iter().filter(|(uid, _)| !self.targets.contains_key(*uid));
+        let now = self
+            .targets
+            .iter()
+            .filter(|(uid, target)| before.get(*uid) != Some(target));
+        let gone = before
+            .iter()
+            .filter(|(uid, _)| !self.targets.contains_key(*uid));
         let copy = |(uid, target): (&String, &Target), gone| (uid.clone(), target.clone(), gone);
-        let changed: Vec<_> =
-            now.map(|entry| copy(entry, false)).chain(gone.map(|entry| copy(entry, true))).collect();
+        let changed: Vec<_> = now
+            .map(|entry| copy(entry, false))
+            .chain(gone.map(|entry| copy(entry, true)))
+            .collect();
         // the same write again makes no version
         self.rev += u64::from(!changed.is_empty());
         Ok(changed)
@@ -306,20 +338,30 @@
                 });
                 if back {
                     let problem = "it drains, and is up again only with a later boot_ms";
-                    return Err(Refused::Senseless { uid: uid.clone(), problem });
+                    return Err(Refused::Senseless {
+                        uid: uid.clone(),
+                        problem,
+                    });
                 }
                 if before.is_some_and(|before| before.boot_ms > target.boot_ms) {
                     let problem = "it has started later than boot_ms says";
-                    return Err(Refused::Senseless { uid: uid.clone(), problem });
+                    return Err(Refused::Senseless {
+                        uid: uid.clone(),
+                        problem,
+                    });
                 }
                 targets.insert(uid.clone(), target.clone());
             }
             Change::Drain { uid } => {
-                let target = targets.get_mut(uid).ok_or_else(|| Refused::Unknown(uid.clone()))?;
+                let target = targets
+                    .get_mut(uid)
+                    .ok_or_else(|| Refused::Unknown(uid.clone()))?;
                 target.state = Standing::Draining;
             }
             Change::Remove { uid } => {
-                targets.remove(uid).ok_or_else(|| Refused::Unknown(uid.clone()))?;
+                targets
+                    .remove(uid)
+                    .ok_or_else(|| Refused::Unknown(uid.clone()))?;
             }
         }
         Ok(())
@@ -338,11 +380,17 @@
     }
 
     fn list(changes: Vec<Change>) -> Command {
-        Command::List { if_match: None, changes }
+        Command::List {
+            if_match: None,
+            changes,
+        }
     }
 
     fn put(uid: &str, port: u16) -> Change {
-        Change::Put { uid: uid.to_string(), target: target(port) }
+        Change::Put {
+            uid: uid.to_string(),
+            target: target(port),
+        }
     }
 
     #[test]
@@ -353,26 +401,61 @@
         // no ledger is one byte at the end, an empty freeze six
         for unknown in [6, 7] {
             let before = &bytes[..bytes.len() - unknown];
-            assert_eq!(State::read(before).as_ref(), Ok(&state), "without {unknown} bytes");
+            assert_eq!(
+                State::read(before).as_ref(),
+                Ok(&state),
+                "without {unknown} bytes"
+            );
         }
         assert_eq!(State::read(&bytes).as_ref(), Ok(&state));
         // what lies before it is as it was: the version before stops there
-        type Before = (u64, BTreeMap<String, Target>, Option<Versions>, Option<Terms>);
-        assert_eq!(postcard::from_bytes::<Before>(&bytes).map(|before| before.0), Ok(1));
+        type Before = (
+            u64,
+            BTreeMap<String, Target>,
+            Option<Versions>,
+            Option<Terms>,
+        );
+        assert_eq!(
+            postcard::from_bytes::<Before>(&bytes).map(|before| before.0),
+            Ok(1)
+        );
     }
 
     #[test]
     fn a_freeze_holds_what_widens_and_lets_relief_pass() {
         use milletturn_ledger::freeze::{On, Scope};
         let mut state = State::default();
-        state.apply(list(vec![put("a", 1), put("b", 2)])).expect("put");
+        state
+            .apply(list(vec![put("a", 1), put("b", 2)]))
+            .expect("put");
         let (reason, owner) = ("term begins".to_string(), "lan".to_string());
-        let on = On { until_ms: 9, scope: Scope::default(), holds: Default::default(), reason, owner };
-        state.apply(Command::Freeze(FreezeEntry::Begin("w".into(), on))).expect("begun");
-        let drain = |uid: &str| Change::Drain { uid: uid.to_string() };
-        let hint =
-            |hint| Change::Put { uid: "a".into(), target: Target { capacity_hint: hint, ..target(1) } };
-        let moved = Change::Put { uid: "a".into(), target: Target { pod_group: 4, ..target(1) } };
+        let on = On {
+            until_ms: 9,
+            scope: Scope::default(),
+            holds: Default::default(),
+            reason,
+            owner,
+        };
+        state
+            .apply(Command::Freeze(FreezeEntry::Begin("w".into(), on)))
+            .expect("begun");
+        let drain = |uid: &str| Change::Drain {
+            uid: uid.to_string(),
+        };
+        let hint = |hint| Change::Put {
+            uid: "a".into(),
+            target: Target {
+                capacity_hint: hint,
+                ..target(1)
+            },
+        };
+        let moved = Change::Put {
+            uid: "a".into(),
+            target: Target {
+                pod_group: 4,
+                ..target(1)
+            },
+        };
         for held in [put("c", 3), hint(9.0), moved] {
             let refused = state.apply(list(vec![held.clone()]));
             assert!(
@@ -384,43 +467,99 @@
         assert_eq!(mixed, Err(Refused::Freeze(FreezeError::Mixed("w".into()))));
         state.apply(list(vec![drain("a")])).expect("relief passes");
         // a restart of what serves is neither
-        let started = Change::Put { uid: "b".into(), target: Target { boot_ms: 6, ..target(2) } };
+        let started = Change::Put {
+            uid: "b".into(),
+            target: Target {
+                boot_ms: 6,
+                ..target(2)
+            },
+        };
         state.apply(list(vec![started])).expect("passes");
-        let back = Change::Put { uid: "a".into(), target: Target { boot_ms: 7, ..target(1) } };
-        assert!(matches!(state.apply(list(vec![back])), Err(Refused::Freeze(FreezeError::Held { .. }))));
+        let back = Change::Put {
+            uid: "a".into(),
+            target: Target {
+                boot_ms: 7,
+                ..target(1)
+            },
+        };
+        assert!(matches!(
+            state.apply(list(vec![back])),
+            Err(Refused::Freeze(FreezeError::Held { .. }))
+        ));
         let last = state.apply(list(vec![drain("b")]));
-        assert!(matches!(last, Err(Refused::Freeze(FreezeError::Last { destination: 3, .. }))), "{last:?}");
-        let forced = Command::Forced { if_match: None, changes: vec![drain("b")] };
+        assert!(
+            matches!(
+                last,
+                Err(Refused::Freeze(FreezeError::Last { destination: 3, .. }))
+            ),
+            "{last:?}"
+        );
+        let forced = Command::Forced {
+            if_match: None,
+            changes: vec![drain("b")],
+        };
         state.apply(forced).expect("forced");
-        state.apply(Command::Freeze(FreezeEntry::End("w".into()))).expect("ended");
-        state.apply(list(vec![put("c", 3)])).expect("after the thaw");
+        state
+            .apply(Command::Freeze(FreezeEntry::End("w".into())))
+            .expect("ended");
+        state
+            .apply(list(vec![put("c", 3)]))
+            .expect("after the thaw");
     }
 
     #[test]
     fn a_batch_is_one_version_or_nothing() {
         let mut state = State::default();
-        let applied = state.apply(list(vec![put("a", 1), put("b", 2)])).expect("both");
+        let applied = state
+            .apply(list(vec![put("a", 1), put("b", 2)]))
+            .expect("both");
         assert_eq!((applied.rev, applied.changed.len()), (1, 2));
         let before = state.clone();
-        let refused = state.apply(list(vec![put("c", 3), Change::Drain { uid: "d".to_string() }]));
+        let refused = state.apply(list(vec![
+            put("c", 3),
+            Change::Drain {
+                uid: "d".to_string(),
+            },
+        ]));
         assert_eq!(refused, Err(Refused::Unknown("d".to_string())));
         assert_eq!(state, before);
         // the same write again
-        let applied = state.apply(list(vec![put("b", 2), put("a", 1)])).expect("the same");
+        let applied = state
+            .apply(list(vec![put("b", 2), put("a", 1)]))
+            .expect("the same");
         assert_eq!((applied.rev, applied.changed), (1, vec![]));
-        let stale = Command::List { if_match: Some(0), changes: vec![put("a", 9)] };
-        assert_eq!(state.apply(stale), Err(Refused::Version { now: 1, wanted: 0 }));
+        let stale = Command::List {
+            if_match: Some(0),
+            changes: vec![put("a", 9)],
+        };
+        assert_eq!(
+            state.apply(stale),
+            Err(Refused::Version { now: 1, wanted: 0 })
+        );
     }
 
     #[test]
     fn what_drains_comes_back_only_by_another_start() {
         let mut state = State::default();
         state.apply(list(vec![put("a", 1)])).expect("put");
-        state.apply(list(vec![Change::Drain { uid: "a".to_string() }])).expect("drained");
+        state
+            .apply(list(vec![Change::Drain {
+                uid: "a".to_string(),
+            }]))
+            .expect("drained");
         let back = state.apply(list(vec![put("a", 1)]));
         assert!(matches!(back, Err(Refused::Senseless { .. })), "{back:?}");
-        let started = Change::Put { uid: "a".to_string(), target: Target { boot_ms: 6, ..target(1) } };
-        assert_eq!(state.apply(list(vec![started])).map(|applied| applied.rev), Ok(3));
+        let started = Change::Put {
+            uid: "a".to_string(),
+            target: Target {
+                boot_ms: 6,
+                ..target(1)
+            },
+        };
+        assert_eq!(
+            state.apply(list(vec![started])).map(|applied| applied.rev),
+            Ok(3)
+        );
         let older = state.apply(list(vec![put("a", 1)]));
         assert!(matches!(older, Err(Refused::Senseless { .. })), "{older:?}");
     }
@@ -428,7 +567,9 @@
     #[test]
     fn only_what_is_still_as_it_was_runs_out() {
         let mut state = State::default();
-        state.apply(list(vec![put("a", 1), put("b", 2)])).expect("put");
+        state
+            .apply(list(vec![put("a", 1), put("b", 2)]))
+            .expect("put");
         let gone = vec![("a".to_string(), target(1)), ("b".to_string(), target(7))];
         let applied = state.apply(Command::Expire(gone)).expect("one of them");
         assert_eq!(applied.changed, [("a".to_string(), target(1), true)]);
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -76,7 +76,11 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 enum Record {
-    Head { format: u32, cluster: String, id: u64 },
+    Head {
+        format: u32,
+        cluster: String,
+        id: u64,
+    },
     Snapshot(Snapshot),
     Hard(Hard),
     Entry(Entry),
@@ -135,16 +139,33 @@
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(StoreError::Taken(folder.to_path_buf())),
-            Err(TryLockError::Error(error)) => return Err(StoreError::Io { path: lock_path, error }),
+            Err(TryLockError::Error(error)) => {
+                return Err(StoreError::Io {
+                    path: lock_path,
+                    error,
+                });
+            }
         }
         let path = folder.join("log");
-        let Purpose { cluster, id, voters, most, sync } = purpose;
+        let Purpose {
+            cluster,
+            id,
+            voters,
+            most,
+            sync,
+        } = purpose;
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
             Err(error) => return Err(StoreError::Io { path, error }),
         };
-        let open = || OpenOptions::new().append(true).create(true).open(&path).map_err(io_at(&path));
+        let open = || {
+            OpenOptions::new()
+                .append(true)
+                .create(true)
+                .open(&path)
+                .map_err(io_at(&path))
+        };
         let mut store = Store {
             file: open()?,
             path: path.clone(),
@@ -161,8 +182,10 @@
             unsynced: false,
             torn: 0,
         };
-        let (records, sound) =
-            frames::read(&bytes).map_err(|damage| StoreError::Damaged { path: path.clone(), damage })?;
+        let (records, sound) = frames::read(&bytes).map_err(|damage| StoreError::Damaged {
+            path: path.clone(),
+            damage,
+        })?;
         for (number, record) in records.iter().enumerate() {
             let record = postcard::from_bytes(record).map_err(|error| StoreError::Record {
                 path: path.clone(),
@@ -176,9 +199,24 @@
             // the first start, or one that a kill cut short
             if !voters.is_empty() {
                 // begins at an index above 0, so that one that knows nothing gets a snapshot
-                let voters = Voters { voters, learners: Vec::new() };
-                store.snapshot = Snapshot { index: 1, term: 1, voters: voters.clone(), data: state.to_vec() };
-                (store.voters, store.hard) = (voters, Hard { term: 1, vote: 0, commit: 1 });
+                let voters = Voters {
+                    voters,
+                    learners: Vec::new(),
+                };
+                store.snapshot = Snapshot {
+                    index: 1,
+                    term: 1,
+                    voters: voters.clone(),
+                    data: state.to_vec(),
+                };
+                (store.voters, store.hard) = (
+                    voters,
+                    Hard {
+                        term: 1,
+                        vote: 0,
+                        commit: 1,
+                    },
+                );
             } else {
                 store.snapshot.data = state.to_vec();
             }
@@ -195,12 +233,23 @@
     fn take(&mut self, number: usize, record: Record) -> Result<(), StoreError> {
         let path = || self.path.clone();
         match record {
-            Record::Head { format, cluster, id } if number == 0 => {
+            Record::Head {
+                format,
+                cluster,
+                id,
+            } if number == 0 => {
                 if format != FORMAT {
-                    return Err(StoreError::Format { path: path(), found: format });
+                    return Err(StoreError::Format {
+                        path: path(),
+                        found: format,
+                    });
                 }
                 if cluster != self.cluster || id != self.id {
-                    return Err(StoreError::Other { path: path(), found: id, cluster });
+                    return Err(StoreError::Other {
+                        path: path(),
+                        found: id,
+                        cluster,
+                    });
                 }
             }
             Record::Snapshot(snapshot) if number == 1 => {
@@ -209,18 +258,25 @@
             }
             Record::Hard(hard) if number > 1 => self.hard = hard,
             Record::Entry(entry)
-                if number > 1 && (self.snapshot.index + 1..=self.last() + 1).contains(&entry.index) =>
+                if number > 1
+                    && (self.snapshot.index + 1..=self.last() + 1).contains(&entry.index) =>
             {
                 self.put(entry);
             }
-            _ => return Err(StoreError::Order { path: path(), number }),
+            _ => {
+                return Err(StoreError::Order {
+                    path: path(),
+                    number,
+                });
+            }
         }
         Ok(())
     }
 
     /// Takes the entry in, in place of the one that stood there and of all after it.
     fn put(&mut self, entry: Entry) {
-        self.entries.truncate((entry.index - self.snapshot.index - 1) as usize);
+        self.entries
+            .truncate((entry.index - self.snapshot.index - 1) as usize);
         self.entries.push(entry);
     }
 
@@ -273,9 +329,18 @@
     ///
     /// # Errors
     /// They can't be written: nothing may be said any more.
-    pub fn append(&mut self, entries: Vec<Entry>, hard: Option<Hard>, must: bool) -> Result<(), StoreError> {
-        let records: Vec<Record> =
-            entries.iter().cloned().map(Record::Entry).chain(hard.map(Record::Hard)).collect();
+    pub fn append(
+        &mut self,
+        entries: Vec<Entry>,
+        hard: Option<Hard>,
+        must: bool,
+    ) -> Result<(), StoreError> {
+        let records: Vec<Record> = entries
+            .iter()
+            .cloned()
+            .map(Record::Entry)
+            .chain(hard.map(Record::Hard))
+            .collect();
         if !records.is_empty() {
             self.write(&records)?;
         }
@@ -298,11 +363,20 @@
     /// # Errors
     /// The new file can't be written; the old one stands.
     pub fn compact(&mut self, applied: u64, data: Vec<u8>) -> Result<(), StoreError> {
-        let Some(term) = self.term_of(applied) else { return Ok(()) };
+        let Some(term) = self.term_of(applied) else {
+            return Ok(());
+        };
         let voters = self.voters.clone();
-        let kept = self.entries.split_off((applied - self.snapshot.index) as usize);
+        let kept = self
+            .entries
+            .split_off((applied - self.snapshot.index) as usize);
         self.entries = kept;
-        self.snapshot = Snapshot { index: applied, term, voters, data };
+        self.snapshot = Snapshot {
+            index: applied,
+            term,
+            voters,
+            data,
+        };
         // what is in the state was committed, whether or not the log says so yet
         self.hard.commit = self.hard.commit.max(applied);
         self.rewrite()
@@ -328,8 +402,16 @@
         let file = File::create(&new).map_err(io_at(&new))?;
         let old = std::mem::replace(&mut self.file, file);
         let size = std::mem::replace(&mut self.size, 0);
-        let head = Record::Head { format: FORMAT, cluster: self.cluster.clone(), id: self.id };
-        let mut records = vec![head, Record::Snapshot(self.snapshot.clone()), Record::Hard(self.hard)];
+        let head = Record::Head {
+            format: FORMAT,
+            cluster: self.cluster.clone(),
+            id: self.id,
+        };
+        let mut records = vec![
+            head,
+            Record::Snapshot(self.snapshot.clone()),
+            Record::Hard(self.hard),
+        ];
         records.extend(self.entries.iter().cloned().map(Record::Entry));
         let written = self.write(&records).and_then(|()| {
             if self.sync {
@@ -346,7 +428,9 @@
             && let Some(folder) = self.path.parent()
         {
             // the name too must outlast a power cut
-            File::open(folder).and_then(|folder| folder.sync_all()).map_err(io_at(folder))?;
+            File::open(folder)
+                .and_then(|folder| folder.sync_all())
+                .map_err(io_at(folder))?;
         }
         Ok(())
     }
@@ -366,7 +450,11 @@
     }
 
     fn entries(
-        &self, low: u64, high: u64, max_size: impl Into<Option<u64>>, _: GetEntriesContext,
+        &self,
+        low: u64,
+        high: u64,
+        max_size: impl Into<Option<u64>>,
+        _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
         if low <= self.snapshot.index {
             return Err(StorageError::Compacted.into());
@@ -381,14 +469,20 @@
             bytes += (entry.data.len() + entry.context.len() + 24) as u64;
             *number == 0 || bytes <= most
         };
-        Ok(range.iter().enumerate().take_while(fits).map(|(_, entry)| entry.clone().into()).collect())
+        Ok(range
+            .iter()
+            .enumerate()
+            .take_while(fits)
+            .map(|(_, entry)| entry.clone().into())
+            .collect())
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
         if index < self.snapshot.index {
             return Err(StorageError::Compacted.into());
         }
-        self.term_of(index).ok_or_else(|| StorageError::Unavailable.into())
+        self.term_of(index)
+            .ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -413,15 +507,31 @@
     use crate::mirror::Kind;
 
     fn purpose() -> Purpose {
-        Purpose { cluster: "hue".to_string(), id: 1, voters: vec![1], most: 4096, sync: true }
+        Purpose {
+            cluster: "hue".to_string(),
+            id: 1,
+            voters: vec![1],
+            most: 4096,
+            sync: true,
+        }
     }
 
     fn entry(index: u64, term: u64) -> Entry {
-        Entry { kind: Kind::Normal, term, index, data: vec![index as u8; 9], context: Vec::new() }
+        Entry {
+            kind: Kind::Normal,
+            term,
+            index,
+            data: vec![index as u8; 9],
+            context: Vec::new(),
+        }
     }
 
     fn hard(commit: u64) -> Option<Hard> {
-        Some(Hard { term: 2, vote: 1, commit })
+        Some(Hard {
+            term: 2,
+            vote: 1,
+            commit,
+        })
     }
 
     #[test]
@@ -430,7 +540,9 @@
         let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
         let mut sizes = vec![(store.size, 1)];
         for index in 2..6 {
-            store.append(vec![entry(index, 2)], hard(index - 1), true).expect("appended");
+            store
+                .append(vec![entry(index, 2)], hard(index - 1), true)
+                .expect("appended");
             sizes.push((store.size, index));
         }
         drop(store);
@@ -440,12 +552,22 @@
             std::fs::write(&log, &whole[..length]).expect("cut");
             let mut store = Store::open(folder.path(), purpose(), b"other").expect("opened");
             // an entry stands before the hard state of its append
-            let synced = sizes.iter().rev().find(|(size, _)| *size <= length as u64).expect("the first");
-            assert!([synced.1, synced.1 + 1].contains(&store.last()), "cut at {length}: {}", store.last());
+            let synced = sizes
+                .iter()
+                .rev()
+                .find(|(size, _)| *size <= length as u64)
+                .expect("the first");
+            assert!(
+                [synced.1, synced.1 + 1].contains(&store.last()),
+                "cut at {length}: {}",
+                store.last()
+            );
             assert_eq!(store.snapshot().data, b"state");
             // it goes on from there
             let next = store.last() + 1;
-            store.append(vec![entry(next, 3)], hard(next), true).expect("appended");
+            store
+                .append(vec![entry(next, 3)], hard(next), true)
+                .expect("appended");
             drop(store);
             let store = Store::open(folder.path(), purpose(), b"other").expect("opened");
             assert_eq!((store.last(), store.torn()), (next, 0));
@@ -457,30 +579,60 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
         let at = store.size as usize;
-        store.append(vec![entry(2, 2), entry(3, 2)], hard(3), true).expect("appended");
-        assert!(matches!(Store::open(folder.path(), purpose(), b""), Err(StoreError::Taken(_))));
+        store
+            .append(vec![entry(2, 2), entry(3, 2)], hard(3), true)
+            .expect("appended");
+        assert!(matches!(
+            Store::open(folder.path(), purpose(), b""),
+            Err(StoreError::Taken(_))
+        ));
         drop(store);
         let other = Purpose { id: 2, ..purpose() };
-        assert!(matches!(Store::open(folder.path(), other, b""), Err(StoreError::Other { found: 1, .. })));
+        assert!(matches!(
+            Store::open(folder.path(), other, b""),
+            Err(StoreError::Other { found: 1, .. })
+        ));
         let log = folder.path().join("log");
         let mut bytes = std::fs::read(&log).expect("the log");
         bytes[at + 14] ^= 1;
         std::fs::write(&log, &bytes).expect("damaged");
-        let error = Store::open(folder.path(), purpose(), b"").expect_err("damaged").to_string();
-        assert!(error.contains(&format!("damaged from byte {at} on")), "{error}");
+        let error = Store::open(folder.path(), purpose(), b"")
+            .expect_err("damaged")
+            .to_string();
+        assert!(
+            error.contains(&format!("damaged from byte {at} on")),
+            "{error}"
+        );
     }
 
     #[test]
     fn an_overwritten_tail_stays_overwritten_and_compaction_keeps_what_is_after() {
         let folder = tempfile::tempdir().expect("a folder");
         let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
-        store.append((2..10).map(|index| entry(index, 2)).collect(), hard(4), true).expect("appended");
-        store.append(vec![entry(6, 3)], hard(6), true).expect("overwritten");
-        assert_eq!((store.last(), store.term(6).ok(), store.term(7).ok()), (6, Some(3), None));
+        store
+            .append(
+                (2..10).map(|index| entry(index, 2)).collect(),
+                hard(4),
+                true,
+            )
+            .expect("appended");
+        store
+            .append(vec![entry(6, 3)], hard(6), true)
+            .expect("overwritten");
+        assert_eq!(
+            (store.last(), store.term(6).ok(), store.term(7).ok()),
+            (6, Some(3), None)
+        );
         store.compact(5, b"later".to_vec()).expect("compacted");
         drop(store);
         let store = Store::open(folder.path(), purpose(), b"").expect("opened");
-        assert_eq!((store.first_index().ok(), store.last(), store.term(5).ok()), (Some(6), 6, Some(2)));
-        assert_eq!((&store.snapshot().data[..], store.hard.commit), (&b"later"[..], 6));
+        assert_eq!(
+            (store.first_index().ok(), store.last(), store.term(5).ok()),
+            (Some(6), 6, Some(2))
+        );
+        assert_eq!(
+            (&store.snapshot().data[..], store.hard.commit),
+            (&b"later"[..], 6)
+        );
     }
 }
--- a/registry/src/target.rs
+++ b/registry/src/target.rs
@@ -73,17 +73,51 @@
     /// Names the key.
     pub fn validate(&self, uid: &str) -> Result<(), BadTarget> {
         let holds = |holds: bool, key, wanted| {
-            if holds { Ok(()) } else { Err(BadTarget { uid: uid.to_string(), key, wanted }) }
+            if holds {
+                Ok(())
+            } else {
+                Err(BadTarget {
+                    uid: uid.to_string(),
+                    key,
+                    wanted,
+                })
+            }
         };
-        holds(is_name(uid), "uid", "a name of up to 128 visible characters")?;
+        holds(
+            is_name(uid),
+            "uid",
+            "a name of up to 128 visible characters",
+        )?;
         let word = |text: &str| text.is_empty() || is_name(text);
-        holds(word(&self.az), "az", "a name of up to 128 visible characters")?;
-        holds(word(&self.model), "model", "a name of up to 128 visible characters")?;
-        holds(self.pod_group <= u64::from(u16::MAX), "pod_group", "a number up to 65535")?;
+        holds(
+            word(&self.az),
+            "az",
+            "a name of up to 128 visible characters",
+        )?;
+        holds(
+            word(&self.model),
+            "model",
+            "a name of up to 128 visible characters",
+        )?;
+        holds(
+            self.pod_group <= u64::from(u16::MAX),
+            "pod_group",
+            "a number up to 65535",
+        )?;
         let ip = self.endpoint.ip();
-        holds(!ip.is_unspecified() && self.endpoint.port() > 0, "endpoint", "an address to be called at")?;
-        holds(self.capacity_hint.is_finite() && self.capacity_hint >= 0.0, "capacity_hint", "a rate")?;
-        let times = self.ttl_ms.is_none_or(|ttl| (TTL_LEAST..=TTL_MOST).contains(&ttl));
+        holds(
+            !ip.is_unspecified() && self.endpoint.port() > 0,
+            "endpoint",
+            "an address to be called at",
+        )?;
+        holds(
+            self.capacity_hint.is_finite() && self.capacity_hint >= 0.0,
+            "capacity_hint",
+            "a rate",
+        )?;
+        let times = self
+            .ttl_ms
+            .is_none_or(|ttl| (TTL_LEAST..=TTL_MOST).contains(&ttl));
         holds(times, "ttl_ms", "a time from 500 to 86400000")
     }
 
--- a/registry/src/topology.rs
+++ b/registry/src/topology.rs
@@ -12,16 +12,26 @@
 fn concerning(widening: Widening, targets: &[&Target]) -> Matter {
     let zones = targets.iter().map(|target| target.az.clone()).collect();
     let destinations = targets.iter().map(|target| target.pod_group).collect();
-    Matter { widening, zones, destinations, tenants: Vec::new() }
+    Matter {
+        widening,
+        zones,
+        destinations,
+        tenants: Vec::new(),
+    }
 }
 
 /// What one endpoint's change widens, and whether it relieves.
 fn of_target(before: Option<&Target>, after: Option<&Target>) -> (Option<Matter>, bool) {
     let up = |target: &Target| target.state == Standing::Up;
     match (before, after) {
-        (None, Some(after)) => (up(after).then(|| concerning(Widening::Added, &[after])), false),
+        (None, Some(after)) => (
+            up(after).then(|| concerning(Widening::Added, &[after])),
+            false,
+        ),
         (Some(_), None) => (None, true),
-        (Some(before), Some(after)) if (before.pod_group, &before.az) != (after.pod_group, &after.az) => {
+        (Some(before), Some(after))
+            if (before.pod_group, &before.az) != (after.pod_group, &after.az) =>
+        {
             (Some(concerning(Widening::Moved, &[before, after])), false)
         }
         (Some(before), Some(after)) if !up(before) && up(after) => {
@@ -30,7 +40,10 @@
         (Some(before), Some(after)) => {
             let raised = after.capacity_hint > before.capacity_hint;
             let lowered = after.capacity_hint < before.capacity_hint || up(before) && !up(after);
-            (raised.then(|| concerning(Widening::Raised, &[after])), lowered)
+            (
+                raised.then(|| concerning(Widening::Raised, &[after])),
+                lowered,
+            )
         }
         (None, None) => (None, false),
     }
@@ -41,26 +54,45 @@
 /// # Errors
 /// A window holds a part of it, or it would leave a destination without an endpoint while none can be added, and it is not
 /// forced.
-pub fn judge_list(state: &State, before: &Targets, after: &Targets, forced: bool) -> Result<(), FreezeError> {
+pub fn judge_list(
+    state: &State,
+    before: &Targets,
+    after: &Targets,
+    forced: bool,
+) -> Result<(), FreezeError> {
     if state.freeze.on().is_empty() {
         return Ok(());
     }
     let uids: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
-    let changes: Vec<_> = uids.into_iter().map(|uid| of_target(before.get(uid), after.get(uid))).collect();
+    let changes: Vec<_> = uids
+        .into_iter()
+        .map(|uid| of_target(before.get(uid), after.get(uid)))
+        .collect();
     let relieves = changes.iter().any(|(_, relieves)| *relieves);
-    let matters: Vec<Matter> = changes.into_iter().filter_map(|(matter, _)| matter).collect();
+    let matters: Vec<Matter> = changes
+        .into_iter()
+        .filter_map(|(matter, _)| matter)
+        .collect();
     state.freeze.judge(&matters, relieves)?;
     let open = |targets: &Targets| -> BTreeSet<u64> {
-        let up = targets.values().filter(|target| target.state == Standing::Up);
+        let up = targets
+            .values()
+            .filter(|target| target.state == Standing::Up);
         up.map(|target| target.pod_group).collect()
     };
     if forced {
         return Ok(());
     }
     for destination in open(before).difference(&open(after)) {
-        let added = Matter { destinations: vec![*destination], ..Matter::of_all(Widening::Added) };
+        let added = Matter {
+            destinations: vec![*destination],
+            ..Matter::of_all(Widening::Added)
+        };
         if let Err(FreezeError::Held { window, .. }) = state.freeze.judge(&[added], false) {
-            return Err(FreezeError::Last { window, destination: *destination });
+            return Err(FreezeError::Last {
+                window,
+                destination: *destination,
+            });
         }
     }
     Ok(())
@@ -71,8 +103,17 @@
 /// # Errors
 /// A window holds them.
 pub fn judge_rules(state: &State, rules: &Rules) -> Result<(), FreezeError> {
-    let freer = state.versions.as_ref().is_some_and(|versions| !rules.within(versions.new_rules()));
-    if freer { state.freeze.judge(&[Matter::of_all(Widening::Rules)], false) } else { Ok(()) }
+    let freer = state
+        .versions
+        .as_ref()
+        .is_some_and(|versions| !rules.within(versions.new_rules()));
+    if freer {
+        state
+            .freeze
+            .judge(&[Matter::of_all(Widening::Rules)], false)
+    } else {
+        Ok(())
+    }
 }
 
 /// Judges another limit.
@@ -83,12 +124,19 @@
     let Some(before) = state.ledger.as_ref().and_then(|book| book.limit(key)) else {
         return Ok(()); // a first limit takes from what was free
     };
-    if limit.is_some_and(|limit| limit.total <= before.total && limit.linger_ms <= before.linger_ms) {
+    if limit.is_some_and(|limit| limit.total <= before.total && limit.linger_ms <= before.linger_ms)
+    {
         return Ok(());
     }
     let matter = match key.what() {
-        What::Tenant(name) => Matter { tenants: vec![name.clone()], ..Matter::of_all(Widening::Raised) },
-        _ => Matter { destinations: vec![key.place()], ..Matter::of_all(Widening::Raised) },
+        What::Tenant(name) => Matter {
+            tenants: vec![name.clone()],
+            ..Matter::of_all(Widening::Raised)
+        },
+        _ => Matter {
+            destinations: vec![key.place()],
+            ..Matter::of_all(Widening::Raised)
+        },
     };
     state.freeze.judge(&[matter], false)
 }
--- a/registry/tests/processes.rs
+++ b/registry/tests/processes.rs
@@ -34,9 +34,17 @@
             }
         };
         let folder = tempfile::tempdir().expect("a folder");
-        let mut cluster = Cluster { folder, ip: [127, b, c], _claim: claim, replicas: Vec::new() };
+        let mut cluster = Cluster {
+            folder,
+            ip: [127, b, c],
+            _claim: claim,
+            replicas: Vec::new(),
+        };
         cluster.write("floor.json", "{}");
-        cluster.write("rules.json", r#"{"limits":{"calls":40}}"#.replace("40", "50").as_str());
+        cluster.write(
+            "rules.json",
+            r#"{"limits":{"calls":40}}"#.replace("40", "50").as_str(),
+        );
         cluster.write("floor.json", r#"{"limits":{"calls":5}}"#);
         for number in 0..replicas {
             cluster.write_settings(number, replicas, false, more);
@@ -65,7 +73,10 @@
         let others: String = (0..replicas)
             .map(|other| {
                 let (peers, clients) = (self.peers(other), self.clients(other));
-                format!("[[replica]]\nid = {}\npeers = \"{peers}\"\nclients = \"{clients}\"\n", other + 1)
+                format!(
+                    "[[replica]]\nid = {}\npeers = \"{peers}\"\nclients = \"{clients}\"\n",
+                    other + 1
+                )
             })
             .collect();
         let (listen, peers, id) = (self.clients(number), self.peers(number), number + 1);
@@ -81,10 +92,18 @@
 
     fn start(&mut self, number: usize) {
         let log = self.folder.path().join(format!("r{number}.log"));
-        let log = std::fs::File::options().create(true).append(true).open(log).expect("a log");
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(log)
+            .expect("a log");
         let settings = self.folder.path().join(format!("r{number}.toml"));
         let mut command = Command::new(PROGRAM);
-        command.args(["run", "--config"]).arg(settings).stderr(log).stdout(Stdio::null());
+        command
+            .args(["run", "--config"])
+            .arg(settings)
+            .stderr(log)
+            .stdout(Stdio::null());
         self.replicas[number] = Some(command.spawn().expect("started"));
     }
 
@@ -111,11 +130,17 @@
     }
 
     fn leader(&self) -> usize {
-        let running = self.replicas.iter().position(Option::is_some).expect("one runs");
+        let running = self
+            .replicas
+            .iter()
+            .position(Option::is_some)
+            .expect("one runs");
         let begin = Instant::now();
         loop {
             let leader = self.until(running, "GET", "/v1/status", "")["leader"].as_u64();
-            if let Some(leader) = leader.filter(|leader| self.replicas[*leader as usize - 1].is_some()) {
+            if let Some(leader) =
+                leader.filter(|leader| self.replicas[*leader as usize - 1].is_some())
+            {
                 return leader as usize - 1;
             }
             assert!(begin.elapsed() < PATIENCE, "nobody leads");
@@ -126,7 +151,11 @@
     fn run(&self, arguments: &[&str]) -> Output {
         let registries = (0..self.replicas.len())
             .flat_map(|number| ["--registry".to_string(), self.clients(number).to_string()]);
-        Command::new(PROGRAM).args(arguments).args(registries).output().expect("it runs")
+        Command::new(PROGRAM)
+            .args(arguments)
+            .args(registries)
+            .output()
+            .expect("it runs")
     }
 }
 
@@ -139,19 +168,35 @@
     }
 }
 
-fn request(address: SocketAddr, method: &str, path: &str, head: &str, body: &str) -> Option<TcpStream> {
+fn request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    head: &str,
+    body: &str,
+) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     let length = body.len();
-    let text = format!("{method} {path} HTTP/1.1\r\nhost: r\r\n{head}content-length: {length}\r\n\r\n{body}");
+    let text = format!(
+        "{method} {path} HTTP/1.1\r\nhost: r\r\n{head}content-length: {length}\r\n\r\n{body}"
+    );
     stream.write_all(text.as_bytes()).ok()?;
     Some(stream)
 }
 
-fn call(address: SocketAddr, method: &str, path: &str, head: &str, body: &str) -> Option<(u16, String)> {
+fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    head: &str,
+    body: &str,
+) -> Option<(u16, String)> {
     let head = format!("{head}connection: close\r\n");
     let mut text = String::new();
-    request(address, method, path, &head, body)?.read_to_string(&mut text).ok()?;
+    request(address, method, path, &head, body)?
+        .read_to_string(&mut text)
+        .ok()?;
     let status = text.split(' ').nth(1)?.parse().ok()?;
     Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
 }
@@ -166,7 +211,9 @@
 impl Watch {
     fn begin(address: SocketAddr, from: u64) -> Self {
         let path = format!("/v1/endpoints?watch=1&from={from}");
-        Watch(BufReader::new(request(address, "GET", &path, "", "").expect("connected")))
+        Watch(BufReader::new(
+            request(address, "GET", &path, "", "").expect("connected"),
+        ))
     }
 
     fn next(&mut self) -> Option<Value> {
@@ -193,7 +240,10 @@
     assert_eq!(watch.next().expect("the list")["targets"][0]["uid"], "a");
     let answered = cluster.until(follower, "PUT", "/v1/endpoints/b", &target(2));
     let heard = watch.next().expect("the change");
-    assert_eq!((&heard["rev"], &heard["all"]), (&answered["rev"], &json!(false)));
+    assert_eq!(
+        (&heard["rev"], &heard["all"]),
+        (&answered["rev"], &json!(false))
+    );
     cluster.until(follower, "GET", "/v1/rules", "");
     // leases of before the start may last: the change waits, whoever leads
     let begin = Instant::now();
@@ -221,7 +271,10 @@
     // what was answered is there, on the one that was killed too
     cluster.start(leader);
     let list = cluster.until(leader, "GET", "/v1/endpoints", "");
-    assert_eq!((&list["rev"], list["targets"].as_array().map(Vec::len)), (&answered["rev"], Some(2)));
+    assert_eq!(
+        (&list["rev"], list["targets"].as_array().map(Vec::len)),
+        (&answered["rev"], Some(2))
+    );
     let shown = cluster.run(&["compare", "1", "2"]);
     let text = String::from_utf8_lossy(&shown.stdout);
     assert!(text.contains("limits.calls: 50 -> 9"), "{text}");
@@ -247,11 +300,46 @@
             400,
             "a: endpoint is not",
         ),
-        ("PUT", "/v1/endpoints/a", "", r#"{"endpoint":"1.1.1.1:1","pod":1}"#, 400, "unknown field `pod`"),
-        ("PUT", "/v1/endpoints/b", "if-match: \"7\"\r\n", &target(2), 412, "version 1, not 7"),
-        ("PUT", "/v1/endpoints/b", "if-match: x\r\n", &target(2), 400, "If-Match"),
-        ("POST", "/v1/endpoints/b/drain", "", "", 404, "b: no such endpoint"),
-        ("DELETE", "/v1/endpoints/b", "", "", 404, "b: no such endpoint"),
+        (
+            "PUT",
+            "/v1/endpoints/a",
+            "",
+            r#"{"endpoint":"1.1.1.1:1","pod":1}"#,
+            400,
+            "unknown field `pod`",
+        ),
+        (
+            "PUT",
+            "/v1/endpoints/b",
+            "if-match: \"7\"\r\n",
+            &target(2),
+            412,
+            "version 1, not 7",
+        ),
+        (
+            "PUT",
+            "/v1/endpoints/b",
+            "if-match: x\r\n",
+            &target(2),
+            400,
+            "If-Match",
+        ),
+        (
+            "POST",
+            "/v1/endpoints/b/drain",
+            "",
+            "",
+            404,
+            "b: no such endpoint",
+        ),
+        (
+            "DELETE",
+            "/v1/endpoints/b",
+            "",
+            "",
+            404,
+            "b: no such endpoint",
+        ),
         (
             "POST",
             "/v1/endpoints",
@@ -260,26 +348,66 @@
             404,
             "z:",
         ),
-        ("PUT", "/v1/rules", "", r#"{"limits":{"calls":0}}"#, 400, "limits.calls"),
+        (
+            "PUT",
+            "/v1/rules",
+            "",
+            r#"{"limits":{"calls":0}}"#,
+            400,
+            "limits.calls",
+        ),
         ("PUT", "/v1/rules", "", r#"{"limits":{"calls":4}}"#, 409, ""),
-        ("PUT", "/v1/rules", "if-match: 4\r\n", r#"{"limits":{"calls":8}}"#, 412, "version 1 holds"),
-        ("POST", "/v1/outcomes", "", "{\"id\":\"a\",\"state\":\"failed\"}\n{\"id\":\"b\"}\n", 400, "line 2"),
+        (
+            "PUT",
+            "/v1/rules",
+            "if-match: 4\r\n",
+            r#"{"limits":{"calls":8}}"#,
+            412,
+            "version 1 holds",
+        ),
+        (
+            "POST",
+            "/v1/outcomes",
+            "",
+            "{\"id\":\"a\",\"state\":\"failed\"}\n{\"id\":\"b\"}\n",
+            400,
+            "line 2",
+        ),
         ("POST", "/v1/lease", "", "{}", 400, "missing field"),
         ("GET", "/v1/endpoints?watch=2", "", "", 400, "watch"),
         ("PATCH", "/v1/endpoints", "", "", 405, ""),
         ("GET", "/v2/endpoints", "", "", 404, ""),
-        ("PUT", "/v1/rules", "", &"x".repeat(70_000), 413, "over 65536"),
+        (
+            "PUT",
+            "/v1/rules",
+            "",
+            &"x".repeat(70_000),
+            413,
+            "over 65536",
+        ),
     ] {
         let answer = call(at, method, path, head, body);
         let (code, text) = answer.unwrap_or_else(|| panic!("{method} {path}: no answer"));
-        assert_eq!((code, text.contains(told)), (status, true), "{method} {path}: {text}");
+        assert_eq!(
+            (code, text.contains(told)),
+            (status, true),
+            "{method} {path}: {text}"
+        );
         assert!(code != 400 || text.lines().count() == 1, "{text}");
     }
     assert_eq!(cluster.until(0, "GET", "/v1/endpoints", "")["rev"], 1);
-    let taken =
-        call(at, "POST", "/v1/outcomes", "", "{\"id\":\"a\",\"state\":\"returned\",\"after_ms\":5}\n");
+    let taken = call(
+        at,
+        "POST",
+        "/v1/outcomes",
+        "",
+        "{\"id\":\"a\",\"state\":\"returned\",\"after_ms\":5}\n",
+    );
     assert_eq!(taken.map(|(status, _)| status), Some(204));
-    assert_eq!(cluster.until(0, "GET", "/v1/status", "")["notices"], json!({ "failed": 0, "returned": 1 }));
+    assert_eq!(
+        cluster.until(0, "GET", "/v1/status", "")["notices"],
+        json!({ "failed": 0, "returned": 1 })
+    );
     // places for watches, then for clients
     let mut watches: Vec<Watch> = (0..2).map(|_| Watch::begin(at, 0)).collect();
     assert!(watches.iter_mut().all(|watch| watch.next().is_some()));
@@ -312,7 +440,10 @@
     let begin = Instant::now();
     for port in 2.. {
         cluster.until(0, "POST", "/v1/endpoints", &batch(port));
-        rev = good.next().expect("the list, then changes")["rev"].as_u64().expect("a version").max(rev);
+        rev = good.next().expect("the list, then changes")["rev"]
+            .as_u64()
+            .expect("a version")
+            .max(rev);
         let status = cluster.until(0, "GET", "/v1/status", "");
         if status["watchers_cut"] == 1 && status["watchers"] == 1 {
             break;
@@ -329,10 +460,16 @@
     cluster.until(first, "PUT", "/v1/endpoints/a", &target(1));
     let child = cluster.replicas[first].take().expect("it runs");
     let id = child.id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &id]).status().is_ok_and(|status| status.success()));
+    assert!(
+        Command::new("kill")
+            .args(["-TERM", &id])
+            .status()
+            .is_ok_and(|status| status.success())
+    );
     let ended = child.wait_with_output().expect("ended");
     assert!(ended.status.success(), "{ended:?}");
-    let log = std::fs::read_to_string(cluster.folder.path().join(format!("r{first}.log"))).expect("its log");
+    let log = std::fs::read_to_string(cluster.folder.path().join(format!("r{first}.log")))
+        .expect("its log");
     assert!(log.contains(r#""handed":true"#), "{log}");
     // a fourth comes in its place and the first one goes
     cluster.write_settings(3, 3, true, "");
@@ -349,7 +486,10 @@
     cluster.until(leader, "DELETE", &format!("/v1/replicas/{}", first + 1), "");
     cluster.until(3, "PUT", "/v1/endpoints/b", &target(2));
     // the leader has answered for it: only a fresh read must show what was written
-    assert_eq!(cluster.until(3, "GET", "/v1/endpoints?fresh=1", "")["rev"], 2);
+    assert_eq!(
+        cluster.until(3, "GET", "/v1/endpoints?fresh=1", "")["rev"],
+        2
+    );
 }
 
 #[test]
@@ -357,13 +497,20 @@
     let mut cluster = Cluster::new(1, "");
     cluster.until(0, "PUT", "/v1/endpoints/a", &target(1));
     let run = |path: &Path| {
-        let output = Command::new(PROGRAM).args(["run", "--config"]).arg(path).output().expect("it runs");
+        let output = Command::new(PROGRAM)
+            .args(["run", "--config"])
+            .arg(path)
+            .output()
+            .expect("it runs");
         let lines = String::from_utf8_lossy(&output.stderr).to_string();
         (output.status.code(), lines)
     };
     let settings = cluster.folder.path().join("r0.toml");
     let (code, line) = run(&settings);
-    assert!(code == Some(2) && line.contains("another process uses this folder"), "{code:?} {line}");
+    assert!(
+        code == Some(2) && line.contains("another process uses this folder"),
+        "{code:?} {line}"
+    );
     let bad = cluster.write("bad.toml", "cluster = \"a\"\nids = 3\n");
     let (code, line) = run(&bad);
     assert!(code == Some(2) && line.contains("ids"), "{code:?} {line}");
@@ -374,22 +521,51 @@
     bytes[13] ^= 1;
     std::fs::write(&log, &bytes).expect("damaged");
     let (code, line) = run(&settings);
-    assert!(code == Some(2) && line.contains("damaged from byte 0 on"), "{code:?} {line}");
-    assert_eq!(Command::new(PROGRAM).arg("--no-such").output().expect("it runs").status.code(), Some(2));
+    assert!(
+        code == Some(2) && line.contains("damaged from byte 0 on"),
+        "{code:?} {line}"
+    );
+    assert_eq!(
+        Command::new(PROGRAM)
+            .arg("--no-such")
+            .output()
+            .expect("it runs")
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 const LEDGER: &str = "[ledger]\nlease_ms = 500\nsenders = 3\nfloors = { rate = 10 }\n";
 
 /// Writes limits of thirty destinations in turn for as long as asked; those that were answered, by destination.
-fn write_limits(cluster: &Cluster, until: &dyn Fn() -> bool) -> std::collections::BTreeMap<u64, u64> {
-    let (mut answered, mut unsure) = (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
+fn write_limits(
+    cluster: &Cluster,
+    until: &dyn Fn() -> bool,
+) -> std::collections::BTreeMap<u64, u64> {
+    let (mut answered, mut unsure) = (
+        std::collections::BTreeMap::new(),
+        std::collections::BTreeSet::new(),
+    );
     let begin = Instant::now();
     for write in 0u64.. {
         let (destination, total) = (write * 7 % 30, 1000 + write);
         let body = json!({ "total": total }).to_string();
-        let running = cluster.replicas.iter().position(Option::is_some).expect("one runs");
-        match cluster.ask(running, "PUT", &format!("/v1/limits/rate/{destination}"), &body) {
-            Some((200, _)) => drop((answered.insert(destination, total), unsure.remove(&destination))),
+        let running = cluster
+            .replicas
+            .iter()
+            .position(Option::is_some)
+            .expect("one runs");
+        match cluster.ask(
+            running,
+            "PUT",
+            &format!("/v1/limits/rate/{destination}"),
+            &body,
+        ) {
+            Some((200, _)) => drop((
+                answered.insert(destination, total),
+                unsure.remove(&destination),
+            )),
             // it may be done yet
             _ => drop(unsure.insert(destination)),
         }
@@ -409,7 +585,11 @@
 }
 
 fn ended(cluster: &Cluster, count: usize) -> Option<Value> {
-    splits(cluster)?["ended"].as_array().filter(|ended| ended.len() >= count)?.last().cloned()
+    splits(cluster)?["ended"]
+        .as_array()
+        .filter(|ended| ended.len() >= count)?
+        .last()
+        .cloned()
 }
 
 /// Begins one split, once none is under way; how many have ended when it has. A slow machine may answer too late for what
@@ -440,24 +620,41 @@
 }
 
 #[test]
-fn a_split_under_writes_flags_what_is_planted_and_without_it_is_cut_over_while_the_leader_is_killed() {
+fn a_split_under_writes_flags_what_is_planted_and_without_it_is_cut_over_while_the_leader_is_killed()
+ {
     let mut cluster = Cluster::new(3, LEDGER);
     let leader = cluster.leader();
-    cluster.until(leader, "PUT", "/v1/limits/rate/0", &json!({ "total": 500 }).to_string());
+    cluster.until(
+        leader,
+        "PUT",
+        "/v1/limits/rate/0",
+        &json!({ "total": 500 }).to_string(),
+    );
     write_limits(&cluster, &|| false_after(Duration::from_millis(300)));
     // a rehearsal: found by the walk or a query, and undone
     let wish = |rehearse: Value| json!({ "first": 0, "at": 15, "rehearse": rehearse });
     let rehearsed = begin_split(&cluster, leader, &wish(json!("lost")));
     let asks = || {
-        cluster.ask(leader, "POST", "/v1/query", r#"{"range":{"from":0,"to":null}}"#);
+        cluster.ask(
+            leader,
+            "POST",
+            "/v1/query",
+            r#"{"range":{"from":0,"to":null}}"#,
+        );
         ended(&cluster, rehearsed).is_some()
     };
     write_limits(&cluster, &asks);
     let undone = ended(&cluster, rehearsed).expect("ended");
     assert!(undone["flagged"].as_u64() > Some(0), "{undone}");
     let why = undone["undone"].as_str().expect("a reason");
-    assert!(why.contains("disagree") && why.contains("[ledger::split::flags]"), "{why}");
-    assert!(undone["flags"][0]["difference"].is_string() && undone["flags"][0]["fence"].is_u64(), "{undone}");
+    assert!(
+        why.contains("disagree") && why.contains("[ledger::split::flags]"),
+        "{why}"
+    );
+    assert!(
+        undone["flags"][0]["difference"].is_string() && undone["flags"][0]["fence"].is_u64(),
+        "{undone}"
+    );
     // without it: cut over, though the leader is killed on the way, and no answered write is lost
     let count = begin_split(&cluster, leader, &wish(Value::Null));
     assert_eq!((rehearsed, count), (1, 2), "each began once");
@@ -465,12 +662,20 @@
     cluster.kill(leader);
     let answered = write_limits(&cluster, &|| ended(&cluster, count).is_some());
     let done = ended(&cluster, count).expect("ended");
-    assert_eq!((&done["undone"], &done["flagged"]), (&Value::Null, &json!(0)), "{done}");
+    assert_eq!(
+        (&done["undone"], &done["flagged"]),
+        (&Value::Null, &json!(0)),
+        "{done}"
+    );
     let running = cluster.leader();
     let limits = cluster.until(running, "GET", "/v1/limits", "");
     assert_eq!(limits["ranges"].as_array().map(Vec::len), Some(2));
     for (destination, total) in answered {
-        assert_eq!(limits["limits"][format!("rate/{destination}")]["total"], total, "rate/{destination}");
+        assert_eq!(
+            limits["limits"][format!("rate/{destination}")]["total"],
+            total,
+            "rate/{destination}"
+        );
     }
     // a freeze holds the next one
     let window = json!({ "windows": { "w": { "zone": "UTC", "begin": "2020-01-01T00:00", "end": "2100-01-01T00:00",
@@ -479,7 +684,9 @@
     let begin = Instant::now();
     loop {
         let wish = json!({ "first": 0, "at": 5 }).to_string();
-        let (status, text) = cluster.ask(running, "POST", "/v1/splits", &wish).expect("an answer");
+        let (status, text) = cluster
+            .ask(running, "POST", "/v1/splits", &wish)
+            .expect("an answer");
         if status == 409 && text.contains("[freeze::held]") {
             break;
         }
--- a/registry/tests/replicas.rs
+++ b/registry/tests/replicas.rs
@@ -2,7 +2,9 @@
 //! that crash and come back, cuts of one direction, senders that stand still or restart, clocks that drift. No two senders
 //! act on rules that contradict each other, no answered write is lost, and reads are never behind what was answered.
 
-use milletturn_agreement::{Ask, Class, Effect, Grant, Holder, Micros, Proposal, Rules, Tag, Terms};
+use milletturn_agreement::{
+    Ask, Class, Effect, Grant, Holder, Micros, Proposal, Rules, Tag, Terms,
+};
 use milletturn_registry::replica::{Answer, Output, Question, Replica, TICK};
 use milletturn_registry::state::{Applied, Change, Command, State};
 use milletturn_registry::store::{Purpose, Store};
@@ -18,21 +20,38 @@
 const STEP: Micros = 10_000;
 
 fn terms() -> Terms {
-    Terms { lease: LEASE, drift: 2 * LEASE * DRIFT_PPM / 1_000_000 }
+    Terms {
+        lease: LEASE,
+        drift: 2 * LEASE * DRIFT_PPM / 1_000_000,
+    }
 }
 
 fn class() -> Class {
     let (accepted, effect, attempts) = (true, Effect::Idempotent, 3);
-    Class { accepted, effect, attempts, in_order: false, keyed_by: String::new(), gap_ms: 0 }
+    Class {
+        accepted,
+        effect,
+        attempts,
+        in_order: false,
+        keyed_by: String::new(),
+        gap_ms: 0,
+    }
 }
 
 /// Each version accepts a class that the one before does not.
 fn rules(version: u64) -> Rules {
-    Rules { classes: [(format!("c{}", version % 3), class())].into(), ..Rules::default() }
+    Rules {
+        classes: [(format!("c{}", version % 3), class())].into(),
+        ..Rules::default()
+    }
 }
 
 fn begin() -> Command {
-    Command::Begin { floor: Rules::default(), rules: rules(1), terms: terms() }
+    Command::Begin {
+        floor: Rules::default(),
+        rules: rules(1),
+        terms: terms(),
+    }
 }
 
 enum Sent {
@@ -95,7 +114,9 @@
 impl World {
     fn new(replicas: usize, senders: usize, seed: u64) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
-        let folders = (0..replicas).map(|_| tempfile::tempdir().expect("a folder")).collect();
+        let folders = (0..replicas)
+            .map(|_| tempfile::tempdir().expect("a folder"))
+            .collect();
         let senders = (0..senders)
             .map(|number| Sender {
                 holder: Holder::new(Rules::default(), number as u64),
@@ -123,7 +144,9 @@
             versions: BTreeSet::new(),
             contradictions: 0,
         };
-        world.replicas = (0..replicas).map(|number| Some(world.start(number))).collect();
+        world.replicas = (0..replicas)
+            .map(|number| Some(world.start(number)))
+            .collect();
         world
     }
 
@@ -131,7 +154,13 @@
         self.lives += 1;
         let voters = (1..=self.folders.len() as u64).collect();
         let id = number as u64 + 1;
-        let purpose = Purpose { cluster: "sim".to_string(), id, voters, most: 4096, sync: false };
+        let purpose = Purpose {
+            cluster: "sim".to_string(),
+            id,
+            voters,
+            most: 4096,
+            sync: false,
+        };
         let state = postcard::to_allocvec(&State::default()).expect("encoded");
         let store = Store::open(self.folders[number].path(), purpose, &state).expect("opened");
         Replica::new(id, store, self.lives, Some(begin())).expect("what it wrote is read")
@@ -147,7 +176,9 @@
         if self.random.random_bool(self.loss) {
             return;
         }
-        let late = self.random.random_range(1_000..=if self.loss > 0.0 { 300_000 } else { 20_000 });
+        let late = self
+            .random
+            .random_range(1_000..=if self.loss > 0.0 { 300_000 } else { 20_000 });
         self.under_way.push((self.now + late, sent));
     }
 
@@ -155,7 +186,10 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let due: Vec<(Micros, Sent)> = self.under_way.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<(Micros, Sent)> = self
+            .under_way
+            .extract_if(.., |(at, _)| *at <= now)
+            .collect();
         for (_, sent) in due {
             match sent {
                 Sent::ToReplica(to, message) => {
@@ -167,7 +201,13 @@
                     let ticket = self.ticket(Ticket::Ask(sender, ask));
                     let name = format!("n{sender}");
                     let Ask { life, acts_on, .. } = ask;
-                    let question = Question { sender: name, life, acts_on, rev: 0, floor: Rules::default() };
+                    let question = Question {
+                        sender: name,
+                        life,
+                        acts_on,
+                        rev: 0,
+                        floor: Rules::default(),
+                    };
                     self.with(to, |replica, output| replica.ask(ticket, question, output));
                 }
                 Sent::Grant(sender, ask, grant) => {
@@ -204,10 +244,14 @@
 
     /// A replica's turn, and what follows from it.
     fn with(&mut self, number: usize, turn: impl FnOnce(&mut Replica, &mut Output)) {
-        let Some(replica) = &mut self.replicas[number] else { return };
+        let Some(replica) = &mut self.replicas[number] else {
+            return;
+        };
         let mut output = Output::default();
         turn(replica, &mut output);
-        replica.settle(self.now, &mut output).expect("the log is kept");
+        replica
+            .settle(self.now, &mut output)
+            .expect("the log is kept");
         for message in output.messages {
             let to = message.to as usize - 1;
             let snapshot = message.msg_type == raft::eraftpb::MessageType::MsgSnapshot;
@@ -220,7 +264,9 @@
             }
         }
         for (ticket, answer) in output.answers {
-            let Some(ticket) = self.tickets.remove(&ticket) else { panic!("answered twice: {answer:?}") };
+            let Some(ticket) = self.tickets.remove(&ticket) else {
+                panic!("answered twice: {answer:?}")
+            };
             let now = self.now;
             match (ticket, answer) {
                 (Ticket::Ask(sender, ask), Answer::Granted(grant)) => {
@@ -233,11 +279,23 @@
                     self.send(Sent::Ask(leader as usize - 1, sender, ask));
                 }
                 (Ticket::Write(asked), Answer::Applied(Applied { rev, .. })) => {
-                    self.history.push(Operation { asked, answered: now, rev, writes: true });
+                    self.history.push(Operation {
+                        asked,
+                        answered: now,
+                        rev,
+                        writes: true,
+                    });
                 }
                 (Ticket::Read(asked, at), Answer::Fresh) => {
-                    let rev = self.replicas[at].as_ref().map_or(0, |replica| replica.state().rev);
-                    self.history.push(Operation { asked, answered: now, rev, writes: false });
+                    let rev = self.replicas[at]
+                        .as_ref()
+                        .map_or(0, |replica| replica.state().rev);
+                    self.history.push(Operation {
+                        asked,
+                        answered: now,
+                        rev,
+                        writes: false,
+                    });
                 }
                 _ => {}
             }
@@ -246,36 +304,61 @@
 
     fn check(&mut self) {
         // one that stands still sends nothing
-        let acting = self.senders.iter().filter(|sender| sender.stands_until <= self.now);
-        let acts: Vec<&Rules> = acting.map(|sender| sender.holder.rules(sender.clock(self.now))).collect();
-        let contradict = acts.iter().any(|one| acts.iter().any(|other| one.contradicts(other)));
+        let acting = self
+            .senders
+            .iter()
+            .filter(|sender| sender.stands_until <= self.now);
+        let acts: Vec<&Rules> = acting
+            .map(|sender| sender.holder.rules(sender.clock(self.now)))
+            .collect();
+        let contradict = acts
+            .iter()
+            .any(|one| acts.iter().any(|other| one.contradicts(other)));
         self.contradictions += u64::from(contradict);
     }
 
     fn propose(&mut self) {
         let at = self.random.random_range(0..self.replicas.len());
         let now = self.now;
-        let Some(version) = self.replicas[at].as_ref().and_then(|replica| replica.state().tag()) else {
+        let Some(version) = self.replicas[at]
+            .as_ref()
+            .and_then(|replica| replica.state().tag())
+        else {
             return;
         };
         let Tag { version: from, .. } = version;
-        let proposal = Command::Rules(Proposal { from, rules: rules(from + 1) });
+        let proposal = Command::Rules(Proposal {
+            from,
+            rules: rules(from + 1),
+        });
         let ticket = self.ticket(Ticket::Rules);
-        self.with(at, |replica, output| replica.propose(now, ticket, proposal, output));
+        self.with(at, |replica, output| {
+            replica.propose(now, ticket, proposal, output)
+        });
     }
 
     fn write(&mut self) {
         let at = self.random.random_range(0..self.replicas.len());
         let (now, port) = (self.now, self.random.random_range(1..60_000u16));
-        let Some(rev) = self.replicas[at].as_ref().map(|replica| replica.state().rev) else { return };
+        let Some(rev) = self.replicas[at]
+            .as_ref()
+            .map(|replica| replica.state().rev)
+        else {
+            return;
+        };
         let target: Target = serde_json::from_value(serde_json::json!({
             "endpoint": format!("10.0.0.1:{port}"), "pod_group": 1, "boot_ms": rev
         }))
         .expect("a target");
         let uid = format!("e{}", rev % 5);
-        let command = Command::List { if_match: Some(rev), changes: vec![Change::Put { uid, target }] };
+        let command = Command::List {
+            if_match: Some(rev),
+            changes: vec![Change::Put { uid, target }],
+        };
         let ticket = self.ticket(Ticket::Write(now));
-        self.with(at, |replica, output| replica.propose(now, ticket, command, output));
+        self.with(at, |replica, output| {
+            replica.propose(now, ticket, command, output)
+        });
     }
 
     fn read(&mut self) {
@@ -295,7 +378,8 @@
                 self.starts_at[one] = self.now + self.random.random_range(100_000..4_000_000);
             }
             1 => {
-                let leader = (0..count).find(|at| self.replicas[*at].as_ref().is_some_and(Replica::leads));
+                let leader =
+                    (0..count).find(|at| self.replicas[*at].as_ref().is_some_and(Replica::leads));
                 if let Some(leader) = leader {
                     self.with(leader, |replica, _| {
                         replica.transfer();
@@ -334,7 +418,11 @@
 
 /// What is wrong with a history of conditional writes, each of which makes a version, and reads of it.
 fn not_linear(history: &[Operation]) -> Option<(Operation, Operation)> {
-    let revs: BTreeSet<u64> = history.iter().filter(|done| done.writes).map(|done| done.rev).collect();
+    let revs: BTreeSet<u64> = history
+        .iter()
+        .filter(|done| done.writes)
+        .map(|done| done.rev)
+        .collect();
     for one in history {
         for other in history {
             let after = one.answered < other.asked;
@@ -373,19 +461,47 @@
 fn under_faults_no_two_senders_contradict_each_other_and_no_answered_write_is_lost() {
     let (mut granted, mut versions, mut writes, mut reads) = (0, 0, 0, 0);
     // MILLETTURN_SEEDS plays more
-    let seeds = std::env::var("MILLETTURN_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(20);
+    let seeds = std::env::var("MILLETTURN_SEEDS")
+        .ok()
+        .and_then(|seeds| seeds.parse().ok())
+        .unwrap_or(20);
     for (replicas, seed) in (1..=seeds).flat_map(|seed| [(1, seed), (3, seed), (5, seed)]) {
         let world = play(replicas, seed);
         assert_eq!(world.contradictions, 0, "{replicas} replicas, seed {seed}");
-        assert_eq!(not_linear(&world.history).map(|pair| format!("{pair:?}")), None, "seed {seed}");
-        let states: Vec<&State> = world.replicas.iter().flatten().map(Replica::state).collect();
+        assert_eq!(
+            not_linear(&world.history).map(|pair| format!("{pair:?}")),
+            None,
+            "seed {seed}"
+        );
+        let states: Vec<&State> = world
+            .replicas
+            .iter()
+            .flatten()
+            .map(Replica::state)
+            .collect();
         assert_eq!(states.len(), replicas);
-        assert!(states.windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}: all have the same state");
-        let last = world.history.iter().map(|done| done.rev).max().unwrap_or_default();
-        assert!(states[0].rev >= last, "version {last} was answered, {} is there", states[0].rev);
+        assert!(
+            states.windows(2).all(|pair| pair[0] == pair[1]),
+            "seed {seed}: all have the same state"
+        );
+        let last = world
+            .history
+            .iter()
+            .map(|done| done.rev)
+            .max()
+            .unwrap_or_default();
+        assert!(
+            states[0].rev >= last,
+            "version {last} was answered, {} is there",
+            states[0].rev
+        );
         for sender in &world.senders {
             let tag = sender.holder.tag(sender.clock(world.now));
-            assert_eq!(tag, states[0].tag(), "all act on the version in force once all is well");
+            assert_eq!(
+                tag,
+                states[0].tag(),
+                "all act on the version in force once all is well"
+            );
         }
         granted += world.granted;
         versions += world.versions.len();
@@ -398,11 +514,27 @@
 
 #[test]
 fn a_history_that_goes_back_or_gives_a_version_twice_is_found() {
-    let done = |asked, answered, rev, writes| Operation { asked, answered, rev, writes };
-    let good =
-        vec![done(0, 10, 1, true), done(5, 20, 2, true), done(15, 30, 2, false), done(12, 18, 1, false)];
+    let done = |asked, answered, rev, writes| Operation {
+        asked,
+        answered,
+        rev,
+        writes,
+    };
+    let good = vec![
+        done(0, 10, 1, true),
+        done(5, 20, 2, true),
+        done(15, 30, 2, false),
+        done(12, 18, 1, false),
+    ];
     assert!(not_linear(&good).is_none());
-    for bad in [done(40, 50, 1, false), done(40, 50, 2, true), done(1, 2, 2, true)] {
-        assert!(not_linear(&[good.clone(), vec![bad]].concat()).is_some(), "{bad:?}");
+    for bad in [
+        done(40, 50, 1, false),
+        done(40, 50, 2, true),
+        done(1, 2, 2, true),
+    ] {
+        assert!(
+            not_linear(&[good.clone(), vec![bad]].concat()).is_some(),
+            "{bad:?}"
+        );
     }
 }
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -49,10 +49,20 @@
 impl Standing {
     /// Where a message stands by its own state; `first`: it is its key's turn, `repeatable`: by its class,
     /// `spent`: from when on no further send can be legal while none is out.
-    pub fn of(id: MessageId, held: &Held, now: Micros, first: bool, repeatable: bool, spent: Micros) -> Self {
+    pub fn of(
+        id: MessageId,
+        held: &Held,
+        now: Micros,
+        first: bool,
+        repeatable: bool,
+        spent: Micros,
+    ) -> Self {
         let out = held.is_out();
         if !held.open {
-            return Standing { out, ..Standing::default() };
+            return Standing {
+                out,
+                ..Standing::default()
+            };
         }
         let at = if out { held.copy_at } else { held.retry_at };
         let at_risk = held.at_risk().next().is_some();
@@ -70,7 +80,12 @@
             true if at > now => Queue::Later(at),
             true => Queue::Ready(group),
         };
-        Standing { open: true, out, spent: if out { Micros::MAX } else { spent }, queue }
+        Standing {
+            open: true,
+            out,
+            spent: if out { Micros::MAX } else { spent },
+            queue,
+        }
     }
 }
 
@@ -86,7 +101,12 @@
 
 impl Default for Standing {
     fn default() -> Self {
-        Standing { open: false, out: false, spent: Micros::MAX, queue: Queue::None }
+        Standing {
+            open: false,
+            out: false,
+            spent: Micros::MAX,
+            queue: Queue::None,
+        }
     }
 }
 
@@ -114,8 +134,15 @@
 
 impl Index {
     /// An index of these messages, each of which is to stand where it is told.
-    pub fn of<'a>(apart: bool, messages: impl Iterator<Item = (MessageId, &'a mut Held, Standing)>) -> Self {
-        let mut index = Index { built: true, apart, ..Index::default() };
+    pub fn of<'a>(
+        apart: bool,
+        messages: impl Iterator<Item = (MessageId, &'a mut Held, Standing)>,
+    ) -> Self {
+        let mut index = Index {
+            built: true,
+            apart,
+            ..Index::default()
+        };
         for (id, held, standing) in messages {
             held.standing = standing;
             index.insert(id, held, standing);
@@ -152,7 +179,9 @@
     pub fn ended(&self, until: Micros, now: Micros) -> BTreeSet<MessageId> {
         let last = MessageId(u64::MAX);
         let late = self.deadlines.range(..=(until, last));
-        late.chain(self.spent.range(..=(now, last))).map(|(_, id)| *id).collect()
+        late.chain(self.spent.range(..=(now, last)))
+            .map(|(_, id)| *id)
+            .collect()
     }
 
     /// Messages whose time is still to come, the next first.
@@ -162,16 +191,27 @@
 
     /// A message whose time has come and that still stands as if it had not.
     pub fn come_due(&self, now: Micros) -> Option<MessageId> {
-        self.later.first().filter(|(at, _)| *at <= now).map(|(_, id)| *id)
+        self.later
+            .first()
+            .filter(|(at, _)| *at <= now)
+            .map(|(_, id)| *id)
     }
 
     /// Both sides of each group that is ready.
     pub fn ready(&self) -> impl Iterator<Item = Place> {
         let sides = |destination, group| {
-            [Side::Young, Side::Late].into_iter().map(move |side| Place { destination, group, side })
+            [Side::Young, Side::Late]
+                .into_iter()
+                .map(move |side| Place {
+                    destination,
+                    group,
+                    side,
+                })
         };
         self.ready.iter().flat_map(move |(&destination, groups)| {
-            groups.keys().flat_map(move |&group| sides(destination, group))
+            groups
+                .keys()
+                .flat_map(move |&group| sides(destination, group))
         })
     }
 
@@ -212,8 +252,12 @@
     }
 
     fn remove_ready(&mut self, id: MessageId, held: &Held, group: Group) {
-        let Some(groups) = self.ready.get_mut(&held.destination) else { return };
-        let Some(members) = groups.get_mut(&group) else { return };
+        let Some(groups) = self.ready.get_mut(&held.destination) else {
+            return;
+        };
+        let Some(members) = groups.get_mut(&group) else {
+            return;
+        };
         members.remove(&(held.born, id));
         if members.is_empty() {
             groups.remove(&group);
@@ -254,7 +298,11 @@
     }
 
     /// The first that ranks after one that was there.
-    pub fn next(&self, last: Candidate, order: &Order<impl Fn(Micros) -> f64>) -> Option<Candidate> {
+    pub fn next(
+        &self,
+        last: Candidate,
+        order: &Order<impl Fn(Micros) -> f64>,
+    ) -> Option<Candidate> {
         let place = last.place;
         let rank = order.next_of(self.members(place)?, place.side, last.rank)?;
         Some(Candidate { rank, place })
@@ -262,7 +310,10 @@
 
     /// The first that ranks after any message.
     pub fn after(
-        &self, place: Place, order: &Order<impl Fn(Micros) -> f64>, rank: Rank,
+        &self,
+        place: Place,
+        order: &Order<impl Fn(Micros) -> f64>,
+        rank: Rank,
     ) -> Option<Candidate> {
         let rank = order.search(self.members(place)?, place.side, Some(rank))?;
         Some(Candidate { rank, place })
@@ -283,7 +334,10 @@
 
 impl Ord for Rank {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.urgency.total_cmp(&self.urgency).then(self.id.cmp(&other.id))
+        other
+            .urgency
+            .total_cmp(&self.urgency)
+            .then(self.id.cmp(&other.id))
     }
 }
 
@@ -327,7 +381,11 @@
 
 impl<F: Fn(Micros) -> f64> Order<F> {
     fn rank(&self, &(born, id): &(Micros, MessageId)) -> Rank {
-        Rank { urgency: (self.urgency)(born), born, id }
+        Rank {
+            urgency: (self.urgency)(born),
+            born,
+            id,
+        }
     }
 
     fn range(&self, side: Side) -> (Bound<Member>, Bound<Member>) {
@@ -342,38 +400,60 @@
             Side::Young => *members.range(self.range(side)).next()?,
             Side::Late => youngest_before(members, self.peak)?,
         });
-        if self.is_tied(members, side, rank) { self.search(members, side, None) } else { Some(rank) }
+        if self.is_tied(members, side, rank) {
+            self.search(members, side, None)
+        } else {
+            Some(rank)
+        }
     }
 
     fn next_of(&self, members: &Members, side: Side, last: Rank) -> Option<Rank> {
         if self.is_tied(members, side, last) {
             return self.search(members, side, Some(last));
         }
-        let twins =
-            (Bound::Excluded((last.born, last.id)), Bound::Excluded(first(last.born.saturating_add(1))));
+        let twins = (
+            Bound::Excluded((last.born, last.id)),
+            Bound::Excluded(first(last.born.saturating_add(1))),
+        );
         if let Some(twin) = members.range(twins).next() {
             return Some(self.rank(twin));
         }
         let rank = self.rank(&self.following(members, side, last.born)?);
-        if self.is_tied(members, side, rank) { self.search(members, side, Some(last)) } else { Some(rank) }
+        if self.is_tied(members, side, rank) {
+            self.search(members, side, Some(last))
+        } else {
+            Some(rank)
+        }
     }
 
     /// The first of all on a side, or of all that rank after one.
     fn search(&self, members: &Members, side: Side, after: Option<Rank>) -> Option<Rank> {
-        let ranks = members.range(self.range(side)).map(|member| self.rank(member));
-        ranks.filter(|rank| after.is_none_or(|after| *rank > after)).min()
+        let ranks = members
+            .range(self.range(side))
+            .map(|member| self.rank(member));
+        ranks
+            .filter(|rank| after.is_none_or(|after| *rank > after))
+            .min()
     }
 
     /// Whether members born at another time are just as urgent: then the order of birth is not that of rank.
     fn is_tied(&self, members: &Members, side: Side, rank: Rank) -> bool {
-        let next = [self.following(members, side, rank.born), self.preceding(members, side, rank.born)];
-        next.into_iter().flatten().any(|other| (self.urgency)(other.0).total_cmp(&rank.urgency).is_eq())
+        let next = [
+            self.following(members, side, rank.born),
+            self.preceding(members, side, rank.born),
+        ];
+        next.into_iter()
+            .flatten()
+            .any(|other| (self.urgency)(other.0).total_cmp(&rank.urgency).is_eq())
     }
 
     /// The first member of the next time of birth in the order.
     fn following(&self, members: &Members, side: Side, born: Micros) -> Option<Member> {
         match side {
-            Side::Young => members.range(first(born.saturating_add(1))..).next().copied(),
+            Side::Young => members
+                .range(first(born.saturating_add(1))..)
+                .next()
+                .copied(),
             Side::Late => youngest_before(members, born),
         }
     }
@@ -382,7 +462,9 @@
     fn preceding(&self, members: &Members, side: Side, born: Micros) -> Option<Member> {
         let found = match side {
             Side::Young => members.range(first(self.peak)..first(born)).next_back(),
-            Side::Late => members.range(first(born.saturating_add(1))..first(self.peak)).next(),
+            Side::Late => members
+                .range(first(born.saturating_add(1))..first(self.peak))
+                .next(),
         };
         found.copied()
     }
@@ -437,7 +519,9 @@
         loop {
             let candidate = self.next.pop()?;
             let place = candidate.place;
-            let Some(passed) = self.passed.get_mut(&place.destination) else { return Some(candidate) };
+            let Some(passed) = self.passed.get_mut(&place.destination) else {
+                return Some(candidate);
+            };
             if passed.iter().all(|other| other.group != place.group) {
                 return Some(candidate);
             }
@@ -447,7 +531,10 @@
 
     /// Passes a group over until something is sent to its destination.
     pub fn pass_over(&mut self, place: Place) {
-        self.passed.entry(place.destination).or_default().push(place);
+        self.passed
+            .entry(place.destination)
+            .or_default()
+            .push(place);
     }
 
     /// What was passed over of a destination so far; it is no more.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -14,7 +14,9 @@
 
 use crate::backlog::{Index, Standing};
 use crate::interface::*;
-use crate::state::{Attempt, Bucket, Call, Endpoint, Health, Held, KeyLine, Unit, UnitId, Warmup, seconds};
+use crate::state::{
+    Attempt, Bucket, Call, Endpoint, Health, Held, KeyLine, Unit, UnitId, Warmup, seconds,
+};
 pub use held::AttemptOut;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -166,19 +168,31 @@
     /// One turn: takes in all events, then appends what to do. The time never goes backwards.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.alarm = if self.alarm <= self.now { Micros::MAX } else { self.alarm };
+        self.alarm = if self.alarm <= self.now {
+            Micros::MAX
+        } else {
+            self.alarm
+        };
         let was_held_back = self.is_held_back();
         self.build_index_once();
         for event in events {
             self.learn(event, actions);
         }
         let released = was_held_back && !self.is_held_back();
-        if released || events.iter().any(|event| matches!(event, Event::Resumed { .. })) {
+        if released
+            || events
+                .iter()
+                .any(|event| matches!(event, Event::Resumed { .. }))
+        {
             self.spread_backlog(released);
         }
         self.due = Micros::MAX;
         self.count_senders();
-        actions.extend(self.list_retry.take_if(|at| *at <= self.now).map(|_| Action::Subscribe));
+        actions.extend(
+            self.list_retry
+                .take_if(|at| *at <= self.now)
+                .map(|_| Action::Subscribe),
+        );
         self.look_for_silence(actions);
         self.end_hopeless(actions);
         self.send_due(actions);
@@ -214,7 +228,10 @@
                 {
                     self.accept(message);
                 } else {
-                    actions.push(Action::Refuse { message: message.id, wait: self.client_wait() });
+                    actions.push(Action::Refuse {
+                        message: message.id,
+                        wait: self.client_wait(),
+                    });
                 }
             }
             Event::Resumed { message, attempts } => self.resume(message, attempts),
@@ -226,14 +243,17 @@
                 self.reindex(message.id);
             }
             Event::Noticed(message) => {
-                self.messages.entry(*message).and_modify(|held| held.unnoticed = false);
+                self.messages
+                    .entry(*message)
+                    .and_modify(|held| held.unnoticed = false);
                 self.forget_if_done(*message);
             }
             Event::Retuned(settings) => {
                 let same = settings.senders == self.settings.senders;
                 self.counted = if same { self.counted } else { settings.senders };
                 self.settings = (**settings).clone();
-                self.tenant_tokens.resize(self.settings.tenants.len(), (f64::MAX, 0));
+                self.tenant_tokens
+                    .resize(self.settings.tenants.len(), (f64::MAX, 0));
                 self.rebuild_index(); // other effects end other messages
             }
             Event::Disabled(endpoint) => {
@@ -255,7 +275,15 @@
                 let id = self.unit_of(*endpoint);
                 self.heed(id, *wait, actions);
             }
-            Event::Ended { message, attempt, outcome, latency, closed, report, .. } => {
+            Event::Ended {
+                message,
+                attempt,
+                outcome,
+                latency,
+                closed,
+                report,
+                ..
+            } => {
                 self.learn_outcome(*message, *attempt, *outcome, *latency, report, actions);
                 if *outcome == Outcome::Success || *closed {
                     self.close(*message, actions);
@@ -282,8 +310,9 @@
             let gone = if view.doubt || minority { 0 } else { view.gone };
             view.living.max(configured.saturating_sub(gone)).max(1)
         });
-        let sure =
-            self.fleet.is_some_and(|view| view.suspects == 0 && view.holders.saturating_mul(2) > configured);
+        let sure = self
+            .fleet
+            .is_some_and(|view| view.suspects == 0 && view.holders.saturating_mul(2) > configured);
         let stands = self.fleet_since + self.settings.safety.cold_time;
         if target < before && !(sure && stands <= self.now) {
             self.due = if sure { self.due.min(stands) } else { self.due };
@@ -308,7 +337,9 @@
             self.list_rest = LIST_FIRST;
         }
         if listing != Listing::Changes {
-            self.endpoints.values_mut().for_each(|known| known.serving = false);
+            self.endpoints
+                .values_mut()
+                .for_each(|known| known.serving = false);
         }
         for entry in entries {
             let known = self.endpoints.entry(entry.endpoint).or_default();
@@ -317,11 +348,22 @@
                 routes.remove(&entry.endpoint);
             }
             known.update(entry);
-            self.routes.entry(entry.destination).or_default().insert(entry.endpoint);
+            self.routes
+                .entry(entry.destination)
+                .or_default()
+                .insert(entry.endpoint);
             let id = self.unit_of(entry.endpoint);
-            let weight = if entry.weight.is_finite() { entry.weight.max(0.0) } else { 0.0 };
+            let weight = if entry.weight.is_finite() {
+                entry.weight.max(0.0)
+            } else {
+                0.0
+            };
             let told = self.settings.weight_trust * weight / f64::from(self.counted);
-            let listed = if told > 0.0 { told / self.settings.weight_trust } else { 0.0 };
+            let listed = if told > 0.0 {
+                told / self.settings.weight_trust
+            } else {
+                0.0
+            };
             let unit = self.unit(id);
             (unit.share, unit.best_rate, unit.listed) = (told, unit.best_rate.max(told), listed);
         }
@@ -332,16 +374,22 @@
     fn forget_gone(&mut self) {
         let attempts = self.messages.values().flat_map(|message| &message.attempts);
         let tried: BTreeSet<EndpointId> = attempts.map(|attempt| attempt.endpoint).collect();
-        self.endpoints.retain(|id, known| known.serving || known.out || tried.contains(id));
+        self.endpoints
+            .retain(|id, known| known.serving || known.out || tried.contains(id));
         let known = &self.endpoints;
-        self.routes.values_mut().for_each(|routes| routes.retain(|id| known.contains_key(id)));
+        self.routes
+            .values_mut()
+            .for_each(|routes| routes.retain(|id| known.contains_key(id)));
         self.routes.retain(|_, routes| !routes.is_empty());
         let (now, routes) = (self.now, &self.routes);
         self.units.retain(|(destination, route), unit| {
-            let listed = routes.get(destination).is_some_and(|ids| route.is_none_or(|id| ids.contains(&id)));
+            let listed = routes
+                .get(destination)
+                .is_some_and(|ids| route.is_none_or(|id| ids.contains(&id)));
             listed || unit.in_flight > 0 || unit.wait_until > now
         });
-        self.keys.retain(|_, line| !line.turn.is_empty() || line.rest_until > now);
+        self.keys
+            .retain(|_, line| !line.turn.is_empty() || line.rest_until > now);
     }
 
     fn accept(&mut self, new: &NewMessage) {
@@ -349,7 +397,10 @@
         let class = self.settings.classes.get(new.class);
         let (mut worth, ordered) = class.map_or((1.0, false), |class| (class.worth, class.ordered));
         let born = class.map_or(self.now, |class| deadline - class.deadline);
-        if let Some(tenant) = new.tenant.and_then(|index| self.settings.tenants.get(index)) {
+        if let Some(tenant) = new
+            .tenant
+            .and_then(|index| self.settings.tenants.get(index))
+        {
             let senders = f64::from(self.counted);
             let (rate, crowd) = (tenant.allowance / senders, crowd(senders));
             let (tokens, at) = &mut self.tenant_tokens[new.tenant.unwrap_or_default()];
@@ -359,16 +410,29 @@
             *at = self.now;
             let within = *tokens >= 1.0;
             *tokens -= f64::from(u8::from(within));
-            worth *= if within { 1.0 } else { self.settings.over_share_worth };
+            worth *= if within {
+                1.0
+            } else {
+                self.settings.over_share_worth
+            };
         }
-        let key = new.key.filter(|_| ordered || self.bound(new.class).is_some_and(|bound| bound.ordered));
+        let key = new
+            .key
+            .filter(|_| ordered || self.bound(new.class).is_some_and(|bound| bound.ordered));
         if let Some(key) = key {
             self.keys.entry(key).or_default().turn.push_back(new.id);
             if self.keys.len() > 2 * self.settings.max_held {
                 self.forget_gone();
             }
         }
-        let mut held = Held { key, born, deadline, worth, open: true, ..Held::default() };
+        let mut held = Held {
+            key,
+            born,
+            deadline,
+            worth,
+            open: true,
+            ..Held::default()
+        };
         (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
         held.most_attempts = new.attempts.unwrap_or(self.settings.max_attempts);
         if let Some(mut before) = self.messages.insert(new.id, held) {
@@ -383,11 +447,17 @@
     fn resume(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
         self.accept(message);
         let rest_until = self.now + self.key_rest(message.class);
-        let Some(held) = self.messages.get_mut(&message.id) else { return };
+        let Some(held) = self.messages.get_mut(&message.id) else {
+            return;
+        };
         held.attempts.extend(attempts.iter().map(Attempt::resumed));
         let unsure = attempts.iter().any(|past| past.may_have_run);
-        let line = held.key.filter(|_| unsure).and_then(|key| self.keys.get_mut(&key));
-        line.into_iter().for_each(|line| line.rest_until = line.rest_until.max(rest_until));
+        let line = held
+            .key
+            .filter(|_| unsure)
+            .and_then(|key| self.keys.get_mut(&key));
+        line.into_iter()
+            .for_each(|line| line.rest_until = line.rest_until.max(rest_until));
         self.reindex(message.id);
     }
 
@@ -395,10 +465,21 @@
     /// against backlogs of hundreds of senders at one moment; could slow down one with most of the traffic.
     /// What is resumed spreads each unit once, `released` messages each time.
     fn spread_backlog(&mut self, released: bool) {
-        let waiting: BTreeSet<_> = self.messages.values().map(|held| held.destination).collect();
+        let waiting: BTreeSet<_> = self
+            .messages
+            .values()
+            .map(|held| held.destination)
+            .collect();
         let contended = self.crowd() > 0.0;
-        for (_, unit) in self.units.iter_mut().filter(|(id, _)| contended && waiting.contains(&id.0)) {
-            if unit.listed > 0.0 && unit.health == Health::Well && (released || unit.pace.is_infinite()) {
+        for (_, unit) in self
+            .units
+            .iter_mut()
+            .filter(|(id, _)| contended && waiting.contains(&id.0))
+        {
+            if unit.listed > 0.0
+                && unit.health == Health::Well
+                && (released || unit.pace.is_infinite())
+            {
                 unit.pace = unit.pace.min(unit.best_rate.max(unit.listed * LISTED_MOST));
                 unit.tokens = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
                 unit.tokens_at = self.now;
@@ -411,34 +492,60 @@
     /// What a repeat does, and no more than agreed rules allow.
     fn effect(&self, class: usize) -> Effect {
         let own = self.own_effect(class);
-        self.bound(class).map_or(own, |bound| own.meet(bound.effect))
+        self.bound(class)
+            .map_or(own, |bound| own.meet(bound.effect))
     }
 
     /// What agreed rules allow a class now, if there are any. Guards against senders that contradict each
     /// other; could starve a class that the rules do not name.
     fn bound(&self, class: usize) -> Option<ClassBound> {
         let bounds = self.agreed.as_ref()?.at(self.now);
-        let name = self.settings.classes.get(class).map_or("", |class| &class.name);
-        Some(bounds.classes.get(name).copied().unwrap_or(ClassBound::NOTHING))
+        let name = self
+            .settings
+            .classes
+            .get(class)
+            .map_or("", |class| &class.name);
+        Some(
+            bounds
+                .classes
+                .get(name)
+                .copied()
+                .unwrap_or(ClassBound::NOTHING),
+        )
     }
 
     /// A limit of the settings, or a lower one of agreed rules.
     fn most(&self, limit: impl Fn(&Bounds) -> Option<usize>, own: usize) -> usize {
-        let agreed = self.agreed.as_ref().and_then(|agreed| limit(agreed.at(self.now)));
+        let agreed = self
+            .agreed
+            .as_ref()
+            .and_then(|agreed| limit(agreed.at(self.now)));
         agreed.map_or(own, |most| most.min(own))
     }
 
     fn key_rest(&self, class: usize) -> Micros {
-        self.settings.safety.key_rest.max(self.bound(class).map_or(0, |bound| bound.key_rest))
+        self.settings
+            .safety
+            .key_rest
+            .max(self.bound(class).map_or(0, |bound| bound.key_rest))
     }
 
     fn own_effect(&self, class: usize) -> Effect {
-        self.settings.classes.get(class).map_or(Effect::Unsafe, |class| class.effect)
+        self.settings
+            .classes
+            .get(class)
+            .map_or(Effect::Unsafe, |class| class.effect)
     }
 
     fn unit_of(&self, endpoint: EndpointId) -> UnitId {
-        let Some(known) = self.endpoints.get(&endpoint) else { return (0, Some(endpoint)) };
-        let apart = self.settings.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
+        let Some(known) = self.endpoints.get(&endpoint) else {
+            return (0, Some(endpoint));
+        };
+        let apart = self
+            .settings
+            .kinds
+            .get(known.kind)
+            .is_some_and(|kind| kind.separate_routes);
         (known.destination, apart.then_some(endpoint))
     }
 
@@ -453,9 +560,20 @@
     }
 
     fn unit(&mut self, id: UnitId) -> &mut Unit {
-        let (window, now) = (share_of(self.settings.call_slots, WINDOW_START) as f64, self.now);
+        let (window, now) = (
+            share_of(self.settings.call_slots, WINDOW_START) as f64,
+            self.now,
+        );
         let (pace, tokens, tokens_at, since) = (f64::INFINITY, 1.0, now, now);
-        let new = || Unit { window, pace, tokens, tokens_at, since, succeeded: true, ..Unit::default() };
+        let new = || Unit {
+            window,
+            pace,
+            tokens,
+            tokens_at,
+            since,
+            succeeded: true,
+            ..Unit::default()
+        };
         self.units.entry(id).or_insert_with(new)
     }
 }
--- a/src/decide/held.rs
+++ b/src/decide/held.rs
@@ -36,18 +36,33 @@
     /// Which these are.
     pub fn list_attempts_out(&self) -> Vec<AttemptOut> {
         let of_message = |(&message, held): (&MessageId, &Held)| {
-            let out = held.attempts.iter().enumerate().filter(|(_, attempt)| attempt.out);
-            out.map(|(number, attempt)| AttemptOut { message, number, endpoint: attempt.endpoint })
-                .collect::<Vec<_>>()
+            let out = held
+                .attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, attempt)| attempt.out);
+            out.map(|(number, attempt)| AttemptOut {
+                message,
+                number,
+                endpoint: attempt.endpoint,
+            })
+            .collect::<Vec<_>>()
         };
         self.messages.iter().flat_map(of_message).collect()
     }
 
     /// What this sender could use at each destination that it knows.
     pub fn demand(&self) -> BTreeMap<DestinationId, Demand> {
-        let mut all: BTreeMap<DestinationId, Demand> =
-            self.routes.keys().map(|&destination| (destination, Demand::default())).collect();
-        for held in self.messages.values().filter(|held| held.open && !held.is_out()) {
+        let mut all: BTreeMap<DestinationId, Demand> = self
+            .routes
+            .keys()
+            .map(|&destination| (destination, Demand::default()))
+            .collect();
+        for held in self
+            .messages
+            .values()
+            .filter(|held| held.open && !held.is_out())
+        {
             all.entry(held.destination).or_default().waiting += 1;
         }
         for ((destination, _), unit) in &self.units {
@@ -65,18 +80,31 @@
         }
         self.build_index_once();
         let used = self.index.used.take().unwrap_or_else(|| {
-            let called = self.units.iter().filter(|(_, unit)| unit.sent > 0).map(|((id, _), _)| *id);
+            let called = self
+                .units
+                .iter()
+                .filter(|(_, unit)| unit.sent > 0)
+                .map(|((id, _), _)| *id);
             self.index.waiting().keys().copied().chain(called).collect()
         });
-        let demand: BTreeMap<_, _> = used.into_iter().map(|id| (id, self.demand_of(id))).collect();
-        let current = demand.iter().filter(|(_, demand)| demand.is_current()).map(|(id, _)| *id);
+        let demand: BTreeMap<_, _> = used
+            .into_iter()
+            .map(|id| (id, self.demand_of(id)))
+            .collect();
+        let current = demand
+            .iter()
+            .filter(|(_, demand)| demand.is_current())
+            .map(|(id, _)| *id);
         self.index.used = Some(current.collect());
         (listed, demand)
     }
 
     fn demand_of(&self, destination: DestinationId) -> Demand {
         let waiting = self.index.waiting().get(&destination).copied().unwrap_or(0);
-        let mut demand = Demand { waiting, ..Demand::default() };
+        let mut demand = Demand {
+            waiting,
+            ..Demand::default()
+        };
         for (_, unit) in self.units.range(units_of(destination)) {
             self.add_unit(unit, &mut demand);
         }
@@ -86,21 +114,28 @@
     fn add_unit(&self, unit: &Unit, demand: &mut Demand) {
         (demand.out, demand.sent) = (demand.out + unit.in_flight as u64, demand.sent + unit.sent);
         demand.sick |= unit.health != Health::Well;
-        demand.failing |=
-            matches!(unit.health, Health::Sick { .. }) && (unit.failed_at > unit.alive_at || unit.quiet > 0);
+        demand.failing |= matches!(unit.health, Health::Sick { .. })
+            && (unit.failed_at > unit.alive_at || unit.quiet > 0);
         demand.alive |= unit.succeeded && self.now - unit.alive_at < self.settings.safety.fall_span;
     }
 
     /// The order in which the messages of a group are sent.
     pub(super) fn order(&self, group: Group) -> Order<impl Fn(Micros) -> f64> {
         let urgency = move |born| self.urgency(group.class, f64::from_bits(group.worth), born);
-        let aim = self.settings.classes.get(group.class).map_or(1, |class| class.aim);
+        let aim = self
+            .settings
+            .classes
+            .get(group.class)
+            .map_or(1, |class| class.aim);
         // the greatest age that is no more than the part of the aim, by the same rounding
         let mut rises = (aim as f64 * AIM_RISES) as Micros + 1;
         while rises as f64 / aim as f64 > AIM_RISES {
             rises -= 1;
         }
-        Order { urgency, peak: self.now - rises }
+        Order {
+            urgency,
+            peak: self.now - rises,
+        }
     }
 
     /// Has every turn look at each message that is due, as if none were held back for the reasons of
@@ -114,12 +149,16 @@
     /// True if an endpoint of the destination takes calls.
     pub(super) fn is_served(&self, destination: DestinationId) -> bool {
         let is_open = |id: &EndpointId| self.endpoints.get(id).is_some_and(Endpoint::is_open);
-        self.routes.get(&destination).is_some_and(|ids| ids.iter().any(is_open))
+        self.routes
+            .get(&destination)
+            .is_some_and(|ids| ids.iter().any(is_open))
     }
 
     pub(super) fn forget_if_done(&mut self, id: MessageId) {
         let done = |held: &&Held| !held.open && !held.unnoticed && !held.is_out();
-        let Some(message) = self.messages.get(&id).filter(done) else { return };
+        let Some(message) = self.messages.get(&id).filter(done) else {
+            return;
+        };
         let line = message.key.and_then(|key| self.keys.get_mut(&key));
         let first = line.and_then(|line| {
             line.turn.retain(|&other| other != id);
@@ -131,20 +170,25 @@
 
     /// Tells the index where a message stands that has changed.
     pub(super) fn reindex(&mut self, id: MessageId) {
-        let Some(held) = self.messages.get(&id) else { return };
+        let Some(held) = self.messages.get(&id) else {
+            return;
+        };
         let standing = self.standing(id, held);
         match &mut self.index.used {
             Some(used) if self.quotas.is_some() => drop(used.insert(held.destination)),
             used => *used = None,
         }
-        self.messages.entry(id).and_modify(|held| self.index.set(id, held, standing));
+        self.messages
+            .entry(id)
+            .and_modify(|held| self.index.set(id, held, standing));
     }
 
     pub(super) fn standing(&self, id: MessageId, held: &Held) -> Standing {
         let line = held.key.and_then(|key| self.keys.get(&key));
         let first = line.is_none_or(|line| line.turn.front() == Some(&id));
         let repeatable = self.own_effect(held.class) == Effect::Repeatable;
-        Standing::of(id, held, self.now, first, repeatable, self.spent_at(held)).apart(id, self.index.apart)
+        Standing::of(id, held, self.now, first, repeatable, self.spent_at(held))
+            .apart(id, self.index.apart)
     }
 
     /// Builds the index if the messages were read back without it.
@@ -155,12 +199,17 @@
     }
 
     pub(super) fn rebuild_index(&mut self) {
-        let standing: Vec<Standing> =
-            self.messages.iter().map(|(&id, held)| self.standing(id, held)).collect();
+        let standing: Vec<Standing> = self
+            .messages
+            .iter()
+            .map(|(&id, held)| self.standing(id, held))
+            .collect();
         let messages = self.messages.iter_mut().zip(standing);
         let used = self.index.used.take();
-        self.index =
-            Index::of(self.index.apart, messages.map(|((&id, held), standing)| (id, held, standing)));
+        self.index = Index::of(
+            self.index.apart,
+            messages.map(|((&id, held), standing)| (id, held, standing)),
+        );
         self.index.used = used;
     }
 
@@ -171,6 +220,9 @@
         self.index.apart = index.apart;
         self.index.used.clone_from(&index.used);
         self.rebuild_index();
-        assert_eq!(index, self.index, "a change of a message was not told to the index");
+        assert_eq!(
+            index, self.index,
+            "a change of a message was not told to the index"
+        );
     }
 }
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -51,9 +51,16 @@
     }
 
     pub(super) fn remember_latency(&mut self, latency: Micros) {
-        self.usual = Some(self.usual.map_or(latency, |usual| usual + (latency - usual) / USUAL_SLOWNESS));
+        self.usual = Some(
+            self.usual
+                .map_or(latency, |usual| usual + (latency - usual) / USUAL_SLOWNESS),
+        );
         self.latencies.push(latency, LATENCIES);
-        let least = if self.latencies.len() < LATENCIES_LEAST { FIRST_COPY_DELAY } else { MILLISECOND };
+        let least = if self.latencies.len() < LATENCIES_LEAST {
+            FIRST_COPY_DELAY
+        } else {
+            MILLISECOND
+        };
         self.offset = Some(self.latencies.ranked(COPY_RANK, 20).unwrap_or(0).max(least));
     }
 
@@ -63,7 +70,11 @@
 
     /// Calls a second that this sender makes, as far as so few tell, else its even part of the listed rate.
     pub(super) fn own_rate(&self, now: Micros) -> f64 {
-        let prior = if self.listed > 0.0 { RATE_CALLS / self.listed } else { 0.0 };
+        let prior = if self.listed > 0.0 {
+            RATE_CALLS / self.listed
+        } else {
+            0.0
+        };
         let calls = if self.listed > 0.0 { RATE_CALLS } else { 0.0 };
         (self.sent as f64 + calls) / (seconds(now - self.since) + prior).max(1.0)
     }
@@ -71,30 +82,57 @@
     /// The highest rate seen; in a crowd, where the highest of all are together more than the limit, the own
     /// rate so far, or half way between the listed rate and the part of it that is sure, if that is more.
     pub(super) fn known_rate(&self, now: Micros, crowd: f64) -> f64 {
-        let sure = self.own_rate(now).max(self.listed * (1.0 + LISTED_SURE) / 2.0);
+        let sure = self
+            .own_rate(now)
+            .max(self.listed * (1.0 + LISTED_SURE) / 2.0);
         self.best_rate * (1.0 - crowd) + sure.min(self.best_rate) * crowd
     }
 
     /// A refusal, or a failure with no success since the last cut, slows the pace down.
     /// The even share of a told limit is left only for demand: other senders may need theirs.
-    pub(super) fn slow_down(&mut self, known: f64, served: f64, senders: f64, crowd: f64, phase: f64) {
+    pub(super) fn slow_down(
+        &mut self,
+        known: f64,
+        served: f64,
+        senders: f64,
+        crowd: f64,
+        phase: f64,
+    ) {
         // a rough rate beats one that is the same for each, however many they are
-        let first = if self.listed > 0.0 { PACE_FIRST * (1.0 - crowd) } else { PACE_FIRST };
-        let pace = if self.pace.is_finite() { self.pace } else { known.max(first / PACE_CUT) };
-        let factor = if self.succeeded { PACE_CUT } else { PACE_HALVED };
+        let first = if self.listed > 0.0 {
+            PACE_FIRST * (1.0 - crowd)
+        } else {
+            PACE_FIRST
+        };
+        let pace = if self.pace.is_finite() {
+            self.pace
+        } else {
+            known.max(first / PACE_CUT)
+        };
+        let factor = if self.succeeded {
+            PACE_CUT
+        } else {
+            PACE_HALVED
+        };
         let kept = 1.0 - (1.0 - factor) * (1.0 - CROWD_CUT * crowd);
         let share = self.told_limit.map_or(f64::INFINITY, |_| self.share);
-        let cut = (pace * kept).max(served * PACE_CUT).min(share.max(pace * PACE_HALVED));
+        let cut = (pace * kept)
+            .max(served * PACE_CUT)
+            .min(share.max(pace * PACE_HALVED));
         self.pace = cut.max(PACE_LEAST / senders).max(PACE_SELDOM);
-        self.tokens =
-            if self.tokens < f64::MAX { self.tokens.min(phase.max(self.tokens - 1.0)) } else { phase };
+        self.tokens = if self.tokens < f64::MAX {
+            self.tokens.min(phase.max(self.tokens - 1.0))
+        } else {
+            phase
+        };
         // refused calls of those that have not heard yet use the limit up: this one stays away meanwhile
         self.tokens -= crowd * kept / factor;
         self.succeeded = false;
     }
 
     pub(super) fn grow(&mut self, crowd: f64) {
-        let growth = PACE_GROWTH * (1.0 - CROWD_GROWTH * crowd) * (self.best_rate / self.pace).max(1.0);
+        let growth =
+            PACE_GROWTH * (1.0 - CROWD_GROWTH * crowd) * (self.best_rate / self.pace).max(1.0);
         let at_once = PACE_GROWTH_MOST * (1.0 + crowd) * self.pace;
         let most = self.told_limit.unwrap_or(f64::INFINITY);
         self.pace = (self.pace + growth.min(at_once)).min(most);
@@ -115,12 +153,18 @@
         let level = safety.start_capacity + (1.0 - safety.start_capacity) * warm.min(1.0);
         let usual = self.usual_rate(now, cold);
         let listed = self.listed * (LISTED_SURE * crowd(senders));
-        let budget = self.best_rate.clamp(usual, 2.0 * usual).max(self.share).max(listed)
+        let budget = self
+            .best_rate
+            .clamp(usual, 2.0 * usual)
+            .max(self.share)
+            .max(listed)
             * safety.fall_multiple
             * BUDGET_SHARE
             * level;
         let span = seconds(safety.fall_span.max(1));
-        let trials = (TRIALS / senders / span).max(0.5 / seconds(cold)).min(1.0 / span);
+        let trials = (TRIALS / senders / span)
+            .max(0.5 / seconds(cold))
+            .min(1.0 / span);
         let least = trials * level / safety.start_capacity.max(0.01);
         let most = if since == now { 1.0 / span } else { self.pace };
         budget.max(least).min(most)
@@ -130,7 +174,15 @@
         // nothing is saved up during a told wait: all who were told would start at its end
         let passed = seconds((now - self.tokens_at.max(self.wait_until)).max(0));
         self.tokens_at = now;
-        let most = if self.is_sick() { 2.0 } else { (rate * PACE_BURST).max(1.0) };
-        self.tokens = if rate.is_finite() { (self.tokens + rate * passed).min(most) } else { f64::MAX };
+        let most = if self.is_sick() {
+            2.0
+        } else {
+            (rate * PACE_BURST).max(1.0)
+        };
+        self.tokens = if rate.is_finite() {
+            (self.tokens + rate * passed).min(most)
+        } else {
+            f64::MAX
+        };
     }
 }
--- a/src/decide/permission.rs
+++ b/src/decide/permission.rs
@@ -8,12 +8,19 @@
 impl Sender {
     /// True if the rules and limits allow this send now. `joins`: it travels in a call opened this turn.
     pub(super) fn may_send(&self, id: MessageId, endpoint: EndpointId, joins: bool) -> bool {
-        let (Some(message), Some(target)) = (self.messages.get(&id), self.endpoints.get(&endpoint)) else {
+        let (Some(message), Some(target)) = (self.messages.get(&id), self.endpoints.get(&endpoint))
+        else {
             return false;
         };
         let settings = &self.settings;
-        let allowed = self.bound(message.class).map_or(usize::MAX, |bound| bound.attempts);
-        let out = message.attempts.iter().filter(|attempt| attempt.out).count();
+        let allowed = self
+            .bound(message.class)
+            .map_or(usize::MAX, |bound| bound.attempts);
+        let out = message
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.out)
+            .count();
         if !message.open
             || self.is_held_back()
             || !target.is_open()
@@ -24,21 +31,40 @@
         {
             return false;
         }
-        let (effect, zone) =
-            (self.effect(message.class), |id| self.endpoints.get(&id).map(|known| known.zone));
-        let apart = |past: &Attempt| zone(past.endpoint) != Some(target.zone);
-        let zone_only = matches!(effect, Effect::Keyed { zone_only: true, .. });
-        let repeatable = self.is_harmless(message, effect) && !(zone_only && message.at_risk().any(apart));
-        let turn = message.key.and_then(|key| self.keys.get(&key)).is_none_or(|line| {
-            let rests = self.now < line.rest_until.max(self.keys_rest_until);
-            line.turn.front() == Some(&id) && (!rests || !message.attempts.is_empty())
+        let (effect, zone) = (self.effect(message.class), |id| {
+            self.endpoints.get(&id).map(|known| known.zone)
         });
+        let apart = |past: &Attempt| zone(past.endpoint) != Some(target.zone);
+        let zone_only = matches!(
+            effect,
+            Effect::Keyed {
+                zone_only: true,
+                ..
+            }
+        );
+        let repeatable =
+            self.is_harmless(message, effect) && !(zone_only && message.at_risk().any(apart));
+        let turn = message
+            .key
+            .and_then(|key| self.keys.get(&key))
+            .is_none_or(|line| {
+                let rests = self.now < line.rest_until.max(self.keys_rest_until);
+                line.turn.front() == Some(&id) && (!rests || !message.attempts.is_empty())
+            });
         let unit_id = self.unit_of(endpoint);
-        let waits = self.units.get(&unit_id).is_some_and(|unit| self.now < unit.wait_until);
+        let waits = self
+            .units
+            .get(&unit_id)
+            .is_some_and(|unit| self.now < unit.wait_until);
         let here = self.units.range(units_of(message.destination));
         let in_flight: usize = here.map(|(_, unit)| unit.in_flight).sum();
-        let shared = self.quotas.as_ref().and_then(|quotas| quotas.of(message.destination).out);
-        let shared = shared.and_then(|(share, _)| share.at(self.now)).unwrap_or(u64::MAX);
+        let shared = self
+            .quotas
+            .as_ref()
+            .and_then(|quotas| quotas.of(message.destination).out);
+        let shared = shared
+            .and_then(|(share, _)| share.at(self.now))
+            .unwrap_or(u64::MAX);
         let slots = joins
             || (in_flight as u64) < shared
                 && (self.calls.len() < self.most(|bounds| bounds.calls, settings.call_slots)
@@ -54,7 +80,9 @@
     /// True if the message may be refused: it is certain that a retry does no harm.
     pub(super) fn may_refuse(&self, message: &Held) -> bool {
         match self.effect(message.class) {
-            Effect::Keyed { zone_only: true, .. } => message.at_risk().next().is_none(),
+            Effect::Keyed {
+                zone_only: true, ..
+            } => message.at_risk().next().is_none(),
             effect => self.is_harmless(message, effect),
         }
     }
@@ -64,9 +92,9 @@
         match effect {
             Effect::Repeatable => true,
             Effect::Unsafe => message.at_risk().next().is_none(),
-            Effect::Keyed { window, .. } => {
-                message.window_ends(window - MARGIN).is_none_or(|ends| self.now < ends)
-            }
+            Effect::Keyed { window, .. } => message
+                .window_ends(window - MARGIN)
+                .is_none_or(|ends| self.now < ends),
         }
     }
 }
--- a/src/decide/proposals.rs
+++ b/src/decide/proposals.rs
@@ -2,11 +2,16 @@
 //! [`permission`](super::permission).
 
 use super::{
-    AIM_RISES, BUDGET_SHARE, BURST, FAIL_TRUST, FIRST_COPY_DELAY, MARGIN, Sender, WINDOW_SICK, share_of,
+    AIM_RISES, BUDGET_SHARE, BURST, FAIL_TRUST, FIRST_COPY_DELAY, MARGIN, Sender, WINDOW_SICK,
+    share_of,
 };
 use crate::backlog::{Candidate, Candidates};
-use crate::interface::{Action, DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros, Quotas};
-use crate::state::{Attempt, Bucket, Call, Endpoint, Health, Held, Unit, UnitId, rest_until_call, units_of};
+use crate::interface::{
+    Action, DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros, Quotas,
+};
+use crate::state::{
+    Attempt, Bucket, Call, Endpoint, Health, Held, Unit, UnitId, rest_until_call, units_of,
+};
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
@@ -18,13 +23,24 @@
 impl Sender {
     /// Ends messages that cannot be delivered any more, and makes room when too many are held.
     pub(super) fn end_hopeless(&mut self, actions: &mut Vec<Action>) {
-        let mut excess = self.index.open().saturating_sub(share_of(self.settings.max_held, HELD_FULL));
+        let mut excess = self
+            .index
+            .open()
+            .saturating_sub(share_of(self.settings.max_held, HELD_FULL));
         let first = self.index.first_deadline();
         self.due = first.map_or(self.due, |deadline| self.due.min(deadline - MARGIN));
         let ended = self.index.ended(self.now + MARGIN, self.now);
         let mut stuck = Vec::new();
-        let all = if excess > 0 { Some(&self.messages) } else { None };
-        for (&id, message) in all.into_iter().flatten().filter(|(_, message)| message.open) {
+        let all = if excess > 0 {
+            Some(&self.messages)
+        } else {
+            None
+        };
+        for (&id, message) in all
+            .into_iter()
+            .flatten()
+            .filter(|(_, message)| message.open)
+        {
             let idle = !message.is_out() && !ended.contains(&id);
             if idle && self.may_refuse(message) && self.is_stuck(message) {
                 stuck.push((message.worth, message.born, id));
@@ -37,7 +53,10 @@
         for id in ends {
             let message = &self.messages[&id];
             actions.push(if self.may_refuse(message) {
-                Action::Refuse { message: id, wait: self.client_wait() }
+                Action::Refuse {
+                    message: id,
+                    wait: self.client_wait(),
+                }
             } else {
                 Action::Fail(id)
             });
@@ -60,31 +79,49 @@
         match self.own_effect(message.class) {
             _ if message.attempts.len() >= message.most_attempts => Micros::MIN,
             Effect::Repeatable => Micros::MAX,
-            Effect::Unsafe => message.at_risk().next().map_or(Micros::MAX, |_| Micros::MIN),
-            Effect::Keyed { window, .. } => message.window_ends(window - MARGIN).unwrap_or(Micros::MAX),
+            Effect::Unsafe => message
+                .at_risk()
+                .next()
+                .map_or(Micros::MAX, |_| Micros::MIN),
+            Effect::Keyed { window, .. } => {
+                message.window_ends(window - MARGIN).unwrap_or(Micros::MAX)
+            }
         }
     }
 
     /// True if every unit of the message's destination is sick, returning or has failed of late.
     pub(super) fn is_stuck(&self, message: &Held) -> bool {
         let goes = |unit: &Unit| unit.health == Health::Well && unit.fails < FAIL_TRUST;
-        let stuck = |id: &EndpointId| self.units.get(&self.unit_of(*id)).is_some_and(|unit| !goes(unit));
+        let stuck = |id: &EndpointId| {
+            self.units
+                .get(&self.unit_of(*id))
+                .is_some_and(|unit| !goes(unit))
+        };
         let serving = |id: &&EndpointId| self.endpoints.get(id).is_some_and(Endpoint::is_open);
-        self.routes.get(&message.destination).is_none_or(|ids| ids.iter().filter(serving).all(stuck))
+        self.routes
+            .get(&message.destination)
+            .is_none_or(|ids| ids.iter().filter(serving).all(stuck))
     }
 
     pub(super) fn send_due(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.index.come_due(self.now) {
             self.reindex(id);
         }
-        let later = self.index.later().find(|(_, id)| self.is_served(self.messages[id].destination));
+        let later = self
+            .index
+            .later()
+            .find(|(_, id)| self.is_served(self.messages[id].destination));
         self.due = later.map_or(self.due, |(at, _)| self.due.min(at));
         let bundles = self.settings.kinds.iter().any(|kind| kind.bundle_max > 1);
         let burdens = |call: &&Call| self.units.get(&call.unit).is_some_and(Unit::is_burden);
         self.burdens = self.calls.values().filter(burdens).count();
         self.weighed = 0;
         let mut candidates = Candidates::default();
-        for place in self.index.ready().filter(|place| self.is_served(place.destination)) {
+        for place in self
+            .index
+            .ready()
+            .filter(|place| self.is_served(place.destination))
+        {
             candidates.extend(self.index.first(place, &self.order(place.group)));
         }
         let mut opened: BTreeMap<EndpointId, u64> = BTreeMap::new();
@@ -114,40 +151,69 @@
     /// this: it rises with age up to a part of the aim, and never beyond.
     pub(super) fn urgency(&self, class: usize, worth: f64, born: Micros) -> f64 {
         let age = self.now - born;
-        let Some(class) = self.settings.classes.get(class) else { return 0.0 };
+        let Some(class) = self.settings.classes.get(class) else {
+            return 0.0;
+        };
         let aims = age as f64 / class.aim as f64;
-        let left =
-            if aims <= AIM_RISES { 1.0 + aims } else { 0.8 * class.worth_left(age, self.settings.fade) };
+        let left = if aims <= AIM_RISES {
+            1.0 + aims
+        } else {
+            0.8 * class.worth_left(age, self.settings.fade)
+        };
         worth * left
     }
 
     /// The best legal endpoint for the message, and the call of this turn that it can join.
     pub(super) fn pick(
-        &mut self, id: MessageId, copy: bool, opened: &BTreeMap<EndpointId, u64>,
+        &mut self,
+        id: MessageId,
+        copy: bool,
+        opened: &BTreeMap<EndpointId, u64>,
     ) -> Option<(EndpointId, Option<u64>)> {
         let message = &self.messages[&id];
         let unsafe_class = self.effect(message.class) == Effect::Unsafe;
         let shared = self.allowed_together(message.destination);
         let message = &self.messages[&id];
-        let routes: Vec<EndpointId> = self.routes.get(&message.destination)?.iter().copied().collect();
+        let routes: Vec<EndpointId> = self
+            .routes
+            .get(&message.destination)?
+            .iter()
+            .copied()
+            .collect();
         let mut options = Vec::new();
         for endpoint in routes {
             let known = &self.endpoints[&endpoint];
-            let bundle = self.settings.kinds.get(known.kind).map_or(1, |kind| kind.bundle_max);
-            let joined = opened.get(&endpoint).copied().filter(|call| self.calls[call].size < bundle);
-            let tries =
-                self.messages[&id].attempts.iter().filter(|attempt| attempt.endpoint == endpoint).count();
+            let bundle = self
+                .settings
+                .kinds
+                .get(known.kind)
+                .map_or(1, |kind| kind.bundle_max);
+            let joined = opened
+                .get(&endpoint)
+                .copied()
+                .filter(|call| self.calls[call].size < bundle);
+            let tries = self.messages[&id]
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.endpoint == endpoint)
+                .count();
             let unit_id = self.unit_of(endpoint);
             if (copy && tries > 0) || !self.may_send(id, endpoint, joined.is_some()) {
                 let key = self.messages[&id].key.and_then(|key| self.keys.get(&key));
                 let rest = key.map(|line| line.rest_until.max(self.keys_rest_until));
                 let until = [rest, Some(self.unit(unit_id).wait_until)];
-                self.due =
-                    until.into_iter().flatten().filter(|&at| at > self.now).fold(self.due, Micros::min);
+                self.due = until
+                    .into_iter()
+                    .flatten()
+                    .filter(|&at| at > self.now)
+                    .fold(self.due, Micros::min);
                 continue;
             }
             let unit = self.unit(unit_id);
-            let (usual, slowest) = (unit.usual.unwrap_or(0), unit.offset.unwrap_or(FIRST_COPY_DELAY));
+            let (usual, slowest) = (
+                unit.usual.unwrap_or(0),
+                unit.offset.unwrap_or(FIRST_COPY_DELAY),
+            );
             let late = self.now + usual > self.messages[&id].deadline;
             // a call cut off by the end of the process may have run; the next life makes a whole one
             if self.ends.is_some_and(|ends| self.now + slowest > ends) {
@@ -161,29 +227,55 @@
             }
             let known = &self.endpoints[&endpoint];
             let record = known.classes.get(&self.messages[&id].class);
-            let struck = record.is_some_and(|class| class.struck_until > self.now && class.strikes > 0);
+            let struck =
+                record.is_some_and(|class| class.struck_until > self.now && class.strikes > 0);
             let health = match self.units[&unit_id].health {
                 Health::Well => 0,
                 Health::Returning { .. } => 1,
                 Health::Sick { .. } => 2,
             };
-            let load = self.calls.values().filter(|call| call.endpoint == endpoint).count();
+            let load = self
+                .calls
+                .values()
+                .filter(|call| call.endpoint == endpoint)
+                .count();
             // filling a call spends nothing; another route has a limit of its own, a shared one has not
-            let load = if joined.is_some() { 0 } else { load + usize::from(unit_id.1.is_none()) };
+            let load = if joined.is_some() {
+                0
+            } else {
+                load + usize::from(unit_id.1.is_none())
+            };
             let far = known.zone != self.settings.zone;
-            options.push(((health, struck, tries, load, far, self.random.next_u32()), endpoint, joined));
+            options.push((
+                (health, struck, tries, load, far, self.random.next_u32()),
+                endpoint,
+                joined,
+            ));
         }
-        options.into_iter().min().map(|(_, endpoint, joined)| (endpoint, joined))
+        options
+            .into_iter()
+            .min()
+            .map(|(_, endpoint, joined)| (endpoint, joined))
     }
 
     /// True if limits that all senders share leave this one a call to the destination now. Guards the limit
     /// against the sum of all; could starve a sender that can't ask and has a small fallback share.
     pub(super) fn allowed_together(&mut self, destination: DestinationId) -> bool {
-        let Some(quota) = self.quotas.as_ref().map(|quotas| quotas.of(destination)) else { return true };
-        let well = self.units.range(units_of(destination)).all(|(_, unit)| unit.health == Health::Well);
+        let Some(quota) = self.quotas.as_ref().map(|quotas| quotas.of(destination)) else {
+            return true;
+        };
+        let well = self
+            .units
+            .range(units_of(destination))
+            .all(|(_, unit)| unit.health == Health::Well);
         let now = self.now;
-        let Some(rate) = quota.rate_at(now, well) else { return true };
-        let new = Bucket { tokens: Bucket::CALL, at: now };
+        let Some(rate) = quota.rate_at(now, well) else {
+            return true;
+        };
+        let new = Bucket {
+            tokens: Bucket::CALL,
+            at: now,
+        };
         let bucket = self.buckets.entry(destination).or_insert(new);
         bucket.refill(now, rate, BURST);
         let allowed = bucket.tokens >= Bucket::CALL;
@@ -196,17 +288,27 @@
     pub(super) fn share(&mut self, quotas: Option<Box<Quotas>>) {
         let before = std::mem::replace(&mut self.quotas, quotas);
         for (&destination, bucket) in &mut self.buckets {
-            let quotas =
-                [&before, &self.quotas].map(|all| all.as_ref().and_then(|all| all.of(destination).rate));
+            let quotas = [&before, &self.quotas]
+                .map(|all| all.as_ref().and_then(|all| all.of(destination).rate));
             bucket.change(self.now, quotas, BURST);
         }
     }
 
     /// Heeds what enough others agree on. Guards slots against a destination that is out for others; could
     /// hold back one that is well, so own successes go before it. One that is back is tried at once.
-    pub(super) fn hear(&mut self, destination: DestinationId, out: bool, actions: &mut Vec<Action>) {
+    pub(super) fn hear(
+        &mut self,
+        destination: DestinationId,
+        out: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let (now, span) = (self.now, self.settings.safety.fall_span);
-        for id in self.units.range(units_of(destination)).map(|(id, _)| *id).collect::<Vec<_>>() {
+        for id in self
+            .units
+            .range(units_of(destination))
+            .map(|(id, _)| *id)
+            .collect::<Vec<_>>()
+        {
             let unit = self.unit(id);
             match unit.health {
                 Health::Well if out && now - unit.alive_at > span => {
@@ -219,7 +321,13 @@
     }
 
     /// True if window, pace and health advise the call.
-    pub(super) fn is_wise(&mut self, id: UnitId, unsafe_class: bool, copy: bool, joins: bool) -> bool {
+    pub(super) fn is_wise(
+        &mut self,
+        id: UnitId,
+        unsafe_class: bool,
+        copy: bool,
+        joins: bool,
+    ) -> bool {
         let (now, safety) = (self.now, self.settings.safety.clone());
         let burden_full = self.burdens >= share_of(self.settings.call_slots, WINDOW_SICK);
         let senders = f64::from(self.counted);
@@ -233,19 +341,29 @@
         let advised = match unit.health {
             // an unsafe message is risked only if calls are refused, or if none else goes
             Health::Sick { .. } => {
-                let needed = if unsafe_class && unit.refused_run == 0 { 2.0 } else { 1.0 };
+                let needed = if unsafe_class && unit.refused_run == 0 {
+                    2.0
+                } else {
+                    1.0
+                };
                 !copy && tokens >= needed && !burden_full
             }
-            Health::Returning { .. } if copy || unsafe_class && unit.fails > FAIL_TRUST => return false,
+            Health::Returning { .. } if copy || unsafe_class && unit.fails > FAIL_TRUST => {
+                return false;
+            }
             // what is sent to a unit that may be about to fail cannot be sent again
-            Health::Well if unsafe_class && unit.quiet_age > unit.offset.unwrap_or(FIRST_COPY_DELAY) => {
+            Health::Well
+                if unsafe_class && unit.quiet_age > unit.offset.unwrap_or(FIRST_COPY_DELAY) =>
+            {
                 return false;
             }
             Health::Well if copy && tokens < 2.0 => return false,
             _ => joins || (unit.in_flight as f64) < unit.window.floor().max(1.0) && tokens >= 1.0,
         };
         if !advised && tokens < 1.0 {
-            self.due = self.due.min(now + rest_until_call(tokens, rate) + MILLISECOND);
+            self.due = self
+                .due
+                .min(now + rest_until_call(tokens, rate) + MILLISECOND);
         }
         advised
     }
@@ -256,11 +374,22 @@
     pub(super) fn is_warm_enough(&mut self, endpoint: EndpointId, id: UnitId) -> bool {
         let (now, safety) = (self.now, self.settings.safety.clone());
         let unit = self.unit(id);
-        let known_rate = if unit.best_rate > 0.0 { unit.best_rate.max(unit.share) } else { 1.0 };
+        let known_rate = if unit.best_rate > 0.0 {
+            unit.best_rate.max(unit.share)
+        } else {
+            1.0
+        };
         let open = |id: &&EndpointId| self.endpoints.get(id).is_some_and(Endpoint::is_open);
-        let fellows = self.routes.get(&id.0).map_or(1, |ids| ids.iter().filter(open).count().max(1));
-        let Some(known) = self.endpoints.get_mut(&endpoint) else { return true };
-        let Some(warmup) = &mut known.warmup else { return true };
+        let fellows = self
+            .routes
+            .get(&id.0)
+            .map_or(1, |ids| ids.iter().filter(open).count().max(1));
+        let Some(known) = self.endpoints.get_mut(&endpoint) else {
+            return true;
+        };
+        let Some(warmup) = &mut known.warmup else {
+            return true;
+        };
         let warm = (now - warmup.since) as f64 / safety.cold_time.max(1) as f64;
         if warm >= 1.0 {
             known.warmup = None;
@@ -271,21 +400,35 @@
         warmup.refill(now, rate);
         let allowed = warmup.tokens >= 1.0;
         if !allowed {
-            self.due = self.due.min(now + rest_until_call(warmup.tokens, rate) + MILLISECOND);
+            self.due = self
+                .due
+                .min(now + rest_until_call(warmup.tokens, rate) + MILLISECOND);
         }
         allowed
     }
 
     pub(super) fn send(
-        &mut self, id: MessageId, endpoint: EndpointId, joined: Option<u64>, copy: bool,
-        opened: &mut BTreeMap<EndpointId, u64>, actions: &mut Vec<Action>,
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+        joined: Option<u64>,
+        copy: bool,
+        opened: &mut BTreeMap<EndpointId, u64>,
+        actions: &mut Vec<Action>,
     ) {
         let now = self.now;
         let unit_id = self.unit_of(endpoint);
         let call_id = joined.unwrap_or(self.next_call);
         if joined.is_none() {
             self.next_call += 1;
-            let call = Call { unit: unit_id, endpoint, sent: now, left: 0, size: 0, copy };
+            let call = Call {
+                unit: unit_id,
+                endpoint,
+                sent: now,
+                left: 0,
+                size: 0,
+                copy,
+            };
             self.calls.insert(call_id, call);
             self.copies_out += usize::from(copy);
             opened.insert(endpoint, call_id);
@@ -294,51 +437,92 @@
             unit.in_flight += 1;
             unit.sent += 1;
             self.burdens += usize::from(self.units[&unit_id].is_burden());
-            self.buckets.entry(unit_id.0).and_modify(|bucket| bucket.tokens -= Bucket::CALL);
-            let warmup = self.endpoints.get_mut(&endpoint).and_then(|known| known.warmup.as_mut());
+            self.buckets
+                .entry(unit_id.0)
+                .and_modify(|bucket| bucket.tokens -= Bucket::CALL);
+            let warmup = self
+                .endpoints
+                .get_mut(&endpoint)
+                .and_then(|known| known.warmup.as_mut());
             warmup.into_iter().for_each(|warmup| warmup.tokens -= 1.0);
         }
         let silence = self.unit(unit_id).silence_limit();
         let offset = self.unit(unit_id).offset.unwrap_or(FIRST_COPY_DELAY);
-        self.calls.entry(call_id).and_modify(|call| (call.left, call.size) = (call.left + 1, call.size + 1));
+        self.calls
+            .entry(call_id)
+            .and_modify(|call| (call.left, call.size) = (call.left + 1, call.size + 1));
         let effect = self.effect(self.messages[&id].class);
-        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
         let (expires, start_by) = match effect {
             Effect::Unsafe => (message.deadline, None),
-            Effect::Keyed { window: w, .. } => {
-                (message.deadline.min(now + w), message.window_ends(w - MARGIN))
-            }
+            Effect::Keyed { window: w, .. } => (
+                message.deadline.min(now + w),
+                message.window_ends(w - MARGIN),
+            ),
             Effect::Repeatable => (message.deadline.min(now + offset * 10), None),
         };
-        let longest = self.quotas.as_ref().and_then(|quotas| quotas.of(unit_id.0).out);
+        let longest = self
+            .quotas
+            .as_ref()
+            .and_then(|quotas| quotas.of(unit_id.0).out);
         let expires = longest.map_or(expires, |(_, longest)| expires.min(now + longest));
         if copy {
             message.copy_at = now + message.copy_step;
             message.copy_step *= 2;
         } else {
-            message.copy_at = if effect == Effect::Unsafe { Micros::MAX } else { now + offset };
+            message.copy_at = if effect == Effect::Unsafe {
+                Micros::MAX
+            } else {
+                now + offset
+            };
             message.copy_step = offset;
         }
-        self.due = self.due.min(message.copy_at).min(now + silence + MILLISECOND);
-        message.attempts.iter_mut().for_each(|attempt| attempt.overlapped |= attempt.out);
+        self.due = self
+            .due
+            .min(message.copy_at)
+            .min(now + silence + MILLISECOND);
+        message
+            .attempts
+            .iter_mut()
+            .for_each(|attempt| attempt.overlapped |= attempt.out);
         let attempt = message.attempts.len();
         message.attempts.push(Attempt::new(endpoint, now, call_id));
         self.reindex(id);
-        actions.push(Action::Send { message: id, attempt, endpoint, expires, start_by });
+        actions.push(Action::Send {
+            message: id,
+            attempt,
+            endpoint,
+            expires,
+            start_by,
+        });
     }
 
     /// Marks a message as ended and calls off what is still out.
     pub(super) fn close(&mut self, id: MessageId, actions: &mut Vec<Action>) {
-        let Some(message) = self.messages.get_mut(&id).filter(|message| message.open) else { return };
+        let Some(message) = self.messages.get_mut(&id).filter(|message| message.open) else {
+            return;
+        };
         message.open = false;
         let cancels = self.settings.may_cancel;
-        let out = message.attempts.iter().enumerate().filter(|(_, attempt)| cancels && attempt.out);
-        actions.extend(out.map(|(attempt, _)| Action::Cancel { message: id, attempt }));
+        let out = message
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, attempt)| cancels && attempt.out);
+        actions.extend(out.map(|(attempt, _)| Action::Cancel {
+            message: id,
+            attempt,
+        }));
         self.reindex(id);
     }
 
     pub(super) fn set_alarm(&mut self, actions: &mut Vec<Action>) {
-        let at = self.due.min(self.list_retry.unwrap_or(Micros::MAX)).max(self.now + MILLISECOND);
+        let at = self
+            .due
+            .min(self.list_retry.unwrap_or(Micros::MAX))
+            .max(self.now + MILLISECOND);
         if at < self.alarm {
             self.alarm = at;
             actions.push(Action::SetAlarm(at));
--- a/src/decide/silence.rs
+++ b/src/decide/silence.rs
@@ -34,13 +34,23 @@
             }
         }
         for call in self.calls.values() {
-            let Some(unit) = self.units.get_mut(&call.unit) else { continue };
+            let Some(unit) = self.units.get_mut(&call.unit) else {
+                continue;
+            };
             let age = self.now - call.sent;
             let limit = unit.silence_limit();
             let overtaken = call.sent + LOST_OFFSETS * unit.offset.unwrap_or(FIRST_COPY_DELAY);
             let limits = [1, 2, 4].map(|limits| call.sent + limits * limit);
-            for at in limits.into_iter().chain(full.then_some(overtaken)).map(|at| at + MILLISECOND) {
-                self.due = if at > self.now { self.due.min(at) } else { self.due };
+            for at in limits
+                .into_iter()
+                .chain(full.then_some(overtaken))
+                .map(|at| at + MILLISECOND)
+            {
+                self.due = if at > self.now {
+                    self.due.min(at)
+                } else {
+                    self.due
+                };
             }
             unit.lags |= age > SILENT_LEAST.max(unit.usual.unwrap_or(FIRST_COPY_DELAY) * LAG_USUAL);
             if unit.alive_at < call.sent {
@@ -53,31 +63,50 @@
             unit.health == Health::Well && unit.quiet > 0 && (unit.quiet > 1 || lone)
         };
         let busy: BTreeSet<UnitId> = self.calls.values().map(|call| call.unit).collect();
-        let ids: Vec<_> = busy.into_iter().filter(|id| self.units.get(id).is_some_and(silent)).collect();
-        ids.into_iter().for_each(|id| self.fall_sick(id, true, "silent", actions));
+        let ids: Vec<_> = busy
+            .into_iter()
+            .filter(|id| self.units.get(id).is_some_and(silent))
+            .collect();
+        ids.into_iter()
+            .for_each(|id| self.fall_sick(id, true, "silent", actions));
         for &message in self.index.out() {
-            let Some(held) = self.messages.get_mut(&message) else { continue };
+            let Some(held) = self.messages.get_mut(&message) else {
+                continue;
+            };
             let class = self.settings.classes.get(held.class);
             let repeatable = class.is_some_and(|class| class.effect != Effect::Unsafe);
             let free = self.settings.may_cancel && (scarce || repeatable);
             for (index, attempt) in held.attempts.iter_mut().enumerate() {
-                let call =
-                    self.calls.get(&attempt.call).filter(|_| free && attempt.out && !attempt.cancelled);
-                let Some(unit) = call.and_then(|call| self.units.get(&call.unit)) else { continue };
+                let call = self
+                    .calls
+                    .get(&attempt.call)
+                    .filter(|_| free && attempt.out && !attempt.cancelled);
+                let Some(unit) = call.and_then(|call| self.units.get(&call.unit)) else {
+                    continue;
+                };
                 let sick = unit.alive_at < attempt.sent && unit.is_sick();
-                let record = self.endpoints.get(&attempt.endpoint).map(|known| &known.classes);
-                let alive = record.and_then(|classes| classes.get(&held.class)).map(|class| class.alive_at);
-                let limits = (if scarce { 1 } else { RECLAIM_LIMITS }) * if sick { 1 } else { CLASS_LIMITS };
+                let record = self
+                    .endpoints
+                    .get(&attempt.endpoint)
+                    .map(|known| &known.classes);
+                let alive = record
+                    .and_then(|classes| classes.get(&held.class))
+                    .map(|class| class.alive_at);
+                let limits =
+                    (if scarce { 1 } else { RECLAIM_LIMITS }) * if sick { 1 } else { CLASS_LIMITS };
                 let over = self.now - attempt.sent > limits * unit.silence_limit();
                 // lost on its own, however its endpoint fares with others
                 let age = self.now - attempt.sent;
                 let offset = unit.offset.unwrap_or(FIRST_COPY_DELAY);
                 let overtaken = full && repeatable && unit.alive_at > attempt.sent;
-                let lost =
-                    age > LOST_LIMITS * unit.silence_limit() || overtaken && age > LOST_OFFSETS * offset;
+                let lost = age > LOST_LIMITS * unit.silence_limit()
+                    || overtaken && age > LOST_OFFSETS * offset;
                 if lost || over && (sick || alive.unwrap_or(0) < attempt.sent) {
                     attempt.cancelled = true;
-                    actions.push(Action::Cancel { message, attempt: index });
+                    actions.push(Action::Cancel {
+                        message,
+                        attempt: index,
+                    });
                 }
             }
         }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -45,7 +45,14 @@
 impl Entry {
     /// A serving endpoint of the first kind and zone.
     pub fn new(endpoint: EndpointId, destination: DestinationId) -> Self {
-        Entry { endpoint, destination, zone: 0, kind: 0, status: Status::Serving, weight: 1.0 }
+        Entry {
+            endpoint,
+            destination,
+            zone: 0,
+            kind: 0,
+            status: Status::Serving,
+            weight: 1.0,
+        }
     }
 }
 
@@ -76,7 +83,17 @@
     /// A message without key or tenant, handed in for the first time.
     pub fn new(id: MessageId, class: usize, destination: DestinationId, time_left: Micros) -> Self {
         let (key, tenant, attempts) = (None, None, None);
-        NewMessage { id, class, destination, time_left, key, tenant, again: false, orphan: false, attempts }
+        NewMessage {
+            id,
+            class,
+            destination,
+            time_left,
+            key,
+            tenant,
+            again: false,
+            orphan: false,
+            attempts,
+        }
     }
 }
 
@@ -121,12 +138,18 @@
 impl Outcome {
     /// True if the destination, or the way to it, failed the attempt.
     pub fn failed(self) -> bool {
-        matches!(self, Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset)
+        matches!(
+            self,
+            Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset
+        )
     }
 
     /// True if the attempt certainly never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Refused { .. } | Outcome::NoConnection | Outcome::Unsent { .. })
+        matches!(
+            self,
+            Outcome::Refused { .. } | Outcome::NoConnection | Outcome::Unsent { .. }
+        )
     }
 }
 
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -44,7 +44,11 @@
     /// The least rate that holds at a time for a destination that is well or not; none: any.
     pub fn rate_at(&self, now: Micros, well: bool) -> Option<u64> {
         let shares = [self.rate, self.cold.filter(|_| !well)];
-        shares.into_iter().flatten().filter_map(|share| share.at(now)).min()
+        shares
+            .into_iter()
+            .flatten()
+            .filter_map(|share| share.at(now))
+            .min()
     }
 }
 
--- a/src/interface/rules.rs
+++ b/src/interface/rules.rs
@@ -26,9 +26,16 @@
         match (self, other) {
             (Effect::Unsafe, _) | (_, Effect::Unsafe) => Effect::Unsafe,
             (Effect::Repeatable, stricter) | (stricter, Effect::Repeatable) => stricter,
-            (Effect::Keyed { window, zone_only }, Effect::Keyed { window: other, zone_only: zone }) => {
-                Effect::Keyed { window: window.min(other), zone_only: zone_only || zone }
-            }
+            (
+                Effect::Keyed { window, zone_only },
+                Effect::Keyed {
+                    window: other,
+                    zone_only: zone,
+                },
+            ) => Effect::Keyed {
+                window: window.min(other),
+                zone_only: zone_only || zone,
+            },
         }
     }
 }
@@ -50,8 +57,13 @@
 
 impl ClassBound {
     /// Of a class that the rules do not name.
-    pub const NOTHING: ClassBound =
-        ClassBound { accepted: false, effect: Effect::Unsafe, attempts: 0, ordered: true, key_rest: 0 };
+    pub const NOTHING: ClassBound = ClassBound {
+        accepted: false,
+        effect: Effect::Unsafe,
+        attempts: 0,
+        ordered: true,
+        key_rest: 0,
+    };
 }
 
 /// What agreed rules allow at most.
