--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -27,7 +27,15 @@
 impl Class {
     /// A class of worth 1 that keeps none of it after the aim and asks for no order.
     pub fn new(name: &str, effect: Effect, aim: Micros, deadline: Micros) -> Self {
-        Class { name: name.to_string(), effect, aim, deadline, worth: 1.0, late_share: 0.0, ordered: false }
+        Class {
+            name: name.to_string(),
+            effect,
+            aim,
+            deadline,
+            worth: 1.0,
+            late_share: 0.0,
+            ordered: false,
+        }
     }
 
     /// Share of the worth that a delivery at this age still has.
@@ -35,7 +43,9 @@
         let late = (age - self.aim) as f64;
         let left = match fade {
             Fade::Halving => 0.5f64.powf(late / self.aim as f64),
-            Fade::Even => 1.0 - (1.0 - self.late_share) * late / (self.deadline - self.aim).max(1) as f64,
+            Fade::Even => {
+                1.0 - (1.0 - self.late_share) * late / (self.deadline - self.aim).max(1) as f64
+            }
         };
         left.min(1.0).max(self.late_share)
     }
@@ -192,10 +202,13 @@
 
     /// The place of a class with just these terms, which is a new one where none has them.
     pub fn place(&mut self, class: Class) -> usize {
-        self.classes.iter().position(|known| *known == class).unwrap_or_else(|| {
-            self.classes.push(class);
-            self.classes.len() - 1
-        })
+        self.classes
+            .iter()
+            .position(|known| *known == class)
+            .unwrap_or_else(|| {
+                self.classes.push(class);
+                self.classes.len() - 1
+            })
     }
 
     /// Checks that the settings make sense.
@@ -212,16 +225,24 @@
         check_share("price_cross_zone", self.price_cross_zone)?;
         check_share("price_probe", self.price_probe)?;
         check_share("price_waste", self.price_waste)?;
-        self.zone_fees.iter().try_for_each(|&fee| check_share("zone_fees", fee))?;
+        self.zone_fees
+            .iter()
+            .try_for_each(|&fee| check_share("zone_fees", fee))?;
         self.validate_spans()?;
         check_share("safety.start_capacity", self.safety.start_capacity)?;
         check_share("safety.fall_multiple", self.safety.fall_multiple)?;
         self.validate_classes()?;
         for kind in &self.kinds {
-            check_positive(&format!("kinds.{}.bundle_max", kind.name), kind.bundle_max > 0)?;
+            check_positive(
+                &format!("kinds.{}.bundle_max", kind.name),
+                kind.bundle_max > 0,
+            )?;
         }
         for tenant in &self.tenants {
-            check_share(&format!("tenants.{}.allowance", tenant.name), tenant.allowance)?;
+            check_share(
+                &format!("tenants.{}.allowance", tenant.name),
+                tenant.allowance,
+            )?;
         }
         Ok(())
     }
@@ -264,14 +285,21 @@
 }
 
 fn check_positive(name: &str, ok: bool) -> Result<(), SettingsError> {
-    if ok { Ok(()) } else { Err(SettingsError::new(name, "must be above zero")) }
+    if ok {
+        Ok(())
+    } else {
+        Err(SettingsError::new(name, "must be above zero"))
+    }
 }
 
 fn check_share(name: &str, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(())
     } else {
-        Err(SettingsError::new(name, "must be a finite number, zero or more"))
+        Err(SettingsError::new(
+            name,
+            "must be a finite number, zero or more",
+        ))
     }
 }
 
@@ -287,7 +315,10 @@
 impl SettingsError {
     /// An error about `setting`.
     pub fn new(setting: &str, problem: &str) -> Self {
-        SettingsError { setting: setting.to_string(), problem: problem.to_string() }
+        SettingsError {
+            setting: setting.to_string(),
+            problem: problem.to_string(),
+        }
     }
 }
 
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -40,7 +40,10 @@
 impl Promise {
     /// That of a class with this effect.
     pub fn new(key: Option<u64>, effect: Effect) -> Self {
-        Promise { key, once: effect == Effect::Unsafe }
+        Promise {
+            key,
+            once: effect == Effect::Unsafe,
+        }
     }
 }
 
@@ -79,7 +82,14 @@
             self.turns.entry(key).or_default().insert(id);
         }
         let tried = out > 0 || may_have_run;
-        let message = Message { promise, open: true, over: false, out, may_have_run, tried };
+        let message = Message {
+            promise,
+            open: true,
+            over: false,
+            out,
+            may_have_run,
+            tried,
+        };
         self.messages.insert(id, message);
     }
 
@@ -111,11 +121,16 @@
 
     /// A call that began has its outcome; `rest` is how long its key rests where it may run on.
     pub fn ended(&mut self, id: MessageId, outcome: Outcome, now: Micros, rest: Micros) {
-        let Some(message) = self.messages.get_mut(&id) else { return };
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
         message.out = message.out.saturating_sub(1);
         message.may_have_run |= !outcome.never_ran();
         let key = message.promise.key;
-        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
+        if matches!(
+            outcome,
+            Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
+        ) {
             key.into_iter().for_each(|key| self.rest(key, now, rest));
         }
         self.forget_if_done(id);
@@ -123,12 +138,16 @@
 
     /// The message gets no further call; its turn lasts until it is over.
     pub fn close(&mut self, id: MessageId) {
-        self.messages.entry(id).and_modify(|message| message.open = false);
+        self.messages
+            .entry(id)
+            .and_modify(|message| message.open = false);
     }
 
     /// Nothing more is owed for the message.
     pub fn over(&mut self, id: MessageId) {
-        self.messages.entry(id).and_modify(|message| (message.open, message.over) = (false, true));
+        self.messages
+            .entry(id)
+            .and_modify(|message| (message.open, message.over) = (false, true));
         self.forget_if_done(id);
     }
 
@@ -141,7 +160,11 @@
     }
 
     fn forget_if_done(&mut self, id: MessageId) {
-        let Some(message) = self.messages.get(&id).filter(|message| message.over && message.out == 0) else {
+        let Some(message) = self
+            .messages
+            .get(&id)
+            .filter(|message| message.over && message.out == 0)
+        else {
             return;
         };
         if let Some(key) = message.promise.key
@@ -178,7 +201,11 @@
         assert_eq!(lifecycle.begin(B, 0), Err(Refusal::OutOfTurn));
         assert_eq!(lifecycle.begin(A, 0), Ok(()));
         lifecycle.over(A);
-        assert_eq!(lifecycle.begin(B, 1), Err(Refusal::OutOfTurn), "the call of the first is out");
+        assert_eq!(
+            lifecycle.begin(B, 1),
+            Err(Refusal::OutOfTurn),
+            "the call of the first is out"
+        );
         lifecycle.ended(A, Outcome::Cancelled, 10, REST);
         assert_eq!(lifecycle.begin(B, 309), Err(Refusal::Rest));
         assert_eq!(lifecycle.begin(B, 310), Ok(()));
--- a/src/main.rs
+++ b/src/main.rs
@@ -64,7 +64,9 @@
 
 fn start() -> Result<(), Box<dyn std::error::Error>> {
     let config = Config::from_env()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
@@ -118,7 +120,10 @@
         let lock = until_had("the folder's lock", || Lock::open(&config.state)).await?;
         let taken = upgrade::take_over(&lock, &config.state).await;
         let clock = until_had("the clock", || Clock::resume(&config.state)).await?;
-        let entries = config.settings.max_held.saturating_mul(2 * config.settings.max_attempts + 1) as u64;
+        let entries = config
+            .settings
+            .max_held
+            .saturating_mul(2 * config.settings.max_attempts + 1) as u64;
         let open = || Journal::open(&config.state, config.disk, entries);
         let (journal, recovery) = until_had("the journal", open).await?;
         Ok::<_, Box<dyn std::error::Error>>((lock, taken, clock, journal, recovery))
@@ -128,25 +133,47 @@
         _ = terminate.recv() => return Ok(()),
     };
     let senders = config.settings.senders;
-    let zone = config.names.zones.get(usize::from(config.settings.zone)).cloned().unwrap_or_default();
+    let zone = config
+        .names
+        .zones
+        .get(usize::from(config.settings.zone))
+        .cloned()
+        .unwrap_or_default();
     let span = |micros| Duration::from_micros(u64::try_from(micros).unwrap_or(0));
     let (ask_lists, safety) = (config.settings.list_on_request, &config.settings.safety);
-    let agents = discovery::Shared { senders, asked: ask_lists, ask_every: span(safety.ask_every) };
+    let agents = discovery::Shared {
+        senders,
+        asked: ask_lists,
+        ask_every: span(safety.ask_every),
+    };
     // a call that is decided may be written once its connection is up
     let grace = span(safety.drain_grace).saturating_sub(span(config.names.dial_timeout));
     log_recovery(&config.name, &journal, &recovery);
     let limits = limits(&config.pool, config.sockets, &config.settings);
-    let means = Means { descriptors: config.sockets, seed: config.seed };
+    let means = Means {
+        descriptors: config.sockets,
+        seed: config.seed,
+    };
     let connections = Connections::new(limits, config.names.dial_timeout, means);
     let calls = Calls::new(inputs.clone(), connections);
     let classes = Classes::default();
     let (sender, handover, link) = match taken {
-        Some(Taken { sender, handover, link }) => (*sender, Some(handover), Some(link)),
-        None => (Sender::new(config.settings.clone(), config.seed)?, None, None),
+        Some(Taken {
+            sender,
+            handover,
+            link,
+        }) => (*sender, Some(handover), Some(link)),
+        None => (
+            Sender::new(config.settings.clone(), config.seed)?,
+            None,
+            None,
+        ),
     };
     // a third for clients, those of an old process counted; calls, idle connections and files share the rest
     let most = (config.sockets / 3).max(1);
-    let elsewhere = handover.as_ref().map_or(0, |handover| handover.clients.min(most - 1));
+    let elsewhere = handover
+        .as_ref()
+        .map_or(0, |handover| handover.clients.min(most - 1));
     let places = Arc::new(Semaphore::new(most - elsewhere));
     let server = Server {
         classes: classes.clone(),
@@ -159,7 +186,10 @@
     };
     let counted = Rc::new(Cell::new(senders));
     let listed = Rc::new(Cell::new(0));
-    let floor = agreement.borrow().as_ref().map(|agreement| agreement::bounds(&agreement.floor));
+    let floor = agreement
+        .borrow()
+        .as_ref()
+        .map(|agreement| agreement::bounds(&agreement.floor));
     let floors = shared_limits.borrow().as_ref().map(ledger::on_floors);
     let shared = Shared {
         clock,
@@ -193,7 +223,11 @@
     if let Some(mut link) = link {
         // an old process that is gone leaves all to this one just the same
         let told = link.writer.send(&Frame::Owns).await;
-        net::log(format_args!("{}: upgrade: taken over ({})", config.name, said(&told)));
+        net::log(format_args!(
+            "{}: upgrade: taken over ({})",
+            config.name,
+            said(&told)
+        ));
         driver.follow(link.listen(inputs.clone()), elsewhere);
     }
     let listener = upgrade::listener(config.passed, config.listen).await?;
@@ -203,8 +237,14 @@
     let (freshness, tells) = Freshness::new(!ask_lists, grace, inputs.clone());
     tokio::task::spawn_local(until_handed(Box::pin(tells) as Task));
     let backoff = Backoff::new(agents, config.seed);
-    let watch =
-        discovery::watch(agent.clone(), driver.list_version(), agents, backoff, freshness, inputs.clone());
+    let watch = discovery::watch(
+        agent.clone(),
+        driver.list_version(),
+        agents,
+        backoff,
+        freshness,
+        inputs.clone(),
+    );
     tokio::task::spawn_local(until_handed(Box::pin(watch) as Task));
     let holds = agreement::Means {
         clock,
@@ -226,7 +266,12 @@
     };
     let holds = ledger::hold(holds, shared_limits, parts_asked, stopping.clone());
     tokio::task::spawn_local(until_handed(Box::pin(holds)));
-    let means = freeze::Means { clock, seed: config.seed, inputs: inputs.clone(), agent: agent.clone() };
+    let means = freeze::Means {
+        clock,
+        seed: config.seed,
+        inputs: inputs.clone(),
+        agent: agent.clone(),
+    };
     let follows = freeze::follow(means, frozen, stopping.clone());
     tokio::task::spawn_local(until_handed(Box::pin(follows)));
     let post = discovery::post_notices(agent, queue, inputs.clone());
@@ -276,13 +321,19 @@
 
 /// What is told of a word that could not be sent.
 fn said(told: &Result<(), upgrade::LinkError>) -> String {
-    told.as_ref().map_or_else(|error| format!("the old process is gone: {error}"), |()| "as it was".into())
+    told.as_ref().map_or_else(
+        |error| format!("the old process is gone: {error}"),
+        |()| "as it was".into(),
+    )
 }
 
 /// Rereads the configuration on each SIGHUP: settings and discovery come from a file that is whole, or neither.
 async fn reread(
-    mut hangup: Signal, mut text: Vec<u8>, moved: watch::Sender<SocketAddr>,
-    (member, agrees, shares, freezes): Parts, inputs: mpsc::UnboundedSender<Input>,
+    mut hangup: Signal,
+    mut text: Vec<u8>,
+    moved: watch::Sender<SocketAddr>,
+    (member, agrees, shares, freezes): Parts,
+    inputs: mpsc::UnboundedSender<Input>,
 ) {
     let faults = Seldom::default();
     let mut wanted = hangup.recv().await.is_some();
@@ -297,19 +348,35 @@
                 continue;
             }
             Ok(Ok(new)) => {
-                let names = new.settings.classes.iter().map(|class| class.name.as_str()).collect::<Vec<_>>();
+                let names = new
+                    .settings
+                    .classes
+                    .iter()
+                    .map(|class| class.name.as_str())
+                    .collect::<Vec<_>>();
                 let names = names.join(", ");
-                net::log(format_args!("SIGHUP: classes {names}; discovery at {}", new.discovery));
+                net::log(format_args!(
+                    "SIGHUP: classes {names}; discovery at {}",
+                    new.discovery
+                ));
                 text = new.text;
-                let _ = inputs.send(Input::Retuned(Box::new((new.settings, new.names, new.pool))));
+                let _ = inputs.send(Input::Retuned(Box::new((
+                    new.settings,
+                    new.names,
+                    new.pool,
+                ))));
                 replace(&member, new.membership);
                 replace(&agrees, new.agreement);
                 replace(&shares, new.ledger);
                 replace(&freezes, new.freeze);
                 replace(&moved, new.discovery);
             }
-            Ok(Err(error)) => net::log(format_args!("SIGHUP: configuration left as it was: {error}")),
-            Err(error) => net::log(format_args!("SIGHUP: configuration left as it was: {error}")),
+            Ok(Err(error)) => net::log(format_args!(
+                "SIGHUP: configuration left as it was: {error}"
+            )),
+            Err(error) => net::log(format_args!(
+                "SIGHUP: configuration left as it was: {error}"
+            )),
         }
         wanted = hangup.recv().await.is_some();
     }
@@ -325,7 +392,11 @@
 }
 
 fn log_recovery(name: &str, journal: &Journal, recovery: &journal::Recovery) {
-    let journal::Recovery { records, torn, damaged } = recovery;
+    let journal::Recovery {
+        records,
+        torn,
+        damaged,
+    } = recovery;
     if *records + *torn + *damaged > 0 {
         let owed = journal.owed().len();
         net::log(format_args!(
@@ -333,6 +404,8 @@
         ));
     }
     if *damaged > 0 {
-        net::log(format_args!("{name}: journal damaged, {damaged} bytes skipped; all it holds may have run"));
+        net::log(format_args!(
+            "{name}: journal damaged, {damaged} bytes skipped; all it holds may have run"
+        ));
     }
 }
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -56,15 +56,21 @@
 
 /// What rules allow, in the decisions' own terms.
 pub fn bounds(rules: &Rules) -> Bounds {
-    let micros = |ms: u64| Micros::try_from(ms).unwrap_or(Micros::MAX).saturating_mul(MILLISECOND);
+    let micros = |ms: u64| {
+        Micros::try_from(ms)
+            .unwrap_or(Micros::MAX)
+            .saturating_mul(MILLISECOND)
+    };
     let effect = |effect: Agreeable| match effect {
         Agreeable::AtMostOnce => Effect::Unsafe,
-        Agreeable::DeduplicatedInZone { window_ms } => {
-            Effect::Keyed { window: micros(window_ms), zone_only: true }
-        }
-        Agreeable::Deduplicated { window_ms } => {
-            Effect::Keyed { window: micros(window_ms), zone_only: false }
-        }
+        Agreeable::DeduplicatedInZone { window_ms } => Effect::Keyed {
+            window: micros(window_ms),
+            zone_only: true,
+        },
+        Agreeable::Deduplicated { window_ms } => Effect::Keyed {
+            window: micros(window_ms),
+            zone_only: false,
+        },
         Agreeable::Idempotent => Effect::Repeatable,
     };
     let classes = rules.classes.iter().map(|(name, class)| {
@@ -77,13 +83,24 @@
         };
         (name.clone(), bound)
     });
-    let limit = |name: &str| rules.limits.get(name).and_then(|most| usize::try_from(*most).ok());
-    Bounds { classes: classes.collect(), calls: limit("calls"), messages: limit("messages") }
+    let limit = |name: &str| {
+        rules
+            .limits
+            .get(name)
+            .and_then(|most| usize::try_from(*most).ok())
+    };
+    Bounds {
+        classes: classes.collect(),
+        calls: limit("calls"),
+        messages: limit("messages"),
+    }
 }
 
 /// Holds leases for as long as the settings want it, until the process stops or hands over.
 pub async fn hold(
-    mut means: Means, mut wanted: watch::Receiver<Option<Agreement>>, mut queries: mpsc::Receiver<Query>,
+    mut means: Means,
+    mut wanted: watch::Receiver<Option<Agreement>>,
+    mut queries: mpsc::Receiver<Query>,
     mut stopping: watch::Receiver<bool>,
 ) {
     // differs between any two processes of one name
@@ -106,12 +123,27 @@
         was_on = true;
         life += 1;
         let floor = bounds(&agreement.floor);
-        means.bind(Some(Agreed { leased: None, fallback: floor.clone() })).await;
+        means
+            .bind(Some(Agreed {
+                leased: None,
+                fallback: floor.clone(),
+            }))
+            .await;
         log(format_args!("agreement: on the floor until a lease is had"));
         let holder = Holder::new(agreement.floor.clone(), life);
         let (lease, told, lapsed, asked, granted, failed) = (Duration::ZERO, None, true, 0, 0, 0);
-        let mut part =
-            Part { means: &mut means, agreement, holder, floor, lease, told, lapsed, asked, granted, failed };
+        let mut part = Part {
+            means: &mut means,
+            agreement,
+            holder,
+            floor,
+            lease,
+            told,
+            lapsed,
+            asked,
+            granted,
+            failed,
+        };
         tokio::select! {
             () = part.run(&mut queries) => {}
             changed = wanted.changed() => if changed.is_err() { return },
@@ -174,8 +206,10 @@
                 }
             };
             let part = 0.75 + 0.5 * self.means.backoff.part();
-            let left =
-                self.holder.until(self.means.now()).map(|until| until.saturating_sub(self.means.now()));
+            let left = self
+                .holder
+                .until(self.means.now())
+                .map(|until| until.saturating_sub(self.means.now()));
             let rest = match (lease, left) {
                 (Some(lease), _) => (lease / RENEW).mul_f64(part),
                 // while a lease lasts it is worth asking; after that all that lost theirs would ask together
@@ -186,7 +220,8 @@
                     rest
                 }
             };
-            self.rest_until(begun + rest.max(Duration::from_millis(20)), queries).await;
+            self.rest_until(begun + rest.max(Duration::from_millis(20)), queries)
+                .await;
         }
     }
 
@@ -212,7 +247,9 @@
     fn notice_lapse(&mut self) {
         let holds = self.holder.tag(self.means.now()).is_some();
         if !holds && !std::mem::replace(&mut self.lapsed, true) {
-            log(format_args!("agreement: the lease has run out, on the floor"));
+            log(format_args!(
+                "agreement: the lease has run out, on the floor"
+            ));
         }
     }
 
@@ -226,14 +263,25 @@
 
     /// Asks one replica for a lease, and has it bind; for how long it lasts.
     async fn ask(&mut self, turn: usize) -> Result<Duration, LeaseError> {
-        let address = whose_turn(turn, *self.means.agent.borrow_and_update(), &self.agreement.others);
+        let address = whose_turn(
+            turn,
+            *self.means.agent.borrow_and_update(),
+            &self.agreement.others,
+        );
         let ask = self.holder.ask(self.means.now());
         self.asked += 1;
         let Ask { life, acts_on, .. } = ask;
         let question = json!({ "sender": self.means.name, "life": life, "acts_on": acts_on,
             "rev": self.means.listed.get(), "floor": self.agreement.floor });
-        let grant: Grant =
-            asking::ask(address, Method::POST, "/v1/lease", Some(question), ANSWER, BODY_MOST).await?;
+        let grant: Grant = asking::ask(
+            address,
+            Method::POST,
+            "/v1/lease",
+            Some(question),
+            ANSWER,
+            BODY_MOST,
+        )
+        .await?;
         let (tag, lease) = (grant.tag, Duration::from_micros(grant.lease));
         let leased = bounds(&grant.rules);
         match self.holder.granted(ask, grant, self.means.now()) {
@@ -241,21 +289,39 @@
             Taken::BelowFloor => return Err(LeaseError::BelowFloor),
             Taken::Renewed => {}
             Taken::Changed => {
-                let step = if tag.whole { "whole" } else { "the meet of it and the one before" };
-                log(format_args!("agreement: version {} ({step}) for {lease:?}", tag.version));
+                let step = if tag.whole {
+                    "whole"
+                } else {
+                    "the meet of it and the one before"
+                };
+                log(format_args!(
+                    "agreement: version {} ({step}) for {lease:?}",
+                    tag.version
+                ));
             }
         }
         self.lapsed = false;
-        let until = self.holder.until(self.means.now()).and_then(|until| Micros::try_from(until).ok());
+        let until = self
+            .holder
+            .until(self.means.now())
+            .and_then(|until| Micros::try_from(until).ok());
         let leased = until.map(|until| (leased, until));
         // the next question says that it acts on this: it must by then
-        self.means.bind(Some(Agreed { leased, fallback: self.floor.clone() })).await;
+        self.means
+            .bind(Some(Agreed {
+                leased,
+                fallback: self.floor.clone(),
+            }))
+            .await;
         Ok(lease)
     }
 
     fn report(&self) -> String {
         let now = self.means.now();
-        let left = self.holder.until(now).map(|until| until.saturating_sub(now) / 1000);
+        let left = self
+            .holder
+            .until(now)
+            .map(|until| until.saturating_sub(now) / 1000);
         json!({
             "sender": self.means.name, "acts_on": self.holder.tag(now), "left_ms": left,
             "until_us": self.holder.until(now), "rules": self.holder.rules(now), "rev": self.means.listed.get(),
--- a/src/net/agreement/settings.rs
+++ b/src/net/agreement/settings.rs
@@ -64,8 +64,16 @@
                 json!({ "limits": { "calls": 0 } }),
                 "agreement.floor: limits.calls: must be above zero",
             ),
-            ("others", json!(vec!["10.0.0.4:1"; 17]), "agreement.others is not"),
-            ("others", json!(["there"]), "agreement: invalid socket address"),
+            (
+                "others",
+                json!(vec!["10.0.0.4:1"; 17]),
+                "agreement.others is not",
+            ),
+            (
+                "others",
+                json!(["there"]),
+                "agreement: invalid socket address",
+            ),
         ] {
             let mut bad = good.clone();
             bad[key] = value;
--- a/src/net/asking.rs
+++ b/src/net/asking.rs
@@ -38,10 +38,23 @@
 /// # Errors
 /// There is no answer in time, it is a refusal, or it can't be read.
 pub async fn ask<T: DeserializeOwned>(
-    address: SocketAddr, method: Method, path: &str, body: Option<Value>, within: Duration, most: usize,
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: Option<Value>,
+    within: Duration,
+    most: usize,
 ) -> Result<T, AskError> {
     let body = body.map(|body| body.to_string()).unwrap_or_default();
-    let answer = exchange(address, method, path, ("application/json", body.into()), within, most).await?;
+    let answer = exchange(
+        address,
+        method,
+        path,
+        ("application/json", body.into()),
+        within,
+        most,
+    )
+    .await?;
     Ok(serde_json::from_slice(&answer)?)
 }
 
@@ -50,7 +63,11 @@
 /// # Errors
 /// There is no answer in time, or it is a refusal.
 pub async fn exchange(
-    address: SocketAddr, method: Method, path: &str, (media, body): (&str, Bytes), within: Duration,
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    (media, body): (&str, Bytes),
+    within: Duration,
     most: usize,
 ) -> Result<Bytes, AskError> {
     let request = Request::builder()
@@ -65,10 +82,18 @@
         let body = Limited::new(response.into_body(), most).collect().await;
         Ok::<_, AskError>((status, body.map_err(|_| AskError::Body)?.to_bytes()))
     };
-    let (status, body) = timeout(within, exchange).await.map_err(|_| AskError::Body)??;
+    let (status, body) = timeout(within, exchange)
+        .await
+        .map_err(|_| AskError::Body)??;
     if status != StatusCode::OK {
         let text = String::from_utf8_lossy(&body);
-        let line = text.lines().next().unwrap_or_default().chars().take(TOLD).collect();
+        let line = text
+            .lines()
+            .next()
+            .unwrap_or_default()
+            .chars()
+            .take(TOLD)
+            .collect();
         return Err(AskError::Refused(status, line));
     }
     Ok(body)
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -87,13 +87,22 @@
 impl Answer {
     /// The one message of a call was served, whatever else its answer was to tell.
     fn served() -> Self {
-        Answer { heard: true, ends: Ends::All(Outcome::Success, true), ..Outcome::Success.into() }
+        Answer {
+            heard: true,
+            ends: Ends::All(Outcome::Success, true),
+            ..Outcome::Success.into()
+        }
     }
 }
 
 impl From<Outcome> for Answer {
     fn from(outcome: Outcome) -> Self {
-        Answer { heard: false, ends: Ends::All(outcome, false), report: Vec::new(), wait: None }
+        Answer {
+            heard: false,
+            ends: Ends::All(outcome, false),
+            report: Vec::new(),
+            wait: None,
+        }
     }
 }
 
@@ -149,9 +158,23 @@
         self.left.iter().filter(|left| **left).count()
     }
 
-    fn tell(&mut self, item: usize, outcome: Outcome, closed: bool, report: Vec<f64>, wait: Option<Micros>) {
+    fn tell(
+        &mut self,
+        item: usize,
+        outcome: Outcome,
+        closed: bool,
+        report: Vec<f64>,
+        wait: Option<Micros>,
+    ) {
         self.left[item] = false;
-        let end = Ended { call: self.call, item, outcome, closed, report, wait };
+        let end = Ended {
+            call: self.call,
+            item,
+            outcome,
+            closed,
+            report,
+            wait,
+        };
         // nobody listens any more only when the process ends
         let _ = self.inputs.send(Input::Ended(end));
     }
@@ -168,8 +191,11 @@
 }
 
 async fn run(shared: Rc<Shared>, call: Call, mut cancels: mpsc::UnboundedReceiver<usize>) {
-    let mut ends =
-        EndsToTell { inputs: &shared.inputs, call: call.number, left: vec![true; call.items.len()] };
+    let mut ends = EndsToTell {
+        inputs: &shared.inputs,
+        call: call.number,
+        left: vec![true; call.items.len()],
+    };
     let (end, under) = (Rc::new(Cell::new(Cause::CalledOff)), Under::default());
     let exchange = exchange(&shared, &call, &end, &under);
     tokio::pin!(exchange);
@@ -224,13 +250,22 @@
         }
     };
     let mut wait = answer.wait;
-    for item in (0..call.items.len()).filter(|&item| ends.is_left(item)).collect::<Vec<_>>() {
+    for item in (0..call.items.len())
+        .filter(|&item| ends.is_left(item))
+        .collect::<Vec<_>>()
+    {
         let (outcome, closed) = match &answer.ends {
             Ends::All(outcome, closed) => (*outcome, *closed),
             Ends::Each(ends) => ends.get(item).copied().unwrap_or((Outcome::Error, false)),
         };
         let carried = matches!(outcome, Outcome::Refused { wait: Some(_) });
-        ends.tell(item, outcome, closed, answer.report.clone(), wait.take_if(|_| !carried));
+        ends.tell(
+            item,
+            outcome,
+            closed,
+            answer.report.clone(),
+            wait.take_if(|_| !carried),
+        );
     }
     // what crosses the end changes nothing for the messages, but a wait that it tells holds
     if let Some(traffic) = given_up {
@@ -249,7 +284,12 @@
 }
 
 /// Makes the call on one connection and reads its answer. Dropping this closes the connection.
-async fn exchange(shared: &Rc<Shared>, call: &Call, end: &Rc<Cell<Cause>>, under: &Under) -> Answer {
+async fn exchange(
+    shared: &Rc<Shared>,
+    call: &Call,
+    end: &Rc<Cell<Cause>>,
+    under: &Under,
+) -> Answer {
     let (address, items) = (call.place.address, &call.items[..]);
     loop {
         let lease = shared.connections.lease(call.place, end);
@@ -267,7 +307,10 @@
             Err(
                 NoLease::Late
                 | NoLease::Denied(
-                    Denied::Wait | Denied::Retired | Denied::Leaving | Denied::Dial(DialFailure::Local),
+                    Denied::Wait
+                    | Denied::Retired
+                    | Denied::Leaving
+                    | Denied::Dial(DialFailure::Local),
                 ),
             ) => {
                 return Outcome::Unsent { no_slot: false }.into();
@@ -300,7 +343,11 @@
                 }
                 lease.spoil(Cause::Reset);
                 // `least` is what the call takes up on the wire at the very least
-                let outcome = if written < least { Outcome::NoConnection } else { Outcome::Reset };
+                let outcome = if written < least {
+                    Outcome::NoConnection
+                } else {
+                    Outcome::Reset
+                };
                 return outcome.into();
             }
         };
@@ -309,18 +356,26 @@
 }
 
 async fn read(
-    shared: &Rc<Shared>, address: SocketAddr, items: &[Item], lease: Lease, response: Response<Incoming>,
+    shared: &Rc<Shared>,
+    address: SocketAddr,
+    items: &[Item],
+    lease: Lease,
+    response: Response<Incoming>,
 ) -> Answer {
     let (head, body) = response.into_parts();
     let no_room = lease.answered(match head.status {
         StatusCode::OK => Answered::Served,
         // all slots of this sender taken has nothing to do with its connections
-        StatusCode::SERVICE_UNAVAILABLE if !head.headers.contains_key("slots-taken") => Answered::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE if !head.headers.contains_key("slots-taken") => {
+            Answered::TurnedAway
+        }
         _ => Answered::Other,
     });
     let report = report_of(&head.headers, &shared.report_fields.borrow());
     let wait = wait_of(&head.headers);
-    shared.tells_waits.set(shared.tells_waits.get() || wait.is_some());
+    shared
+        .tells_waits
+        .set(shared.tells_waits.get() || wait.is_some());
     // what found no room for its connection says nothing of a limit on calls
     let refused = if no_room && wait.is_none() {
         Outcome::Unsent { no_slot: false }
@@ -334,27 +389,52 @@
                 Ok(text) => ends_of(&text.to_bytes(), items, wait),
                 Err(_) => {
                     lease.spoil(Cause::Unreadable);
-                    return Answer { heard: true, ends: Ends::All(Outcome::Reset, false), report, wait };
+                    return Answer {
+                        heard: true,
+                        ends: Ends::All(Outcome::Reset, false),
+                        report,
+                        wait,
+                    };
                 }
             };
             lease.give_back();
-            return Answer { heard: true, ends: Ends::Each(ends), report, wait };
+            return Answer {
+                heard: true,
+                ends: Ends::Each(ends),
+                report,
+                wait,
+            };
         }
         StatusCode::OK => (Outcome::Success, true),
         StatusCode::TOO_MANY_REQUESTS => (refused, false),
         StatusCode::SERVICE_UNAVAILABLE => {
-            let no_slot = head.headers.get("slots-taken").is_some_and(|value| value == "1");
-            (if no_slot { Outcome::Unsent { no_slot } } else { refused }, false)
+            let no_slot = head
+                .headers
+                .get("slots-taken")
+                .is_some_and(|value| value == "1");
+            (
+                if no_slot {
+                    Outcome::Unsent { no_slot }
+                } else {
+                    refused
+                },
+                false,
+            )
         }
         StatusCode::GATEWAY_TIMEOUT => (Outcome::Unsent { no_slot: false }, false),
         StatusCode::GONE => (Outcome::Unsent { no_slot: false }, true),
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE if items.len() > 1 => {
-            shared.faults.log(format_args!("calls: {address} answered a bulk call with {}", head.status));
+            shared.faults.log(format_args!(
+                "calls: {address} answered a bulk call with {}",
+                head.status
+            ));
             (Outcome::Unsent { no_slot: false }, false)
         }
         status => {
             if status != StatusCode::INTERNAL_SERVER_ERROR {
-                shared.faults.log(format_args!("calls: {address} answered {status}"));
+                shared
+                    .faults
+                    .log(format_args!("calls: {address} answered {status}"));
             }
             (Outcome::Error, false)
         }
@@ -366,16 +446,28 @@
             _ => lease.spoil(Cause::Unreadable),
         }
     });
-    Answer { heard: true, ends: Ends::All(outcome, closed), report, wait }
+    Answer {
+        heard: true,
+        ends: Ends::All(outcome, closed),
+        report,
+        wait,
+    }
 }
 
 /// The request, and the fewest bytes that it takes on the wire.
-fn request_of(address: SocketAddr, items: &[Item], expires: Instant) -> Option<(Request<Full<Bytes>>, u64)> {
+fn request_of(
+    address: SocketAddr,
+    items: &[Item],
+    expires: Instant,
+) -> Option<(Request<Full<Bytes>>, u64)> {
     let (path, body) = match items {
         [item] => ("/inbox", item.body.clone()),
         _ => ("/inbox/bulk", bulk_of(items)),
     };
-    let left = expires.saturating_duration_since(Instant::now()).as_millis().max(1);
+    let left = expires
+        .saturating_duration_since(Instant::now())
+        .as_millis()
+        .max(1);
     let size = body.len() as u64;
     let mut request = Request::post(path)
         .header(HOST, address.to_string())
@@ -389,8 +481,11 @@
     }
     let request = request.body(Full::new(body)).ok()?;
     let line = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
-    let headers: usize =
-        request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+    let headers: usize = request
+        .headers()
+        .iter()
+        .map(|(name, value)| name.as_str().len() + value.len() + 4)
+        .sum();
     Some((request, (line + headers) as u64 + size))
 }
 
@@ -434,22 +529,37 @@
 
 /// The wait of a `Retry-After` in seconds, with or without decimals; none where it can't be read.
 fn wait_of(headers: &HeaderMap) -> Option<Micros> {
-    let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
+    let seconds: f64 = headers
+        .get(RETRY_AFTER)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()?;
     (seconds.is_finite() && seconds > 0.0)
         .then(|| ((seconds * 1e3).ceil() as Micros).min(86_400_000) * MILLISECOND)
 }
 
 /// The load report in the order of the settings; none unless it is whole and sound.
 fn report_of(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
-    let Some(text) = headers.get("x-server-load").and_then(|value| value.to_str().ok()) else {
+    let Some(text) = headers
+        .get("x-server-load")
+        .and_then(|value| value.to_str().ok())
+    else {
         return Vec::new();
     };
     let pairs: HashMap<&str, f64> = text
         .split(',')
         .filter_map(|pair| pair.trim().split_once('='))
-        .filter_map(|(name, value)| Some((name, value.parse().ok().filter(|v: &f64| v.is_finite())?)))
+        .filter_map(|(name, value)| {
+            Some((name, value.parse().ok().filter(|v: &f64| v.is_finite())?))
+        })
         .collect();
-    fields.iter().map(|field| pairs.get(field.as_str()).copied()).collect::<Option<_>>().unwrap_or_default()
+    fields
+        .iter()
+        .map(|field| pairs.get(field.as_str()).copied())
+        .collect::<Option<_>>()
+        .unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -9,16 +9,35 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 fn shared(streams: Vec<DuplexStream>) -> (Rc<Shared>, Call) {
-    let settings = Settings { connection_idle: 60 * SECOND, ..Settings::new(8, 100) };
+    let settings = Settings {
+        connection_idle: 60 * SECOND,
+        ..Settings::new(8, 100)
+    };
     let limits = limits(&PoolSettings::default(), 100, &settings);
     let connections = Connections::ready(streams, limits);
-    let place = Place { address: ([127, 0, 0, 1], 9).into(), endpoint: EndpointId(0) };
+    let place = Place {
+        address: ([127, 0, 0, 1], 9).into(),
+        endpoint: EndpointId(0),
+    };
     connections.serve(place, true);
     let calls = Calls::new(mpsc::unbounded_channel().0, connections);
     let id = HeaderValue::from_static("m1");
-    let items = vec![Item { id, key: None, body: Bytes::from_static(b"body") }];
+    let items = vec![Item {
+        id,
+        key: None,
+        body: Bytes::from_static(b"body"),
+    }];
     let expires = Instant::now() + Duration::from_secs(10);
-    (calls.0, Call { number: 0, place, items, expires, start_by: None })
+    (
+        calls.0,
+        Call {
+            number: 0,
+            place,
+            items,
+            expires,
+            start_by: None,
+        },
+    )
 }
 
 /// Reads up to so many bytes, one at a time, so that the other side has written one more at most.
@@ -36,7 +55,10 @@
 /// A call whose endpoint reads so many bytes of the request and writes so many of the answer, on a new
 /// connection or on one that has carried a call; its outcome and all that the endpoint and a spare one saw.
 fn cut(reused: bool, request: usize, answer: &[u8]) -> (Outcome, Vec<u8>, Vec<u8>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async move {
         let ((here, mut there), (spare, mut beyond)) = (duplex(1), duplex(1));
@@ -66,12 +88,19 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
             call.expires += Duration::from_millis(1); // the request says how long is left
         }
-        let Ends::All(outcome, _) = exchange(&shared, &call, &end, &Under::default()).await.ends else {
+        let Ends::All(outcome, _) = exchange(&shared, &call, &end, &Under::default()).await.ends
+        else {
             panic!("one message has one end");
         };
         drop(shared);
         let seen = endpoint.await.expect("it ends");
-        (outcome, seen, timeout(DRAIN, other).await.map_or(Vec::new(), |seen| seen.expect("it ends")))
+        (
+            outcome,
+            seen,
+            timeout(DRAIN, other)
+                .await
+                .map_or(Vec::new(), |seen| seen.expect("it ends")),
+        )
     })
 }
 
@@ -82,7 +111,11 @@
     for reused in [false, true] {
         for length in 1..=whole.len() {
             let (outcome, seen, spare) = cut(reused, length, b"");
-            assert_eq!((seen, spare), (whole[..length].to_vec(), vec![]), "reused {reused}, {length}");
+            assert_eq!(
+                (seen, spare),
+                (whole[..length].to_vec(), vec![]),
+                "reused {reused}, {length}"
+            );
             // whoever read less than all can't have run it, and one byte more was on its way at most
             match outcome {
                 Outcome::NoConnection => assert!(length < whole.len(), "reused {reused}, {length}"),
@@ -92,9 +125,17 @@
         }
         for length in 0..=ANSWER.len() {
             let (outcome, seen, spare) = cut(reused, usize::MAX, &ANSWER[..length]);
-            assert_eq!((seen, spare), (whole.clone(), vec![]), "reused {reused}, answer {length}");
+            assert_eq!(
+                (seen, spare),
+                (whole.clone(), vec![]),
+                "reused {reused}, answer {length}"
+            );
             let told = length > b"HTTP/1.1 200".len();
-            let wanted = if told { Outcome::Success } else { Outcome::Reset };
+            let wanted = if told {
+                Outcome::Success
+            } else {
+                Outcome::Reset
+            };
             assert_eq!(outcome, wanted, "reused {reused}, answer {length}");
         }
     }
@@ -102,7 +143,10 @@
 
 #[test]
 fn a_call_without_a_connection_ends_unsent_once_its_destination_tells_to_wait() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async move {
         let (here, mut there) = duplex(1);
@@ -114,9 +158,13 @@
             shared.connections.advertised_wait(call.place, SECOND);
             tokio::time::sleep(Duration::from_millis(10)).await;
         };
-        let (answer, ()) = tokio::join!(timeout(DRAIN, exchange(&shared, &call, &end, &under)), told);
+        let (answer, ()) =
+            tokio::join!(timeout(DRAIN, exchange(&shared, &call, &end, &under)), told);
         let answer = answer.expect("it has its end at once");
-        assert!(matches!(answer.ends, Ends::All(Outcome::Unsent { no_slot: false }, false)));
+        assert!(matches!(
+            answer.ends,
+            Ends::All(Outcome::Unsent { no_slot: false }, false)
+        ));
         // the connection came up and stays idle, with nothing written
         assert!(timeout(DRAIN, there.read_u8()).await.is_err());
     });
@@ -129,35 +177,67 @@
     assert_eq!((outcome, seen.len()), (Outcome::Success, 0));
     assert!(spare.ends_with(b"body"));
     let (outcome, seen, spare) = cut(false, 0, b"");
-    assert_eq!((outcome, seen.len(), spare.len()), (Outcome::NoConnection, 0, 0));
+    assert_eq!(
+        (outcome, seen.len(), spare.len()),
+        (Outcome::NoConnection, 0, 0)
+    );
 }
 
 /// Fails where the endpoint could still take the call for being under way once its end is told: what follows in the order
 /// of a key, or rests from that end on, would come too early by as long as this process is held up.
 #[test]
 fn a_given_up_call_has_ended_at_its_endpoint_before_that_is_told() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let local = tokio::task::LocalSet::new();
     // a task beside the call's, as the driver is
     let listening = local.spawn_local(async move {
         for give_up in [Outcome::Cancelled, Outcome::TimedOut] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("bound");
-            let settings = Settings { connection_idle: 60 * SECOND, ..Settings::new(8, 100) };
+            let settings = Settings {
+                connection_idle: 60 * SECOND,
+                ..Settings::new(8, 100)
+            };
             let limits = limits(&PoolSettings::default(), 100, &settings);
-            let means = crate::net::pool::Means { descriptors: 100, seed: 1 };
+            let means = crate::net::pool::Means {
+                descriptors: 100,
+                seed: 1,
+            };
             let connections = Connections::new(limits, SECOND, means);
-            let place = Place { address, endpoint: EndpointId(0) };
+            let place = Place {
+                address,
+                endpoint: EndpointId(0),
+            };
             connections.serve(place, true);
             let (inputs, mut told) = mpsc::unbounded_channel();
             let calls = Calls::new(inputs, connections);
             let id = HeaderValue::from_static("m1");
-            let items = vec![Item { id, key: None, body: Bytes::from_static(b"body") }];
-            let left = if give_up == Outcome::TimedOut { 200 } else { 20_000 };
+            let items = vec![Item {
+                id,
+                key: None,
+                body: Bytes::from_static(b"body"),
+            }];
+            let left = if give_up == Outcome::TimedOut {
+                200
+            } else {
+                20_000
+            };
             let expires = Instant::now() + Duration::from_millis(left);
             let (cancels, cancelled) = mpsc::unbounded_channel();
-            calls.start(Call { number: 0, place, items, expires, start_by: None }, cancelled);
-            let accepted = tokio::task::spawn_blocking(move || listener.accept().expect("a call").0);
+            calls.start(
+                Call {
+                    number: 0,
+                    place,
+                    items,
+                    expires,
+                    start_by: None,
+                },
+                cancelled,
+            );
+            let accepted =
+                tokio::task::spawn_blocking(move || listener.accept().expect("a call").0);
             let mut endpoint = accepted.await.expect("accepted");
             endpoint.set_nonblocking(true).expect("set");
             let mut seen = Vec::new();
@@ -172,11 +252,19 @@
             if give_up == Outcome::Cancelled {
                 cancels.send(0).expect("it is out");
             }
-            let Some(Input::Ended(ended)) = told.recv().await else { panic!("no end") };
+            let Some(Input::Ended(ended)) = told.recv().await else {
+                panic!("no end")
+            };
             assert_eq!(ended.outcome, give_up);
             let read = std::io::Read::read(&mut endpoint, &mut [0]).map_err(|error| error.kind());
-            assert_eq!(read, Ok(0), "{give_up:?} was told before the call had ended");
+            assert_eq!(
+                read,
+                Ok(0),
+                "{give_up:?} was told before the call had ended"
+            );
         }
     });
-    local.block_on(&runtime.expect("a runtime"), listening).expect("it held");
+    local
+        .block_on(&runtime.expect("a runtime"), listening)
+        .expect("it held");
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -54,9 +54,17 @@
 impl Reading {
     fn now() -> io::Result<Self> {
         let monotonic = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC)?);
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let boot = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_string());
-        Ok(Reading { boot, monotonic: micros(monotonic), wall: micros(wall) })
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let boot = fs::read_to_string(BOOT_ID)
+            .ok()
+            .map(|id| id.trim().to_string());
+        Ok(Reading {
+            boot,
+            monotonic: micros(monotonic),
+            wall: micros(wall),
+        })
     }
 
     /// Module time now, by an anchor of this start of the machine; none without one.
@@ -96,14 +104,28 @@
         if let Some(time) = anchor.and_then(|anchor| reading.by(&anchor)) {
             let step = reading.wall - time;
             if step.abs() > STEP_LOGGED {
-                super::log(format_args!("clock: the wall clock is {:.1} s off", step as f64 / 1e6));
+                super::log(format_args!(
+                    "clock: the wall clock is {:.1} s off",
+                    step as f64 / 1e6
+                ));
             }
             return Ok(Clock { start, unix: time });
         }
-        let Reading { boot, monotonic, wall } = reading;
+        let Reading {
+            boot,
+            monotonic,
+            wall,
+        } = reading;
         if let Some(boot) = boot {
             let new = path.with_extension("new");
-            fs::write(&new, serde_json::to_vec(&Anchor { boot, monotonic, time: wall })?)?;
+            fs::write(
+                &new,
+                serde_json::to_vec(&Anchor {
+                    boot,
+                    monotonic,
+                    time: wall,
+                })?,
+            )?;
             fs::rename(&new, &path)?;
         }
         Ok(Clock { start, unix: wall })
@@ -125,12 +147,20 @@
     use super::*;
 
     fn reading(boot: Option<&str>, monotonic: Micros, wall: Micros) -> Reading {
-        Reading { boot: boot.map(str::to_string), monotonic, wall }
+        Reading {
+            boot: boot.map(str::to_string),
+            monotonic,
+            wall,
+        }
     }
 
     #[test]
     fn the_monotonic_clock_of_one_start_of_the_machine_goes_before_the_wall_clock() {
-        let anchor = Anchor { boot: "a".to_string(), monotonic: 100, time: 1_000_000 };
+        let anchor = Anchor {
+            boot: "a".to_string(),
+            monotonic: 100,
+            time: 1_000_000,
+        };
         assert_eq!(reading(Some("a"), 150, 7).by(&anchor), Some(1_000_050));
         // another start, one that is not told, a clock that began anew
         assert_eq!(reading(Some("b"), 150, 7).by(&anchor), None);
@@ -147,7 +177,11 @@
         let written = fs::read(folder.join(FILE)).expect("anchored");
         let mut anchor: Anchor = serde_json::from_slice(&written).expect("an anchor");
         anchor.time -= 3_600 * milletturn::SECOND; // as if the wall clock had been stepped since
-        fs::write(folder.join(FILE), serde_json::to_vec(&anchor).expect("encoded")).expect("written");
+        fs::write(
+            folder.join(FILE),
+            serde_json::to_vec(&anchor).expect("encoded"),
+        )
+        .expect("written");
         let second = Clock::resume(&folder).expect("gone on");
         let now = Instant::now();
         let apart = first.at(now) - second.at(now) - 3_600 * milletturn::SECOND;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -38,11 +38,21 @@
     #[error("the variable {0} is not set")]
     Variable(&'static str),
     #[error("{path}: {error}", path = path.display())]
-    Read { path: PathBuf, error: std::io::Error },
+    Read {
+        path: PathBuf,
+        error: std::io::Error,
+    },
     #[error("{path}: {error}", path = path.display())]
-    Json { path: PathBuf, error: serde_json::Error },
+    Json {
+        path: PathBuf,
+        error: serde_json::Error,
+    },
     #[error("{name} is '{found}', not {wanted}")]
-    Value { name: &'static str, found: String, wanted: &'static str },
+    Value {
+        name: &'static str,
+        found: String,
+        wanted: &'static str,
+    },
     #[error("{0} is missing")]
     Incomplete(String),
     #[error("{0} is no setting")]
@@ -99,37 +109,61 @@
         Value::Object(fields) => fields,
         other => {
             let (found, wanted) = (other.to_string(), "an object");
-            return Err(ConfigError::Value { name: "pool", found, wanted });
+            return Err(ConfigError::Value {
+                name: "pool",
+                found,
+                wanted,
+            });
         }
     };
     // all is the bound of the others, whatever order they stand in
     let most = pool_most(descriptors);
     let whole = |name: &'static str, most: usize, wanted: &'static str| {
         let key = name.trim_start_matches("pool.");
-        let Some(value) = fields.get(key) else { return Ok(None) };
-        let number = value.as_u64().and_then(|number| usize::try_from(number).ok());
+        let Some(value) = fields.get(key) else {
+            return Ok(None);
+        };
+        let number = value
+            .as_u64()
+            .and_then(|number| usize::try_from(number).ok());
         match number.filter(|number| (1..=most).contains(number)) {
             Some(number) => Ok(Some(number)),
-            None => Err(ConfigError::Value { name, found: value.to_string(), wanted }),
+            None => Err(ConfigError::Value {
+                name,
+                found: value.to_string(),
+                wanted,
+            }),
         }
     };
     const IN_ALL: &str = "a whole number from 1 to pool.all";
-    read.all = whole("pool.all", most, "a whole number from 1 to half of limits.sockets")?;
+    read.all = whole(
+        "pool.all",
+        most,
+        "a whole number from 1 to half of limits.sockets",
+    )?;
     let all = read.all.unwrap_or(most);
     read.per_endpoint = whole("pool.per_endpoint", all, IN_ALL)?;
     read.dials = whole("pool.dials", all, IN_ALL)?;
     read.idle = whole("pool.idle", all, IN_ALL)?;
     read.idle_per_endpoint = whole("pool.idle_per_endpoint", all, IN_ALL)?;
     for (key, value) in fields {
-        let bad = |name, wanted| ConfigError::Value { name, found: value.to_string(), wanted };
+        let bad = |name, wanted| ConfigError::Value {
+            name,
+            found: value.to_string(),
+            wanted,
+        };
         match key.as_str() {
             "all" | "per_endpoint" | "dials" | "idle" | "idle_per_endpoint" => {}
             "decay_s" => {
-                let number = value.as_f64().filter(|number| (0.1..=3600.0).contains(number));
+                let number = value
+                    .as_f64()
+                    .filter(|number| (0.1..=3600.0).contains(number));
                 read.decay_s = number.ok_or(bad("pool.decay_s", "seconds from 0.1 to 3600"))?;
             }
             "learn_caps" => {
-                read.learn_caps = value.as_bool().ok_or(bad("pool.learn_caps", "true or false"))?;
+                read.learn_caps = value
+                    .as_bool()
+                    .ok_or(bad("pool.learn_caps", "true or false"))?;
             }
             "warm_share" => {
                 let number = value.as_f64().filter(|number| (0.0..=1.0).contains(number));
@@ -212,11 +246,14 @@
             address("RELAY_DISCOVERY", text)
         };
         let last = std::fs::read(state.join(LAST)).ok();
-        let read = read_file_in_time().and_then(|text| Config::read(text, state.clone(), None, discovery));
+        let read =
+            read_file_in_time().and_then(|text| Config::read(text, state.clone(), None, discovery));
         let config = match (read, last) {
             (Ok(config), _) => config,
             (Err(error), Some(last)) => {
-                super::log(format_args!("configuration broken, the last good one holds: {error}"));
+                super::log(format_args!(
+                    "configuration broken, the last good one holds: {error}"
+                ));
                 Config::read(last, state, None, discovery).map_err(|_| error)?
             }
             (Err(error), None) => return Err(error),
@@ -237,27 +274,40 @@
     }
 
     fn read(
-        text: Vec<u8>, state: PathBuf, before: Option<&[u8]>,
+        text: Vec<u8>,
+        state: PathBuf,
+        before: Option<&[u8]>,
         discovery: impl FnOnce(&File) -> Result<SocketAddr, ConfigError>,
     ) -> Result<Self, ConfigError> {
-        let json = |error| ConfigError::Json { path: config_path(), error };
+        let json = |error| ConfigError::Json {
+            path: config_path(),
+            error,
+        };
         let whole: Value = serde_json::from_slice(&text).map_err(json)?;
-        if let Some(before) = before.and_then(|before| serde_json::from_slice::<Value>(before).ok()) {
+        if let Some(before) = before.and_then(|before| serde_json::from_slice::<Value>(before).ok())
+        {
             complete("", &before, &whole)?;
         }
         numbers(&whole["settings"])?;
         let file: File = serde_json::from_value(whole).map_err(json)?;
         let discovery = discovery(&file)?;
         let name = variable("RELAY_NAME").unwrap_or(file.name);
-        let listen = address("RELAY_LISTEN", variable("RELAY_LISTEN").unwrap_or(file.listen))?;
+        let listen = address(
+            "RELAY_LISTEN",
+            variable("RELAY_LISTEN").unwrap_or(file.listen),
+        )?;
         let control = variable("RELAY_CONTROL").ok().or(file.control);
-        let control = control.map(|text| address("RELAY_CONTROL", text)).transpose()?;
+        let control = control
+            .map(|text| address("RELAY_CONTROL", text))
+            .transpose()?;
         let passed = match variable("RELAY_PASSED_SOCKET") {
-            Ok(text) => Some(text.parse().ok().filter(|number| *number >= 0).ok_or(ConfigError::Value {
-                name: "RELAY_PASSED_SOCKET",
-                found: text,
-                wanted: "the number of a descriptor",
-            })?),
+            Ok(text) => Some(text.parse().ok().filter(|number| *number >= 0).ok_or(
+                ConfigError::Value {
+                    name: "RELAY_PASSED_SOCKET",
+                    found: text,
+                    wanted: "the number of a descriptor",
+                },
+            )?),
             Err(_) => None,
         };
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Value {
@@ -276,7 +326,10 @@
         let pool = read_pool(&file.pool, file.limits.sockets)?;
         let mut flat = BTreeMap::new();
         flatten("", &file.settings, &mut flat);
-        let pairs = flat.iter().map(|(path, text)| (path.as_str(), text.as_str())).collect();
+        let pairs = flat
+            .iter()
+            .map(|(path, text)| (path.as_str(), text.as_str()))
+            .collect();
         let (mut settings, names) = read_settings(&Pairs(pairs))?;
         settings.ends_by_notice = true;
         settings.validate()?;
@@ -284,7 +337,11 @@
         let agreement = agreement::settings::read(&file.agreement)?;
         let ledger = ledger::settings::read(&file.ledger)?;
         let freeze = freeze::settings::read(&file.freeze)?;
-        let remembered = if membership.is_some() { membership::DISK } else { 0 };
+        let remembered = if membership.is_some() {
+            membership::DISK
+        } else {
+            0
+        };
         Ok(Config {
             name,
             listen,
@@ -341,29 +398,48 @@
     let lacks = |what: &str| Err(ConfigError::Incomplete(format!("{path}{what}")));
     match (before, new) {
         // for the start alone, or with defaults for all that is not set
-        _ if ["/known", "/control", "/seed", "/pool", "/membership", "/agreement", "/ledger", "/freeze"]
-            .contains(&path) =>
+        _ if [
+            "/known",
+            "/control",
+            "/seed",
+            "/pool",
+            "/membership",
+            "/agreement",
+            "/ledger",
+            "/freeze",
+        ]
+        .contains(&path) =>
         {
             Ok(())
         }
         (Value::Object(before), Value::Object(new)) => {
-            before.iter().try_for_each(|(name, value)| match new.get(name) {
-                Some(new) => complete(&format!("{path}/{name}"), value, new),
-                None if MAY_LACK.contains(&name.as_str())
-                    || path.is_empty() && PARTS.contains(&name.as_str()) =>
-                {
-                    Ok(())
-                }
-                None => lacks(&format!("/{name}")),
-            })
+            before
+                .iter()
+                .try_for_each(|(name, value)| match new.get(name) {
+                    Some(new) => complete(&format!("{path}/{name}"), value, new),
+                    None if MAY_LACK.contains(&name.as_str())
+                        || path.is_empty() && PARTS.contains(&name.as_str()) =>
+                    {
+                        Ok(())
+                    }
+                    None => lacks(&format!("/{name}")),
+                })
         }
         (Value::Array(before), Value::Array(new)) => {
             if new.is_empty() && !before.is_empty() {
                 return lacks(" items");
             }
-            let Some(Value::Object(first)) = before.first() else { return Ok(()) };
-            let common = first.iter().filter(|(name, _)| before.iter().all(|item| item.get(name).is_some()));
-            let common = Value::Object(common.map(|(name, value)| (name.clone(), value.clone())).collect());
+            let Some(Value::Object(first)) = before.first() else {
+                return Ok(());
+            };
+            let common = first
+                .iter()
+                .filter(|(name, _)| before.iter().all(|item| item.get(name).is_some()));
+            let common = Value::Object(
+                common
+                    .map(|(name, value)| (name.clone(), value.clone()))
+                    .collect(),
+            );
             let mut items = new.iter().enumerate();
             items.try_for_each(|(at, item)| complete(&format!("{path}/{at}"), &common, item))
         }
@@ -378,26 +454,48 @@
 /// Deadlines and attempts are numbers above zero, attempts whole ones.
 fn numbers(settings: &Value) -> Result<(), ConfigError> {
     let positive = |name: &'static str, value: &Value, whole: bool| {
-        let number = value.as_f64().filter(|number| *number > 0.0 && (!whole || number.fract() == 0.0));
+        let number = value
+            .as_f64()
+            .filter(|number| *number > 0.0 && (!whole || number.fract() == 0.0));
         let wanted = "a number above zero";
-        number.map(drop).ok_or(ConfigError::Value { name, found: value.to_string(), wanted })
+        number.map(drop).ok_or(ConfigError::Value {
+            name,
+            found: value.to_string(),
+            wanted,
+        })
     };
     positive("caps.mostTries", &settings["caps"]["mostTries"], true)?;
-    let classes = settings["classes"].as_array().filter(|classes| !classes.is_empty());
+    let classes = settings["classes"]
+        .as_array()
+        .filter(|classes| !classes.is_empty());
     let classes = classes.ok_or(ConfigError::Incomplete("/settings/classes".to_string()))?;
-    classes.iter().try_for_each(|class| positive("classes.deadline", &class["deadline"], false))
+    classes
+        .iter()
+        .try_for_each(|class| positive("classes.deadline", &class["deadline"], false))
 }
 
 fn address(name: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::Value { name, found: text, wanted: "an address with a port" })
+    text.parse().map_err(|_| ConfigError::Value {
+        name,
+        found: text,
+        wanted: "an address with a port",
+    })
 }
 
 /// Nested JSON to paths with text, as the wire's `setup` has them: a list of plain values is joined with
 /// commas, a list of objects has its length under `.count` and its items under their numbers.
 fn flatten(path: &str, value: &Value, flat: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, value)| flatten(&below(name), value, flat)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, value)| flatten(&below(name), value, flat)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             flat.insert(below("count"), items.len().to_string());
             for (index, item) in items.iter().enumerate() {
@@ -409,7 +507,10 @@
             flat.insert(path.to_string(), String::new());
         }
         Value::Array(items) => {
-            flat.insert(path.to_string(), items.iter().map(plain).collect::<Vec<_>>().join(","));
+            flat.insert(
+                path.to_string(),
+                items.iter().map(plain).collect::<Vec<_>>().join(","),
+            );
         }
         Value::Null => {}
         other => {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -84,7 +84,10 @@
             Phase::Crossing => (false, true),
             Phase::Leaving | Phase::Gone => (false, false),
         };
-        self.idle_since.get().filter(|_| spare).map(|since| (open, since))
+        self.idle_since
+            .get()
+            .filter(|_| spare)
+            .map(|since| (open, since))
     }
 
     /// It is to be closed once no request is on it.
@@ -141,12 +144,16 @@
 
 impl AsyncRead for Socket {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         match self.with(|stream| stream.poll_read(context, buffer)) {
             Poll::Pending
-                if self.slot.is_leaving() && !self.full.get() && self.slot.may_end(Instant::now()) =>
+                if self.slot.is_leaving()
+                    && !self.full.get()
+                    && self.slot.may_end(Instant::now()) =>
             {
                 // the runtime looks at the system only between turns, in which a timer may come first
                 let room = buffer.initialize_unfilled();
@@ -178,7 +185,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = self.with(|stream| stream.poll_write(context, bytes));
         self.full.set(written.is_pending());
         written
@@ -196,16 +207,25 @@
 /// Serves the connection until it ends: by its peer, by a request that is none, once it has been idle for so long or
 /// asked to leave, or once `closing` has come.
 pub async fn serve<S>(
-    stream: TcpStream, slot: &Rc<Slot>, mut http: http1::Builder, idle: Duration, service: S,
+    stream: TcpStream,
+    slot: &Rc<Slot>,
+    mut http: http1::Builder,
+    idle: Duration,
+    service: S,
     closing: impl Future,
 ) where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
     let stream = Stream::from(stream);
     stream.set_nodelay();
-    let socket = Socket { stream: Rc::new(RefCell::new(stream)), slot: slot.clone(), full: Rc::default() };
+    let socket = Socket {
+        stream: Rc::new(RefCell::new(stream)),
+        slot: slot.clone(),
+        full: Rc::default(),
+    };
     // the time of a head that comes slowly; a connection without one ends before that, by `idle`
-    http.timer(TokioTimer::new()).header_read_timeout(idle + SPARE);
+    http.timer(TokioTimer::new())
+        .header_read_timeout(idle + SPARE);
     {
         let connection = http.serve_connection(TokioIo::new(socket.clone()), service);
         tokio::pin!(connection, closing);
@@ -214,9 +234,10 @@
             let look = match slot.idle_since.get() {
                 // a request that is open leaves no less than this
                 None => now + if slot.is_leaving() { SPARE } else { idle },
-                Some(_) if slot.is_leaving() => {
-                    slot.ends_from().filter(|from| *from > now).unwrap_or(now + SPARE)
-                }
+                Some(_) if slot.is_leaving() => slot
+                    .ends_from()
+                    .filter(|from| *from > now)
+                    .unwrap_or(now + SPARE),
                 Some(since) if since + idle <= now => {
                     slot.leave();
                     now
@@ -251,7 +272,9 @@
     stream.shutdown().await?;
     let mut left = CROSSING_MOST;
     while left > 0 {
-        let mut bytes = Discarded { stream: &mut stream };
+        let mut bytes = Discarded {
+            stream: &mut stream,
+        };
         let read = std::future::poll_fn(|context| bytes.poll(context)).await?;
         if read == 0 {
             return Ok(());
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -70,12 +70,23 @@
     });
     let mut http = http1::Builder::new();
     http.keep_alive(false).max_buf_size(16 * 1024);
-    let served = connection::serve(stream, slot, http, HEAD_TIME, service, std::future::pending::<()>());
+    let served = connection::serve(
+        stream,
+        slot,
+        http,
+        HEAD_TIME,
+        service,
+        std::future::pending::<()>(),
+    );
     // how a caller leaves is its own affair
     let _ = timeout(ALL_TIME, served).await;
 }
 
-async fn answer(request: Request<Incoming>, control: &Control, slot: &Rc<Slot>) -> Response<Full<Bytes>> {
+async fn answer(
+    request: Request<Incoming>,
+    control: &Control,
+    slot: &Rc<Slot>,
+) -> Response<Full<Bytes>> {
     let (status, what) = match handle(request, control, slot).await {
         Ok(what) => (StatusCode::OK, what),
         Err((status, why)) => (status, why.into()),
@@ -84,14 +95,20 @@
     *response.status_mut() = status;
     if status == StatusCode::METHOD_NOT_ALLOWED {
         let allowed = if what == ONLY_GET { "GET" } else { "POST" };
-        response.headers_mut().insert(ALLOW, hyper::header::HeaderValue::from_static(allowed));
+        response
+            .headers_mut()
+            .insert(ALLOW, hyper::header::HeaderValue::from_static(allowed));
     }
     response
 }
 
 const ONLY_GET: &str = "only GET";
 
-async fn handle(request: Request<Incoming>, control: &Control, slot: &Slot) -> Result<Cow<'static, str>, No> {
+async fn handle(
+    request: Request<Incoming>,
+    control: &Control,
+    slot: &Slot,
+) -> Result<Cow<'static, str>, No> {
     let out = match (request.uri().path(), request.method()) {
         ("/ready", &Method::GET) => {
             return if *control.ready.borrow() && !control.draining.get() {
@@ -112,18 +129,30 @@
         }
         ("/members", &Method::GET) => {
             slot.set_idle(false);
-            return report(&control.members, |reply| reply, (StatusCode::NOT_FOUND, "membership is off"))
-                .await;
+            return report(
+                &control.members,
+                |reply| reply,
+                (StatusCode::NOT_FOUND, "membership is off"),
+            )
+            .await;
         }
         ("/agreement", &Method::GET) => {
             slot.set_idle(false);
-            return report(&control.agreement, |reply| reply, (StatusCode::NOT_FOUND, "agreement is off"))
-                .await;
+            return report(
+                &control.agreement,
+                |reply| reply,
+                (StatusCode::NOT_FOUND, "agreement is off"),
+            )
+            .await;
         }
         ("/ledger", &Method::GET) => {
             slot.set_idle(false);
-            return report(&control.ledger, |reply| reply, (StatusCode::NOT_FOUND, "the ledger is off"))
-                .await;
+            return report(
+                &control.ledger,
+                |reply| reply,
+                (StatusCode::NOT_FOUND, "the ledger is off"),
+            )
+            .await;
         }
         ("/ready" | "/pools" | "/members" | "/agreement" | "/ledger" | "/freeze", _) => {
             return Err((StatusCode::METHOD_NOT_ALLOWED, ONLY_GET));
@@ -135,19 +164,30 @@
         }
         _ => return Err((StatusCode::NOT_FOUND, "no such path")),
     };
-    let body = timeout(BODY_TIME, Limited::new(request.into_body(), BODY_MOST).collect()).await;
+    let body = timeout(
+        BODY_TIME,
+        Limited::new(request.into_body(), BODY_MOST).collect(),
+    )
+    .await;
     let body = body
         .map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))?
         .map_err(|_| (StatusCode::BAD_REQUEST, "the body is malformed or too long"))?;
-    let Target { target: uid } = serde_json::from_slice(&body.to_bytes())
-        .map_err(|_| (StatusCode::BAD_REQUEST, "the body is not {\"target\":\"ID\"}"))?;
+    let Target { target: uid } = serde_json::from_slice(&body.to_bytes()).map_err(|_| {
+        (
+            StatusCode::BAD_REQUEST,
+            "the body is not {\"target\":\"ID\"}",
+        )
+    })?;
     slot.set_idle(false);
     let (reply, verdict) = oneshot::channel();
     ask(&control.orders, Order::SetOut { uid, out, reply })?;
     match verdict.await {
         Ok(Verdict::Done) => Ok("done".into()),
         Ok(Verdict::Unknown) => Err((StatusCode::NOT_FOUND, "no such endpoint")),
-        Ok(Verdict::Unwritten) => Err((StatusCode::INSUFFICIENT_STORAGE, "it could not be written down")),
+        Ok(Verdict::Unwritten) => Err((
+            StatusCode::INSUFFICIENT_STORAGE,
+            "it could not be written down",
+        )),
         Err(_) => Err((StatusCode::SERVICE_UNAVAILABLE, "ending")),
     }
 }
@@ -160,7 +200,9 @@
 
 /// A part's report; `none` is the answer where the part drops the question.
 async fn report<T>(
-    part: &mpsc::Sender<T>, order: impl FnOnce(Query) -> T, none: No,
+    part: &mpsc::Sender<T>,
+    order: impl FnOnce(Query) -> T,
+    none: No,
 ) -> Result<Cow<'static, str>, No> {
     let (reply, report) = oneshot::channel();
     ask(part, order(reply))?;
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -16,7 +16,8 @@
 const RETRY_MOST_EACH: Duration = Duration::from_millis(300);
 /// No longer than this, however many senders there are said to be: what discovery has counts as told [`TOLD`] after
 /// it can be reached again, and a call that finds it may take [`SILENCE`]. A backoff is half as long again at most.
-const LONGEST: Duration = Duration::from_millis((TOLD.as_millis() - SILENCE.as_millis()) as u64 * 2 / 3);
+const LONGEST: Duration =
+    Duration::from_millis((TOLD.as_millis() - SILENCE.as_millis()) as u64 * 2 / 3);
 /// Tries of senders whose watches all fell silent at one moment are spread over this at most: with [`SILENCE`] it
 /// leaves a quarter of [`TOLD`] for the answer.
 const OWED_SPREAD: Duration = Duration::from_millis(2000);
@@ -56,22 +57,38 @@
         let senders = if shared.asked { shared.senders } else { 1 };
         let contention = RETRY_FIRST_EACH.saturating_mul(senders);
         let mut first = RETRY_FIRST.max(contention).min(LONGEST);
-        let mut most = RETRY_MOST.max(RETRY_MOST_EACH.saturating_mul(senders)).min(LONGEST);
+        let mut most = RETRY_MOST
+            .max(RETRY_MOST_EACH.saturating_mul(senders))
+            .min(LONGEST);
         if shared.asked {
             let good = shared.ask_every.mul_f64(FILLED).max(RETRY_FIRST);
             (first, most) = (first.min(good), most.min(good.mul_f64(FAILED_TIMES)));
         }
-        Backoff { random: Pcg32::seed_from_u64(seed), first, most, delay: first, contention }
+        Backoff {
+            random: Pcg32::seed_from_u64(seed),
+            first,
+            most,
+            delay: first,
+            contention,
+        }
     }
 
     /// Longer backoffs from now on, or again the first.
     pub fn advance(&mut self, failed: bool) {
-        self.delay = if failed { (self.delay * 2).min(self.most) } else { self.first };
+        self.delay = if failed {
+            (self.delay * 2).min(self.most)
+        } else {
+            self.first
+        };
     }
 
     /// The backoff before the first try; none for the few senders that can't overload discovery.
     pub fn start(&mut self) -> Duration {
-        if self.first > RETRY_MOST { self.first.mul_f64(1.5 * self.part()) } else { Duration::ZERO }
+        if self.first > RETRY_MOST {
+            self.first.mul_f64(1.5 * self.part())
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// The next backoff: from half to one and a half times as long as is due.
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -3,13 +3,18 @@
 use super::*;
 
 fn asked(senders: u32) -> Shared {
-    Shared { senders, asked: true, ask_every: Duration::from_secs(10) }
+    Shared {
+        senders,
+        asked: true,
+        ask_every: Duration::from_secs(10),
+    }
 }
 
 /// Tries within `from` and `to` of so many senders that all lose their watches at 0 and find no room.
 fn tries(senders: u32, from: Duration, to: Duration) -> usize {
     let count = |seed| {
-        let (mut backoff, mut at, mut count) = (Backoff::new(asked(senders), seed), Duration::ZERO, 0);
+        let (mut backoff, mut at, mut count) =
+            (Backoff::new(asked(senders), seed), Duration::ZERO, 0);
         while at < to {
             at += backoff.spread();
             backoff.advance(true);
@@ -28,12 +33,17 @@
     for senders in [24, 48, 300] {
         let tries = tries(senders, 20 * second, 40 * second) as f64;
         let most = f64::from(senders) * 20.0 * 1.5 / (TOLD - SILENCE).as_secs_f64();
-        assert!(tries <= most * 1.05, "{tries} of {senders} in 20 s, {most} are due");
+        assert!(
+            tries <= most * 1.05,
+            "{tries} of {senders} in 20 s, {most} are due"
+        );
     }
     let first = tries(48, Duration::ZERO, second / 10);
     assert_eq!(first, 0, "none comes back at once");
     // those that start at one moment do not ask at one moment, where they have a list
-    let mut starts: Vec<_> = (0..48).map(|seed| Backoff::new(asked(48), seed).start()).collect();
+    let mut starts: Vec<_> = (0..48)
+        .map(|seed| Backoff::new(asked(48), seed).start())
+        .collect();
     starts.sort_unstable();
     assert!(starts[36] - starts[12] > second / 2, "{starts:?}");
     assert_eq!(Backoff::new(asked(3), 1).start(), Duration::ZERO);
@@ -55,12 +65,26 @@
                 backoff.advance(true);
                 assert!(backoff.spread() <= longest, "{senders} senders");
             }
-            let mut seldom = Backoff::new(Shared { ask_every: Duration::from_secs(1), ..shared }, seed);
-            assert!(seldom.start() < Duration::from_secs(1) && seldom.spread() < Duration::from_secs(1));
+            let mut seldom = Backoff::new(
+                Shared {
+                    ask_every: Duration::from_secs(1),
+                    ..shared
+                },
+                seed,
+            );
+            assert!(
+                seldom.start() < Duration::from_secs(1) && seldom.spread() < Duration::from_secs(1)
+            );
         }
     }
     // an agent of one's own is asked soon, however many other senders there are
-    let mut own = Backoff::new(Shared { asked: false, ..asked(300) }, 1);
+    let mut own = Backoff::new(
+        Shared {
+            asked: false,
+            ..asked(300)
+        },
+        1,
+    );
     (0..20).for_each(|_| own.advance(true));
     assert!(own.spread() <= RETRY_MOST.mul_f64(1.5) && own.start() == Duration::ZERO);
 }
@@ -68,19 +92,27 @@
 #[test]
 fn hundreds_that_fall_silent_together_are_back_in_time_without_a_crowd() {
     // a discovery that takes 5 ms for each call, one after another; 300 senders, all silent since 0
-    let mut calls: Vec<Duration> =
-        (0..300).map(|seed| SILENCE + Backoff::new(asked(300), seed).after_silence()).collect();
+    let mut calls: Vec<Duration> = (0..300)
+        .map(|seed| SILENCE + Backoff::new(asked(300), seed).after_silence())
+        .collect();
     calls.sort_unstable();
     let mut free = Duration::ZERO;
     let answered = calls.iter().map(|&at| {
         free = free.max(at) + Duration::from_millis(5);
         (free, free - at)
     });
-    let (last, waited) = answered.fold((Duration::ZERO, Duration::ZERO), |(last, waited), (at, for_)| {
-        (last.max(at), waited.max(for_))
-    });
-    assert!(last < TOLD - Duration::from_secs(1), "the last has its answer at {last:?}");
-    assert!(waited < Duration::from_millis(250), "one waits for {waited:?}");
+    let (last, waited) = answered.fold(
+        (Duration::ZERO, Duration::ZERO),
+        |(last, waited), (at, for_)| (last.max(at), waited.max(for_)),
+    );
+    assert!(
+        last < TOLD - Duration::from_secs(1),
+        "the last has its answer at {last:?}"
+    );
+    assert!(
+        waited < Duration::from_millis(250),
+        "one waits for {waited:?}"
+    );
     // alone, at once
     assert!(Backoff::new(asked(1), 1).after_silence() <= Duration::from_millis(25));
 }
@@ -104,7 +136,13 @@
             free = free.max(at) + Duration::from_millis(5);
             longest = longest.max(free - at);
         }
-        assert!(free < down + TOLD - Duration::from_secs(1), "down for {down:?}: the last at {free:?}");
-        assert!(longest < SILENCE / 2, "down for {down:?}: one waits for {longest:?}");
+        assert!(
+            free < down + TOLD - Duration::from_secs(1),
+            "down for {down:?}: the last at {free:?}"
+        );
+        assert!(
+            longest < SILENCE / 2,
+            "down for {down:?}: one waits for {longest:?}"
+        );
     }
 }
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -46,24 +46,34 @@
             State::Missed(before) => before.counts.min(since + TOLD),
             State::Fresh | State::Starting => since + TOLD,
         };
-        State::Missed(Missed { counts, refused: false })
+        State::Missed(Missed {
+            counts,
+            refused: false,
+        })
     }
 
     /// Discovery said no then, to a watch that it ended or to a call. An earlier silence counts on.
     fn refused(self, at: Instant) -> Self {
         match self {
             State::Missed(Missed { refused: false, .. }) => self,
-            _ => State::Missed(Missed { counts: at + TOLD, refused: true }),
+            _ => State::Missed(Missed {
+                counts: at + TOLD,
+                refused: true,
+            }),
         }
     }
 
     /// The list is asked for elsewhere since then.
     fn moved(self, at: Instant) -> Self {
         match self {
-            State::Missed(before) => {
-                State::Missed(Missed { counts: before.counts.min(at + MOVED), ..before })
-            }
-            State::Fresh | State::Starting => State::Missed(Missed { counts: at + MOVED, refused: true }),
+            State::Missed(before) => State::Missed(Missed {
+                counts: before.counts.min(at + MOVED),
+                ..before
+            }),
+            State::Fresh | State::Starting => State::Missed(Missed {
+                counts: at + MOVED,
+                refused: true,
+            }),
         }
     }
 }
@@ -77,11 +87,17 @@
     /// pushed, it waits for what its agent has; where they are asked for, the list that it starts with is good for as
     /// long as any. Nothing may be sent any more for `grace` after a change counts as told.
     pub fn new(
-        pushed: bool, grace: Duration, inputs: mpsc::UnboundedSender<Input>,
+        pushed: bool,
+        grace: Duration,
+        inputs: mpsc::UnboundedSender<Input>,
     ) -> (Self, impl Future<Output = ()>) {
         // the first turn must know
         let _ = inputs.send(Input::Stale(pushed));
-        let start = if pushed { State::Starting } else { State::Fresh.refused(Instant::now()) };
+        let start = if pushed {
+            State::Starting
+        } else {
+            State::Fresh.refused(Instant::now())
+        };
         let (state, seen) = watch::channel(start);
         (Freshness(state), tell(seen, pushed, grace, inputs))
     }
@@ -98,12 +114,14 @@
 
     /// SIGHUP has moved discovery.
     pub fn moved(&self) {
-        self.0.send_modify(|state| *state = state.moved(Instant::now()));
+        self.0
+            .send_modify(|state| *state = state.moved(Instant::now()));
     }
 
     /// A new watch has told something, which is all that was missed.
     pub fn told(&self) {
-        self.0.send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
+        self.0
+            .send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
     }
 
     /// The first try has ended without a word.
@@ -130,7 +148,10 @@
 }
 
 async fn tell(
-    mut seen: watch::Receiver<State>, mut stale: bool, grace: Duration, inputs: mpsc::UnboundedSender<Input>,
+    mut seen: watch::Receiver<State>,
+    mut stale: bool,
+    grace: Duration,
+    inputs: mpsc::UnboundedSender<Input>,
 ) {
     loop {
         let state = *seen.borrow_and_update();
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -22,7 +22,9 @@
 
 /// What the module hears until just before, and until just after, so long after `from`.
 async fn around(
-    received: &mut mpsc::UnboundedReceiver<Input>, from: Instant, after: Duration,
+    received: &mut mpsc::UnboundedReceiver<Input>,
+    from: Instant,
+    after: Duration,
 ) -> (Vec<bool>, Vec<bool>) {
     let slack = Duration::from_millis(20);
     tokio::time::sleep_until(from + after - slack).await;
@@ -40,16 +42,27 @@
     tokio::time::sleep(Duration::from_millis(3000)).await;
     freshness.silent(Instant::now());
     assert_eq!(freshness.counts(), Some(start + TOLD));
-    assert_eq!(around(&mut received, start, TOLD + GRACE).await, (vec![false], vec![true]));
+    assert_eq!(
+        around(&mut received, start, TOLD + GRACE).await,
+        (vec![false], vec![true])
+    );
     freshness.started();
     freshness.refused(Instant::now());
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(told(&mut received), Vec::<bool>::new(), "only a word of discovery ends a silence");
+    assert_eq!(
+        told(&mut received),
+        Vec::<bool>::new(),
+        "only a word of discovery ends a silence"
+    );
     freshness.told();
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(told(&mut received), [false]);
     tokio::time::sleep(Duration::from_secs(60)).await;
-    assert_eq!(told(&mut received), Vec::<bool>::new(), "an open watch tells all");
+    assert_eq!(
+        told(&mut received),
+        Vec::<bool>::new(),
+        "an open watch tells all"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -64,8 +77,15 @@
         last = Instant::now();
         freshness.refused(last);
     }
-    assert_eq!(told(&mut received), [false], "what can't be reached can't count");
-    assert_eq!(around(&mut received, last, TOLD + GRACE).await, (vec![], vec![true]));
+    assert_eq!(
+        told(&mut received),
+        [false],
+        "what can't be reached can't count"
+    );
+    assert_eq!(
+        around(&mut received, last, TOLD + GRACE).await,
+        (vec![], vec![true])
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -79,7 +99,10 @@
     // it may have been back in between, and a later no takes nothing of that away
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.refused(Instant::now());
-    assert_eq!(around(&mut received, no, TOLD + GRACE).await, (vec![false], vec![true]));
+    assert_eq!(
+        around(&mut received, no, TOLD + GRACE).await,
+        (vec![false], vec![true])
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -90,13 +113,19 @@
     freshness.moved();
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.moved();
-    assert_eq!(around(&mut received, first, MOVED + GRACE).await, (vec![false], vec![true]));
+    assert_eq!(
+        around(&mut received, first, MOVED + GRACE).await,
+        (vec![false], vec![true])
+    );
     // the new address says no: it counts so long after it can be reached
     let no = Instant::now();
     freshness.refused(no);
     tokio::time::sleep(Duration::from_millis(10)).await;
     assert_eq!(told(&mut received), [false]);
-    assert_eq!(around(&mut received, no, TOLD + GRACE).await, (vec![], vec![true]));
+    assert_eq!(
+        around(&mut received, no, TOLD + GRACE).await,
+        (vec![], vec![true])
+    );
     // during a silence the sooner of both holds
     freshness.told();
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -112,7 +141,10 @@
 async fn where_it_is_asked_a_start_trusts_its_list_no_longer_than_any() {
     let start = Instant::now();
     let (_freshness, mut received) = started(false);
-    assert_eq!(around(&mut received, start, TOLD + GRACE).await, (vec![false], vec![true]));
+    assert_eq!(
+        around(&mut received, start, TOLD + GRACE).await,
+        (vec![false], vec![true])
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -70,7 +70,10 @@
     fn is_refusal(&self) -> bool {
         match self {
             CallError::Connect(ConnectError::Peer(error)) => {
-                matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
+                matches!(
+                    error.kind(),
+                    ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset
+                )
             }
             CallError::Http(error) => !error.is_parse(),
             CallError::Connect(_) | CallError::Request(_) | CallError::Time => false,
@@ -85,10 +88,25 @@
 
 /// Watches the list for ever, wherever the agent is, and hands each change on.
 pub async fn watch(
-    agent: Receiver<SocketAddr>, version: u64, shared: Shared, backoff: Backoff, freshness: Freshness,
+    agent: Receiver<SocketAddr>,
+    version: u64,
+    shared: Shared,
+    backoff: Backoff,
+    freshness: Freshness,
     inputs: mpsc::UnboundedSender<Input>,
 ) {
-    Watch { agent, version, shared, backoff, freshness, inputs, whole: false, open: false }.run().await;
+    Watch {
+        agent,
+        version,
+        shared,
+        backoff,
+        freshness,
+        inputs,
+        whole: false,
+        open: false,
+    }
+    .run()
+    .await;
 }
 
 struct Watch {
@@ -158,12 +176,16 @@
         let whole = std::mem::take(&mut self.whole);
         let from = if whole { 0 } else { self.version };
         let path = format!("/v1/endpoints?watch=1&from={from}");
-        let request = Request::get(path).header(HOST, agent.to_string()).body(Empty::<Bytes>::new());
+        let request = Request::get(path)
+            .header(HOST, agent.to_string())
+            .body(Empty::<Bytes>::new());
         let began = Instant::now();
         let response = call(agent, request.map_err(CallError::from)?, self.patience()).await;
         let response = response.inspect_err(|error| match error {
             // an agent of one's own that refuses is down, and learns nothing
-            CallError::Connect(_) if !self.shared.asked && error.is_refusal() => self.freshness.told(),
+            CallError::Connect(_) if !self.shared.asked && error.is_refusal() => {
+                self.freshness.told()
+            }
             error if error.is_refusal() => self.freshness.refused(began),
             _ => self.freshness.silent(began),
         })?;
@@ -180,7 +202,8 @@
             }
         }
         let mut body = response.into_body();
-        let (mut reading, mut last, mut settling) = (Reading::default(), Instant::now(), !self.shared.asked);
+        let (mut reading, mut last, mut settling) =
+            (Reading::default(), Instant::now(), !self.shared.asked);
         loop {
             let wait = if settling { SETTLE } else { SILENCE };
             let frame = match timeout_at(last + wait, body.frame()).await {
@@ -188,7 +211,9 @@
                 // so it ends watches when it goes down
                 Ok(ended) => {
                     self.freshness.refused(last);
-                    return Err(ended.and_then(Result::err).map_or(WatchError::Ended, WatchError::Http));
+                    return Err(ended
+                        .and_then(Result::err)
+                        .map_or(WatchError::Ended, WatchError::Http));
                 }
                 Err(_) if settling => {
                     settling = false;
@@ -201,7 +226,9 @@
                 }
             };
             (last, settling) = (Instant::now(), false);
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             let read = reading.take(&data);
             let told = reading.is_between() || !read.lists.is_empty();
             let mut gap = read.unreadable.is_some();
@@ -235,7 +262,9 @@
     /// How long a call may take: what was missed is to be here by the time that it counts as told.
     fn patience(&self) -> Duration {
         match self.freshness.counts() {
-            Some(counts) => counts.saturating_duration_since(Instant::now()).clamp(ANSWER, SILENCE),
+            Some(counts) => counts
+                .saturating_duration_since(Instant::now())
+                .clamp(ANSWER, SILENCE),
             None if self.freshness.is_starting() => ANSWER,
             None => SILENCE,
         }
@@ -252,7 +281,9 @@
 
 /// One request on a connection of its own: the agent is near, and its connections may have gone silent.
 pub async fn call<B>(
-    agent: SocketAddr, request: Request<B>, within: Duration,
+    agent: SocketAddr,
+    request: Request<B>,
+    within: Duration,
 ) -> Result<Response<hyper::body::Incoming>, CallError>
 where
     B: Body<Data = Bytes> + Send + 'static,
@@ -264,5 +295,7 @@
         tokio::spawn(connection);
         Ok(sender.send_request(request).await?)
     };
-    timeout(within, exchange).await.map_err(|_| CallError::Time)?
+    timeout(within, exchange)
+        .await
+        .map_err(|_| CallError::Time)?
 }
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -31,7 +31,8 @@
 
 /// Posts notices until each has been answered 204.
 pub async fn post_notices(
-    mut agent: Receiver<SocketAddr>, mut queue: mpsc::UnboundedReceiver<Notice>,
+    mut agent: Receiver<SocketAddr>,
+    mut queue: mpsc::UnboundedReceiver<Notice>,
     inputs: mpsc::UnboundedSender<Input>,
 ) {
     let mut owed: BTreeMap<u64, Notice> = BTreeMap::new();
@@ -48,14 +49,20 @@
             owed.insert(notice.number, notice);
         }
         let batch: Vec<u64> = owed.keys().copied().take(BATCH).collect();
-        let text: String = batch.iter().filter_map(|number| owed.get(number)).map(line_of).collect();
+        let text: String = batch
+            .iter()
+            .filter_map(|number| owed.get(number))
+            .map(line_of)
+            .collect();
         let address = *agent.borrow_and_update();
         let request = Request::post("/v1/outcomes")
             .header(HOST, address.to_string())
             .header(CONTENT_TYPE, "application/x-ndjson")
             .body(Full::new(Bytes::from(text)));
         let answer = match request {
-            Ok(request) => call(address, request, ANSWER).await.map(|response| response.status()),
+            Ok(request) => call(address, request, ANSWER)
+                .await
+                .map(|response| response.status()),
             Err(error) => Err(CallError::from(error)),
         };
         match answer {
@@ -73,16 +80,20 @@
                 if !std::mem::replace(&mut failing, true) {
                     let count = batch.len();
                     match other {
-                        Ok(status) => {
-                            crate::net::log(format_args!("discovery: {count} notices answered {status}"))
-                        }
-                        Err(error) => {
-                            crate::net::log(format_args!("discovery: {count} notices not delivered: {error}"))
-                        }
+                        Ok(status) => crate::net::log(format_args!(
+                            "discovery: {count} notices answered {status}"
+                        )),
+                        Err(error) => crate::net::log(format_args!(
+                            "discovery: {count} notices not delivered: {error}"
+                        )),
                     }
                 }
                 let moved = back_off_or_move(delay, &mut agent).await;
-                delay = if moved || local { RETRY_FIRST } else { (delay * 2).min(RETRY_MOST) };
+                delay = if moved || local {
+                    RETRY_FIRST
+                } else {
+                    (delay * 2).min(RETRY_MOST)
+                };
             }
         }
     }
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -43,7 +43,10 @@
             "removed" => Status::Gone,
             other => return Err(format!("unknown state '{other}'")),
         };
-        let address = target.endpoint.parse().map_err(|_| format!("bad address '{}'", target.endpoint))?;
+        let address = target
+            .endpoint
+            .parse()
+            .map_err(|_| format!("bad address '{}'", target.endpoint))?;
         Ok(Listed {
             uid: target.uid,
             address,
@@ -61,7 +64,11 @@
             None
         }
     });
-    Some(ListUpdate { version: line.rev, full: line.all, targets: targets.collect() })
+    Some(ListUpdate {
+        version: line.rev,
+        full: line.all,
+        targets: targets.collect(),
+    })
 }
 
 /// What a watch has sent so far and nobody has read yet.
@@ -89,7 +96,11 @@
         let mut read = Read::default();
         self.buffer.extend_from_slice(bytes);
         let ends = bytes.trim_ascii_end().ends_with(b"}");
-        if !ends && !self.lost && self.looked > 0 && self.buffer.len() - self.looked < self.looked / GROWN {
+        if !ends
+            && !self.lost
+            && self.looked > 0
+            && self.buffer.len() - self.looked < self.looked / GROWN
+        {
             return read;
         }
         loop {
@@ -103,7 +114,8 @@
                 break;
             }
             let start = self.buffer[..self.buffer.len().min(80)].trim_ascii();
-            read.unreadable.get_or_insert_with(|| String::from_utf8_lossy(start).into_owned());
+            read.unreadable
+                .get_or_insert_with(|| String::from_utf8_lossy(start).into_owned());
             self.lost = true;
         }
         read
@@ -147,8 +159,7 @@
     use serde_json::json;
 
     fn list(version: u64, uid: &str) -> Value {
-        let target =
-            json!({ "uid": uid, "endpoint": "10.1.0.18:8000", "az": "a}{", "pod_group": 3, "state": "up" });
+        let target = json!({ "uid": uid, "endpoint": "10.1.0.18:8000", "az": "a}{", "pod_group": 3, "state": "up" });
         json!({ "rev": version, "all": true, "targets": [target] })
     }
 
@@ -160,25 +171,46 @@
 
     #[test]
     fn an_indented_list_is_read_wherever_it_is_cut() {
-        let text =
-            format!("\n\n{:#}\n\n{}\n{:#}\n", list(1, "s-\"{1"), list(2, "s-2"), list(3, "s-3")).into_bytes();
+        let text = format!(
+            "\n\n{:#}\n\n{}\n{:#}\n",
+            list(1, "s-\"{1"),
+            list(2, "s-2"),
+            list(3, "s-3")
+        )
+        .into_bytes();
         for cut in 0..=text.len() {
             let (before, after) = text.split_at(cut);
-            assert_eq!(versions(&[before, after]), [Some(1), Some(2), Some(3)], "cut at byte {cut}");
+            assert_eq!(
+                versions(&[before, after]),
+                [Some(1), Some(2), Some(3)],
+                "cut at byte {cut}"
+            );
         }
         let bytes: Vec<&[u8]> = text.chunks(1).collect();
-        assert_eq!(versions(&bytes), [Some(1), Some(2), Some(3)], "byte by byte");
+        assert_eq!(
+            versions(&bytes),
+            [Some(1), Some(2), Some(3)],
+            "byte by byte"
+        );
     }
 
     #[test]
     fn what_cannot_be_read_is_told_once_and_what_follows_is_read() {
-        let text = format!("no list\nnor this\n{:#}\n{{\"rev\":}}\n{}\n[1]\n", list(1, "a"), list(2, "b"));
+        let text = format!(
+            "no list\nnor this\n{:#}\n{{\"rev\":}}\n{}\n[1]\n",
+            list(1, "a"),
+            list(2, "b")
+        );
         for size in [1, 7, 4096] {
             let mut reading = Reading::default();
             let (mut lists, mut told) = (Vec::new(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
                 let read = reading.take(piece);
-                lists.extend(read.lists.into_iter().map(|list| list.map(|list| list.version)));
+                lists.extend(
+                    read.lists
+                        .into_iter()
+                        .map(|list| list.map(|list| list.version)),
+                );
                 told.extend(read.unreadable);
             }
             assert_eq!(lists, [Some(1), Some(2), None], "pieces of {size}");
@@ -190,14 +222,21 @@
     fn a_value_without_end_is_given_up_and_a_long_list_costs_no_square() {
         let mut reading = Reading::default();
         let piece = vec![b'['; 1 << 16];
-        let told = (0..100).filter(|_| reading.take(&piece).unreadable.is_some()).count();
+        let told = (0..100)
+            .filter(|_| reading.take(&piece).unreadable.is_some())
+            .count();
         assert!(told >= 1 && reading.buffer.len() <= LONGEST + piece.len());
         let read = reading.take(format!("\n{}\n", list(4, "a")).as_bytes());
         assert_eq!(read.lists.len(), 1);
         // ten thousand endpoints, in pieces of a segment
-        let targets: Vec<Value> =
-            (0..10_000).map(|uid| list(1, &uid.to_string())["targets"][0].clone()).collect();
-        let text = format!("{:#}\n", json!({ "rev": 9, "all": true, "targets": targets })).into_bytes();
+        let targets: Vec<Value> = (0..10_000)
+            .map(|uid| list(1, &uid.to_string())["targets"][0].clone())
+            .collect();
+        let text = format!(
+            "{:#}\n",
+            json!({ "rev": 9, "all": true, "targets": targets })
+        )
+        .into_bytes();
         let mut reading = Reading::default();
         let mut looks = 0;
         let lists: usize = text
@@ -210,6 +249,10 @@
             })
             .sum();
         assert_eq!(lists, 1);
-        assert!(looks < 600, "looked at {looks} times in {} pieces", text.len() / 1448);
+        assert!(
+            looks < 600,
+            "looked at {looks} times in {} pieces",
+            text.len() / 1448
+        );
     }
 }
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -23,14 +23,37 @@
 }
 
 fn seen(listed: &Listed) -> Seen {
-    let Listed { destination, zone, weight, status, .. } = listed;
-    Seen { up: *status == Status::Serving, destination: *destination, zone: zone.clone(), weight: *weight }
+    let Listed {
+        destination,
+        zone,
+        weight,
+        status,
+        ..
+    } = listed;
+    Seen {
+        up: *status == Status::Serving,
+        destination: *destination,
+        zone: zone.clone(),
+        weight: *weight,
+    }
 }
 
 /// What is known of an endpoint that the last list had.
 fn known(route: &Route) -> Option<Seen> {
-    let Route { up, destination, zone, weight, listed, .. } = route;
-    listed.then(|| Seen { up: *up, destination: *destination, zone: zone.clone(), weight: *weight })
+    let Route {
+        up,
+        destination,
+        zone,
+        weight,
+        listed,
+        ..
+    } = route;
+    listed.then(|| Seen {
+        up: *up,
+        destination: *destination,
+        zone: zone.clone(),
+        weight: *weight,
+    })
 }
 
 impl Driver {
@@ -38,7 +61,11 @@
         let now = self.now();
         match freezing {
             Freezing::Off => {
-                let held = self.frozen.take().map(|frozen| frozen.held).unwrap_or_default();
+                let held = self
+                    .frozen
+                    .take()
+                    .map(|frozen| frozen.held)
+                    .unwrap_or_default();
                 self.admit_all(held.into_values().collect());
             }
             Freezing::On(settings) => match &mut self.frozen {
@@ -60,7 +87,9 @@
     /// The list without what is held of it.
     pub(super) fn without_held(&mut self, mut update: ListUpdate) -> ListUpdate {
         let now = self.now();
-        let Some(frozen) = &mut self.frozen else { return update };
+        let Some(frozen) = &mut self.frozen else {
+            return update;
+        };
         if update.full {
             let names: std::collections::BTreeSet<&String> =
                 update.targets.iter().map(|listed| &listed.uid).collect();
@@ -73,7 +102,10 @@
         let mut taken = Vec::with_capacity(update.targets.len());
         for mut listed in update.targets {
             frozen.held.remove(&listed.uid);
-            let route = self.by_uid.get(&listed.uid).and_then(|endpoint| self.routes.get(endpoint));
+            let route = self
+                .by_uid
+                .get(&listed.uid)
+                .and_then(|endpoint| self.routes.get(endpoint));
             let before = route.and_then(known);
             let matter = widens(before.as_ref(), &seen(&listed));
             let Some(Err(error)) = matter.map(|matter| frozen.gate.judge(now, &matter)) else {
@@ -87,9 +119,15 @@
             frozen.held.insert(listed.uid.clone(), listed.clone());
             match before {
                 // nothing was taken away but what it was
-                Some(before) if before.destination == listed.destination && before.zone == listed.zone => {
+                Some(before)
+                    if before.destination == listed.destination && before.zone == listed.zone =>
+                {
                     listed.weight = before.weight;
-                    listed.status = if before.up { Status::Serving } else { Status::Draining };
+                    listed.status = if before.up {
+                        Status::Serving
+                    } else {
+                        Status::Draining
+                    };
                     taken.push(listed);
                 }
                 Some(before) => {
@@ -108,7 +146,9 @@
     pub(super) fn thaw(&mut self) -> bool {
         let now = self.now();
         let at = self.clock.at(Instant::now());
-        let Some(frozen) = &mut self.frozen else { return false };
+        let Some(frozen) = &mut self.frozen else {
+            return false;
+        };
         if frozen.held.is_empty() || at < frozen.next {
             return false;
         }
@@ -122,7 +162,9 @@
         let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
             return false;
         };
-        let Some(listed) = frozen.held.remove(&uid) else { return false };
+        let Some(listed) = frozen.held.remove(&uid) else {
+            return false;
+        };
         // senders that thaw at one moment do not admit the same one at that moment
         let ramp = Micros::try_from(frozen.settings.ramp_ms).unwrap_or(0) * milletturn::MILLISECOND;
         frozen.next = at + ramp / 2 + self.ramp.turn(ramp);
@@ -134,14 +176,20 @@
 
     fn admit_all(&mut self, targets: Vec<Listed>) {
         if !targets.is_empty() {
-            let update = ListUpdate { version: self.list_version, full: false, targets };
+            let update = ListUpdate {
+                version: self.list_version,
+                full: false,
+                targets,
+            };
             self.take_list(update, false);
         }
     }
 
     /// Whether entries of the list are held.
     pub(super) fn holds_entries(&self) -> bool {
-        self.frozen.as_ref().is_some_and(|frozen| !frozen.held.is_empty())
+        self.frozen
+            .as_ref()
+            .is_some_and(|frozen| !frozen.held.is_empty())
     }
 
     /// How the freeze stands here, as JSON; none while it is off.
@@ -158,7 +206,14 @@
     /// Of a sender that starts now.
     pub(super) fn new(now: u64, settings: FreezeSettings) -> Self {
         let gate = Gate::new(now, settings.unknown_ms * 1000);
-        Frozen { gate, settings, held: BTreeMap::new(), next: 0, held_ever: 0, admitted: 0 }
+        Frozen {
+            gate,
+            settings,
+            held: BTreeMap::new(),
+            next: 0,
+            held_ever: 0,
+            admitted: 0,
+        }
     }
 }
 
--- a/src/net/driver/handing.rs
+++ b/src/net/driver/handing.rs
@@ -7,7 +7,9 @@
 use crate::net::journal::JournalError;
 use crate::net::leaving::Leaving;
 use crate::net::machine::RETRY;
-use crate::net::upgrade::{self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text};
+use crate::net::upgrade::{
+    self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text,
+};
 use hyper::header::HeaderValue;
 use milletturn::{EndpointId, MessageId};
 use std::collections::HashMap;
@@ -20,7 +22,9 @@
         let mut link = match successor {
             Successor::Heir(link) => link,
             Successor::Stranger => {
-                net::log(format_args!("upgrade: the new process speaks another version, this one ends"));
+                net::log(format_args!(
+                    "upgrade: the new process speaks another version, this one ends"
+                ));
                 return Next::End;
             }
         };
@@ -45,16 +49,22 @@
         };
         match handed {
             Ok(()) => {
-                net::log(format_args!("upgrade: handed over {messages} messages, {calls} calls are out"));
+                net::log(format_args!(
+                    "upgrade: handed over {messages} messages, {calls} calls are out"
+                ));
                 Next::Leave(link)
             }
             Err(error) => match self.shared.lock.try_take() {
                 Ok(true) => {
-                    net::log(format_args!("upgrade: not taken over, this process goes on: {error}"));
+                    net::log(format_args!(
+                        "upgrade: not taken over, this process goes on: {error}"
+                    ));
                     self.reopen_journal().await
                 }
                 Ok(false) | Err(_) => {
-                    net::log(format_args!("upgrade: another process owns the journal, this one ends"));
+                    net::log(format_args!(
+                        "upgrade: another process owns the journal, this one ends"
+                    ));
                     Next::End
                 }
             },
@@ -71,7 +81,9 @@
                     sleep(RETRY).await;
                 }
                 Err(error) => {
-                    net::log(format_args!("upgrade: the journal is lost, this process ends: {error}"));
+                    net::log(format_args!(
+                        "upgrade: the journal is lost, this process ends: {error}"
+                    ));
                     return Next::End;
                 }
             }
@@ -105,7 +117,11 @@
         };
         let call = |(&number, call): (&u64, &CallOut)| HandedCall {
             number,
-            items: call.items.iter().map(|&(message, attempt)| (message.0, attempt)).collect(),
+            items: call
+                .items
+                .iter()
+                .map(|&(message, attempt)| (message.0, attempt))
+                .collect(),
             left: call.left,
         };
         Ok(Handover {
@@ -119,9 +135,16 @@
             next_call: self.next_call,
             delivered: self.delivered.iter().map(text).collect(),
             // what a freeze holds of the list is not handed over: the next process asks for all of it
-            list_version: if self.holds_entries() { 0 } else { self.list_version },
+            list_version: if self.holds_entries() {
+                0
+            } else {
+                self.list_version
+            },
             alarm: self.alarm,
-            clients: self.shared.most.saturating_sub(self.shared.places.available_permits()),
+            clients: self
+                .shared
+                .most
+                .saturating_sub(self.shared.places.available_permits()),
         })
     }
 
@@ -132,11 +155,33 @@
         (self.list_version, self.alarm) = (handover.list_version, handover.alarm);
         self.next_endpoint = handover.next_endpoint;
         for handed in handover.routes {
-            let HandedRoute { endpoint, uid, address, kind, destination, listed, up, zone, weight } = handed;
+            let HandedRoute {
+                endpoint,
+                uid,
+                address,
+                kind,
+                destination,
+                listed,
+                up,
+                zone,
+                weight,
+            } = handed;
             let (endpoint, gone) = (EndpointId(endpoint), None);
             self.by_uid.insert(uid.clone(), endpoint);
-            self.routes
-                .insert(endpoint, Route { uid, address, kind, destination, listed, up, zone, weight, gone });
+            self.routes.insert(
+                endpoint,
+                Route {
+                    uid,
+                    address,
+                    kind,
+                    destination,
+                    listed,
+                    up,
+                    zone,
+                    weight,
+                    gone,
+                },
+            );
             self.admit(endpoint);
         }
         for handed in handover.messages {
@@ -147,20 +192,54 @@
             }
             let attempt = |(endpoint, sent, call, item, out, record)| {
                 let endpoint = EndpointId(endpoint);
-                Attempt { endpoint, sent, call, item, out, record }
+                Attempt {
+                    endpoint,
+                    sent,
+                    call,
+                    item,
+                    out,
+                    record,
+                }
             };
             let attempts = handed.attempts.into_iter().map(attempt).collect();
             let (open, clients) = (handed.open, handed.clients);
-            self.messages.insert(message, Message { item, open, clients, attempts });
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open,
+                    clients,
+                    attempts,
+                },
+            );
         }
         let attempts = self.messages.values().flat_map(|held| &held.attempts);
         self.attempts_out = attempts.filter(|attempt| attempt.out).count();
-        for HandedCall { number, items, left } in handover.out {
-            let items = items.into_iter().map(|(message, attempt)| (MessageId(message), attempt)).collect();
-            self.out.insert(number, CallOut { cancels: None, items, left });
+        for HandedCall {
+            number,
+            items,
+            left,
+        } in handover.out
+        {
+            let items = items
+                .into_iter()
+                .map(|(message, attempt)| (MessageId(message), attempt))
+                .collect();
+            self.out.insert(
+                number,
+                CallOut {
+                    cancels: None,
+                    items,
+                    left,
+                },
+            );
         }
         self.count_elsewhere();
-        self.delivered = handover.delivered.iter().filter_map(|id| HeaderValue::from_str(id).ok()).collect();
+        self.delivered = handover
+            .delivered
+            .iter()
+            .filter_map(|id| HeaderValue::from_str(id).ok())
+            .collect();
         if self.routes.values().any(|route| route.listed) {
             self.ready.send_replace(true);
         }
@@ -197,7 +276,9 @@
 
     /// What the old process reports and passes on.
     pub(super) fn linked(&mut self, word: Word) {
-        let Some((old, _)) = &self.predecessor else { return };
+        let Some((old, _)) = &self.predecessor else {
+            return;
+        };
         let old = old.clone();
         match word {
             Word::Ended(ended) => self.ended(ended),
@@ -232,7 +313,12 @@
     pub(super) fn passed(&self, passed: Passed, reply: oneshot::Sender<Answer>) -> Option<Arrival> {
         Some(Arrival {
             id: HeaderValue::from_str(&passed.id).ok()?,
-            key: passed.key.as_deref().map(HeaderValue::from_str).transpose().ok()?,
+            key: passed
+                .key
+                .as_deref()
+                .map(HeaderValue::from_str)
+                .transpose()
+                .ok()?,
             subject: passed.subject,
             tenant: passed.tenant,
             class: passed.class,
@@ -248,22 +334,38 @@
 
     /// The old process has ended: nobody will tell how its last calls do.
     pub(super) fn link_lost(&mut self) {
-        let Some((_, places)) = self.predecessor.take() else { return };
+        let Some((_, places)) = self.predecessor.take() else {
+            return;
+        };
         self.shared.places.add_permits(places);
         self.shared.most += places;
         let lost: Vec<(u64, usize)> = self
             .out
             .iter()
             .filter(|(_, call)| call.cancels.is_none())
-            .flat_map(|(&number, call)| call.items.iter().enumerate().map(move |item| (number, item)))
+            .flat_map(|(&number, call)| {
+                call.items
+                    .iter()
+                    .enumerate()
+                    .map(move |item| (number, item))
+            })
             // one of a bundle may have ended before
             .filter(|(_, (_, (message, attempt)))| self.is_out(*message, *attempt))
             .map(|(number, (item, _))| (number, item))
             .collect();
-        net::log(format_args!("upgrade: the old process has ended, {} calls with it", lost.len()));
+        net::log(format_args!(
+            "upgrade: the old process has ended, {} calls with it",
+            lost.len()
+        ));
         for (call, item) in lost {
-            let ended =
-                Ended { call, item, outcome: upgrade::LOST, closed: false, report: Vec::new(), wait: None };
+            let ended = Ended {
+                call,
+                item,
+                outcome: upgrade::LOST,
+                closed: false,
+                report: Vec::new(),
+                wait: None,
+            };
             self.ended(ended);
         }
     }
--- a/src/net/driver/intake.rs
+++ b/src/net/driver/intake.rs
@@ -22,7 +22,11 @@
 
 /// What was promised for a message when it was taken on.
 fn promise_of(terms: &Terms, origin: &Origin) -> Promise {
-    let key = origin.subject.as_deref().filter(|_| terms.ordered).map(key_of);
+    let key = origin
+        .subject
+        .as_deref()
+        .filter(|_| terms.ordered)
+        .map(key_of);
     Promise::new(key, terms.effect)
 }
 
@@ -40,7 +44,8 @@
             }
         }
         if self.settings != *self.sender.settings() {
-            self.events.push(Event::Retuned(Box::new(self.settings.clone())));
+            self.events
+                .push(Event::Retuned(Box::new(self.settings.clone())));
         }
         for (number, owed) in owed {
             self.next_message = self.next_message.max(number + 1);
@@ -49,21 +54,40 @@
                 Some(terms) => self.settings.place(terms.class(&owed.taken.class)),
                 None => {
                     let named = |class: &Class| class.name == owed.taken.class;
-                    self.settings.classes.iter().rposition(named).unwrap_or(usize::MAX)
+                    self.settings
+                        .classes
+                        .iter()
+                        .rposition(named)
+                        .unwrap_or(usize::MAX)
                 }
             };
             let new = NewMessage {
                 key: owed.origin.subject.as_deref().map(key_of),
-                tenant: owed.origin.tenant.as_deref().map(|name| position(&self.names.tenants, name)),
+                tenant: owed
+                    .origin
+                    .tenant
+                    .as_deref()
+                    .map(|name| position(&self.names.tenants, name)),
                 attempts: owed.terms.as_ref().map(|terms| terms.attempts as usize),
-                ..NewMessage::new(message, class, owed.taken.destination, owed.taken.deadline - now)
+                ..NewMessage::new(
+                    message,
+                    class,
+                    owed.taken.destination,
+                    owed.taken.deadline - now,
+                )
             };
             let promise = match &owed.terms {
                 Some(terms) => promise_of(terms, &owed.origin),
-                None => Promise { key: None, once: false },
+                None => Promise {
+                    key: None,
+                    once: false,
+                },
             };
             let out = self.messages.get(&message).map_or(0, |held| {
-                held.attempts.iter().filter(|attempt| attempt.out && attempt.record.is_some()).count()
+                held.attempts
+                    .iter()
+                    .filter(|attempt| attempt.out && attempt.record.is_some())
+                    .count()
             });
             let risky = owed.attempts.iter().filter(|sent| !sent.never_ran).count();
             self.lifecycle.resume(message, promise, out, risky > out);
@@ -72,7 +96,11 @@
                 if !taken_over {
                     self.events.push(Event::Unnoticed(new));
                 }
-                self.notify(Notice { number, id: owed.taken.id, ending });
+                self.notify(Notice {
+                    number,
+                    id: owed.taken.id,
+                    ending,
+                });
                 continue;
             }
             if self.messages.contains_key(&message) {
@@ -80,7 +108,10 @@
             }
             let (Ok(id), key) = (
                 HeaderValue::from_str(&owed.taken.id),
-                owed.taken.key.as_deref().and_then(|key| HeaderValue::from_str(key).ok()),
+                owed.taken
+                    .key
+                    .as_deref()
+                    .and_then(|key| HeaderValue::from_str(key).ok()),
             ) else {
                 continue;
             };
@@ -88,7 +119,11 @@
                 .attempts
                 .iter()
                 .map(|sent| PastAttempt {
-                    endpoint: self.by_uid.get(&sent.uid).copied().unwrap_or(EndpointId(u32::MAX)),
+                    endpoint: self
+                        .by_uid
+                        .get(&sent.uid)
+                        .copied()
+                        .unwrap_or(EndpointId(u32::MAX)),
                     sent: sent.sent_at,
                     may_have_run: !sent.never_ran,
                 })
@@ -105,10 +140,28 @@
                     record: Some(record),
                 })
                 .collect();
-            crate::net::trace(&id, format_args!("taken up again after {} attempts", past.len()));
-            self.events.push(Event::Resumed { message: new, attempts: past });
-            let item = Item { id: id.clone(), key, body: owed.taken.body.into() };
-            self.messages.insert(message, Message { item, open: true, clients: 1, attempts });
+            crate::net::trace(
+                &id,
+                format_args!("taken up again after {} attempts", past.len()),
+            );
+            self.events.push(Event::Resumed {
+                message: new,
+                attempts: past,
+            });
+            let item = Item {
+                id: id.clone(),
+                key,
+                body: owed.taken.body.into(),
+            };
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open: true,
+                    clients: 1,
+                    attempts,
+                },
+            );
             self.by_id.insert(id, message);
         }
     }
@@ -129,14 +182,29 @@
             let left = began + arrival.time - self.clock.at(Instant::now());
             let new = NewMessage {
                 key: arrival.subject.as_deref().map(key_of),
-                tenant: arrival.tenant.as_deref().map(|name| position(&self.names.tenants, name)),
+                tenant: arrival
+                    .tenant
+                    .as_deref()
+                    .map(|name| position(&self.names.tenants, name)),
                 again: arrival.again,
                 orphan: arrival.orphan,
                 ..NewMessage::new(message, arrival.class, arrival.destination, left)
             };
             self.events.push(Event::Accepted(new));
-            let item = Item { id: arrival.id.clone(), key: arrival.key.clone(), body: arrival.body.clone() };
-            self.messages.insert(message, Message { item, open: true, clients: 1, attempts: Vec::new() });
+            let item = Item {
+                id: arrival.id.clone(),
+                key: arrival.key.clone(),
+                body: arrival.body.clone(),
+            };
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open: true,
+                    clients: 1,
+                    attempts: Vec::new(),
+                },
+            );
             self.by_id.insert(arrival.id.clone(), message);
             self.arrived.insert(message, (arrival, began));
         }
@@ -146,7 +214,9 @@
     pub(super) fn answer_arrivals(&mut self, actions: &[Action]) {
         for (message, (arrival, began)) in std::mem::take(&mut self.arrived) {
             let ends = actions.iter().find_map(|action| match action {
-                Action::Refuse { message: m, wait } if *m == message => Some(Answer::Refused { wait: *wait }),
+                Action::Refuse { message: m, wait } if *m == message => {
+                    Some(Answer::Refused { wait: *wait })
+                }
                 Action::Fail(m) if *m == message => Some(Answer::Failed),
                 _ => None,
             });
@@ -174,7 +244,12 @@
         }
     }
 
-    pub(super) fn write_down(&mut self, message: MessageId, arrival: &Arrival, began: Micros) -> Answer {
+    pub(super) fn write_down(
+        &mut self,
+        message: MessageId,
+        arrival: &Arrival,
+        began: Micros,
+    ) -> Answer {
         // what came from an old process has its class's place too
         let class = self.settings.classes.get(arrival.class);
         let Some(terms) = class.map(|class| Terms::of(class, self.settings.max_attempts)) else {
@@ -189,7 +264,10 @@
             deadline: began + arrival.time,
             body: arrival.body.to_vec(),
         };
-        let origin = Origin { subject: arrival.subject.clone(), tenant: arrival.tenant.clone() };
+        let origin = Origin {
+            subject: arrival.subject.clone(),
+            tenant: arrival.tenant.clone(),
+        };
         let promise = promise_of(&terms, &origin);
         let written = self.journal.take(message.0, taken, origin, terms);
         if self.check(written).is_none() {
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -25,7 +25,8 @@
 use milletturn::pool::PoolSettings;
 use milletturn::wire::Names;
 use milletturn::{
-    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender, Settings,
+    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender,
+    Settings,
 };
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -178,9 +179,20 @@
     /// Sets the module up and hands it the list as last known and what the journal holds.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        sender: Sender, settings: Settings, names: Names, pool: PoolSettings, known: Option<ListUpdate>,
-        journal: Journal, calls: Calls, notices: mpsc::UnboundedSender<Notice>, ready: watch::Sender<bool>,
-        shared: Shared, handover: Option<Handover>, floor: Option<Bounds>, floors: Option<Quotas>, seed: u64,
+        sender: Sender,
+        settings: Settings,
+        names: Names,
+        pool: PoolSettings,
+        known: Option<ListUpdate>,
+        journal: Journal,
+        calls: Calls,
+        notices: mpsc::UnboundedSender<Notice>,
+        ready: watch::Sender<bool>,
+        shared: Shared,
+        handover: Option<Handover>,
+        floor: Option<Bounds>,
+        floors: Option<Quotas>,
+        seed: u64,
     ) -> Self {
         let mut driver = Driver {
             settings: sender.settings().clone(),
@@ -230,7 +242,12 @@
             driver.events.push(Event::Fleet(None));
         }
         // a start begins on the floor: what an old process was granted is its own
-        let agreed = floor.map(|fallback| Box::new(Agreed { leased: None, fallback }));
+        let agreed = floor.map(|fallback| {
+            Box::new(Agreed {
+                leased: None,
+                fallback,
+            })
+        });
         if taken_over || agreed.is_some() {
             driver.events.push(Event::Agreed(agreed));
         }
@@ -252,7 +269,9 @@
 
     /// Turns until the inputs end.
     pub async fn run(
-        mut self, mut inputs: mpsc::UnboundedReceiver<Input>, mut orders: mpsc::Receiver<Order>,
+        mut self,
+        mut inputs: mpsc::UnboundedReceiver<Input>,
+        mut orders: mpsc::Receiver<Order>,
         mut successors: mpsc::Receiver<Successor>,
     ) {
         let mut sweep = tokio::time::interval(SWEEP);
@@ -342,15 +361,21 @@
         match input {
             Input::Arrived(arrival) => self.arrive(arrival),
             Input::ClientLeft(id) => {
-                let Some(&message) = self.by_id.get(&id) else { return };
-                let Some(held) = self.messages.get_mut(&message) else { return };
+                let Some(&message) = self.by_id.get(&id) else {
+                    return;
+                };
+                let Some(held) = self.messages.get_mut(&message) else {
+                    return;
+                };
                 held.clients = held.clients.saturating_sub(1);
                 if held.clients == 0 {
                     self.events.push(Event::Dropped(message));
                     self.end(message);
                 }
             }
-            Input::Stopping(at) => self.events.push(Event::Stopping { ends: self.clock.at(at) }),
+            Input::Stopping(at) => self.events.push(Event::Stopping {
+                ends: self.clock.at(at),
+            }),
             Input::Ended(ended) => self.ended(ended),
             Input::ToldWait { endpoint, wait } => {
                 self.told_wait(endpoint, wait);
@@ -399,8 +424,11 @@
         }
         if self.journal.is_failing() != self.host_failing {
             self.host_failing = !self.host_failing;
-            let state =
-                if self.host_failing { "takes nothing: no call begins" } else { "takes records again" };
+            let state = if self.host_failing {
+                "takes nothing: no call begins"
+            } else {
+                "takes records again"
+            };
             super::log(format_args!("journal: the disk {state}"));
             self.events.push(Event::HostFailing(self.host_failing));
         }
@@ -413,7 +441,11 @@
         }
         let counted = self.sender.senders();
         let before = self.shared.counted.replace(counted);
-        if counted != before && events.iter().any(|event| matches!(event, Event::Fleet(_) | Event::Alarm)) {
+        if counted != before
+            && events
+                .iter()
+                .any(|event| matches!(event, Event::Fleet(_) | Event::Alarm))
+        {
             super::log(format_args!(
                 "members: limits are shared by {counted} senders, no longer by {before}"
             ));
@@ -422,8 +454,18 @@
         let mut bundles: Vec<Bundle> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { message, attempt, endpoint, expires, start_by } => {
-                    let attempt = AttemptOut { message, number: attempt, endpoint };
+                Action::Send {
+                    message,
+                    attempt,
+                    endpoint,
+                    expires,
+                    start_by,
+                } => {
+                    let attempt = AttemptOut {
+                        message,
+                        number: attempt,
+                        endpoint,
+                    };
                     self.send(now, attempt, (expires, start_by), &mut bundles);
                 }
                 Action::Cancel { message, attempt } => self.cancel(message, attempt),
@@ -450,6 +492,8 @@
 
     /// What the journal tells of an entry; none if it was not written.
     fn check<T>(&self, written: Result<T, JournalError>) -> Option<T> {
-        written.inspect_err(|error| self.journal_fault.log(format_args!("journal: {error}"))).ok()
+        written
+            .inspect_err(|error| self.journal_fault.log(format_args!("journal: {error}")))
+            .ok()
     }
 }
--- a/src/net/driver/orders.rs
+++ b/src/net/driver/orders.rs
@@ -12,10 +12,12 @@
 /// settings' classes. What is named no more stays for the messages and endpoints that still have it.
 fn keep_places(new: &mut Settings, old: Settings, known: &mut Names, names: Names) -> Vec<usize> {
     let place = |list: &mut Vec<String>, name: &str| {
-        list.iter().position(|known| known == name).unwrap_or_else(|| {
-            list.push(name.to_string());
-            list.len() - 1
-        })
+        list.iter()
+            .position(|known| known == name)
+            .unwrap_or_else(|| {
+                list.push(name.to_string());
+                list.len() - 1
+            })
     };
     let classes = std::mem::replace(&mut new.classes, old.classes);
     let places = classes.into_iter().map(|class| new.place(class)).collect();
@@ -49,7 +51,10 @@
 impl Driver {
     pub(super) fn obey(&mut self, uid: String, out: bool, reply: oneshot::Sender<Verdict>) {
         let was_out = self.journal.is_out(&uid);
-        let listed = self.by_uid.get(&uid).and_then(|endpoint| self.routes.get(endpoint));
+        let listed = self
+            .by_uid
+            .get(&uid)
+            .and_then(|endpoint| self.routes.get(endpoint));
         let verdict = if !was_out && !listed.is_some_and(|route| route.listed) {
             Verdict::Unknown
         } else if was_out == out {
@@ -59,7 +64,11 @@
             if self.check(written).is_some() {
                 let endpoint = self.endpoint_of(&uid);
                 self.admit(endpoint);
-                self.events.push(if out { Event::Disabled(endpoint) } else { Event::Enabled(endpoint) });
+                self.events.push(if out {
+                    Event::Disabled(endpoint)
+                } else {
+                    Event::Enabled(endpoint)
+                });
                 Verdict::Done
             } else {
                 Verdict::Unwritten
@@ -73,15 +82,23 @@
 
     /// Puts new settings in force for all that comes from now on.
     pub(super) fn retune(&mut self, mut settings: Settings, names: Names) {
-        self.calls.connections().retune(&self.pool, &settings, names.dial_timeout);
+        self.calls
+            .connections()
+            .retune(&self.pool, &settings, names.dial_timeout);
         self.calls.retune(names.report_fields.clone());
         let before = (self.settings.clone(), self.names.clone());
         let places = keep_places(&mut settings, before.0, &mut self.names, names);
         let named = |index: usize| {
             let class: &Class = &settings.classes[index];
-            Named { name: class.name.clone(), index, keyed: matches!(class.effect, Effect::Keyed { .. }) }
+            Named {
+                name: class.name.clone(),
+                index,
+                keyed: matches!(class.effect, Effect::Keyed { .. }),
+            }
         };
-        self.shared.classes.replace(places.into_iter().map(named).collect());
+        self.shared
+            .classes
+            .replace(places.into_iter().map(named).collect());
         if settings != *self.sender.settings() {
             self.events.push(Event::Retuned(Box::new(settings.clone())));
         }
--- a/src/net/driver/outcomes.rs
+++ b/src/net/driver/outcomes.rs
@@ -15,8 +15,20 @@
 
 /// What the module is told of an attempt without a call of its own.
 fn ended(out: AttemptOut, outcome: Outcome, closed: bool) -> Event {
-    let AttemptOut { message, number: attempt, endpoint } = out;
-    Event::Ended { message, attempt, endpoint, outcome, latency: 0, closed, report: Vec::new() }
+    let AttemptOut {
+        message,
+        number: attempt,
+        endpoint,
+    } = out;
+    Event::Ended {
+        message,
+        attempt,
+        endpoint,
+        outcome,
+        latency: 0,
+        closed,
+        report: Vec::new(),
+    }
 }
 
 impl Driver {
@@ -26,19 +38,32 @@
         let attempt = call.and_then(|call| call.items.get(ended.item)).copied();
         let Some((message, number)) = attempt else {
             let Ended { call, item, .. } = ended;
-            return self
-                .violations
-                .count(Violation::OutcomeUnknown, format_args!("call {call}, item {item}"));
+            return self.violations.count(
+                Violation::OutcomeUnknown,
+                format_args!("call {call}, item {item}"),
+            );
+        };
+        let Some(Attempt {
+            endpoint,
+            sent,
+            record,
+            ..
+        }) = self.take_out(message, number)
+        else {
+            return;
         };
-        let Some(Attempt { endpoint, sent, record, .. }) = self.take_out(message, number) else { return };
         self.trace(
             message,
-            format_args!("attempt {number} ended: {:?}, closed {}", ended.outcome, ended.closed),
+            format_args!(
+                "attempt {number} ended: {:?}, closed {}",
+                ended.outcome, ended.closed
+            ),
         );
         self.call_is_less(ended.call);
         let now = self.clock.at(Instant::now());
         let latency = now - sent;
-        self.lifecycle.ended(message, ended.outcome, now, self.settings.safety.key_rest);
+        self.lifecycle
+            .ended(message, ended.outcome, now, self.settings.safety.key_rest);
         let open = self.messages.get(&message).is_some_and(|held| held.open);
         if let Some(record) = record.filter(|_| ended.outcome.never_ran() && open) {
             let written = self.journal.never_ran(message.0, record);
@@ -73,7 +98,9 @@
     /// Marks an attempt as no longer out, and returns it as it was; none if it was not out.
     fn take_out(&mut self, message: MessageId, number: usize) -> Option<Attempt> {
         let held = self.messages.get_mut(&message);
-        let tried = held.and_then(|held| held.attempts.get_mut(number)).filter(|tried| tried.out);
+        let tried = held
+            .and_then(|held| held.attempts.get_mut(number))
+            .filter(|tried| tried.out);
         let Some(tried) = tried else {
             let about = format_args!("{message:?}, attempt {number}");
             self.violations.count(Violation::OutcomeUnknown, about);
@@ -87,7 +114,9 @@
 
     /// One message of a call has its end; the call is over with the last.
     fn call_is_less(&mut self, number: u64) {
-        let Some(call) = self.out.get_mut(&number) else { return };
+        let Some(call) = self.out.get_mut(&number) else {
+            return;
+        };
         call.left -= 1;
         if call.left > 0 {
             return;
@@ -100,7 +129,9 @@
     }
 
     pub(super) fn remember(&mut self, message: MessageId) {
-        let Some(held) = self.messages.get(&message) else { return };
+        let Some(held) = self.messages.get(&message) else {
+            return;
+        };
         if self.delivered.len() >= REMEMBERED {
             self.delivered.pop_front();
         }
@@ -128,7 +159,9 @@
 
     /// Marks the message as ended; false if it was.
     pub(super) fn close(&mut self, message: MessageId) -> bool {
-        let Some(held) = self.messages.get_mut(&message).filter(|held| held.open) else { return false };
+        let Some(held) = self.messages.get_mut(&message).filter(|held| held.open) else {
+            return false;
+        };
         held.open = false;
         if self.by_id.get(&held.item.id) == Some(&message) {
             self.by_id.remove(&held.item.id);
@@ -145,31 +178,54 @@
     }
 
     pub(super) fn send(
-        &mut self, now: Micros, out: AttemptOut, (expires, start_by): (Micros, Option<Micros>),
+        &mut self,
+        now: Micros,
+        out: AttemptOut,
+        (expires, start_by): (Micros, Option<Micros>),
         bundles: &mut Vec<Bundle>,
     ) {
-        let AttemptOut { message, number: attempt, endpoint } = out;
+        let AttemptOut {
+            message,
+            number: attempt,
+            endpoint,
+        } = out;
         let Some(held) = self.messages.get_mut(&message) else {
             // the journal has refused it in this very turn
             return self.events.push(ended(out, UNSENT, true));
         };
         if held.attempts.len() != attempt {
             let closed = !held.open;
-            self.violations.count(Violation::AttemptNumber, format_args!("{out:?}"));
+            self.violations
+                .count(Violation::AttemptNumber, format_args!("{out:?}"));
             return self.events.push(ended(out, UNSENT, closed));
         }
         self.attempts_out += 1;
-        held.attempts.push(Attempt { endpoint, sent: now, call: u64::MAX, item: 0, out: true, record: None });
+        held.attempts.push(Attempt {
+            endpoint,
+            sent: now,
+            call: u64::MAX,
+            item: 0,
+            out: true,
+            record: None,
+        });
         let size = calls::bulk_size(&held.item);
         let open = held.open;
-        let Some((uid, kind)) = self.routes.get(&endpoint).map(|route| (route.uid.clone(), route.kind))
+        let Some((uid, kind)) = self
+            .routes
+            .get(&endpoint)
+            .map(|route| (route.uid.clone(), route.kind))
         else {
             return self.unsent(out);
         };
-        let most = self.settings.kinds.get(kind).map_or(1, |kind| kind.bundle_max);
+        let most = self
+            .settings
+            .kinds
+            .get(kind)
+            .map_or(1, |kind| kind.bundle_max);
         if let Err(refusal) = self.lifecycle.begin(message, now) {
             if open {
-                self.violations.count(Violation::CallForbidden(refusal), format_args!("{out:?}"));
+                self.violations
+                    .count(Violation::CallForbidden(refusal), format_args!("{out:?}"));
             }
             return self.unsent(out);
         }
@@ -179,11 +235,17 @@
             self.lifecycle.ended(message, UNSENT, now, 0);
             return self.unsent(out);
         };
-        if let Some(tried) = self.messages.get_mut(&message).and_then(|held| held.attempts.get_mut(attempt)) {
+        if let Some(tried) = self
+            .messages
+            .get_mut(&message)
+            .and_then(|held| held.attempts.get_mut(attempt))
+        {
             tried.record = Some(record);
         }
         let room = |bundle: &&mut Bundle| {
-            bundle.endpoint == endpoint && bundle.sends.len() < most && bundle.size + size <= BODY_MOST
+            bundle.endpoint == endpoint
+                && bundle.sends.len() < most
+                && bundle.size + size <= BODY_MOST
         };
         self.trace(message, format_args!("attempt {attempt} begins at {uid}"));
         match bundles.iter_mut().find(room) {
@@ -195,7 +257,13 @@
             }
             None => {
                 let sends = vec![(message, attempt)];
-                bundles.push(Bundle { endpoint, expires, start_by, sends, size });
+                bundles.push(Bundle {
+                    endpoint,
+                    expires,
+                    start_by,
+                    sends,
+                    size,
+                });
             }
         }
     }
@@ -205,14 +273,18 @@
         if self.take_out(out.message, out.number).is_none() {
             return;
         }
-        let closed = self.messages.get(&out.message).is_none_or(|held| !held.open);
+        let closed = self
+            .messages
+            .get(&out.message)
+            .is_none_or(|held| !held.open);
         self.events.push(ended(out, UNSENT, closed));
         self.forget_if_done(out.message);
     }
 
     pub(super) fn is_out(&self, message: MessageId, attempt: usize) -> bool {
         let held = self.messages.get(&message);
-        held.and_then(|held| held.attempts.get(attempt)).is_some_and(|tried| tried.out)
+        held.and_then(|held| held.attempts.get(attempt))
+            .is_some_and(|tried| tried.out)
     }
 
     /// Finds attempts whose outcome the module would wait for in vain, and gives them one; false if there are none.
@@ -223,8 +295,12 @@
         let mut all = self.sender.list_attempts_out();
         all.retain(|out| !self.is_out(out.message, out.number));
         for out in &all {
-            self.violations.count(Violation::AttemptLost, format_args!("{out:?}"));
-            let closed = self.messages.get(&out.message).is_none_or(|held| !held.open);
+            self.violations
+                .count(Violation::AttemptLost, format_args!("{out:?}"));
+            let closed = self
+                .messages
+                .get(&out.message)
+                .is_none_or(|held| !held.open);
             self.events.push(ended(*out, LOST, closed));
         }
         !all.is_empty()
@@ -236,14 +312,20 @@
         let Some(place) = self.place_of(bundle.endpoint) else {
             for &(message, number) in &bundle.sends {
                 self.lifecycle.ended(message, UNSENT, Micros::MIN, 0);
-                self.unsent(AttemptOut { message, number, endpoint: bundle.endpoint });
+                self.unsent(AttemptOut {
+                    message,
+                    number,
+                    endpoint: bundle.endpoint,
+                });
             }
             return;
         };
         let mut items = Vec::with_capacity(bundle.sends.len());
         for (item, &(message, attempt)) in bundle.sends.iter().enumerate() {
             // an attempt that is out keeps its message
-            let Some(held) = self.messages.get_mut(&message) else { continue };
+            let Some(held) = self.messages.get_mut(&message) else {
+                continue;
+            };
             items.push(held.item.clone());
             if let Some(tried) = held.attempts.get_mut(attempt) {
                 (tried.call, tried.item) = (number, item);
@@ -251,15 +333,36 @@
         }
         let (cancels, receiver) = mpsc::unbounded_channel();
         let left = bundle.sends.len();
-        self.out.insert(number, CallOut { cancels: Some(cancels), items: bundle.sends, left });
+        self.out.insert(
+            number,
+            CallOut {
+                cancels: Some(cancels),
+                items: bundle.sends,
+                left,
+            },
+        );
         let expires = self.clock.instant(bundle.expires);
         let start_by = bundle.start_by.map(|by| self.clock.instant(by));
-        self.calls.start(Call { number, place, items, expires, start_by }, receiver);
+        self.calls.start(
+            Call {
+                number,
+                place,
+                items,
+                expires,
+                start_by,
+            },
+            receiver,
+        );
     }
 
     pub(super) fn cancel(&mut self, message: MessageId, attempt: usize) {
-        let tried = self.messages.get(&message).and_then(|held| held.attempts.get(attempt));
-        let Some(tried) = tried.filter(|tried| tried.out) else { return };
+        let tried = self
+            .messages
+            .get(&message)
+            .and_then(|held| held.attempts.get(attempt));
+        let Some(tried) = tried.filter(|tried| tried.out) else {
+            return;
+        };
         self.trace(message, format_args!("attempt {attempt} is called off"));
         let Some(call) = self.out.get(&tried.call) else {
             let about = format_args!("{message:?}, attempt {attempt}");
@@ -269,7 +372,10 @@
         match (&call.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(tried.item)),
             (None, Some((old, _))) => {
-                drop(old.send(Word::Cancel { call: tried.call, item: tried.item }));
+                drop(old.send(Word::Cancel {
+                    call: tried.call,
+                    item: tried.item,
+                }));
             }
             (None, None) => {}
         }
--- a/src/net/driver/routes.rs
+++ b/src/net/driver/routes.rs
@@ -13,7 +13,11 @@
         if self.is_behind(&update, old) {
             return;
         }
-        let update = if old { update } else { self.without_held(update) };
+        let update = if old {
+            update
+        } else {
+            self.without_held(update)
+        };
         self.take_list(update, old);
     }
 
@@ -25,7 +29,9 @@
             self.shared.listed.set(update.version);
         }
         if update.full {
-            self.routes.values_mut().for_each(|route| (route.listed, route.up) = (false, false));
+            self.routes
+                .values_mut()
+                .for_each(|route| (route.listed, route.up) = (false, false));
         }
         let mut entries = Vec::with_capacity(update.targets.len());
         for listed in update.targets {
@@ -33,7 +39,9 @@
             let endpoint = self.endpoint_of(&listed.uid);
             if let Some(route) = self.routes.get_mut(&endpoint) {
                 if let Some(address) = route.address.filter(|&before| before != listed.address) {
-                    self.calls.connections().serve(Place { address, endpoint }, false);
+                    self.calls
+                        .connections()
+                        .serve(Place { address, endpoint }, false);
                 }
                 route.address = Some(listed.address);
                 route.listed = listed.status != Status::Gone;
@@ -54,7 +62,9 @@
             });
         }
         if update.full {
-            self.routes.keys().for_each(|&endpoint| self.admit(endpoint));
+            self.routes
+                .keys()
+                .for_each(|&endpoint| self.admit(endpoint));
         }
         self.forget_routes();
         if !entries.is_empty() {
@@ -77,8 +87,9 @@
         if update.version < self.list_version || self.behind && !update.full {
             self.behind = true;
             let (found, known) = (update.version, self.list_version);
-            self.behind_fault
-                .log(format_args!("discovery: version {found} is not taken, {known} is in force"));
+            self.behind_fault.log(format_args!(
+                "discovery: version {found} is not taken, {known} is in force"
+            ));
             return true;
         }
         self.behind = false;
@@ -96,8 +107,20 @@
         let (address, destination, listed, up, gone) = (None, 0, false, false, None);
         let (zone, weight) = (String::new(), 0.0);
         self.by_uid.insert(uid.clone(), endpoint);
-        self.routes
-            .insert(endpoint, Route { uid, address, kind, destination, listed, up, zone, weight, gone });
+        self.routes.insert(
+            endpoint,
+            Route {
+                uid,
+                address,
+                kind,
+                destination,
+                listed,
+                up,
+                zone,
+                weight,
+                gone,
+            },
+        );
         endpoint
     }
 
@@ -108,8 +131,11 @@
         if self.routes.values().all(|route| route.listed) {
             return;
         }
-        let tried: BTreeSet<EndpointId> =
-            messages.values().flat_map(|held| &held.attempts).map(|tried| tried.endpoint).collect();
+        let tried: BTreeSet<EndpointId> = messages
+            .values()
+            .flat_map(|held| &held.attempts)
+            .map(|tried| tried.endpoint)
+            .collect();
         self.routes.retain(|endpoint, route| {
             let gone = *route.gone.get_or_insert(now);
             let kept = route.listed || journal.is_out(&route.uid) || tried.contains(endpoint);
@@ -125,16 +151,24 @@
 
     /// Tells the pool whether the endpoint takes calls.
     pub(super) fn admit(&self, endpoint: EndpointId) {
-        let Some(route) = self.routes.get(&endpoint) else { return };
+        let Some(route) = self.routes.get(&endpoint) else {
+            return;
+        };
         if let Some(address) = route.address {
             let serving = route.listed && route.up && !self.journal.is_out(&route.uid);
-            self.calls.connections().serve(Place { address, endpoint }, serving);
+            self.calls
+                .connections()
+                .serve(Place { address, endpoint }, serving);
         }
     }
 
     /// Connections of an old process's calls count among this one's.
     pub(super) fn count_elsewhere(&self) {
-        let count = self.out.values().filter(|call| call.cancels.is_none()).count();
+        let count = self
+            .out
+            .values()
+            .filter(|call| call.cancels.is_none())
+            .count();
         self.calls.connections().elsewhere(count);
     }
 
@@ -147,12 +181,24 @@
     /// An endpoint has told to wait, which holds for its whole destination where that is one route: a call to any
     /// of it that has no connection yet must not be written when one comes up.
     pub(super) fn told_wait(&self, endpoint: EndpointId, wait: Micros) {
-        let Some(told) = self.routes.get(&endpoint) else { return };
-        let apart = self.settings.kinds.get(told.kind).is_some_and(|kind| kind.separate_routes);
+        let Some(told) = self.routes.get(&endpoint) else {
+            return;
+        };
+        let apart = self
+            .settings
+            .kinds
+            .get(told.kind)
+            .is_some_and(|kind| kind.separate_routes);
         for (&other, route) in &self.routes {
             let concerned = other == endpoint || !apart && route.destination == told.destination;
             if let Some(address) = route.address.filter(|_| concerned) {
-                self.calls.connections().advertised_wait(Place { address, endpoint: other }, wait);
+                self.calls.connections().advertised_wait(
+                    Place {
+                        address,
+                        endpoint: other,
+                    },
+                    wait,
+                );
             }
         }
     }
--- a/src/net/driver/undelivered.rs
+++ b/src/net/driver/undelivered.rs
@@ -21,15 +21,31 @@
             // its client's own answer told it: no notice is owed
             return self.events.push(Event::Noticed(message));
         };
-        let id = held.item.id.to_str().map(str::to_string).unwrap_or_default();
-        let deadline = self.journal.owed().get(&message.0).map_or(Micros::MIN, |owed| owed.taken.deadline);
+        let id = held
+            .item
+            .id
+            .to_str()
+            .map(str::to_string)
+            .unwrap_or_default();
+        let deadline = self
+            .journal
+            .owed()
+            .get(&message.0)
+            .map_or(Micros::MIN, |owed| owed.taken.deadline);
         crate::net::trace(&held.item.id, format_args!("ended undelivered: {ending:?}"));
         let written = self.journal.ending(message.0, ending);
         self.check(written);
         self.lifecycle.close(message);
         self.close(message);
-        let notice = Notice { number: message.0, id, ending };
-        self.untold.push(Untold { notice, spent_at: deadline.saturating_sub(MARGIN) });
+        let notice = Notice {
+            number: message.0,
+            id,
+            ending,
+        };
+        self.untold.push(Untold {
+            notice,
+            spent_at: deadline.saturating_sub(MARGIN),
+        });
     }
 
     /// Tells the platform of the ends that no later life can undo.
@@ -39,8 +55,9 @@
         }
         let now = self.clock.at(Instant::now());
         let durable = !self.journal.has_pending();
-        let (tell, keep) =
-            std::mem::take(&mut self.untold).into_iter().partition(|end| durable || end.spent_at <= now);
+        let (tell, keep) = std::mem::take(&mut self.untold)
+            .into_iter()
+            .partition(|end| durable || end.spent_at <= now);
         self.untold = keep;
         for Untold { notice, .. } in tell {
             self.notify(notice);
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -48,7 +48,9 @@
         let count = self.0.entry(violation).or_default();
         *count += 1;
         if *count <= LOGGED_ONE_BY_ONE || count.is_multiple_of(LOGGED_EVERY) {
-            crate::net::log(format_args!("violation: {violation}: {about} (number {count})"));
+            crate::net::log(format_args!(
+                "violation: {violation}: {about} (number {count})"
+            ));
         }
     }
 }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -5,7 +5,9 @@
 use hyper::header::HeaderValue;
 use milletturn::pool::PoolSettings;
 use milletturn::wire::Names;
-use milletturn::{Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status};
+use milletturn::{
+    Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
+};
 use milletturn_ledger::gate::News;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -78,7 +80,11 @@
 #[derive(Debug)]
 pub enum Order {
     /// Take an endpoint out, or put it back.
-    SetOut { uid: String, out: bool, reply: oneshot::Sender<Verdict> },
+    SetOut {
+        uid: String,
+        out: bool,
+        reply: oneshot::Sender<Verdict>,
+    },
     /// Tell how the connections to endpoints stand, as JSON.
     Pools { reply: Query },
     /// Tell what the freeze holds, as JSON.
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -35,7 +35,8 @@
 
 /// Follows the calendar for as long as the settings want it, until the process stops or hands over.
 pub async fn follow(
-    mut means: Means, mut wanted: watch::Receiver<Option<FreezeSettings>>,
+    mut means: Means,
+    mut wanted: watch::Receiver<Option<FreezeSettings>>,
     mut stopping: watch::Receiver<bool>,
 ) {
     let mut was_on = false;
@@ -53,9 +54,13 @@
             continue;
         };
         if !std::mem::replace(&mut was_on, true) {
-            log(format_args!("freeze: what widens is held until the calendar is known"));
+            log(format_args!(
+                "freeze: what widens is held until the calendar is known"
+            ));
         }
-        let _ = means.inputs.send(Input::Freezing(Freezing::On(settings.clone())));
+        let _ = means
+            .inputs
+            .send(Input::Freezing(Freezing::On(settings.clone())));
         tokio::select! {
             () = poll(&mut means, &settings) => {}
             changed = wanted.changed() => if changed.is_err() { return },
@@ -71,14 +76,27 @@
     loop {
         let address = whose_turn(turn, *means.agent.borrow_and_update(), &settings.others);
         let asked = means.clock.at(Instant::now());
-        match ask::<News>(address, Method::GET, "/v1/freeze", None, ANSWER, ANSWER_MOST).await {
+        match ask::<News>(
+            address,
+            Method::GET,
+            "/v1/freeze",
+            None,
+            ANSWER,
+            ANSWER_MOST,
+        )
+        .await
+        {
             Ok(news) => {
                 if told.take().is_some() {
                     log(format_args!("freeze: the calendar is known again"));
                 }
                 let asked = u64::try_from(asked).unwrap_or(0);
                 let fresh = u64::try_from((every * FRESH).as_micros()).unwrap_or(u64::MAX);
-                if means.inputs.send(Input::Freezing(Freezing::Told { asked, fresh, news })).is_err() {
+                if means
+                    .inputs
+                    .send(Input::Freezing(Freezing::Told { asked, fresh, news }))
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/src/net/freeze/settings.rs
+++ b/src/net/freeze/settings.rs
@@ -35,7 +35,12 @@
 
 impl Default for FreezeSettings {
     fn default() -> Self {
-        FreezeSettings { poll_ms: 1000, unknown_ms: 10_000, ramp_ms: 500, others: Vec::new() }
+        FreezeSettings {
+            poll_ms: 1000,
+            unknown_ms: 10_000,
+            ramp_ms: 500,
+            others: Vec::new(),
+        }
     }
 }
 
@@ -70,13 +75,19 @@
 
     #[test]
     fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
-        assert_eq!(read(&json!({})).expect("good"), Some(FreezeSettings::default()));
+        assert_eq!(
+            read(&json!({})).expect("good"),
+            Some(FreezeSettings::default())
+        );
         assert_eq!(read(&Value::Null).expect("none is none"), None);
         for (bad, told) in [
             (json!({ "poll": 1 }), "unknown field `poll`"),
             (json!({ "poll_ms": 1 }), "freeze.poll_ms is not"),
             (json!({ "ramp_ms": 70_000 }), "freeze.ramp_ms is not"),
-            (json!({ "others": vec!["10.0.0.4:1"; 17] }), "freeze.others is not"),
+            (
+                json!({ "others": vec!["10.0.0.4:1"; 17] }),
+                "freeze.others is not",
+            ),
         ] {
             let error = read(&bad).expect_err(told).to_string();
             assert!(error.contains(told), "{error}");
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -42,7 +42,11 @@
                 }
             }
             Entry::Sent(number, sent) => self.grow(number, length, |owed| owed.attempts.push(sent)),
-            Entry::Outcome { message, attempt, never_ran } => self.grow(message, 0, |owed| {
+            Entry::Outcome {
+                message,
+                attempt,
+                never_ran,
+            } => self.grow(message, 0, |owed| {
                 if let Some(sent) = owed.attempts.get_mut(attempt as usize) {
                     sent.never_ran = never_ran;
                 }
@@ -51,12 +55,28 @@
                 self.live += length - self.out.insert(uid, length).unwrap_or(0);
             }
             Entry::PutBack(uid) => self.live -= self.out.remove(&uid).unwrap_or(0),
-            Entry::Ending(number, ending) => self.grow(number, length, |owed| owed.ending = Some(ending)),
+            Entry::Ending(number, ending) => {
+                self.grow(number, length, |owed| owed.ending = Some(ending))
+            }
         }
     }
 
-    fn owe(&mut self, number: u64, taken: Taken, origin: Origin, terms: Option<Terms>, length: u64) {
-        let owed = Owed { taken, origin, terms, attempts: Vec::new(), ending: None, size: length };
+    fn owe(
+        &mut self,
+        number: u64,
+        taken: Taken,
+        origin: Origin,
+        terms: Option<Terms>,
+        length: u64,
+    ) {
+        let owed = Owed {
+            taken,
+            origin,
+            terms,
+            attempts: Vec::new(),
+            ending: None,
+            size: length,
+        };
         self.live += length;
         if let Some(old) = self.owed.insert(number, owed) {
             self.live -= old.size;
@@ -78,7 +98,11 @@
     pub fn presume_sends(&mut self) -> Result<(), postcard::Error> {
         self.live = self.out.values().sum();
         for (&number, owed) in &mut self.owed {
-            let presumed = Sent { uid: String::new(), sent_at: owed.taken.taken_at, never_ran: false };
+            let presumed = Sent {
+                uid: String::new(),
+                sent_at: owed.taken.taken_at,
+                never_ran: false,
+            };
             owed.attempts.insert(0, presumed);
             owed.size = encode_owed(number, owed)?.len() as u64;
             self.live += owed.size;
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -102,14 +102,20 @@
             other => other?,
         };
         let file = OpenOptions::new().append(true).create(true).open(&path)?;
-        let opening = Opening { folder: folder.to_path_buf(), limit, entries };
+        let opening = Opening {
+            folder: folder.to_path_buf(),
+            limit,
+            entries,
+        };
         let mut journal = Journal {
             path,
             file,
             size: bytes.len() as u64,
             limit: limit.saturating_sub(ROUNDING),
             opening,
-            reserve: entries.saturating_mul(SMALL_ENTRY).min(limit / RESERVE_MOST),
+            reserve: entries
+                .saturating_mul(SMALL_ENTRY)
+                .min(limit / RESERVE_MOST),
             contents: Contents::default(),
             pending: VecDeque::new(),
             dirty: false,
@@ -136,7 +142,11 @@
     /// # Errors
     /// As [`Journal::open`]; it is as it was then.
     pub fn reopen(&mut self) -> Result<(), JournalError> {
-        let Opening { folder, limit, entries } = self.opening.clone();
+        let Opening {
+            folder,
+            limit,
+            entries,
+        } = self.opening.clone();
         *self = Journal::open(&folder, limit, entries)?.0;
         Ok(())
     }
@@ -177,7 +187,14 @@
     /// It is not written.
     pub fn set_out(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
         let uid = uid.to_string();
-        self.write_ahead(if out { Entry::PutOut(uid) } else { Entry::PutBack(uid) }, 0)
+        self.write_ahead(
+            if out {
+                Entry::PutOut(uid)
+            } else {
+                Entry::PutBack(uid)
+            },
+            0,
+        )
     }
 
     /// Writes a message down; it may be promised once this has succeeded.
@@ -185,7 +202,11 @@
     /// # Errors
     /// It is not written.
     pub fn take(
-        &mut self, number: u64, taken: Taken, origin: Origin, terms: Terms,
+        &mut self,
+        number: u64,
+        taken: Taken,
+        origin: Origin,
+        terms: Terms,
     ) -> Result<(), JournalError> {
         self.write_ahead(Entry::TakenOn(number, taken, origin, terms), self.reserve)
     }
@@ -196,8 +217,22 @@
     /// # Errors
     /// It is not written.
     pub fn sent(&mut self, number: u64, uid: &str, sent_at: i64) -> Result<usize, JournalError> {
-        let position = self.contents.owed.get(&number).map_or(0, |owed| owed.attempts.len());
-        self.write_ahead(Entry::Sent(number, Sent { uid: uid.to_string(), sent_at, never_ran: false }), 0)?;
+        let position = self
+            .contents
+            .owed
+            .get(&number)
+            .map_or(0, |owed| owed.attempts.len());
+        self.write_ahead(
+            Entry::Sent(
+                number,
+                Sent {
+                    uid: uid.to_string(),
+                    sent_at,
+                    never_ran: false,
+                },
+            ),
+            0,
+        )?;
         Ok(position)
     }
 
@@ -206,7 +241,11 @@
     /// # Errors
     /// It is pending: known here, and written as soon as the disk takes it.
     pub fn never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
-        self.write_behind(Entry::Outcome { message, attempt: position as u32, never_ran: true })
+        self.write_behind(Entry::Outcome {
+            message,
+            attempt: position as u32,
+            never_ran: true,
+        })
     }
 
     /// A message has ended, and a notice is owed.
@@ -349,7 +388,12 @@
         }
         // a kill cuts one record short; more than one lost at the end is damage
         let tail = &bytes[bytes.len() - bad..];
-        if tail.iter().skip(1).zip(1..).any(|(_, from)| tail[from..].starts_with(&MARK)) {
+        if tail
+            .iter()
+            .skip(1)
+            .zip(1..)
+            .any(|(_, from)| tail[from..].starts_with(&MARK))
+        {
             recovery.damaged += bad;
         } else {
             recovery.torn = bad;
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -49,14 +49,46 @@
 impl Terms {
     /// The terms of a class, with the attempts that a message has now.
     pub fn of(class: &Class, attempts: usize) -> Self {
-        let &Class { effect, aim, deadline, worth, late_share, ordered, .. } = class;
-        Terms { effect, aim, deadline, worth, late_share, ordered, attempts: attempts as u32 }
+        let &Class {
+            effect,
+            aim,
+            deadline,
+            worth,
+            late_share,
+            ordered,
+            ..
+        } = class;
+        Terms {
+            effect,
+            aim,
+            deadline,
+            worth,
+            late_share,
+            ordered,
+            attempts: attempts as u32,
+        }
     }
 
     /// The class that they are the terms of.
     pub fn class(&self, name: &str) -> Class {
-        let &Terms { effect, aim, deadline, worth, late_share, ordered, .. } = self;
-        Class { name: name.to_string(), effect, aim, deadline, worth, late_share, ordered }
+        let &Terms {
+            effect,
+            aim,
+            deadline,
+            worth,
+            late_share,
+            ordered,
+            ..
+        } = self;
+        Class {
+            name: name.to_string(),
+            effect,
+            aim,
+            deadline,
+            worth,
+            late_share,
+            ordered,
+        }
     }
 }
 
@@ -99,7 +131,9 @@
             | Entry::HandedIn(number, ..)
             | Entry::TakenOn(number, ..)
             | Entry::Sent(number, _)
-            | Entry::Outcome { message: number, .. }
+            | Entry::Outcome {
+                message: number, ..
+            }
             | Entry::Ending(number, _)
             | Entry::Over(number) => Some(number),
             Entry::PutOut(_) | Entry::PutBack(_) => None,
@@ -123,14 +157,24 @@
 
 /// The record at the start of the bytes and its length, if a sound one stands there.
 pub fn decode(bytes: &[u8]) -> Option<(Entry, usize)> {
-    let word = |at: usize| bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes);
+    let word = |at: usize| {
+        bytes
+            .get(at..at + 4)?
+            .try_into()
+            .ok()
+            .map(u32::from_le_bytes)
+    };
     if !bytes.starts_with(&MARK) {
         return None;
     }
     let (length, sum) = (word(4)? as usize, word(8)?);
-    let payload = bytes.get(HEAD..HEAD + length).filter(|_| length <= LONGEST)?;
+    let payload = bytes
+        .get(HEAD..HEAD + length)
+        .filter(|_| length <= LONGEST)?;
     if crc32fast::hash(payload) != sum {
         return None;
     }
-    postcard::from_bytes(payload).ok().map(|entry| (entry, HEAD + length))
+    postcard::from_bytes(payload)
+        .ok()
+        .map(|entry| (entry, HEAD + length))
 }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -26,15 +26,23 @@
         late_share: 0.0,
         ordered: false,
     };
-    journal.take(5, taken, Origin::default(), Terms::of(&class, 12)).expect("room");
+    journal
+        .take(5, taken, Origin::default(), Terms::of(&class, 12))
+        .expect("room");
     // the first is larger than the room there is, the second may have run, the third never did
-    assert!(matches!(journal.sent(5, &"x".repeat(20_000), 1), Err(JournalError::Full)));
+    assert!(matches!(
+        journal.sent(5, &"x".repeat(20_000), 1),
+        Err(JournalError::Full)
+    ));
     assert_eq!(journal.sent(5, "a", 2).expect("room"), 0);
     assert_eq!(journal.sent(5, "b", 3).expect("room"), 1);
     journal.never_ran(5, 1).expect("room");
     journal.reopen().expect("opened");
-    let sends: Vec<_> =
-        journal.owed()[&5].attempts.iter().map(|sent| (sent.uid.as_str(), sent.never_ran)).collect();
+    let sends: Vec<_> = journal.owed()[&5]
+        .attempts
+        .iter()
+        .map(|sent| (sent.uid.as_str(), sent.never_ran))
+        .collect();
     assert_eq!(sends, [("a", false), ("b", true)]);
     fs::remove_dir_all(&folder).expect("removed");
 }
@@ -49,7 +57,11 @@
         deadline: 1,
         body: vec![b'x'; 100],
     };
-    (taken, Origin::default(), Terms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12))
+    (
+        taken,
+        Origin::default(),
+        Terms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12),
+    )
 }
 
 fn fresh(name: &str) -> PathBuf {
@@ -63,7 +75,10 @@
 
 impl Draws {
     fn below(&mut self, most: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % most
     }
 }
@@ -105,15 +120,22 @@
                 // half a record gets out before the disk fails
                 1 => {
                     use std::io::Write;
-                    let mut file = OpenOptions::new().append(true).open(&journal.path).expect("opened");
+                    let mut file = OpenOptions::new()
+                        .append(true)
+                        .open(&journal.path)
+                        .expect("opened");
                     let record = encode(&Entry::Over(7)).expect("encoded");
                     if !journal.dirty {
-                        file.write_all(&record[..record.len() / 2]).expect("written");
+                        file.write_all(&record[..record.len() / 2])
+                            .expect("written");
                         journal.dirty = true;
                     }
                 }
                 2 => {
-                    journal.file = OpenOptions::new().append(true).open(&journal.path).expect("opened");
+                    journal.file = OpenOptions::new()
+                        .append(true)
+                        .open(&journal.path)
+                        .expect("opened");
                     journal.retry().expect("the disk is well");
                     durable = states.len() - 1;
                 }
@@ -122,7 +144,10 @@
             let acknowledged = step(&mut journal, &mut draws, &mut next);
             states.push(journal.owed().clone());
             if acknowledged {
-                assert!(!journal.has_pending(), "acknowledged before what was to be written first");
+                assert!(
+                    !journal.has_pending(),
+                    "acknowledged before what was to be written first"
+                );
                 durable = states.len() - 1;
             }
             let (life, recovery) = {
@@ -159,7 +184,15 @@
         fs::create_dir_all(&copy).expect("a folder");
         fs::write(copy.join("journal"), &bytes[..length]).expect("written");
         let (life, recovery) = Journal::open(&copy, 1 << 20, 16).expect("opened");
-        let last = states.iter().rev().find(|(size, _)| *size <= length as u64).expect("the empty one");
-        assert_eq!((life.owed(), recovery.damaged), (&last.1, 0), "{length} bytes");
+        let last = states
+            .iter()
+            .rev()
+            .find(|(size, _)| *size <= length as u64)
+            .expect("the empty one");
+        assert_eq!(
+            (life.owed(), recovery.damaged),
+            (&last.1, 0),
+            "{length} bytes"
+        );
     }
 }
--- a/src/net/leaving.rs
+++ b/src/net/leaving.rs
@@ -29,7 +29,9 @@
 impl Leaving {
     /// Until no call is out and no client is connected, or the new process is gone.
     pub async fn run(
-        mut self, mut inputs: mpsc::UnboundedReceiver<Input>, mut orders: mpsc::Receiver<Order>,
+        mut self,
+        mut inputs: mpsc::UnboundedReceiver<Input>,
+        mut orders: mpsc::Receiver<Order>,
     ) {
         let mut look = tokio::time::interval(LOOK);
         loop {
@@ -56,10 +58,18 @@
     }
 
     async fn pass_on(&mut self, order: Order) -> Result<(), LinkError> {
-        let Order::SetOut { uid, out, reply } = order else { return Ok(()) };
+        let Order::SetOut { uid, out, reply } = order else {
+            return Ok(());
+        };
         self.next += 1;
         self.verdicts.insert(self.next, reply);
-        self.writer.say(Word::Ordered { number: self.next, uid, out }).await
+        self.writer
+            .say(Word::Ordered {
+                number: self.next,
+                uid,
+                out,
+            })
+            .await
     }
 
     async fn learn(&mut self, input: Input) -> Result<(), LinkError> {
@@ -68,7 +78,12 @@
                 self.next += 1;
                 let (arrival, reply) = self.passed(arrival);
                 self.answers.insert(self.next, reply);
-                self.writer.say(Word::Arrived { number: self.next, arrival: Box::new(arrival) }).await
+                self.writer
+                    .say(Word::Arrived {
+                        number: self.next,
+                        arrival: Box::new(arrival),
+                    })
+                    .await
             }
             Input::ClientLeft(id) => self.writer.say(Word::Left(text(&id))).await,
             Input::Ended(ended) => {
--- a/src/net/ledger/allowance.rs
+++ b/src/net/ledger/allowance.rs
@@ -14,23 +14,40 @@
 /// What a holder may use, in the decisions' own terms: named are the destinations of which something is allocated or whose
 /// fallback share is their own.
 pub(super) fn quotas(holder: &Holder, now: u64) -> Quotas {
-    let parts: BTreeMap<&Key, _> =
-        holder.parts(now).map(|(dealt, part, until)| (&dealt.key, (dealt, part, until))).collect();
+    let parts: BTreeMap<&Key, _> = holder
+        .parts(now)
+        .map(|(dealt, part, until)| (&dealt.key, (dealt, part, until)))
+        .collect();
     let floors = holder.floors();
-    let kind = |name: &str| floors.each.get(name).map(|floor| Share { fallback: *floor, part: None });
+    let kind = |name: &str| {
+        floors.each.get(name).map(|floor| Share {
+            fallback: *floor,
+            part: None,
+        })
+    };
     let share = |key: &Key| {
         let part = parts.get(key);
         let until = part.and_then(|(_, _, until)| Micros::try_from(*until).ok());
         let part = part.and_then(|(_, part, _)| Some((*part, until?)));
-        floors.name(key).then(|| Share { fallback: floors.of(key), part })
+        floors.name(key).then(|| Share {
+            fallback: floors.of(key),
+            part,
+        })
     };
     let linger = |key: &Key| {
         let linger = parts.get(key).map_or(0, |(dealt, ..)| dealt.linger_ms);
         // without a word of how long calls may last they are as long as before
-        if linger == 0 { Micros::MAX / 4 } else { Micros::try_from(linger).unwrap_or(0) * MILLISECOND }
+        if linger == 0 {
+            Micros::MAX / 4
+        } else {
+            Micros::try_from(linger).unwrap_or(0) * MILLISECOND
+        }
     };
     let allocated = parts.keys().map(|key| key.place());
-    let own = floors.each.keys().filter_map(|name| Some(name.parse::<Key>().ok()?.place()));
+    let own = floors
+        .each
+        .keys()
+        .filter_map(|name| Some(name.parse::<Key>().ok()?.place()));
     let destinations: BTreeSet<u64> = allocated.chain(own).collect();
     let named = destinations.into_iter().map(|destination| {
         let [rate, out, cold] = keys(destination);
@@ -46,5 +63,8 @@
         out: kind("out").map(|share| (share, Micros::MAX / 4)),
         cold: kind("cold"),
     };
-    Quotas { named: named.collect(), others }
+    Quotas {
+        named: named.collect(),
+        others,
+    }
 }
--- a/src/net/ledger/exchange.rs
+++ b/src/net/ledger/exchange.rs
@@ -43,10 +43,17 @@
     /// # Errors
     /// There is no answer in time, it is a refusal, or it can't be read.
     pub async fn ask(
-        &mut self, address: SocketAddr, question: &Question, budget: &mut ByteBudget,
+        &mut self,
+        address: SocketAddr,
+        question: &Question,
+        budget: &mut ByteBudget,
     ) -> Result<Answer, AskError> {
         let path = "/v1/parts";
-        if self.json_until.get(&address).is_none_or(|until| *until <= Instant::now()) {
+        if self
+            .json_until
+            .get(&address)
+            .is_none_or(|until| *until <= Instant::now())
+        {
             let body = question.write();
             budget.spend(body.len() as u64);
             let media = (compact::MEDIA_TYPE, body.into());
@@ -55,9 +62,15 @@
                     budget.spend_more(answer.len() as u64);
                     return Ok(Answer::read(&answer)?);
                 }
-                Err(AskError::Refused(StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE, _)) => {
-                    log(format_args!("ledger: {address} is asked in JSON for a while"));
-                    self.json_until.insert(address, Instant::now() + COMPACT_AGAIN);
+                Err(AskError::Refused(
+                    StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE,
+                    _,
+                )) => {
+                    log(format_args!(
+                        "ledger: {address} is asked in JSON for a while"
+                    ));
+                    self.json_until
+                        .insert(address, Instant::now() + COMPACT_AGAIN);
                 }
                 Err(error) => return Err(error),
             }
@@ -69,7 +82,16 @@
         let media = ("application/json", body.into());
         let answer = exchange(address, Method::POST, path, media, ANSWER, ANSWER_MOST).await?;
         budget.spend_more(answer.len() as u64);
-        let JsonAnswer { lease, dealt, verdicts } = serde_json::from_slice(&answer)?;
-        Ok(Answer { lease, rev: 0, quotas: dealt, verdicts })
+        let JsonAnswer {
+            lease,
+            dealt,
+            verdicts,
+        } = serde_json::from_slice(&answer)?;
+        Ok(Answer {
+            lease,
+            rev: 0,
+            quotas: dealt,
+            verdicts,
+        })
     }
 }
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -53,7 +53,9 @@
 
 /// Holds parts for as long as the settings want it, until the process stops or hands over.
 pub async fn hold(
-    mut means: Means, mut wanted: watch::Receiver<Option<Ledger>>, mut queries: mpsc::Receiver<Query>,
+    mut means: Means,
+    mut wanted: watch::Receiver<Option<Ledger>>,
+    mut queries: mpsc::Receiver<Query>,
     mut stopping: watch::Receiver<bool>,
 ) {
     // differs between any two processes of one name
@@ -199,10 +201,13 @@
     /// Whether something waits for a part that it has none of.
     fn lacks(&self, demand: &BTreeMap<u64, Demand>) -> bool {
         let now = self.means.now();
-        demand.iter().filter(|(_, demand)| demand.waiting > 0).any(|(destination, _)| {
-            let [rate, out, _] = wants::keys(*destination);
-            self.holder.lacks(now, &rate) || self.holder.lacks(now, &out)
-        })
+        demand
+            .iter()
+            .filter(|(_, demand)| demand.waiting > 0)
+            .any(|(destination, _)| {
+                let [rate, out, _] = wants::keys(*destination);
+                self.holder.lacks(now, &rate) || self.holder.lacks(now, &out)
+            })
     }
 
     /// Answers operators until it is time to look again.
@@ -227,12 +232,23 @@
 
     /// Asks one replica for quotas of at most `room` limits, and has them bind.
     async fn ask(
-        &mut self, turn: usize, demand: &BTreeMap<u64, Demand>, list: usize, room: usize,
+        &mut self,
+        turn: usize,
+        demand: &BTreeMap<u64, Demand>,
+        list: usize,
+        room: usize,
     ) -> Result<(), AskError> {
         let (now, lease) = (self.means.now(), self.lease_us());
-        let wants =
-            wants::wanted(self.holder.floors(), demand, self.before.as_ref(), self.lease, list <= room);
-        let chosen = self.naming.choose(now, &self.holder, lease, wants, list, room);
+        let wants = wants::wanted(
+            self.holder.floors(),
+            demand,
+            self.before.as_ref(),
+            self.lease,
+            list <= room,
+        );
+        let chosen = self
+            .naming
+            .choose(now, &self.holder, lease, wants, list, room);
         if self.before.is_none() || self.counted.elapsed() >= self.lease {
             self.counted = Instant::now();
             let sent = demand.iter().filter(|(_, demand)| demand.sent > 0);
@@ -250,18 +266,36 @@
             wants,
             reports: naming::choose_reports(wants::reports(demand), |report| report.out, room),
         };
-        let address = whose_turn(turn, *self.means.agent.borrow_and_update(), &self.ledger.others);
-        let Answer { lease, quotas: allocated, verdicts, .. } =
-            self.exchange.ask(address, &question, &mut self.budget).await?;
+        let address = whose_turn(
+            turn,
+            *self.means.agent.borrow_and_update(),
+            &self.ledger.others,
+        );
+        let Answer {
+            lease,
+            quotas: allocated,
+            verdicts,
+            ..
+        } = self
+            .exchange
+            .ask(address, &question, &mut self.budget)
+            .await?;
         self.lease = Duration::from_micros(lease).max(Duration::from_millis(100));
         self.holder.granted(number, lease, allocated);
         for verdict in verdicts {
             let known = self.verdicts.get(&verdict.destination).copied();
             let held = known.map_or(verdict, |known| known.join(verdict));
             if known.map(|known| known.epoch) != Some(held.epoch) {
-                let Verdict { destination, out, observers, .. } = held;
+                let Verdict {
+                    destination,
+                    out,
+                    observers,
+                    ..
+                } = held;
                 let state = if out { "out" } else { "back" };
-                log(format_args!("ledger: destination {destination} is {state}, {observers} senders say"));
+                log(format_args!(
+                    "ledger: destination {destination} is {state}, {observers} senders say"
+                ));
                 let _ = self.means.inputs.send(Input::Word { destination, out });
             }
             self.verdicts.insert(verdict.destination, held);
--- a/src/net/ledger/settings.rs
+++ b/src/net/ledger/settings.rs
@@ -21,11 +21,15 @@
 pub enum LedgerError {
     #[error("ledger: {0}; it has senders, floors, others and bytes_a_second")]
     Json(#[from] serde_json::Error),
-    #[error("ledger.senders is not above zero; it is the number of senders that the registry's ledger names")]
+    #[error(
+        "ledger.senders is not above zero; it is the number of senders that the registry's ledger names"
+    )]
     Senders,
     #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = KINDS.join(", "))]
     Floor(String),
-    #[error("ledger.bytes_a_second is {0}; write {BYTES_LEAST} or more, or leave it out for {BYTES}")]
+    #[error(
+        "ledger.bytes_a_second is {0}; write {BYTES_LEAST} or more, or leave it out for {BYTES}"
+    )]
     Bytes(u64),
     #[error("ledger.others is not a list of up to {OTHERS_MOST} addresses")]
     Others,
@@ -54,7 +58,10 @@
 impl Ledger {
     /// The floors, as the registry's ledger has them.
     pub fn floors(&self) -> Floors {
-        Floors { senders: self.senders, each: self.floors.clone() }
+        Floors {
+            senders: self.senders,
+            each: self.floors.clone(),
+        }
     }
 }
 
@@ -91,15 +98,30 @@
     #[test]
     fn a_faulty_object_names_its_key() {
         let good = json!({ "senders": 3, "floors": { "rate": 50, "out/7": 0 }, "others": ["10.0.0.4:8500"] });
-        assert_eq!(read(&good).expect("good").expect("there").floors().senders, 3);
+        assert_eq!(
+            read(&good).expect("good").expect("there").floors().senders,
+            3
+        );
         assert_eq!(read(&Value::Null).expect("none is none"), None);
         for (key, value, told) in [
             ("sender", json!(3), "unknown field `sender`"),
             ("senders", json!(0), "ledger.senders is not"),
             ("floors", json!({ "rte": 1 }), "ledger.floors names 'rte'"),
-            ("floors", json!({ "rate/x": 1 }), "ledger.floors names 'rate/x'"),
-            ("bytes_a_second", json!(1_999), "ledger.bytes_a_second is 1999"),
-            ("others", json!(vec!["10.0.0.4:1"; 17]), "ledger.others is not"),
+            (
+                "floors",
+                json!({ "rate/x": 1 }),
+                "ledger.floors names 'rate/x'",
+            ),
+            (
+                "bytes_a_second",
+                json!(1_999),
+                "ledger.bytes_a_second is 1999",
+            ),
+            (
+                "others",
+                json!(vec!["10.0.0.4:1"; 17]),
+                "ledger.others is not",
+            ),
         ] {
             let mut bad = good.clone();
             bad[key] = value;
--- a/src/net/ledger/wants.rs
+++ b/src/net/ledger/wants.rs
@@ -15,13 +15,18 @@
 /// What a sender wants of each limit: what waits and what it sent since it was last counted, beyond its fallback shares. With
 /// `whole` of its list, else of the destinations that it uses.
 pub(super) fn wanted(
-    floors: &Floors, demand: &BTreeMap<u64, Demand>, before: Option<&BTreeMap<u64, u64>>, lease: Duration,
+    floors: &Floors,
+    demand: &BTreeMap<u64, Demand>,
+    before: Option<&BTreeMap<u64, u64>>,
+    lease: Duration,
     whole: bool,
 ) -> Vec<KeyDemand> {
     let mut all = Vec::new();
     let lease = u64::try_from(lease.as_micros()).unwrap_or(u64::MAX).max(1);
     for (destination, demand) in demand {
-        let counted = before.map_or(demand.sent, |before| before.get(destination).copied().unwrap_or(0));
+        let counted = before.map_or(demand.sent, |before| {
+            before.get(destination).copied().unwrap_or(0)
+        });
         let sent = demand.sent.saturating_sub(counted);
         let calls = demand.waiting + sent;
         if !whole && calls == 0 && demand.out == 0 {
@@ -30,12 +35,21 @@
         let rate = calls.saturating_mul(1_000_000_000).div_ceil(lease);
         let [rate_key, out_key, cold_key] = keys(*destination);
         let cold = if demand.sick { rate } else { 0 };
-        for (key, want) in [(rate_key, rate), (out_key, demand.waiting + demand.out), (cold_key, cold)] {
+        for (key, want) in [
+            (rate_key, rate),
+            (out_key, demand.waiting + demand.out),
+            (cold_key, cold),
+        ] {
             if floors.name(&key) {
                 let want = want.saturating_sub(floors.of(&key));
                 let wanted = Wanted { key, want };
                 let (waiting, sick) = (demand.waiting > 0, demand.sick);
-                all.push(KeyDemand { wanted, waiting, sick, calls: demand.sent });
+                all.push(KeyDemand {
+                    wanted,
+                    waiting,
+                    sick,
+                    calls: demand.sent,
+                });
             }
         }
     }
@@ -46,13 +60,24 @@
 pub(super) fn reports(demand: &BTreeMap<u64, Demand>) -> Vec<Word> {
     let report = |(destination, demand): (&u64, &Demand)| {
         let said = demand.sent > 0 && (demand.failing || demand.alive);
-        said.then_some(Word { destination: *destination, out: demand.failing })
+        said.then_some(Word {
+            destination: *destination,
+            out: demand.failing,
+        })
     };
     demand.iter().filter_map(report).collect()
 }
 
 /// How many kinds of a destination's limits there may be, one at least.
 pub(super) fn limited_kinds(floors: &Floors) -> usize {
-    let of_kind = |name: &str, key: &Key| name.split('/').next().is_some_and(|kind| kind == key.kind());
-    keys(0).iter().filter(|key| floors.each.keys().any(|name| of_kind(name, key))).count().max(1)
+    let of_kind = |name: &str, key: &Key| {
+        name.split('/')
+            .next()
+            .is_some_and(|kind| kind == key.kind())
+    };
+    keys(0)
+        .iter()
+        .filter(|key| floors.each.keys().any(|name| of_kind(name, key)))
+        .count()
+        .max(1)
 }
--- a/src/net/machine.rs
+++ b/src/net/machine.rs
@@ -10,7 +10,9 @@
 
 /// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
 pub fn is_local(error: &io::Error) -> bool {
-    let Some(number) = error.raw_os_error() else { return false };
+    let Some(number) = error.raw_os_error() else {
+        return false;
+    };
     matches!(
         Errno::from_raw(number),
         Errno::EMFILE
@@ -28,12 +30,21 @@
 
 /// True if `accept(2)` failed for the one connection that it would have given: the next one may be had at once.
 pub fn is_of_one_connection(error: &io::Error) -> bool {
-    let Some(number) = error.raw_os_error() else { return false };
-    matches!(Errno::from_raw(number), Errno::ECONNABORTED | Errno::EINTR | Errno::EPROTO | Errno::EPERM)
+    let Some(number) = error.raw_os_error() else {
+        return false;
+    };
+    matches!(
+        Errno::from_raw(number),
+        Errno::ECONNABORTED | Errno::EINTR | Errno::EPROTO | Errno::EPERM
+    )
 }
 
 /// True if a file is not to be had until an operator changes something: it does not come right by itself.
 pub fn is_lasting(error: &io::Error) -> bool {
-    let kinds = [ErrorKind::PermissionDenied, ErrorKind::NotADirectory, ErrorKind::ReadOnlyFilesystem];
+    let kinds = [
+        ErrorKind::PermissionDenied,
+        ErrorKind::NotADirectory,
+        ErrorKind::ReadOnlyFilesystem,
+    ];
     kinds.contains(&error.kind())
 }
