--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -46,7 +46,9 @@
 /// Takes part for as long as the settings want it, until the process stops. Ends by being dropped at a hand-over: the
 /// next process is the same member.
 pub async fn take_part(
-    means: Means, mut wanted: watch::Receiver<Option<Membership>>, mut queries: mpsc::Receiver<Query>,
+    means: Means,
+    mut wanted: watch::Receiver<Option<Membership>>,
+    mut queries: mpsc::Receiver<Query>,
     mut stopping: watch::Receiver<bool>,
 ) {
     let instance = u64::try_from(means.clock.at(Instant::now())).unwrap_or(0);
@@ -60,7 +62,9 @@
             }
             continue;
         };
-        let Some(socket) = bind(membership.listen, &mut wanted, &mut stopping).await else { continue };
+        let Some(socket) = bind(membership.listen, &mut wanted, &mut stopping).await else {
+            continue;
+        };
         let remembered = recall(&means.state).await;
         let seed = means.seed ^ instance;
         let now = now(&means.clock);
@@ -69,12 +73,25 @@
             // the settings were checked when they were read
             Err(error) => return log(format_args!("members: off, {error}")),
         };
-        log(format_args!("members: {} at {}", node.name(), membership.settings.advertise));
+        log(format_args!(
+            "members: {} at {}",
+            node.name(),
+            membership.settings.advertise
+        ));
         let told = View::default();
         let (lines, since, kept) = (0, Instant::now(), Instant::now());
         let buffer = vec![0; LONGEST + 1];
-        let mut part =
-            Part { means: &means, node, socket, act: membership.act, told, lines, since, kept, buffer };
+        let mut part = Part {
+            means: &means,
+            node,
+            socket,
+            act: membership.act,
+            told,
+            lines,
+            since,
+            kept,
+            buffer,
+        };
         let stops = part.run(&mut wanted, &mut queries, &mut stopping).await;
         // others' word binds no more
         let _ = means.inputs.send(Input::Fleet(None));
@@ -90,7 +107,8 @@
 
 /// The socket, once it is to be had; none if the settings change or the process stops before.
 async fn bind(
-    address: SocketAddr, wanted: &mut watch::Receiver<Option<Membership>>,
+    address: SocketAddr,
+    wanted: &mut watch::Receiver<Option<Membership>>,
     stopping: &mut watch::Receiver<bool>,
 ) -> Option<UdpSocket> {
     let first = Instant::now();
@@ -99,7 +117,9 @@
         match UdpSocket::bind(address).await {
             Ok(socket) => return Some(socket),
             Err(error) if first.elapsed() > Duration::from_secs(4) && !told.replace(true) => {
-                log(format_args!("members: off until {address} is to be had: {error}"));
+                log(format_args!(
+                    "members: off until {address} is to be had: {error}"
+                ));
             }
             Err(_) => {}
         }
@@ -115,9 +135,13 @@
 async fn recall(folder: &Path) -> Remembered {
     let path = folder.join(FILE);
     let read = tokio::task::spawn_blocking(move || std::fs::read(path)).await;
-    let Ok(Ok(bytes)) = read else { return Remembered::default() };
+    let Ok(Ok(bytes)) = read else {
+        return Remembered::default();
+    };
     serde_json::from_slice(&bytes).unwrap_or_else(|error| {
-        log(format_args!("members: what was remembered can't be read: {error}"));
+        log(format_args!(
+            "members: what was remembered can't be read: {error}"
+        ));
         Remembered::default()
     })
 }
@@ -147,12 +171,17 @@
 impl Part<'_> {
     /// Until other settings come (false) or the process stops (true).
     async fn run(
-        &mut self, wanted: &mut watch::Receiver<Option<Membership>>, queries: &mut mpsc::Receiver<Query>,
+        &mut self,
+        wanted: &mut watch::Receiver<Option<Membership>>,
+        queries: &mut mpsc::Receiver<Query>,
         stopping: &mut watch::Receiver<bool>,
     ) -> bool {
         let fault = Seldom::default();
         loop {
-            let wake = self.means.clock.instant(i64::try_from(self.node.wake_at()).unwrap_or(i64::MAX));
+            let wake = self
+                .means
+                .clock
+                .instant(i64::try_from(self.node.wake_at()).unwrap_or(i64::MAX));
             let mut output = Output::default();
             tokio::select! {
                 received = self.socket.recv_from(&mut self.buffer) => match received {
@@ -196,10 +225,15 @@
     /// Another number of senders alone is taken over as it goes on.
     fn takes_over(&mut self, wanted: &mut watch::Receiver<Option<Membership>>) -> bool {
         let wanted = wanted.borrow_and_update();
-        let Some(new) = wanted.as_ref() else { return false };
+        let Some(new) = wanted.as_ref() else {
+            return false;
+        };
         let mut same = self.node.settings().clone();
         (same.configured, same.most) = (new.settings.configured, new.settings.most);
-        let listens = self.socket.local_addr().is_ok_and(|address| new.listen == address);
+        let listens = self
+            .socket
+            .local_addr()
+            .is_ok_and(|address| new.listen == address);
         if same != new.settings || self.act != new.act || !listens {
             return false;
         }
@@ -212,11 +246,13 @@
         let mut next = Some((length, from));
         for _ in 0..AT_ONCE {
             let Some((length, from)) = next else { return };
-            self.node.handle(now(&self.means.clock), from, &self.buffer[..length], output);
+            self.node
+                .handle(now(&self.means.clock), from, &self.buffer[..length], output);
             next = self.socket.try_recv_from(&mut self.buffer).ok();
         }
         if let Some((length, from)) = next {
-            self.node.handle(now(&self.means.clock), from, &self.buffer[..length], output);
+            self.node
+                .handle(now(&self.means.clock), from, &self.buffer[..length], output);
         }
     }
 
@@ -242,7 +278,13 @@
             return;
         }
         match change {
-            Change::State { name, before, now, incarnation, address } => {
+            Change::State {
+                name,
+                before,
+                now,
+                incarnation,
+                address,
+            } => {
                 let before = before.map_or("unknown", word);
                 let now = word(*now);
                 log(format_args!(
@@ -261,14 +303,19 @@
                 } else {
                     "this one is the elder"
                 };
-                log(format_args!("members: another process bears this name at {address}: {what}"));
+                log(format_args!(
+                    "members: another process bears this name at {address}: {what}"
+                ));
             }
             Change::Paused { micros } => {
-                log(format_args!("members: this process stood still for {} ms", micros / 1000));
-            }
-            Change::Doubt { doubts: true } => {
-                log(format_args!("members: nobody answers, this one doubts itself"))
+                log(format_args!(
+                    "members: this process stood still for {} ms",
+                    micros / 1000
+                ));
             }
+            Change::Doubt { doubts: true } => log(format_args!(
+                "members: nobody answers, this one doubts itself"
+            )),
             Change::Doubt { doubts: false } => log(format_args!("members: others answer again")),
         }
     }
@@ -278,7 +325,13 @@
         let view = self.node.view();
         if view != self.told && self.act {
             self.told = view;
-            let View { living, suspects, gone, holders, doubt } = view;
+            let View {
+                living,
+                suspects,
+                gone,
+                holders,
+                doubt,
+            } = view;
             // the driver lives as long as the process
             let _ = self.means.inputs.send(Input::Fleet(Some(FleetView {
                 living,
@@ -302,7 +355,13 @@
     }
 
     fn report(&self) -> String {
-        let View { living, suspects, gone, holders, doubt } = self.node.view();
+        let View {
+            living,
+            suspects,
+            gone,
+            holders,
+            doubt,
+        } = self.node.view();
         let members: Vec<Listed> = self.node.members(now(&self.means.clock));
         json!({
             "name": self.node.name(), "incarnation": self.node.incarnation(), "health": self.node.health(),
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -16,9 +16,15 @@
     #[error("membership: {0}")]
     Json(#[from] serde_json::Error),
     #[error("membership.{name} is not {wanted}")]
-    Value { name: &'static str, wanted: &'static str },
+    Value {
+        name: &'static str,
+        wanted: &'static str,
+    },
     #[error("membership.key_file: {path}: {error}", path = path.display())]
-    KeyFile { path: PathBuf, error: std::io::Error },
+    KeyFile {
+        path: PathBuf,
+        error: std::io::Error,
+    },
 }
 
 /// How this sender takes part.
@@ -54,7 +60,11 @@
 ///
 /// # Errors
 /// Names the key that is wrong.
-pub fn read(value: &Value, name: &str, senders: u32) -> Result<Option<Membership>, MembershipError> {
+pub fn read(
+    value: &Value,
+    name: &str,
+    senders: u32,
+) -> Result<Option<Membership>, MembershipError> {
     if value.is_null() {
         return Ok(None);
     }
@@ -64,8 +74,15 @@
     settings.seeds = object.seeds;
     if let Some(period) = object.period_ms {
         let time = (10.0..=60_000.0).contains(&period);
-        let wrong = MembershipError::Value { name: "period_ms", wanted: "a time from 10 to 60000" };
-        settings.period = if time { (period * 1e3) as u64 } else { return Err(wrong) };
+        let wrong = MembershipError::Value {
+            name: "period_ms",
+            wanted: "a time from 10 to 60000",
+        };
+        settings.period = if time {
+            (period * 1e3) as u64
+        } else {
+            return Err(wrong);
+        };
     }
     settings.helpers = object.helpers.unwrap_or(settings.helpers);
     settings.suspicion = object.suspicion.unwrap_or(settings.suspicion);
@@ -75,11 +92,20 @@
     settings.sync = object.sync.unwrap_or(settings.sync);
     settings.most = object.members_most.unwrap_or(settings.most);
     settings.key = object.key_file.map(read_key).transpose()?;
-    settings.validate().map_err(|SettingsError { name, wanted }| {
-        // the one name that differs
-        MembershipError::Value { name: if name == "most" { "members_most" } else { name }, wanted }
-    })?;
-    Ok(Some(Membership { listen: object.listen, settings, act: object.act.unwrap_or(true) }))
+    settings
+        .validate()
+        .map_err(|SettingsError { name, wanted }| {
+            // the one name that differs
+            MembershipError::Value {
+                name: if name == "most" { "members_most" } else { name },
+                wanted,
+            }
+        })?;
+    Ok(Some(Membership {
+        listen: object.listen,
+        settings,
+        act: object.act.unwrap_or(true),
+    }))
 }
 
 fn read_key(path: PathBuf) -> Result<Vec<u8>, MembershipError> {
@@ -119,15 +145,30 @@
             ("fleet", json!(""), "membership.fleet is not"),
             ("listen", json!("here"), "membership: "),
             ("period_ms", json!(-1), "membership.period_ms is not"),
-            ("members_most", json!(100_000), "membership.members_most is not"),
-            ("advertise", json!("0.0.0.0:7946"), "membership.advertise is not"),
-            ("key_file", json!("/nowhere/key"), "membership.key_file: /nowhere/key"),
+            (
+                "members_most",
+                json!(100_000),
+                "membership.members_most is not",
+            ),
+            (
+                "advertise",
+                json!("0.0.0.0:7946"),
+                "membership.advertise is not",
+            ),
+            (
+                "key_file",
+                json!("/nowhere/key"),
+                "membership.key_file: /nowhere/key",
+            ),
             ("act", json!("yes"), "membership: "),
         ] {
             let mut bad = good.clone();
             bad[key] = value;
             let error = read_it(&bad).expect_err(key).to_string();
-            assert!(error.starts_with(told) || error.contains(told), "{key}: {error}");
+            assert!(
+                error.starts_with(told) || error.contains(told),
+                "{key}: {error}"
+            );
         }
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,7 +26,9 @@
 /// `eprintln!` would.
 pub fn log(line: std::fmt::Arguments<'_>) {
     use std::io::Write;
-    let _ = std::io::stderr().lock().write_all(format!("{line}\n").as_bytes());
+    let _ = std::io::stderr()
+        .lock()
+        .write_all(format!("{line}\n").as_bytes());
 }
 
 /// Whether steps of messages are traced.
@@ -38,7 +40,10 @@
 /// A line for each step of a message, with its id, where `RELAY_TRACE` is set: for operators who look for one message.
 pub fn trace(id: &hyper::header::HeaderValue, step: std::fmt::Arguments<'_>) {
     if traces() {
-        log(format_args!("trace: {} {step}", String::from_utf8_lossy(id.as_bytes())));
+        log(format_args!(
+            "trace: {} {step}",
+            String::from_utf8_lossy(id.as_bytes())
+        ));
     }
 }
 
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -13,7 +13,9 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use milletturn::pool::{Answered, Cause, Command, Denied, DialFailure, Limits, Place, Pool, PoolSettings};
+use milletturn::pool::{
+    Answered, Cause, Command, Denied, DialFailure, Limits, Place, Pool, PoolSettings,
+};
 use milletturn::{Micros, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -103,7 +105,15 @@
     #[cfg(test)]
     pub fn ready(streams: Vec<tokio::io::DuplexStream>, limits: Limits) -> Self {
         let dialler = Dialler::Ready(RefCell::new(streams.into()));
-        Connections::from(dialler, limits, milletturn::SECOND, Means { descriptors: 100, seed: 1 })
+        Connections::from(
+            dialler,
+            limits,
+            milletturn::SECOND,
+            Means {
+                descriptors: 100,
+                seed: 1,
+            },
+        )
     }
 
     fn from(dialler: Dialler, limits: Limits, dial_timeout: Micros, means: Means) -> Self {
@@ -134,7 +144,13 @@
     /// The endpoint at this place takes calls, or takes none any more.
     pub fn serve(&self, place: Place, serving: bool) {
         let now = self.0.now();
-        self.0.with(|pool, out| if serving { pool.open(now, place) } else { pool.retire(place, out) });
+        self.0.with(|pool, out| {
+            if serving {
+                pool.open(now, place)
+            } else {
+                pool.retire(place, out)
+            }
+        });
     }
 
     /// Gives back the connections to a place that carry nothing now.
@@ -145,7 +161,8 @@
     /// The endpoint's destination has told to wait so long: a call that waits for a connection ends unwritten.
     pub fn advertised_wait(&self, place: Place, wait: Micros) {
         let until = self.0.now().saturating_add(wait);
-        self.0.with(|pool, out| pool.advertised_wait(place, until, out));
+        self.0
+            .with(|pool, out| pool.advertised_wait(place, until, out));
     }
 
     /// So many connections are held by the old process of an upgrade.
@@ -174,7 +191,10 @@
             self.0.next_waiter.set(waiter + 1);
             let (give, mut given) = oneshot::channel();
             self.0.waiting.borrow_mut().insert(waiter, give);
-            let waits = Waits { layer: &self.0, waiter };
+            let waits = Waits {
+                layer: &self.0,
+                waiter,
+            };
             let now = self.0.now();
             self.0.with(|pool, out| pool.ask(now, place, waiter, out));
             // what is there already is taken whatever the time
@@ -230,7 +250,11 @@
                     tokio::task::spawn_local(async move { layer.dial(connection, place).await });
                 }
                 Command::Close { connection } => drop(self.free.borrow_mut().remove(&connection)),
-                Command::Lease { waiter, connection, idle_for } => {
+                Command::Lease {
+                    waiter,
+                    connection,
+                    idle_for,
+                } => {
                     let lease = Lease {
                         layer: self.clone(),
                         number: connection,
@@ -255,7 +279,9 @@
 
     async fn connect(&self, place: Place) -> Result<(Connection, Driven), ConnectError> {
         let up = match &self.dialler {
-            Dialler::Tcp => handshake(Stream::connect(place.address, self.dial_timeout.get()).await?).await,
+            Dialler::Tcp => {
+                handshake(Stream::connect(place.address, self.dial_timeout.get()).await?).await
+            }
             #[cfg(test)]
             Dialler::Ready(streams) => {
                 let stream = streams.borrow_mut().pop_front();
@@ -284,7 +310,8 @@
             Err(ConnectError::Peer(_)) => DialFailure::Other,
             Err(ConnectError::Time) => DialFailure::TimedOut,
             Err(ConnectError::Local(error)) => {
-                self.faults.log(format_args!("calls: no connection made: {error}"));
+                self.faults
+                    .log(format_args!("calls: no connection made: {error}"));
                 self.failed_locally.set(Some(Instant::now()));
                 DialFailure::Local
             }
@@ -300,8 +327,13 @@
     S: AsyncRead + AsyncWrite + Now + Unpin + Send + 'static,
 {
     let traffic = Arc::new(Traffic::default());
-    let counted = Counted { stream, traffic: traffic.clone() };
-    let shake = http1::Builder::new().max_buf_size(BODY_MOST).handshake(TokioIo::new(counted));
+    let counted = Counted {
+        stream,
+        traffic: traffic.clone(),
+    };
+    let shake = http1::Builder::new()
+        .max_buf_size(BODY_MOST)
+        .handshake(TokioIo::new(counted));
     let (sender, connection) = shake.await.map_err(io::Error::other)?;
     // how it ends is told to the call on it
     let driven = Box::pin(async move { drop(connection.await) });
@@ -322,12 +354,17 @@
 impl Lease {
     /// What it is about.
     pub fn connection(&mut self) -> &mut Connection {
-        self.connection.as_mut().expect("taken only when the lease ends")
+        self.connection
+            .as_mut()
+            .expect("taken only when the lease ends")
     }
 
     /// An answer has come.
     pub fn answered(&self, answered: Answered) -> bool {
-        self.layer.pool.borrow_mut().answered(self.layer.now(), self.number, answered)
+        self.layer
+            .pool
+            .borrow_mut()
+            .answered(self.layer.now(), self.number, answered)
     }
 
     /// The call is over and the connection can carry another.
@@ -345,7 +382,9 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let Some(connection) = self.connection.take() else { return };
+        let Some(connection) = self.connection.take() else {
+            return;
+        };
         let now = self.layer.now();
         let cause = match &self.end {
             Some(end) => end.get(),
@@ -355,9 +394,12 @@
             // nothing is on it
             None => {
                 self.layer.free.borrow_mut().insert(self.number, connection);
-                return self.layer.with(|pool, out| pool.give_back(now, self.number, out));
+                return self
+                    .layer
+                    .with(|pool, out| pool.give_back(now, self.number, out));
             }
         };
-        self.layer.with(|pool, out| pool.spoiled(now, self.number, cause, out));
+        self.layer
+            .with(|pool, out| pool.spoiled(now, self.number, cause, out));
     }
 }
--- a/src/net/pool/caps.rs
+++ b/src/net/pool/caps.rs
@@ -14,7 +14,11 @@
 
 /// The limits that settings come to. Caps that are not set follow from the descriptors.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> Limits {
-    let idle = if settings.connection_idle > 0 { span(settings.connection_idle) } else { IDLE_USUAL };
+    let idle = if settings.connection_idle > 0 {
+        span(settings.connection_idle)
+    } else {
+        IDLE_USUAL
+    };
     // connections are given up somewhat before the endpoint would close them
     let keep = (idle * 9 / 10).min(idle.saturating_sub(Duration::from_millis(300)));
     // a file that was read for more descriptors than the process started with allows no more
--- a/src/net/pool/traffic.rs
+++ b/src/net/pool/traffic.rs
@@ -71,7 +71,10 @@
 
     /// What comes from now on is another answer.
     pub fn forget_answer(&self) {
-        self.first.lock().unwrap_or_else(PoisonError::into_inner).clear();
+        self.first
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clear();
     }
 
     fn keep_answer(&self, bytes: &[u8]) {
@@ -83,8 +86,11 @@
     /// True if an answer's first line says 200, whatever follows it.
     pub fn says_ok(&self) -> bool {
         let first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
-        let rest = first.strip_prefix(b"HTTP/1.1 200").or_else(|| first.strip_prefix(b"HTTP/1.0 200"));
-        rest.and_then(<[u8]>::first).is_some_and(|after| b" \r\n".contains(after))
+        let rest = first
+            .strip_prefix(b"HTTP/1.1 200")
+            .or_else(|| first.strip_prefix(b"HTTP/1.0 200"));
+        rest.and_then(<[u8]>::first)
+            .is_some_and(|after| b" \r\n".contains(after))
     }
 }
 
@@ -97,7 +103,9 @@
 impl<S> Counted<S> {
     fn count(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
-            self.traffic.written.fetch_add(*bytes as u64, Ordering::Relaxed);
+            self.traffic
+                .written
+                .fetch_add(*bytes as u64, Ordering::Relaxed);
         }
         result
     }
@@ -143,7 +151,9 @@
 
 impl<S: AsyncRead + Now + Unpin> AsyncRead for Counted<S> {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let mut result = Pin::new(&mut self.stream).poll_read(context, buffer);
@@ -180,14 +190,18 @@
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, buffer);
         self.count(result)
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffers: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
         self.count(result)
@@ -215,15 +229,22 @@
     /// A call that was given up is looked at once more before its connection closes: what has come by then was told.
     #[test]
     fn a_second_look_reads_what_has_come_since_the_first() {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let local = tokio::task::LocalSet::new();
         local.block_on(&runtime.expect("a runtime"), async {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("bound");
-            let stream = tokio::net::TcpStream::connect(address).await.expect("connected");
+            let stream = tokio::net::TcpStream::connect(address)
+                .await
+                .expect("connected");
             let (mut peer, _) = listener.accept().expect("accepted");
             let traffic = Arc::new(Traffic::default());
-            let mut counted = Counted { stream: Stream::from(stream), traffic: traffic.clone() };
+            let mut counted = Counted {
+                stream: Stream::from(stream),
+                traffic: traffic.clone(),
+            };
             tokio::task::spawn_local(async move {
                 let mut room = [0; 64];
                 while counted.read(&mut room).await.is_ok_and(|read| read > 0) {}
@@ -231,7 +252,10 @@
             traffic.give_up().await;
             peer.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
             traffic.give_up().await;
-            assert!(traffic.says_ok(), "the second look ended before what had come was read");
+            assert!(
+                traffic.says_ok(),
+                "the second look ended before what had come was read"
+            );
             // one that has ended needs no look
             drop(peer);
             traffic.give_up().await;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -85,7 +85,10 @@
 
 /// Accepts connections until told to end, as many at once as there are places, and has each handled.
 pub async fn accept<F>(
-    who: &'static str, listener: TcpListener, places: Arc<Semaphore>, mut end: watch::Receiver<bool>,
+    who: &'static str,
+    listener: TcpListener,
+    places: Arc<Semaphore>,
+    mut end: watch::Receiver<bool>,
     handle: impl Fn(TcpStream, Rc<Slot>) -> F,
 ) where
     F: Future<Output = ()> + 'static,
@@ -109,7 +112,9 @@
                         faults.log(format_args!("{who}: all places taken, idle ones leave"));
                         slot.leave();
                     }
-                    let Ok(place) = timeout(LOOK, places.clone().acquire_owned()).await else { continue };
+                    let Ok(place) = timeout(LOOK, places.clone().acquire_owned()).await else {
+                        continue;
+                    };
                     let Ok(place) = place else { return };
                     break place;
                 };
@@ -154,7 +159,9 @@
     /// The connection that may be closed soonest: one that ends already, or has been without a request the longest.
     fn longest_idle(&self, now: Instant) -> Option<Rc<Slot>> {
         let taken = self.taken.borrow();
-        let spare = taken.values().filter_map(|slot| Some((slot.spare(now)?, slot)));
+        let spare = taken
+            .values()
+            .filter_map(|slot| Some((slot.spare(now)?, slot)));
         let (_, slot) = spare.min_by_key(|(spare, _)| *spare)?;
         Some(slot.clone())
     }
@@ -174,10 +181,21 @@
     });
     let mut http = http1::Builder::new();
     http.max_buf_size(32 * 1024);
-    connection::serve(stream, slot, http, IDLE_TIME, service, closing.wait_for(|closing| *closing)).await;
+    connection::serve(
+        stream,
+        slot,
+        http,
+        IDLE_TIME,
+        service,
+        closing.wait_for(|closing| *closing),
+    )
+    .await;
 }
 
-async fn answer(request: Request<Incoming>, server: Rc<Server>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn answer(
+    request: Request<Incoming>,
+    server: Rc<Server>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let close = server.draining.clone();
     let mut response = match handle(request, &server).await {
         Ok(response) => response,
@@ -186,24 +204,33 @@
             *response.status_mut() = status;
             if status == StatusCode::METHOD_NOT_ALLOWED {
                 let allowed = if what == ONLY_GET { "GET" } else { "POST" };
-                response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+                response
+                    .headers_mut()
+                    .insert(ALLOW, HeaderValue::from_static(allowed));
             }
             if status == StatusCode::PAYLOAD_TOO_LARGE || status == StatusCode::REQUEST_TIMEOUT {
                 // the rest of the body is not read
-                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
             response
         }
     };
     if close.get() {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
 const ONLY_GET: &str = "only GET";
 
-async fn handle(request: Request<Incoming>, server: &Server) -> Result<Response<Full<Bytes>>, Refusal> {
+async fn handle(
+    request: Request<Incoming>,
+    server: &Server,
+) -> Result<Response<Full<Bytes>>, Refusal> {
     let began = Instant::now();
     let path = request.uri().path();
     if path == "/ready" {
@@ -220,8 +247,18 @@
     let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let headers = request.headers();
     let named = single(headers, "x-priority-class", "X-Priority-Class")?;
-    let class = server.classes.borrow().iter().find(|class| class.name == first).cloned();
-    let Some(Named { index: class, keyed, .. }) = class else {
+    let class = server
+        .classes
+        .borrow()
+        .iter()
+        .find(|class| class.name == first)
+        .cloned();
+    let Some(Named {
+        index: class,
+        keyed,
+        ..
+    }) = class
+    else {
         // a class that nobody knows, or a path that is none
         return Err(if named.is_some_and(|name| name == first) {
             bad("unknown class")
@@ -235,28 +272,47 @@
     if named.is_none_or(|name| name != first) {
         return Err(bad("X-Priority-Class is missing or not the path's"));
     }
-    let id = word(single(headers, "x-request-id", "X-Request-ID")?)?.ok_or(bad("X-Request-ID is missing"))?;
+    let id = word(single(headers, "x-request-id", "X-Request-ID")?)?
+        .ok_or(bad("X-Request-ID is missing"))?;
     let key = word(single(headers, "idempotency-key", "Idempotency-Key")?)?;
     if key.is_none() && keyed {
         return Err(bad("Idempotency-Key is missing"));
     }
     let time = single(headers, "x-timeout", "X-Timeout")?.ok_or(bad("X-Timeout is missing"))?;
-    let time = time.to_str().ok().and_then(read_time).ok_or(bad("X-Timeout can't be read"))?;
+    let time = time
+        .to_str()
+        .ok()
+        .and_then(read_time)
+        .ok_or(bad("X-Timeout can't be read"))?;
     let envelope = single(headers, "envelope", "Envelope")?.ok_or(bad("Envelope is missing"))?;
-    let destination = envelope.to_str().ok().and_then(read_destination).ok_or(bad("dest can't be read"))?;
+    let destination = envelope
+        .to_str()
+        .ok()
+        .and_then(read_destination)
+        .ok_or(bad("dest can't be read"))?;
     let subject = read_subject(request.uri().query())?.map(str::to_string);
     let tenant = single(headers, "x-tenant-id", "X-Tenant-Id")?;
-    let tenant = tenant.and_then(|value| value.to_str().ok()).filter(|name| name.len() <= WORD_MOST);
+    let tenant = tenant
+        .and_then(|value| value.to_str().ok())
+        .filter(|name| name.len() <= WORD_MOST);
     let tenant = tenant.map(str::to_string);
     let retried = single(headers, "x-retried", "X-Retried")?;
-    let (again, orphan) = (retried.is_some(), retried.is_some_and(|value| value == "again"));
+    let (again, orphan) = (
+        retried.is_some(),
+        retried.is_some_and(|value| value == "again"),
+    );
     let (id, key) = (detached(id), key.map(detached));
     // hyper drops the length beside a Transfer-Encoding, so two ends of the body can't be told from one
     let no_length = headers.contains_key(TRANSFER_ENCODING);
     if request.body().size_hint().lower() > BODY_MOST as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
     }
-    let body = match timeout(BODY_TIME, Limited::new(request.into_body(), BODY_MOST).collect()).await {
+    let body = match timeout(
+        BODY_TIME,
+        Limited::new(request.into_body(), BODY_MOST).collect(),
+    )
+    .await
+    {
         Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
@@ -265,15 +321,33 @@
         Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
     };
     if no_length {
-        return Err((StatusCode::LENGTH_REQUIRED, "Content-Length is missing or not the body's"));
+        return Err((
+            StatusCode::LENGTH_REQUIRED,
+            "Content-Length is missing or not the body's",
+        ));
     }
     if !*server.ready.borrow() {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "not ready"));
     }
     let (reply, answer) = oneshot::channel();
-    let mut guard = Guard { left: Some(id.clone()), inputs: &server.inputs };
-    let arrival =
-        Arrival { id, key, subject, tenant, class, destination, time, began, again, orphan, body, reply };
+    let mut guard = Guard {
+        left: Some(id.clone()),
+        inputs: &server.inputs,
+    };
+    let arrival = Arrival {
+        id,
+        key,
+        subject,
+        tenant,
+        class,
+        destination,
+        time,
+        began,
+        again,
+        orphan,
+        body,
+        reply,
+    };
     if server.inputs.send(Input::Arrived(arrival)).is_err() {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
     }
@@ -315,11 +389,17 @@
 
 /// The header's only value; a doubled one is refused, since nobody can tell which was meant.
 fn single<'a>(
-    headers: &'a HeaderMap, name: &str, shown: &'static str,
+    headers: &'a HeaderMap,
+    name: &str,
+    shown: &'static str,
 ) -> Result<Option<&'a HeaderValue>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
-    if values.next().is_some() { Err(bad(shown)) } else { Ok(value) }
+    if values.next().is_some() {
+        Err(bad(shown))
+    } else {
+        Ok(value)
+    }
 }
 
 /// An id or key goes into the lines of bulk calls, so it is visible text without spaces.
@@ -356,7 +436,10 @@
 
 /// The query's `subject`, by which classes that keep order tell whose turn it is; an empty one is none.
 fn read_subject(query: Option<&str>) -> Result<Option<&str>, Refusal> {
-    let mut values = query.unwrap_or("").split('&').filter_map(|pair| pair.strip_prefix("subject="));
+    let mut values = query
+        .unwrap_or("")
+        .split('&')
+        .filter_map(|pair| pair.strip_prefix("subject="));
     let value = values.next().filter(|value| !value.is_empty());
     if values.next().is_some() || value.is_some_and(|value| value.len() > WORD_MOST) {
         return Err(bad("subject can't be read"));
@@ -366,7 +449,9 @@
 
 /// Destinations have small numbers: one beyond 16 bits is none that a list will ever name.
 fn read_destination(text: &str) -> Option<u64> {
-    let mut values = text.split([';', ',']).filter_map(|part| part.trim().strip_prefix("dest="));
+    let mut values = text
+        .split([';', ','])
+        .filter_map(|part| part.trim().strip_prefix("dest="));
     let value = values.next()?;
     if values.next().is_some() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
--- a/src/net/server/tests.rs
+++ b/src/net/server/tests.rs
@@ -12,7 +12,10 @@
     let (number, first) = slots.take(at(10));
     let (_, second) = slots.take(at(20));
     first.set_idle_since(Some(at(30))); // it has had an answer
-    assert!(slots.longest_idle(at(20) + SPARE - LOOK).is_none(), "its first request may be on the way");
+    assert!(
+        slots.longest_idle(at(20) + SPARE - LOOK).is_none(),
+        "its first request may be on the way"
+    );
     let leaves = |at| slots.longest_idle(at).expect("room");
     assert!(Rc::ptr_eq(&leaves(at(1000)), &second));
     second.leave();
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -51,7 +51,10 @@
 ///
 /// # Errors
 /// The last one.
-pub async fn until_had<T, E: MayPass>(what: &str, mut attempt: impl FnMut() -> Result<T, E>) -> Result<T, E> {
+pub async fn until_had<T, E: MayPass>(
+    what: &str,
+    mut attempt: impl FnMut() -> Result<T, E>,
+) -> Result<T, E> {
     let faults = Seldom::default();
     loop {
         match attempt() {
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -55,7 +55,9 @@
                     return Ok(stream);
                 }
                 Ok(Err(error)) if !is_local(&error) => return Err(ConnectError::Peer(error)),
-                Ok(Err(error)) if Instant::now() + RETRY >= until => return Err(ConnectError::Local(error)),
+                Ok(Err(error)) if Instant::now() + RETRY >= until => {
+                    return Err(ConnectError::Local(error));
+                }
                 Ok(Err(error)) => failed = Some(error),
                 // how long the peer would have taken is not known where this machine used up the time
                 Err(_) => return Err(failed.map_or(ConnectError::Time, ConnectError::Local)),
@@ -99,7 +101,9 @@
 
 impl AsyncRead for Stream {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if buffer.remaining() == 0 {
             return Poll::Ready(Ok(()));
@@ -115,7 +119,11 @@
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
             if let Some(settled) = Stream::settle(context, self.0.try_write(bytes)) {
@@ -125,7 +133,9 @@
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffers: &[IoSlice<'_>],
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -129,8 +129,17 @@
 impl HandedMessage {
     /// The message as calls carry it; none if it can't be one.
     pub fn item(&self) -> Option<Item> {
-        let key = self.key.as_deref().map(HeaderValue::from_str).transpose().ok()?;
-        Some(Item { id: HeaderValue::from_str(&self.id).ok()?, key, body: self.body.clone().into() })
+        let key = self
+            .key
+            .as_deref()
+            .map(HeaderValue::from_str)
+            .transpose()
+            .ok()?;
+        Some(Item {
+            id: HeaderValue::from_str(&self.id).ok()?,
+            key,
+            body: self.body.clone().into(),
+        })
     }
 }
 
@@ -142,7 +151,11 @@
     /// Opens it and does not take it.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        let file = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join(LOCK))?;
+        let file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(folder.join(LOCK))?;
         Ok(Lock(file))
     }
 
@@ -202,7 +215,10 @@
 }
 
 fn is_to_be_tried_again(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
 
 /// Fills the room; waits only when the system says that it would block, see [`super::stream`].
@@ -223,7 +239,10 @@
 impl Link {
     fn new(stream: UnixStream) -> Self {
         let (reader, writer) = stream.into_split();
-        Link { reader, writer: Writer(writer) }
+        Link {
+            reader,
+            writer: Writer(writer),
+        }
     }
 
     async fn receive(&mut self) -> Result<Frame, LinkError> {
@@ -239,7 +258,9 @@
                 _ => Err(LinkError::Unexpected),
             }
         };
-        timeout(HAND_TIME, exchange).await.map_err(|_| LinkError::Time)?
+        timeout(HAND_TIME, exchange)
+            .await
+            .map_err(|_| LinkError::Time)?
     }
 
     /// Has all that comes handed to the driver, and the end of the link too; the rest is for writing.
@@ -305,7 +326,9 @@
                 }
                 let error = error.to_string();
                 if error != told {
-                    super::log(format_args!("upgrade: the old process does not hand over: {error}"));
+                    super::log(format_args!(
+                        "upgrade: the old process does not hand over: {error}"
+                    ));
                     told = error;
                 }
             }
@@ -321,12 +344,18 @@
         match link.receive().await? {
             Frame::Hand(mut handover) => {
                 let sender = Box::new(postcard::from_bytes(&std::mem::take(&mut handover.sender))?);
-                Ok(Taken { sender, handover: *handover, link })
+                Ok(Taken {
+                    sender,
+                    handover: *handover,
+                    link,
+                })
             }
             _ => Err(LinkError::Unexpected),
         }
     };
-    timeout(HAND_TIME, exchange).await.map_err(|_| LinkError::Time)?
+    timeout(HAND_TIME, exchange)
+        .await
+        .map_err(|_| LinkError::Time)?
 }
 
 /// What one who asks wants.
@@ -376,7 +405,8 @@
 
 /// The socket that clients connect to: the one that the platform passed, or one bound here.
 pub async fn listener(
-    passed: Option<RawFd>, address: std::net::SocketAddr,
+    passed: Option<RawFd>,
+    address: std::net::SocketAddr,
 ) -> Result<TcpListener, io::Error> {
     if let Some(descriptor) = passed {
         let taken = inherit(descriptor).and_then(|listener| {
@@ -385,9 +415,9 @@
         });
         match taken {
             Ok(listener) => return Ok(listener),
-            Err(error) => {
-                super::log(format_args!("passed socket {descriptor}: off, one is bound here: {error}"))
-            }
+            Err(error) => super::log(format_args!(
+                "passed socket {descriptor}: off, one is bound here: {error}"
+            )),
         }
     }
     super::startup::listen(address).await
--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -66,7 +66,11 @@
 
     /// How many endpoints, connections and waiting calls the pool knows of.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.endpoints.len(), self.connections.len(), self.waiters.len())
+        (
+            self.endpoints.len(),
+            self.connections.len(),
+            self.waiters.len(),
+        )
     }
 
     /// Connections that count among all, those that another process holds too.
@@ -82,8 +86,12 @@
 
     /// Takes a connection that is closed off the accounts.
     pub(super) fn drop_connection(&mut self, connection: u64, cause: Cause) {
-        let Some(known) = self.connections.remove(&connection) else { return };
-        let Some(endpoint) = self.endpoints.get_mut(&known.place) else { return };
+        let Some(known) = self.connections.remove(&connection) else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get_mut(&known.place) else {
+            return;
+        };
         match known.state {
             State::Idle { since } => {
                 endpoint.idle.retain(|idle| *idle != connection);
@@ -114,6 +122,10 @@
 fn add(all: &mut Counts, more: &Counts) {
     all.reuses += more.reuses;
     all.dials += more.dials;
-    more.dial_failures.iter().for_each(|(why, count)| *all.dial_failures.entry(*why).or_default() += count);
-    more.closes.iter().for_each(|(cause, count)| *all.closes.entry(*cause).or_default() += count);
+    more.dial_failures
+        .iter()
+        .for_each(|(why, count)| *all.dial_failures.entry(*why).or_default() += count);
+    more.closes
+        .iter()
+        .for_each(|(cause, count)| *all.closes.entry(*cause).or_default() += count);
 }
--- a/src/pool/endpoint.rs
+++ b/src/pool/endpoint.rs
@@ -78,7 +78,10 @@
             leased: 0,
             proven: 0,
             dialling: 0,
-            peak: Peak { calls: 0.0, at: now },
+            peak: Peak {
+                calls: 0.0,
+                at: now,
+            },
             cap: None,
             refused: None,
             turned_away: TurnedAway::default(),
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -22,7 +22,10 @@
 impl Pool {
     /// How long idle connections to the endpoint are kept.
     pub(super) fn keep(&self, now: Micros, place: Place) -> Micros {
-        let shortened = self.endpoints.get(&place).and_then(|endpoint| endpoint.shortened_keep);
+        let shortened = self
+            .endpoints
+            .get(&place)
+            .and_then(|endpoint| endpoint.shortened_keep);
         match shortened {
             Some(ShortenedKeep { keep, until }) if now < until => keep.min(self.limits.keep),
             _ => self.limits.keep,
@@ -37,39 +40,74 @@
         }
         let keep = (self.keep(now, place).min(idle_for) / 2).max(SHORTENED_LEAST);
         if let Some(endpoint) = self.endpoints.get_mut(&place) {
-            endpoint.shortened_keep = Some(ShortenedKeep { keep, until: now + SHORTENED_FOR });
+            endpoint.shortened_keep = Some(ShortenedKeep {
+                keep,
+                until: now + SHORTENED_FOR,
+            });
         }
     }
 
     /// It has been idle for as long as is allowed.
     pub(super) fn grown_old(&self, now: Micros, connection: u64) -> bool {
-        self.connections.get(&connection).is_some_and(|known| match known.state {
-            State::Idle { since } => now - since >= self.keep(now, known.place),
-            _ => false,
-        })
+        self.connections
+            .get(&connection)
+            .is_some_and(|known| match known.state {
+                State::Idle { since } => now - since >= self.keep(now, known.place),
+                _ => false,
+            })
     }
 
     /// Gives an idle connection to the call that waits longest.
-    pub(super) fn lease(&mut self, now: Micros, place: Place, connection: u64, out: &mut Vec<Command>) {
-        let Some(known) = self.connections.get_mut(&connection) else { return };
-        let State::Idle { since } = known.state else { return };
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
-        let Some((waiter, _)) = endpoint.waiting.pop_front() else { return };
+    pub(super) fn lease(
+        &mut self,
+        now: Micros,
+        place: Place,
+        connection: u64,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let State::Idle { since } = known.state else {
+            return;
+        };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
+        let Some((waiter, _)) = endpoint.waiting.pop_front() else {
+            return;
+        };
         endpoint.idle.retain(|idle| *idle != connection);
         endpoint.leased += 1;
         endpoint.proven += usize::from(known.served);
         let idle_for = (known.calls > 0).then_some(now - since);
         endpoint.counts.reuses += u64::from(idle_for.is_some());
         known.calls += 1;
-        known.state = State::Leased { at: now, proven: endpoint.proven, idle_for };
+        known.state = State::Leased {
+            at: now,
+            proven: endpoint.proven,
+            idle_for,
+        };
         self.idle.remove(&(since, connection));
         self.waiters.remove(&waiter);
-        out.push(Command::Lease { waiter, connection, idle_for });
+        out.push(Command::Lease {
+            waiter,
+            connection,
+            idle_for,
+        });
     }
 
     /// A connection has just fallen free: it goes to a call that waits, to the idle ones, or is closed.
-    pub(super) fn settle(&mut self, now: Micros, place: Place, connection: u64, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get(&place) else { return };
+    pub(super) fn settle(
+        &mut self,
+        now: Micros,
+        place: Place,
+        connection: u64,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(endpoint) = self.endpoints.get(&place) else {
+            return;
+        };
         if !endpoint.waiting.is_empty() {
             self.lease(now, place, connection, out);
         } else if !endpoint.serving {
@@ -98,10 +136,18 @@
 
     /// Closes idle connections that have grown old or are not wanted any more, oldest first.
     pub(super) fn close_old(&mut self, now: Micros, out: &mut Vec<Command>) {
-        let idle: Vec<u64> = self.idle.iter().map(|&(_, connection)| connection).collect();
+        let idle: Vec<u64> = self
+            .idle
+            .iter()
+            .map(|&(_, connection)| connection)
+            .collect();
         for connection in idle {
-            let Some(place) = self.connections.get(&connection).map(|known| known.place) else { continue };
-            let Some(endpoint) = self.endpoints.get(&place) else { continue };
+            let Some(place) = self.connections.get(&connection).map(|known| known.place) else {
+                continue;
+            };
+            let Some(endpoint) = self.endpoints.get(&place) else {
+                continue;
+            };
             if self.grown_old(now, connection) {
                 self.close(connection, Cause::Age, out);
             } else if self.keeps_none() {
@@ -123,12 +169,24 @@
 
     /// Idle connections to the address that have heard nothing since then may be as dead as the one that timed out.
     pub(super) fn suspect(&mut self, address: SocketAddr, since: Micros, out: &mut Vec<Command>) {
-        let of_address =
-            Place { address, endpoint: EndpointId(0) }..=Place { address, endpoint: EndpointId(u32::MAX) };
-        let idle: Vec<u64> =
-            self.endpoints.range(of_address).flat_map(|(_, endpoint)| endpoint.idle.clone()).collect();
+        let of_address = Place {
+            address,
+            endpoint: EndpointId(0),
+        }..=Place {
+            address,
+            endpoint: EndpointId(u32::MAX),
+        };
+        let idle: Vec<u64> = self
+            .endpoints
+            .range(of_address)
+            .flat_map(|(_, endpoint)| endpoint.idle.clone())
+            .collect();
         for connection in idle {
-            if self.connections.get(&connection).is_some_and(|known| known.heard < since) {
+            if self
+                .connections
+                .get(&connection)
+                .is_some_and(|known| known.heard < since)
+            {
                 self.close(connection, Cause::Suspect, out);
             }
         }
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -75,9 +75,15 @@
     fn note(&mut self, answered: Answered, first_call: bool, at: Micros, proven: usize) {
         match (answered, first_call) {
             (Answered::TurnedAway, true) => self.pending = Some((at, proven)),
-            (Answered::TurnedAway, false) | (Answered::Served, true) => *self = TurnedAway::default(),
+            (Answered::TurnedAway, false) | (Answered::Served, true) => {
+                *self = TurnedAway::default()
+            }
             (Answered::Served, false) => {
-                if self.pending.take_if(|(began, then)| at >= *began && proven >= *then).is_some() {
+                if self
+                    .pending
+                    .take_if(|(began, then)| at >= *began && proven >= *then)
+                    .is_some()
+                {
                     self.confirmed += 1;
                 }
             }
@@ -100,39 +106,61 @@
     pub(super) fn tried_above_cap(&mut self, now: Micros, place: Place, works: bool) {
         let first_backoff = self.first_backoff();
         let part = self.spread(SECOND) as f64 / SECOND as f64;
-        let step_most = if self.limits.senders <= FEW_SENDERS { RAISE_STEP } else { 1 };
+        let step_most = if self.limits.senders <= FEW_SENDERS {
+            RAISE_STEP
+        } else {
+            1
+        };
         let per_endpoint = self.limits.per_endpoint;
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         let Some(cap) = &mut endpoint.cap else { return };
         cap.end_trial();
-        let pause = if works { cap.raise(first_backoff, step_most) } else { cap.back_off(first_backoff) };
+        let pause = if works {
+            cap.raise(first_backoff, step_most)
+        } else {
+            cap.back_off(first_backoff)
+        };
         cap.next = now + (pause as f64 * part) as Micros;
         endpoint.cap.take_if(|cap| cap.most >= per_endpoint);
     }
 
     /// What an answer on a connection that came up at `up_at` tells of the endpoint's cap; the call began at `at`.
     pub(super) fn learn_from_answer(&mut self, now: Micros, place: Place, call: &AnsweredCall) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         // the connections beside which a connect was refused do work
         if let Some(refused) = endpoint.refused.take_if(|refused| call.up_at <= refused.at) {
             self.learn_cap(now, place, refused.established);
             return;
         }
-        endpoint.turned_away.note(call.answered, call.first, call.at, call.proven);
+        endpoint
+            .turned_away
+            .note(call.answered, call.first, call.at, call.proven);
         if self.limits.learn_caps && endpoint.turned_away.tells_a_cap() {
             endpoint.turned_away = TurnedAway::default();
-            let served =
-                self.connections.values().filter(|other| other.place == place && other.served).count();
+            let served = self
+                .connections
+                .values()
+                .filter(|other| other.place == place && other.served)
+                .count();
             self.learn_cap(now, place, served);
         }
     }
 
     /// A connection beside which a connect was refused has broken too: with the last one it is an outage.
     pub(super) fn one_less_works(&mut self, place: Place) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         let established = endpoint.established();
         endpoint.refused = match endpoint.refused {
-            Some(refused) if established > 0 => Some(RefusedBeside { established, ..refused }),
+            Some(refused) if established > 0 => Some(RefusedBeside {
+                established,
+                ..refused
+            }),
             _ => None,
         };
     }
@@ -142,7 +170,13 @@
         let next = now + self.spread(backoff);
         if let Some(endpoint) = self.endpoints.get_mut(&place) {
             let trials = endpoint.cap.as_ref().map_or(0, |cap| cap.trials);
-            endpoint.cap = Some(LearnedCap { most: most.max(1), next, backoff, step: 1, trials });
+            endpoint.cap = Some(LearnedCap {
+                most: most.max(1),
+                next,
+                backoff,
+                step: 1,
+                trials,
+            });
         }
     }
 }
--- a/src/pool/mod.rs
+++ b/src/pool/mod.rs
@@ -99,14 +99,19 @@
         let new = Endpoint::new(now, &self.limits);
         let endpoint = self.endpoints.entry(place).or_insert(new);
         if !endpoint.serving {
-            (endpoint.serving, endpoint.prewarm_from, endpoint.cap) = (true, now + self.limits.cold, None);
+            (endpoint.serving, endpoint.prewarm_from, endpoint.cap) =
+                (true, now + self.limits.cold, None);
         }
     }
 
     /// The endpoint drains, is gone, out or elsewhere: nothing is dialled any more, idle connections are closed.
     /// Calls whose dial is out may still get it.
     pub fn retire(&mut self, place: Place, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get_mut(&place).filter(|endpoint| endpoint.serving) else {
+        let Some(endpoint) = self
+            .endpoints
+            .get_mut(&place)
+            .filter(|endpoint| endpoint.serving)
+        else {
             return;
         };
         endpoint.serving = false;
@@ -120,14 +125,20 @@
 
     /// The decision module gives back what carries nothing.
     pub fn disconnect(&mut self, place: Place, out: &mut Vec<Command>) {
-        let idle = self.endpoints.get(&place).map_or(Vec::new(), |endpoint| endpoint.idle.clone());
-        idle.into_iter().for_each(|connection| self.close(connection, Cause::GivenBack, out));
+        let idle = self
+            .endpoints
+            .get(&place)
+            .map_or(Vec::new(), |endpoint| endpoint.idle.clone());
+        idle.into_iter()
+            .for_each(|connection| self.close(connection, Cause::GivenBack, out));
     }
 
     /// The endpoint's destination has told to wait until then: what still waits for a connection must not be written
     /// once that comes up, and nothing is dialled ahead of need.
     pub fn advertised_wait(&mut self, place: Place, until: Micros, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         endpoint.delay_prewarm(until);
         self.deny(place, 0, Denied::Wait, out);
     }
@@ -140,24 +151,40 @@
             self.close(connection, Cause::Leaving, out);
         }
         let places: Vec<Place> = self.endpoints.keys().copied().collect();
-        places.into_iter().for_each(|place| self.deny(place, 0, Denied::Leaving, out));
+        places
+            .into_iter()
+            .for_each(|place| self.deny(place, 0, Denied::Leaving, out));
     }
 
     /// A call asks for a connection; each ask has a number of its own.
     pub fn ask(&mut self, now: Micros, place: Place, waiter: u64, out: &mut Vec<Command>) {
         let decay = self.limits.decay;
-        let Some(endpoint) = self.endpoints.get_mut(&place).filter(|endpoint| endpoint.serving) else {
-            return out.push(Command::Deny { waiter, why: Denied::Retired });
+        let Some(endpoint) = self
+            .endpoints
+            .get_mut(&place)
+            .filter(|endpoint| endpoint.serving)
+        else {
+            return out.push(Command::Deny {
+                waiter,
+                why: Denied::Retired,
+            });
         };
         if self.leaving {
-            return out.push(Command::Deny { waiter, why: Denied::Leaving });
+            return out.push(Command::Deny {
+                waiter,
+                why: Denied::Leaving,
+            });
         }
         endpoint.waiting.push_back((waiter, now));
         endpoint.note_peak(now, decay);
         endpoint.asked = now;
         self.waiters.insert(waiter, place);
         // the newest is taken, so that those beyond need grow old
-        while let Some(&connection) = self.endpoints.get(&place).and_then(|endpoint| endpoint.idle.last()) {
+        while let Some(&connection) = self
+            .endpoints
+            .get(&place)
+            .and_then(|endpoint| endpoint.idle.last())
+        {
             if self.grown_old(now, connection) {
                 self.close(connection, Cause::Age, out);
             } else {
@@ -169,7 +196,9 @@
 
     /// The call no longer waits. Its dial goes on, for the next one.
     pub fn called_off(&mut self, waiter: u64) {
-        let Some(place) = self.waiters.remove(&waiter) else { return };
+        let Some(place) = self.waiters.remove(&waiter) else {
+            return;
+        };
         if let Some(endpoint) = self.endpoints.get_mut(&place) {
             endpoint.waiting.retain(|(waits, _)| *waits != waiter);
         }
@@ -178,8 +207,12 @@
 
     /// A dial brought its connection.
     pub fn up(&mut self, now: Micros, connection: u64, out: &mut Vec<Command>) {
-        let Some(known) = self.connections.get_mut(&connection) else { return };
-        let State::Dialling { .. } = known.state else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let State::Dialling { .. } = known.state else {
+            return;
+        };
         (known.heard, known.up_at, known.state) = (now, now, State::Idle { since: now });
         let place = known.place;
         self.dialling -= 1;
@@ -192,8 +225,16 @@
     }
 
     /// A dial brought none.
-    pub fn dial_failed(&mut self, now: Micros, connection: u64, why: DialFailure, out: &mut Vec<Command>) {
-        let Some(known) = self.connections.remove(&connection) else { return };
+    pub fn dial_failed(
+        &mut self,
+        now: Micros,
+        connection: u64,
+        why: DialFailure,
+        out: &mut Vec<Command>,
+    ) {
+        let Some(known) = self.connections.remove(&connection) else {
+            return;
+        };
         let State::Dialling { since } = known.state else {
             self.connections.insert(connection, known);
             return;
@@ -205,7 +246,9 @@
         if trial && why != DialFailure::Local {
             self.tried_above_cap(now, place, false);
         }
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         endpoint.dialling -= 1;
         *endpoint.counts.dial_failures.entry(why).or_default() += 1;
         endpoint.delay_prewarm(cold);
@@ -213,13 +256,18 @@
         let beside = why == DialFailure::Refused && established > 0 && learn;
         if beside && !trial {
             // one that is down resets those connections too, but their resets may come later than this
-            endpoint.refused = Some(RefusedBeside { established, at: now });
+            endpoint.refused = Some(RefusedBeside {
+                established,
+                at: now,
+            });
         }
         // a call with a dial of its own still out goes on waiting, and so does one that came later than this dial
         // where that says nothing of the next, or that may get one of the connections beside which it was refused
-        let others_come = endpoint.waiting.len() <= endpoint.dialling || beside || trial && established > 0;
+        let others_come =
+            endpoint.waiting.len() <= endpoint.dialling || beside || trial && established > 0;
         let asked = endpoint.waiting.front().map(|(_, asked)| *asked);
-        let tells_of_next = why != DialFailure::TimedOut || asked.is_some_and(|asked| asked <= since);
+        let tells_of_next =
+            why != DialFailure::TimedOut || asked.is_some_and(|asked| asked <= since);
         if !others_come && tells_of_next {
             self.deny_oldest(place, why, out);
         }
@@ -232,9 +280,19 @@
     /// An answer came on a leased connection; true if it was turned away because there was no room for the connection, so
     /// that it says nothing of how many calls the endpoint takes.
     pub fn answered(&mut self, now: Micros, connection: u64, answered: Answered) -> bool {
-        let Some(known) = self.connections.get_mut(&connection) else { return false };
-        let State::Leased { at, proven, .. } = known.state else { return false };
-        let call = AnsweredCall { answered, at, proven, first: known.calls == 1, up_at: known.up_at };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return false;
+        };
+        let State::Leased { at, proven, .. } = known.state else {
+            return false;
+        };
+        let call = AnsweredCall {
+            answered,
+            at,
+            proven,
+            first: known.calls == 1,
+            up_at: known.up_at,
+        };
         known.heard = now;
         self.scarcity.note(answered, call.first);
         let no_room = answered == Answered::TurnedAway && call.first;
@@ -255,13 +313,19 @@
 
     /// The call is over and its connection can carry another.
     pub fn give_back(&mut self, now: Micros, connection: u64, out: &mut Vec<Command>) {
-        let Some(known) = self.connections.get_mut(&connection) else { return };
-        let State::Leased { .. } = known.state else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let State::Leased { .. } = known.state else {
+            return;
+        };
         (known.heard, known.state) = (now, State::Idle { since: now });
         let (place, proven) = (known.place, usize::from(known.served));
         self.idle.insert((now, connection));
         let decay = self.limits.decay;
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         endpoint.note_peak(now, decay);
         endpoint.leased -= 1;
         endpoint.proven -= proven;
@@ -271,8 +335,12 @@
 
     /// The call is over, and its connection with it.
     pub fn spoiled(&mut self, now: Micros, connection: u64, cause: Cause, out: &mut Vec<Command>) {
-        let Some(known) = self.connections.get(&connection) else { return };
-        let State::Leased { at, idle_for, .. } = known.state else { return };
+        let Some(known) = self.connections.get(&connection) else {
+            return;
+        };
+        let State::Leased { at, idle_for, .. } = known.state else {
+            return;
+        };
         let place = known.place;
         let (decay, cold) = (self.limits.decay, now + self.limits.cold);
         if let Some(endpoint) = self.endpoints.get_mut(&place) {
@@ -298,7 +366,11 @@
 
     /// The other side closed a connection. One that carries a call tells by the call's end.
     pub fn closed(&mut self, connection: u64, out: &mut Vec<Command>) {
-        if let Some(&Connection { state: State::Idle { .. }, place, .. }) = self.connections.get(&connection)
+        if let Some(&Connection {
+            state: State::Idle { .. },
+            place,
+            ..
+        }) = self.connections.get(&connection)
         {
             self.close(connection, Cause::Peer, out);
             self.one_less_works(place);
@@ -322,15 +394,28 @@
 
     /// The call that has waited for longest ends with a dial that failed.
     fn deny_oldest(&mut self, place: Place, why: DialFailure, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
-        let Some((waiter, _)) = endpoint.waiting.pop_front() else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
+        let Some((waiter, _)) = endpoint.waiting.pop_front() else {
+            return;
+        };
         self.waiters.remove(&waiter);
-        out.push(Command::Deny { waiter, why: Denied::Dial(why) });
+        out.push(Command::Deny {
+            waiter,
+            why: Denied::Dial(why),
+        });
     }
 
     /// At an endpoint that serves no more, only calls whose dial is out may wait.
     fn deny_beyond_dials(&mut self, place: Place, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get(&place).filter(|endpoint| !endpoint.serving) else { return };
+        let Some(endpoint) = self
+            .endpoints
+            .get(&place)
+            .filter(|endpoint| !endpoint.serving)
+        else {
+            return;
+        };
         let dialling = endpoint.dialling;
         self.deny(place, dialling, Denied::Retired, out);
     }
--- a/src/pool/scarcity.rs
+++ b/src/pool/scarcity.rs
@@ -48,7 +48,11 @@
             return;
         }
         let turned_away = answered == Answered::TurnedAway;
-        let share = if first_call { &mut self.new } else { &mut self.kept };
+        let share = if first_call {
+            &mut self.new
+        } else {
+            &mut self.kept
+        };
         share.note(turned_away);
         let known = self.new.calls >= NEW_LEAST && self.kept.calls >= KEPT_LEAST;
         let differs = self.new.share >= TIMES_AS_OFTEN * self.kept.share;
--- a/src/pool/sizing.rs
+++ b/src/pool/sizing.rs
@@ -31,12 +31,18 @@
 
     /// Calls have come or gone.
     pub(super) fn note_peak(&mut self, now: Micros, decay: Micros) {
-        self.peak = Peak { calls: self.peak_at(now, decay), at: now };
+        self.peak = Peak {
+            calls: self.peak_at(now, decay),
+            at: now,
+        };
     }
 
     /// How many connections the load asks for; the last one is left to its age.
     pub(super) fn wanted(&self, now: Micros, limits: &Limits) -> usize {
-        let most = self.cap.as_ref().map_or(limits.per_endpoint, |cap| cap.most.min(limits.per_endpoint));
+        let most = self
+            .cap
+            .as_ref()
+            .map_or(limits.per_endpoint, |cap| cap.most.min(limits.per_endpoint));
         ((self.peak_at(now, limits.decay) - PEAK_SLACK).ceil() as usize).clamp(1, most.max(1))
     }
 }
@@ -56,7 +62,9 @@
         while let Some(endpoint) = self.endpoints.get(&place)
             && endpoint.waiting.len() > endpoint.dialling
         {
-            let Some(kind) = self.may_dial(now, endpoint) else { return self.queue_for_room(place) };
+            let Some(kind) = self.may_dial(now, endpoint) else {
+                return self.queue_for_room(place);
+            };
             if self.total() >= self.limits.all
                 && let Some(&(_, oldest)) = self.idle.first()
             {
@@ -67,7 +75,11 @@
     }
 
     fn queue_for_room(&mut self, place: Place) {
-        if let Some(endpoint) = self.endpoints.get_mut(&place).filter(|endpoint| !endpoint.queued) {
+        if let Some(endpoint) = self
+            .endpoints
+            .get_mut(&place)
+            .filter(|endpoint| !endpoint.queued)
+        {
             endpoint.queued = true;
             self.queued.push_back(place);
         }
@@ -89,7 +101,10 @@
             return None;
         }
         // until it is known whether those work that are open, none is dialled beside them
-        if endpoint.refused.is_some_and(|refused| endpoint.open() >= refused.established) {
+        if endpoint
+            .refused
+            .is_some_and(|refused| endpoint.open() >= refused.established)
+        {
             return None;
         }
         match &endpoint.cap {
@@ -101,7 +116,9 @@
     }
 
     fn dial(&mut self, now: Micros, place: Place, kind: DialKind, out: &mut Vec<Command>) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+            return;
+        };
         let connection = self.next;
         self.next += 1;
         self.dialling += 1;
@@ -112,7 +129,15 @@
             cap.trials += 1;
         }
         let state = State::Dialling { since: now };
-        let new = Connection { place, state, heard: now, up_at: now, calls: 0, served: false, trial };
+        let new = Connection {
+            place,
+            state,
+            heard: now,
+            up_at: now,
+            calls: 0,
+            served: false,
+            trial,
+        };
         self.connections.insert(connection, new);
         out.push(Command::Dial { connection, place });
     }
@@ -120,7 +145,9 @@
     /// Room may have come: each endpoint where calls wait without a dial gets its turn.
     pub(super) fn serve_queue(&mut self, now: Micros, out: &mut Vec<Command>) {
         for _ in 0..self.queued.len() {
-            let Some(place) = self.queued.pop_front() else { return };
+            let Some(place) = self.queued.pop_front() else {
+                return;
+            };
             if let Some(endpoint) = self.endpoints.get_mut(&place) {
                 endpoint.queued = false;
                 self.dial_for_waiting(now, place, out);
@@ -144,7 +171,9 @@
         let pause = PREWARM_LEAST.max(PREWARM_EACH * Micros::from(self.limits.senders));
         let places: Vec<Place> = self.endpoints.keys().copied().collect();
         for place in places {
-            let Some(endpoint) = self.endpoints.get(&place) else { continue };
+            let Some(endpoint) = self.endpoints.get(&place) else {
+                continue;
+            };
             let room = ahead < most && self.total() < self.limits.all;
             if !room || !self.may_prewarm(now, endpoint) {
                 continue;
--- a/src/state.rs
+++ b/src/state.rs
@@ -59,7 +59,11 @@
 impl Warmup {
     /// That of an endpoint put back now, which may have one call at once.
     pub fn new(now: Micros) -> Self {
-        Warmup { since: now, tokens: 1.0, tokens_at: now }
+        Warmup {
+            since: now,
+            tokens: 1.0,
+            tokens_at: now,
+        }
     }
 
     /// Adds what a rate, calls a second, has brought since the last time; one call at most is saved up.
@@ -99,13 +103,26 @@
     /// One that starts now.
     pub fn new(endpoint: EndpointId, sent: Micros, call: u64) -> Self {
         let (out, may_have_run, overlapped, cancelled) = (true, false, false, false);
-        Attempt { endpoint, sent, call, out, may_have_run, overlapped, cancelled }
+        Attempt {
+            endpoint,
+            sent,
+            call,
+            out,
+            may_have_run,
+            overlapped,
+            cancelled,
+        }
     }
 
     /// One of an earlier process, whose call has ended; nobody knows what it overlapped with.
     pub fn resumed(past: &PastAttempt) -> Self {
         let attempt = Attempt::new(past.endpoint, past.sent, u64::MAX);
-        Attempt { out: false, may_have_run: past.may_have_run, overlapped: true, ..attempt }
+        Attempt {
+            out: false,
+            may_have_run: past.may_have_run,
+            overlapped: true,
+            ..attempt
+        }
     }
 }
 
@@ -148,13 +165,20 @@
     /// Attempts that may run or have run. While there are any, also those that a later one overlapped: a
     /// key's window counts from the first, even if that one turns out never to have run.
     pub fn at_risk(&self) -> impl Iterator<Item = &Attempt> {
-        let any = self.attempts.iter().any(|attempt| attempt.out || attempt.may_have_run);
-        self.attempts.iter().filter(move |a| any && (a.out || a.may_have_run || a.overlapped))
+        let any = self
+            .attempts
+            .iter()
+            .any(|attempt| attempt.out || attempt.may_have_run);
+        self.attempts
+            .iter()
+            .filter(move |a| any && (a.out || a.may_have_run || a.overlapped))
     }
 
     /// When the first attempt that may have run leaves a key's window; none where there is no such attempt.
     pub fn window_ends(&self, window: Micros) -> Option<Micros> {
-        self.at_risk().map(|attempt| attempt.sent.saturating_add(window)).min()
+        self.at_risk()
+            .map(|attempt| attempt.sent.saturating_add(window))
+            .min()
     }
 }
 
@@ -339,7 +363,9 @@
     pub fn ranked(&self, part: usize, whole: usize) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.0.iter().copied().collect();
         sorted.sort_unstable();
-        sorted.get((sorted.len() * part / whole).min(sorted.len().saturating_sub(1))).copied()
+        sorted
+            .get((sorted.len() * part / whole).min(sorted.len().saturating_sub(1)))
+            .copied()
     }
 }
 
--- a/src/wire/base64.rs
+++ b/src/wire/base64.rs
@@ -10,11 +10,17 @@
     }
     let mut text = String::new();
     for chunk in bytes.chunks(3) {
-        let bits =
-            chunk.iter().fold(0u32, |bits, &byte| bits << 8 | u32::from(byte)) << (8 * (3 - chunk.len()));
+        let bits = chunk
+            .iter()
+            .fold(0u32, |bits, &byte| bits << 8 | u32::from(byte))
+            << (8 * (3 - chunk.len()));
         for place in 0..4 {
             let six = (bits >> (18 - 6 * place) & 63) as usize;
-            text.push(if place <= chunk.len() { char::from(ALPHABET[six]) } else { '=' });
+            text.push(if place <= chunk.len() {
+                char::from(ALPHABET[six])
+            } else {
+                '='
+            });
         }
     }
     text
@@ -38,5 +44,9 @@
             bits &= (1 << held) - 1;
         }
     }
-    if text.len().is_multiple_of(4) { Ok(bytes) } else { fault("base64", text) }
+    if text.len().is_multiple_of(4) {
+        Ok(bytes)
+    } else {
+        fault("base64", text)
+    }
 }
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -54,8 +54,8 @@
     pub(super) fn outcome_word(&mut self) -> Result<&'a str, Fault> {
         let text = self.text("an outcome")?;
         match text {
-            "delivered" | "app_error" | "shed" | "expired" | "dial_failed" | "dropped" | "revoked"
-            | "unused" => Ok(text),
+            "delivered" | "app_error" | "shed" | "expired" | "dial_failed" | "dropped"
+            | "revoked" | "unused" => Ok(text),
             other => fault("an outcome", other),
         }
     }
@@ -63,7 +63,10 @@
     pub(super) fn report(&mut self) -> Result<Vec<f64>, Fault> {
         match self.0.next() {
             None | Some("" | "-") => Ok(Vec::new()),
-            Some(row) => row.split(',').map(|part| parse_number(part, "a load report")).collect(),
+            Some(row) => row
+                .split(',')
+                .map(|part| parse_number(part, "a load report"))
+                .collect(),
         }
     }
 }
@@ -93,11 +96,15 @@
     match word {
         "delivered" => Outcome::Success,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Refused { wait: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros) },
+        "shed" => Outcome::Refused {
+            wait: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
+        },
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::NoConnection,
         "dropped" => Outcome::Reset,
         "revoked" => Outcome::Cancelled,
-        _ => Outcome::Unsent { no_slot: remark == 1.0 },
+        _ => Outcome::Unsent {
+            no_slot: remark == 1.0,
+        },
     }
 }
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -30,8 +30,15 @@
     ///
     /// # Errors
     /// A malformed line, input that ends inside a batch, or a failed read or write.
-    pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
-        let mut lines = Lines { number: 0, text: String::new() };
+    pub fn run(
+        &mut self,
+        mut input: impl BufRead,
+        mut output: impl Write,
+    ) -> Result<(), WireError> {
+        let mut lines = Lines {
+            number: 0,
+            text: String::new(),
+        };
         let mut reply = String::new();
         while lines.next(&mut input)? {
             if lines.text.is_empty() {
@@ -59,7 +66,8 @@
 
     fn read_event(&mut self, lines: &mut Lines, input: &mut impl BufRead) -> Result<(), WireError> {
         if let Some(rest) = lines.text.strip_prefix("manifest ") {
-            let head = read_list_head(rest).map_err(|(expected, found)| lines.error(&expected, &found))?;
+            let head =
+                read_list_head(rest).map_err(|(expected, found)| lines.error(&expected, &found))?;
             return self.read_list(head, lines, input);
         }
         let outcome = self.event(&lines.text);
@@ -68,7 +76,10 @@
 
     /// Takes in a list that later lines name by its number.
     fn read_list(
-        &mut self, (number, rows): (u64, u64), lines: &mut Lines, input: &mut impl BufRead,
+        &mut self,
+        (number, rows): (u64, u64),
+        lines: &mut Lines,
+        input: &mut impl BufRead,
     ) -> Result<(), WireError> {
         let mut list = Vec::new();
         for _ in 0..rows {
@@ -95,7 +106,9 @@
         if word == "begin" {
             return self.begin(id, &mut fields, line);
         }
-        let Some(instance) = self.instances.get_mut(id) else { return fault("a running instance", id) };
+        let Some(instance) = self.instances.get_mut(id) else {
+            return fault("a running instance", id);
+        };
         if word == "crash_now" {
             self.instances.remove(id);
             self.order.retain(|name| name != id);
@@ -112,10 +125,18 @@
     fn begin(&mut self, id: &str, fields: &mut Fields, line: &str) -> Result<(), Fault> {
         let seed = fields.whole("a seed")?;
         let setup = line.splitn(4, ' ').nth(3).unwrap_or("");
-        let pairs = Pairs(setup.split(' ').filter_map(|pair| pair.split_once('=')).collect());
-        let (settings, names) = read_settings(&pairs).map_err(|e| (e.to_string(), "begin".to_string()))?;
-        let sender = Sender::new(settings, seed).map_err(|e| (e.to_string(), "begin".to_string()))?;
-        self.instances.insert(id.to_string(), Instance::new(sender, names));
+        let pairs = Pairs(
+            setup
+                .split(' ')
+                .filter_map(|pair| pair.split_once('='))
+                .collect(),
+        );
+        let (settings, names) =
+            read_settings(&pairs).map_err(|e| (e.to_string(), "begin".to_string()))?;
+        let sender =
+            Sender::new(settings, seed).map_err(|e| (e.to_string(), "begin".to_string()))?;
+        self.instances
+            .insert(id.to_string(), Instance::new(sender, names));
         self.order.retain(|name| name != id);
         self.order.push(id.to_string());
         Ok(())
@@ -123,7 +144,9 @@
 
     fn reply(&mut self, now: Micros, reply: &mut String) {
         for id in &self.order {
-            let Some(instance) = self.instances.get_mut(id) else { continue };
+            let Some(instance) = self.instances.get_mut(id) else {
+                continue;
+            };
             let events = std::mem::take(&mut instance.events);
             self.actions.clear();
             instance.sender.handle(now, &events, &mut self.actions);
--- a/src/wire/lines.rs
+++ b/src/wire/lines.rs
@@ -23,7 +23,11 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WireError::Line { number, expected, found } => {
+            WireError::Line {
+                number,
+                expected,
+                found,
+            } => {
                 write!(f, "line {number}: expected {expected}, found '{found}'")
             }
             WireError::Io(error) => write!(f, "input or output failed: {error}"),
@@ -59,7 +63,11 @@
     }
 
     pub(super) fn error(&self, expected: &str, found: &str) -> WireError {
-        WireError::Line { number: self.number, expected: expected.to_string(), found: found.to_string() }
+        WireError::Line {
+            number: self.number,
+            expected: expected.to_string(),
+            found: found.to_string(),
+        }
     }
 
     pub(super) fn check<T>(&self, read: impl Fn(&str) -> Result<T, Fault>) -> Result<T, WireError> {
--- a/src/wire/printing.rs
+++ b/src/wire/printing.rs
@@ -17,10 +17,24 @@
     let message = |m: &MessageId| instance.messages.word(m.0);
     let endpoint = |e: &EndpointId| instance.endpoints.word(u64::from(e.0));
     let written = match action {
-        Action::Send { message: m, endpoint: e, expires, .. } => {
-            writeln!(reply, "issue {id} {} {} {}", message(m), Seconds(*expires), endpoint(e))
+        Action::Send {
+            message: m,
+            endpoint: e,
+            expires,
+            ..
+        } => {
+            writeln!(
+                reply,
+                "issue {id} {} {} {}",
+                message(m),
+                Seconds(*expires),
+                endpoint(e)
+            )
         }
-        Action::Cancel { message: m, attempt } => writeln!(reply, "withdraw {id} {} {attempt}", message(m)),
+        Action::Cancel {
+            message: m,
+            attempt,
+        } => writeln!(reply, "withdraw {id} {} {attempt}", message(m)),
         Action::Refuse { message: m, wait } => match wait {
             Some(wait) => writeln!(reply, "shed {id} {} {}", message(m), Seconds(*wait)),
             None => writeln!(reply, "shed {id} {} -", message(m)),
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -45,7 +45,10 @@
 
 /// What a line tells a running instance; the fields after its word and its instance.
 pub(super) fn read_event(
-    word: &str, fields: &mut Fields, instance: &mut Instance, lists: &BTreeMap<u64, Vec<String>>,
+    word: &str,
+    fields: &mut Fields,
+    instance: &mut Instance,
+    lists: &BTreeMap<u64, Vec<String>>,
 ) -> Result<Event, Fault> {
     match word {
         "announce" => announce(fields, instance, lists),
@@ -56,7 +59,10 @@
         "echo" => probed(fields, instance),
         "heard" => {
             let from = fields.whole("a sender's number")? as u32;
-            Ok(Event::Noted { from, bytes: decode(fields.text("bytes")?)? })
+            Ok(Event::Noted {
+                from,
+                bytes: decode(fields.text("bytes")?)?,
+            })
         }
         _ => {
             fields.text("a token")?;
@@ -66,11 +72,15 @@
 }
 
 fn message(fields: &mut Fields, instance: &mut Instance) -> Result<MessageId, Fault> {
-    Ok(MessageId(instance.messages.number(fields.text("a message id")?)))
+    Ok(MessageId(
+        instance.messages.number(fields.text("a message id")?),
+    ))
 }
 
 fn endpoint(fields: &mut Fields, instance: &mut Instance) -> Result<EndpointId, Fault> {
-    Ok(EndpointId(instance.endpoints.number(fields.text("an endpoint")?) as u32))
+    Ok(EndpointId(
+        instance.endpoints.number(fields.text("an endpoint")?) as u32,
+    ))
 }
 
 fn first_byte(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
@@ -88,17 +98,31 @@
     let word = fields.outcome_word()?;
     let latency = fields.time("a latency")?;
     let closed = fields.flag("1 or 0")?;
-    let remark = fields.optional("a remark")?.map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
+    let remark = fields
+        .optional("a remark")?
+        .map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
     let report = fields.report()?;
     let outcome = outcome(word, remark);
-    Ok(Event::Ended { message, attempt, endpoint, outcome, latency, closed, report })
+    Ok(Event::Ended {
+        message,
+        attempt,
+        endpoint,
+        outcome,
+        latency,
+        closed,
+        report,
+    })
 }
 
 fn probed(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     fields.number("a latency")?;
     let endpoint = endpoint(fields, instance)?;
     let outcome = outcome(fields.outcome_word()?, 0.0);
-    Ok(Event::Probed { endpoint, outcome, report: fields.report()? })
+    Ok(Event::Probed {
+        endpoint,
+        outcome,
+        report: fields.report()?,
+    })
 }
 
 fn read_row(row: &str, endpoints: &mut Numbered, names: &Names) -> Result<Entry, Fault> {
@@ -113,12 +137,23 @@
         "DELETED" => Status::Gone,
         other => return fault("SERVING, DRAINING or DELETED", other),
     };
-    let weight = fields.optional("a weight")?.map_or(Ok(0.0), |text| parse_number(text, "a weight"))?;
-    Ok(Entry { endpoint, destination, zone, kind, status, weight })
+    let weight = fields
+        .optional("a weight")?
+        .map_or(Ok(0.0), |text| parse_number(text, "a weight"))?;
+    Ok(Entry {
+        endpoint,
+        destination,
+        zone,
+        kind,
+        status,
+        weight,
+    })
 }
 
 fn announce(
-    fields: &mut Fields, instance: &mut Instance, lists: &BTreeMap<u64, Vec<String>>,
+    fields: &mut Fields,
+    instance: &mut Instance,
+    lists: &BTreeMap<u64, Vec<String>>,
 ) -> Result<Event, Fault> {
     let listing = match fields.text("a kind of announcement")? {
         "delta" => Listing::Changes,
@@ -128,7 +163,9 @@
         other => return fault("delta, full, cached or failed", other),
     };
     let bank = fields.whole("a list number")?;
-    let Some(rows) = lists.get(&bank) else { return fault("a list sent before", &bank.to_string()) };
+    let Some(rows) = lists.get(&bank) else {
+        return fault("a list sent before", &bank.to_string());
+    };
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
         entries.push(read_row(row, &mut instance.endpoints, &instance.names)?);
@@ -139,13 +176,29 @@
 fn demand(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let id = message(fields, instance)?;
     let time_left = fields.time("time left")?;
-    let tenant = fields.optional("an owner")?.map(|name| position(&instance.names.tenants, name));
-    let key = fields.optional("a key")?.map(|text| parse_whole(text, "a key")).transpose()?;
-    let bits = fields.optional("bits")?.map_or(Ok(0), |text| parse_whole(text, "bits"))?;
+    let tenant = fields
+        .optional("an owner")?
+        .map(|name| position(&instance.names.tenants, name));
+    let key = fields
+        .optional("a key")?
+        .map(|text| parse_whole(text, "a key"))
+        .transpose()?;
+    let bits = fields
+        .optional("bits")?
+        .map_or(Ok(0), |text| parse_whole(text, "bits"))?;
     let destination = fields.whole("a destination")?;
-    fields.optional("a cost")?.map(|text| parse_number(text, "a cost")).transpose()?;
+    fields
+        .optional("a cost")?
+        .map(|text| parse_number(text, "a cost"))
+        .transpose()?;
     let class = position(&instance.names.classes, fields.text("a class")?);
     let (again, orphan) = (bits & 2 != 0, bits & 16 != 0);
     let new = NewMessage::new(id, class, destination, time_left);
-    Ok(Event::Accepted(NewMessage { key, tenant, again, orphan, ..new }))
+    Ok(Event::Accepted(NewMessage {
+        key,
+        tenant,
+        again,
+        orphan,
+        ..new
+    }))
 }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -1,7 +1,9 @@
 //! Settings as text: setting names live here only.
 
 use super::fields::to_micros;
-use crate::interface::{Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant};
+use crate::interface::{
+    Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,19 +16,27 @@
     }
 
     fn list(&self, path: &str) -> Vec<&str> {
-        self.text(path).map(|text| text.split(',').collect()).unwrap_or_default()
+        self.text(path)
+            .map(|text| text.split(',').collect())
+            .unwrap_or_default()
     }
 
     fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
-        let Some(text) = self.text(path) else { return Ok(None) };
+        let Some(text) = self.text(path) else {
+            return Ok(None);
+        };
         match text.parse::<f64>() {
             Ok(value) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
-            _ => Err(SettingsError::new(path, &format!("is '{text}', not a finite number of zero or more"))),
+            _ => Err(SettingsError::new(
+                path,
+                &format!("is '{text}', not a finite number of zero or more"),
+            )),
         }
     }
 
     fn need(&self, path: &str) -> Result<f64, SettingsError> {
-        self.number(path)?.ok_or_else(|| SettingsError::new(path, "is missing"))
+        self.number(path)?
+            .ok_or_else(|| SettingsError::new(path, "is missing"))
     }
 
     fn or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
@@ -61,7 +71,10 @@
 
 /// Position of a name among those of the settings; `usize::MAX` for a name that is not there.
 pub fn position(names: &[String], name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or(usize::MAX)
+    names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or(usize::MAX)
 }
 
 /// Reads the settings, for the wire and for real senders alike: setting names live here only.
@@ -92,7 +105,11 @@
     }
     settings.kinds = read_kinds(pairs, &names.kinds)?;
     settings.tenants = read_tenants(pairs)?;
-    names.tenants = settings.tenants.iter().map(|tenant| tenant.name.clone()).collect();
+    names.tenants = settings
+        .tenants
+        .iter()
+        .map(|tenant| tenant.name.clone())
+        .collect();
     Ok((settings, names))
 }
 
@@ -130,7 +147,9 @@
     settings.price_waste = pairs.or("prices.waste", 0.0)?;
     settings.over_share_worth = pairs.or("overShareWorth", 1.0)?;
     for fee in pairs.list("specifics.zoneFee") {
-        let fee = fee.parse().map_err(|_| SettingsError::new("specifics.zoneFee", "is not a number"))?;
+        let fee = fee
+            .parse()
+            .map_err(|_| SettingsError::new("specifics.zoneFee", "is not a number"))?;
         settings.zone_fees.push(fee);
     }
     if pairs.text("specifics.fades") == Some("by_half") {
@@ -154,7 +173,9 @@
 
 fn read_class(pairs: &Pairs, index: usize) -> Result<Class, SettingsError> {
     let path = |field: &str| format!("classes.{index}.{field}");
-    let name = pairs.text(&path("name")).ok_or_else(|| SettingsError::new(&path("name"), "is missing"))?;
+    let name = pairs
+        .text(&path("name"))
+        .ok_or_else(|| SettingsError::new(&path("name"), "is missing"))?;
     Ok(Class {
         name: name.to_string(),
         effect: read_effect(pairs, path)?,
@@ -190,7 +211,11 @@
         let not_whole = |_| SettingsError::new("specifics.bundleMax", "is not a whole number");
         let bundle_max = parsed.map_err(not_whole)?;
         let separate_routes = apart.get(index) == Some(&"true");
-        kinds.push(Kind { name: name.clone(), separate_routes, bundle_max });
+        kinds.push(Kind {
+            name: name.clone(),
+            separate_routes,
+            bundle_max,
+        });
     }
     Ok(kinds)
 }
@@ -198,7 +223,10 @@
 fn read_tenants(pairs: &Pairs) -> Result<Vec<Tenant>, SettingsError> {
     let mut tenants = Vec::new();
     for index in 0..pairs.or("realms.count", 0.0)? as usize {
-        let name = pairs.text(&format!("realms.{index}.name")).unwrap_or("").to_string();
+        let name = pairs
+            .text(&format!("realms.{index}.name"))
+            .unwrap_or("")
+            .to_string();
         let allowance = pairs.need(&format!("realms.{index}.allowancePerS"))?;
         tenants.push(Tenant { name, allowance });
     }
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -25,8 +25,14 @@
 }
 
 fn registry() -> Registry {
-    let files = [("floor.json", floor().to_string()), ("rules.json", rules("webhook").to_string())];
-    Registry::new(&files, "[agreement]\nlease_ms = 2000\nfloor = \"floor.json\"\nrules = \"rules.json\"\n")
+    let files = [
+        ("floor.json", floor().to_string()),
+        ("rules.json", rules("webhook").to_string()),
+    ];
+    Registry::new(
+        &files,
+        "[agreement]\nlease_ms = 2000\nfloor = \"floor.json\"\nrules = \"rules.json\"\n",
+    )
 }
 
 /// A sender that agrees by it.
@@ -49,27 +55,49 @@
     let mut registry = self::registry();
     registry.list("s-1", &endpoint, 7);
     let senders = [sender(&registry, "a"), sender(&registry, "b")];
-    wait_until("both act on the first version", || senders.iter().all(|node| acts_on(node) == whole(1)));
+    wait_until("both act on the first version", || {
+        senders.iter().all(|node| acts_on(node) == whole(1))
+    });
     let taken = |node: &Node, class: &str, id: &str| node.hand_in(class, id, 7, 20_000, b"x");
-    assert_eq!(["webhook", "order"].map(|class| taken(&senders[0], class, class)), [202, 429]);
+    assert_eq!(
+        ["webhook", "order"].map(|class| taken(&senders[0], class, class)),
+        [202, 429]
+    );
     registry.until("PUT", "/v1/rules", &rules("order"));
-    wait_until("both act on the second", || senders.iter().all(|node| acts_on(node) == whole(2)));
+    wait_until("both act on the second", || {
+        senders.iter().all(|node| acts_on(node) == whole(2))
+    });
     assert_eq!(
         ["webhook", "order"].map(|class| taken(&senders[1], class, &format!("2-{class}"))),
         [429, 202]
     );
     // no leases: the floor, on which they serve
     registry.kill();
-    wait_until("both are on the floor", || senders.iter().all(|node| acts_on(node) == Value::Null));
-    wait_until("they say so", || senders.iter().all(|node| node.logged("agreement: the lease has run out")));
-    assert_eq!(["order", "charge"].map(|class| taken(&senders[0], class, &format!("3-{class}"))), [429, 202]);
+    wait_until("both are on the floor", || {
+        senders.iter().all(|node| acts_on(node) == Value::Null)
+    });
+    wait_until("they say so", || {
+        senders
+            .iter()
+            .all(|node| node.logged("agreement: the lease has run out"))
+    });
+    assert_eq!(
+        ["order", "charge"].map(|class| taken(&senders[0], class, &format!("3-{class}"))),
+        [429, 202]
+    );
     wait_until("delivered", || endpoint.times("3-charge") == 1);
     registry.start();
-    wait_until("both are back", || senders.iter().all(|node| acts_on(node) == whole(2)));
+    wait_until("both are back", || {
+        senders.iter().all(|node| acts_on(node) == whole(2))
+    });
     // an upgrade begins on the floor and asks for itself
     let next = senders[0].successor_as_configured().ready();
-    wait_until("the next process has a lease of its own", || acts_on(&next) == whole(2));
-    wait_until("it says so", || next.logged("agreement: on the floor until a lease is had"));
+    wait_until("the next process has a lease of its own", || {
+        acts_on(&next) == whole(2)
+    });
+    wait_until("it says so", || {
+        next.logged("agreement: on the floor until a lease is had")
+    });
 }
 
 #[test]
@@ -85,7 +113,9 @@
     assert_ne!(other, text);
     std::fs::write(&path, other).expect("written");
     node.hang_up();
-    wait_until("it is told why", || node.logged("the floor is not the one that is agreed here"));
+    wait_until("it is told why", || {
+        node.logged("the floor is not the one that is agreed here")
+    });
     assert_eq!(acts_on(&node), Value::Null);
     // off by SIGHUP: own settings alone
     std::fs::write(&path, config(registry.address, 3.0, 5.0, 1024)).expect("written");
@@ -102,10 +132,20 @@
     let mut agent = Agent::new(Vec::new());
     agent.address = registry.address;
     let node = Node::new(&agent).ready();
-    assert_eq!((node.operate("GET /agreement", ""), node.operate("POST /agreement", "")), (404, 405));
+    assert_eq!(
+        (
+            node.operate("GET /agreement", ""),
+            node.operate("POST /agreement", "")
+        ),
+        (404, 405)
+    );
     assert!(!node.logged("agreement"));
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     registry.until("GET", "/v1/rules", &Value::Null);
-    let leases = registry.ask("GET", "/v1/rules", &Value::Null).expect("an answer").1["leases"].clone();
+    let leases = registry
+        .ask("GET", "/v1/rules", &Value::Null)
+        .expect("an answer")
+        .1["leases"]
+        .clone();
     assert_eq!(leases, json!([]));
 }
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -37,11 +37,21 @@
     settings.max_client_wait = 3 * SECOND;
     settings.ends_by_notice = seed % 4 < 2;
     settings.connection_idle = 5 * SECOND;
-    settings.tenants = vec![Tenant { name: "first".into(), allowance: 5.0 }];
+    settings.tenants = vec![Tenant {
+        name: "first".into(),
+        allowance: 5.0,
+    }];
     settings.over_share_worth = if seed % 5 == 4 { 0.0 } else { 0.3 };
-    settings.fade = if seed % 4 == 3 { Fade::Halving } else { Fade::Even };
+    settings.fade = if seed % 4 == 3 {
+        Fade::Halving
+    } else {
+        Fade::Even
+    };
     if seed % 3 == 1 {
-        settings.kinds.iter_mut().for_each(|kind| kind.bundle_max = 1);
+        settings
+            .kinds
+            .iter_mut()
+            .for_each(|kind| kind.bundle_max = 1);
     }
     for (index, class) in settings.classes.iter_mut().enumerate() {
         class.worth = 1.0 + index as f64;
@@ -51,10 +61,23 @@
 }
 
 fn bounds(attempts: usize, effect: Effect) -> Bounds {
-    let of = |effect| ClassBound { accepted: true, effect, attempts, ordered: false, key_rest: 0 };
+    let of = |effect| ClassBound {
+        accepted: true,
+        effect,
+        attempts,
+        ordered: false,
+        key_rest: 0,
+    };
     let names = ["free", "keyed", "unsafe", "ordered"];
-    let classes = names.iter().map(|name| (name.to_string(), of(effect))).collect();
-    Bounds { classes, calls: None, messages: None }
+    let classes = names
+        .iter()
+        .map(|name| (name.to_string(), of(effect)))
+        .collect();
+    Bounds {
+        classes,
+        calls: None,
+        messages: None,
+    }
 }
 
 impl Play {
@@ -123,9 +146,16 @@
             let endpoint = EndpointId(destination as u32 * ENDPOINTS);
             let sent = self.now - SECOND;
             let may_have_run = self.below(2) == 0;
-            let past = PastAttempt { endpoint, sent, may_have_run };
+            let past = PastAttempt {
+                endpoint,
+                sent,
+                may_have_run,
+            };
             self.events.push(match tried {
-                true => Event::Resumed { message: new, attempts: vec![past] },
+                true => Event::Resumed {
+                    message: new,
+                    attempts: vec![past],
+                },
                 false => Event::Accepted(new),
             });
         }
@@ -134,28 +164,72 @@
     fn disturb(&mut self) {
         let (destination, endpoint) = (u64::from(self.below(DESTINATIONS)), self.below(12));
         let event = match self.below(300) {
-            0 => Event::Word { destination, out: true },
-            1 | 2 => Event::Word { destination, out: false },
+            0 => Event::Word {
+                destination,
+                out: true,
+            },
+            1 | 2 => Event::Word {
+                destination,
+                out: false,
+            },
             3 => Event::Disabled(EndpointId(endpoint)),
             4..=6 => Event::Enabled(EndpointId(endpoint)),
-            7 => Event::ToldWait { endpoint: EndpointId(endpoint), wait: SECOND },
+            7 => Event::ToldWait {
+                endpoint: EndpointId(endpoint),
+                wait: SECOND,
+            },
             8 => {
-                let status = if self.below(2) == 0 { Status::Draining } else { Status::Gone };
-                let entries = vec![Entry { status, ..listed(endpoint) }];
-                Event::Listed { listing: Listing::Changes, entries }
+                let status = if self.below(2) == 0 {
+                    Status::Draining
+                } else {
+                    Status::Gone
+                };
+                let entries = vec![Entry {
+                    status,
+                    ..listed(endpoint)
+                }];
+                Event::Listed {
+                    listing: Listing::Changes,
+                    entries,
+                }
             }
-            9..=11 => Event::Listed { listing: Listing::Changes, entries: vec![listed(endpoint)] },
+            9..=11 => Event::Listed {
+                listing: Listing::Changes,
+                entries: vec![listed(endpoint)],
+            },
             12 => {
                 let attempts = self.below(4) as usize;
                 let effect = [Effect::Unsafe, Effect::Repeatable][self.below(2) as usize];
-                Event::Agreed(Some(Box::new(Agreed { leased: None, fallback: bounds(attempts, effect) })))
+                Event::Agreed(Some(Box::new(Agreed {
+                    leased: None,
+                    fallback: bounds(attempts, effect),
+                })))
             }
             13..=15 => Event::Agreed(None),
             16 => {
-                let rate = Some(Share { fallback: 2_000 * u64::from(self.below(4)), part: None });
-                let out = Some((Share { fallback: 3, part: None }, SECOND));
-                let named = BTreeMap::from([(destination, Quota { rate, out, cold: None })]);
-                Event::Shared(Some(Box::new(Quotas { named, others: Quota::default() })))
+                let rate = Some(Share {
+                    fallback: 2_000 * u64::from(self.below(4)),
+                    part: None,
+                });
+                let out = Some((
+                    Share {
+                        fallback: 3,
+                        part: None,
+                    },
+                    SECOND,
+                ));
+                let named = BTreeMap::from([(
+                    destination,
+                    Quota {
+                        rate,
+                        out,
+                        cold: None,
+                    },
+                )]);
+                Event::Shared(Some(Box::new(Quotas {
+                    named,
+                    others: Quota::default(),
+                })))
             }
             17 | 18 => Event::Shared(None),
             19 => Event::Stale(true),
@@ -166,7 +240,9 @@
                 Event::Retuned(Box::new(settings))
             }
             31 if self.next > 0 => Event::Dropped(MessageId(self.next - 1)),
-            32..=40 if self.next > 0 => Event::Noticed(MessageId(self.random.next_u64() % self.next)),
+            32..=40 if self.next > 0 => {
+                Event::Noticed(MessageId(self.random.next_u64() % self.next))
+            }
             _ => return,
         };
         self.events.push(event);
@@ -183,13 +259,18 @@
             let bad = u64::from(endpoint / ENDPOINTS) % 3 == turn / 300 % 3;
             let outcome = match self.below(if bad { 8 } else { 60 }) {
                 0 | 1 => Outcome::Error,
-                2 => Outcome::Refused { wait: (self.below(2) == 0).then_some(SECOND) },
+                2 => Outcome::Refused {
+                    wait: (self.below(2) == 0).then_some(SECOND),
+                },
                 3 => Outcome::NoConnection,
                 4 => Outcome::TimedOut,
-                5 => Outcome::Unsent { no_slot: self.below(2) == 0 },
+                5 => Outcome::Unsent {
+                    no_slot: self.below(2) == 0,
+                },
                 _ => Outcome::Success,
             };
-            self.events.push(ended(message, attempt, endpoint, outcome, now - sent));
+            self.events
+                .push(ended(message, attempt, endpoint, outcome, now - sent));
         }
     }
 
@@ -199,12 +280,19 @@
         self.sender.handle(self.now, &events, &mut actions);
         for action in &actions {
             match action {
-                Action::Send { message, endpoint, .. } => {
+                Action::Send {
+                    message, endpoint, ..
+                } => {
                     let lasts = Micros::from(20_000 + self.random.next_u32() % 60_000);
                     // now and then one that nobody answers
-                    let lasts = if self.random.next_u32().is_multiple_of(40) { 5 * SECOND } else { lasts };
+                    let lasts = if self.random.next_u32().is_multiple_of(40) {
+                        5 * SECOND
+                    } else {
+                        lasts
+                    };
                     let attempt = self.attempts.entry(message.0).or_default();
-                    self.calls.push((self.now + lasts, message.0, *attempt, endpoint.0, self.now));
+                    self.calls
+                        .push((self.now + lasts, message.0, *attempt, endpoint.0, self.now));
                     *attempt += 1;
                 }
                 Action::SetAlarm(at) => drop(self.alarms.insert(*at)),
@@ -218,7 +306,12 @@
 fn listed(endpoint: u32) -> Entry {
     let destination = endpoint / ENDPOINTS;
     let (zone, kind) = ((endpoint % 2) as u16, (destination % 3) as usize);
-    Entry { zone, kind, weight: 200.0, ..entry(endpoint, destination.into()) }
+    Entry {
+        zone,
+        kind,
+        weight: 200.0,
+        ..entry(endpoint, destination.into())
+    }
 }
 
 #[test]
@@ -227,9 +320,14 @@
         let (grouped, each) = (Play::new(seed, false).run(), Play::new(seed, true).run());
         let sends = |actions: &[(Micros, Vec<Action>)]| {
             let all = actions.iter().flat_map(|turn| &turn.1);
-            all.filter(|action| matches!(action, Action::Send { .. })).count()
+            all.filter(|action| matches!(action, Action::Send { .. }))
+                .count()
         };
-        assert!(sends(&grouped) > 50, "seed {seed}: {} sends", sends(&grouped));
+        assert!(
+            sends(&grouped) > 50,
+            "seed {seed}: {} sends",
+            sends(&grouped)
+        );
         for (turn, (grouped, each)) in grouped.iter().zip(&each).enumerate() {
             assert_eq!(grouped, each, "seed {seed}, turn {turn}");
         }
@@ -241,8 +339,15 @@
     let mut roomy = settings(8);
     roomy.max_held = 10 * waiting as usize;
     let mut rig = Rig::new(roomy, vec![entry(1, 7), entry(2, 8)]);
-    rig.tell(vec![Event::Word { destination: 7, out: true }]);
-    rig.tell((0..waiting).map(|id| message(id, [FREE, KEYED, UNSAFE][id as usize % 3], 7)).collect());
+    rig.tell(vec![Event::Word {
+        destination: 7,
+        out: true,
+    }]);
+    rig.tell(
+        (0..waiting)
+            .map(|id| message(id, [FREE, KEYED, UNSAFE][id as usize % 3], 7))
+            .collect(),
+    );
     rig.tell(vec![message(waiting, FREE, 8)]);
     assert_eq!(rig.last_send(waiting).0, 2, "what can go does");
     rig.sender.weighed()
@@ -253,5 +358,8 @@
     // each turn looked for an endpoint for each of them: 2.4 us a message, 947 cores with 1.19 million
     let (few, many) = (looked_at(60), looked_at(3_000));
     assert_eq!(few, many, "with 60 and with 3000 waiting");
-    assert!(many <= 4, "{many}: one of each class, and the one that goes");
+    assert!(
+        many <= 4,
+        "{many}: one of each class, and the one that goes"
+    );
 }
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -6,19 +6,31 @@
 use milletturn::*;
 
 fn bound(effect: Effect, attempts: usize) -> ClassBound {
-    ClassBound { accepted: true, effect, attempts, ordered: false, key_rest: 0 }
+    ClassBound {
+        accepted: true,
+        effect,
+        attempts,
+        ordered: false,
+        key_rest: 0,
+    }
 }
 
 fn bounds(classes: &[(&str, ClassBound)]) -> Bounds {
     Bounds {
-        classes: classes.iter().map(|(name, bound)| (name.to_string(), *bound)).collect(),
+        classes: classes
+            .iter()
+            .map(|(name, bound)| (name.to_string(), *bound))
+            .collect(),
         ..Bounds::default()
     }
 }
 
 /// Rules until a time after the start, then the floor.
 fn agreed(leased: Bounds, until: Micros, floor: Bounds) -> Event {
-    Event::Agreed(Some(Box::new(Agreed { leased: Some((leased, T0 + until)), fallback: floor })))
+    Event::Agreed(Some(Box::new(Agreed {
+        leased: Some((leased, T0 + until)),
+        fallback: floor,
+    })))
 }
 
 fn rig() -> Rig {
@@ -31,35 +43,62 @@
     rig.tell(vec![message(1, FREE, 7)]);
     assert_eq!(rig.sends_of(1).len(), 1);
     rig.end(1, Outcome::Success, SECOND / 10);
-    let shut = ClassBound { accepted: false, ..bound(Effect::Repeatable, 9) };
+    let shut = ClassBound {
+        accepted: false,
+        ..bound(Effect::Repeatable, 9)
+    };
     let free = bounds(&[("free", bound(Effect::Repeatable, 9)), ("keyed", shut)]);
     rig.tell(vec![agreed(free, 10 * SECOND, bounds(&[]))]);
-    rig.tell(vec![message(2, FREE, 7), message(3, KEYED, 7), message(4, UNSAFE, 7)]);
+    rig.tell(vec![
+        message(2, FREE, 7),
+        message(3, KEYED, 7),
+        message(4, UNSAFE, 7),
+    ]);
     assert_eq!((rig.sends_of(2).len(), rig.refused(2)), (1, false));
     assert!(rig.refused(3) && rig.refused(4));
     // the lease runs out without a word: nothing of the class goes again, and nobody is told that it is over
     rig.now = T0 + 10 * SECOND;
     rig.end(2, Outcome::Error, SECOND);
     rig.run(T0 + 15 * SECOND);
-    assert_eq!((rig.sends_of(2).len(), rig.refused(2), rig.failed(2)), (1, false, false));
-    rig.tell(vec![agreed(bounds(&[("free", bound(Effect::Repeatable, 9))]), 60 * SECOND, bounds(&[]))]);
+    assert_eq!(
+        (rig.sends_of(2).len(), rig.refused(2), rig.failed(2)),
+        (1, false, false)
+    );
+    rig.tell(vec![agreed(
+        bounds(&[("free", bound(Effect::Repeatable, 9))]),
+        60 * SECOND,
+        bounds(&[]),
+    )]);
     rig.run(T0 + 20 * SECOND);
-    assert!(rig.sends_of(2).len() > 1, "it goes on once rules allow it again");
+    assert!(
+        rig.sends_of(2).len() > 1,
+        "it goes on once rules allow it again"
+    );
 }
 
 #[test]
 fn a_stricter_effect_and_fewer_attempts_bind_messages_that_were_taken_on_before() {
     for (floor, name) in [
         (bounds(&[("free", bound(Effect::Unsafe, 9))]), "effect"),
-        (bounds(&[("free", bound(Effect::Repeatable, 1))]), "attempts"),
+        (
+            bounds(&[("free", bound(Effect::Repeatable, 1))]),
+            "attempts",
+        ),
     ] {
         let mut rig = rig();
         let free = bounds(&[("free", bound(Effect::Repeatable, 9))]);
-        rig.tell(vec![agreed(free.clone(), SECOND, floor), message(1, FREE, 7)]);
+        rig.tell(vec![
+            agreed(free.clone(), SECOND, floor),
+            message(1, FREE, 7),
+        ]);
         rig.now = T0 + SECOND;
         rig.end(1, Outcome::TimedOut, SECOND);
         rig.run(T0 + 6 * SECOND);
-        assert_eq!((rig.sends_of(1).len(), rig.failed(1), rig.refused(1)), (1, false, false), "{name}");
+        assert_eq!(
+            (rig.sends_of(1).len(), rig.failed(1), rig.refused(1)),
+            (1, false, false),
+            "{name}"
+        );
         rig.tell(vec![agreed(free, 60 * SECOND, bounds(&[]))]);
         rig.run(T0 + 9 * SECOND);
         assert!(rig.sends_of(1).len() > 1, "{name}: its own terms allow it");
@@ -69,15 +108,30 @@
 #[test]
 fn calls_messages_order_and_rests_are_the_stricter_of_both() {
     let mut rig = rig();
-    let free = ClassBound { ordered: true, key_rest: 2 * SECOND, ..bound(Effect::Repeatable, 9) };
-    let leased = Bounds { calls: Some(2), messages: Some(3), ..bounds(&[("free", free)]) };
+    let free = ClassBound {
+        ordered: true,
+        key_rest: 2 * SECOND,
+        ..bound(Effect::Repeatable, 9)
+    };
+    let leased = Bounds {
+        calls: Some(2),
+        messages: Some(3),
+        ..bounds(&[("free", free)])
+    };
     let keyed = |id, key| {
-        Event::Accepted(NewMessage { key: Some(key), ..NewMessage::new(MessageId(id), FREE, 7, 30 * SECOND) })
+        Event::Accepted(NewMessage {
+            key: Some(key),
+            ..NewMessage::new(MessageId(id), FREE, 7, 30 * SECOND)
+        })
     };
     rig.tell(vec![agreed(leased, 60 * SECOND, bounds(&[]))]);
     rig.tell(vec![keyed(1, 5), keyed(2, 5), keyed(3, 6), keyed(4, 7)]);
     assert!(rig.refused(4), "three may be held");
-    assert_eq!([1, 2, 3].map(|id| rig.sends_of(id).len()), [1, 0, 1], "the second waits for its turn");
+    assert_eq!(
+        [1, 2, 3].map(|id| rig.sends_of(id).len()),
+        [1, 0, 1],
+        "the second waits for its turn"
+    );
     // the first two are over, the third is called off: its key rests
     rig.end(1, Outcome::Success, SECOND / 10);
     rig.end(2, Outcome::Success, SECOND / 10);
@@ -89,14 +143,21 @@
     rig.run(T0 + 21 * SECOND / 10);
     assert_eq!(rig.sends_of(5).len(), 1);
     rig.tell(vec![keyed(6, 8), keyed(7, 9)]);
-    assert_eq!([6, 7].map(|id| rig.sends_of(id).len()), [1, 0], "two calls may be out");
+    assert_eq!(
+        [6, 7].map(|id| rig.sends_of(id).len()),
+        [1, 0],
+        "two calls may be out"
+    );
 }
 
 #[test]
 fn a_lone_own_setting_that_is_stricter_stays() {
     let mut rig = rig();
     let loose = bounds(&[("unsafe", bound(Effect::Repeatable, 99))]);
-    rig.tell(vec![agreed(loose, 60 * SECOND, bounds(&[])), message(1, UNSAFE, 7)]);
+    rig.tell(vec![
+        agreed(loose, 60 * SECOND, bounds(&[])),
+        message(1, UNSAFE, 7),
+    ]);
     rig.end(1, Outcome::Error, SECOND);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "what must not run twice does not");
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -24,9 +24,17 @@
 
 /// The sender's resident memory as the system has it, bytes.
 fn resident(node: &Node) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).expect("it runs");
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("listed");
-    line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).expect("it runs");
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .expect("listed");
+    line.trim()
+        .trim_end_matches(" kB")
+        .parse::<usize>()
+        .expect("a number")
+        * 1024
 }
 
 /// States the memory and holds it against the bound.
@@ -57,7 +65,13 @@
 fn list_of_many(servers: &[Endpoint]) -> String {
     let uids: Vec<String> = (0..MANY).map(uid).collect();
     let entry = |number: usize| {
-        (uids[number].as_str(), servers[number % SERVERS].address, "one", number as u64 + 1, "up")
+        (
+            uids[number].as_str(),
+            servers[number % SERVERS].address,
+            "one",
+            number as u64 + 1,
+            "up",
+        )
     };
     list(&(0..MANY).map(entry).collect::<Vec<_>>())
 }
@@ -67,12 +81,18 @@
     let servers: Vec<Endpoint> = (0..SERVERS).map(|_| Endpoint::new(|_, _| OK)).collect();
     let agent = Agent::new(vec![list_of_many(&servers)]);
     let node = one_of_many(&agent, "").ready();
-    wait_until("all endpoints are known", || pools(&node)["totals"]["endpoints"] == MANY);
+    wait_until("all endpoints are known", || {
+        pools(&node)["totals"]["endpoints"] == MANY
+    });
     check_memory(&node, "with the list");
 
     for number in 0..MANY {
         let id = uid(number);
-        assert_eq!(node.hand_in("webhook", &id, number as u64 + 1, 20_000, b"x"), 202, "{id}");
+        assert_eq!(
+            node.hand_in("webhook", &id, number as u64 + 1, 20_000, b"x"),
+            202,
+            "{id}"
+        );
     }
     wait_until("each endpoint has been called", || {
         (0..MANY).all(|number| servers[number % SERVERS].times(&uid(number)) > 0)
@@ -88,7 +108,10 @@
     let (dials, closes) = (count(&counts["dials"]), &counts["closes"]);
     assert!(dials >= MANY, "{counts}");
     // a connection for each endpoint stays idle: only one beside it may be too many
-    assert!(count(&closes["surplus"]) + count(&closes["evicted"]) <= dials - MANY, "{counts}");
+    assert!(
+        count(&closes["surplus"]) + count(&closes["evicted"]) <= dials - MANY,
+        "{counts}"
+    );
     check_memory(&node, "once each endpoint has been called");
 }
 
@@ -119,8 +142,13 @@
             let mut settings = Settings::new(&format!("member-{number:04}"), address, MANY as u32);
             settings.fleet = FLEET.to_string();
             settings.period = PERIOD.as_micros() as u64;
-            settings.seeds = members.first().map(|(_, seed)| seed.settings().advertise).into_iter().collect();
-            let member = Member::new(settings, Remembered::default(), number as u64, 1, 0).expect("settings");
+            settings.seeds = members
+                .first()
+                .map(|(_, seed)| seed.settings().advertise)
+                .into_iter()
+                .collect();
+            let member = Member::new(settings, Remembered::default(), number as u64, 1, 0)
+                .expect("settings");
             members.push((socket, member));
         }
         let seed = members[0].1.settings().advertise;
@@ -133,7 +161,11 @@
                 thread::sleep(LOOK);
             }
         });
-        Members { seed, ends, thread: Some(thread) }
+        Members {
+            seed,
+            ends,
+            thread: Some(thread),
+        }
     }
 }
 
@@ -184,7 +216,9 @@
     let members = Members::new(MANY - 1);
     let servers: Vec<Endpoint> = (0..SERVERS).map(|_| Endpoint::new(|_, _| OK)).collect();
     let agent = Agent::new(vec![list_of_many(&servers)]);
-    let listen = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("an address");
+    let listen = UdpSocket::bind("127.0.0.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("an address");
     let object = format!(
         r#""membership":{{"listen":"{listen}","fleet":"{FLEET}","seeds":["{}"],"period_ms":{}}},"#,
         members.seed,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -41,20 +41,31 @@
     settings.safety.fall_span = day.span;
     settings.safety.fall_multiple = 2.0;
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings");
-    let mut senders: Vec<Sender> = (0..day.senders as u64).map(|n| start(n + 1000 * day.seed)).collect();
+    let mut senders: Vec<Sender> = (0..day.senders as u64)
+        .map(|n| start(n + 1000 * day.seed))
+        .collect();
     let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); day.senders];
     let mut random = Pcg32::seed_from_u64(day.seed);
     let mut out: Vec<(Micros, usize, u64, usize, u32, Outcome)> = Vec::new();
     let mut attempts: BTreeMap<u64, usize> = BTreeMap::new();
-    let entries: Vec<Entry> =
-        (1..=2).map(|n| Entry { weight: day.rate * day.listed, ..entry(n, 7) }).collect();
+    let entries: Vec<Entry> = (1..=2)
+        .map(|n| Entry {
+            weight: day.rate * day.listed,
+            ..entry(n, 7)
+        })
+        .collect();
     let back = T0 + BEFORE + OUT;
     let (mut now, mut next, mut reached) = (T0, 0, Vec::new());
     while now < back + day.cold {
         let mut events: Vec<Vec<Event>> = vec![Vec::new(); day.senders];
         if now == T0 {
-            let listed = Event::Listed { listing: Listing::Full, entries: entries.clone() };
-            events.iter_mut().for_each(|events| events.push(listed.clone()));
+            let listed = Event::Listed {
+                listing: Listing::Full,
+                entries: entries.clone(),
+            };
+            events
+                .iter_mut()
+                .for_each(|events| events.push(listed.clone()));
         }
         // as much as it takes when warm comes in, at senders by chance
         let due = ((now - T0) as f64 / SECOND as f64 * day.rate * 0.9) as u64;
@@ -83,7 +94,9 @@
             for action in actions {
                 match action {
                     Action::SetAlarm(at) => drop(alarms[index].insert(at)),
-                    Action::Send { message, endpoint, .. } => {
+                    Action::Send {
+                        message, endpoint, ..
+                    } => {
                         let attempt = attempts.entry(message.0).or_default();
                         let is_out = (T0 + BEFORE..back).contains(&now);
                         let outcome = if is_out { day.outage } else { Outcome::Success };
@@ -103,13 +116,20 @@
 /// The most by which a span holds more than its budget, in what chance is allowed to bring: 2 x root of N + 2.
 fn worst(day: Day, sends: &Sends) -> (f64, Micros) {
     let spans = sends.reached.iter().map(|&from| {
-        let calls = sends.reached.iter().filter(|&&at| (from..from + day.span).contains(&at)).count() as f64;
-        let level = |at: Micros| day.start + (1.0 - day.start) * (at as f64 / day.cold as f64).min(1.0);
+        let calls = sends
+            .reached
+            .iter()
+            .filter(|&&at| (from..from + day.span).contains(&at))
+            .count() as f64;
+        let level =
+            |at: Micros| day.start + (1.0 - day.start) * (at as f64 / day.cold as f64).min(1.0);
         let mean = (level(from) + level(from + day.span)) / 2.0;
         let budget = 2.0 * day.rate * mean * day.span as f64 / SECOND as f64;
         ((calls - budget) / (2.0 * budget.sqrt() + 2.0), from)
     });
-    spans.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((f64::MIN, 0))
+    spans
+        .max_by(|a, b| a.0.total_cmp(&b.0))
+        .unwrap_or((f64::MIN, 0))
 }
 
 /// The most over all days with so many senders, and on which.
@@ -121,10 +141,22 @@
                 // lists that are right, too low and too high; other cold times
                 for (seed, listed) in (0..).zip([0.6, 1.0, 1.4, 1.0]) {
                     let short = seed % 2 == 1;
-                    let (cold, span) =
-                        if short { (5 * SECOND, 3 * SECOND) } else { (11 * SECOND, 1_500 * MILLISECOND) };
+                    let (cold, span) = if short {
+                        (5 * SECOND, 3 * SECOND)
+                    } else {
+                        (11 * SECOND, 1_500 * MILLISECOND)
+                    };
                     let start = if short { 0.25 } else { 0.18 };
-                    let day = Day { senders, rate, listed, cold, span, start, outage, seed };
+                    let day = Day {
+                        senders,
+                        rate,
+                        listed,
+                        cold,
+                        span,
+                        start,
+                        outage,
+                        seed,
+                    };
                     let (over, at) = worst(day, &play(day));
                     if over > most.0 {
                         most = (over, at, Some(day));
@@ -138,7 +170,10 @@
 
 #[test]
 fn all_senders_together_stay_within_what_a_destination_bears_that_failed_and_is_cold() {
-    let most = worst_of(&[1, 3, 20, 30, 300], &[Outcome::Error, Outcome::NoConnection]);
+    let most = worst_of(
+        &[1, 3, 20, 30, 300],
+        &[Outcome::Error, Outcome::NoConnection],
+    );
     assert!(most.0 <= 1.0, "{most:?}");
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,17 +16,44 @@
 
 pub fn settings(slots: usize) -> Settings {
     let mut settings = Settings::new(slots, 1000);
-    settings.classes.push(Class::new("free", Effect::Repeatable, 2 * SECOND, 30 * SECOND));
-    let keyed = Effect::Keyed { window: 6 * SECOND, zone_only: true };
-    settings.classes.push(Class::new("keyed", keyed, 2 * SECOND, 30 * SECOND));
-    settings.classes.push(Class::new("unsafe", Effect::Unsafe, 2 * SECOND, 30 * SECOND));
+    settings.classes.push(Class::new(
+        "free",
+        Effect::Repeatable,
+        2 * SECOND,
+        30 * SECOND,
+    ));
+    let keyed = Effect::Keyed {
+        window: 6 * SECOND,
+        zone_only: true,
+    };
+    settings
+        .classes
+        .push(Class::new("keyed", keyed, 2 * SECOND, 30 * SECOND));
+    settings.classes.push(Class::new(
+        "unsafe",
+        Effect::Unsafe,
+        2 * SECOND,
+        30 * SECOND,
+    ));
     let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 30 * SECOND);
     ordered.ordered = true;
     settings.classes.push(ordered);
     settings.safety.key_rest = 100 * MILLISECOND;
-    settings.kinds.push(Kind { name: "one".into(), separate_routes: false, bundle_max: 1 });
-    settings.kinds.push(Kind { name: "apart".into(), separate_routes: true, bundle_max: 1 });
-    settings.kinds.push(Kind { name: "bundled".into(), separate_routes: false, bundle_max: 5 });
+    settings.kinds.push(Kind {
+        name: "one".into(),
+        separate_routes: false,
+        bundle_max: 1,
+    });
+    settings.kinds.push(Kind {
+        name: "apart".into(),
+        separate_routes: true,
+        bundle_max: 1,
+    });
+    settings.kinds.push(Kind {
+        name: "bundled".into(),
+        separate_routes: false,
+        bundle_max: 5,
+    });
     settings
 }
 
@@ -40,10 +67,21 @@
 }
 
 pub fn message(id: u64, class: usize, destination: u64) -> Event {
-    Event::Accepted(NewMessage::new(MessageId(id), class, destination, 30 * SECOND))
+    Event::Accepted(NewMessage::new(
+        MessageId(id),
+        class,
+        destination,
+        30 * SECOND,
+    ))
 }
 
-pub fn ended(message: u64, attempt: usize, endpoint: u32, outcome: Outcome, latency: Micros) -> Event {
+pub fn ended(
+    message: u64,
+    attempt: usize,
+    endpoint: u32,
+    outcome: Outcome,
+    latency: Micros,
+) -> Event {
     Event::Ended {
         message: MessageId(message),
         attempt,
@@ -58,8 +96,17 @@
 impl Rig {
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
         let sender = Sender::new(settings, 11).expect("settings make sense");
-        let mut rig = Rig { sender, now: T0, alarms: Vec::new(), sends: Vec::new(), log: Vec::new() };
-        rig.tell(vec![Event::Listed { listing: Listing::Full, entries }]);
+        let mut rig = Rig {
+            sender,
+            now: T0,
+            alarms: Vec::new(),
+            sends: Vec::new(),
+            log: Vec::new(),
+        };
+        rig.tell(vec![Event::Listed {
+            listing: Listing::Full,
+            entries,
+        }]);
         rig
     }
 
@@ -70,7 +117,9 @@
             self.log.push((self.now, action.clone()));
             match action {
                 Action::SetAlarm(at) => self.alarms.push(*at),
-                Action::Send { message, endpoint, .. } => {
+                Action::Send {
+                    message, endpoint, ..
+                } => {
                     let attempt = self.sends.iter().filter(|send| send.1 == message.0).count();
                     self.sends.push((self.now, message.0, endpoint.0, attempt));
                 }
@@ -97,11 +146,20 @@
     }
 
     pub fn sends_of(&self, message: u64) -> Vec<Micros> {
-        self.sends.iter().filter(|send| send.1 == message).map(|send| send.0 - T0).collect()
+        self.sends
+            .iter()
+            .filter(|send| send.1 == message)
+            .map(|send| send.0 - T0)
+            .collect()
     }
 
     pub fn last_send(&self, message: u64) -> (u32, usize) {
-        let send = self.sends.iter().rev().find(|send| send.1 == message).expect("was sent");
+        let send = self
+            .sends
+            .iter()
+            .rev()
+            .find(|send| send.1 == message)
+            .expect("was sent");
         (send.2, send.3)
     }
 
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -137,7 +137,10 @@
             alarms: Vec::new(),
             messages: BTreeMap::new(),
             calls: Vec::new(),
-            limit: Limit { tokens: 0.0, at: T0 },
+            limit: Limit {
+                tokens: 0.0,
+                at: T0,
+            },
             random: Pcg32::seed_from_u64(scenario.seed),
             now: T0,
             due: 0.0,
@@ -149,7 +152,8 @@
 
     /// All senders start, each for so many times before.
     fn start(&mut self, starts: u64) {
-        let seeds = (0..SENDERS as u64).map(|number| number + 1000 * (self.scenario.seed + 100 * starts));
+        let seeds =
+            (0..SENDERS as u64).map(|number| number + 1000 * (self.scenario.seed + 100 * starts));
         let start = |seed| Sender::new(self.settings.clone(), seed).expect("settings");
         self.senders = seeds.map(start).collect();
         self.alarms = vec![BTreeSet::new(); SENDERS];
@@ -157,8 +161,16 @@
 
     fn listed(&self) -> Event {
         let weight = self.scenario.limit * self.scenario.listed;
-        let entries = (1..=2).map(|n| Entry { weight, ..entry(n, DESTINATION) }).collect();
-        Event::Listed { listing: Listing::Full, entries }
+        let entries = (1..=2)
+            .map(|n| Entry {
+                weight,
+                ..entry(n, DESTINATION)
+            })
+            .collect();
+        Event::Listed {
+            listing: Listing::Full,
+            entries,
+        }
     }
 
     /// What the senders hold once they are back; their calls ended unheard.
@@ -169,10 +181,16 @@
         for (&id, message) in self.messages.iter().filter(|(_, message)| message.open) {
             let left = message.born + DEADLINE - self.now;
             let new = NewMessage::new(MessageId(id), 0, DESTINATION, left);
-            let past =
-                |_| PastAttempt { endpoint: EndpointId(1), sent: self.now - DOWN, may_have_run: false };
+            let past = |_| PastAttempt {
+                endpoint: EndpointId(1),
+                sent: self.now - DOWN,
+                may_have_run: false,
+            };
             let attempts = (0..message.attempts).map(past).collect();
-            events[message.sender].push(Event::Resumed { message: new, attempts });
+            events[message.sender].push(Event::Resumed {
+                message: new,
+                attempts,
+            });
         }
         events
     }
@@ -186,7 +204,15 @@
             let (sender, id) = (first.min(second), self.messages.len() as u64);
             let new = NewMessage::new(MessageId(id), 0, DESTINATION, DEADLINE);
             events[sender].push(Event::Accepted(new));
-            self.messages.insert(id, Message { sender, born: self.now, attempts: 0, open: true });
+            self.messages.insert(
+                id,
+                Message {
+                    sender,
+                    born: self.now,
+                    attempts: 0,
+                    open: true,
+                },
+            );
             self.served.handed_in += 1;
         }
     }
@@ -201,14 +227,23 @@
                 self.served.in_time += usize::from(in_time);
                 self.served.late += usize::from(!in_time);
             }
-            let ended = common::ended(call.message, call.attempt, call.endpoint, call.outcome, LATENCY);
+            let ended = common::ended(
+                call.message,
+                call.attempt,
+                call.endpoint,
+                call.outcome,
+                LATENCY,
+            );
             events[call.sender].push(ended);
         }
     }
 
     /// One sender's turn, if it has an event or its alarm rings.
     fn turn(&mut self, sender: usize, mut events: Vec<Event>) {
-        if self.alarms[sender].first().is_some_and(|at| *at <= self.now) {
+        if self.alarms[sender]
+            .first()
+            .is_some_and(|at| *at <= self.now)
+        {
             self.alarms[sender].retain(|at| *at > self.now);
             events.push(Event::Alarm);
         }
@@ -220,9 +255,13 @@
         for action in actions {
             match action {
                 Action::SetAlarm(at) => drop(self.alarms[sender].insert(at)),
-                Action::Send { message, endpoint, .. } => self.call(sender, message.0, endpoint.0),
+                Action::Send {
+                    message, endpoint, ..
+                } => self.call(sender, message.0, endpoint.0),
                 Action::Refuse { message, .. } | Action::Fail(message) => {
-                    self.messages.entry(message.0).and_modify(|message| message.open = false);
+                    self.messages
+                        .entry(message.0)
+                        .and_modify(|message| message.open = false);
                 }
                 _ => {}
             }
@@ -231,17 +270,32 @@
 
     fn call(&mut self, sender: usize, id: u64, endpoint: u32) {
         let message = self.messages.get_mut(&id).expect("was handed in");
-        let taken = self.limit.takes(self.now, self.scenario.limit, self.scenario.refusals_count);
-        let outcome = if taken { Outcome::Success } else { Outcome::Refused { wait: None } };
+        let taken = self
+            .limit
+            .takes(self.now, self.scenario.limit, self.scenario.refusals_count);
+        let outcome = if taken {
+            Outcome::Success
+        } else {
+            Outcome::Refused { wait: None }
+        };
         self.served.refused_calls += usize::from(!taken);
         let (ends, attempt) = (self.now + LATENCY, message.attempts);
         message.attempts += 1;
-        self.calls.push(Call { ends, sender, message: id, attempt, endpoint, outcome });
+        self.calls.push(Call {
+            ends,
+            sender,
+            message: id,
+            attempt,
+            endpoint,
+            outcome,
+        });
     }
 
     fn is_down(&self) -> bool {
         let passed = self.now - T0;
-        self.scenario.restart.is_some_and(|back| (back - DOWN..back).contains(&passed))
+        self.scenario
+            .restart
+            .is_some_and(|back| (back - DOWN..back).contains(&passed))
     }
 }
 
@@ -255,7 +309,9 @@
         }
         let stale = (T0 + scenario.stale.0..T0 + scenario.stale.1).contains(&fleet.now);
         if stale != was_stale {
-            waiting.iter_mut().for_each(|events| events.push(Event::Stale(stale)));
+            waiting
+                .iter_mut()
+                .for_each(|events| events.push(Event::Stale(stale)));
             was_stale = stale;
         }
         fleet.hand_in(&mut waiting);
@@ -278,7 +334,10 @@
 #[test]
 fn a_limit_with_room_for_all_is_shared_without_refusals() {
     for listed in [0.6, 1.0, 1.4] {
-        for served in runs(Scenario { listed, ..Scenario::STEADY }) {
+        for served in runs(Scenario {
+            listed,
+            ..Scenario::STEADY
+        }) {
             assert!(served.share_in_time() > 0.95, "{listed} {served:?}");
             assert!(served.refused_share() < 0.02, "{listed} {served:?}");
         }
@@ -289,9 +348,20 @@
 fn what_waited_while_lists_were_stale_is_not_sent_all_at_one_moment() {
     let stale = (6 * SECOND, 9 * SECOND);
     for (limit, refusals_count) in [(60.0, false), (60.0, true), (600.0, false), (600.0, true)] {
-        for served in runs(Scenario { limit, refusals_count, stale, ..Scenario::STEADY }) {
-            assert!(served.refused_share() < 0.04, "{limit} {refusals_count} {served:?}");
-            assert!(served.share_delivered() > 0.88, "{limit} {refusals_count} {served:?}");
+        for served in runs(Scenario {
+            limit,
+            refusals_count,
+            stale,
+            ..Scenario::STEADY
+        }) {
+            assert!(
+                served.refused_share() < 0.04,
+                "{limit} {refusals_count} {served:?}"
+            );
+            assert!(
+                served.share_delivered() > 0.88,
+                "{limit} {refusals_count} {served:?}"
+            );
         }
     }
 }
@@ -300,9 +370,17 @@
 fn what_waited_for_a_restart_is_not_sent_all_at_one_moment() {
     let restart = Some(8 * SECOND);
     for refusals_count in [false, true] {
-        for served in runs(Scenario { limit: 60.0, refusals_count, restart, ..Scenario::STEADY }) {
+        for served in runs(Scenario {
+            limit: 60.0,
+            refusals_count,
+            restart,
+            ..Scenario::STEADY
+        }) {
             assert!(served.refused_share() < 0.04, "{refusals_count} {served:?}");
-            assert!(served.share_delivered() > 0.88, "{refusals_count} {served:?}");
+            assert!(
+                served.share_delivered() > 0.88,
+                "{refusals_count} {served:?}"
+            );
         }
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -12,7 +12,12 @@
 fn rig(senders: u32) -> Rig {
     let mut settings = settings(12);
     settings.senders = senders;
-    let mut rig = Rig::new(settings, (0..DESTINATIONS).map(|number| entry(number, number.into())).collect());
+    let mut rig = Rig::new(
+        settings,
+        (0..DESTINATIONS)
+            .map(|number| entry(number, number.into()))
+            .collect(),
+    );
     rig.tell(vec![Event::Shared(Some(Box::default()))]);
     rig
 }
@@ -26,9 +31,13 @@
         assert_eq!(demand, &whole[destination], "{destination}");
     }
     // what is sick by the word of others alone, with nothing held or called, wants nothing and reports nothing
-    let in_use = |demand: &Demand| demand.waiting > 0 || demand.out > 0 || demand.failing || demand.alive;
+    let in_use =
+        |demand: &Demand| demand.waiting > 0 || demand.out > 0 || demand.failing || demand.alive;
     for (destination, demand) in whole.iter().filter(|(_, demand)| in_use(demand)) {
-        assert!(used.contains_key(destination), "{destination} is left out: {demand:?}");
+        assert!(
+            used.contains_key(destination),
+            "{destination} is left out: {demand:?}"
+        );
     }
     used.len()
 }
@@ -37,7 +46,10 @@
 fn a_list_that_is_short_enough_is_told_whole() {
     let mut rig = rig(3);
     let whole = rig.sender.demand();
-    assert_eq!(rig.sender.demand_in_use(DESTINATIONS as usize), (DESTINATIONS as usize, whole));
+    assert_eq!(
+        rig.sender.demand_in_use(DESTINATIONS as usize),
+        (DESTINATIONS as usize, whole)
+    );
 }
 
 #[test]
@@ -59,7 +71,11 @@
 #[test]
 fn what_was_there_before_limits_were_shared_is_found_at_the_first_look() {
     let mut rig = rig(3);
-    rig.tell(vec![Event::Shared(None), message(1, FREE, 7), message(2, FREE, 9)]);
+    rig.tell(vec![
+        Event::Shared(None),
+        message(1, FREE, 7),
+        message(2, FREE, 9),
+    ]);
     rig.tell(vec![Event::Shared(Some(Box::default()))]);
     assert_eq!(compare(&mut rig), 2);
 }
@@ -67,23 +83,33 @@
 #[test]
 fn random_events_never_hide_a_destination_that_is_in_use() {
     for seed in 0..20 {
-        let (mut rig, mut random) = (rig([1, 3, 300][seed as usize % 3]), Pcg32::seed_from_u64(seed));
+        let (mut rig, mut random) = (
+            rig([1, 3, 300][seed as usize % 3]),
+            Pcg32::seed_from_u64(seed),
+        );
         let mut below = |most: u32| random.next_u32() % most;
         let mut looked = 0;
         for id in 0..400_u64 {
-            rig.tell(vec![message(id, [FREE, KEYED, UNSAFE][below(3) as usize], below(DESTINATIONS).into())]);
+            rig.tell(vec![message(
+                id,
+                [FREE, KEYED, UNSAFE][below(3) as usize],
+                below(DESTINATIONS).into(),
+            )]);
             rig.run(rig.now + Micros::from(below(80)) * MILLISECOND);
             if below(2) == 0 && rig.sends.iter().any(|(_, sent, ..)| *sent == id) {
                 let refused = Outcome::Refused { wait: None };
-                let outcome =
-                    [Outcome::Success, refused, Outcome::Error, Outcome::TimedOut][below(4) as usize];
+                let outcome = [Outcome::Success, refused, Outcome::Error, Outcome::TimedOut]
+                    [below(4) as usize];
                 rig.end(id, outcome, 10 * MILLISECOND);
             }
             match below(10) {
                 0 => looked += compare(&mut rig),
                 1 if below(20) == 0 => {
                     let out = below(2) == 0;
-                    rig.tell(vec![Event::Word { destination: below(DESTINATIONS).into(), out }]);
+                    rig.tell(vec![Event::Word {
+                        destination: below(DESTINATIONS).into(),
+                        out,
+                    }]);
                 }
                 _ => {}
             }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -26,7 +26,10 @@
 
 /// From the next watch on the old endpoint of destination 7 is in this state, and the new one is up.
 fn replace(agent: &Agent, old: &Endpoint, state: &str, new: &Endpoint) {
-    let entries = [("s-1", old.address, "one", 7, state), ("s-2", new.address, "one", 7, "up")];
+    let entries = [
+        ("s-1", old.address, "one", 7, state),
+        ("s-2", new.address, "one", 7, "up"),
+    ];
     set_lines(agent, vec![list(&entries)]);
 }
 
@@ -45,9 +48,14 @@
     sent(&node, "before", 7);
     let (watches, silent) = (mute(&agent), Instant::now());
     replace(&agent, &old, "draining", &new);
-    wait_until("a new watch", || agent.watches.load(Ordering::SeqCst) > watches);
+    wait_until("a new watch", || {
+        agent.watches.load(Ordering::SeqCst) > watches
+    });
     let after = silent.elapsed();
-    assert!(after < Duration::from_millis(5500), "a new watch after {after:?}");
+    assert!(
+        after < Duration::from_millis(5500),
+        "a new watch after {after:?}"
+    );
     let mut tried = 0;
     wait_until("the new list binds", || {
         tried += 1;
@@ -70,19 +78,28 @@
     replace(&agent, &old, "removed", &new);
     // new watches open and tell nothing
     agent.muted.store(usize::MAX, Ordering::SeqCst);
-    wait_until("it says so", || node.logged("nothing is sent until it tells"));
+    wait_until("it says so", || {
+        node.logged("nothing is sent until it tells")
+    });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!((old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")), (1, 202));
+    assert_eq!(
+        (old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")),
+        (1, 202)
+    );
     agent.muted.store(0, Ordering::SeqCst);
-    wait_until("all is delivered", || new.times("m1") + new.times("m2") == 2);
+    wait_until("all is delivered", || {
+        new.times("m1") + new.times("m2") == 2
+    });
     assert_eq!(old.count(), 1);
 }
 
 #[test]
 fn a_start_with_open_messages_sends_nothing_by_an_older_list_than_its_agent_holds() {
-    let (old, new) =
-        (Endpoint::new(|_, _| Reply::Answer("503 Full", String::new())), Endpoint::new(|_, _| OK));
+    let (old, new) = (
+        Endpoint::new(|_, _| Reply::Answer("503 Full", String::new())),
+        Endpoint::new(|_, _| OK),
+    );
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
     let known = format!(r#""known":{}"#, one_of("s-1", old.address, "up"));
     let node = Node::configured_with(&agent, |text| {
@@ -97,7 +114,11 @@
     *agent.late.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
     wait_until("delivered", || new.times("m1") == 1);
-    assert_eq!(old.count(), tried, "by the list that the process started with");
+    assert_eq!(
+        old.count(),
+        tried,
+        "by the list that the process started with"
+    );
 }
 
 #[test]
@@ -106,7 +127,9 @@
     let agent = Agent::new(vec![one_of("s-1", endpoint.address, "up")]);
     let known = format!(r#""known":{}"#, one_of("s-1", endpoint.address, "up"));
     // nobody listens there
-    let free = std::net::TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
+    let free = std::net::TcpListener::bind("127.0.0.1:0")
+        .and_then(|free| free.local_addr())
+        .expect("a port");
     let node = Node::configured_with(&agent, |text| {
         text.replace(r#""known":{"rev":0,"all":true,"targets":[]}"#, &known)
             .replace(&agent.address.to_string(), &free.to_string())
@@ -126,7 +149,9 @@
     sent(&node, "m1", 7);
     let watches = agent.watches.load(Ordering::SeqCst);
     agent.tell("{\"rev\":9,\n \"all\":fals}".to_string());
-    wait_until("the list is asked for anew", || agent.watches.load(Ordering::SeqCst) > watches);
+    wait_until("the list is asked for anew", || {
+        agent.watches.load(Ordering::SeqCst) > watches
+    });
     wait_until("it says why", || node.logged("the whole list is asked for"));
     sent(&node, "m2", 7);
 }
@@ -147,13 +172,20 @@
     agent.down.store(true, Ordering::SeqCst);
     let watches = end_watches(&agent);
     // its rests have grown by then
-    wait_until("two calls are refused", || agent.refused.load(Ordering::SeqCst) >= 2);
+    wait_until("two calls are refused", || {
+        agent.refused.load(Ordering::SeqCst) >= 2
+    });
     replace(&agent, &old, "draining", &new);
     agent.down.store(false, Ordering::SeqCst);
     let back = Instant::now();
-    wait_until("a new watch", || agent.watches.load(Ordering::SeqCst) > watches);
+    wait_until("a new watch", || {
+        agent.watches.load(Ordering::SeqCst) > watches
+    });
     let after = back.elapsed();
-    assert!(after < Duration::from_secs(5), "a new watch after {after:?}");
+    assert!(
+        after < Duration::from_secs(5),
+        "a new watch after {after:?}"
+    );
     wait_until("the new list binds", || {
         sent(&node, &format!("t{}", old.count()), 7);
         new.count() > 0
@@ -169,7 +201,9 @@
     replace(&agent, &old, "removed", &new);
     agent.held.store(true, Ordering::SeqCst);
     end_watches(&agent);
-    wait_until("it says so", || node.logged("nothing is sent until it tells"));
+    wait_until("it says so", || {
+        node.logged("nothing is sent until it tells")
+    });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(old.count(), 1);
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -21,7 +21,10 @@
     fn new(seed: u64) -> Self {
         let mut fleet = Fleet::new(MEMBERS, seed);
         assert!(fleet.until(60.0, Fleet::agrees).is_some());
-        Senders { fleet, modules: (0..MEMBERS).map(|_| module()).collect() }
+        Senders {
+            fleet,
+            modules: (0..MEMBERS).map(|_| module()).collect(),
+        }
     }
 
     /// One period; the sum of the parts that all that run take of a limit.
@@ -39,8 +42,20 @@
 
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
-        let milletturn_membership::View { living, suspects, gone, holders, doubt } = view;
-        FleetView { living, suspects, gone, holders, doubt }
+        let milletturn_membership::View {
+            living,
+            suspects,
+            gone,
+            holders,
+            doubt,
+        } = view;
+        FleetView {
+            living,
+            suspects,
+            gone,
+            holders,
+            doubt,
+        }
     }
 
     fn number(&self, index: usize) -> u32 {
@@ -64,11 +79,21 @@
 
 fn splits() -> Vec<(&'static str, usize, Passes)> {
     vec![
-        ("halves", 10, |first, from, to| (from < first) == (to < first)),
-        ("seven apart", 7, |first, from, to| (from < first) == (to < first)),
-        ("a fifth apart", 4, |first, from, to| (from < first) == (to < first)),
-        ("a fifth hears nobody else", 4, |first, from, to| to >= first || from < first),
-        ("nobody else hears a fifth", 4, |first, from, to| from >= first || to < first),
+        ("halves", 10, |first, from, to| {
+            (from < first) == (to < first)
+        }),
+        ("seven apart", 7, |first, from, to| {
+            (from < first) == (to < first)
+        }),
+        ("a fifth apart", 4, |first, from, to| {
+            (from < first) == (to < first)
+        }),
+        ("a fifth hears nobody else", 4, |first, from, to| {
+            to >= first || from < first
+        }),
+        ("nobody else hears a fifth", 4, |first, from, to| {
+            from >= first || to < first
+        }),
     ]
 }
 
@@ -88,19 +113,32 @@
                 let sum = senders.step();
                 assert!(sum < 1.5, "{what}, seed {seed}, period {period}: {sum}");
                 for index in 0..first {
-                    assert!(senders.number(index) >= MEMBERS as u32, "{what}, seed {seed}: {index}");
+                    assert!(
+                        senders.number(index) >= MEMBERS as u32,
+                        "{what}, seed {seed}: {index}"
+                    );
                     careless_broke += usize::from(careless(senders.view(index)) < MEMBERS as u32);
                 }
             }
             let lowered = senders.number(MEMBERS - 1);
-            let wanted = if 2 * first < MEMBERS { MEMBERS - first } else { MEMBERS };
-            assert_eq!(lowered as usize, wanted, "{what}, seed {seed}: the larger side");
+            let wanted = if 2 * first < MEMBERS {
+                MEMBERS - first
+            } else {
+                MEMBERS
+            };
+            assert_eq!(
+                lowered as usize, wanted,
+                "{what}, seed {seed}: the larger side"
+            );
             senders.fleet.passes = Box::new(|_, _| true);
             let sum = (0..41).map(|_| senders.step()).last().unwrap_or_default();
             assert!(sum <= 1.0001, "{what}, seed {seed}: {sum} after the heal");
         }
     }
-    assert!(careless_broke > 100, "the check can fail: {careless_broke} times it would have");
+    assert!(
+        careless_broke > 100,
+        "the check can fail: {careless_broke} times it would have"
+    );
 }
 
 #[test]
@@ -109,9 +147,15 @@
         let mut senders = Senders::new(seed);
         (0..8).for_each(|index| senders.fleet.kill(index));
         let sums: Vec<f64> = (0..90).map(|_| senders.step()).collect();
-        assert!(sums.iter().all(|sum| *sum <= 1.0001), "seed {seed}: never more than the whole");
+        assert!(
+            sums.iter().all(|sum| *sum <= 1.0001),
+            "seed {seed}: never more than the whole"
+        );
         let (first, last) = (sums[0], sums[sums.len() - 1]);
-        assert!((first - 0.6).abs() < 0.01 && (last - 1.0).abs() < 0.01, "seed {seed}: {first}, {last}");
+        assert!(
+            (first - 0.6).abs() < 0.01 && (last - 1.0).abs() < 0.01,
+            "seed {seed}: {first}, {last}"
+        );
         (0..8).for_each(|index| senders.start(index));
         let back: Vec<f64> = (0..40).map(|_| senders.step()).collect();
         assert!(back.iter().all(|sum| *sum < 1.5), "seed {seed}");
@@ -135,7 +179,11 @@
             doubt: false,
         };
         for step in 1..=30 {
-            module.handle(step * PERIOD as Micros, &[Event::Fleet(Some(view))], &mut Vec::new());
+            module.handle(
+                step * PERIOD as Micros,
+                &[Event::Fleet(Some(view))],
+                &mut Vec::new(),
+            );
         }
         sum += 1.0 / f64::from(module.senders());
     }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -15,7 +15,8 @@
     let rig = Rig::new(settings, vec![entry(1, 7)]);
     let tell = |rig: &mut Rig, after: Micros, view| {
         rig.now += after;
-        rig.sender.handle(rig.now, &[Event::Fleet(view)], &mut Vec::new());
+        rig.sender
+            .handle(rig.now, &[Event::Fleet(view)], &mut Vec::new());
         rig.sender.senders()
     };
     (rig, tell)
@@ -23,7 +24,13 @@
 
 /// All that live hold this view.
 fn view(living: u32, gone: u32) -> FleetView {
-    FleetView { living, suspects: 0, gone, holders: living, doubt: false }
+    FleetView {
+        living,
+        suspects: 0,
+        gone,
+        holders: living,
+        doubt: false,
+    }
 }
 
 #[test]
@@ -36,7 +43,18 @@
     rig.sender.handle(rig.now, &[Event::Alarm], &mut actions);
     assert_eq!(rig.sender.senders(), 60, "at its own alarm");
     assert_eq!(tell(&mut rig, SECOND, Some(view(61, 39))), 61, "at once");
-    assert_eq!(tell(&mut rig, SECOND, Some(FleetView { doubt: true, ..view(61, 39) })), 100, "in doubt");
+    assert_eq!(
+        tell(
+            &mut rig,
+            SECOND,
+            Some(FleetView {
+                doubt: true,
+                ..view(61, 39)
+            })
+        ),
+        100,
+        "in doubt"
+    );
     assert_eq!(tell(&mut rig, SECOND, None), 100);
 }
 
@@ -44,18 +62,40 @@
 fn it_rings_when_the_view_will_have_stood() {
     let (mut rig, _) = sender(100);
     let mut actions = Vec::new();
-    rig.sender.handle(rig.now, &[Event::Fleet(Some(view(60, 40)))], &mut actions);
-    assert!(actions.contains(&Action::SetAlarm(rig.now + STANDS)), "{actions:?}");
+    rig.sender
+        .handle(rig.now, &[Event::Fleet(Some(view(60, 40)))], &mut actions);
+    assert!(
+        actions.contains(&Action::SetAlarm(rig.now + STANDS)),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn what_is_less_than_sure_never_lowers_the_number() {
     let lowered = view(60, 40);
     for (what, view) in [
-        ("a suspect", FleetView { suspects: 1, ..lowered }),
-        ("few hold it", FleetView { holders: 50, ..lowered }),
+        (
+            "a suspect",
+            FleetView {
+                suspects: 1,
+                ..lowered
+            },
+        ),
+        (
+            "few hold it",
+            FleetView {
+                holders: 50,
+                ..lowered
+            },
+        ),
         ("a minority", view(50, 50)),
-        ("doubt", FleetView { doubt: true, ..lowered }),
+        (
+            "doubt",
+            FleetView {
+                doubt: true,
+                ..lowered
+            },
+        ),
         ("never heard of", view(60, 0)),
     ] {
         let (mut rig, tell) = sender(100);
@@ -65,7 +105,14 @@
     // one that is never still
     let (mut rig, tell) = sender(100);
     for step in 0..100 {
-        assert_eq!(tell(&mut rig, STANDS / 2, Some(view(60 + step % 2, 40 - step % 2))), 100);
+        assert_eq!(
+            tell(
+                &mut rig,
+                STANDS / 2,
+                Some(view(60 + step % 2, 40 - step % 2))
+            ),
+            100
+        );
     }
 }
 
@@ -76,12 +123,24 @@
     assert_eq!(tell(&mut rig, STANDS, Some(view(60, 40))), 60);
     let mut settings = rig.sender.settings().clone();
     settings.senders = 80;
-    rig.sender.handle(rig.now, &[Event::Retuned(Box::new(settings))], &mut Vec::new());
-    assert_eq!(rig.sender.senders(), 60, "forty of them are known to be gone");
+    rig.sender.handle(
+        rig.now,
+        &[Event::Retuned(Box::new(settings))],
+        &mut Vec::new(),
+    );
+    assert_eq!(
+        rig.sender.senders(),
+        60,
+        "forty of them are known to be gone"
+    );
     let (mut rig, _) = sender(100);
     let mut settings = rig.sender.settings().clone();
     settings.senders = 80;
-    rig.sender.handle(rig.now, &[Event::Retuned(Box::new(settings))], &mut Vec::new());
+    rig.sender.handle(
+        rig.now,
+        &[Event::Retuned(Box::new(settings))],
+        &mut Vec::new(),
+    );
     assert_eq!(rig.sender.senders(), 80);
 }
 
@@ -106,8 +165,11 @@
             let after = Micros::from(below(8)) * SECOND;
             let now = tell(&mut rig, after, Some(view));
             let seen = |view: FleetView| FleetView { holders: 0, ..view };
-            held =
-                Some((view, held.filter(|(old, _)| seen(*old) == seen(view)).map_or(rig.now, |(_, at)| at)));
+            held = Some((
+                view,
+                held.filter(|(old, _)| seen(*old) == seen(view))
+                    .map_or(rig.now, |(_, at)| at),
+            ));
             let stood = held.is_some_and(|(_, since)| rig.now - since >= STANDS);
             assert!(now >= view.living.min(before), "{view:?}: {now}");
             if now < before && now < configured {
@@ -140,15 +202,19 @@
                 let before = rig.sends.len();
                 rig.run(begin + id as Micros * SECOND + step * SECOND / 20);
                 let new: Vec<u64> = rig.sends[before..].iter().map(|send| send.1).collect();
-                new.iter()
-                    .for_each(|&id| drop(rig.end(id, Outcome::Refused { wait: None }, 10 * MILLISECOND)));
+                new.iter().for_each(|&id| {
+                    drop(rig.end(id, Outcome::Refused { wait: None }, 10 * MILLISECOND))
+                });
             }
         }
         rig.sends.len() as f64
     };
     let (all, left) = (tries(None), tries(Some(view(11, 9))));
     let ratio = left / all;
-    assert!((1.5..=2.1).contains(&ratio), "{left} for {all} tries, 20/11 wanted");
+    assert!(
+        (1.5..=2.1).contains(&ratio),
+        "{left} for {all} tries, 20/11 wanted"
+    );
 }
 
 #[test]
@@ -157,11 +223,17 @@
     let sent = |views: [Option<FleetView>; 2]| {
         let mut settings = settings(20);
         (settings.senders, settings.weight_trust) = (20, 1.0);
-        let entries = vec![Entry { weight: 40.0, ..entry(1, 7) }];
+        let entries = vec![Entry {
+            weight: 40.0,
+            ..entry(1, 7)
+        }];
         let mut rig = Rig::new(settings, entries.clone());
         rig.tell(vec![Event::Fleet(views[0])]);
         rig.run(T0 + 2 * STANDS);
-        rig.tell(vec![Event::Listed { listing: Listing::Full, entries }]);
+        rig.tell(vec![Event::Listed {
+            listing: Listing::Full,
+            entries,
+        }]);
         rig.tell(vec![Event::Fleet(views[1])]);
         rig.tell(vec![message(1, FREE, 7)]);
         rig.end(1, Outcome::Refused { wait: None }, 10 * MILLISECOND);
@@ -171,12 +243,20 @@
             let before = rig.sends.len();
             rig.run(begin + step * 20 * MILLISECOND);
             let new: Vec<u64> = rig.sends[before..].iter().map(|send| send.1).collect();
-            new.iter().for_each(|&id| drop(rig.end(id, Outcome::Success, 10 * MILLISECOND)));
+            new.iter()
+                .for_each(|&id| drop(rig.end(id, Outcome::Success, 10 * MILLISECOND)));
         }
         rig.sends.iter().filter(|send| send.0 > begin).count()
     };
     let few = Some(view(11, 9));
-    let (never, gone, back) = (sent([None, None]), sent([few, few]), sent([few, Some(view(20, 0))]));
-    assert!(gone > never, "{gone} by one of eleven, {never} by one of twenty");
+    let (never, gone, back) = (
+        sent([None, None]),
+        sent([few, few]),
+        sent([few, Some(view(20, 0))]),
+    );
+    assert!(
+        gone > never,
+        "{gone} by one of eleven, {never} by one of twenty"
+    );
     assert_eq!(back, never, "as if they had never been gone");
 }
--- a/tests/freeze.rs
+++ b/tests/freeze.rs
@@ -14,7 +14,10 @@
 }
 
 fn now_s() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs() as i64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970")
+        .as_secs() as i64
 }
 
 /// A civil time in UTC, so many seconds from now.
@@ -27,10 +30,18 @@
     let year = (day - day / 1460 + day / 36_524 - day / 146_096) / 365;
     let day = day - (365 * year + year / 4 - year / 100);
     let month = (5 * day + 2) / 153;
-    let (day, month, turned) =
-        (day - (153 * month + 2) / 5 + 1, (month + 2) % 12 + 1, i64::from(month >= 10));
+    let (day, month, turned) = (
+        day - (153 * month + 2) / 5 + 1,
+        (month + 2) % 12 + 1,
+        i64::from(month >= 10),
+    );
     let year = year + era * 400 + turned;
-    format!("{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}", rest / 3600, rest / 60 % 60, rest % 60)
+    format!(
+        "{year:04}-{month:02}-{day:02}T{:02}:{:02}:{:02}",
+        rest / 3600,
+        rest / 60 % 60,
+        rest % 60
+    )
 }
 
 fn calendar(begin: i64, end: i64) -> Value {
@@ -43,7 +54,9 @@
 }
 
 fn status(registry: &Registry, method: &str, path: &str, body: &Value) -> u16 {
-    registry.ask(method, path, body).map_or(0, |(status, _)| status)
+    registry
+        .ask(method, path, body)
+        .map_or(0, |(status, _)| status)
 }
 
 fn report(node: &Node) -> Value {
@@ -67,23 +80,51 @@
     registry.list("s-2", &two, 7);
     // this discovery knows no calendar
     let entry = |uid, endpoint: &Endpoint, state| (uid, endpoint.address, "one", 7, state);
-    let agent = Agent::new(vec![list(&[entry("s-1", &one, "up"), entry("s-2", &two, "up")])]);
+    let agent = Agent::new(vec![list(&[
+        entry("s-1", &one, "up"),
+        entry("s-2", &two, "up"),
+    ])]);
     let nodes = [sender(&agent, &registry), sender(&agent, &registry)];
-    wait_until("both know the calendar", || nodes.iter().all(|node| report(node)["calendar"] == 0));
+    wait_until("both know the calendar", || {
+        nodes.iter().all(|node| report(node)["calendar"] == 0)
+    });
     registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
     wait_until("the window is on everywhere", || {
-        nodes.iter().all(|node| report(node)["on"]["term"]["owner"] == "lan")
+        nodes
+            .iter()
+            .all(|node| report(node)["on"]["term"]["owner"] == "lan")
     });
     // at the registry
     let added = target("127.0.0.1:9".parse().expect("an address"));
     assert_eq!(status(&registry, "PUT", "/v1/endpoints/s-3", &added), 409);
-    assert_eq!(status(&registry, "POST", "/v1/endpoints/s-1/drain", &Value::Null), 200);
-    assert_eq!(status(&registry, "POST", "/v1/endpoints/s-2/drain", &Value::Null), 409);
-    assert_eq!(status(&registry, "POST", "/v1/endpoints/s-2/drain?force=1", &Value::Null), 200);
+    assert_eq!(
+        status(&registry, "POST", "/v1/endpoints/s-1/drain", &Value::Null),
+        200
+    );
+    assert_eq!(
+        status(&registry, "POST", "/v1/endpoints/s-2/drain", &Value::Null),
+        409
+    );
+    assert_eq!(
+        status(
+            &registry,
+            "POST",
+            "/v1/endpoints/s-2/drain?force=1",
+            &Value::Null
+        ),
+        200
+    );
     // at each sender: the new endpoint is held, the drain in the same news is obeyed
     let three = Endpoint::new(|_, _| OK);
-    agent.tell(changes(8, &[entry("s-3", &three, "up"), entry("s-1", &one, "draining")]));
-    wait_until("held", || nodes.iter().all(|node| report(node)["held"] == json!(["s-3"])));
+    agent.tell(changes(
+        8,
+        &[entry("s-3", &three, "up"), entry("s-1", &one, "draining")],
+    ));
+    wait_until("held", || {
+        nodes
+            .iter()
+            .all(|node| report(node)["held"] == json!(["s-3"]))
+    });
     let before = one.count();
     for (n, node) in (0..8).zip(nodes.iter().cycle()) {
         sent(node, &format!("m{n}"), 7);
@@ -91,40 +132,76 @@
     assert_eq!((one.count() - before, three.count()), (0, 0));
     assert!(two.count() >= 8);
     // an upgrade goes on holding it
-    *agent.lines.lock().expect("not poisoned") =
-        vec![list(&[entry("s-1", &one, "draining"), entry("s-2", &two, "up"), entry("s-3", &three, "up")])];
+    *agent.lines.lock().expect("not poisoned") = vec![list(&[
+        entry("s-1", &one, "draining"),
+        entry("s-2", &two, "up"),
+        entry("s-3", &three, "up"),
+    ])];
     let next = nodes[0].successor_as_configured().ready();
-    wait_until("the next process holds it too", || report(&next)["held"] == json!(["s-3"]));
+    wait_until("the next process holds it too", || {
+        report(&next)["held"] == json!(["s-3"])
+    });
     // broken glass by two, for this destination
     let glass = |by: &[&str]| {
         json!({ "by": by, "reason": "s-2 fails", "scope": { "destinations": [7] },
             "until_ms": (now_s() + 600) * 1000 })
     };
-    assert_eq!(status(&registry, "POST", "/v1/freeze/glass", &glass(&["lan"])), 400);
-    assert_eq!(status(&registry, "POST", "/v1/freeze/glass", &glass(&["lan", "minh"])), 200);
-    wait_until("admitted", || [&next, &nodes[1]].iter().all(|node| report(node)["held"] == json!([])));
+    assert_eq!(
+        status(&registry, "POST", "/v1/freeze/glass", &glass(&["lan"])),
+        400
+    );
+    assert_eq!(
+        status(
+            &registry,
+            "POST",
+            "/v1/freeze/glass",
+            &glass(&["lan", "minh"])
+        ),
+        200
+    );
+    wait_until("admitted", || {
+        [&next, &nodes[1]]
+            .iter()
+            .all(|node| report(node)["held"] == json!([]))
+    });
     wait_until("used", || {
         sent(&next, &format!("g{}", three.count() + two.count()), 7);
         three.count() > 0
     });
-    assert_eq!(status(&registry, "PUT", "/v1/endpoints/s-3", &target(three.address)), 200);
-    assert_eq!(status(&registry, "DELETE", "/v1/freeze/glass", &Value::Null), 200);
+    assert_eq!(
+        status(
+            &registry,
+            "PUT",
+            "/v1/endpoints/s-3",
+            &target(three.address)
+        ),
+        200
+    );
+    assert_eq!(
+        status(&registry, "DELETE", "/v1/freeze/glass", &Value::Null),
+        200
+    );
     assert_eq!(status(&registry, "PUT", "/v1/endpoints/s-4", &added), 409);
 }
 
 #[test]
-fn a_sender_that_hears_no_more_goes_by_the_windows_it_knows_and_one_that_knows_none_holds_for_its_time() {
+fn a_sender_that_hears_no_more_goes_by_the_windows_it_knows_and_one_that_knows_none_holds_for_its_time()
+ {
     let one = Endpoint::new(|_, _| OK);
     let mut registry = registry();
     // written while the registry could be asked: on in some seconds, for as long again
-    wait_until("it answers", || status(&registry, "GET", "/v1/freeze", &Value::Null) == 200);
+    wait_until("it answers", || {
+        status(&registry, "GET", "/v1/freeze", &Value::Null) == 200
+    });
     registry.until("PUT", "/v1/freeze", &calendar(14, 3600));
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
     let node = sender(&agent, &registry);
     wait_until("it knows the calendar", || report(&node)["calendar"] == 1);
     assert_eq!(report(&node)["on"], json!({}));
     registry.kill();
-    wait_until("the window begins without a word", || report(&node)["on"]["term"].is_object());
+    wait_until("the window begins without a word", || {
+        report(&node)["on"]["term"].is_object()
+    });
     agent.tell(changes(8, &[("s-2", one.address, "one", 7, "up")]));
     wait_until("held", || report(&node)["held"] == json!(["s-2"]));
     wait_until("it says so", || node.logged("freeze: s-2 is held"));
@@ -134,21 +211,34 @@
     let new = sender(&agent, &registry);
     sent(&new, "m1", 7);
     wait_until("held at first", || new.logged("freeze: s-2 is held"));
-    wait_until("admitted after its time", || new.logged("freeze: s-2 is admitted"));
+    wait_until("admitted after its time", || {
+        new.logged("freeze: s-2 is admitted")
+    });
 }
 
 #[test]
 fn without_the_object_nothing_is_held_and_nothing_asked() {
     let one = Endpoint::new(|_, _| OK);
     let registry = registry();
-    wait_until("it answers", || status(&registry, "GET", "/v1/freeze", &Value::Null) == 200);
+    wait_until("it answers", || {
+        status(&registry, "GET", "/v1/freeze", &Value::Null) == 200
+    });
     registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
-    assert_eq!((node.operate("GET /freeze", ""), node.operate("POST /freeze", "")), (404, 405));
+    assert_eq!(
+        (
+            node.operate("GET /freeze", ""),
+            node.operate("POST /freeze", "")
+        ),
+        (404, 405)
+    );
     agent.tell(changes(
         8,
-        &[("s-1", one.address, "one", 7, "draining"), ("s-2", one.address, "one", 7, "up")],
+        &[
+            ("s-1", one.address, "one", 7, "draining"),
+            ("s-2", one.address, "one", 7, "up"),
+        ],
     ));
     sent(&node, "m1", 7);
     assert!(!node.logged("freeze"));
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -23,16 +23,27 @@
     let mut rig = Rig::new(settings(8), two_destinations());
     warm(&mut rig);
     rig.tell((0..8).map(|id| message(id, FREE, 7)).collect());
-    let sent: Vec<u64> = rig.sends.iter().filter(|send| send.1 < 8).map(|send| send.1).collect();
+    let sent: Vec<u64> = rig
+        .sends
+        .iter()
+        .filter(|send| send.1 < 8)
+        .map(|send| send.1)
+        .collect();
     assert!(sent.len() >= 2);
     rig.run(rig.now + 4 * SECOND);
-    assert!(sent.iter().all(|&id| rig.cancels(id) == 1), "all calls without a sign of life are called off");
+    assert!(
+        sent.iter().all(|&id| rig.cancels(id) == 1),
+        "all calls without a sign of life are called off"
+    );
 }
 
 #[test]
 fn a_call_that_is_lost_alone_is_called_off_though_others_are_answered() {
     let mut settings = settings(40);
-    settings.classes[KEYED].effect = Effect::Keyed { window: 20 * SECOND, zone_only: false };
+    settings.classes[KEYED].effect = Effect::Keyed {
+        window: 20 * SECOND,
+        zone_only: false,
+    };
     let mut rig = Rig::new(settings, vec![entry(1, 7)]);
     rig.tell(vec![message(1, KEYED, 7), message(2, UNSAFE, 7)]);
     for id in 10..28 {
@@ -43,7 +54,11 @@
             assert_eq!(rig.cancels(1), 0, "a long call is let be");
         }
     }
-    assert_eq!((rig.cancels(1), rig.cancels(2)), (1, 0), "an unsafe one only when slots are scarce");
+    assert_eq!(
+        (rig.cancels(1), rig.cancels(2)),
+        (1, 0),
+        "an unsafe one only when slots are scarce"
+    );
     rig.end(1, Outcome::Cancelled, 3 * SECOND);
     rig.run(rig.now + SECOND);
     assert_eq!(rig.sends_of(1).len(), 2, "it goes again");
@@ -55,7 +70,11 @@
     for (slots, scarce) in [(4, true), (40, false)] {
         let mut rig = Rig::new(settings(slots), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
         warm(&mut rig);
-        rig.tell(vec![message(1, FREE, 7), message(2, UNSAFE, 8), message(3, FREE, 9)]);
+        rig.tell(vec![
+            message(1, FREE, 7),
+            message(2, UNSAFE, 8),
+            message(3, FREE, 9),
+        ]);
         assert_eq!(rig.sends.iter().filter(|send| send.1 <= 3).count(), 3);
         let sent = rig.now;
         for id in 10..16 {
@@ -66,8 +85,16 @@
                 assert_eq!(rig.cancels(1), 0, "a long call is let be");
             }
         }
-        assert_eq!(rig.cancels(1) == 1, scarce, "{slots} slots, five times the usual latency");
-        assert_eq!((rig.cancels(2), rig.cancels(3)), (0, 0), "an unsafe one, and one that none overtook");
+        assert_eq!(
+            rig.cancels(1) == 1,
+            scarce,
+            "{slots} slots, five times the usual latency"
+        );
+        assert_eq!(
+            (rig.cancels(2), rig.cancels(3)),
+            (0, 0),
+            "an unsafe one, and one that none overtook"
+        );
     }
 }
 
@@ -75,7 +102,10 @@
 fn unsafe_calls_are_called_off_only_when_slots_are_scarce() {
     // Round 2: unsafe calls to a silent destination held their slots to long deadlines.
     for (slots, scarce) in [(4, true), (40, false)] {
-        let mut rig = Rig::new(settings(slots), (1..=3).map(|n| entry(n, u64::from(n))).collect());
+        let mut rig = Rig::new(
+            settings(slots),
+            (1..=3).map(|n| entry(n, u64::from(n))).collect(),
+        );
         rig.tell((1..=3).map(|n| message(n, UNSAFE, n)).collect());
         assert_eq!(rig.sends.len(), 3);
         rig.run(T0 + 10 * SECOND);
@@ -92,7 +122,11 @@
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(rig.now + 500 * MILLISECOND);
     rig.tell(vec![message(2, UNSAFE, 7), message(3, UNSAFE, 8)]);
-    assert_eq!(rig.sends_of(2).len(), 0, "destination 7 has answered nothing for long");
+    assert_eq!(
+        rig.sends_of(2).len(),
+        0,
+        "destination 7 has answered nothing for long"
+    );
     assert_eq!(rig.sends_of(3).len(), 1);
     rig.end(1, Outcome::Success, 500 * MILLISECOND);
     assert_eq!(rig.sends_of(2).len(), 1);
@@ -109,7 +143,12 @@
         // of each destination, one call in a while is answered: never silent, only slow
         if step % 5 == 4 {
             for endpoint in [1, 2] {
-                let out = rig.sends.iter().filter(|s| s.1 < 30 && s.2 == endpoint).map(|s| s.1).next_back();
+                let out = rig
+                    .sends
+                    .iter()
+                    .filter(|s| s.1 < 30 && s.2 == endpoint)
+                    .map(|s| s.1)
+                    .next_back();
                 if let Some(id) = out {
                     rig.end(id, Outcome::Success, 1_500 * MILLISECOND);
                 }
@@ -117,7 +156,11 @@
         }
     }
     rig.tell(vec![message(90, FREE, 9)]);
-    assert_eq!(rig.sends_of(90).len(), 1, "a healthy destination finds a slot");
+    assert_eq!(
+        rig.sends_of(90).len(),
+        1,
+        "a healthy destination finds a slot"
+    );
 }
 
 #[test]
@@ -125,7 +168,9 @@
     let mut rig = Rig::new(settings(40), (1..=5).map(|n| entry(n, 7)).collect());
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(T0 + 3_900 * MILLISECOND);
-    assert!(rig.count(|action| matches!(action, Action::Log(line) if line.contains("silent"))) == 0);
+    assert!(
+        rig.count(|action| matches!(action, Action::Log(line) if line.contains("silent"))) == 0
+    );
 }
 
 #[test]
@@ -143,13 +188,24 @@
     let start = rig.now;
     rig.tell((100..140).map(|id| message(id, FREE, 7)).collect());
     while rig.now < start + 3 * SECOND {
-        let out: Vec<_> = rig.sends.iter().filter(|s| s.0 == rig.now && s.1 < 1000).copied().collect();
+        let out: Vec<_> = rig
+            .sends
+            .iter()
+            .filter(|s| s.0 == rig.now && s.1 < 1000)
+            .copied()
+            .collect();
         rig.now += 20 * MILLISECOND;
-        let ends = out.iter().map(|s| ended(s.1, s.3, s.2, Outcome::Success, 20 * MILLISECOND)).collect();
+        let ends = out
+            .iter()
+            .map(|s| ended(s.1, s.3, s.2, Outcome::Success, 20 * MILLISECOND))
+            .collect();
         rig.tell(ends);
     }
     let sent = rig.sends.iter().filter(|s| s.1 >= 100 && s.1 < 200).count();
-    assert!(sent >= 12, "{sent} in 3 s at a destination that served 10 a second");
+    assert!(
+        sent >= 12,
+        "{sent} in 3 s at a destination that served 10 a second"
+    );
 }
 
 #[test]
@@ -162,8 +218,14 @@
     rig.tell((0..400).map(|id| message(id, FREE, 7)).collect());
     let mut counts = [0usize; 2];
     for step in 0..500 {
-        let out: Vec<_> = rig.sends.iter().filter(|s| s.0 == rig.now).copied().collect();
-        counts[usize::from(step >= 50)] += usize::from((25..50).contains(&step) || step >= 475) * out.len();
+        let out: Vec<_> = rig
+            .sends
+            .iter()
+            .filter(|s| s.0 == rig.now)
+            .copied()
+            .collect();
+        counts[usize::from(step >= 50)] +=
+            usize::from((25..50).contains(&step) || step >= 475) * out.len();
         rig.now += 40 * MILLISECOND;
         let ends = out.iter().map(|s| {
             let mut end = ended(s.1, s.3, s.2, Outcome::Success, 40 * MILLISECOND);
@@ -177,7 +239,10 @@
     }
     // in the second second still near its share of two a second, in the last one near the whole limit
     assert!(counts[0] <= 8, "starts from the even share: {counts:?}");
-    assert!(counts[1] >= 10 && counts[1] <= 17, "grows, but not past the limit: {counts:?}");
+    assert!(
+        counts[1] >= 10 && counts[1] <= 17,
+        "grows, but not past the limit: {counts:?}"
+    );
 }
 
 #[test]
@@ -188,16 +253,35 @@
     let fail_until = rig.now + 10 * SECOND;
     let heal = fail_until + 20 * SECOND;
     while rig.now < heal {
-        let out: Vec<_> = rig.sends.iter().filter(|s| s.0 == rig.now && s.1 < 200).copied().collect();
+        let out: Vec<_> = rig
+            .sends
+            .iter()
+            .filter(|s| s.0 == rig.now && s.1 < 200)
+            .copied()
+            .collect();
         rig.now += 20 * MILLISECOND;
-        let result = if rig.now < fail_until { Outcome::Error } else { Outcome::Success };
-        let ends = out.iter().map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND)).collect();
+        let result = if rig.now < fail_until {
+            Outcome::Error
+        } else {
+            Outcome::Success
+        };
+        let ends = out
+            .iter()
+            .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
+            .collect();
         rig.tell(ends);
     }
-    let within =
-        |from: Micros, to: Micros| rig.sends.iter().filter(|s| s.1 < 200 && s.0 >= from && s.0 < to).count();
+    let within = |from: Micros, to: Micros| {
+        rig.sends
+            .iter()
+            .filter(|s| s.1 < 200 && s.0 >= from && s.0 < to)
+            .count()
+    };
     let sick = within(fail_until - 6 * SECOND, fail_until);
-    assert!((2..=4).contains(&sick), "one call in each fall span: {sick}");
+    assert!(
+        (2..=4).contains(&sick),
+        "one call in each fall span: {sick}"
+    );
     let cold = within(fail_until, fail_until + 4 * SECOND);
     let warm = within(fail_until + 10 * SECOND, fail_until + 14 * SECOND);
     assert!(cold <= 16 && warm > 2 * cold, "cold {cold}, warm {warm}");
@@ -218,7 +302,13 @@
 
 #[test]
 fn bundles_fill_one_call() {
-    let mut rig = Rig::new(settings(4), vec![Entry { kind: 2, ..entry(1, 7) }]);
+    let mut rig = Rig::new(
+        settings(4),
+        vec![Entry {
+            kind: 2,
+            ..entry(1, 7)
+        }],
+    );
     rig.tell((0..5).map(|id| message(id, FREE, 7)).collect());
     assert_eq!(rig.sends.len(), 5, "window 1, one call of five");
     rig.tell((5..8).map(|id| message(id, FREE, 7)).collect());
@@ -238,21 +328,48 @@
     let open = rig.now + 2 * SECOND;
     let mut sent = 0;
     while rig.now < open + 6 * SECOND {
-        let out: Vec<_> = rig.sends.iter().filter(|s| s.0 == rig.now && s.1 < 300).copied().collect();
+        let out: Vec<_> = rig
+            .sends
+            .iter()
+            .filter(|s| s.0 == rig.now && s.1 < 300)
+            .copied()
+            .collect();
         rig.now += 20 * MILLISECOND;
-        let result = if rig.now < open { Outcome::Refused { wait: None } } else { Outcome::Success };
-        sent += if rig.now > open + 2 * SECOND { out.len() } else { 0 };
-        let ends = out.iter().map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND)).collect();
+        let result = if rig.now < open {
+            Outcome::Refused { wait: None }
+        } else {
+            Outcome::Success
+        };
+        sent += if rig.now > open + 2 * SECOND {
+            out.len()
+        } else {
+            0
+        };
+        let ends = out
+            .iter()
+            .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
+            .collect();
         rig.tell(ends);
     }
-    assert_eq!(rig.count(|a| matches!(a, Action::Log(line) if line.contains("shut"))), 1);
-    assert!(sent >= 30, "{sent} in 4 s at a destination that served up to 20 a second");
+    assert_eq!(
+        rig.count(|a| matches!(a, Action::Log(line) if line.contains("shut"))),
+        1
+    );
+    assert!(
+        sent >= 30,
+        "{sent} in 4 s at a destination that served up to 20 a second"
+    );
 }
 
 #[test]
 fn a_bundle_is_filled_before_another_endpoint_gets_a_call() {
     // Round 9 (i8e33e4): with two endpoints the second message opened a call of its own.
-    let entries = (1..=3).map(|n| Entry { kind: 2, ..entry(n, 7) }).collect();
+    let entries = (1..=3)
+        .map(|n| Entry {
+            kind: 2,
+            ..entry(n, 7)
+        })
+        .collect();
     let mut rig = Rig::new(settings(40), entries);
     rig.tell((0..5).map(|id| message(id, FREE, 7)).collect());
     assert!(rig.sends.len() == 5 && rig.sends.iter().all(|send| send.2 == rig.sends[0].2));
@@ -277,12 +394,26 @@
         rig.run(rig.now + 100 * MILLISECOND);
         let fails = |call: &(Micros, u64, u32, usize)| call.1 < 500 && call.2 == bad;
         lost[usize::from(step >= 40)] += calls.iter().filter(|call| fails(call)).count();
-        let outcome = |call| if fails(call) { Outcome::Error } else { Outcome::Success };
-        rig.tell(calls.iter().map(|c| ended(c.1, c.3, c.2, outcome(c), 100 * MILLISECOND)).collect());
+        let outcome = |call| {
+            if fails(call) {
+                Outcome::Error
+            } else {
+                Outcome::Success
+            }
+        };
+        rig.tell(
+            calls
+                .iter()
+                .map(|c| ended(c.1, c.3, c.2, outcome(c), 100 * MILLISECOND))
+                .collect(),
+        );
     }
     let unsafe_sends = rig.sends.iter().filter(|send| send.1 < 500).count();
     assert!(unsafe_sends >= 60, "{unsafe_sends} unsafe messages sent");
-    assert!(lost[0] >= 1 && lost[1] <= 8, "lost to the failing endpoint: {lost:?}");
+    assert!(
+        lost[0] >= 1 && lost[1] <= 8,
+        "lost to the failing endpoint: {lost:?}"
+    );
 }
 
 #[test]
@@ -294,7 +425,10 @@
         settings.kinds.retain(|kind| kind.bundle_max == 1);
         Sender::new(settings, 11).expect("settings make sense")
     };
-    rig.tell(vec![Event::Listed { listing: Listing::Full, entries: two_destinations() }]);
+    rig.tell(vec![Event::Listed {
+        listing: Listing::Full,
+        entries: two_destinations(),
+    }]);
     rig.tell(vec![Event::Disabled(EndpointId(1))]);
     rig.tell((0..300).map(|id| message(id, FREE, 7)).collect());
     assert_eq!((rig.sender.weighed(), rig.sends.len()), (0, 0));
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -17,11 +17,17 @@
 fn registry() -> Registry {
     let lease = LEASE.as_millis();
     let floors = format!("floors = {{ rate = {FLOOR} }}");
-    Registry::new(&[], &format!("[ledger]\nlease_ms = {lease}\nsenders = {SENDERS}\n{floors}\n"))
+    Registry::new(
+        &[],
+        &format!("[ledger]\nlease_ms = {lease}\nsenders = {SENDERS}\n{floors}\n"),
+    )
 }
 
 fn sender(registry: &Registry, name: &str) -> Node {
-    registry.sender(name, &format!(r#""ledger":{{"senders":{SENDERS},"floors":{{"rate":{FLOOR}}}}},"#))
+    registry.sender(
+        name,
+        &format!(r#""ledger":{{"senders":{SENDERS},"floors":{{"rate":{FLOOR}}}}},"#),
+    )
 }
 
 fn set(registry: &Registry, total: u64) {
@@ -83,9 +89,15 @@
     let span = Duration::from_millis(2500);
     let (calls, time) = press(&nodes, &endpoint, 2 * LEASE, span);
     assert!(calls <= most(20.0, time), "{calls} calls in {time} s");
-    assert!(calls as f64 > 20.0 * time / 3.0, "{calls} calls in {time} s");
+    assert!(
+        calls as f64 > 20.0 * time / 3.0,
+        "{calls} calls in {time} s"
+    );
     let parts: u64 = nodes.iter().filter_map(|node| part(node)).sum();
-    assert!(parts + u64::from(SENDERS) * FLOOR <= 20_000, "{parts} dealt");
+    assert!(
+        parts + u64::from(SENDERS) * FLOOR <= 20_000,
+        "{parts} dealt"
+    );
     // lowered: within a lease and its drift all go by it
     set(&registry, 5_000);
     let (calls, time) = press(&nodes, &endpoint, LEASE + LEASE / 4, span);
@@ -94,13 +106,18 @@
     registry.kill();
     let (calls, time) = press(&nodes, &endpoint, LEASE + LEASE / 4, span);
     let floors = f64::from(SENDERS) * FLOOR as f64 / 1000.0;
-    assert!((1..=most(floors, time)).contains(&calls), "{calls} calls in {time} s");
+    assert!(
+        (1..=most(floors, time)).contains(&calls),
+        "{calls} calls in {time} s"
+    );
     assert!(nodes.iter().all(|node| part(node).is_none()));
     // it comes back and deals only once all that it may have dealt before has lapsed
     registry.start();
     wait_until("parts are had again", || {
         press(&nodes, &endpoint, Duration::ZERO, LEASE / 4);
-        nodes.iter().any(|node| part(node).is_some_and(|part| part > 0))
+        nodes
+            .iter()
+            .any(|node| part(node).is_some_and(|part| part > 0))
     });
     assert!(nodes.iter().any(|node| node.logged("ledger: no parts")));
 }
@@ -135,17 +152,39 @@
     registry.list("s-1", &endpoint, 7);
     set(&registry, 20_000);
     let other = registry.sender("a", r#""ledger":{"senders":4,"floors":{"rate":500}},"#);
-    wait_until("it is told why", || other.logged("the floor is not the one that is agreed here"));
+    wait_until("it is told why", || {
+        other.logged("the floor is not the one that is agreed here")
+    });
     assert_eq!(report(&other)["granted"], 0);
     let off = registry.sender("b", "");
-    assert_eq!((off.operate("GET /ledger", ""), off.operate("POST /ledger", "")), (404, 405));
+    assert_eq!(
+        (
+            off.operate("GET /ledger", ""),
+            off.operate("POST /ledger", "")
+        ),
+        (404, 405)
+    );
     assert!(!off.logged("ledger"));
-    let limits = registry.ask("GET", "/v1/limits", &Value::Null).expect("an answer").1;
-    assert_eq!((&limits["lives"], &limits["limits"]["rate/7"]["total"]), (&json!(0), &json!(20_000)));
+    let limits = registry
+        .ask("GET", "/v1/limits", &Value::Null)
+        .expect("an answer")
+        .1;
+    assert_eq!(
+        (&limits["lives"], &limits["limits"]["rate/7"]["total"]),
+        (&json!(0), &json!(20_000))
+    );
     // a no names its code and what can be done
-    let (status, _) = registry.ask("PUT", "/v1/limits/rate/7", &json!({ "total": 1499 })).expect("an answer");
+    let (status, _) = registry
+        .ask("PUT", "/v1/limits/rate/7", &json!({ "total": 1499 }))
+        .expect("an answer");
     assert_eq!(status, 409);
-    assert_eq!(registry.ask("PUT", "/v1/limits/out/7", &json!({ "total": 9 })).expect("an answer").0, 400);
+    assert_eq!(
+        registry
+            .ask("PUT", "/v1/limits/out/7", &json!({ "total": 9 }))
+            .expect("an answer")
+            .0,
+        400
+    );
 }
 
 #[test]
@@ -161,7 +200,9 @@
     let nodes = ["a", "b", "c"].map(|name| sender(&registry, name));
     let verdict = |node: &Node| {
         let report = report(node);
-        report["verdicts"].as_array().and_then(|all| all.first().map(|verdict| verdict["out"].clone()))
+        report["verdicts"]
+            .as_array()
+            .and_then(|all| all.first().map(|verdict| verdict["out"].clone()))
     };
     // one alone is not believed
     up.store(false, Ordering::SeqCst);
