--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -20,7 +20,11 @@
 fn spread(figures: &mut [f64]) -> String {
     figures.sort_by(f64::total_cmp);
     let middle = figures[figures.len() / 2];
-    format!("{middle:.0} ({:.0} to {:.0})", figures[0], figures[figures.len() - 1])
+    format!(
+        "{middle:.0} ({:.0} to {:.0})",
+        figures[0],
+        figures[figures.len() - 1]
+    )
 }
 
 /// An endpoint that takes some milliseconds for each call.
@@ -36,8 +40,17 @@
     let endpoints: Vec<Endpoint> = (0..4).map(|_| working(10)).collect();
     let uids: Vec<String> = (0..4).map(|n| format!("s-{n}")).collect();
     // two destinations of two endpoints each
-    let entries: Vec<_> =
-        (0..4).map(|n| (uids[n].as_str(), endpoints[n].address, "one", n as u64 / 2, "up")).collect();
+    let entries: Vec<_> = (0..4)
+        .map(|n| {
+            (
+                uids[n].as_str(),
+                endpoints[n].address,
+                "one",
+                n as u64 / 2,
+                "up",
+            )
+        })
+        .collect();
     let agent = Agent::new(vec![list(&entries)]);
     let idle_s = if shape == "trickling" { 1.0 } else { 5.0 };
     let node = Node::of_program(program, &agent, idle_s).ready();
@@ -45,7 +58,13 @@
     let mut handed = 0;
     let mut hand_in = |count: usize| {
         for _ in 0..count {
-            let text = message("webhook", &format!("m{handed}"), handed as u64 % 2, 20_000, b"x");
+            let text = message(
+                "webhook",
+                &format!("m{handed}"),
+                handed as u64 % 2,
+                20_000,
+                b"x",
+            );
             assert_eq!(client.send(&text).expect("answered").0, 202);
             handed += 1;
         }
@@ -66,7 +85,10 @@
     }
     let delivered = || endpoints.iter().map(Endpoint::count).sum::<usize>();
     wait_until("all are delivered", || delivered() >= handed);
-    let dials: usize = endpoints.iter().map(|endpoint| endpoint.connections.load(Ordering::SeqCst)).sum();
+    let dials: usize = endpoints
+        .iter()
+        .map(|endpoint| endpoint.connections.load(Ordering::SeqCst))
+        .sum();
     dials as f64 * 1000.0 / handed as f64
 }
 
@@ -86,7 +108,10 @@
             println!("{shape}: {} of the one beside", spread(&mut theirs));
         }
         // one for each message would be no pool at all
-        assert!(shape == "trickling" || ours.iter().all(|&dials| dials < 300.0), "{shape}: {ours:?}");
+        assert!(
+            shape == "trickling" || ours.iter().all(|&dials| dials < 300.0),
+            "{shape}: {ours:?}"
+        );
     }
 }
 
@@ -104,7 +129,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         let cap = Arc::new(AtomicUsize::new(cap));
-        let capped = Capped { address, cap, open: Arc::default(), served: Arc::default() };
+        let capped = Capped {
+            address,
+            cap,
+            open: Arc::default(),
+            served: Arc::default(),
+        };
         let here = capped.clone();
         std::thread::spawn(move || here.accept(listener, time));
         capped
@@ -127,7 +157,10 @@
             if listener.is_none() {
                 listener = TcpListener::bind(self.address).ok();
             }
-            let Some((stream, _)) = listener.as_ref().and_then(|listener| listener.accept().ok()) else {
+            let Some((stream, _)) = listener
+                .as_ref()
+                .and_then(|listener| listener.accept().ok())
+            else {
                 sleep(millis(1));
                 continue;
             };
@@ -149,7 +182,10 @@
                 text.clear();
                 sleep(millis(time));
                 self.served.fetch_add(1, Ordering::SeqCst);
-                if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").is_err() {
+                if stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -164,8 +200,13 @@
     for learn in [true, false, true, false] {
         let endpoint = Capped::new(CAP, 100);
         let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
-        let node =
-            Node::configured(&agent, 60.0, 32, &format!(r#""pool":{{"learn_caps":{learn}}},"#)).ready();
+        let node = Node::configured(
+            &agent,
+            60.0,
+            32,
+            &format!(r#""pool":{{"learn_caps":{learn}}},"#),
+        )
+        .ready();
         let mut client = Client::new(&node);
         let refused = |node: &Node| {
             let failures = &pools(node)["totals"]["counts"]["dial_failures"];
@@ -178,7 +219,11 @@
                 // as many as four times the cap can do
                 for _ in 0..4 {
                     let text = message("webhook", &format!("m{handed}"), 7, 20_000, b"x");
-                    assert!(client.send(&text).is_some_and(|(status, _)| [202, 429, 503].contains(&status)));
+                    assert!(
+                        client
+                            .send(&text)
+                            .is_some_and(|(status, _)| [202, 429, 503].contains(&status))
+                    );
                     handed += 1;
                 }
                 sleep(millis(25));
@@ -188,10 +233,16 @@
         load(Duration::from_secs(5), Box::new(|| false));
         let (first, served) = (refused(&node), endpoint.served.load(Ordering::SeqCst));
         load(Duration::from_secs(5), Box::new(|| false));
-        let (second, both) = (refused(&node) - first, endpoint.served.load(Ordering::SeqCst));
+        let (second, both) = (
+            refused(&node) - first,
+            endpoint.served.load(Ordering::SeqCst),
+        );
         endpoint.cap.store(4 * CAP, Ordering::SeqCst);
         let here = endpoint.clone();
-        let time = load(Duration::from_secs(40), Box::new(move || here.open() >= 4 * CAP - 2));
+        let time = load(
+            Duration::from_secs(40),
+            Box::new(move || here.open() >= 4 * CAP - 2),
+        );
         println!(
             "learning {learn}: {first} connects refused in the first 5 s and {second} in the next, {served} and \
              {} served; {} connections {:.1} s after the cap rose to four times: {}",
@@ -212,13 +263,19 @@
     let node = Node::with(agent.address, 3.0, 60.0).ready();
     let mut figures = Vec::new();
     for round in 0..100_usize {
-        let uids: Vec<String> = (0..BATCH).map(|n| format!("s-{}", round * BATCH + n)).collect();
+        let uids: Vec<String> = (0..BATCH)
+            .map(|n| format!("s-{}", round * BATCH + n))
+            .collect();
         let version = 8 + 2 * round as u64;
         let entries = |state| -> Vec<_> {
-            uids.iter().map(|uid| (uid.as_str(), endpoint.address, "one", 2, state)).collect()
+            uids.iter()
+                .map(|uid| (uid.as_str(), endpoint.address, "one", 2, state))
+                .collect()
         };
         agent.tell(changes(version, &entries("up")));
-        wait_until("they are known", || pools(&node)["totals"]["endpoints"] == BATCH as u64 + 1);
+        wait_until("they are known", || {
+            pools(&node)["totals"]["endpoints"] == BATCH as u64 + 1
+        });
         for n in 0..10 {
             sent(&node, &format!("m{round}-{n}"), 2);
         }
@@ -232,6 +289,12 @@
     println!("kB of memory and descriptors after each thousand endpoints: {figures:?}");
     // what is remembered for a time, ids and endpoints lately gone, has reached its size by then
     let (then, last) = (figures[6], figures[9]);
-    assert!(last.0 < then.0 + then.0 / 20, "{then:?} after seven thousand, {last:?} at the end");
-    assert!(last.1 <= then.1 + 2, "{then:?} after seven thousand, {last:?} at the end");
+    assert!(
+        last.0 < then.0 + then.0 / 20,
+        "{then:?} after seven thousand, {last:?} at the end"
+    );
+    assert!(
+        last.1 <= then.1 + 2,
+        "{then:?} after seven thousand, {last:?} at the end"
+    );
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -10,20 +10,25 @@
 
 /// An address that is free now.
 fn free() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("an address")
+    UdpSocket::bind("127.0.0.1:0")
+        .and_then(|socket| socket.local_addr())
+        .expect("an address")
 }
 
 fn object(listen: SocketAddr, seeds: &[SocketAddr], more: &str) -> String {
     let seeds: Vec<String> = seeds.iter().map(|seed| format!(r#""{seed}""#)).collect();
     let seeds = seeds.join(",");
-    format!(r#""membership":{{"listen":"{listen}","fleet":"test","seeds":[{seeds}],"period_ms":50{more}}},"#)
+    format!(
+        r#""membership":{{"listen":"{listen}","fleet":"test","seeds":[{seeds}],"period_ms":50{more}}},"#
+    )
 }
 
 /// A sender of another name than the usual.
 fn member(agent: &Agent, name: &str, membership: &str) -> Node {
     let membership = format!(r#""name":"{name}",{membership}"#);
-    let node =
-        Node::configured_with(agent, |text| with_part(&text.replace(r#""name":"n1","#, ""), &membership));
+    let node = Node::configured_with(agent, |text| {
+        with_part(&text.replace(r#""name":"n1","#, ""), &membership)
+    });
     node.ready()
 }
 
@@ -35,23 +40,36 @@
     let report = members(node);
     let listed = report["members"].as_array().expect("a list");
     let found = listed.iter().find(|member| member["name"] == of);
-    found.and_then(|member| member["state"].as_str()).unwrap_or("unknown").to_string()
+    found
+        .and_then(|member| member["state"].as_str())
+        .unwrap_or("unknown")
+        .to_string()
 }
 
 #[test]
 fn without_the_object_nothing_of_it_starts() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
-    assert_eq!((node.operate("GET /members", ""), node.operate("POST /members", "")), (404, 405));
+    assert_eq!(
+        (
+            node.operate("GET /members", ""),
+            node.operate("POST /members", "")
+        ),
+        (404, 405)
+    );
     assert!(!node.logged("members"));
     assert!(!node.folder.join("state/members").exists());
-    let sockets = std::fs::read_to_string(format!("/proc/{}/net/udp", node.process.id())).expect("listed");
+    let sockets =
+        std::fs::read_to_string(format!("/proc/{}/net/udp", node.process.id())).expect("listed");
     let own = std::fs::read_dir(format!("/proc/{}/fd", node.process.id())).expect("it runs");
     let links: Vec<String> = own
         .flatten()
         .filter_map(|fd| Some(std::fs::read_link(fd.path()).ok()?.display().to_string()))
         .collect();
-    let udp = sockets.lines().skip(1).filter_map(|line| line.split_whitespace().nth(9));
+    let udp = sockets
+        .lines()
+        .skip(1)
+        .filter_map(|line| line.split_whitespace().nth(9));
     let mut held = udp.filter(|inode| links.contains(&format!("socket:[{inode}]")));
     assert_eq!(held.next(), None, "no datagram socket");
 }
@@ -72,7 +90,9 @@
         (&"a".into(), &2.into(), &2.into())
     );
     assert!(report["counts"]["datagrams_in"].as_u64() > Some(0));
-    assert!(one.logged(&format!("members: b alive (was unknown), incarnation 0, {b}")));
+    assert!(one.logged(&format!(
+        "members: b alive (was unknown), incarnation 0, {b}"
+    )));
     other.terminate();
     wait_until("it has left", || state(&one, "b") == "left");
     other.process.wait().expect("ended");
@@ -95,7 +115,9 @@
     wait_until("it is known", || state(&other, "a") == "alive");
     let new = old.successor_as_configured().ready();
     old.terminate();
-    wait_until("the next process has the place", || new.logged("members: a at"));
+    wait_until("the next process has the place", || {
+        new.logged("members: a at")
+    });
     wait_until("it knows the other", || state(&new, "b") == "alive");
     assert_eq!(state(&other, "a"), "alive");
     for never in ["a dead", "a left"] {
@@ -109,17 +131,40 @@
     let agent = one(&endpoint);
     let address = free();
     for (more, told) in [
-        (r#","perriod_ms":5"#, "membership: unknown field `perriod_ms`"),
-        (r#","helpers":0"#, "membership.helpers is not a number from 1 to 8"),
-        (r#","key_file":"/nowhere/key""#, "membership.key_file: /nowhere/key"),
+        (
+            r#","perriod_ms":5"#,
+            "membership: unknown field `perriod_ms`",
+        ),
+        (
+            r#","helpers":0"#,
+            "membership.helpers is not a number from 1 to 8",
+        ),
+        (
+            r#","key_file":"/nowhere/key""#,
+            "membership.key_file: /nowhere/key",
+        ),
     ] {
         let folder = fresh_folder();
-        let text = with_part(&config(agent.address, 3.0, 5.0, 1024), &object(address, &[], more));
+        let text = with_part(
+            &config(agent.address, 3.0, 5.0, 1024),
+            &object(address, &[], more),
+        );
         std::fs::write(folder.join("config.json"), text).expect("written");
-        let mut process = command(&folder).stderr(Stdio::piped()).spawn().expect("it starts");
+        let mut process = command(&folder)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
         let mut said = String::new();
-        process.stderr.take().expect("piped").read_to_string(&mut said).expect("it ends");
-        assert!(!process.wait().expect("ended").success() && said.contains(told), "{more}: {said}");
+        process
+            .stderr
+            .take()
+            .expect("piped")
+            .read_to_string(&mut said)
+            .expect("it ends");
+        assert!(
+            !process.wait().expect("ended").success() && said.contains(told),
+            "{more}: {said}"
+        );
     }
     let good = object(address, &[], "");
     let node = Node::configured(&agent, 5.0, 8, &good).ready();
@@ -131,7 +176,9 @@
         node.hang_up();
     };
     bring(&object(address, &[], r#","helpers":0"#));
-    wait_until("it is refused", || node.logged("configuration left as it was: membership.helpers"));
+    wait_until("it is refused", || {
+        node.logged("configuration left as it was: membership.helpers")
+    });
     assert_eq!(node.operate("GET /members", ""), 200);
     bring("");
     wait_until("it is off", || node.operate("GET /members", "") == 404);
@@ -150,7 +197,12 @@
     wait_until("it is told", || node.logged("members: off until"));
     drop(taken);
     wait_until("it is on", || node.operate("GET /members", "") == 200);
-    let lines =
-        node.log.lock().expect("not poisoned").iter().filter(|line| line.contains("off until")).count();
+    let lines = node
+        .log
+        .lock()
+        .expect("not poisoned")
+        .iter()
+        .filter(|line| line.contains("off until"))
+        .count();
     assert_eq!(lines, 1);
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -8,8 +8,18 @@
 const MOST_CHARACTERS: usize = 110;
 
 fn files_of(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
-    entries.flat_map(|path| if path.is_dir() { files_of(&path) } else { vec![path] }).collect()
+    let entries = fs::read_dir(folder)
+        .expect("a folder")
+        .map(|entry| entry.expect("an entry").path());
+    entries
+        .flat_map(|path| {
+            if path.is_dir() {
+                files_of(&path)
+            } else {
+                vec![path]
+            }
+        })
+        .collect()
 }
 
 #[test]
@@ -21,9 +31,25 @@
     for file in files {
         let text = fs::read_to_string(&file).expect("text");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MOST_LINES, "{}: {lines} lines that are not blank", file.display());
-        let longest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(longest <= MOST_CHARACTERS, "{}: a line of {longest} characters", file.display());
-        assert!(text.starts_with("//! "), "{}: says not what it is for", file.display());
+        assert!(
+            lines <= MOST_LINES,
+            "{}: {lines} lines that are not blank",
+            file.display()
+        );
+        let longest = text
+            .lines()
+            .map(|line| line.chars().count())
+            .max()
+            .unwrap_or(0);
+        assert!(
+            longest <= MOST_CHARACTERS,
+            "{}: a line of {longest} characters",
+            file.display()
+        );
+        assert!(
+            text.starts_with("//! "),
+            "{}: says not what it is for",
+            file.display()
+        );
     }
 }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -72,7 +72,9 @@
         } else if line.is_empty() {
             break;
         } else if let Some((name, value)) = line.split_once(':') {
-            request.headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
+            request
+                .headers
+                .insert(name.to_ascii_lowercase(), value.trim().to_string());
         }
     }
     let length = request.header("content-length").parse().unwrap_or(0);
@@ -128,7 +130,10 @@
     fn serve(&self, mut stream: TcpStream, connection: usize, script: &Script) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some(request) = read_http(&mut reader) {
-            let request = Request { connection, ..request };
+            let request = Request {
+                connection,
+                ..request
+            };
             let number = {
                 let mut seen = self.seen.lock().expect("not poisoned");
                 seen.push(request.clone());
@@ -140,7 +145,10 @@
                 Reply::Silence => continue,
                 Reply::Close => return,
             };
-            let text = format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let text = format!(
+                "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             if stream.write_all(text.as_bytes()).is_err() || last {
                 return;
             }
@@ -158,7 +166,10 @@
     /// How often a message came.
     pub fn times(&self, id: &str) -> usize {
         let seen = self.seen.lock().expect("not poisoned");
-        seen.iter().flat_map(Request::ids).filter(|other| other == id).count()
+        seen.iter()
+            .flat_map(Request::ids)
+            .filter(|other| other == id)
+            .count()
     }
 }
 
@@ -225,18 +236,34 @@
 }
 
 fn serve_agent(mut stream: TcpStream, agent: &Agent) {
-    let Agent { notices, lines, watches, faults, changes, .. } = agent;
+    let Agent {
+        notices,
+        lines,
+        watches,
+        faults,
+        changes,
+        ..
+    } = agent;
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
-    let Some(request) = read_http(&mut reader) else { return };
+    let Some(request) = read_http(&mut reader) else {
+        return;
+    };
     if request.line.starts_with("POST /v1/outcomes ") {
-        let faulty =
-            faults.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1)).is_ok();
+        let faulty = faults
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
+                left.checked_sub(1)
+            })
+            .is_ok();
         let status = if faulty { "500 Oops" } else { "204 No Content" };
         if !faulty {
             let text = String::from_utf8(request.body).expect("text");
-            notices.lock().expect("not poisoned").extend(text.lines().map(str::to_string));
+            notices
+                .lock()
+                .expect("not poisoned")
+                .extend(text.lines().map(str::to_string));
         }
-        let _ = stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
+        let _ =
+            stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         return;
     }
     if request.line.starts_with("GET /v1/freeze ") {
@@ -244,7 +271,11 @@
         let _ = stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         return;
     }
-    assert!(request.line.starts_with("GET /v1/endpoints?watch=1&from="), "{}", request.line);
+    assert!(
+        request.line.starts_with("GET /v1/endpoints?watch=1&from="),
+        "{}",
+        request.line
+    );
     if agent.down.load(Ordering::SeqCst) {
         agent.refused.fetch_add(1, Ordering::SeqCst);
         let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -257,7 +288,10 @@
     thread::sleep(*agent.late.lock().expect("not poisoned"));
     let mut told = lines.lock().expect("not poisoned").clone();
     let mut seen = changes.lock().expect("not poisoned").len();
-    if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
+    if stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .is_err()
+    {
         return;
     }
     let silent = told.is_empty();
@@ -277,7 +311,11 @@
                 return;
             }
             thread::sleep(Duration::from_millis(10));
-            told.extend(changes.lock().expect("not poisoned")[seen..].iter().cloned());
+            told.extend(
+                changes.lock().expect("not poisoned")[seen..]
+                    .iter()
+                    .cloned(),
+            );
         }
         seen += told.len();
         if !silent && told.is_empty() {
@@ -305,7 +343,10 @@
             )
         })
         .collect();
-    format!(r#"{{"rev":{version},"all":{all},"targets":[{}]}}"#, targets.join(","))
+    format!(
+        r#"{{"rev":{version},"all":{all},"targets":[{}]}}"#,
+        targets.join(",")
+    )
 }
 
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
@@ -386,7 +427,14 @@
     /// Starts a further process on the same folder and socket.
     pub fn successor(&self) -> Self {
         let passed = self.passed.clone();
-        Node::start(self.folder.clone(), self.discovery, self.disk_mb, self.idle_s, self.sockets, passed)
+        Node::start(
+            self.folder.clone(),
+            self.discovery,
+            self.disk_mb,
+            self.idle_s,
+            self.sockets,
+            passed,
+        )
     }
 
     /// One with further parts of the configuration, and other call slots.
@@ -395,7 +443,15 @@
         let config = config(agent.address, 3.0, idle_s, 1024)
             .replace(r#""callSlots":8"#, &format!(r#""callSlots":{slots}"#));
         std::fs::write(folder.join("config.json"), with_part(&config, more)).expect("written");
-        Node::spawn(command(&folder), folder, agent.address, 3.0, idle_s, 1024, None)
+        Node::spawn(
+            command(&folder),
+            folder,
+            agent.address,
+            3.0,
+            idle_s,
+            1024,
+            None,
+        )
     }
 
     /// One whose configuration is changed as the caller likes.
@@ -403,14 +459,30 @@
         let folder = fresh_folder();
         let text = change(config(agent.address, 3.0, 5.0, 1024));
         std::fs::write(folder.join("config.json"), text).expect("written");
-        Node::spawn(command(&folder), folder, agent.address, 3.0, 5.0, 1024, None)
+        Node::spawn(
+            command(&folder),
+            folder,
+            agent.address,
+            3.0,
+            5.0,
+            1024,
+            None,
+        )
     }
 
     /// Starts a further process on the same folder, with the configuration as it stands there.
     pub fn successor_as_configured(&self) -> Self {
         let (disk_mb, idle_s, sockets) = (self.disk_mb, self.idle_s, self.sockets);
         let (folder, passed) = (self.folder.clone(), self.passed.clone());
-        Node::spawn(command(&folder), folder, self.discovery, disk_mb, idle_s, sockets, passed)
+        Node::spawn(
+            command(&folder),
+            folder,
+            self.discovery,
+            disk_mb,
+            idle_s,
+            sockets,
+            passed,
+        )
     }
 
     /// Another build of the program, to be measured beside this one.
@@ -418,34 +490,66 @@
         let folder = fresh_folder();
         let text = config(agent.address, 3.0, idle_s, 1024);
         std::fs::write(folder.join("config.json"), text).expect("written");
-        Node::spawn(command_of(program, &folder), folder, agent.address, 3.0, idle_s, 1024, None)
+        Node::spawn(
+            command_of(program, &folder),
+            folder,
+            agent.address,
+            3.0,
+            idle_s,
+            1024,
+            None,
+        )
     }
 
     fn start(
-        folder: PathBuf, discovery: SocketAddr, disk_mb: f64, idle_s: f64, sockets: usize,
+        folder: PathBuf,
+        discovery: SocketAddr,
+        disk_mb: f64,
+        idle_s: f64,
+        sockets: usize,
         passed: Option<Arc<TcpListener>>,
     ) -> Self {
         let text = config(discovery, disk_mb, idle_s, sockets);
         std::fs::write(folder.join("config.json"), text).expect("written");
-        Node::spawn(command(&folder), folder, discovery, disk_mb, idle_s, sockets, passed)
+        Node::spawn(
+            command(&folder),
+            folder,
+            discovery,
+            disk_mb,
+            idle_s,
+            sockets,
+            passed,
+        )
     }
 
     fn spawn(
-        mut command: Command, folder: PathBuf, discovery: SocketAddr, disk_mb: f64, idle_s: f64,
-        sockets: usize, passed: Option<Arc<TcpListener>>,
+        mut command: Command,
+        folder: PathBuf,
+        discovery: SocketAddr,
+        disk_mb: f64,
+        idle_s: f64,
+        sockets: usize,
+        passed: Option<Arc<TcpListener>>,
     ) -> Self {
         if let Some(listener) = &passed {
             // the shell gives the socket, which comes as its input, the number that is told
             let mut shell = Command::new("/bin/sh");
-            shell.args(["-c", r#"exec "$0" 7<&0 0</dev/null"#]).arg(command.get_program());
+            shell
+                .args(["-c", r#"exec "$0" 7<&0 0</dev/null"#])
+                .arg(command.get_program());
             command.get_envs().for_each(|(name, value)| {
                 shell.env(name, value.expect("set"));
             });
-            shell.env("RELAY_PASSED_SOCKET", "7").stdout(Stdio::null()).stderr(Stdio::piped());
+            shell
+                .env("RELAY_PASSED_SOCKET", "7")
+                .stdout(Stdio::null())
+                .stderr(Stdio::piped());
             shell.stdin(OwnedFd::from(listener.try_clone().expect("cloned")));
             command = shell;
         }
-        let started = command.env("RELAY_DISCOVERY", discovery.to_string()).spawn();
+        let started = command
+            .env("RELAY_DISCOVERY", discovery.to_string())
+            .spawn();
         let mut process = started.expect("the sender starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let (here, errors) = (log.clone(), process.stderr.take().expect("piped"));
@@ -463,13 +567,27 @@
             let mut address = None;
             wait_until(what, || {
                 let log = log.lock().expect("not poisoned");
-                address = log.iter().find_map(|line| line.split_once(what)?.1.trim().parse().ok());
+                address = log
+                    .iter()
+                    .find_map(|line| line.split_once(what)?.1.trim().parse().ok());
                 address.is_some()
             });
             address.expect("found")
         };
         let (address, control) = (logged("listening on "), logged("operators at "));
-        Node { folder, discovery, disk_mb, idle_s, sockets, process, address, control, log, reading, passed }
+        Node {
+            folder,
+            discovery,
+            disk_mb,
+            idle_s,
+            sockets,
+            process,
+            address,
+            control,
+            log,
+            reading,
+            passed,
+        }
     }
 
     /// Waits until it is ready.
@@ -479,18 +597,28 @@
     }
 
     pub fn get_ready(&self) -> u16 {
-        self.raw("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes()).0
+        self.raw("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
+            .0
     }
 
     /// An operator's call; the status of its answer.
     pub fn operate(&self, call: &str, body: &str) -> u16 {
-        let text = format!("{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        Client::to(self.control).send(text.as_bytes()).unwrap_or_default().0
+        let text = format!(
+            "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        Client::to(self.control)
+            .send(text.as_bytes())
+            .unwrap_or_default()
+            .0
     }
 
     /// Takes an endpoint out (`disable`) or puts it back (`enable`).
     pub fn order(&self, what: &str, uid: &str) -> u16 {
-        self.operate(&format!("POST /endpoints/{what}"), &format!(r#"{{"target":"{uid}"}}"#))
+        self.operate(
+            &format!("POST /endpoints/{what}"),
+            &format!(r#"{{"target":"{uid}"}}"#),
+        )
     }
 
     /// Sends the bytes on a connection of their own; the status and head of the answer, 0 if none comes.
@@ -518,7 +646,13 @@
     pub fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
         let name = format!("-{name}");
-        assert!(Command::new("kill").args([&name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args([&name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 
     /// Has all of this meet the process at one moment: it stands still meanwhile.
@@ -527,7 +661,9 @@
         let stat = format!("/proc/{}/stat", self.process.id());
         wait_until("it stands still", || {
             let stat = std::fs::read_to_string(&stat).expect("it runs");
-            stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
+            stat.rsplit(") ")
+                .next()
+                .is_some_and(|rest| rest.starts_with('T'))
         });
         all();
         self.signal("CONT");
@@ -554,14 +690,24 @@
 
     /// Descriptors that the process holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
+            .expect("it runs")
+            .count()
     }
 
     /// Memory of the process that no file backs, in bytes.
     pub fn memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:")).expect("listed");
-        line.trim().trim_end_matches(" kB").parse::<usize>().expect("a number") * 1024
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))
+            .expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("RssAnon:"))
+            .expect("listed");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse::<usize>()
+            .expect("a number")
+            * 1024
     }
 
     pub fn journal(&self) -> PathBuf {
@@ -574,7 +720,11 @@
     }
 
     pub fn logged(&self, text: &str) -> bool {
-        self.log.lock().expect("not poisoned").iter().any(|line| line.contains(text))
+        self.log
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .any(|line| line.contains(text))
     }
 }
 
@@ -583,8 +733,14 @@
         let _ = self.process.kill();
         let _ = self.process.wait();
         let log = self.log.lock().map(|log| log.clone()).unwrap_or_default();
-        let violations: Vec<_> = log.iter().filter(|line| line.starts_with("violation: ")).collect();
-        assert!(violations.is_empty() || thread::panicking(), "{violations:#?}");
+        let violations: Vec<_> = log
+            .iter()
+            .filter(|line| line.starts_with("violation: "))
+            .collect();
+        assert!(
+            violations.is_empty() || thread::panicking(),
+            "{violations:#?}"
+        );
     }
 }
 
@@ -616,13 +772,15 @@
 /// A message about a subject.
 pub fn about(subject: &str, class: &str, id: &str, dest: u64, time_ms: u64) -> Vec<u8> {
     let text = String::from_utf8(message(class, id, dest, time_ms, b"x")).expect("text");
-    text.replacen(" HTTP/1.1", &format!("?subject={subject} HTTP/1.1"), 1).into_bytes()
+    text.replacen(" HTTP/1.1", &format!("?subject={subject} HTTP/1.1"), 1)
+        .into_bytes()
 }
 
 /// A message of a tenant.
 pub fn of_tenant(tenant: &str, class: &str, id: &str, dest: u64, time_ms: u64) -> Vec<u8> {
     let text = String::from_utf8(message(class, id, dest, time_ms, b"x")).expect("text");
-    text.replacen("\r\n", &format!("\r\nX-Tenant-Id: {tenant}\r\n"), 1).into_bytes()
+    text.replacen("\r\n", &format!("\r\nX-Tenant-Id: {tenant}\r\n"), 1)
+        .into_bytes()
 }
 
 /// A connection of a client.
@@ -670,10 +828,14 @@
 pub fn told(node: &Node, call: &str) -> String {
     let mut stream = TcpStream::connect(node.control).expect("the sender accepts");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
-    stream.write_all(format!("{call} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).expect("written");
+    stream
+        .write_all(format!("{call} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
+        .expect("written");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("answered");
-    text.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()
+    text.split_once("\r\n\r\n")
+        .map(|(_, body)| body.to_string())
+        .unwrap_or_default()
 }
 
 /// What the sender tells of its connections.
@@ -689,5 +851,7 @@
 /// Hands a message in and waits until the sender knows its end: its connection is free again by then.
 pub fn sent(node: &Node, id: &str, dest: u64) {
     assert_eq!(node.hand_in("webhook", id, dest, 20_000, b"x"), 202);
-    wait_until("its end is known", || node.hand_in("webhook", id, dest, 20_000, b"x") == 200);
+    wait_until("its end is known", || {
+        node.hand_in("webhook", id, dest, 20_000, b"x") == 200
+    });
 }
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -18,47 +18,81 @@
     /// With these files beside its settings, and these tables in them.
     pub fn new(files: &[(&str, String)], tables: &str) -> Self {
         let folder = fresh_folder();
-        let address = TcpListener::bind("127.0.0.1:0").and_then(|free| free.local_addr()).expect("a port");
-        let write = |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("written");
+        let address = TcpListener::bind("127.0.0.1:0")
+            .and_then(|free| free.local_addr())
+            .expect("a port");
+        let write =
+            |name: &str, text: &str| std::fs::write(folder.join(name), text).expect("written");
         files.iter().for_each(|(name, text)| write(name, text));
-        let settings =
-            format!("cluster = \"test\"\nid = 1\nlisten = \"{address}\"\nfolder = \"log\"\n{tables}");
+        let settings = format!(
+            "cluster = \"test\"\nid = 1\nlisten = \"{address}\"\nfolder = \"log\"\n{tables}"
+        );
         write("registry.toml", &settings);
         let process = Registry::run(&folder);
-        Registry { folder, address, process }
+        Registry {
+            folder,
+            address,
+            process,
+        }
     }
 
     fn run(folder: &Path) -> Child {
-        let program = Path::new(env!("CARGO_BIN_EXE_milletturn")).with_file_name("milletturn-registry");
-        assert!(program.exists(), "{} is built by cargo test --workspace", program.display());
+        let program =
+            Path::new(env!("CARGO_BIN_EXE_milletturn")).with_file_name("milletturn-registry");
+        assert!(
+            program.exists(),
+            "{} is built by cargo test --workspace",
+            program.display()
+        );
         let mut command = Command::new(program);
-        command.args(["run", "--config"]).arg(folder.join("registry.toml"));
-        command.stderr(Stdio::null()).spawn().expect("the registry starts")
+        command
+            .args(["run", "--config"])
+            .arg(folder.join("registry.toml"));
+        command
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("the registry starts")
     }
 
     pub fn ask(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let mut stream = TcpStream::connect(self.address).ok()?;
-        let body = if body.is_null() { String::new() } else { body.to_string() };
+        let body = if body.is_null() {
+            String::new()
+        } else {
+            body.to_string()
+        };
         let length = body.len();
         let head = format!("{method} {path} HTTP/1.1\r\nhost: r\r\nconnection: close\r\n");
-        stream.write_all(format!("{head}content-length: {length}\r\n\r\n{body}").as_bytes()).ok()?;
+        stream
+            .write_all(format!("{head}content-length: {length}\r\n\r\n{body}").as_bytes())
+            .ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).ok()?;
         let (head, body) = text.split_once("\r\n\r\n")?;
-        Some((head.split(' ').nth(1)?.parse().ok()?, serde_json::from_str(body).unwrap_or_default()))
+        Some((
+            head.split(' ').nth(1)?.parse().ok()?,
+            serde_json::from_str(body).unwrap_or_default(),
+        ))
     }
 
     pub fn until(&self, method: &str, path: &str, body: &Value) {
-        wait_until(path, || self.ask(method, path, body).is_some_and(|(status, _)| status == 200));
+        wait_until(path, || {
+            self.ask(method, path, body)
+                .is_some_and(|(status, _)| status == 200)
+        });
     }
 
     pub fn list(&self, uid: &str, endpoint: &Endpoint, dest: u64) {
-        let target = json!({ "endpoint": endpoint.address, "pod_group": dest, "az": "a", "model": "one" });
+        let target =
+            json!({ "endpoint": endpoint.address, "pod_group": dest, "az": "a", "model": "one" });
         self.until("PUT", &format!("/v1/endpoints/{uid}"), &target);
     }
 
     pub fn kill(&mut self) {
-        self.process.kill().and_then(|()| self.process.wait()).expect("killed");
+        self.process
+            .kill()
+            .and_then(|()| self.process.wait())
+            .expect("killed");
     }
 
     pub fn start(&mut self) {
@@ -70,7 +104,10 @@
         let mut agent = Agent::new(Vec::new());
         agent.address = self.address;
         let part = format!(r#""name":"{name}",{part}"#);
-        Node::configured_with(&agent, |text| with_part(&text.replace(r#""name":"n1","#, ""), &part)).ready()
+        Node::configured_with(&agent, |text| {
+            with_part(&text.replace(r#""name":"n1","#, ""), &part)
+        })
+        .ready()
     }
 }
 
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -27,7 +27,10 @@
             .args(["-shared", "-fPIC", "-O1", "-o"])
             .args([library.as_os_str(), SOURCE.as_ref(), "-ldl".as_ref()])
             .status();
-        assert!(built.expect("cc runs").success(), "the library can't be built");
+        assert!(
+            built.expect("cc runs").success(),
+            "the library can't be built"
+        );
         library
     })
 }
@@ -45,27 +48,47 @@
         let folder = fresh_folder();
         let switches = folder.join("faults");
         std::fs::create_dir_all(&switches).expect("a folder");
-        std::fs::write(folder.join("config.json"), change(config(agent.address, 3.0, 5.0, 1024)))
-            .expect("written");
-        Faults { folder, switches, discovery: agent.address }
+        std::fs::write(
+            folder.join("config.json"),
+            change(config(agent.address, 3.0, 5.0, 1024)),
+        )
+        .expect("written");
+        Faults {
+            folder,
+            switches,
+            discovery: agent.address,
+        }
     }
 
     /// Starts a process of the sender.
     pub fn start(&self) -> Node {
         let mut command = command(&self.folder);
         self.load(&mut command);
-        Node::spawn(command, self.folder.clone(), self.discovery, 3.0, 5.0, 1024, None)
+        Node::spawn(
+            command,
+            self.folder.clone(),
+            self.discovery,
+            3.0,
+            5.0,
+            1024,
+            None,
+        )
     }
 
     /// Starts one that may end before it listens.
     pub fn start_unseen(&self) -> Child {
         let mut command = command(&self.folder);
         self.load(&mut command);
-        command.env("RELAY_DISCOVERY", self.discovery.to_string()).spawn().expect("the sender starts")
+        command
+            .env("RELAY_DISCOVERY", self.discovery.to_string())
+            .spawn()
+            .expect("the sender starts")
     }
 
     fn load(&self, command: &mut Command) {
-        command.env("LD_PRELOAD", library()).env("FAULT_DIR", &self.switches);
+        command
+            .env("LD_PRELOAD", library())
+            .env("FAULT_DIR", &self.switches);
     }
 
     /// From now on calls of this kind fail with this number, see `failing_calls.c`.
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -31,7 +31,10 @@
 }
 
 fn at(endpoint: u32, port: u16) -> Place {
-    Place { address: SocketAddr::from(([127, 0, 0, 1], 1000 + port)), endpoint: EndpointId(endpoint) }
+    Place {
+        address: SocketAddr::from(([127, 0, 0, 1], 1000 + port)),
+        endpoint: EndpointId(endpoint),
+    }
 }
 
 /// A fault put between the rules and whoever checks them, to show that the checks see it.
@@ -108,33 +111,57 @@
         match command {
             Command::Dial { connection, place } => {
                 if !self.serving.contains(&place) {
-                    self.wrong.push(format!("{connection} dialled to one that does not serve"));
+                    self.wrong
+                        .push(format!("{connection} dialled to one that does not serve"));
                 }
-                if self.connections.insert(connection, (place, Has::Dial)).is_some() {
+                if self
+                    .connections
+                    .insert(connection, (place, Has::Dial))
+                    .is_some()
+                {
                     self.wrong.push(format!("{connection} dialled twice"));
                 }
-                let here = self.connections.values().filter(|(there, _)| *there == place).count();
+                let here = self
+                    .connections
+                    .values()
+                    .filter(|(there, _)| *there == place)
+                    .count();
                 let (all, dials) = (self.connections.len(), self.count(Has::Dial));
-                let Limits { per_endpoint, all: all_most, dials: dials_most, .. } = self.limits;
+                let Limits {
+                    per_endpoint,
+                    all: all_most,
+                    dials: dials_most,
+                    ..
+                } = self.limits;
                 if here > per_endpoint || all > all_most || dials > dials_most {
                     let most = (per_endpoint, all_most, dials_most);
-                    self.wrong.push(format!("a dial too many: {:?} of {most:?}", (here, all, dials)));
+                    self.wrong.push(format!(
+                        "a dial too many: {:?} of {most:?}",
+                        (here, all, dials)
+                    ));
                 }
             }
-            Command::Lease { waiter, connection, .. } => {
+            Command::Lease {
+                waiter, connection, ..
+            } => {
                 let wanted = self.waiting.remove(&waiter);
                 let connection = match self.fault {
                     Fault::LeasedTwice if every_ninth => connection.saturating_sub(1),
                     _ => connection,
                 };
                 match self.connections.get_mut(&connection) {
-                    Some((place, has)) if *has == Has::Idle && Some(*place) == wanted => *has = Has::Lease,
-                    other => self.wrong.push(format!("{waiter} got {connection}, which is {other:?}")),
+                    Some((place, has)) if *has == Has::Idle && Some(*place) == wanted => {
+                        *has = Has::Lease
+                    }
+                    other => self
+                        .wrong
+                        .push(format!("{waiter} got {connection}, which is {other:?}")),
                 }
             }
             Command::Deny { waiter, .. } => {
                 if self.waiting.remove(&waiter).is_none() {
-                    self.wrong.push(format!("{waiter} denied, who did not wait"));
+                    self.wrong
+                        .push(format!("{waiter} denied, who did not wait"));
                 }
             }
             Command::Close { connection } => {
@@ -143,14 +170,19 @@
                 }
                 match self.connections.remove(&connection) {
                     Some((_, Has::Idle)) => {}
-                    other => self.wrong.push(format!("{connection} closed, which is {other:?}")),
+                    other => self
+                        .wrong
+                        .push(format!("{connection} closed, which is {other:?}")),
                 }
             }
         }
     }
 
     fn count(&self, has: Has) -> usize {
-        self.connections.values().filter(|(_, now)| *now == has).count()
+        self.connections
+            .values()
+            .filter(|(_, now)| *now == has)
+            .count()
     }
 
     fn check(&mut self) {
@@ -177,8 +209,16 @@
                     self.limits.per_endpoint,
                 );
             }
-            over(&mut wrong, "idle at one endpoint", view.idle, self.limits.idle_per_endpoint);
-            let there = self.connections.values().filter(|(place, _)| *place == view.place);
+            over(
+                &mut wrong,
+                "idle at one endpoint",
+                view.idle,
+                self.limits.idle_per_endpoint,
+            );
+            let there = self
+                .connections
+                .values()
+                .filter(|(place, _)| *place == view.place);
             let here = |has| there.clone().filter(|(_, now)| *now == has).count();
             let seen = (here(Has::Idle), here(Has::Lease), here(Has::Dial));
             if seen != (view.idle, view.leased, view.dialling) {
@@ -186,7 +226,10 @@
             }
             // what waits while something lies idle waits in vain
             if view.waiting > 0 && view.idle > 0 {
-                wrong.push(format!("{:?}: {} wait beside {} idle", view.place, view.waiting, view.idle));
+                wrong.push(format!(
+                    "{:?}: {} wait beside {} idle",
+                    view.place, view.waiting, view.idle
+                ));
             }
         }
         if connections != self.connections.len() || waiters != self.waiting.len() {
@@ -198,8 +241,10 @@
         if sites < views.len() {
             wrong.push(format!("{sites} sites"));
         }
-        let idle_retired =
-            self.connections.values().any(|(place, has)| *has == Has::Idle && !self.serving.contains(place));
+        let idle_retired = self
+            .connections
+            .values()
+            .any(|(place, has)| *has == Has::Idle && !self.serving.contains(place));
         if idle_retired {
             wrong.push("idle at one that does not serve".to_string());
         }
@@ -248,12 +293,19 @@
             }
             7..=9 => {
                 if let Some(dial) = pick(&world, Has::Dial, at) {
-                    world.connections.entry(dial).and_modify(|known| known.1 = Has::Idle);
+                    world
+                        .connections
+                        .entry(dial)
+                        .and_modify(|known| known.1 = Has::Idle);
                     world.with(|pool, now, out| pool.up(now, dial, out));
                 }
             }
             10 | 11 => {
-                let whys = [DialFailure::Refused, DialFailure::TimedOut, DialFailure::Other];
+                let whys = [
+                    DialFailure::Refused,
+                    DialFailure::TimedOut,
+                    DialFailure::Other,
+                ];
                 if let Some(dial) = pick(&world, Has::Dial, at) {
                     world.connections.remove(&dial);
                     if fault != Fault::SilentFailure {
@@ -267,20 +319,32 @@
                     world.with(|pool, now, _| {
                         pool.answered(now, lease, answers[at % 3]);
                     });
-                    world.connections.entry(lease).and_modify(|known| known.1 = Has::Idle);
+                    world
+                        .connections
+                        .entry(lease)
+                        .and_modify(|known| known.1 = Has::Idle);
                     world.with(|pool, now, out| pool.give_back(now, lease, out));
                 }
             }
             16 | 17 => {
-                let causes =
-                    [Cause::CalledOff, Cause::TimedOut, Cause::Reset, Cause::Unreadable, Cause::Peer];
+                let causes = [
+                    Cause::CalledOff,
+                    Cause::TimedOut,
+                    Cause::Reset,
+                    Cause::Unreadable,
+                    Cause::Peer,
+                ];
                 if let Some(lease) = pick(&world, Has::Lease, at) {
                     world.connections.remove(&lease);
                     world.with(|pool, now, out| pool.spoiled(now, lease, causes[at % 5], out));
                 }
             }
             18 => {
-                let waiter = world.waiting.keys().nth(at % world.waiting.len().max(1)).copied();
+                let waiter = world
+                    .waiting
+                    .keys()
+                    .nth(at % world.waiting.len().max(1))
+                    .copied();
                 if let Some(waiter) = waiter {
                     world.waiting.remove(&waiter);
                     if fault != Fault::ForgottenWaiter {
@@ -326,20 +390,31 @@
     // every dial ends, every call too, and time passes: each one that waits gets its end
     for round in 0..2000 {
         world.now += 20 * MILLISECOND;
-        let all: Vec<(u64, Has)> =
-            world.connections.iter().map(|(&number, known)| (number, known.1)).collect();
+        let all: Vec<(u64, Has)> = world
+            .connections
+            .iter()
+            .map(|(&number, known)| (number, known.1))
+            .collect();
         for (number, has) in all {
             match has {
                 Has::Dial if round % 2 == 0 => {
-                    world.connections.entry(number).and_modify(|known| known.1 = Has::Idle);
+                    world
+                        .connections
+                        .entry(number)
+                        .and_modify(|known| known.1 = Has::Idle);
                     world.with(|pool, now, out| pool.up(now, number, out));
                 }
                 Has::Dial => {
                     world.connections.remove(&number);
-                    world.with(|pool, now, out| pool.dial_failed(now, number, DialFailure::Refused, out));
+                    world.with(|pool, now, out| {
+                        pool.dial_failed(now, number, DialFailure::Refused, out)
+                    });
                 }
                 Has::Lease => {
-                    world.connections.entry(number).and_modify(|known| known.1 = Has::Idle);
+                    world
+                        .connections
+                        .entry(number)
+                        .and_modify(|known| known.1 = Has::Idle);
                     world.with(|pool, now, out| pool.give_back(now, number, out));
                 }
                 Has::Idle => {}
@@ -351,7 +426,9 @@
         }
     }
     if !world.waiting.is_empty() {
-        world.wrong.push(format!("{} wait for ever", world.waiting.len()));
+        world
+            .wrong
+            .push(format!("{} wait for ever", world.waiting.len()));
     }
     // and all that is idle grows old, the endpoints go, and nothing is left of them
     for &place in &places {
@@ -360,7 +437,12 @@
             world.with(|pool, _, out| pool.retire(place, out));
         }
     }
-    for (number, has) in world.connections.clone().into_iter().map(|(number, known)| (number, known.1)) {
+    for (number, has) in world
+        .connections
+        .clone()
+        .into_iter()
+        .map(|(number, known)| (number, known.1))
+    {
         if has == Has::Dial {
             world.connections.remove(&number);
             world.with(|pool, now, out| pool.dial_failed(now, number, DialFailure::Other, out));
@@ -372,7 +454,9 @@
         world.with(|pool, now, out| pool.spoiled(now, number, Cause::CalledOff, out));
     }
     if world.pool.sizes() != (0, 0, 0) {
-        world.wrong.push(format!("{:?} are left", world.pool.sizes()));
+        world
+            .wrong
+            .push(format!("{:?} are left", world.pool.sizes()));
     }
     world.wrong
 }
@@ -381,15 +465,28 @@
 fn no_order_of_events_passes_a_cap_leaks_or_lets_a_call_wait_for_ever() {
     for seed in 0..300 {
         let wrong = play(seed, Fault::None);
-        assert!(wrong.is_empty(), "seed {seed}: {:?}", &wrong[..wrong.len().min(3)]);
+        assert!(
+            wrong.is_empty(),
+            "seed {seed}: {:?}",
+            &wrong[..wrong.len().min(3)]
+        );
     }
 }
 
 #[test]
 fn the_checks_see_each_broken_rule() {
     use Fault::*;
-    for fault in [LooseCaps, ForgottenWaiter, LeasedTwice, Leak, SilentFailure, Unretired] {
-        let seen = (0..20).filter(|&seed| !play(seed, fault).is_empty()).count();
+    for fault in [
+        LooseCaps,
+        ForgottenWaiter,
+        LeasedTwice,
+        Leak,
+        SilentFailure,
+        Unretired,
+    ] {
+        let seen = (0..20)
+            .filter(|&seed| !play(seed, fault).is_empty())
+            .count();
         assert!(seen >= 15, "{fault:?} is seen on {seen} of 20 seeds");
     }
 }
@@ -406,7 +503,12 @@
     fn new(limits: Limits) -> Self {
         let mut pool = Pool::new(limits, 7);
         pool.open(T0, place(1));
-        Rig { pool, now: T0, place: place(1), next: 0 }
+        Rig {
+            pool,
+            now: T0,
+            place: place(1),
+            next: 0,
+        }
     }
 
     fn with(&mut self, say: impl FnOnce(&mut Pool, Micros, &mut Vec<Command>)) -> Vec<Command> {
@@ -419,7 +521,10 @@
     fn ask(&mut self) -> (u64, Vec<Command>) {
         self.next += 1;
         let (waiter, place) = (self.next, self.place);
-        (waiter, self.with(|pool, now, out| pool.ask(now, place, waiter, out)))
+        (
+            waiter,
+            self.with(|pool, now, out| pool.ask(now, place, waiter, out)),
+        )
     }
 
     /// A call asks, is dialled for and gets a new connection.
@@ -427,7 +532,14 @@
         let (waiter, out) = self.ask();
         let connection = dials(&out)[0];
         let out = self.with(|pool, now, out| pool.up(now, connection, out));
-        assert_eq!(out, [Command::Lease { waiter, connection, idle_for: None }]);
+        assert_eq!(
+            out,
+            [Command::Lease {
+                waiter,
+                connection,
+                idle_for: None
+            }]
+        );
         connection
     }
 
@@ -440,7 +552,12 @@
     }
 
     fn view(&self) -> EndpointView {
-        self.pool.view(self.now).0.into_iter().find(|view| view.place == self.place).expect("known")
+        self.pool
+            .view(self.now)
+            .0
+            .into_iter()
+            .find(|view| view.place == self.place)
+            .expect("known")
     }
 }
 
@@ -454,7 +571,9 @@
 
 fn leased(out: &[Command]) -> Vec<(u64, u64)> {
     let lease = |command: &Command| match command {
-        Command::Lease { waiter, connection, .. } => Some((*waiter, *connection)),
+        Command::Lease {
+            waiter, connection, ..
+        } => Some((*waiter, *connection)),
         _ => None,
     };
     out.iter().filter_map(lease).collect()
@@ -462,7 +581,10 @@
 
 #[test]
 fn the_newest_idle_one_is_taken_and_the_others_grow_old() {
-    let mut rig = Rig::new(Limits { decay: 100 * SECOND, ..limits() });
+    let mut rig = Rig::new(Limits {
+        decay: 100 * SECOND,
+        ..limits()
+    });
     let (old, new) = (rig.dialled(), rig.dialled());
     rig.ends(old, Answered::Served);
     rig.now += SECOND;
@@ -473,10 +595,18 @@
         assert_eq!(leased(&out), [(waiter, new)]);
         rig.ends(new, Answered::Served);
     }
-    assert_eq!(rig.with(|pool, now, out| pool.tick(now, out)), [Command::Close { connection: old }]);
+    assert_eq!(
+        rig.with(|pool, now, out| pool.tick(now, out)),
+        [Command::Close { connection: old }]
+    );
     let view = rig.view();
     assert_eq!(
-        (view.idle, view.counts.reuses, view.counts.dials, view.counts.closes[&Cause::Age]),
+        (
+            view.idle,
+            view.counts.reuses,
+            view.counts.dials,
+            view.counts.closes[&Cause::Age]
+        ),
         (1, 9, 2, 1)
     );
 }
@@ -487,11 +617,17 @@
     let first = rig.dialled();
     let (waiter, out) = rig.ask();
     let dial = dials(&out)[0];
-    assert_eq!(leased(&rig.ends(first, Answered::Served)), [(waiter, first)]);
+    assert_eq!(
+        leased(&rig.ends(first, Answered::Served)),
+        [(waiter, first)]
+    );
     // the dial serves the next call, with no further one
     let (next, out) = rig.ask();
     assert_eq!(out, []);
-    assert_eq!(leased(&rig.with(|pool, now, out| pool.up(now, dial, out))), [(next, dial)]);
+    assert_eq!(
+        leased(&rig.with(|pool, now, out| pool.up(now, dial, out))),
+        [(next, dial)]
+    );
 }
 
 #[test]
@@ -503,7 +639,14 @@
     assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), []);
     assert_eq!(rig.view().idle, 1);
     let (waiter, out) = rig.ask();
-    assert_eq!(out, [Command::Lease { waiter, connection: dial, idle_for: None }]);
+    assert_eq!(
+        out,
+        [Command::Lease {
+            waiter,
+            connection: dial,
+            idle_for: None
+        }]
+    );
 }
 
 #[test]
@@ -521,7 +664,13 @@
     rig.now += SECOND;
     let again = dials(&out)[0];
     let out = rig.with(|pool, now, out| pool.dial_failed(now, again, DialFailure::TimedOut, out));
-    assert_eq!(out, [Command::Deny { waiter: 2, why: Denied::Dial(DialFailure::TimedOut) }]);
+    assert_eq!(
+        out,
+        [Command::Deny {
+            waiter: 2,
+            why: Denied::Dial(DialFailure::TimedOut)
+        }]
+    );
 }
 
 /// Connects are refused beside `open` connections of which one then answers; the cap learned.
@@ -530,9 +679,17 @@
     let (waiter, out) = rig.ask();
     let dial = dials(&out)[0];
     let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
-    assert_eq!((out, rig.view().waiting), (vec![], 1), "it may get one of those that are open");
+    assert_eq!(
+        (out, rig.view().waiting),
+        (vec![], 1),
+        "it may get one of those that are open"
+    );
     rig.with(|pool, _, _| pool.called_off(waiter));
-    assert_eq!(rig.view().learned_cap, None, "nothing is learned before one of them answers");
+    assert_eq!(
+        rig.view().learned_cap,
+        None,
+        "nothing is learned before one of them answers"
+    );
     rig.now += 10 * MILLISECOND;
     let first = held[0];
     rig.with(|pool, now, _| {
@@ -548,7 +705,10 @@
     let held = learned(&mut rig, 3);
     let (waiter, out) = rig.ask();
     assert_eq!(out, [], "it waits for one of the three");
-    assert_eq!(leased(&rig.ends(held[1], Answered::Served)), [(waiter, held[1])]);
+    assert_eq!(
+        leased(&rig.ends(held[1], Answered::Served)),
+        [(waiter, held[1])]
+    );
 }
 
 #[test]
@@ -560,7 +720,11 @@
     let dial = dials(&out)[0];
     rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
     let (second, out) = rig.ask();
-    assert_eq!(out, [], "until it is known what works, none is dialled beside it");
+    assert_eq!(
+        out,
+        [],
+        "until it is known what works, none is dialled beside it"
+    );
     let mut out = Vec::new();
     for connection in held {
         assert_eq!(out, []);
@@ -569,7 +733,13 @@
     // both calls are dialled for now, and have their end with that
     for (dial, waiter) in dials(&out).into_iter().zip([first, second]) {
         let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
-        assert_eq!(out, [Command::Deny { waiter, why: Denied::Dial(DialFailure::Refused) }]);
+        assert_eq!(
+            out,
+            [Command::Deny {
+                waiter,
+                why: Denied::Dial(DialFailure::Refused)
+            }]
+        );
     }
     assert_eq!(rig.view().waiting, 0);
     // it is back
@@ -592,7 +762,11 @@
     let mut rig = Rig::new(limits());
     learned(&mut rig, 3);
     rig.now += 4 * SECOND;
-    assert_eq!(rig.with(|pool, now, out| pool.tick(now, out)), [], "nobody waits");
+    assert_eq!(
+        rig.with(|pool, now, out| pool.tick(now, out)),
+        [],
+        "nobody waits"
+    );
     let (_, out) = rig.ask();
     let dial = dials(&out)[0];
     rig.ask();
@@ -605,22 +779,38 @@
     rig.now += 4 * SECOND;
     let dial = dials(&rig.with(|pool, now, out| pool.tick(now, out)))[0];
     rig.with(|pool, now, out| pool.up(now, dial, out));
-    assert_eq!(rig.view().learned_cap, Some(3), "its first call has not told yet");
+    assert_eq!(
+        rig.view().learned_cap,
+        Some(3),
+        "its first call has not told yet"
+    );
     rig.ends(dial, Answered::Served);
     assert_eq!(rig.view().learned_cap, Some(4));
     // it bears more: soon tried again, with two at once
     rig.ask();
     rig.ask();
     rig.now += 2 * SECOND;
-    assert_eq!(dials(&rig.with(|pool, now, out| pool.tick(now, out))).len(), 2);
+    assert_eq!(
+        dials(&rig.with(|pool, now, out| pool.tick(now, out))).len(),
+        2
+    );
 }
 
 #[test]
 fn tries_above_a_cap_by_a_whole_fleet_are_few_and_spread() {
     let mut tries = Vec::new();
     for sender in 0..300 {
-        let mut rig = Rig::new(Limits { senders: 300, ..limits() });
-        rig.pool = Pool::new(Limits { senders: 300, ..limits() }, sender);
+        let mut rig = Rig::new(Limits {
+            senders: 300,
+            ..limits()
+        });
+        rig.pool = Pool::new(
+            Limits {
+                senders: 300,
+                ..limits()
+            },
+            sender,
+        );
         rig.pool.open(T0, place(1));
         learned(&mut rig, 2);
         rig.ask();
@@ -632,14 +822,25 @@
             }
         }
     }
-    let worst = (0..300).map(|s| tries.iter().filter(|&&at| at / SECOND == s).count()).max().unwrap_or(0);
-    assert!((300..=600).contains(&tries.len()), "{} tries of 300 senders in five minutes", tries.len());
+    let worst = (0..300)
+        .map(|s| tries.iter().filter(|&&at| at / SECOND == s).count())
+        .max()
+        .unwrap_or(0);
+    assert!(
+        (300..=600).contains(&tries.len()),
+        "{} tries of 300 senders in five minutes",
+        tries.len()
+    );
     assert!(worst <= 10, "{worst} in one second");
 }
 
 /// Calls on new and old connections in turns, each answered as told by how many came before in its second.
 fn turned_away(closes: bool, answer: impl Fn(usize, bool) -> Answered) -> Option<usize> {
-    let mut rig = Rig::new(Limits { keep: 1000 * SECOND, decay: 1000 * SECOND, ..limits() });
+    let mut rig = Rig::new(Limits {
+        keep: 1000 * SECOND,
+        decay: 1000 * SECOND,
+        ..limits()
+    });
     let mut seen = 0;
     for _ in 0..60 {
         rig.now += SECOND;
@@ -679,16 +880,28 @@
 fn only_first_calls_turned_away_beside_served_ones_teach_a_cap() {
     // the endpoint serves three connections and turns away the first call on any further one
     assert_eq!(
-        turned_away(true, |nth, new| if new && nth >= 3 { Answered::TurnedAway } else { Answered::Served }),
+        turned_away(true, |nth, new| if new && nth >= 3 {
+            Answered::TurnedAway
+        } else {
+            Answered::Served
+        }),
         Some(3)
     );
     // a limit of three calls in a time, and a queue that is full now and then, meet old and new alike
     assert_eq!(
-        turned_away(false, |nth, _| if nth >= 3 { Answered::TurnedAway } else { Answered::Served }),
+        turned_away(false, |nth, _| if nth >= 3 {
+            Answered::TurnedAway
+        } else {
+            Answered::Served
+        }),
         None
     );
     assert_eq!(
-        turned_away(false, |nth, _| if nth % 2 == 1 { Answered::TurnedAway } else { Answered::Served }),
+        turned_away(false, |nth, _| if nth % 2 == 1 {
+            Answered::TurnedAway
+        } else {
+            Answered::Served
+        }),
         None
     );
     assert_eq!(turned_away(false, |_, _| Answered::TurnedAway), None);
@@ -718,13 +931,21 @@
     rig.ends(heard, Answered::Served);
     rig.now += SECOND;
     let out = rig.with(|pool, now, out| pool.spoiled(now, silent, Cause::TimedOut, out));
-    assert_eq!(out, [Command::Close { connection: idle[1] }]);
+    assert_eq!(
+        out,
+        [Command::Close {
+            connection: idle[1]
+        }]
+    );
     assert_eq!(rig.view().idle, 1);
 }
 
 #[test]
 fn an_endpoint_that_drains_has_its_idle_ones_closed_and_is_dialled_no_more() {
-    let mut rig = Rig::new(Limits { dials: 4, ..limits() });
+    let mut rig = Rig::new(Limits {
+        dials: 4,
+        ..limits()
+    });
     let (idle, busy) = (rig.dialled(), rig.dialled());
     rig.ends(idle, Answered::Served);
     let (first, _) = rig.ask();
@@ -735,14 +956,35 @@
     assert_eq!(out, [], "one dial in four may go to one endpoint");
     let here = rig.place;
     let out = rig.with(|pool, _, out| pool.retire(here, out));
-    assert_eq!(out, [Command::Deny { waiter: late, why: Denied::Retired }]);
+    assert_eq!(
+        out,
+        [Command::Deny {
+            waiter: late,
+            why: Denied::Retired
+        }]
+    );
     // the call with a dial gets the first that comes; the other ends
     assert_eq!(leased(&rig.ends(busy, Answered::Served)), [(4, busy)]);
-    assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), [Command::Close { connection: dial }]);
+    assert_eq!(
+        rig.with(|pool, now, out| pool.up(now, dial, out)),
+        [Command::Close { connection: dial }]
+    );
     let (waiter, out) = rig.ask();
-    assert_eq!(out, [Command::Deny { waiter, why: Denied::Retired }]);
-    assert_eq!(rig.ends(busy, Answered::Served), [Command::Close { connection: busy }]);
-    assert_eq!(rig.ends(idle, Answered::Served), [Command::Close { connection: idle }]);
+    assert_eq!(
+        out,
+        [Command::Deny {
+            waiter,
+            why: Denied::Retired
+        }]
+    );
+    assert_eq!(
+        rig.ends(busy, Answered::Served),
+        [Command::Close { connection: busy }]
+    );
+    assert_eq!(
+        rig.ends(idle, Answered::Served),
+        [Command::Close { connection: idle }]
+    );
     assert_eq!(rig.pool.sizes(), (0, 0, 0));
 }
 
@@ -754,7 +996,10 @@
     let dial = dials(&out)[0];
     let (here, until) = (rig.place, rig.now + SECOND);
     let out = rig.with(|pool, _, out| pool.advertised_wait(here, until, out));
-    let denied = |waiter| Command::Deny { waiter, why: Denied::Wait };
+    let denied = |waiter| Command::Deny {
+        waiter,
+        why: Denied::Wait,
+    };
     assert_eq!(out, [denied(second), denied(first)]);
     // what comes up or falls free is kept for those who ask after it
     assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), []);
@@ -771,30 +1016,63 @@
     rig.ask();
     let (waiter, out) = rig.ask();
     let dial = dials(&out)[0];
-    assert_eq!(rig.with(|pool, _, out| pool.leave(out)), [Command::Deny { waiter, why: Denied::Leaving }]);
-    assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), [Command::Close { connection: dial }]);
-    assert_eq!(rig.ends(busy, Answered::Served), [Command::Close { connection: busy }]);
+    assert_eq!(
+        rig.with(|pool, _, out| pool.leave(out)),
+        [Command::Deny {
+            waiter,
+            why: Denied::Leaving
+        }]
+    );
+    assert_eq!(
+        rig.with(|pool, now, out| pool.up(now, dial, out)),
+        [Command::Close { connection: dial }]
+    );
+    assert_eq!(
+        rig.ends(busy, Answered::Served),
+        [Command::Close { connection: busy }]
+    );
     // nor to a call whose connection closed before its first byte, and which asks again
     let (waiter, out) = rig.ask();
-    assert_eq!(out, [Command::Deny { waiter, why: Denied::Leaving }]);
+    assert_eq!(
+        out,
+        [Command::Deny {
+            waiter,
+            why: Denied::Leaving
+        }]
+    );
 }
 
 #[test]
 fn smaller_caps_take_effect_at_once_on_what_is_idle() {
     let mut rig = Rig::new(limits());
     let held: Vec<u64> = (0..6).map(|_| rig.dialled()).collect();
-    held[..4].iter().for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
-    let less = Limits { per_endpoint: 3, ..limits() };
+    held[..4]
+        .iter()
+        .for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
+    let less = Limits {
+        per_endpoint: 3,
+        ..limits()
+    };
     let out = rig.with(|pool, now, out| pool.retune(now, less, out));
-    assert_eq!(out, held[..3].iter().map(|&connection| Command::Close { connection }).collect::<Vec<_>>());
+    assert_eq!(
+        out,
+        held[..3]
+            .iter()
+            .map(|&connection| Command::Close { connection })
+            .collect::<Vec<_>>()
+    );
     assert_eq!((rig.view().idle, rig.view().leased), (1, 2));
 }
 
 #[test]
 fn connections_follow_the_load_and_fall_away_after_it() {
-    let mut rig = Rig::new(Limits { keep: 1000 * SECOND, ..limits() });
+    let mut rig = Rig::new(Limits {
+        keep: 1000 * SECOND,
+        ..limits()
+    });
     let held: Vec<u64> = (0..8).map(|_| rig.dialled()).collect();
-    held.iter().for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
+    held.iter()
+        .for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
     assert_eq!((rig.view().idle, rig.view().wanted), (8, 8));
     let mut seen = Vec::new();
     for _ in 0..4 {
@@ -802,12 +1080,19 @@
         rig.with(|pool, now, out| pool.tick(now, out));
         seen.push(rig.view().idle);
     }
-    assert_eq!(seen, [4, 2, 1, 1], "by half in each ten seconds, and the last is left to its age");
+    assert_eq!(
+        seen,
+        [4, 2, 1, 1],
+        "by half in each ten seconds, and the last is left to its age"
+    );
 }
 
 #[test]
 fn warming_keeps_to_endpoints_that_are_in_use_and_sound() {
-    let warm = Limits { warm_share: 0.5, ..limits() };
+    let warm = Limits {
+        warm_share: 0.5,
+        ..limits()
+    };
     let ticked = |rig: &mut Rig| dials(&rig.with(|pool, now, out| pool.tick(now, out)));
     let busy = |limits: Limits| {
         let mut rig = Rig::new(limits);
@@ -835,7 +1120,10 @@
     assert_eq!(ticked(&mut busy(limits())), []);
     let mut rig = busy(warm.clone());
     let (here, until) = (rig.place, rig.now + 2 * SECOND);
-    assert_eq!(rig.with(|pool, _, out| pool.advertised_wait(here, until, out)), []);
+    assert_eq!(
+        rig.with(|pool, _, out| pool.advertised_wait(here, until, out)),
+        []
+    );
     assert_eq!(ticked(&mut rig), []);
     rig.now += 2 * SECOND;
     assert_eq!(ticked(&mut rig).len(), 1);
@@ -858,7 +1146,10 @@
 
 #[test]
 fn a_silent_endpoint_does_not_hold_all_the_dials() {
-    let mut rig = Rig::new(Limits { dials: 8, ..limits() });
+    let mut rig = Rig::new(Limits {
+        dials: 8,
+        ..limits()
+    });
     for _ in 0..6 {
         rig.ask();
     }
@@ -870,7 +1161,11 @@
 
 #[test]
 fn a_place_is_found_for_a_busy_endpoint_among_what_lies_idle_elsewhere() {
-    let mut rig = Rig::new(Limits { all: 3, per_endpoint: 3, ..limits() });
+    let mut rig = Rig::new(Limits {
+        all: 3,
+        per_endpoint: 3,
+        ..limits()
+    });
     let idle = rig.dialled();
     rig.ends(idle, Answered::Served);
     rig.place = place(2);
@@ -886,11 +1181,18 @@
     assert_eq!(out, []);
     let out = rig.with(|pool, now, out| pool.spoiled(now, first, Cause::Reset, out));
     let dial = dials(&out)[0];
-    assert_eq!(leased(&rig.with(|pool, now, out| pool.up(now, dial, out))), [(waiter, dial)]);
+    assert_eq!(
+        leased(&rig.with(|pool, now, out| pool.up(now, dial, out))),
+        [(waiter, dial)]
+    );
     // what an old process still holds counts too
     rig.with(|pool, now, out| pool.elsewhere(now, 2, out));
     assert_eq!(rig.ask().1, []);
-    assert_eq!(dials(&rig.with(|pool, now, out| pool.elsewhere(now, 0, out))).len(), 0, "three are open");
+    assert_eq!(
+        dials(&rig.with(|pool, now, out| pool.elsewhere(now, 0, out))).len(),
+        0,
+        "three are open"
+    );
 }
 
 #[test]
@@ -906,5 +1208,9 @@
         rig.now += MILLISECOND;
     }
     assert_eq!(rig.pool.sizes(), (1, 0, 0));
-    assert_eq!(rig.pool.view(rig.now).1.dials, 10_000, "the sums keep what the endpoints had");
+    assert_eq!(
+        rig.pool.view(rig.now).1.dials,
+        10_000,
+        "the sums keep what the endpoints had"
+    );
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -35,7 +35,10 @@
     wait_for_total(&node, "/idle", 1);
     let told = pools(&node);
     let only = &told["endpoints"][0];
-    assert_eq!((&only["uid"], &only["address"]), (&"s-1".into(), &endpoint.address.to_string().into()));
+    assert_eq!(
+        (&only["uid"], &only["address"]),
+        (&"s-1".into(), &endpoint.address.to_string().into())
+    );
     for (path, wanted) in [
         ("/open", 1),
         ("/leased", 0),
@@ -45,9 +48,16 @@
         ("/counts/reuses", 2),
         ("/counts/dials", 1),
     ] {
-        assert_eq!(only.pointer(path).and_then(Value::as_u64), Some(wanted), "{path} in {told}");
+        assert_eq!(
+            only.pointer(path).and_then(Value::as_u64),
+            Some(wanted),
+            "{path} in {told}"
+        );
     }
-    assert_eq!((&told["limits"]["all"], &told["left_out"]), (&512.into(), &0.into()));
+    assert_eq!(
+        (&told["limits"]["all"], &told["left_out"]),
+        (&512.into(), &0.into())
+    );
     assert_eq!(node.operate("POST /pools", ""), 405);
 }
 
@@ -55,26 +65,41 @@
 fn a_report_is_bounded_however_many_endpoints_there_are() {
     let endpoint = Endpoint::new(|_, _| OK);
     let uids: Vec<String> = (0..3000).map(|n| format!("s-{n:060}")).collect();
-    let entries: Vec<_> = uids.iter().map(|uid| (uid.as_str(), endpoint.address, "one", 7, "up")).collect();
+    let entries: Vec<_> = uids
+        .iter()
+        .map(|uid| (uid.as_str(), endpoint.address, "one", 7, "up"))
+        .collect();
     let node = Node::with(Agent::new(vec![list(&entries)]).address, 3.0, 60.0).ready();
     let text = told(&node, "GET /pools");
     assert!(text.len() < 450_000, "{} bytes", text.len());
     let told: Value = serde_json::from_str(&text).expect("JSON");
-    assert_eq!((&told["left_out"], &told["totals"]["endpoints"]), (&1976.into(), &3000.into()));
+    assert_eq!(
+        (&told["left_out"], &told["totals"]["endpoints"]),
+        (&1976.into(), &3000.into())
+    );
 }
 
 #[test]
 fn an_endpoint_that_drains_goes_or_is_out_has_its_idle_connections_closed() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let entries = [("s-1", 1, "draining"), ("s-2", 2, "removed"), ("s-3", 3, "up")];
-    let up: Vec<_> =
-        entries.iter().map(|&(uid, dest, _)| (uid, endpoint.address, "one", dest, "up")).collect();
+    let entries = [
+        ("s-1", 1, "draining"),
+        ("s-2", 2, "removed"),
+        ("s-3", 3, "up"),
+    ];
+    let up: Vec<_> = entries
+        .iter()
+        .map(|&(uid, dest, _)| (uid, endpoint.address, "one", dest, "up"))
+        .collect();
     let agent = Agent::new(vec![list(&up)]);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
     (1..=3).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
     wait_for_total(&node, "/idle", 3);
     for (version, (uid, dest, state)) in (8..).zip(entries) {
-        agent.tell(changes(version, &[(uid, endpoint.address, "one", dest, state)]));
+        agent.tell(changes(
+            version,
+            &[(uid, endpoint.address, "one", dest, state)],
+        ));
         if state == "up" {
             assert_eq!(node.order("disable", uid), 200);
         }
@@ -89,7 +114,13 @@
     let agent = one(&old);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
     sent(&node, "m1", 7);
-    agent.tell(changes(8, &[("s-1", new.address, "one", 7, "up"), ("s-2", old.address, "one", 8, "up")]));
+    agent.tell(changes(
+        8,
+        &[
+            ("s-1", new.address, "one", 7, "up"),
+            ("s-2", old.address, "one", 8, "up"),
+        ],
+    ));
     wait_for_total(&node, "/endpoints", 2);
     sent(&node, "m2", 7);
     sent(&node, "m3", 8);
@@ -104,7 +135,10 @@
     let agent = one(&endpoint);
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
-        assert_eq!(node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"), 202);
+        assert_eq!(
+            node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"),
+            202
+        );
     }
     wait_until("all are out", || endpoint.count() == 6);
     *gate.lock().expect("not poisoned") = true;
@@ -120,34 +154,74 @@
     wait_for_total(&node, "/idle", 2);
     wait_for_total(&node, "/counts/closes/surplus", 4);
     bring(r#""pool":{"idle":1,"dials":0},"#);
-    wait_until("it is refused", || node.logged("left as it was: pool.dials is '0'"));
+    wait_until("it is refused", || {
+        node.logged("left as it was: pool.dials is '0'")
+    });
     assert_eq!(pools(&node)["limits"]["idle"], 2);
     bring("");
-    wait_until("the defaults are back", || pools(&node)["limits"]["idle"] == 1024 / 3);
+    wait_until("the defaults are back", || {
+        pools(&node)["limits"]["idle"] == 1024 / 3
+    });
 }
 
 #[test]
 fn a_pool_that_makes_no_sense_stops_a_start_with_the_key_named() {
     for (pool, said) in [
-        (r#"{"per_endpoint":0}"#, "pool.per_endpoint is '0', not a whole number from 1 to pool.all"),
-        (r#"{"dials":-1}"#, "pool.dials is '-1', not a whole number from 1 to pool.all"),
-        (r#"{"idle":1.5}"#, "pool.idle is '1.5', not a whole number from 1 to pool.all"),
-        (r#"{"idle_per_endpoint":"9"}"#, "pool.idle_per_endpoint is '\"9\"', not a whole number"),
-        (r#"{"all":513}"#, "pool.all is '513', not a whole number from 1 to half of limits.sockets"),
-        (r#"{"all":10,"dials":11}"#, "pool.dials is '11', not a whole number from 1 to pool.all"),
-        (r#"{"warm_share":1.01}"#, "pool.warm_share is '1.01', not a share from 0 to 1"),
-        (r#"{"decay_s":0}"#, "pool.decay_s is '0', not seconds from 0.1 to 3600"),
-        (r#"{"learn_caps":1}"#, "pool.learn_caps is '1', not true or false"),
+        (
+            r#"{"per_endpoint":0}"#,
+            "pool.per_endpoint is '0', not a whole number from 1 to pool.all",
+        ),
+        (
+            r#"{"dials":-1}"#,
+            "pool.dials is '-1', not a whole number from 1 to pool.all",
+        ),
+        (
+            r#"{"idle":1.5}"#,
+            "pool.idle is '1.5', not a whole number from 1 to pool.all",
+        ),
+        (
+            r#"{"idle_per_endpoint":"9"}"#,
+            "pool.idle_per_endpoint is '\"9\"', not a whole number",
+        ),
+        (
+            r#"{"all":513}"#,
+            "pool.all is '513', not a whole number from 1 to half of limits.sockets",
+        ),
+        (
+            r#"{"all":10,"dials":11}"#,
+            "pool.dials is '11', not a whole number from 1 to pool.all",
+        ),
+        (
+            r#"{"warm_share":1.01}"#,
+            "pool.warm_share is '1.01', not a share from 0 to 1",
+        ),
+        (
+            r#"{"decay_s":0}"#,
+            "pool.decay_s is '0', not seconds from 0.1 to 3600",
+        ),
+        (
+            r#"{"learn_caps":1}"#,
+            "pool.learn_caps is '1', not true or false",
+        ),
         (r#"{"idel":1}"#, "pool.idel is no setting"),
         ("[]", "pool is '[]', not an object"),
     ] {
         let folder = fresh_folder();
         let text = config("127.0.0.1:9".parse().expect("an address"), 3.0, 5.0, 1024);
-        std::fs::write(folder.join("config.json"), with_part(&text, &format!(r#""pool":{pool},"#)))
-            .expect("written");
-        let ended = command(&folder).env("RELAY_DISCOVERY", "127.0.0.1:9").output().expect("it ends");
+        std::fs::write(
+            folder.join("config.json"),
+            with_part(&text, &format!(r#""pool":{pool},"#)),
+        )
+        .expect("written");
+        let ended = command(&folder)
+            .env("RELAY_DISCOVERY", "127.0.0.1:9")
+            .output()
+            .expect("it ends");
         let log = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(!ended.status.success() && log.lines().count() == 1 && log.contains(said), "{pool}: {log}");
+        assert!(
+            !ended.status.success() && log.lines().count() == 1 && log.contains(said),
+            "{pool}: {log}"
+        );
     }
 }
 
@@ -171,8 +245,11 @@
         text.push(byte[0]);
     }
     let head = String::from_utf8_lossy(&text).into_owned();
-    let length =
-        head.lines().find_map(|line| line.strip_prefix("content-length: "))?.parse::<usize>().ok()?;
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: "))?
+        .parse::<usize>()
+        .ok()?;
     stream.read_exact(&mut vec![0; length]).ok()?;
     Some((head, text.len() + length))
 }
@@ -191,7 +268,12 @@
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let cutter = Cutter { address, cut: Arc::default(), whole: Arc::default(), begun: Arc::default() };
+        let cutter = Cutter {
+            address,
+            cut: Arc::default(),
+            whole: Arc::default(),
+            begun: Arc::default(),
+        };
         let here = cutter.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -211,9 +293,17 @@
                 let _ = stream.read_exact(&mut vec![0; length]);
                 return; // what is not read makes it a reset
             }
-            let Some((head, length)) = read_request(&mut stream) else { return };
-            let id = head.lines().find_map(|line| line.strip_prefix("x-request-id: ")).unwrap_or_default();
-            self.whole.lock().expect("not poisoned").push((id.to_string(), length));
+            let Some((head, length)) = read_request(&mut stream) else {
+                return;
+            };
+            let id = head
+                .lines()
+                .find_map(|line| line.strip_prefix("x-request-id: "))
+                .unwrap_or_default();
+            self.whole
+                .lock()
+                .expect("not poisoned")
+                .push((id.to_string(), length));
             match cut {
                 Some(Cut::Answer(length)) => {
                     let _ = stream.write_all(&ANSWER[..length]);
@@ -227,7 +317,12 @@
     }
 
     fn whole(&self, id: &str) -> usize {
-        self.whole.lock().expect("not poisoned").iter().filter(|(seen, _)| seen == id).count()
+        self.whole
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .filter(|(seen, _)| seen == id)
+            .count()
     }
 }
 
@@ -236,16 +331,22 @@
     let cutter = Cutter::new();
     // a destination for each case, so that none waits for what another has made of it
     let uids: Vec<String> = (0..900).map(|n| format!("s-{n}")).collect();
-    let entries: Vec<_> =
-        (0..900).map(|n| (uids[n].as_str(), cutter.address, "one", n as u64, "up")).collect();
+    let entries: Vec<_> = (0..900)
+        .map(|n| (uids[n].as_str(), cutter.address, "one", n as u64, "up"))
+        .collect();
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with(agent.address, 30.0, 600.0).ready();
-    assert_eq!(node.hand_in("order", "measure-0000", 899, 20_000, b"body"), 202);
+    assert_eq!(
+        node.hand_in("order", "measure-0000", 899, 20_000, b"body"),
+        202
+    );
     wait_until("its length is known", || cutter.whole("measure-0000") == 1);
     // the deadline in the request may take a digit less later on
     let length = cutter.whole.lock().expect("not poisoned")[0].1 - 1;
     let requests = (0..=length).map(Cut::Request);
-    let cuts: Vec<Cut> = requests.chain((0..=ANSWER.len()).map(Cut::Answer)).collect();
+    let cuts: Vec<Cut> = requests
+        .chain((0..=ANSWER.len()).map(Cut::Answer))
+        .collect();
     let mut dest = 0;
     for reused in [false, true] {
         for &cut in &cuts {
@@ -262,14 +363,22 @@
             let delivered = matches!(cut, Cut::Answer(length) if length > "HTTP/1.1 200".len());
             let notice = format!(r#"{{"id":"{id}","state":"failed"}}"#);
             if delivered {
-                wait_until("delivered", || node.hand_in("order", &id, dest, 20_000, b"body") == 200);
+                wait_until("delivered", || {
+                    node.hand_in("order", &id, dest, 20_000, b"body") == 200
+                });
             } else {
                 wait_until("its notice", || agent.notices().contains(&notice));
             }
             assert!(!delivered || !agent.notices().contains(&notice), "{cut:?}");
             let seen = *cutter.begun.lock().expect("not poisoned") - begun;
-            assert_eq!(seen, 1, "{cut:?}, reused {reused}: begun on {seen} connections");
-            assert!(cutter.whole(&id) <= 1, "{cut:?}, reused {reused}: seen twice");
+            assert_eq!(
+                seen, 1,
+                "{cut:?}, reused {reused}: begun on {seen} connections"
+            );
+            assert!(
+                cutter.whole(&id) <= 1,
+                "{cut:?}, reused {reused}: seen twice"
+            );
             dest += 1;
         }
     }
@@ -289,7 +398,11 @@
     let full = Endpoint::new(|_, _| Reply::Last("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
     let mut entries = vec![("s-1", served.address, "one", 7, "up")];
-    entries.extend(uids.iter().zip(10..).map(|(uid, dest)| (uid.as_str(), full.address, "one", dest, "up")));
+    entries.extend(
+        uids.iter()
+            .zip(10..)
+            .map(|(uid, dest)| (uid.as_str(), full.address, "one", dest, "up")),
+    );
     let agent = Agent::new(vec![list(&entries)]);
     let many = |text: String| text.replace(r#""balancers":1,"#, r#""balancers":300,"#);
     let node = Node::configured_with(&agent, many).ready();
@@ -298,13 +411,22 @@
         wait_until("it is served", || served.times(id) == 1);
     };
     ["a", "b", "c"].iter().for_each(|id| deliver(id));
-    assert_eq!(served.connections.load(std::sync::atomic::Ordering::SeqCst), 1, "its connection is kept");
+    assert_eq!(
+        served.connections.load(std::sync::atomic::Ordering::SeqCst),
+        1,
+        "its connection is kept"
+    );
     for dest in 10..16 {
         node.hand_in("webhook", &format!("t{dest}"), dest, 5_000, b"x");
     }
     wait_until("new connections are turned away", || full.count() >= 6);
     deliver("d");
-    wait_until("it is closed", || told(&node, "GET /pools").contains(r#""scarce":1"#));
+    wait_until("it is closed", || {
+        told(&node, "GET /pools").contains(r#""scarce":1"#)
+    });
     deliver("e");
-    assert!(served.connections.load(std::sync::atomic::Ordering::SeqCst) >= 2, "a new one for the next call");
+    assert!(
+        served.connections.load(std::sync::atomic::Ordering::SeqCst) >= 2,
+        "a new one for the next call"
+    );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -34,7 +34,11 @@
 
 fn listed(endpoint: u32) -> Entry {
     let kind = (endpoint / 3 % 3) as usize;
-    Entry { zone: (endpoint % 2) as u16, kind, ..entry(endpoint, destination(endpoint)) }
+    Entry {
+        zone: (endpoint % 2) as u16,
+        kind,
+        ..entry(endpoint, destination(endpoint))
+    }
 }
 
 fn wait_key(endpoint: u32) -> (u64, Option<u32>) {
@@ -50,7 +54,10 @@
     settings.senders = [1, 3, 300][seed as usize % 3];
     (settings.may_note, settings.list_on_request) = (true, seed.is_multiple_of(2));
     (settings.report_left, settings.report_limit) = (Some(0), Some(1));
-    settings.tenants = vec![Tenant { name: "first".into(), allowance: 5.0 }];
+    settings.tenants = vec![Tenant {
+        name: "first".into(),
+        allowance: 5.0,
+    }];
     settings.connection_idle = 5 * SECOND;
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
     let (mut now, mut next) = (T0, 0u64);
@@ -62,12 +69,19 @@
     let mut rests: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
-    let mut events = vec![Event::Listed { listing: Listing::Old, entries: (0..12).map(listed).collect() }];
+    let mut events = vec![Event::Listed {
+        listing: Listing::Old,
+        entries: (0..12).map(listed).collect(),
+    }];
     let mut sends = 0;
     for turn in 0..6000u64 {
         let step = Micros::from(5_000 * (1 + below(6)));
         now += if turn % 50 == 0 { 0 } else { step };
-        let arrivals = if turn < 5000 && below(3) == 0 { 1 + below(3) } else { 0 };
+        let arrivals = if turn < 5000 && below(3) == 0 {
+            1 + below(3)
+        } else {
+            0
+        };
         for _ in 0..arrivals {
             let class = below(4) as usize;
             let key = (class == ORDERED).then(|| u64::from(below(3)));
@@ -75,7 +89,13 @@
             new.key = key;
             new.tenant = (below(2) == 0).then_some(0);
             let deadline = now + new.time_left;
-            let book = Book { class, destination: new.destination, key, deadline, ..Book::default() };
+            let book = Book {
+                class,
+                destination: new.destination,
+                key,
+                deadline,
+                ..Book::default()
+            };
             books.insert(next, book);
             if let Some(key) = key {
                 lines.entry(key).or_default().push(next);
@@ -87,10 +107,17 @@
             let endpoint = below(12);
             let mut changed = listed(endpoint);
             if stopped.remove(&endpoint).is_none() {
-                changed.status = if below(2) == 0 { Status::Draining } else { Status::Gone };
+                changed.status = if below(2) == 0 {
+                    Status::Draining
+                } else {
+                    Status::Gone
+                };
                 stopped.insert(endpoint, now);
             }
-            events.push(Event::Listed { listing: Listing::Changes, entries: vec![changed] });
+            events.push(Event::Listed {
+                listing: Listing::Changes,
+                entries: vec![changed],
+            });
         }
         let mut index = 0;
         while index < out.len() {
@@ -106,7 +133,9 @@
                 _ if over => Outcome::TimedOut,
                 _ if bad && below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
-                1 => Outcome::Refused { wait: (below(2) == 0).then(|| Micros::from(below(3_000_000))) },
+                1 => Outcome::Refused {
+                    wait: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
+                },
                 2 if below(3) == 0 => Outcome::NoConnection,
                 3 if below(3) == 0 => Outcome::Reset,
                 _ => Outcome::Success,
@@ -116,7 +145,8 @@
             if outcome.never_ran() {
                 book.risky.remove(&call.attempt);
             }
-            if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) = (book.key, outcome)
+            if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
+                (book.key, outcome)
             {
                 rests.insert(key, now + settings.safety.key_rest);
             }
@@ -126,13 +156,27 @@
             }
             let closed = book.ended || outcome == Outcome::Success;
             book.ended = closed;
-            let mut event = ended(call.message, call.attempt, call.endpoint, outcome, now - call.sent);
-            if let Event::Ended { closed: flag, report, .. } = &mut event {
+            let mut event = ended(
+                call.message,
+                call.attempt,
+                call.endpoint,
+                outcome,
+                now - call.sent,
+            );
+            if let Event::Ended {
+                closed: flag,
+                report,
+                ..
+            } = &mut event
+            {
                 *flag = closed;
                 *report = vec![f64::from(below(11)) / 10.0, f64::from(below(30))];
             }
             if below(10) == 0 {
-                events.push(Event::Noted { from: below(5), bytes: vec![7; below(300) as usize] });
+                events.push(Event::Noted {
+                    from: below(5),
+                    bytes: vec![7; below(300) as usize],
+                });
             }
             events.push(event);
         }
@@ -145,10 +189,19 @@
         events.clear();
         for action in &actions {
             match action {
-                Action::Send { message, attempt, endpoint, expires, start_by } => {
+                Action::Send {
+                    message,
+                    attempt,
+                    endpoint,
+                    expires,
+                    start_by,
+                } => {
                     sends += 1;
                     let (id, endpoint) = (message.0, endpoint.0);
-                    assert_eq!(*attempt, books[&id].attempts, "numbered otherwise than in order");
+                    assert_eq!(
+                        *attempt, books[&id].attempts,
+                        "numbered otherwise than in order"
+                    );
                     let earlier_open = |id: u64, key: u64| {
                         lines[&key]
                             .iter()
@@ -158,7 +211,10 @@
                     let book = &books[&id];
                     assert!(!book.ended && now < book.deadline, "sent after its end");
                     assert_eq!(destination(endpoint), book.destination);
-                    assert!(!stopped.contains_key(&endpoint), "sent to a drained endpoint");
+                    assert!(
+                        !stopped.contains_key(&endpoint),
+                        "sent to a drained endpoint"
+                    );
                     assert!(book.attempts < settings.max_attempts);
                     let waits = waits.get(&wait_key(endpoint)).copied().unwrap_or(0);
                     assert!(now >= waits, "sent before a wait was over");
@@ -182,7 +238,13 @@
                     let attempt = book.attempts;
                     book.attempts += 1;
                     book.out += 1;
-                    out.push(Out { message: id, attempt, endpoint, sent: now, expires: *expires });
+                    out.push(Out {
+                        message: id,
+                        attempt,
+                        endpoint,
+                        sent: now,
+                        expires: *expires,
+                    });
                 }
                 Action::Refuse { message, .. } => {
                     let book = books.get_mut(&message.0).expect("known");
@@ -191,7 +253,10 @@
                         "ended twice or late"
                     );
                     let free = settings.classes[book.class].effect == Effect::Repeatable;
-                    assert!(free || book.risky.is_empty(), "refused although it may have run");
+                    assert!(
+                        free || book.risky.is_empty(),
+                        "refused although it may have run"
+                    );
                     book.ended = true;
                 }
                 Action::Fail(message) => {
@@ -204,7 +269,10 @@
                 }
                 Action::Cancel { message, attempt } => {
                     let id = (message.0, *attempt);
-                    if let Some(call) = out.iter_mut().find(|call| (call.message, call.attempt) == id) {
+                    if let Some(call) = out
+                        .iter_mut()
+                        .find(|call| (call.message, call.attempt) == id)
+                    {
                         call.expires = now + 20 * MILLISECOND;
                     }
                 }
@@ -217,7 +285,10 @@
         }
         all.extend(actions);
     }
-    assert!(books.values().all(|book| book.ended || book.deadline > now), "a message was lost");
+    assert!(
+        books.values().all(|book| book.ended || book.deadline > now),
+        "a message was lost"
+    );
     (all, sends)
 }
 
@@ -225,7 +296,10 @@
 fn random_legal_events_break_no_rule() {
     for seed in 0..6 {
         let (_, sends) = play(seed);
-        assert!(sends > [300, 150, 40][seed as usize % 3], "seed {seed}: {sends} sends");
+        assert!(
+            sends > [300, 150, 40][seed as usize % 3],
+            "seed {seed}: {sends} sends"
+        );
     }
 }
 
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -30,7 +30,10 @@
 impl Proxy {
     fn new(replica: SocketAddr, mode: u8) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (address, mode) = (listener.local_addr().expect("bound"), Arc::new(AtomicU8::new(mode)));
+        let (address, mode) = (
+            listener.local_addr().expect("bound"),
+            Arc::new(AtomicU8::new(mode)),
+        );
         let shared = mode.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -57,10 +60,20 @@
     let compact = String::from_utf8_lossy(&request).contains(MEDIA_TYPE);
     match mode {
         OLDER if compact => {
-            client.write_all(&answer("400 Bad Request", "text/plain", b"expected value at line 1\n")).ok()?;
+            client
+                .write_all(&answer(
+                    "400 Bad Request",
+                    "text/plain",
+                    b"expected value at line 1\n",
+                ))
+                .ok()?;
         }
-        GARBAGE if compact => client.write_all(&answer("200 OK", MEDIA_TYPE, b"\x01\xff\xff\xff")).ok()?,
-        CUT if compact => client.write_all(&answer("200 OK", MEDIA_TYPE, b"\x01\xe0\xc6\x5b")).ok()?,
+        GARBAGE if compact => client
+            .write_all(&answer("200 OK", MEDIA_TYPE, b"\x01\xff\xff\xff"))
+            .ok()?,
+        CUT if compact => client
+            .write_all(&answer("200 OK", MEDIA_TYPE, b"\x01\xe0\xc6\x5b"))
+            .ok()?,
         _ => {
             let mut server = TcpStream::connect(replica).ok()?;
             server.write_all(&request).ok()?;
@@ -90,7 +103,11 @@
 }
 
 fn quota(node: &Node) -> Option<u64> {
-    report(node)["parts"].as_array()?.iter().find(|part| part["key"] == "rate/7")?["part"].as_u64()
+    report(node)["parts"]
+        .as_array()?
+        .iter()
+        .find(|part| part["key"] == "rate/7")?["part"]
+        .as_u64()
 }
 
 #[test]
@@ -110,8 +127,13 @@
     let registry = registry(&endpoint);
     let proxy = Proxy::new(registry.address, GARBAGE);
     let node = sender(&proxy);
-    wait_until("it says so", || node.logged("ledger: no parts: the answer can't be read"));
-    assert_eq!((quota(&node), report(&node)["granted"].as_u64()), (None, Some(0)));
+    wait_until("it says so", || {
+        node.logged("ledger: no parts: the answer can't be read")
+    });
+    assert_eq!(
+        (quota(&node), report(&node)["granted"].as_u64()),
+        (None, Some(0))
+    );
     assert_eq!(node.hand_in("webhook", "m1", 7, 900, b"x"), 202);
     wait_until("the fallback share serves", || endpoint.times("m1") == 1);
     proxy.mode.store(CUT, Ordering::SeqCst);
@@ -128,12 +150,20 @@
         "POST /v1/parts HTTP/1.1\r\nhost: r\r\nconnection: close\r\ncontent-type: {media}\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    stream.write_all(&[head.as_bytes(), body].concat()).expect("written");
+    stream
+        .write_all(&[head.as_bytes(), body].concat())
+        .expect("written");
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).expect("an answer");
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").expect("a head");
-    (head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status"), body.to_string())
+    (
+        head.split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("a status"),
+        body.to_string(),
+    )
 }
 
 #[test]
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -24,7 +24,9 @@
     /// The next connection that the sender opens.
     fn accept(&self) -> TcpStream {
         let (stream, _) = self.0.accept().expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("set");
         stream
     }
 
@@ -37,7 +39,9 @@
             let stream = stream.get_or_insert_with(|| self.accept());
             assert!(read_call(stream).contains(&id));
             stream.write_all(ANSWER).expect("taken");
-            wait_until("its end is known", || node.hand_in("webhook", &id, 7, 20_000, b"body") == 200);
+            wait_until("its end is known", || {
+                node.hand_in("webhook", &id, 7, 20_000, b"body") == 200
+            });
             served += 1;
         }
         stream.expect("served")
@@ -69,21 +73,35 @@
     let node = node.ready();
     let mut first = gate.well_known(&node);
     let mut client = Client::new(&node);
-    assert_eq!(client.send(&message("webhook", "m1", 7, 20_000, b"body")).expect("answered").0, 202);
+    assert_eq!(
+        client
+            .send(&message("webhook", "m1", 7, 20_000, b"body"))
+            .expect("answered")
+            .0,
+        202
+    );
     assert!(read_call(&mut first).contains("x-request-id: m1"));
     let (sent, window) = (Instant::now(), Duration::from_secs(1));
     // m1 may have run: a repeat is dropped until a second after its sending, and may be made for so long, but
     // rests a while before it; another message has the one connection by then
     node.at_one_moment(|| {
         drop(first);
-        client.write(&message("order", "m2", 7, 20_000, b"body")).expect("written");
+        client
+            .write(&message("order", "m2", 7, 20_000, b"body"))
+            .expect("written");
     });
     let mut second = gate.accept();
     assert!(read_call(&mut second).contains("x-request-id: m2"));
-    wait_until("the repeat waits for the other", || pools(&node)["totals"]["waiting"] == 1);
+    wait_until("the repeat waits for the other", || {
+        pools(&node)["totals"]["waiting"] == 1
+    });
     std::thread::sleep(window.saturating_sub(sent.elapsed()));
     second.write_all(ANSWER).expect("taken");
-    wait_until("its notice", || agent.notices().contains(&r#"{"id":"m1","state":"failed"}"#.to_string()));
+    wait_until("its notice", || {
+        agent
+            .notices()
+            .contains(&r#"{"id":"m1","state":"failed"}"#.to_string())
+    });
     // the connection that it might have had carries the next message
     assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"body"), 202);
     let call = read_call(&mut second);
@@ -99,19 +117,29 @@
     let node = Node::with_sockets(gate.listed().address, 3.0, 5.0, 60).ready();
     for round in 0..10 {
         let mut clients: Vec<Client> = (0..20).map(|_| Client::new(&node)).collect();
-        clients.iter_mut().for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
         // all have been idle for so long that each may be closed
         std::thread::sleep(Duration::from_millis(300));
         let mut next = None;
         node.at_one_moment(|| {
             next = Some(Client::new(&node));
-            clients.iter_mut().for_each(|client| client.write(READY).expect("written"));
+            clients
+                .iter_mut()
+                .for_each(|client| client.write(READY).expect("written"));
         });
         for (number, client) in clients.iter_mut().enumerate() {
             let answer = client.answer().map(|(status, _)| status);
             assert_eq!(answer, Some(200), "round {round}, client {number}");
         }
-        assert_eq!(next.expect("connected").send(READY).expect("has its turn").0, 200);
+        assert_eq!(
+            next.expect("connected")
+                .send(READY)
+                .expect("has its turn")
+                .0,
+            200
+        );
     }
 }
 
@@ -122,7 +150,9 @@
     node.at_one_moment(|| {
         in_time = !clients.iter_mut().any(Client::has_ended);
         std::thread::sleep(Duration::from_millis(600));
-        clients.iter_mut().for_each(|client| drop(client.write(READY)));
+        clients
+            .iter_mut()
+            .for_each(|client| drop(client.write(READY)));
     });
     for (number, client) in clients.iter_mut().enumerate().filter(|_| in_time) {
         let answer = client.answer().map(|(status, _)| status);
@@ -154,7 +184,9 @@
     let node = Node::new(&gate.listed()).ready();
     let met = || {
         let mut clients: Vec<Client> = (0..16).map(|_| Client::new(&node)).collect();
-        clients.iter_mut().for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
+        clients
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
         // they are closed after 2.1 s
         std::thread::sleep(Duration::from_millis(1700));
         meet_the_end(&node, &mut clients, 200)
@@ -176,7 +208,9 @@
     let mut node = node;
     assert!(node.process.wait().expect("it ends").success());
     let next = node.restart().ready();
-    wait_until("it is told", || !next.logged("messages owed") || next.logged(" 0 messages owed"));
+    wait_until("it is told", || {
+        !next.logged("messages owed") || next.logged(" 0 messages owed")
+    });
     assert_eq!(next.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
     assert!(read_call(&mut gate.accept()).contains("x-request-id: m2"));
 }
@@ -188,7 +222,9 @@
     let head = b"POST /webhook HTTP/1.1\r\nHost: a\r\nX-Request-ID: m1\r\nX-Priority-Class: webhook\r\n\
         X-Timeout: 900m\r\nIdempotency-Key: k\r\nContent-Length: 100000\r\nEnvelope: dest=7\r\n\r\n";
     let mut stream = TcpStream::connect(node.address).expect("the sender accepts");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("set");
     node.at_one_moment(|| {
         stream.write_all(head).expect("written");
         stream.write_all(&vec![b'x'; 90_000]).expect("written");
@@ -198,16 +234,27 @@
     assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
     std::thread::sleep(Duration::from_millis(50));
     let reset = stream.take_error().expect("asked");
-    assert!(end.is_ok() && reset.is_none(), "the connection is reset: {end:?}, {reset:?}");
+    assert!(
+        end.is_ok() && reset.is_none(),
+        "the connection is reset: {end:?}, {reset:?}"
+    );
 }
 
 /// A sender whose keyed calls are given up after a second, and a call of it that is under way: its connection.
 fn under_way(gate: &Gate, agent: &Agent) -> (Node, TcpStream, Instant) {
-    let node =
-        Node::configured_with(agent, |text| text.replace(r#""window":12.0"#, r#""window":1.0"#)).ready();
+    let node = Node::configured_with(agent, |text| {
+        text.replace(r#""window":12.0"#, r#""window":1.0"#)
+    })
+    .ready();
     let mut stream = gate.well_known(&node);
     let mut client = Client::new(&node);
-    assert_eq!(client.send(&message("webhook", "m1", 7, 20_000, b"body")).expect("answered").0, 202);
+    assert_eq!(
+        client
+            .send(&message("webhook", "m1", 7, 20_000, b"body"))
+            .expect("answered")
+            .0,
+        202
+    );
     assert!(read_call(&mut stream).contains("x-request-id: m1"));
     (node, stream, Instant::now())
 }
@@ -228,8 +275,14 @@
             while stream.read(&mut [0; 64]).expect("it ends") > 0 {}
             let _ = stream.write_all(rest);
         }
-        wait_until("delivered", || node.hand_in("webhook", "m1", 7, 20_000, b"body") == 200);
-        assert!(!agent.notices().iter().any(|notice| notice.contains("m1")), "{:?}", agent.notices());
+        wait_until("delivered", || {
+            node.hand_in("webhook", "m1", 7, 20_000, b"body") == 200
+        });
+        assert!(
+            !agent.notices().iter().any(|notice| notice.contains("m1")),
+            "{:?}",
+            agent.notices()
+        );
     }
 }
 
@@ -255,7 +308,10 @@
     let mut next = gate.accept();
     let after = told.elapsed();
     assert!(read_call(&mut next).contains("x-request-id: m2"));
-    assert!(after >= Duration::from_millis(2900), "a call {after:?} after a wait of 3 s was told");
+    assert!(
+        after >= Duration::from_millis(2900),
+        "a call {after:?} after a wait of 3 s was told"
+    );
 }
 
 /// An answer that tells to wait.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -22,7 +22,10 @@
     let (_, _, endpoint, attempt) = rig.sends[1];
     rig.tell(vec![ended(1, attempt, endpoint, Outcome::Success, SECOND)]);
     let cancelled_now = rig.cancels(1) - before;
-    assert!(cancelled_now >= 3, "the three others are called off, {cancelled_now} were");
+    assert!(
+        cancelled_now >= 3,
+        "the three others are called off, {cancelled_now} were"
+    );
     rig.run(T0 + 40 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 4, "nothing goes out after the end");
 }
@@ -38,7 +41,10 @@
     let start = rig.now - T0;
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(rig.now + 500 * MILLISECOND);
-    assert_eq!(rig.sends_of(1), [start, start + 200 * MILLISECOND, start + 400 * MILLISECOND]);
+    assert_eq!(
+        rig.sends_of(1),
+        [start, start + 200 * MILLISECOND, start + 400 * MILLISECOND]
+    );
 }
 
 #[test]
@@ -80,18 +86,45 @@
     assert_eq!(rig.sends.len(), 10, "4 first attempts and 6 copies");
     let waiting: Vec<u64> = (0..4).filter(|&id| rig.sends_of(id).len() == 2).collect();
     assert_eq!(waiting.len(), 2);
-    let done = (0..4).find(|id| !waiting.contains(id)).expect("one has two copies");
-    let calls: Vec<_> = rig.sends.iter().filter(|send| send.1 == done).copied().collect();
-    let outcome = |n: usize| if n == 0 { Outcome::Success } else { Outcome::Cancelled };
-    rig.tell(calls.iter().map(|call| ended(done, call.3, call.2, outcome(call.3), SECOND)).collect());
+    let done = (0..4)
+        .find(|id| !waiting.contains(id))
+        .expect("one has two copies");
+    let calls: Vec<_> = rig
+        .sends
+        .iter()
+        .filter(|send| send.1 == done)
+        .copied()
+        .collect();
+    let outcome = |n: usize| {
+        if n == 0 {
+            Outcome::Success
+        } else {
+            Outcome::Cancelled
+        }
+    };
+    rig.tell(
+        calls
+            .iter()
+            .map(|call| ended(done, call.3, call.2, outcome(call.3), SECOND))
+            .collect(),
+    );
     for &id in &waiting {
-        assert_eq!(rig.sends_of(id), [0, SECOND, 2_500 * MILLISECOND], "at once when there is room");
+        assert_eq!(
+            rig.sends_of(id),
+            [0, SECOND, 2_500 * MILLISECOND],
+            "at once when there is room"
+        );
     }
 }
 
 #[test]
 fn an_unsafe_message_that_may_have_run_only_fails() {
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut rig = Rig::new(settings(40), pool(3));
         rig.tell(vec![message(1, UNSAFE, 7)]);
         rig.run(T0 + 300 * MILLISECOND);
@@ -104,8 +137,11 @@
 
 #[test]
 fn an_unsafe_message_goes_again_when_it_never_ran() {
-    for outcome in [Outcome::Refused { wait: None }, Outcome::NoConnection, Outcome::Unsent { no_slot: true }]
-    {
+    for outcome in [
+        Outcome::Refused { wait: None },
+        Outcome::NoConnection,
+        Outcome::Unsent { no_slot: true },
+    ] {
         let mut rig = Rig::new(settings(40), pool(3));
         rig.tell(vec![message(1, UNSAFE, 7)]);
         rig.end(1, outcome, MILLISECOND);
@@ -121,23 +157,43 @@
     let mut rig = Rig::new(settings(40), vec![entry(1, 7), far]);
     rig.tell(vec![message(1, KEYED, 7)]);
     rig.run(T0 + 3 * SECOND);
-    assert_eq!(rig.sends_of(1).len(), 1, "the only untried endpoint is in another zone");
+    assert_eq!(
+        rig.sends_of(1).len(),
+        1,
+        "the only untried endpoint is in another zone"
+    );
     rig.end(1, Outcome::Error, SECOND);
     rig.run(T0 + 30 * SECOND);
-    assert!(rig.sends.iter().all(|send| send.2 == rig.sends[0].2 && send.0 < T0 + 6 * SECOND));
+    assert!(
+        rig.sends
+            .iter()
+            .all(|send| send.2 == rig.sends[0].2 && send.0 < T0 + 6 * SECOND)
+    );
     assert!(!rig.refused(1), "it may have run and its group is one zone");
 }
 
 #[test]
 fn a_keyed_window_that_closes_stops_the_copies_and_the_message_fails() {
     let mut short = settings(40);
-    short.classes[KEYED].effect = Effect::Keyed { window: 1_500 * MILLISECOND, zone_only: true };
+    short.classes[KEYED].effect = Effect::Keyed {
+        window: 1_500 * MILLISECOND,
+        zone_only: true,
+    };
     let mut rig = Rig::new(short, pool(4));
     rig.tell(vec![message(1, KEYED, 7)]);
     rig.run(T0 + 5 * SECOND);
-    assert_eq!(rig.sends_of(1), [0, SECOND], "the copy due at 2 s falls out of the window");
+    assert_eq!(
+        rig.sends_of(1),
+        [0, SECOND],
+        "the copy due at 2 s falls out of the window"
+    );
     let calls: Vec<_> = rig.sends.clone();
-    rig.tell(calls.iter().map(|c| ended(1, c.3, c.2, Outcome::TimedOut, 5 * SECOND)).collect());
+    rig.tell(
+        calls
+            .iter()
+            .map(|c| ended(1, c.3, c.2, Outcome::TimedOut, 5 * SECOND))
+            .collect(),
+    );
     assert!(rig.failed(1));
 }
 
@@ -149,18 +205,34 @@
     let other = 3 - used;
     let mut drains = entry(other, 7);
     drains.status = Status::Draining;
-    rig.tell(vec![Event::Listed { listing: Listing::Changes, entries: vec![drains] }]);
+    rig.tell(vec![Event::Listed {
+        listing: Listing::Changes,
+        entries: vec![drains],
+    }]);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "no copy to the draining endpoint");
-    rig.tell(vec![Event::Listed { listing: Listing::Full, entries: Vec::new() }]);
+    rig.tell(vec![Event::Listed {
+        listing: Listing::Full,
+        entries: Vec::new(),
+    }]);
     rig.end(1, Outcome::Error, SECOND);
     rig.tell(vec![message(2, FREE, 7)]);
     rig.run(T0 + 60 * SECOND);
     assert_eq!(rig.sends.len(), 1, "an empty list leaves no endpoint");
     assert!(rig.refused(1) && rig.refused(2));
     let known = rig.sends.len();
-    rig.tell(vec![Event::Listed { listing: Listing::Full, entries: pool(2) }, message(3, FREE, 7)]);
-    assert_eq!(rig.sends.len(), known + 1, "a list that names it again counts");
+    rig.tell(vec![
+        Event::Listed {
+            listing: Listing::Full,
+            entries: pool(2),
+        },
+        message(3, FREE, 7),
+    ]);
+    assert_eq!(
+        rig.sends.len(),
+        known + 1,
+        "a list that names it again counts"
+    );
 }
 
 #[test]
@@ -169,8 +241,14 @@
     let out = EndpointId(1);
     rig.tell(vec![Event::Disabled(out), Event::Disabled(out)]);
     // gone and back under the same id
-    rig.tell(vec![Event::Listed { listing: Listing::Full, entries: vec![entry(2, 7)] }]);
-    rig.tell(vec![Event::Listed { listing: Listing::Full, entries: pool(2) }]);
+    rig.tell(vec![Event::Listed {
+        listing: Listing::Full,
+        entries: vec![entry(2, 7)],
+    }]);
+    rig.tell(vec![Event::Listed {
+        listing: Listing::Full,
+        entries: pool(2),
+    }]);
     for id in 0..20 {
         rig.tell(vec![message(id, UNSAFE, 7)]);
         rig.now += 200 * MILLISECOND;
@@ -184,9 +262,18 @@
         for id in from..from + 40 {
             rig.tell(vec![message(id, FREE, 7)]);
             rig.now += 50 * MILLISECOND;
-            let waiting: Vec<_> = rig.sends[before..].iter().map(|send| (send.1, send.3)).collect();
+            let waiting: Vec<_> = rig.sends[before..]
+                .iter()
+                .map(|send| (send.1, send.3))
+                .collect();
             waiting.iter().for_each(|&(id, attempt)| {
-                rig.tell(vec![ended(id, attempt, 1, Outcome::Success, 50 * MILLISECOND)]);
+                rig.tell(vec![ended(
+                    id,
+                    attempt,
+                    1,
+                    Outcome::Success,
+                    50 * MILLISECOND,
+                )]);
             });
         }
         rig.sends.len() - before
@@ -194,12 +281,17 @@
     let cold = sent_in(&mut rig, 100);
     rig.run(rig.now + 12 * SECOND);
     let warm = sent_in(&mut rig, 200);
-    assert!((1..20).contains(&cold) && warm >= 40, "{cold} cold, {warm} warm");
+    assert!(
+        (1..20).contains(&cold) && warm >= 40,
+        "{cold} cold, {warm} warm"
+    );
 }
 
 #[test]
 fn a_told_wait_binds_the_destination_or_the_one_route() {
-    let wait = Outcome::Refused { wait: Some(2 * SECOND) };
+    let wait = Outcome::Refused {
+        wait: Some(2 * SECOND),
+    };
     let mut rig = Rig::new(settings(40), pool(3));
     rig.tell(vec![message(1, FREE, 7), message(2, UNSAFE, 7)]);
     rig.now += 10 * MILLISECOND;
@@ -208,11 +300,19 @@
     rig.end(2, Outcome::Refused { wait: None }, 10 * MILLISECOND);
     rig.tell(vec![message(3, FREE, 7)]);
     rig.run(told + 10 * SECOND);
-    let early: Vec<_> = rig.sends[2..].iter().filter(|send| send.0 < told + 2 * SECOND).collect();
+    let early: Vec<_> = rig.sends[2..]
+        .iter()
+        .filter(|send| send.0 < told + 2 * SECOND)
+        .collect();
     assert!(early.is_empty(), "{early:?}");
     assert!(rig.sends.len() > 2, "they go when the wait is over");
 
-    let routes = (1..=2).map(|n| Entry { kind: 1, ..entry(n, 7) }).collect();
+    let routes = (1..=2)
+        .map(|n| Entry {
+            kind: 1,
+            ..entry(n, 7)
+        })
+        .collect();
     let mut rig = Rig::new(settings(40), routes);
     rig.tell(vec![message(1, FREE, 7)]);
     let (used, _) = rig.last_send(1);
@@ -237,7 +337,10 @@
     assert_eq!((rig.sends_of(1).len(), rig.sends_of(2).len()), (0, 1));
     rig.run(T0 + SECOND);
     let sent = rig.sends_of(1)[0];
-    assert!((100 * MILLISECOND..110 * MILLISECOND).contains(&sent), "after {sent} us");
+    assert!(
+        (100 * MILLISECOND..110 * MILLISECOND).contains(&sent),
+        "after {sent} us"
+    );
 }
 
 #[test]
@@ -250,21 +353,40 @@
     rig.tell(vec![Event::HostFailing(false)]);
     rig.run(T0 + 6 * SECOND);
     assert_eq!((rig.sends_of(1).len(), rig.sends_of(2).len()), (1, 1));
-    assert!(!rig.log.iter().any(|(_, action)| matches!(action, Action::Log(text) if text.contains("sick"))));
+    assert!(
+        !rig.log
+            .iter()
+            .any(|(_, action)| matches!(action, Action::Log(text) if text.contains("sick")))
+    );
 }
 
 #[test]
 fn messages_of_a_key_go_in_turn_and_the_key_rests_after_an_unsure_end() {
     let mut rig = Rig::new(settings(40), pool(1));
     rig.tell(vec![with_key(1, 5), with_key(2, 5), with_key(3, 6)]);
-    assert_eq!((rig.sends_of(1).len(), rig.sends_of(2).len(), rig.sends_of(3).len()), (1, 0, 1));
+    assert_eq!(
+        (
+            rig.sends_of(1).len(),
+            rig.sends_of(2).len(),
+            rig.sends_of(3).len()
+        ),
+        (1, 0, 1)
+    );
     rig.now += 50 * MILLISECOND;
     rig.end(1, Outcome::Success, 50 * MILLISECOND);
-    assert_eq!(rig.sends_of(2).len(), 1, "its turn comes at once after a sure end");
+    assert_eq!(
+        rig.sends_of(2).len(),
+        1,
+        "its turn comes at once after a sure end"
+    );
     rig.tell(vec![with_key(4, 5)]);
     rig.now += 50 * MILLISECOND;
     rig.tell(vec![Event::Dropped(MessageId(2))]);
-    assert_eq!(rig.sends_of(4).len(), 0, "an attempt of the earlier one is still out");
+    assert_eq!(
+        rig.sends_of(4).len(),
+        0,
+        "an attempt of the earlier one is still out"
+    );
     let rests = rig.now;
     rig.end(2, Outcome::Cancelled, 50 * MILLISECOND);
     rig.run(rests + SECOND);
@@ -282,12 +404,19 @@
     rig.end(1, Outcome::Error, 20 * MILLISECOND);
     assert!(rig.failed(1));
     rig.run(rig.now + SECOND);
-    assert_eq!(rig.sends_of(2).len(), 0, "sent before the first one's notice arrived");
+    assert_eq!(
+        rig.sends_of(2).len(),
+        0,
+        "sent before the first one's notice arrived"
+    );
     assert_eq!(rig.sends_of(3).len(), 1, "another key waits for nothing");
     rig.tell(vec![Event::Noticed(MessageId(1))]);
     assert_eq!(rig.sends_of(2).len(), 1);
     // a notice that a life before still owes holds the key too
-    let old = NewMessage { key: Some(5), ..NewMessage::new(MessageId(5), ORDERED, 7, SECOND) };
+    let old = NewMessage {
+        key: Some(5),
+        ..NewMessage::new(MessageId(5), ORDERED, 7, SECOND)
+    };
     rig.tell(vec![Event::Unnoticed(old), with_key(6, 5)]);
     assert_eq!((rig.sends_of(5).len(), rig.sends_of(6).len()), (0, 0));
     rig.tell(vec![Event::Noticed(MessageId(5))]);
@@ -300,9 +429,18 @@
     (settings.max_held, settings.max_client_wait) = (5, 3 * SECOND);
     let mut rig = Rig::new(settings, pool(1));
     let actions = rig.tell((1..=6).map(|id| message(id, UNSAFE, 7)).collect());
-    let refusals: Vec<&Action> = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).collect();
+    let refusals: Vec<&Action> = actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .collect();
     let wait = Some(3 * SECOND / 2);
-    assert_eq!(refusals, [&Action::Refuse { message: MessageId(6), wait }]);
+    assert_eq!(
+        refusals,
+        [&Action::Refuse {
+            message: MessageId(6),
+            wait
+        }]
+    );
     rig.end(1, Outcome::Success, 100 * MILLISECOND);
     rig.tell(vec![message(7, UNSAFE, 7)]);
     assert!(!rig.refused(7), "there is room again");
@@ -328,7 +466,10 @@
             .collect();
         assert_eq!(ends.len(), 1, "message {id}");
         assert!(ends[0] <= T0 + 30 * SECOND, "message {id}");
-        assert!(rig.sends_of(id).iter().all(|&at| at + T0 <= ends[0]), "message {id} sent after its end");
+        assert!(
+            rig.sends_of(id).iter().all(|&at| at + T0 <= ends[0]),
+            "message {id} sent after its end"
+        );
     }
 }
 
@@ -347,16 +488,32 @@
         ended(77, 0, 99, Outcome::Success, SECOND),
         Event::Dropped(MessageId(1)),
         Event::Dropped(MessageId(78)),
-        Event::Started { message: MessageId(79), attempt: 4 },
-        Event::Probed { endpoint: EndpointId(99), outcome: Outcome::TimedOut, report: vec![] },
-        Event::Noted { from: 3, bytes: vec![1, 2, 3] },
+        Event::Started {
+            message: MessageId(79),
+            attempt: 4,
+        },
+        Event::Probed {
+            endpoint: EndpointId(99),
+            outcome: Outcome::TimedOut,
+            report: vec![],
+        },
+        Event::Noted {
+            from: 3,
+            bytes: vec![1, 2, 3],
+        },
         Event::ListFailed,
-        Event::Listed { listing: Listing::Changes, entries: Vec::new() },
+        Event::Listed {
+            listing: Listing::Changes,
+            entries: Vec::new(),
+        },
         Event::Alarm,
     ]);
     rig.run(T0 + 40 * SECOND);
     assert_eq!(rig.sends.len(), sends);
-    assert!(!rig.failed(1) && !rig.refused(1), "a success needs no answer");
+    assert!(
+        !rig.failed(1) && !rig.refused(1),
+        "a success needs no answer"
+    );
 }
 
 #[test]
@@ -374,7 +531,11 @@
     asks.list_on_request = true;
     let mut rig = Rig::new(asks, pool(1));
     let subscribed = |rig: &Rig| -> Vec<Micros> {
-        rig.log.iter().filter(|(_, action)| *action == Action::Subscribe).map(|(at, _)| at - T0).collect()
+        rig.log
+            .iter()
+            .filter(|(_, action)| *action == Action::Subscribe)
+            .map(|(at, _)| at - T0)
+            .collect()
     };
     assert_eq!(subscribed(&rig), [0]);
     for _ in 0..4 {
@@ -413,25 +574,56 @@
     rig.run(T0 + 1_100 * MILLISECOND);
     let calls = rig.sends.clone();
     assert_eq!(calls.len(), 2);
-    rig.tell(vec![ended(1, 0, calls[0].2, Outcome::NoConnection, 1_100 * MILLISECOND)]);
+    rig.tell(vec![ended(
+        1,
+        0,
+        calls[0].2,
+        Outcome::NoConnection,
+        1_100 * MILLISECOND,
+    )]);
     rig.run(T0 + 5_980 * MILLISECOND);
-    rig.tell(vec![ended(1, 1, calls[1].2, Outcome::Cancelled, 5 * SECOND)]);
+    rig.tell(vec![ended(
+        1,
+        1,
+        calls[1].2,
+        Outcome::Cancelled,
+        5 * SECOND,
+    )]);
     rig.run(T0 + 20 * SECOND);
-    assert_eq!(rig.sends_of(1).len(), 2, "nothing goes after the first window");
+    assert_eq!(
+        rig.sends_of(1).len(),
+        2,
+        "nothing goes after the first window"
+    );
 }
 
 #[test]
 fn a_shared_limit_binds_each_call_and_a_part_ends_by_the_passed_time() {
     let quotas = |part, until| {
-        let rate = Some(Share { fallback: 0, part: Some((part, until)) });
-        let quota = Quota { rate, ..Quota::default() };
-        Event::Shared(Some(Box::new(Quotas { named: [(7, quota)].into(), ..Quotas::default() })))
+        let rate = Some(Share {
+            fallback: 0,
+            part: Some((part, until)),
+        });
+        let quota = Quota {
+            rate,
+            ..Quota::default()
+        };
+        Event::Shared(Some(Box::new(Quotas {
+            named: [(7, quota)].into(),
+            ..Quotas::default()
+        })))
     };
     let mut rig = Rig::new(settings(40), pool(5));
     let sent = |rig: &mut Rig| {
         // each call ends well at once
         for send in rig.sends.clone() {
-            rig.tell(vec![ended(send.1, send.3, send.2, Outcome::Success, 10 * MILLISECOND)]);
+            rig.tell(vec![ended(
+                send.1,
+                send.3,
+                send.2,
+                Outcome::Success,
+                10 * MILLISECOND,
+            )]);
         }
         rig.sends.len()
     };
@@ -456,7 +648,10 @@
 
 #[test]
 fn a_word_of_others_holds_back_where_nothing_was_heard_and_never_where_calls_succeed() {
-    let word = |out| Event::Word { destination: 7, out };
+    let word = |out| Event::Word {
+        destination: 7,
+        out,
+    };
     let mut rig = Rig::new(settings(40), pool(2));
     rig.tell(vec![message(1, FREE, 7)]);
     rig.end(1, Outcome::Success, 10 * MILLISECOND);
@@ -468,7 +663,10 @@
     rig.run(T0 + 20 * SECOND);
     rig.tell(vec![word(true)]);
     let told = rig.sender.demand()[&7];
-    assert!(told.sick && !told.failing && !told.alive, "what others told is no word of its own: {told:?}");
+    assert!(
+        told.sick && !told.failing && !told.alive,
+        "what others told is no word of its own: {told:?}"
+    );
     // few are tried, until it is said to be back, and one success ends it
     rig.tell((10..20).map(|id| message(id, FREE, 7)).collect());
     assert!(rig.sends.len() <= 3, "{:?}", rig.sends);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -24,26 +24,47 @@
         let mut settings = settings(slots);
         settings.senders = count as u32;
         change(&mut settings);
-        let start = |seed| (Sender::new(settings.clone(), seed).expect("settings"), Vec::new());
+        let start = |seed| {
+            (
+                Sender::new(settings.clone(), seed).expect("settings"),
+                Vec::new(),
+            )
+        };
         let senders = (0..count as u64).map(start).collect();
-        let mut fleet =
-            Fleet { senders, now: T0, out: Vec::new(), attempts: Default::default(), sends: Vec::new() };
+        let mut fleet = Fleet {
+            senders,
+            now: T0,
+            out: Vec::new(),
+            attempts: Default::default(),
+            sends: Vec::new(),
+        };
         let entries: Vec<Entry> = (1..=2).map(|n| entry(n, 7)).collect();
         for index in 0..count {
-            fleet.tell(index, vec![Event::Listed { listing: Listing::Full, entries: entries.clone() }]);
+            fleet.tell(
+                index,
+                vec![Event::Listed {
+                    listing: Listing::Full,
+                    entries: entries.clone(),
+                }],
+            );
         }
         fleet
     }
 
     fn tell(&mut self, index: usize, events: Vec<Event>) {
         let mut actions = Vec::new();
-        self.senders[index].0.handle(self.now, &events, &mut actions);
+        self.senders[index]
+            .0
+            .handle(self.now, &events, &mut actions);
         for action in actions {
             match action {
                 Action::SetAlarm(at) => self.senders[index].1.push(at),
-                Action::Send { message, endpoint, .. } => {
+                Action::Send {
+                    message, endpoint, ..
+                } => {
                     let attempt = self.attempts.entry((index, message.0)).or_default();
-                    self.out.push((index, message.0, *attempt, endpoint.0, self.now));
+                    self.out
+                        .push((index, message.0, *attempt, endpoint.0, self.now));
                     *attempt += 1;
                     self.sends.push(self.now);
                 }
@@ -63,7 +84,8 @@
     fn play(&mut self, until: Micros, answer: impl Fn(Micros) -> Outcome) {
         while self.now < until {
             self.now += STEP;
-            let due = |call: &(usize, u64, usize, u32, Micros)| self.now >= call.4 + 50 * MILLISECOND;
+            let due =
+                |call: &(usize, u64, usize, u32, Micros)| self.now >= call.4 + 50 * MILLISECOND;
             let (ready, later): (Vec<_>, Vec<_>) = self.out.iter().copied().partition(due);
             self.out = later;
             for (index, id, attempt, endpoint, sent) in ready {
@@ -82,7 +104,10 @@
     }
 
     fn sent_within(&self, from: Micros, to: Micros) -> usize {
-        self.sends.iter().filter(|&&at| at > T0 + from && at <= T0 + to).count()
+        self.sends
+            .iter()
+            .filter(|&&at| at > T0 + from && at <= T0 + to)
+            .count()
     }
 }
 
@@ -97,7 +122,10 @@
         fleet.play(T0 + 12 * SECOND, |_| Outcome::Refused { wait: None });
         let late = fleet.sent_within(4 * SECOND, 12 * SECOND);
         assert!(late <= 80, "{count} senders: {late} tries in 8 s");
-        assert!(late >= 3, "{count} senders: {late} tries in 8 s, it would hardly be found open");
+        assert!(
+            late >= 3,
+            "{count} senders: {late} tries in 8 s, it would hardly be found open"
+        );
     }
 }
 
@@ -111,7 +139,10 @@
         let start = fleet.now - T0;
         fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Refused { wait: None });
         let again = fleet.sent_within(start, 400 * MILLISECOND);
-        assert!(again <= 20, "{count} senders: {again} of 60 within a third of a second");
+        assert!(
+            again <= 20,
+            "{count} senders: {again} of 60 within a third of a second"
+        );
     }
 }
 
@@ -122,16 +153,30 @@
         let told = |settings: &mut Settings| settings.weight_trust = 0.5;
         let mut fleet = Fleet::new(count, 3, told);
         let weight = 0.6 * count as f64;
-        let entries: Vec<Entry> = (1..=2).map(|n| Entry { weight, ..entry(n, 7) }).collect();
+        let entries: Vec<Entry> = (1..=2)
+            .map(|n| Entry {
+                weight,
+                ..entry(n, 7)
+            })
+            .collect();
         for index in 0..count {
-            fleet.tell(index, vec![Event::Listed { listing: Listing::Full, entries: entries.clone() }]);
+            fleet.tell(
+                index,
+                vec![Event::Listed {
+                    listing: Listing::Full,
+                    entries: entries.clone(),
+                }],
+            );
         }
         fleet.hand_in();
         fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
         let start = fleet.now - T0;
         fleet.play(T0 + 6 * SECOND, |_| Outcome::Success);
         let soon = fleet.sent_within(start, start + SECOND);
-        assert!(soon <= 6, "{count} senders: {soon} of 60 again within a second of their refusal");
+        assert!(
+            soon <= 6,
+            "{count} senders: {soon} of 60 again within a second of their refusal"
+        );
         let later = fleet.sent_within(start, 6 * SECOND);
         assert!(later >= 12, "{count} senders: {later} of 60 again in 6 s");
     }
@@ -140,11 +185,24 @@
 /// A hundred senders that know a destination of two endpoints with its weight, and what hands them messages in turn.
 fn crowd_of_a_hundred() -> (Fleet, fn(&mut Fleet, std::ops::Range<u64>)) {
     let mut fleet = Fleet::new(100, 3, |settings| settings.weight_trust = 0.5);
-    let entries: Vec<Entry> = (1..=2).map(|n| Entry { weight: 60.0, ..entry(n, 7) }).collect();
+    let entries: Vec<Entry> = (1..=2)
+        .map(|n| Entry {
+            weight: 60.0,
+            ..entry(n, 7)
+        })
+        .collect();
     for index in 0..100 {
-        fleet.tell(index, vec![Event::Listed { listing: Listing::Full, entries: entries.clone() }]);
+        fleet.tell(
+            index,
+            vec![Event::Listed {
+                listing: Listing::Full,
+                entries: entries.clone(),
+            }],
+        );
     }
-    (fleet, |fleet, ids| ids.for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)])))
+    (fleet, |fleet, ids| {
+        ids.for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)]))
+    })
 }
 
 #[test]
@@ -160,12 +218,22 @@
         fleet.play(begin + SECOND, |_| Outcome::Refused { wait: None });
         fleet.play(begin + 4 * SECOND, |_| Outcome::Success);
     }
-    let (first, last) =
-        (fleet.sent_within(22 * SECOND, 24 * SECOND), fleet.sent_within(30 * SECOND, 32 * SECOND));
-    assert!(last * 10 >= first * 9, "{first} calls in 2 s after the first wave, {last} after the third");
-    let (second, third) =
-        (fleet.sent_within(24 * SECOND, 25 * SECOND), fleet.sent_within(28 * SECOND, 29 * SECOND));
-    assert!(second.max(third) <= first, "{second} and {third} refused, {first} accepted in twice the time");
+    let (first, last) = (
+        fleet.sent_within(22 * SECOND, 24 * SECOND),
+        fleet.sent_within(30 * SECOND, 32 * SECOND),
+    );
+    assert!(
+        last * 10 >= first * 9,
+        "{first} calls in 2 s after the first wave, {last} after the third"
+    );
+    let (second, third) = (
+        fleet.sent_within(24 * SECOND, 25 * SECOND),
+        fleet.sent_within(28 * SECOND, 29 * SECOND),
+    );
+    assert!(
+        second.max(third) <= first,
+        "{second} and {third} refused, {first} accepted in twice the time"
+    );
 }
 
 #[test]
@@ -184,14 +252,30 @@
             rig.run(next);
             for send in out {
                 let first = send.0 == T0;
-                let outcome = if first { Outcome::Refused { wait: None } } else { Outcome::Success };
-                rig.tell(vec![ended(send.1, send.3, send.2, outcome, 40 * MILLISECOND)]);
+                let outcome = if first {
+                    Outcome::Refused { wait: None }
+                } else {
+                    Outcome::Success
+                };
+                rig.tell(vec![ended(
+                    send.1,
+                    send.3,
+                    send.2,
+                    outcome,
+                    40 * MILLISECOND,
+                )]);
             }
         }
-        rig.sends.iter().filter(|send| send.0 > T0 + 19 * SECOND).count()
+        rig.sends
+            .iter()
+            .filter(|send| send.0 > T0 + 19 * SECOND)
+            .count()
     };
     let (few, many) = (calls(3), calls(100));
-    assert!(many * 2 <= few, "{many} calls in 5 s of one in a hundred, {few} of one in three");
+    assert!(
+        many * 2 <= few,
+        "{many} calls in 5 s of one in a hundred, {few} of one in three"
+    );
     assert!(many >= 3, "{many} calls in 5 s: it grows all the same");
 }
 
@@ -205,11 +289,16 @@
     fleet.play(T0 + 20 * SECOND, |_| Outcome::Success);
     let begin = fleet.now;
     waiting(&mut fleet, 300..400);
-    fleet.play(begin + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
+    fleet.play(begin + 60 * MILLISECOND, |_| Outcome::Refused {
+        wait: None,
+    });
     let refused = fleet.now - T0;
     fleet.play(begin + 6 * SECOND, |_| Outcome::Success);
     let soon = fleet.sent_within(refused, refused + 1_200 * MILLISECOND);
-    assert!(soon <= 35, "{soon} of 100 again in 1.2 s, where 60 a second are known to pass");
+    assert!(
+        soon <= 35,
+        "{soon} of 100 again in 1.2 s, where 60 a second are known to pass"
+    );
     assert!(fleet.sent_within(refused, refused + 5 * SECOND) >= 80);
 }
 
@@ -220,14 +309,23 @@
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
         let opens = T0 + 6 * SECOND;
-        let told = |now: Micros| Outcome::Refused { wait: Some((opens - now).max(MILLISECOND)) };
+        let told = |now: Micros| Outcome::Refused {
+            wait: Some((opens - now).max(MILLISECOND)),
+        };
         fleet.play(opens, told);
-        assert_eq!(fleet.sent_within(SECOND, 6 * SECOND), 0, "{count} senders: all were told to wait");
+        assert_eq!(
+            fleet.sent_within(SECOND, 6 * SECOND),
+            0,
+            "{count} senders: all were told to wait"
+        );
         fleet.play(opens + 3 * SECOND, |_| Outcome::Success);
         let burst = fleet.sent_within(6 * SECOND, 6 * SECOND + 200 * MILLISECOND);
         let all = fleet.sent_within(6 * SECOND, 9 * SECOND);
         assert!(burst <= 6, "{count} senders: {burst} in the first 200 ms");
-        assert!((1..=30).contains(&all), "{count} senders: {all} in the first 3 s");
+        assert!(
+            (1..=30).contains(&all),
+            "{count} senders: {all} in the first 3 s"
+        );
     }
 }
 
@@ -238,7 +336,10 @@
         fleet.hand_in();
         fleet.play(T0 + 14 * SECOND, |_| Outcome::Error);
         let late = fleet.sent_within(8 * SECOND, 14 * SECOND);
-        assert!(late <= 45, "{count} senders: {late} tries in 6 s of an outage");
+        assert!(
+            late <= 45,
+            "{count} senders: {late} tries in 6 s of an outage"
+        );
     }
 }
 
@@ -250,13 +351,25 @@
         (settings.safety.start_capacity, settings.safety.cold_time) = (0.18, 11 * SECOND);
         settings.safety.fall_span = 1_500 * MILLISECOND;
     });
-    let entries: Vec<Entry> = (1..=2).map(|n| Entry { weight: 60.0, ..entry(n, 7) }).collect();
+    let entries: Vec<Entry> = (1..=2)
+        .map(|n| Entry {
+            weight: 60.0,
+            ..entry(n, 7)
+        })
+        .collect();
     for index in 0..100 {
-        fleet.tell(index, vec![Event::Listed { listing: Listing::Full, entries: entries.clone() }]);
+        fleet.tell(
+            index,
+            vec![Event::Listed {
+                listing: Listing::Full,
+                entries: entries.clone(),
+            }],
+        );
     }
     // each makes a call in 2.5 s, then it is out, and messages wait at each
     let hand_in = |fleet: &mut Fleet, first: u64, count: u64| {
-        (first..first + count).for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)]));
+        (first..first + count)
+            .for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)]));
     };
     for round in 0..4 {
         hand_in(&mut fleet, 100 * round, 100);
@@ -277,7 +390,10 @@
         let span = fleet.sent_within(back + start, back + start + 1_500 * MILLISECOND) as f64;
         let level = 0.18 + 0.82 * (start as f64 / (11 * SECOND) as f64);
         let falls = 2.0 * 1.5 * 48.0 * level;
-        assert!(span <= falls, "{span} calls in 1.5 s from {start}, it falls at {falls}");
+        assert!(
+            span <= falls,
+            "{span} calls in 1.5 s from {start}, it falls at {falls}"
+        );
     }
 }
 
@@ -288,10 +404,16 @@
         let mut settings = settings(1);
         (settings.senders, settings.over_share_worth) = (senders, 0.1);
         settings.classes[UNSAFE].worth = 5.0;
-        settings.tenants.push(Tenant { name: "small".into(), allowance: 0.6 * f64::from(senders) });
+        settings.tenants.push(Tenant {
+            name: "small".into(),
+            allowance: 0.6 * f64::from(senders),
+        });
         let mut rig = Rig::new(settings, vec![entry(1, 7)]);
         let of_tenant = |id, class| match message(id, class, 7) {
-            Event::Accepted(new) => Event::Accepted(NewMessage { tenant: Some(0), ..new }),
+            Event::Accepted(new) => Event::Accepted(NewMessage {
+                tenant: Some(0),
+                ..new
+            }),
             other => other,
         };
         rig.tell(vec![message(0, FREE, 7)]); // takes the only slot
@@ -305,10 +427,22 @@
 
 #[test]
 fn a_number_of_senders_that_makes_no_sense_starves_no_destination() {
-    for (senders, weight) in [(u32::MAX, 60.0), (u32::MAX, 1e-300), (100, 1e300), (100, f64::NAN), (1, 0.0)] {
+    for (senders, weight) in [
+        (u32::MAX, 60.0),
+        (u32::MAX, 1e-300),
+        (100, 1e300),
+        (100, f64::NAN),
+        (1, 0.0),
+    ] {
         let mut odd = settings(3);
         (odd.senders, odd.weight_trust) = (senders, 0.5);
-        let mut rig = Rig::new(odd, vec![Entry { weight, ..entry(1, 7) }]);
+        let mut rig = Rig::new(
+            odd,
+            vec![Entry {
+                weight,
+                ..entry(1, 7)
+            }],
+        );
         let (mut answered, mut late) = (0, 0);
         for round in 0..60 {
             rig.tell(vec![message(round, FREE, 7)]);
@@ -319,10 +453,19 @@
             late += if round >= 30 { out.len() } else { 0 };
             for send in out {
                 let refused = Outcome::Refused { wait: None };
-                rig.tell(vec![ended(send.1, send.3, send.2, refused, 20 * MILLISECOND)]);
+                rig.tell(vec![ended(
+                    send.1,
+                    send.3,
+                    send.2,
+                    refused,
+                    20 * MILLISECOND,
+                )]);
             }
         }
-        assert!(late > 0, "{senders} senders, weight {weight}: nothing goes any more");
+        assert!(
+            late > 0,
+            "{senders} senders, weight {weight}: nothing goes any more"
+        );
     }
 }
 
@@ -332,7 +475,11 @@
     rig.tell((0..6).map(|id| message(id, UNSAFE, 7)).collect());
     rig.run(T0 + 100 * MILLISECOND);
     rig.tell(vec![message(50, FREE, 8)]);
-    assert_eq!(rig.sends_of(50).len(), 1, "two slots at most go to one destination");
+    assert_eq!(
+        rig.sends_of(50).len(),
+        1,
+        "two slots at most go to one destination"
+    );
 
     let mut rig = Rig::new(settings(3), vec![entry(1, 7), entry(2, 7)]);
     rig.tell(vec![message(0, FREE, 7)]);
@@ -355,17 +502,30 @@
         rig.sends_of(1).get(1).copied().expect("is tried again")
     };
     let failed = again(Outcome::Error);
-    assert!((150 * MILLISECOND..=SECOND).contains(&failed), "after one failure: {failed}");
+    assert!(
+        (150 * MILLISECOND..=SECOND).contains(&failed),
+        "after one failure: {failed}"
+    );
     let refused = again(Outcome::Refused { wait: None });
-    assert!((100 * MILLISECOND..=5 * SECOND).contains(&refused), "after one refusal: {refused}");
+    assert!(
+        (100 * MILLISECOND..=5 * SECOND).contains(&refused),
+        "after one refusal: {refused}"
+    );
     let told = again(Outcome::Refused { wait: Some(SECOND) });
-    assert!((1_051 * MILLISECOND..=6 * SECOND).contains(&told), "after a told wait: {told}");
+    assert!(
+        (1_051 * MILLISECOND..=6 * SECOND).contains(&told),
+        "after a told wait: {told}"
+    );
 
     let mut rig = fresh();
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(T0 + 1_500 * MILLISECOND);
     rig.tell(vec![message(2, FREE, 7)]);
-    assert_eq!(rig.count(|a| matches!(a, Action::Log(_))), 0, "one slow call is no outage yet");
+    assert_eq!(
+        rig.count(|a| matches!(a, Action::Log(_))),
+        0,
+        "one slow call is no outage yet"
+    );
 }
 
 #[test]
@@ -389,7 +549,11 @@
     rig.tell(vec![message(2, FREE, 7)]);
     rig.now += 100 * MILLISECOND;
     rig.end(2, Outcome::Success, 100 * MILLISECOND);
-    assert_eq!(closes(&rig), before + 1, "its kind is crowded and its next call is far");
+    assert_eq!(
+        closes(&rig),
+        before + 1,
+        "its kind is crowded and its next call is far"
+    );
 }
 
 #[test]
@@ -415,7 +579,10 @@
         let next = rig.now + 4 * SECOND;
         rig.run(next);
     }
-    assert!(rig.count(|a| matches!(a, Action::Log(text) if text.contains("sick"))) == 1, "it was out");
+    assert!(
+        rig.count(|a| matches!(a, Action::Log(text) if text.contains("sick"))) == 1,
+        "it was out"
+    );
     rig.end(50, Outcome::Success, 20 * MILLISECOND);
     let before = closes(&rig);
     for id in 100..106 {
@@ -428,7 +595,11 @@
             rig.end(id, Outcome::Success, 20 * MILLISECOND);
         }
     }
-    assert_eq!(closes(&rig), before, "connections are kept again once it is back");
+    assert_eq!(
+        closes(&rig),
+        before,
+        "connections are kept again once it is back"
+    );
 }
 
 #[test]
@@ -456,7 +627,11 @@
         }
         rig.sends.len()
     };
-    assert!(count(0.0) <= 4, "{} at an even share of 0.1 a second", count(0.0));
+    assert!(
+        count(0.0) <= 4,
+        "{} at an even share of 0.1 a second",
+        count(0.0)
+    );
     assert!(count(0.9) >= 8, "{} while others leave room", count(0.9));
 }
 
@@ -469,7 +644,10 @@
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        rig.tell(vec![Event::Listed { listing: Listing::Full, entries }]);
+        rig.tell(vec![Event::Listed {
+            listing: Listing::Full,
+            entries,
+        }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
         new.key = Some(id);
         rig.tell(vec![Event::Accepted(new)]);
@@ -481,7 +659,10 @@
         }
     }
     let late = format!("{:?}", rig.sender).len();
-    assert!(late < early + 2_000, "the state grew from {early} to {late} characters");
+    assert!(
+        late < early + 2_000,
+        "the state grew from {early} to {late} characters"
+    );
 }
 
 #[test]
@@ -490,7 +671,11 @@
     rig.tell(vec![message(1, FREE, 7)]);
     rig.tell(vec![Event::Listed {
         listing: Listing::Full,
-        entries: vec![Entry { kind: 1, zone: 1, ..entry(1, 8) }],
+        entries: vec![Entry {
+            kind: 1,
+            zone: 1,
+            ..entry(1, 8)
+        }],
     }]);
     rig.tell(vec![message(2, FREE, 7), message(3, FREE, 8)]);
     assert_eq!((rig.sends_of(2).len(), rig.sends_of(3).len()), (0, 1));
@@ -506,11 +691,20 @@
     (told.senders, told.weight_trust, told.may_note) = (300, 0.5, true);
     (told.report_left, told.report_limit) = (Some(0), Some(1));
     for odd in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        let mut rig = Rig::new(told.clone(), vec![Entry { weight: odd, ..entry(1, 7) }]);
+        let mut rig = Rig::new(
+            told.clone(),
+            vec![Entry {
+                weight: odd,
+                ..entry(1, 7)
+            }],
+        );
         for id in 0..5 {
             rig.tell(vec![
                 message(id, FREE, 7),
-                Event::Noted { from: 999, bytes: vec![0; 300] },
+                Event::Noted {
+                    from: 999,
+                    bytes: vec![0; 300],
+                },
                 Event::Alarm,
             ]);
             rig.run(rig.now + 2 * SECOND);
@@ -518,11 +712,27 @@
             if let Event::Ended { report, .. } = &mut end {
                 *report = vec![odd, odd];
             }
-            rig.tell(vec![end.clone(), end, Event::Noted { from: 0, bytes: vec![] }]);
+            rig.tell(vec![
+                end.clone(),
+                end,
+                Event::Noted {
+                    from: 0,
+                    bytes: vec![],
+                },
+            ]);
         }
         rig.run(rig.now + 3_600 * SECOND);
-        let probe = Event::Probed { endpoint: EndpointId(1), outcome: Outcome::TimedOut, report: vec![odd] };
-        rig.tell(vec![probe, message(90, FREE, 7), Event::Alarm, Event::Alarm]);
+        let probe = Event::Probed {
+            endpoint: EndpointId(1),
+            outcome: Outcome::TimedOut,
+            report: vec![odd],
+        };
+        rig.tell(vec![
+            probe,
+            message(90, FREE, 7),
+            Event::Alarm,
+            Event::Alarm,
+        ]);
         rig.run(rig.now + 31 * SECOND);
         assert!(!rig.sends_of(90).is_empty(), "report and weight {odd}");
     }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -31,14 +31,22 @@
 }
 
 fn place(number: u32) -> Place {
-    Place { address: ([127, 0, 0, 1], 8_000).into(), endpoint: EndpointId(number) }
+    Place {
+        address: ([127, 0, 0, 1], 8_000).into(),
+        endpoint: EndpointId(number),
+    }
 }
 
 impl Rig {
     fn new() -> Self {
         let mut pool = Pool::new(limits(), 7);
         (0..20).for_each(|number| pool.open(T0, place(number)));
-        Rig { pool, now: T0, waiter: 0, no_room: false }
+        Rig {
+            pool,
+            now: T0,
+            waiter: 0,
+            no_room: false,
+        }
     }
 
     /// A call to an endpoint, on an idle connection or a new one; true if its connection is kept afterwards. One that is
@@ -47,26 +55,40 @@
         self.now += SECOND / 10;
         self.waiter += 1;
         let mut out = Vec::new();
-        self.pool.ask(self.now, place(endpoint), self.waiter, &mut out);
+        self.pool
+            .ask(self.now, place(endpoint), self.waiter, &mut out);
         if let Some(Command::Dial { connection, .. }) = out.first().copied() {
             out.clear();
             self.pool.up(self.now, connection, &mut out);
         }
-        let Some(&Command::Lease { connection, idle_for, .. }) = out.first() else {
+        let Some(&Command::Lease {
+            connection,
+            idle_for,
+            ..
+        }) = out.first()
+        else {
             panic!("no connection: {out:?}")
         };
         self.no_room = self.pool.answered(self.now, connection, answered);
         let mut out = Vec::new();
         if answered == Answered::TurnedAway && idle_for.is_none() {
-            self.pool.spoiled(self.now, connection, Cause::Peer, &mut out);
+            self.pool
+                .spoiled(self.now, connection, Cause::Peer, &mut out);
             return false;
         }
         self.pool.give_back(self.now, connection, &mut out);
-        out.iter().all(|command| *command != Command::Close { connection })
+        out.iter()
+            .all(|command| *command != Command::Close { connection })
     }
 
     fn closed_as_scarce(&self) -> u64 {
-        self.pool.view(self.now).1.closes.get(&Cause::Scarce).copied().unwrap_or(0)
+        self.pool
+            .view(self.now)
+            .1
+            .closes
+            .get(&Cause::Scarce)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -74,7 +96,10 @@
 fn scarce() -> Rig {
     let mut rig = Rig::new();
     for number in 1..3 {
-        assert!(rig.call(0, Answered::Served), "kept as long as too little is known: {number}");
+        assert!(
+            rig.call(0, Answered::Served),
+            "kept as long as too little is known: {number}"
+        );
         rig.call(2 * number, Answered::TurnedAway);
         rig.call(2 * number + 1, Answered::TurnedAway);
     }
@@ -98,18 +123,33 @@
 #[test]
 fn what_stands_idle_as_connections_turn_scarce_is_closed_at_the_next_tick() {
     let mut rig = Rig::new();
-    assert!(rig.call(0, Answered::Served) && rig.call(9, Answered::Served) && rig.call(0, Answered::Served));
+    assert!(
+        rig.call(0, Answered::Served)
+            && rig.call(9, Answered::Served)
+            && rig.call(0, Answered::Served)
+    );
     (1..9).for_each(|number| assert!(!rig.call(number, Answered::TurnedAway)));
     assert!(!rig.call(0, Answered::Served));
     let mut out = Vec::new();
     rig.pool.tick(rig.now, &mut out);
-    assert_eq!((out.len(), rig.closed_as_scarce()), (1, 2), "the one to 9: {out:?}");
+    assert_eq!(
+        (out.len(), rig.closed_as_scarce()),
+        (1, 2),
+        "the one to 9: {out:?}"
+    );
 }
 
 #[test]
 fn one_sender_alone_keeps_what_it_has() {
     let mut rig = Rig::new();
-    rig.pool.retune(T0, Limits { senders: 1, ..limits() }, &mut Vec::new());
+    rig.pool.retune(
+        T0,
+        Limits {
+            senders: 1,
+            ..limits()
+        },
+        &mut Vec::new(),
+    );
     for number in 1..9 {
         assert!(rig.call(0, Answered::Served));
         rig.call(number, Answered::TurnedAway);
@@ -120,7 +160,11 @@
 fn a_limit_of_calls_that_turns_away_on_all_connections_closes_none() {
     let mut rig = Rig::new();
     for round in 0..40 {
-        let answered = if round % 2 == 0 { Answered::TurnedAway } else { Answered::Served };
+        let answered = if round % 2 == 0 {
+            Answered::TurnedAway
+        } else {
+            Answered::Served
+        };
         rig.call(0, answered);
         rig.call(1 + round % 19, answered);
         assert!(!rig.no_room);
@@ -140,6 +184,9 @@
 fn once_new_connections_are_served_again_they_are_kept() {
     let mut rig = scarce();
     let kept = (0..40).find(|_| rig.call(0, Answered::Served));
-    assert!(kept.is_some_and(|calls| (5..30).contains(&calls)), "{kept:?}");
+    assert!(
+        kept.is_some_and(|calls| (5..30).contains(&calls)),
+        "{kept:?}"
+    );
     assert!(rig.call(0, Answered::Served) && rig.call(1, Answered::Served));
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -13,7 +13,9 @@
 /// port, and not listening.
 fn refusing() -> (SocketAddr, tokio::net::TcpSocket) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    socket
+        .bind("127.0.0.1:0".parse().expect("an address"))
+        .expect("a port");
     (socket.local_addr().expect("bound"), socket)
 }
 
@@ -26,11 +28,16 @@
     wait_until("delivered", || endpoint.count() == 1);
     let call = endpoint.request(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
-    assert_eq!((call.header("x-request-id"), call.header("idempotency-key")), ("m1", "key-m1"));
+    assert_eq!(
+        (call.header("x-request-id"), call.header("idempotency-key")),
+        ("m1", "key-m1")
+    );
     assert!(call.header("x-timeout").ends_with('m'));
     assert_eq!(call.body, body);
     // delivered: answered as such if it comes again, and not sent again, not even after a restart
-    wait_until("its end is known", || node.hand_in("webhook", "m1", 7, 20_000, body) == 200);
+    wait_until("its end is known", || {
+        node.hand_in("webhook", "m1", 7, 20_000, body) == 200
+    });
     let node = node.restart().ready();
     wait_until("it is told", || node.logged("0 messages owed"));
     assert_eq!(endpoint.times("m1"), 1);
@@ -42,15 +49,30 @@
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
     ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
-    assert_eq!((endpoint.count(), endpoint.connections.load(Ordering::SeqCst)), (3, 1));
+    assert_eq!(
+        (
+            endpoint.count(),
+            endpoint.connections.load(Ordering::SeqCst)
+        ),
+        (3, 1)
+    );
 }
 
 #[test]
 fn idle_connections_are_a_third_of_the_descriptors_at_most() {
     let endpoints: Vec<Endpoint> = (0..30).map(|_| Endpoint::new(|_, _| OK)).collect();
     let uids: Vec<String> = (0..30).map(|n| format!("s-{n}")).collect();
-    let entries: Vec<_> =
-        (0..30).map(|n| (uids[n].as_str(), endpoints[n].address, "one", n as u64, "up")).collect();
+    let entries: Vec<_> = (0..30)
+        .map(|n| {
+            (
+                uids[n].as_str(),
+                endpoints[n].address,
+                "one",
+                n as u64,
+                "up",
+            )
+        })
+        .collect();
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with_sockets(agent.address, 3.0, 60.0, 60).ready();
     let before = node.descriptors();
@@ -75,7 +97,11 @@
 fn connections_are_kept_shorter_where_idle_ones_are_reset() {
     // the second request on the first connection, after a rest, ends it unanswered
     let endpoint = Endpoint::new(|request, _| {
-        if request.header("x-request-id") == "m2" && request.connection == 0 { Reply::Close } else { OK }
+        if request.header("x-request-id") == "m2" && request.connection == 0 {
+            Reply::Close
+        } else {
+            OK
+        }
     });
     let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
     let began = Instant::now();
@@ -87,7 +113,11 @@
     // no shorter a rest than the first one was
     std::thread::sleep(began.elapsed());
     sent(&node, "m3", 7);
-    assert_eq!(endpoint.request(3).connection, 2, "after a rest like that, none is reused");
+    assert_eq!(
+        endpoint.request(3).connection,
+        2,
+        "after a rest like that, none is reused"
+    );
 }
 
 #[test]
@@ -96,7 +126,9 @@
     let node = Node::new(&one(&endpoint)).ready();
     let good = String::from_utf8(message("webhook", "m1", 7, 9000, b"x")).expect("text");
     let without = |name: &str| {
-        let lines = good.split_inclusive("\r\n").filter(|line| !line.starts_with(name));
+        let lines = good
+            .split_inclusive("\r\n")
+            .filter(|line| !line.starts_with(name));
         lines.collect::<String>()
     };
     let doubled = |line: &str| good.replace("Host: app.svc", &format!("Host: app.svc\r\n{line}"));
@@ -127,7 +159,10 @@
         (good.replace("/webhook", "/elsewhere"), 404),
         (good.replace("POST /webhook", "PUT /webhook"), 405),
         (good.replace("POST /webhook", "POST /ready"), 405),
-        (good.replace("Content-Length: 1", "Content-Length: 65537"), 413),
+        (
+            good.replace("Content-Length: 1", "Content-Length: 65537"),
+            413,
+        ),
         (good.replace("Content-Length: 1", "Content-Length: x"), 400),
         ("no request at all\r\n\r\n".to_string(), 400),
     ];
@@ -144,10 +179,15 @@
     let both = "Content-Length: 99\r\nTransfer-Encoding: chunked\r\n";
     let swapped = "Transfer-Encoding: chunked\r\nContent-Length: 99\r\n";
     for lengths in [both, swapped] {
-        let text = good.replace("Content-Length: 1\r\n", lengths).replace("\r\n\r\nx", "\r\n\r\n0\r\n\r\n");
+        let text = good
+            .replace("Content-Length: 1\r\n", lengths)
+            .replace("\r\n\r\nx", "\r\n\r\n0\r\n\r\n");
         assert_eq!(node.raw((text + &hidden).as_bytes()).0, 411, "{lengths}");
     }
-    assert_eq!(node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]), 202);
+    assert_eq!(
+        node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
+        202
+    );
     wait_until("the largest body goes out", || endpoint.times("most") == 1);
     assert_eq!(endpoint.count(), 1);
 }
@@ -160,7 +200,8 @@
     let before = node.memory();
     let pad = format!("Host: app.svc\r\nX-Pad: {}", "p".repeat(20_000));
     for n in 0..800 {
-        let text = String::from_utf8(message("webhook", &format!("m{n}"), 7, 20_000, b"x")).expect("text");
+        let text =
+            String::from_utf8(message("webhook", &format!("m{n}"), 7, 20_000, b"x")).expect("text");
         let text = text.replace("Host: app.svc", &pad);
         assert_eq!(client.send(text.as_bytes()).expect("answered").0, 202);
         wait_until("delivered", || endpoint.count() > n);
@@ -204,7 +245,11 @@
     charge(&node, "a", "a2", 8);
     charge(&node, "b", "b1", 8);
     wait_until("another subject's is out", || endpoint.times("b1") == 1);
-    assert_eq!(endpoint.times("a2"), 0, "sent while the first of its subject is out");
+    assert_eq!(
+        endpoint.times("a2"),
+        0,
+        "sent while the first of its subject is out"
+    );
     *gate.lock().expect("not poisoned") = true;
     wait_until("the second follows", || endpoint.times("a2") == 1);
     // two of a subject are owed when the process dies: where the first can't go, the second doesn't either
@@ -213,27 +258,39 @@
     let node = node.restart().ready();
     charge(&node, "d", "d1", 8);
     wait_until("another subject's is out", || endpoint.times("d1") == 1);
-    assert_eq!(endpoint.times("c2"), 0, "sent while the first of its subject is owed");
-    assert_eq!(node.raw(&about("e&subject=f", "charge", "e1", 8, 20_000)).0, 400);
+    assert_eq!(
+        endpoint.times("c2"),
+        0,
+        "sent while the first of its subject is owed"
+    );
+    assert_eq!(
+        node.raw(&about("e&subject=f", "charge", "e1", 8, 20_000)).0,
+        400
+    );
 }
 
 #[test]
 fn a_subject_waits_for_the_notice_of_the_one_before_also_across_a_restart() {
-    let endpoint =
-        Endpoint::new(
-            |request, _| {
-                if request.ids()[0] == "a1" { Reply::Answer("500 Oops", String::new()) } else { OK }
-            },
-        );
+    let endpoint = Endpoint::new(|request, _| {
+        if request.ids()[0] == "a1" {
+            Reply::Answer("500 Oops", String::new())
+        } else {
+            OK
+        }
+    });
     let agent = one(&endpoint);
     agent.faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
     assert_eq!(node.raw(&about("a", "charge", "a1", 7, 20_000)).0, 202);
     assert_eq!(node.raw(&about("a", "charge", "a2", 7, 20_000)).0, 202);
-    wait_until("the first one's notice fails", || node.logged("notices answered 500"));
+    wait_until("the first one's notice fails", || {
+        node.logged("notices answered 500")
+    });
     assert_eq!(endpoint.times("a2"), 0);
     let node = node.restart().ready();
-    wait_until("its notice fails again", || node.logged("notices answered 500"));
+    wait_until("its notice fails again", || {
+        node.logged("notices answered 500")
+    });
     assert_eq!(node.raw(&about("b", "charge", "b1", 7, 20_000)).0, 202);
     wait_until("another subject's is out", || endpoint.times("b1") == 1);
     assert_eq!(endpoint.times("a2"), 0);
@@ -255,12 +312,18 @@
         _ => Reply::Silence,
     });
     let node = Node::new(&one(&endpoint)).ready();
-    let hand_in = |tenant, id| assert_eq!(node.raw(&of_tenant(tenant, "order", id, 7, 20_000)).0, 202);
+    let hand_in =
+        |tenant, id| assert_eq!(node.raw(&of_tenant(tenant, "order", id, 7, 20_000)).0, 202);
     for id in ["first0", "first1"] {
         hand_in("beta", id);
     }
     wait_until("the window is full", || endpoint.count() == 2);
-    for (tenant, id) in [("acme", "inside"), ("acme", "over1"), ("acme", "over2"), ("beta", "later")] {
+    for (tenant, id) in [
+        ("acme", "inside"),
+        ("acme", "over1"),
+        ("acme", "over2"),
+        ("beta", "later"),
+    ] {
         hand_in(tenant, id);
     }
     *gate.lock().expect("not poisoned") = true;
@@ -277,17 +340,25 @@
     let node = Node::new(&one(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
     let (order, ends) = std::sync::mpsc::channel();
-    for (name, part) in
-        [("silent", &[][..]), ("half head", &text[..40]), ("half body", &text[..text.len() - 2])]
-    {
+    for (name, part) in [
+        ("silent", &[][..]),
+        ("half head", &text[..40]),
+        ("half body", &text[..text.len() - 2]),
+    ] {
         let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("set");
         stream.write_all(part).expect("written");
         let order = order.clone();
         std::thread::spawn(move || {
             let mut answer = Vec::new();
             let ended = stream.read_to_end(&mut answer).is_ok();
-            let _ = order.send((name, ended, String::from_utf8_lossy(&answer).contains(" 408 ")));
+            let _ = order.send((
+                name,
+                ended,
+                String::from_utf8_lossy(&answer).contains(" 408 "),
+            ));
         });
     }
     drop(order);
@@ -309,8 +380,16 @@
         assert_eq!(client.send(ready).expect("answered").0, 200);
     }
     // the last ones' turn came only as places fell free
-    let left = clients.iter_mut().map(Client::has_ended).filter(|&ended| ended).count();
-    assert!(left >= 5, "{left} of 25 have ended, so {} were open at once", 25 - left);
+    let left = clients
+        .iter_mut()
+        .map(Client::has_ended)
+        .filter(|&ended| ended)
+        .count();
+    assert!(
+        left >= 5,
+        "{left} of 25 have ended, so {} were open at once",
+        25 - left
+    );
 }
 
 /// One keyed and one unsafe message whose first call fares as given: how often each comes in all. An unsafe
@@ -330,7 +409,8 @@
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("keyed is out", || endpoint.times("keyed") > 0);
-    let settled = |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
+    let settled =
+        |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
     let over = |id: &str| settled(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200;
     wait_until("keyed is settled", || over("keyed"));
     assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
@@ -338,7 +418,11 @@
     wait_until("unsafe is settled", || {
         settled("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
     });
-    (endpoint.times("keyed"), endpoint.times("unsafe"), agent.notices())
+    (
+        endpoint.times("keyed"),
+        endpoint.times("unsafe"),
+        agent.notices(),
+    )
 }
 
 fn failed(id: &str) -> String {
@@ -353,13 +437,22 @@
 
 #[test]
 fn an_error_may_have_run() {
-    assert_eq!(fares(Reply::Answer("500 Oops", String::new())), (2, 1, vec![failed("unsafe")]));
-    assert_eq!(fares(Reply::Answer("418 Teapot", String::new())), (2, 1, vec![failed("unsafe")]));
+    assert_eq!(
+        fares(Reply::Answer("500 Oops", String::new())),
+        (2, 1, vec![failed("unsafe")])
+    );
+    assert_eq!(
+        fares(Reply::Answer("418 Teapot", String::new())),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
 fn a_malformed_answer_fails_that_call_only() {
-    assert_eq!(fares(Reply::Last("nonsense\r\n\x01")), (2, 1, vec![failed("unsafe")]));
+    assert_eq!(
+        fares(Reply::Last("nonsense\r\n\x01")),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
@@ -370,7 +463,11 @@
         "200 OK\r\nContent-Length: -1",
         "200 OK\r\nBad Name: x",
     ] {
-        assert_eq!(fares(Reply::Answer(head, "a body".to_string())), (1, 1, vec![]), "{head}");
+        assert_eq!(
+            fares(Reply::Answer(head, "a body".to_string())),
+            (1, 1, vec![]),
+            "{head}"
+        );
     }
     assert_eq!(fares(Reply::Last("2x0 OK")), (2, 1, vec![failed("unsafe")]));
 }
@@ -388,8 +485,17 @@
 
 #[test]
 fn what_was_turned_away_never_ran() {
-    for head in ["429 No\r\nRetry-After: 0.05", "503 Full", "503 Full\r\nSlots-Taken: 1", "504 Spent"] {
-        assert_eq!(fares(Reply::Answer(head, String::new())), (2, 2, vec![]), "{head}");
+    for head in [
+        "429 No\r\nRetry-After: 0.05",
+        "503 Full",
+        "503 Full\r\nSlots-Taken: 1",
+        "504 Spent",
+    ] {
+        assert_eq!(
+            fares(Reply::Answer(head, String::new())),
+            (2, 2, vec![]),
+            "{head}"
+        );
     }
 }
 
@@ -415,8 +521,16 @@
     assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
     wait_until("its notice", || !agent.notices().is_empty());
     // an unsafe message may be returned only if none of its calls ran
-    assert!(agent.notices()[0].contains("returned"), "{:?}", agent.notices());
-    assert!(agent.notices()[0].contains("after_ms"), "{:?}", agent.notices());
+    assert!(
+        agent.notices()[0].contains("returned"),
+        "{:?}",
+        agent.notices()
+    );
+    assert!(
+        agent.notices()[0].contains("after_ms"),
+        "{:?}",
+        agent.notices()
+    );
 }
 
 #[test]
@@ -426,16 +540,26 @@
     let here = came.clone();
     let endpoint = Endpoint::new(move |_, number| {
         here.lock().expect("not poisoned").push(Instant::now());
-        if number == 0 { Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new()) } else { OK }
+        if number == 0 {
+            Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new())
+        } else {
+            OK
+        }
     });
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.count() == 1);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("both are delivered", || came.lock().expect("not poisoned").len() == 3);
+    wait_until("both are delivered", || {
+        came.lock().expect("not poisoned").len() == 3
+    });
     // the second may have been out already
     let came = came.lock().expect("not poisoned");
-    assert!(came[2] - came[0] >= Duration::from_millis(1200), "{:?}", came[2] - came[0]);
+    assert!(
+        came[2] - came[0] >= Duration::from_millis(1200),
+        "{:?}",
+        came[2] - came[0]
+    );
 }
 
 #[test]
@@ -452,14 +576,25 @@
         }
         let ids = request.ids();
         let ends = ["ok", "error", "later", "gone", "exhausted"];
-        let word =
-            |id: &String| id.strip_prefix('b').and_then(|n| n.parse().ok()).map_or("ok", |n: usize| ends[n]);
-        Reply::Answer("200 OK", ids.iter().map(|id| format!("{id} {}\r\n", word(id))).collect())
+        let word = |id: &String| {
+            id.strip_prefix('b')
+                .and_then(|n| n.parse().ok())
+                .map_or("ok", |n: usize| ends[n])
+        };
+        Reply::Answer(
+            "200 OK",
+            ids.iter()
+                .map(|id| format!("{id} {}\r\n", word(id)))
+                .collect(),
+        )
     });
     let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "bulk", 7, "up")])]);
     let node = Node::new(&agent).ready();
     for n in 0..2 {
-        assert_eq!(node.hand_in("order", &format!("first{n}"), 7, 20_000, b"x"), 202);
+        assert_eq!(
+            node.hand_in("order", &format!("first{n}"), 7, 20_000, b"x"),
+            202
+        );
     }
     wait_until("the window is full", || endpoint.count() == 2);
     for n in 0..5 {
@@ -469,26 +604,44 @@
     wait_until("a bulk call", || {
         (0..endpoint.count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
     });
-    wait_until("the error's notice", || agent.notices().contains(&failed("b1")));
-    wait_until("what never ran goes again", || endpoint.times("b2") > 1 && endpoint.times("b4") > 1);
+    wait_until("the error's notice", || {
+        agent.notices().contains(&failed("b1"))
+    });
+    wait_until("what never ran goes again", || {
+        endpoint.times("b2") > 1 && endpoint.times("b4") > 1
+    });
     for id in ["b0", "b1", "b3"] {
         assert_eq!(endpoint.times(id), 1, "{id}");
     }
-    assert!(!agent.notices().iter().any(|line| line.contains("b0") || line.contains("b3")));
+    assert!(
+        !agent
+            .notices()
+            .iter()
+            .any(|line| line.contains("b0") || line.contains("b3"))
+    );
 }
 
 #[test]
 fn a_killed_sender_resumes_what_it_owes() {
     // each step: taken on and not sent; sent with no outcome, keyed and unsafe; its notice owed
     let endpoint = Endpoint::new(|request, number| {
-        if number < 2 || request.header("x-request-id") == "unsafe" { Reply::Silence } else { OK }
+        if number < 2 || request.header("x-request-id") == "unsafe" {
+            Reply::Silence
+        } else {
+            OK
+        }
     });
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1);
-    assert_eq!(node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"), 202);
+    wait_until("both are out", || {
+        endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1
+    });
+    assert_eq!(
+        node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
+        202
+    );
     agent.faults.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("its notice fails", || node.logged("notices answered 500"));
@@ -496,14 +649,19 @@
     node.kill();
     agent.faults.store(0, Ordering::SeqCst);
     let other = Endpoint::new(|_, _| OK);
-    let lines = list(&[("s-1", endpoint.address, "one", 7, "up"), ("s-2", other.address, "one", 8, "up")]);
+    let lines = list(&[
+        ("s-1", endpoint.address, "one", 7, "up"),
+        ("s-2", other.address, "one", 8, "up"),
+    ]);
     *agent.lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     wait_until("it is told", || node.logged("4 messages owed"));
     wait_until("the unsent one goes out", || other.times("unsent") == 1);
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
-    wait_until("the keyed one goes out again", || endpoint.times("sent") >= 2);
+    wait_until("the keyed one goes out again", || {
+        endpoint.times("sent") >= 2
+    });
     wait_until("the unsafe one's and the owed one's notices", || {
         let notices = agent.notices();
         notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
@@ -522,7 +680,9 @@
     std::thread::sleep(Duration::from_millis(3_100)); // until its time is up
     assert!(agent.notices().is_empty());
     let _node = node.restart();
-    wait_until("its notice", || agent.notices().iter().any(|line| line.contains("m1")));
+    wait_until("its notice", || {
+        agent.notices().iter().any(|line| line.contains("m1"))
+    });
 }
 
 #[test]
@@ -543,9 +703,12 @@
     let mut damaged = sound.clone();
     damaged[20] ^= 0xff;
     std::fs::write(node.journal(), &damaged).expect("damaged");
-    *agent.lines.lock().expect("not poisoned") = vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
+    *agent.lines.lock().expect("not poisoned") =
+        vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("1 messages owed") && node.logged("damaged"));
+    wait_until("it is told", || {
+        node.logged("1 messages owed") && node.logged("damaged")
+    });
     wait_until("the sound one is delivered", || endpoint.times("m2") == 1);
     assert_eq!(endpoint.times("m1"), 0);
 }
@@ -557,14 +720,20 @@
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
-        files.flatten().map(|file| file.metadata().map_or(0, |m| m.len().next_multiple_of(512))).sum::<u64>()
+        files
+            .flatten()
+            .map(|file| file.metadata().map_or(0, |m| m.len().next_multiple_of(512)))
+            .sum::<u64>()
     };
     let mut statuses = Vec::new();
     for n in 0..10 {
         statuses.push(node.hand_in("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
         assert!(size() <= 300_000, "{}", size());
     }
-    assert!(statuses.contains(&202) && statuses.last() == Some(&503), "{statuses:?}");
+    assert!(
+        statuses.contains(&202) && statuses.last() == Some(&503),
+        "{statuses:?}"
+    );
     // small ones that come and go are compacted away, so that the room is never used up by the past
     for n in 0..400 {
         let status = node.hand_in("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
@@ -572,7 +741,13 @@
         assert!(size() <= 300_000, "{}", size());
     }
     // once for the fault, not once for each message
-    let lines = node.log.lock().expect("not poisoned").iter().filter(|line| line.contains("journal")).count();
+    let lines = node
+        .log
+        .lock()
+        .expect("not poisoned")
+        .iter()
+        .filter(|line| line.contains("journal"))
+        .count();
     assert!((1..=3).contains(&lines), "{lines}");
 }
 
@@ -586,7 +761,9 @@
         full |= node.hand_in("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
     assert!(full);
-    wait_until("they have ended", || node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202);
+    wait_until("they have ended", || {
+        node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
+    });
     wait_until("the new one is delivered", || endpoint.times("after") == 1);
 }
 
@@ -597,15 +774,29 @@
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     let mut client = Client::new(&node);
-    assert_eq!(client.send(&message("webhook", "m1", 7, 20_000, b"x")).expect("answered").0, 202);
+    assert_eq!(
+        client
+            .send(&message("webhook", "m1", 7, 20_000, b"x"))
+            .expect("answered")
+            .0,
+        202
+    );
     let began = Instant::now();
     node.terminate();
     wait_until("draining", || node.logged("draining"));
-    let (status, answer) = client.send(&message("webhook", "m2", 7, 20_000, b"x")).expect("answered");
+    let (status, answer) = client
+        .send(&message("webhook", "m2", 7, 20_000, b"x"))
+        .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
-    assert_eq!(node.hand_in("webhook", "m3", 7, 20_000, b"x"), 202, "connections come for a while");
+    assert_eq!(
+        node.hand_in("webhook", "m3", 7, 20_000, b"x"),
+        202,
+        "connections come for a while"
+    );
     assert_eq!(node.get_ready(), 503);
-    wait_until("all are delivered", || ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1));
+    wait_until("all are delivered", || {
+        ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1)
+    });
     let status = node.process.wait().expect("it ends");
     assert!(
         status.success() && began.elapsed() < Duration::from_millis(3700),
@@ -643,13 +834,19 @@
         list(&[("s-1", old.address, "one", 7, "draining")]).replace("true", "false"),
     ]);
     let node = Node::new(&agent).ready();
-    wait_until("both lines are skipped", || node.logged("text skipped") && node.logged("entry skipped"));
+    wait_until("both lines are skipped", || {
+        node.logged("text skipped") && node.logged("entry skipped")
+    });
     for n in 0..6 {
         let id = format!("m{n}");
         assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
         wait_until("delivered", || new.times(&id) + old.times(&id) > 0);
     }
-    assert!(new.count() >= 5, "the change may come after the first message: {}", new.count());
+    assert!(
+        new.count() >= 5,
+        "the change may come after the first message: {}",
+        new.count()
+    );
 }
 
 #[test]
@@ -661,10 +858,15 @@
     let began = Instant::now();
     assert_eq!(node.get_ready(), 503, "no list is known");
     assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
-    *agent.lines.lock().expect("not poisoned") = vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
+    *agent.lines.lock().expect("not poisoned") =
+        vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
     // what was missed counts as told after 6 s
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.times("m1") == 1);
 }
@@ -672,10 +874,15 @@
 #[test]
 fn sighup_moves_discovery_and_ends_nothing() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let (before, after) = (one(&old), Agent::new(vec![list(&[("s-2", new.address, "one", 8, "up")])]));
+    let (before, after) = (
+        one(&old),
+        Agent::new(vec![list(&[("s-2", new.address, "one", 8, "up")])]),
+    );
     let node = Node::new(&before).ready();
     node.move_discovery(&after);
-    wait_until("the watch moves", || after.watches.load(Ordering::SeqCst) > 0);
+    wait_until("the watch moves", || {
+        after.watches.load(Ordering::SeqCst) > 0
+    });
     assert_eq!(node.hand_in("webhook", "m1", 8, 20_000, b"x"), 202);
     wait_until("delivered by the new list", || new.times("m1") == 1);
     assert_eq!(node.hand_in("webhook", "m2", 9, 100, b"x"), 202);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -22,7 +22,9 @@
 
 fn play(input: &str) -> String {
     let mut output = Vec::new();
-    Host::new().run(input.as_bytes(), &mut output).expect("well formed");
+    Host::new()
+        .run(input.as_bytes(), &mut output)
+        .expect("well formed");
     String::from_utf8(output).expect("text")
 }
 
@@ -33,7 +35,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input.as_bytes()).expect("written");
+    child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes())
+        .expect("written");
     child.wait_with_output().expect("it ends")
 }
 
@@ -44,7 +51,10 @@
         start(3)
     );
     let reply = play(&input);
-    let issue = reply.lines().find(|line| line.starts_with("issue ")).expect("sent");
+    let issue = reply
+        .lines()
+        .find(|line| line.starts_with("issue "))
+        .expect("sent");
     let fields: Vec<&str> = issue.split(' ').collect();
     assert_eq!(fields[..3], ["issue", "sender/3", "m1"]);
     assert_eq!(reply.lines().filter(|line| *line == "ready").count(), 2);
@@ -54,23 +64,50 @@
 fn malformed_lines_stop_the_adapter_with_the_line_number() {
     let good = format!("batch 1\n{}", start(3));
     let cases = [
-        ("batch x\n".to_string(), "line 1: expected a time, found 'x'"),
-        ("hello\n".to_string(), "line 1: expected batch, found 'hello'"),
-        (format!("{good}gossip sender/3\n"), "line 7: expected a known message, found 'gossip'"),
-        (format!("{good}tick_due sender/9 wake\n"), "line 7: expected a running instance, found 'sender/9'"),
-        (format!("{good}announce sender/3 full 4 2\n"), "line 7: expected a list sent before, found '4'"),
+        (
+            "batch x\n".to_string(),
+            "line 1: expected a time, found 'x'",
+        ),
+        (
+            "hello\n".to_string(),
+            "line 1: expected batch, found 'hello'",
+        ),
+        (
+            format!("{good}gossip sender/3\n"),
+            "line 7: expected a known message, found 'gossip'",
+        ),
+        (
+            format!("{good}tick_due sender/9 wake\n"),
+            "line 7: expected a running instance, found 'sender/9'",
+        ),
+        (
+            format!("{good}announce sender/3 full 4 2\n"),
+            "line 7: expected a list sent before, found '4'",
+        ),
         (
             format!("{good}demand sender/3 m1 soon - - 0 5 - notice\n"),
             "line 7: expected time left, found 'soon'",
         ),
-        (format!("{good}demand sender/3 m1\n"), "line 7: expected time left, found 'end of line'"),
+        (
+            format!("{good}demand sender/3 m1\n"),
+            "line 7: expected time left, found 'end of line'",
+        ),
         (
             format!("{good}outcome sender/3 m1 0 e1 lost 0.1 0 - -\n"),
             "line 7: expected an outcome, found 'lost'",
         ),
-        (format!("{good}manifest 1 1\nline\n"), "line 8: expected a row, found 'line'"),
-        (format!("{good}heard sender/3 1 ab*=\n"), "line 7: expected base64, found 'ab*='"),
-        (good.clone(), "line 7: expected eof_batch, found 'end of input'"),
+        (
+            format!("{good}manifest 1 1\nline\n"),
+            "line 8: expected a row, found 'line'",
+        ),
+        (
+            format!("{good}heard sender/3 1 ab*=\n"),
+            "line 7: expected base64, found 'ab*='",
+        ),
+        (
+            good.clone(),
+            "line 7: expected eof_batch, found 'end of input'",
+        ),
     ];
     for (input, expected) in cases {
         let output = drill(&input);
@@ -83,8 +120,11 @@
 
 #[test]
 fn input_that_ends_between_batches_is_a_normal_end() {
-    for input in [String::new(), "batch 1\neof_batch\n".into(), format!("batch 1\n{}eof_batch\n\n", start(0))]
-    {
+    for input in [
+        String::new(),
+        "batch 1\neof_batch\n".into(),
+        format!("batch 1\n{}eof_batch\n\n", start(0)),
+    ] {
         let output = drill(&input);
         assert_eq!(output.status.code(), Some(0));
         assert!(output.stderr.is_empty());
@@ -96,12 +136,31 @@
     for (from, to, named) in [
         ("safety.fall=2.0", "safety.fall=-2", "safety.fall is '-2'"),
         ("safety.fall=2.0", "", "safety.fall is missing"),
-        ("caps.maxOpen=50", "caps.maxOpen=NaN", "caps.maxOpen is 'NaN'"),
-        ("effect=idempotent", "effect=magic", "classes.0.effect is 'magic'"),
-        ("classes.1.name=order", "classes.1.name=notice", "classes.notice.name stands twice"),
-        ("specifics.callSlots=12", "specifics.callSlots=0", "call_slots must be above zero"),
+        (
+            "caps.maxOpen=50",
+            "caps.maxOpen=NaN",
+            "caps.maxOpen is 'NaN'",
+        ),
+        (
+            "effect=idempotent",
+            "effect=magic",
+            "classes.0.effect is 'magic'",
+        ),
+        (
+            "classes.1.name=order",
+            "classes.1.name=notice",
+            "classes.notice.name stands twice",
+        ),
+        (
+            "specifics.callSlots=12",
+            "specifics.callSlots=0",
+            "call_slots must be above zero",
+        ),
     ] {
-        let output = drill(&format!("batch 1\n{}eof_batch\n", start(3).replace(from, to)));
+        let output = drill(&format!(
+            "batch 1\n{}eof_batch\n",
+            start(3).replace(from, to)
+        ));
         assert_eq!(output.status.code(), Some(2), "{to}");
         let error = String::from_utf8(output.stderr).expect("text");
         assert!(error.contains("line 2") && error.contains(named), "{error}");
@@ -121,7 +180,11 @@
     let reply = play(&input);
     let turns: Vec<&str> = reply.split("ready\n").collect();
     assert!(turns[0].contains("issue sender/3 m1"));
-    assert!(turns[1].contains("issue sender/3 m3") && !turns[1].contains("m1") && !turns[1].contains("m2"));
+    assert!(
+        turns[1].contains("issue sender/3 m3")
+            && !turns[1].contains("m1")
+            && !turns[1].contains("m2")
+    );
     assert!(!turns[2].contains("m1") && !turns[2].contains("m2"));
     assert_eq!(turns[3], "", "a stopped instance is silent");
 }
@@ -156,7 +219,11 @@
 
 fn lines_of(reply: &str, id: u32) -> Vec<String> {
     let own = format!(" sender/{id}");
-    reply.lines().filter(|line| format!("{line} ").contains(&format!("{own} "))).map(str::to_string).collect()
+    reply
+        .lines()
+        .filter(|line| format!("{line} ").contains(&format!("{own} ")))
+        .map(str::to_string)
+        .collect()
 }
 
 #[test]
