--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -3,11 +3,11 @@
 //! is deposed and does not know it, clocks at the bound of their drift. Every reachable state of the size given is visited.
 //! With any one guard taken out, a contradiction is found.
 
-use milletturn_agreement::{
-    Ask, Class, Effect, Grant, Holder, Leases, Micros, Proposal, Rules, Tag, Terms, Versions,
-};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
+use versioned_config::{
+    Ask, Class, Effect, Grant, Holder, Leases, Micros, Proposal, Rules, Tag, Terms, Versions,
+};
 
 /// On a sender's clock; one that runs slow by the bound takes twice as long.
 const LEASE: Micros = 1;
--- a/lab/src/agreement.rs
+++ b/lab/src/agreement.rs
@@ -2,9 +2,9 @@
 
 use crate::history::{Event, Record};
 use crate::violation::Violation;
-use milletturn_agreement::{Rules, Tag};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use versioned_config::{Rules, Tag};
 
 /// What a sender said.
 #[derive(Debug, Deserialize)]
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The senders' processes: their addresses, folders and configurations, and the signals that they get.
 //!
-//! Every process is started through `milletturn-lab exec`, which asks the kernel to kill it when the thread that
+//! Every process is started through `fault-lab exec`, which asks the kernel to kill it when the thread that
 //! started it ends (PR_SET_PDEATHSIG), makes sure that its parent still lives, and then becomes the sender. So no
 //! sender outlives the lab, even one that is killed. Processes must therefore be started on the main thread.
 
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `milletturn-lab`: plays fleets of real senders on loopback, puts faults between them, and checks the rules.
+//! `fault-lab`: plays fleets of real senders on loopback, puts faults between them, and checks the rules.
 
 mod agreement;
 mod check;
@@ -51,10 +51,10 @@
         /// The scenario's TOML file.
         scenario: PathBuf,
         /// The sender's program.
-        #[arg(long, default_value = "target/release/milletturn")]
+        #[arg(long, default_value = "target/release/message-sender")]
         program: PathBuf,
         /// The registry's program, where the scenario has one.
-        #[arg(long, default_value = "target/release/milletturn-registry")]
+        #[arg(long, default_value = "target/release/fleet-registry")]
         registry: PathBuf,
         /// Seed of all that is drawn, in place of the scenario's.
         #[arg(long)]
@@ -84,7 +84,7 @@
         #[arg(long, default_value_t = 28.0)]
         seconds: f64,
         /// The sender's program.
-        #[arg(long, default_value = "target/release/milletturn")]
+        #[arg(long, default_value = "target/release/message-sender")]
         program: PathBuf,
         /// Folder for a folder a seed.
         #[arg(long, default_value = "found/soak")]
@@ -141,7 +141,7 @@
     match carry_out(Arguments::parse().command) {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("milletturn-lab: {error:#}");
+            eprintln!("fault-lab: {error:#}");
             ExitCode::from(BAD_INPUT)
         }
     }
--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -4,7 +4,7 @@
 use super::resources::{Memory, bytes_each, thread_time};
 use anyhow::{Context, ensure};
 use clap::Args;
-use milletturn::{
+use message_sender::{
     Action, Class, DestinationId, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND,
     MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
 };
--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -37,7 +37,7 @@
     #[arg(long, default_value_t = 100)]
     destinations: u32,
     /// The sender's program.
-    #[arg(long, default_value = "target/release/milletturn")]
+    #[arg(long, default_value = "target/release/message-sender")]
     program: PathBuf,
     /// Folder for its configuration, state and log; emptied first.
     #[arg(long, default_value = "found/scale-journal")]
@@ -82,7 +82,7 @@
 
 #[derive(Serialize)]
 struct Terms {
-    effect: milletturn::Effect,
+    effect: message_sender::Effect,
     aim: i64,
     deadline: i64,
     worth: f64,
@@ -170,14 +170,14 @@
 }
 
 fn record(number: u64, now: i64, destination: u64) -> anyhow::Result<Vec<u8>> {
-    let keyed = milletturn::Effect::Keyed {
+    let keyed = message_sender::Effect::Keyed {
         window: WINDOW,
         zone_only: false,
     };
     let classes = [
-        ("status", milletturn::Effect::Repeatable),
+        ("status", message_sender::Effect::Repeatable),
         ("report", keyed),
-        ("charge", milletturn::Effect::Unsafe),
+        ("charge", message_sender::Effect::Unsafe),
     ];
     let (class, effect) = classes[(number % classes.len() as u64) as usize];
     let taken = Taken {
--- a/lab/src/scale/ledger.rs
+++ b/lab/src/scale/ledger.rs
@@ -7,11 +7,11 @@
 
 use super::resources::{resident, thread_time};
 use clap::Args;
-use milletturn_ledger::verdicts::{EPOCHS, Verdict};
-use milletturn_ledger::{
+use fleet_registry::replica::{PartsAnswer, PartsQuestion};
+use quota_ledger::verdicts::{EPOCHS, Verdict};
+use quota_ledger::{
     Book, BookError, Dealt, Entry, Floors, Keeper, Key, Limit, Micros, Terms, Want, What,
 };
-use milletturn_registry::replica::{PartsAnswer, PartsQuestion};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use serde::Serialize;
--- a/lab/src/scale/list.rs
+++ b/lab/src/scale/list.rs
@@ -22,7 +22,7 @@
     #[arg(long)]
     per_line: Option<u32>,
     /// The sender's program.
-    #[arg(long, default_value = "target/release/milletturn")]
+    #[arg(long, default_value = "target/release/message-sender")]
     program: PathBuf,
     /// Folder for its configuration, state and log; emptied first.
     #[arg(long, default_value = "found/scale-list")]
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -8,7 +8,7 @@
 use super::simulation::{Direction, Member, Simulation, Used, address, name};
 use super::spread::Spread;
 use clap::{Args, ValueEnum};
-use milletturn_membership::{Micros, Node, Remembered, Settings, SettingsError, State};
+use fleet_membership::{Micros, Node, Remembered, Settings, SettingsError, State};
 use serde::Serialize;
 use std::collections::HashMap;
 
--- a/lab/src/scale/membership/tests.rs
+++ b/lab/src/scale/membership/tests.rs
@@ -1,7 +1,7 @@
 //! Small sizes of the figures, and a planted fault that they have to show.
 
 use super::*;
-use milletturn_membership::Output;
+use fleet_membership::Output;
 use std::net::SocketAddr;
 
 /// Bytes a second of a member may grow so much from 64 members to 256: news goes out 4 log10(n) times, rounded up, the
--- a/lab/src/scale/places.rs
+++ b/lab/src/scale/places.rs
@@ -1,6 +1,6 @@
 //! Where the members of a simulated fleet stand, and how long a datagram takes between two of them.
 
-use milletturn_membership::Micros;
+use fleet_membership::Micros;
 use rand::Rng;
 
 /// Zones of the target fleet, and its regions.
--- a/lab/src/scale/simulation.rs
+++ b/lab/src/scale/simulation.rs
@@ -3,7 +3,7 @@
 
 use super::places::delay;
 use super::resources::thread_time;
-use milletturn_membership::{Change, Micros, Node, Output, State};
+use fleet_membership::{Change, Micros, Node, Output, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::cmp::Reverse;
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -35,7 +35,7 @@
     #[error("`{0}` is not of the form axis=value")]
     Form(String),
     /// No axis has this name.
-    #[error("no axis `{0}`; `milletturn-lab axes` lists them")]
+    #[error("no axis `{0}`; `fault-lab axes` lists them")]
     Axis(String),
     /// The axis has no such value.
     #[error("axis `{axis}` has no value `{value}`; it has {known}")]
--- a/lab/tests/fleets.rs
+++ b/lab/tests/fleets.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 fn lab() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_milletturn-lab"))
+    Command::new(env!("CARGO_BIN_EXE_fault-lab"))
 }
 
 /// The sender's program, of the same build.
 fn program() -> PathBuf {
-    let path = Path::new(env!("CARGO_BIN_EXE_milletturn-lab")).with_file_name("milletturn");
+    let path = Path::new(env!("CARGO_BIN_EXE_fault-lab")).with_file_name("message-sender");
     assert!(
         path.exists(),
         "{} is built by cargo test --workspace",
@@ -184,7 +184,7 @@
         .arg("--program")
         .arg(program())
         .arg("--registry");
-    command.arg(program().with_file_name("milletturn-registry"));
+    command.arg(program().with_file_name("fleet-registry"));
     let output = command
         .arg("--out")
         .arg(folder.path().join("out"))
@@ -202,7 +202,7 @@
 #[test]
 fn a_faulty_sender_is_caught_by_the_rule_that_it_breaks() {
     // examples are built with the tests
-    let faulty = Path::new(env!("CARGO_BIN_EXE_milletturn-lab"))
+    let faulty = Path::new(env!("CARGO_BIN_EXE_fault-lab"))
         .with_file_name("examples")
         .join("faulty");
     let ways = [
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 
 fn scale(arguments: &[&str]) -> String {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_milletturn-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fault-lab"));
     let output = command
         .arg("scale")
         .args(arguments)
@@ -25,7 +25,7 @@
 
 /// The sender's program, of the same build.
 fn program() -> PathBuf {
-    let path = Path::new(env!("CARGO_BIN_EXE_milletturn-lab")).with_file_name("milletturn");
+    let path = Path::new(env!("CARGO_BIN_EXE_fault-lab")).with_file_name("message-sender");
     assert!(
         path.exists(),
         "{} is built by cargo test --workspace",
--- a/lab/tests/sites.rs
+++ b/lab/tests/sites.rs
@@ -1,4 +1,4 @@
-//! Deployments derived by `milletturn-lab site`, from a small base.
+//! Deployments derived by `fault-lab site`, from a small base.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -63,7 +63,7 @@
 }
 
 fn derive(folder: &Path, name: &str, arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_milletturn-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_fault-lab"));
     command
         .arg("site")
         .arg("--base")
@@ -245,7 +245,7 @@
 
 #[test]
 fn every_value_of_every_axis_leaves_a_site_file() {
-    let output = Command::new(env!("CARGO_BIN_EXE_milletturn-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_fault-lab"))
         .arg("axes")
         .output();
     let listed = String::from_utf8(output.expect("the lab runs").stdout).expect("text");
--- a/ledger/src/book.rs
+++ b/ledger/src/book.rs
@@ -7,10 +7,10 @@
     self, ENDED_MOST, Ended, Flag, Plant, Query, Records, Rows, Split, SplitError, compare,
 };
 use miette::Diagnostic;
-use milletturn_agreement::Terms;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
+use versioned_config::Terms;
 
 /// Ranges that a ledger may begin with.
 const SHARDS_MOST: usize = 256;
--- a/ledger/src/compact.rs
+++ b/ledger/src/compact.rs
@@ -8,11 +8,11 @@
 use crate::parts::{Dealt, Want};
 use crate::verdicts::{Verdict, Word};
 use miette::Diagnostic;
-use milletturn_agreement::Micros;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
+use versioned_config::Micros;
 
 /// The media type of both, with the version in its name.
 pub const MEDIA_TYPE: &str = "application/vnd.milletturn.quotas.v1";
--- a/ledger/src/gate.rs
+++ b/ledger/src/gate.rs
@@ -2,9 +2,9 @@
 //! it can't be sure it keeps the strict side.
 
 use crate::freeze::{FreezeError, Glass, Matter, On, Widening, judge};
-use milletturn_agreement::Micros;
 use serde::Deserialize;
 use std::collections::BTreeMap;
+use versioned_config::Micros;
 
 /// Part of a time told by which clocks may be wrong: windows begin so much early and end so much late.
 const DRIFT: u64 = 100;
--- a/ledger/src/holder.rs
+++ b/ledger/src/holder.rs
@@ -3,8 +3,8 @@
 use crate::keys::Key;
 use crate::limits::Floors;
 use crate::parts::{Dealt, Grants, Want};
-use milletturn_agreement::Micros;
 use std::collections::BTreeMap;
+use versioned_config::Micros;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Part {
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -23,5 +23,5 @@
 pub use holder::{Holder, Wanted};
 pub use keys::{BadKey, KINDS, Key, What};
 pub use limits::{BadLimit, Floors, Limit, LimitError};
-pub use milletturn_agreement::{Micros, Terms};
 pub use parts::{Dealt, Keeper, Want};
+pub use versioned_config::{Micros, Terms};
--- a/ledger/src/naming.rs
+++ b/ledger/src/naming.rs
@@ -7,9 +7,9 @@
 
 use crate::holder::{Holder, Wanted};
 use crate::keys::Key;
-use milletturn_agreement::Micros;
 use std::collections::BTreeMap;
 use std::ops::Bound;
+use versioned_config::Micros;
 
 /// Names that one question may have: the registry refuses more.
 pub const NAMES_MOST: usize = 4_096;
--- a/ledger/src/parts.rs
+++ b/ledger/src/parts.rs
@@ -7,9 +7,9 @@
 
 use crate::keys::Key;
 use crate::limits::{Floors, Limit};
-use milletturn_agreement::{Micros, Terms};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use versioned_config::{Micros, Terms};
 
 /// How long a computed level of fair parts is good. Wants that come meanwhile are dealt by it.
 const LEVEL_GOOD: Micros = 100_000;
--- a/ledger/src/verdicts.rs
+++ b/ledger/src/verdicts.rs
@@ -1,9 +1,9 @@
 //! What one sender learns of a destination and all should know: that it is out, or back. A keeper tallies what senders of its range
 //! say; a verdict needs more observers than may lie, and each change of one has a higher epoch.
 
-use milletturn_agreement::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use versioned_config::Micros;
 
 /// Observers that may lie, hold old words, or sit behind a broken link of their own.
 pub const LIARS: usize = 1;
--- a/ledger/tests/codes.rs
+++ b/ledger/tests/codes.rs
@@ -1,10 +1,10 @@
 //! Every refusal has a code and says what an operator can do, and the on-call page lists the code.
 
 use miette::Diagnostic;
-use milletturn_ledger::compact::CompactError;
-use milletturn_ledger::freeze::{FreezeError, Widening};
-use milletturn_ledger::splits::SplitError;
-use milletturn_ledger::{BadKey, BadLimit, BookError, Key, LimitError, What};
+use quota_ledger::compact::CompactError;
+use quota_ledger::freeze::{FreezeError, Widening};
+use quota_ledger::splits::SplitError;
+use quota_ledger::{BadKey, BadLimit, BookError, Key, LimitError, What};
 use std::collections::BTreeSet;
 
 #[test]
--- a/ledger/tests/compact.rs
+++ b/ledger/tests/compact.rs
@@ -1,10 +1,10 @@
 //! The compact form of questions and answers: its bytes are fixed, what is written is read back, and nothing else is read.
 
-use milletturn_ledger::compact::{Answer, CompactError, Question};
-use milletturn_ledger::naming::NAMES_MOST;
-use milletturn_ledger::verdicts::{Verdict, Word};
-use milletturn_ledger::{Dealt, Floors, Key, Want, What};
 use proptest::prelude::*;
+use quota_ledger::compact::{Answer, CompactError, Question};
+use quota_ledger::naming::NAMES_MOST;
+use quota_ledger::verdicts::{Verdict, Word};
+use quota_ledger::{Dealt, Floors, Key, Want, What};
 
 fn question() -> Question {
     Question {
--- a/ledger/tests/model.rs
+++ b/ledger/tests/model.rs
@@ -3,9 +3,7 @@
 //! sender's clock at the bound of its drift. Every reachable state of the size given is visited; with any one guard taken out
 //! more is used than the limit allows.
 
-use milletturn_ledger::{
-    Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What,
-};
+use quota_ledger::{Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
--- a/ledger/tests/naming.rs
+++ b/ledger/tests/naming.rs
@@ -1,9 +1,9 @@
 //! What questions name: a short list whole, of a long one what is used, in turns and within the budget of bytes.
 
-use milletturn_ledger::naming::{
+use quota_ledger::naming::{
     ByteBudget, HEADS_BYTES, KeyDemand, NAMES_MOST, Naming, choose_reports,
 };
-use milletturn_ledger::{Dealt, Floors, Holder, Key, Micros, Wanted, What};
+use quota_ledger::{Dealt, Floors, Holder, Key, Micros, Wanted, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 const LEASE: Micros = 1_500_000;
--- a/ledger/tests/worlds.rs
+++ b/ledger/tests/worlds.rs
@@ -2,11 +2,9 @@
 //! that drift, limits that are lowered. The sum of what may be used is looked at after every step. What dealing is worth is
 //! counted beside fixed shares and beside one that sees all.
 //!
-//! `MILLETTURN_SEEDS=100 MILLETTURN_SENDERS=300 cargo test --release -p milletturn-ledger --test worlds -- --nocapture`
+//! `MILLETTURN_SEEDS=100 MILLETTURN_SENDERS=300 cargo test --release -p quota-ledger --test worlds -- --nocapture`
 
-use milletturn_ledger::{
-    Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What,
-};
+use quota_ledger::{Dealt, Floors, Holder, Keeper, Key, Limit, Micros, Terms, Want, Wanted, What};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, VecDeque};
--- a/membership/examples/measure.rs
+++ b/membership/examples/measure.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::*;
-use milletturn_membership::{Change, State};
+use fleet_membership::{Change, State};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/membership/tests/common/mod.rs
+++ b/membership/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of members in one process, on a passed-in clock, with links that lose, delay and cut.
 #![allow(dead_code)]
 
-use milletturn_membership::{Change, Micros, Node, Output, Remembered, Settings, State};
+use fleet_membership::{Change, Micros, Node, Output, Remembered, Settings, State};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::cmp::Reverse;
--- a/membership/tests/fleets.rs
+++ b/membership/tests/fleets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use milletturn_membership::{Change, State};
+use fleet_membership::{Change, State};
 
 /// A fleet whose members all know one another.
 fn together(members: usize, seed: u64) -> Fleet {
--- a/membership/tests/orders.rs
+++ b/membership/tests/orders.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{PERIOD, address, name};
-use milletturn_membership::{Node, Output, Remembered, Settings, State};
+use fleet_membership::{Node, Output, Remembered, Settings, State};
 use std::collections::BTreeMap;
 
 const MEMBERS: usize = 3;
--- a/registry/examples/watchers.rs
+++ b/registry/examples/watchers.rs
@@ -1,5 +1,5 @@
 //! Measures what one change costs with many watchers, on replicas of the program that it starts itself:
-//! `cargo run --release -p milletturn-registry --example watchers -- PROGRAM REPLICAS WATCHERS CHANGES`
+//! `cargo run --release -p fleet-registry --example watchers -- PROGRAM REPLICAS WATCHERS CHANGES`
 
 use std::error::Error;
 use std::net::SocketAddr;
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -3,16 +3,16 @@
 use crate::Where;
 use bytes::Bytes;
 use clap::Subcommand;
+use fleet_registry::exchange::exchange;
+use fleet_registry::settings::rules_of;
 use hyper::header::{HOST, IF_MATCH};
 use hyper::{Method, Request, StatusCode};
-use milletturn_agreement::Rules;
-use milletturn_registry::exchange::exchange;
-use milletturn_registry::settings::rules_of;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
+use versioned_config::Rules;
 
 /// How long one replica may take for an answer.
 const PATIENCE: Duration = Duration::from_secs(3);
@@ -287,7 +287,7 @@
             }
         );
     } else {
-        eprintln!("milletturn-registry: {status}: {}", text.trim_end());
+        eprintln!("fleet-registry: {status}: {}", text.trim_end());
     }
     serde_json::from_slice(body).unwrap_or_default()
 }
@@ -372,7 +372,7 @@
             if Instant::now() >= until {
                 let waits = report.map(|report| report["not_acknowledged"].to_string());
                 eprintln!(
-                    "milletturn-registry: not in force after {seconds} s; waits for {}",
+                    "fleet-registry: not in force after {seconds} s; waits for {}",
                     waits.unwrap_or_else(|| "an answer".to_string())
                 );
                 return Ok(false);
--- a/registry/src/core.rs
+++ b/registry/src/core.rs
@@ -7,12 +7,12 @@
 use crate::peers::Peers;
 use crate::replica::{Answer, Output, Replica, TICK, Ticket};
 use crate::state::Place;
-use milletturn_agreement::Micros;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{oneshot, watch};
+use versioned_config::Micros;
 
 /// Questions and messages that may wait for a turn, and that one turn takes in.
 const WAITING: usize = 4096;
--- a/registry/src/heartbeats.rs
+++ b/registry/src/heartbeats.rs
@@ -2,8 +2,8 @@
 //! time; where a large share runs out at once the fault is likelier here, and they are kept.
 
 use crate::target::Target;
-use milletturn_agreement::Micros;
 use std::collections::BTreeMap;
+use versioned_config::Micros;
 
 /// Entries that are kept for having run out together count with those that run out so much later.
 const AT_ONCE: Micros = 2_000_000;
--- a/registry/src/inputs.rs
+++ b/registry/src/inputs.rs
@@ -2,8 +2,8 @@
 
 use crate::replica::{Answer, PartsQuestion, Question, Replica, ReplicaChange};
 use crate::state::Command;
-use milletturn_agreement::Micros;
 use tokio::sync::oneshot;
+use versioned_config::Micros;
 
 /// Looks at the replica as it stands.
 pub type Look = Box<dyn FnOnce(&mut Replica, Micros) + Send>;
--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -1,16 +1,16 @@
-//! `milletturn-registry`: runs a replica, and asks one.
+//! `fleet-registry`: runs a replica, and asks one.
 
 mod client;
 
 use clap::{Args, Parser, Subcommand};
 use client::Ask;
-use milletturn_registry::core;
-use milletturn_registry::peers::Peers;
-use milletturn_registry::replica::Replica;
-use milletturn_registry::server::{Server, serve};
-use milletturn_registry::settings::Settings;
-use milletturn_registry::state::State;
-use milletturn_registry::store::{Purpose, Store};
+use fleet_registry::core;
+use fleet_registry::peers::Peers;
+use fleet_registry::replica::Replica;
+use fleet_registry::server::{Server, serve};
+use fleet_registry::settings::Settings;
+use fleet_registry::state::State;
+use fleet_registry::store::{Purpose, Store};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -85,7 +85,7 @@
 }
 
 fn told(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("milletturn-registry: {error}");
+    eprintln!("fleet-registry: {error}");
     ExitCode::from(code)
 }
 
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -26,10 +26,10 @@
 use engine_log::EngineLog;
 use keeping::Keeping;
 use leading::Leading;
-use milletturn_agreement::Micros;
 use raft::eraftpb::Message;
 use raft::{Config, RawNode, StateRole};
 use std::collections::BTreeMap;
+use versioned_config::Micros;
 
 /// Between two ticks, and ticks without a leader after which a replica stands for election: so many to twice as many.
 pub const TICK: Micros = 100_000;
--- a/registry/src/replica/applying.rs
+++ b/registry/src/replica/applying.rs
@@ -4,8 +4,8 @@
 use super::messages::{Answer, Output, ReplicaChange, ReplicaError};
 use crate::mirror::{Entry as Logged, Hard, Kind, Snapshot, Voters};
 use crate::state::{Applied, Command, Refused, State};
-use milletturn_agreement::Micros;
-use milletturn_ledger::freeze::FreezeEntry;
+use quota_ledger::freeze::FreezeEntry;
+use versioned_config::Micros;
 
 impl Replica {
     /// Puts the state in place of the log.
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,8 +1,8 @@
 //! The log's clock: wall time that was agreed on, carried on by the time that has passed here since.
 
 use super::Replica;
-use milletturn_agreement::Micros;
-use milletturn_ledger::calendar::{Clocks, SKEW_MS};
+use quota_ledger::calendar::{Clocks, SKEW_MS};
+use versioned_config::Micros;
 
 impl Replica {
     /// What this machine's clock shows, Unix time in ms. It may jump.
--- a/registry/src/replica/confirmations.rs
+++ b/registry/src/replica/confirmations.rs
@@ -4,8 +4,8 @@
 use super::keeping::PartsQuestion;
 use super::leading::Question;
 use super::messages::{Answer, Output, Ticket};
-use milletturn_agreement::Micros;
 use raft::ReadState;
+use versioned_config::Micros;
 
 /// Ticks after which a question for a majority's word is asked again, and after which it is given up.
 const ASK_AGAIN: u64 = 3;
--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -2,9 +2,9 @@
 
 use super::Replica;
 use crate::state::Command;
-use milletturn_agreement::Micros;
-use milletturn_ledger::Entry;
-use milletturn_ledger::splits::{Flag, Query, Rows, Split};
+use quota_ledger::Entry;
+use quota_ledger::splits::{Flag, Query, Rows, Split};
+use versioned_config::Micros;
 
 /// What is left free after a dual read, for each row of it, and flags of them in one entry.
 const COMPARE_ROW: Micros = 5;
--- a/registry/src/replica/keeping.rs
+++ b/registry/src/replica/keeping.rs
@@ -3,8 +3,8 @@
 
 use super::Answer;
 use crate::state::Refused;
-use milletturn_ledger::verdicts::{EPOCHS, Tallies, Verdict, Word};
-use milletturn_ledger::{Book, BookError, Dealt, Floors, Keeper, Key, Micros, Want, What};
+use quota_ledger::verdicts::{EPOCHS, Tallies, Verdict, Word};
+use quota_ledger::{Book, BookError, Dealt, Floors, Keeper, Key, Micros, Want, What};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -203,7 +203,7 @@
 
     /// What is kept here and what of it is out, for operators.
     pub fn report(&self, now: Micros, book: &Book) -> Value {
-        let account = |(key, out, holders): (&milletturn_ledger::Key, u64, usize)| {
+        let account = |(key, out, holders): (&quota_ledger::Key, u64, usize)| {
             let total = book.limit(key).map(|limit| limit.total);
             json!({ "key": key, "total": total, "floors": book.floors().sum(key), "out": out, "holders": holders })
         };
@@ -220,7 +220,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use milletturn_ledger::{Entry, Limit, Terms};
+    use quota_ledger::{Entry, Limit, Terms};
 
     const TERMS: Terms = Terms {
         lease: 1_500_000,
--- a/registry/src/replica/leading.rs
+++ b/registry/src/replica/leading.rs
@@ -3,13 +3,13 @@
 use super::Answer;
 use crate::heartbeats::Heartbeats;
 use crate::state::{Applied, Command, Refused, State};
-use milletturn_agreement::{Leases, Micros, Refusal, Rules, Tag, Terms};
-use milletturn_ledger::Entry;
-use milletturn_ledger::calendar::Clocks;
-use milletturn_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
-use milletturn_ledger::splits::SplitError;
+use quota_ledger::Entry;
+use quota_ledger::calendar::Clocks;
+use quota_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
+use quota_ledger::splits::SplitError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use versioned_config::{Leases, Micros, Refusal, Rules, Tag, Terms};
 
 /// Lives of senders that may hold a lease at once.
 const LIVES_MOST: usize = 4096;
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -3,7 +3,7 @@
 use super::Replica;
 use super::messages::{Answer, Output, ReplicaChange, Ticket};
 use crate::state::Refused;
-use milletturn_ledger::freeze::{FreezeError, Matter, Widening};
+use quota_ledger::freeze::{FreezeError, Matter, Widening};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
 impl Replica {
--- a/registry/src/replica/messages.rs
+++ b/registry/src/replica/messages.rs
@@ -3,10 +3,10 @@
 use super::keeping::PartsAnswer;
 use crate::state::{Applied, Changed, Place, Refused};
 use crate::store::StoreError;
-use milletturn_agreement::Grant;
 use raft::eraftpb::Message;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
+use versioned_config::Grant;
 
 /// Who asked; the answer bears the same.
 pub type Ticket = u64;
--- a/registry/src/replica/proposals.rs
+++ b/registry/src/replica/proposals.rs
@@ -3,7 +3,7 @@
 use super::Replica;
 use super::messages::{Answer, Output, Ticket};
 use crate::state::Command;
-use milletturn_agreement::Micros;
+use versioned_config::Micros;
 
 impl Replica {
     /// Proposes a command; the answer comes once a majority has it.
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -2,10 +2,10 @@
 
 use super::Replica;
 use crate::store::Store;
-use milletturn_agreement::Micros;
-use milletturn_ledger::calendar::SKEW_MS;
+use quota_ledger::calendar::SKEW_MS;
 use raft::Storage;
 use serde_json::{Value, json};
+use versioned_config::Micros;
 
 /// Windows that begin within so long are told ahead, ms: a sender that hears nothing more goes by them.
 const SOON_MS: u64 = 7 * 24 * 3600 * 1000;
--- a/registry/src/replica/role.rs
+++ b/registry/src/replica/role.rs
@@ -4,8 +4,8 @@
 use super::leading::Leading;
 use super::messages::{Answer, Output};
 use crate::state::Command;
-use milletturn_agreement::Micros;
-use milletturn_ledger::freeze::FreezeEntry;
+use quota_ledger::freeze::FreezeEntry;
+use versioned_config::Micros;
 
 impl Replica {
     /// Begins or ends to lead. What was proposed and is not committed yet may be, by the next leader.
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -6,7 +6,7 @@
 use crate::replica::Answer;
 use crate::state::Command;
 use hyper::{Method, Response, StatusCode};
-use milletturn_ledger::freeze::{Calendar, FreezeEntry, FreezeError, Glass};
+use quota_ledger::freeze::{Calendar, FreezeEntry, FreezeError, Glass};
 use serde_json::json as value;
 use std::sync::Arc;
 
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -10,9 +10,9 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use miette::Diagnostic;
-use milletturn_ledger::compact;
-use milletturn_ledger::splits::{Plant, Query, SplitError};
-use milletturn_ledger::{BadKey, BookError, Entry, Key, Limit, LimitError};
+use quota_ledger::compact;
+use quota_ledger::splits::{Plant, Query, SplitError};
+use quota_ledger::{BadKey, BookError, Entry, Key, Limit, LimitError};
 use serde::Deserialize;
 use serde_json::json as value;
 use std::sync::Arc;
@@ -305,7 +305,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use milletturn_ledger::{Want, What};
+    use quota_ledger::{Want, What};
 
     #[test]
     fn each_no_has_a_code_and_tells_what_to_do() {
--- a/registry/src/server/routes.rs
+++ b/registry/src/server/routes.rs
@@ -5,13 +5,13 @@
 use crate::replica::{Answer, ReplicaChange};
 use crate::state::{Change, Command, Place, State};
 use hyper::{Method, Response, StatusCode};
-use milletturn_agreement::{Proposal, Rules};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::json as value;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tokio::sync::Notify;
+use versioned_config::{Proposal, Rules};
 
 /// Longest bodies: a batch of the largest list, a batch of notices, all else.
 const BATCH_MOST: usize = 4 << 20;
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -2,13 +2,13 @@
 
 use crate::state::{Command, Place};
 use crate::target::is_name;
-use milletturn_agreement::{Rules, Senseless, Terms, Versions};
-use milletturn_ledger::{Entry, Floors, KINDS, Key};
+use quota_ledger::{Entry, Floors, KINDS, Key};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
+use versioned_config::{Rules, Senseless, Terms, Versions};
 
 /// The settings of one replica.
 #[derive(Debug, Clone, Deserialize)]
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -3,13 +3,13 @@
 
 use crate::target::{BadTarget, Standing, Target};
 use crate::topology::{judge_limit, judge_list, judge_rules};
-use milletturn_agreement::{Proposal, Refusal, Rules, Senseless, Tag, Terms, Versions};
-use milletturn_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
-use milletturn_ledger::{Book, BookError, Entry};
+use quota_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
+use quota_ledger::{Book, BookError, Entry};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thiserror::Error;
+use versioned_config::{Proposal, Refusal, Rules, Senseless, Tag, Terms, Versions};
 
 /// Endpoints that a list may have, and changes of one write.
 pub const TARGETS_MOST: usize = 10_000;
@@ -423,7 +423,7 @@
 
     #[test]
     fn a_freeze_holds_what_widens_and_lets_relief_pass() {
-        use milletturn_ledger::freeze::{On, Scope};
+        use quota_ledger::freeze::{On, Scope};
         let mut state = State::default();
         state
             .apply(list(vec![put("a", 1), put("b", 2)]))
--- a/registry/src/topology.rs
+++ b/registry/src/topology.rs
@@ -2,10 +2,10 @@
 
 use crate::state::State;
 use crate::target::{Standing, Target};
-use milletturn_agreement::Rules;
-use milletturn_ledger::freeze::{FreezeError, Matter, Widening};
-use milletturn_ledger::{Key, Limit, What};
+use quota_ledger::freeze::{FreezeError, Matter, Widening};
+use quota_ledger::{Key, Limit, What};
 use std::collections::{BTreeMap, BTreeSet};
+use versioned_config::Rules;
 
 type Targets = BTreeMap<String, Target>;
 
--- a/registry/tests/processes.rs
+++ b/registry/tests/processes.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn-registry");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_fleet-registry");
 /// Longer than any election, start or lease here takes on a machine that is busy.
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/registry/tests/replicas.rs
+++ b/registry/tests/replicas.rs
@@ -2,17 +2,15 @@
 //! that crash and come back, cuts of one direction, senders that stand still or restart, clocks that drift. No two senders
 //! act on rules that contradict each other, no answered write is lost, and reads are never behind what was answered.
 
-use milletturn_agreement::{
-    Ask, Class, Effect, Grant, Holder, Micros, Proposal, Rules, Tag, Terms,
-};
-use milletturn_registry::replica::{Answer, Output, Question, Replica, TICK};
-use milletturn_registry::state::{Applied, Change, Command, State};
-use milletturn_registry::store::{Purpose, Store};
-use milletturn_registry::target::Target;
+use fleet_registry::replica::{Answer, Output, Question, Replica, TICK};
+use fleet_registry::state::{Applied, Change, Command, State};
+use fleet_registry::store::{Purpose, Store};
+use fleet_registry::target::Target;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
 use tempfile::TempDir;
+use versioned_config::{Ask, Class, Effect, Grant, Holder, Micros, Proposal, Rules, Tag, Terms};
 
 const LEASE: Micros = 2_000_000;
 /// Parts of a million by which a sender's clock may be slow or fast.
--- a/src/bin/milletturn-benchlink.rs
+++ b/src/bin/message-sender-simulator.rs
@@ -6,10 +6,10 @@
 fn main() -> ExitCode {
     let input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     let output = io::BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match milletturn::wire::Host::new().run(input, output) {
+    match message_sender::wire::Host::new().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("milletturn-benchlink: {error}");
+            eprintln!("message-sender-simulator: {error}");
             ExitCode::from(2)
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! reads no clock: the program that hosts it does both. The same events always give the same actions.
 //!
 //! ```
-//! use milletturn::{Action, Class, Effect, Entry, Event, EndpointId, Listing, MessageId, NewMessage,
+//! use message_sender::{Action, Class, Effect, Entry, Event, EndpointId, Listing, MessageId, NewMessage,
 //!     Sender, Settings};
 //!
 //! let mut settings = Settings::new(8, 100);
@@ -18,7 +18,7 @@
 //! ];
 //! sender.handle(1_000_000, &events, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { message: MessageId(5), endpoint: EndpointId(1), .. }));
-//! # Ok::<(), milletturn::SettingsError>(())
+//! # Ok::<(), message_sender::SettingsError>(())
 //! ```
 
 mod backlog;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use milletturn::Sender;
+use message_sender::Sender;
 use net::Seldom;
 use net::agreement::settings::Agreement;
 use net::calls::Calls;
@@ -56,7 +56,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("milletturn: {error}");
+            eprintln!("message-sender: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -9,8 +9,7 @@
 use super::events::{BODY_MOST, Input, Query};
 use super::log;
 use hyper::Method;
-use milletturn::{Agreed, Bounds, ClassBound, Effect, MILLISECOND, Micros};
-use milletturn_agreement::{Ask, Effect as Agreeable, Grant, Holder, Rules, Tag, Taken};
+use message_sender::{Agreed, Bounds, ClassBound, Effect, MILLISECOND, Micros};
 use serde_json::json;
 use settings::Agreement;
 use std::cell::Cell;
@@ -20,6 +19,7 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
+use versioned_config::{Ask, Effect as Agreeable, Grant, Holder, Rules, Tag, Taken};
 
 /// One question, its answer read whole, takes no longer.
 const ANSWER: Duration = Duration::from_secs(1);
--- a/src/net/agreement/settings.rs
+++ b/src/net/agreement/settings.rs
@@ -1,10 +1,10 @@
 //! The `agreement` object of the configuration, read strictly.
 
-use milletturn_agreement::{Rules, Senseless};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
+use versioned_config::{Rules, Senseless};
 
 /// Addresses beside discovery's own.
 const OTHERS_MOST: usize = 16;
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -2,8 +2,8 @@
 
 use super::super::pool::limits;
 use super::*;
-use milletturn::pool::PoolSettings;
-use milletturn::{EndpointId, SECOND, Settings};
+use message_sender::pool::PoolSettings;
+use message_sender::{EndpointId, SECOND, Settings};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -4,7 +4,7 @@
 //! over restarts of a process, so that a step of the wall clock changes no deadline, window or rest, neither in this life
 //! nor in the next. Only a restart of the machine, which begins another monotonic clock, is bridged by the wall clock.
 
-use milletturn::Micros;
+use message_sender::Micros;
 use nix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::fs;
@@ -19,7 +19,7 @@
 /// Tells one start of the machine from another; see `random(4)`.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 /// A wall clock that is off by more is worth a line in the log.
-const STEP_LOGGED: Micros = milletturn::SECOND;
+const STEP_LOGGED: Micros = message_sender::SECOND;
 
 /// Why the time line can't be gone on with.
 #[derive(Debug, Error)]
@@ -176,7 +176,7 @@
         let first = Clock::resume(&folder).expect("begun");
         let written = fs::read(folder.join(FILE)).expect("anchored");
         let mut anchor: Anchor = serde_json::from_slice(&written).expect("an anchor");
-        anchor.time -= 3_600 * milletturn::SECOND; // as if the wall clock had been stepped since
+        anchor.time -= 3_600 * message_sender::SECOND; // as if the wall clock had been stepped since
         fs::write(
             folder.join(FILE),
             serde_json::to_vec(&anchor).expect("encoded"),
@@ -184,10 +184,10 @@
         .expect("written");
         let second = Clock::resume(&folder).expect("gone on");
         let now = Instant::now();
-        let apart = first.at(now) - second.at(now) - 3_600 * milletturn::SECOND;
-        assert!(apart.abs() < milletturn::MILLISECOND, "{apart} us");
+        let apart = first.at(now) - second.at(now) - 3_600 * message_sender::SECOND;
+        assert!(apart.abs() < message_sender::MILLISECOND, "{apart} us");
         fs::write(folder.join(FILE), b"{").expect("written");
         let third = Clock::resume(&folder).expect("begun anew");
-        assert!((third.at(now) - first.at(now)).abs() < milletturn::SECOND);
+        assert!((third.at(now) - first.at(now)).abs() < message_sender::SECOND);
     }
 }
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,7 +1,7 @@
 //! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
 
 use crate::net::events::{ListUpdate, Listed};
-use milletturn::Status;
+use message_sender::Status;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
 
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -4,8 +4,8 @@
 use super::{Driver, Route};
 use crate::net::events::{Freezing, ListUpdate, Listed};
 use crate::net::freeze::settings::FreezeSettings;
-use milletturn::{Micros, Status};
-use milletturn_ledger::gate::{Gate, Seen, widens};
+use message_sender::{Micros, Status};
+use quota_ledger::gate::{Gate, Seen, widens};
 use serde_json::json;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
@@ -166,7 +166,8 @@
             return false;
         };
         // senders that thaw at one moment do not admit the same one at that moment
-        let ramp = Micros::try_from(frozen.settings.ramp_ms).unwrap_or(0) * milletturn::MILLISECOND;
+        let ramp =
+            Micros::try_from(frozen.settings.ramp_ms).unwrap_or(0) * message_sender::MILLISECOND;
         frozen.next = at + ramp / 2 + self.ramp.turn(ramp);
         frozen.admitted += 1;
         crate::net::log(format_args!("freeze: {uid} is admitted"));
--- a/src/net/driver/handing.rs
+++ b/src/net/driver/handing.rs
@@ -11,7 +11,7 @@
     self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text,
 };
 use hyper::header::HeaderValue;
-use milletturn::{EndpointId, MessageId};
+use message_sender::{EndpointId, MessageId};
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
--- a/src/net/driver/intake.rs
+++ b/src/net/driver/intake.rs
@@ -7,9 +7,11 @@
 use crate::net::journal::{Origin, Taken, Terms};
 use crate::net::upgrade::text;
 use hyper::header::HeaderValue;
-use milletturn::lifecycle::Promise;
-use milletturn::wire::position;
-use milletturn::{Action, Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
+use message_sender::lifecycle::Promise;
+use message_sender::wire::position;
+use message_sender::{
+    Action, Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt,
+};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tokio::time::Instant;
 
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -20,11 +20,11 @@
 use super::server::Classes;
 use super::upgrade::{Handover, Link, Lock, Successor};
 use hyper::header::HeaderValue;
-use milletturn::decide::AttemptOut;
-use milletturn::lifecycle::Lifecycle;
-use milletturn::pool::PoolSettings;
-use milletturn::wire::Names;
-use milletturn::{
+use message_sender::decide::AttemptOut;
+use message_sender::lifecycle::Lifecycle;
+use message_sender::pool::PoolSettings;
+use message_sender::wire::Names;
+use message_sender::{
     Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender,
     Settings,
 };
--- a/src/net/driver/orders.rs
+++ b/src/net/driver/orders.rs
@@ -4,8 +4,8 @@
 use crate::net;
 use crate::net::events::Verdict;
 use crate::net::server::Named;
-use milletturn::wire::Names;
-use milletturn::{Class, Effect, Event, Settings};
+use message_sender::wire::Names;
+use message_sender::{Class, Effect, Event, Settings};
 use tokio::sync::oneshot;
 
 /// Gives what both settings name the place that it had, and what is new one at the end; the places of the new
--- a/src/net/driver/outcomes.rs
+++ b/src/net/driver/outcomes.rs
@@ -5,8 +5,8 @@
 use crate::net::calls::{self, Call, CallOut};
 use crate::net::events::{BODY_MOST, Ended, Word};
 use crate::net::upgrade::LOST;
-use milletturn::decide::AttemptOut;
-use milletturn::{Event, MessageId, Micros, Outcome};
+use message_sender::decide::AttemptOut;
+use message_sender::{Event, MessageId, Micros, Outcome};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
--- a/src/net/driver/routes.rs
+++ b/src/net/driver/routes.rs
@@ -2,9 +2,9 @@
 
 use super::{Driver, FORGET_AFTER, Route};
 use crate::net::events::ListUpdate;
-use milletturn::pool::Place;
-use milletturn::wire::position;
-use milletturn::{EndpointId, Entry, Event, Listing, Micros, Status};
+use message_sender::pool::Place;
+use message_sender::wire::position;
+use message_sender::{EndpointId, Entry, Event, Listing, Micros, Status};
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
--- a/src/net/driver/undelivered.rs
+++ b/src/net/driver/undelivered.rs
@@ -3,8 +3,8 @@
 use super::Driver;
 use crate::net::discovery::Notice;
 use crate::net::journal::Ending;
-use milletturn::decide::MARGIN;
-use milletturn::{Event, MessageId, Micros};
+use message_sender::decide::MARGIN;
+use message_sender::{Event, MessageId, Micros};
 use tokio::time::Instant;
 
 /// The end of a message that the platform is not told yet: a next life would not know of it, and would send the message.
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -1,6 +1,6 @@
 //! What must never happen between the decision module and the driver, checked at run time: counted, logged and put right.
 
-use milletturn::lifecycle::Refusal;
+use message_sender::lifecycle::Refusal;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -3,12 +3,12 @@
 use super::freeze::settings::FreezeSettings;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
-use milletturn::pool::PoolSettings;
-use milletturn::wire::Names;
-use milletturn::{
+use message_sender::pool::PoolSettings;
+use message_sender::wire::Names;
+use message_sender::{
     Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
 };
-use milletturn_ledger::gate::News;
+use quota_ledger::gate::News;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -8,7 +8,7 @@
 use super::events::{Freezing, Input};
 use super::log;
 use hyper::Method;
-use milletturn_ledger::gate::News;
+use quota_ledger::gate::News;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use settings::FreezeSettings;
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -1,6 +1,6 @@
 //! Records: what is written down, and its form on disk: a mark, a length, a checksum and the encoded entry.
 
-use milletturn::{Class, Effect};
+use message_sender::{Class, Effect};
 use serde::{Deserialize, Serialize};
 
 pub const MARK: [u8; 4] = *b"MTJ1";
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -1,7 +1,7 @@
 //! Records that fail to be written, and what a next life reads.
 
 use super::*;
-use milletturn::{Class, Effect};
+use message_sender::{Class, Effect};
 
 #[test]
 fn a_send_that_found_no_room_takes_no_position_and_an_outcome_finds_its_own() {
--- a/src/net/ledger/allowance.rs
+++ b/src/net/ledger/allowance.rs
@@ -2,8 +2,8 @@
 
 use super::settings::Ledger;
 use super::wants::keys;
-use milletturn::{MILLISECOND, Micros, Quota, Quotas, Share};
-use milletturn_ledger::{Holder, Key};
+use message_sender::{MILLISECOND, Micros, Quota, Quotas, Share};
+use quota_ledger::{Holder, Key};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What holds by the floors alone.
--- a/src/net/ledger/exchange.rs
+++ b/src/net/ledger/exchange.rs
@@ -3,10 +3,10 @@
 use crate::net::asking::{AskError, exchange};
 use crate::net::log;
 use hyper::{Method, StatusCode};
-use milletturn_ledger::Dealt;
-use milletturn_ledger::compact::{self, Answer, Question};
-use milletturn_ledger::naming::ByteBudget;
-use milletturn_ledger::verdicts::Verdict;
+use quota_ledger::Dealt;
+use quota_ledger::compact::{self, Answer, Question};
+use quota_ledger::naming::ByteBudget;
+use quota_ledger::verdicts::Verdict;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/src/net/ledger/settings.rs
+++ b/src/net/ledger/settings.rs
@@ -1,6 +1,6 @@
 //! The `ledger` object of the configuration, read strictly.
 
-use milletturn_ledger::{Floors, KINDS, Key};
+use quota_ledger::{Floors, KINDS, Key};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/src/net/ledger/wants.rs
+++ b/src/net/ledger/wants.rs
@@ -1,9 +1,9 @@
 //! What a sender wants of limits that all hold together, and what it reports of destinations, by the demand of its decisions.
 
-use milletturn::Demand;
-use milletturn_ledger::naming::KeyDemand;
-use milletturn_ledger::verdicts::Word;
-use milletturn_ledger::{Floors, Key, Wanted, What};
+use message_sender::Demand;
+use quota_ledger::naming::KeyDemand;
+use quota_ledger::verdicts::Word;
+use quota_ledger::{Floors, Key, Wanted, What};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -1,6 +1,6 @@
 //! The `membership` object of the configuration: read strictly, with a default for all that may be left out.
 
-use milletturn_membership::{Settings, SettingsError};
+use fleet_membership::{Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -13,10 +13,10 @@
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use milletturn::pool::{
+use message_sender::pool::{
     Answered, Cause, Command, Denied, DialFailure, Limits, Place, Pool, PoolSettings,
 };
-use milletturn::{Micros, Settings};
+use message_sender::{Micros, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -108,7 +108,7 @@
         Connections::from(
             dialler,
             limits,
-            milletturn::SECOND,
+            message_sender::SECOND,
             Means {
                 descriptors: 100,
                 seed: 1,
--- a/src/net/pool/caps.rs
+++ b/src/net/pool/caps.rs
@@ -2,8 +2,8 @@
 
 use super::{micros, span};
 use crate::net::config::pool_most;
-use milletturn::pool::{Limits, PoolSettings};
-use milletturn::{Micros, Settings};
+use message_sender::pool::{Limits, PoolSettings};
+use message_sender::{Micros, Settings};
 use std::time::Duration;
 
 /// Idle connections to one endpoint, and in all where the descriptors allow it: one for each of as many endpoints.
--- a/src/net/pool/report.rs
+++ b/src/net/pool/report.rs
@@ -1,8 +1,8 @@
 //! What operators see of the connections.
 
 use super::Connections;
-use milletturn::pool::EndpointView;
-use milletturn::{EndpointId, MILLISECOND, SECOND};
+use message_sender::pool::EndpointView;
+use message_sender::{EndpointId, MILLISECOND, SECOND};
 use serde_json::json;
 use std::cmp::Reverse;
 
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use milletturn::{MILLISECOND, Micros};
+use message_sender::{MILLISECOND, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -7,8 +7,8 @@
 use super::calls::Item;
 use super::events::{Input, Word};
 use hyper::header::HeaderValue;
-use milletturn::wire::Names;
-use milletturn::{Micros, Outcome, Sender};
+use message_sender::wire::Names;
+use message_sender::{Micros, Outcome, Sender};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use milletturn::*;
+use message_sender::*;
 
 fn bound(effect: Effect, attempts: usize) -> ClassBound {
     ClassBound {
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -3,7 +3,7 @@
 
 mod node;
 
-use milletturn_membership::{Node as Member, Output, Remembered, Settings};
+use fleet_membership::{Node as Member, Output, Remembered, Settings};
 use node::*;
 use serde_json::Value;
 use std::net::{SocketAddr, UdpSocket};
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{FREE, T0, entry, message, settings};
-use milletturn::*;
+use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A hand-driven host: scripted events in, actions out, alarms rung when due.
 #![allow(dead_code)]
 
-use milletturn::*;
+use message_sender::*;
 
 pub const T0: Micros = 100 * SECOND;
 
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{T0, entry, settings};
-use milletturn::*;
+use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -7,7 +7,7 @@
 
 use common::settings;
 use fleet::{Fleet, PERIOD};
-use milletturn::*;
+use message_sender::*;
 
 const MEMBERS: usize = 20;
 
@@ -42,7 +42,7 @@
 
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
-        let milletturn_membership::View {
+        let fleet_membership::View {
             living,
             suspects,
             gone,
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use milletturn::*;
+use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use milletturn::*;
+use message_sender::*;
 
 fn two_destinations() -> Vec<Entry> {
     vec![entry(1, 7), entry(2, 8)]
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -95,7 +95,7 @@
 #[test]
 #[ignore = "minutes"]
 fn dials_for_each_thousand_messages() {
-    let here = PathBuf::from(env!("CARGO_BIN_EXE_milletturn"));
+    let here = PathBuf::from(env!("CARGO_BIN_EXE_message-sender"));
     let beside = std::env::var("MILLETTURN_BESIDE").map(PathBuf::from).ok();
     for (shape, runs) in [("steady", 5), ("bursty", 3), ("trickling", 5)] {
         let (mut ours, mut theirs) = (Vec::new(), Vec::new());
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -746,7 +746,7 @@
 
 /// The program with the variables that name its configuration and its lasting folder.
 pub fn command(folder: &std::path::Path) -> Command {
-    command_of(env!("CARGO_BIN_EXE_milletturn").as_ref(), folder)
+    command_of(env!("CARGO_BIN_EXE_message-sender").as_ref(), folder)
 }
 
 fn command_of(program: &std::path::Path, folder: &std::path::Path) -> Command {
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -38,7 +38,7 @@
 
     fn run(folder: &Path) -> Child {
         let program =
-            Path::new(env!("CARGO_BIN_EXE_milletturn")).with_file_name("milletturn-registry");
+            Path::new(env!("CARGO_BIN_EXE_message-sender")).with_file_name("fleet-registry");
         assert!(
             program.exists(),
             "{} is built by cargo test --workspace",
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,8 +1,8 @@
 //! The pool's rules without sockets: random orders of what happens to it, held against what must never be, and the
 //! cases that operators would ask about, each by itself.
 
-use milletturn::pool::*;
-use milletturn::{EndpointId, MILLISECOND, Micros, SECOND};
+use message_sender::pool::*;
+use message_sender::{EndpointId, MILLISECOND, Micros, SECOND};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -2,9 +2,9 @@
 
 mod node;
 
-use milletturn_ledger::compact::MEDIA_TYPE;
 use node::registry::Registry;
 use node::*;
+use quota_ledger::compact::MEDIA_TYPE;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use milletturn::*;
+use message_sender::*;
 
 fn pool(count: u32) -> Vec<Entry> {
     (1..=count).map(|endpoint| entry(endpoint, 7)).collect()
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use milletturn::*;
+use message_sender::*;
 
 /// Senders of one group with the same settings, each with its own seed, and the same 60 messages over all.
 struct Fleet {
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -1,7 +1,7 @@
 //! Connections that endpoints have too few of: when the pool keeps none idle, and when it does.
 
-use milletturn::pool::{Answered, Cause, Command, Limits, Place, Pool};
-use milletturn::{EndpointId, Micros, SECOND};
+use message_sender::pool::{Answered, Cause, Command, Limits, Place, Pool};
+use message_sender::{EndpointId, Micros, SECOND};
 
 const T0: Micros = 100 * SECOND;
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: bad input, restarts, instances together and apart.
 
-use milletturn::wire::Host;
+use message_sender::wire::Host;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -29,7 +29,7 @@
 }
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_milletturn-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_message-sender-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -114,7 +114,7 @@
         assert_eq!(output.status.code(), Some(2), "{input}");
         assert!(output.stdout.is_empty());
         let error = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(error, format!("milletturn-benchlink: {expected}\n"));
+        assert_eq!(error, format!("message-sender-simulator: {expected}\n"));
     }
 }
 
