--- a/src/wire/printing.rs
+++ b/src/wire/printing.rs
@@ -35,3 +35,6 @@
     };
     written.expect("writing to a string does not fail");
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -149,3 +149,6 @@
     let new = NewMessage::new(id, class, destination, time_left);
     Ok(Event::Accepted(NewMessage { key, tenant, again, orphan, ..new }))
 }
+
+#[cfg(test)]
+mod tests;
