--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -525,3 +525,6 @@
         other => other.to_string(),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -1,5 +1,7 @@
 //! Records that fail to be written, and what a next life reads.
 
+mod format;
+
 use super::*;
 use message_sender::{Class, Effect};
 
--- /dev/null
+++ b/src/net/journal/tests/format.rs
@@ -0,0 +1,250 @@
+//! The journal's form on disk: files that an earlier program wrote are read, and written again byte for byte.
+
+use super::super::records::{Entry, decode, encode};
+use super::*;
+use crate::net::golden::assert_same_bytes;
+
+/// One record of each kind, also of the kinds that are only read.
+const EVERY_RECORD: &[u8] = include_bytes!("../../../../tests/golden/state/journal-every-record");
+/// The file after [`write_through_the_interface`].
+const WRITTEN: &[u8] = include_bytes!("../../../../tests/golden/state/journal-written");
+/// The same journal after a compaction.
+const COMPACTED: &[u8] = include_bytes!("../../../../tests/golden/state/journal-compacted");
+
+fn handed_in(id: &str) -> Taken {
+    Taken {
+        id: id.into(),
+        key: Some("key-1".into()),
+        class: "order".into(),
+        destination: 77,
+        taken_at: 1_700_000_000_000_001,
+        deadline: 1_700_000_020_000_002,
+        body: b"body \0\xff".to_vec(),
+    }
+}
+
+fn origin() -> Origin {
+    Origin {
+        subject: Some("account-9".into()),
+        tenant: Some("acme".into()),
+    }
+}
+
+fn terms(effect: Effect) -> Terms {
+    let class = Class {
+        name: "order".into(),
+        effect,
+        aim: 4_000_003,
+        deadline: 20_000_004,
+        worth: 1.25,
+        late_share: 0.5,
+        ordered: true,
+    };
+    Terms::of(&class, 12)
+}
+
+fn keyed(zone_only: bool) -> Effect {
+    Effect::Keyed {
+        window: 12_000_005,
+        zone_only,
+    }
+}
+
+fn every_record() -> Vec<Entry> {
+    let sent = |uid: &str, never_ran| Sent {
+        uid: uid.into(),
+        sent_at: 1_700_000_000_500_006,
+        never_ran,
+    };
+    vec![
+        Entry::Taken(1, handed_in("m1")),
+        Entry::HandedIn(
+            2,
+            Taken {
+                key: None,
+                ..handed_in("m2")
+            },
+            origin(),
+        ),
+        Entry::HandedIn(3, handed_in("m3"), Origin::default()),
+        Entry::TakenOn(4, handed_in("m4"), origin(), terms(Effect::Repeatable)),
+        Entry::TakenOn(5, handed_in("m5"), origin(), terms(keyed(false))),
+        Entry::TakenOn(6, handed_in("m6"), origin(), terms(keyed(true))),
+        Entry::TakenOn(300, handed_in("m300"), origin(), terms(Effect::Unsafe)),
+        Entry::Sent(4, sent("s-1", false)),
+        Entry::Sent(4, sent("s-2", true)),
+        Entry::Outcome {
+            message: 4,
+            attempt: 1,
+            never_ran: true,
+        },
+        Entry::Outcome {
+            message: 300,
+            attempt: 200,
+            never_ran: false,
+        },
+        Entry::Ending(2, Ending::Failed),
+        Entry::Ending(3, Ending::Returned { after_ms: None }),
+        Entry::Ending(
+            5,
+            Ending::Returned {
+                after_ms: Some(1_234),
+            },
+        ),
+        Entry::PutOut("s-7".into()),
+        Entry::PutOut("s-8".into()),
+        Entry::PutBack("s-7".into()),
+        Entry::Over(6),
+        Entry::Over(NO_MESSAGE),
+    ]
+}
+
+fn folder_with(name: &str, bytes: &[u8]) -> PathBuf {
+    let folder = fresh(name);
+    fs::create_dir_all(&folder).expect("a folder");
+    fs::write(folder.join("journal"), bytes).expect("written");
+    folder
+}
+
+#[test]
+fn every_record_is_written_as_recorded() {
+    let written: Vec<u8> = every_record()
+        .iter()
+        .flat_map(|entry| encode(entry).expect("encoded"))
+        .collect();
+    assert_same_bytes("records", &written, EVERY_RECORD);
+}
+
+#[test]
+fn every_recorded_record_is_read_as_it_was_written() {
+    let mut at = 0;
+    for expected in every_record() {
+        let (entry, length) = decode(&EVERY_RECORD[at..]).expect("a record");
+        assert_eq!(
+            format!("{entry:?}"),
+            format!("{expected:?}"),
+            "at byte {at}"
+        );
+        assert_same_bytes(
+            "record",
+            &encode(&entry).expect("encoded"),
+            &EVERY_RECORD[at..at + length],
+        );
+        at += length;
+    }
+    assert_eq!(at, EVERY_RECORD.len());
+}
+
+#[test]
+fn a_recorded_file_opens_with_what_is_owed_and_compacts_as_recorded() {
+    let folder = folder_with("journal-golden-open", EVERY_RECORD);
+    let (mut journal, recovery) = Journal::open(&folder, 1 << 20, 16).expect("opened");
+    assert_eq!(
+        recovery,
+        Recovery {
+            records: every_record().len(),
+            torn: 0,
+            damaged: 0
+        }
+    );
+    assert_eq!(
+        journal.owed().keys().copied().collect::<Vec<_>>(),
+        [1, 2, 3, 4, 5, 300]
+    );
+    let first = &journal.owed()[&1];
+    assert_eq!(
+        (&first.taken, &first.origin, &first.terms),
+        (&handed_in("m1"), &Origin::default(), &None)
+    );
+    let attempts: Vec<_> = journal.owed()[&4]
+        .attempts
+        .iter()
+        .map(|sent| (sent.uid.as_str(), sent.never_ran))
+        .collect();
+    assert_eq!(attempts, [("s-1", false), ("s-2", true)]);
+    assert_eq!(
+        journal.owed()[&5].ending,
+        Some(Ending::Returned {
+            after_ms: Some(1_234)
+        })
+    );
+    assert_eq!(journal.owed()[&300].terms, Some(terms(Effect::Unsafe)));
+    assert_eq!(journal.out().collect::<Vec<_>>(), ["s-8"]);
+    journal.compact().expect("room");
+    assert_same_bytes(
+        "compacted file",
+        &fs::read(&journal.path).expect("read"),
+        COMPACTED,
+    );
+    fs::remove_dir_all(&folder).expect("removed");
+}
+
+fn write_through_the_interface(journal: &mut Journal) {
+    journal.set_out("s-7", true).expect("room");
+    journal.set_out("s-8", true).expect("room");
+    journal.set_out("s-7", false).expect("room");
+    for (number, effect) in [
+        (4, Effect::Repeatable),
+        (5, keyed(true)),
+        (6, Effect::Unsafe),
+    ] {
+        journal
+            .take(
+                number,
+                handed_in(&format!("m{number}")),
+                origin(),
+                terms(effect),
+            )
+            .expect("room");
+    }
+    assert_eq!(
+        journal.sent(4, "s-1", 1_700_000_000_500_006).expect("room"),
+        0
+    );
+    assert_eq!(
+        journal.sent(4, "s-2", 1_700_000_000_600_007).expect("room"),
+        1
+    );
+    journal.never_ran(4, 1).expect("written");
+    journal
+        .ending(
+            5,
+            Ending::Returned {
+                after_ms: Some(1_234),
+            },
+        )
+        .expect("written");
+    journal.ending(4, Ending::Failed).expect("written");
+    journal.over(6).expect("written");
+}
+
+#[test]
+fn a_journal_is_written_as_recorded_and_a_recorded_one_is_gone_on_with() {
+    let folder = fresh("journal-golden-written");
+    let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
+    write_through_the_interface(&mut journal);
+    assert_same_bytes(
+        "written file",
+        &fs::read(&journal.path).expect("read"),
+        WRITTEN,
+    );
+    let state = journal.owed().clone();
+    let other = folder_with("journal-golden-read", WRITTEN);
+    let (mut found, recovery) = Journal::open(&other, 1 << 20, 16).expect("opened");
+    assert_eq!(
+        (found.owed(), recovery.torn, recovery.damaged),
+        (&state, 0, 0)
+    );
+    assert_eq!(found.out().collect::<Vec<_>>(), ["s-8"]);
+    // what is written next stands behind what stood there
+    found.over(5).expect("written");
+    let file = fs::read(&found.path).expect("read");
+    assert_same_bytes("file gone on with", &file[..WRITTEN.len()], WRITTEN);
+    assert_same_bytes(
+        "last record",
+        &file[WRITTEN.len()..],
+        &encode(&Entry::Over(5)).expect("encoded"),
+    );
+    fs::remove_dir_all(&folder).expect("removed");
+    fs::remove_dir_all(&other).expect("removed");
+}
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -441,3 +441,6 @@
         _ = handed.wait_for(|handed| *handed) => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/upgrade/tests.rs
@@ -0,0 +1,293 @@
+//! The hand-over between processes: what an earlier program says is read, and said again byte for byte.
+
+use super::*;
+use crate::net::events::{Answer, Ended, Passed, Verdict};
+use crate::net::golden::assert_same_bytes;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+/// Every frame in the order of [`every_frame`], with its length before it as on the link.
+const LINK: &[u8] = include_bytes!("../../../tests/golden/handover/link");
+/// The decision module of a sender that has just started.
+const SENDER: &[u8] = include_bytes!("../../../tests/golden/handover/sender-at-start");
+
+fn names() -> Names {
+    Names {
+        zones: vec!["a".into(), "b".into()],
+        classes: vec!["webhook".into(), "order".into()],
+        kinds: vec!["one".into(), "bulk".into()],
+        tenants: vec!["acme".into()],
+        report_fields: vec!["x0".into(), "x1".into()],
+        dial_timeout: 500_001,
+    }
+}
+
+fn handover() -> Handover {
+    Handover {
+        sender: vec![1, 2, 3, 255],
+        names: names(),
+        routes: vec![
+            HandedRoute {
+                endpoint: 3,
+                uid: "s-3".into(),
+                address: Some("127.0.0.1:8003".parse().expect("an address")),
+                kind: 1,
+                destination: 70_000,
+                listed: true,
+                up: false,
+                zone: "a".into(),
+                weight: 2.5,
+            },
+            HandedRoute {
+                endpoint: 4,
+                uid: "s-4".into(),
+                address: Some("[::1]:8004".parse().expect("an address")),
+                kind: usize::MAX,
+                destination: 8,
+                listed: false,
+                up: true,
+                zone: String::new(),
+                weight: 0.0,
+            },
+            HandedRoute {
+                endpoint: 5,
+                uid: "s-5".into(),
+                address: None,
+                kind: 0,
+                destination: 9,
+                listed: true,
+                up: true,
+                zone: "b".into(),
+                weight: 1.0,
+            },
+        ],
+        next_endpoint: 6,
+        messages: vec![
+            HandedMessage {
+                number: 11,
+                id: "m11".into(),
+                key: Some("key-11".into()),
+                body: b"body \0\xff".to_vec(),
+                open: true,
+                clients: 2,
+                attempts: vec![
+                    (3, 1_700_000_000_000_001, 41, 1, true, Some(7)),
+                    (4, -1, u64::MAX, 0, false, None),
+                ],
+            },
+            HandedMessage {
+                number: 12,
+                id: "m12".into(),
+                key: None,
+                body: Vec::new(),
+                open: false,
+                clients: 0,
+                attempts: Vec::new(),
+            },
+        ],
+        next_message: 13,
+        out: vec![HandedCall {
+            number: 41,
+            items: vec![(10, 2), (11, 0)],
+            left: 1,
+        }],
+        next_call: 42,
+        delivered: vec!["d1".into(), "d2".into()],
+        list_version: 90,
+        alarm: Some(1_700_000_000_000_002),
+        clients: 17,
+    }
+}
+
+fn ended(outcome: Outcome) -> Frame {
+    Frame::Said(Word::Ended(Ended {
+        call: 41,
+        item: 2,
+        outcome,
+        closed: true,
+        report: vec![0.25, 1e9],
+        wait: Some(3_000_003),
+    }))
+}
+
+fn passed() -> Passed {
+    Passed {
+        id: "m21".into(),
+        key: Some("key-21".into()),
+        subject: Some("account-9".into()),
+        tenant: Some("acme".into()),
+        class: 1,
+        destination: 70_000,
+        time: 20_000_004,
+        began: 1_700_000_000_000_005,
+        again: true,
+        orphan: false,
+        body: b"passed on".to_vec(),
+    }
+}
+
+fn answered(answer: Answer) -> Frame {
+    Frame::Said(Word::Answered { number: 51, answer })
+}
+
+fn judged(verdict: Verdict) -> Frame {
+    Frame::Said(Word::Judged {
+        number: 61,
+        verdict,
+    })
+}
+
+fn every_frame() -> Vec<Frame> {
+    let without = Passed {
+        key: None,
+        subject: None,
+        tenant: None,
+        again: false,
+        orphan: true,
+        ..passed()
+    };
+    vec![
+        Frame::Ask { version: VERSION },
+        Frame::Ask {
+            version: JOURNAL_ALONE,
+        },
+        Frame::Hand(Box::new(handover())),
+        Frame::Hand(Box::new(Handover {
+            alarm: None,
+            ..handover()
+        })),
+        Frame::Owns,
+        Frame::Said(Word::Cancel { call: 41, item: 1 }),
+        ended(Outcome::Success),
+        ended(Outcome::Error),
+        ended(Outcome::Refused { wait: None }),
+        ended(Outcome::Refused {
+            wait: Some(2_000_002),
+        }),
+        ended(Outcome::TimedOut),
+        ended(Outcome::NoConnection),
+        ended(Outcome::Reset),
+        ended(Outcome::Cancelled),
+        ended(Outcome::Unsent { no_slot: true }),
+        Frame::Said(Word::Ended(Ended {
+            call: 1,
+            item: 0,
+            outcome: Outcome::Unsent { no_slot: false },
+            closed: false,
+            report: Vec::new(),
+            wait: None,
+        })),
+        Frame::Said(Word::Arrived {
+            number: 51,
+            arrival: Box::new(passed()),
+        }),
+        Frame::Said(Word::Arrived {
+            number: 52,
+            arrival: Box::new(without),
+        }),
+        answered(Answer::Taken),
+        answered(Answer::Delivered),
+        answered(Answer::Refused { wait: None }),
+        answered(Answer::Refused {
+            wait: Some(1_500_006),
+        }),
+        answered(Answer::NoRoom),
+        answered(Answer::Failed),
+        Frame::Said(Word::Left("m21".into())),
+        Frame::Said(Word::Ordered {
+            number: 61,
+            uid: "s-3".into(),
+            out: true,
+        }),
+        Frame::Said(Word::Ordered {
+            number: 62,
+            uid: "s-4".into(),
+            out: false,
+        }),
+        judged(Verdict::Done),
+        judged(Verdict::Unknown),
+        judged(Verdict::Unwritten),
+    ]
+}
+
+/// What the other end of the link gets when these frames are sent.
+async fn sent(frames: &[Frame]) -> Vec<u8> {
+    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(here);
+    let send = async {
+        for frame in frames {
+            link.writer.send(frame).await.expect("sent");
+        }
+        drop(link);
+    };
+    let mut bytes = Vec::new();
+    let (_, read) = tokio::join!(send, there.read_to_end(&mut bytes));
+    read.expect("read");
+    bytes
+}
+
+#[tokio::test]
+async fn every_frame_is_sent_as_recorded() {
+    let mut at = 0;
+    for frame in every_frame() {
+        let bytes = sent(std::slice::from_ref(&frame)).await;
+        let end = (at + bytes.len()).min(LINK.len());
+        assert_same_bytes(&format!("{frame:?}"), &bytes, &LINK[at..end]);
+        at = end;
+    }
+    assert_eq!(at, LINK.len());
+}
+
+#[tokio::test]
+async fn every_recorded_frame_is_received_as_it_was_sent() {
+    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(here);
+    let write = async {
+        there.write_all(LINK).await.expect("written");
+        drop(there);
+    };
+    let read = async {
+        let mut frames = Vec::new();
+        while frames.len() < every_frame().len() {
+            frames.push(link.receive().await.expect("a frame"));
+        }
+        assert!(
+            matches!(link.receive().await, Err(LinkError::Io(_))),
+            "nothing more"
+        );
+        frames
+    };
+    let (_, frames) = tokio::join!(write, read);
+    for (frame, expected) in frames.iter().zip(every_frame()) {
+        assert_eq!(format!("{frame:?}"), format!("{expected:?}"));
+    }
+    assert_same_bytes("all frames", &sent(&frames).await, LINK);
+}
+
+#[test]
+fn the_versions_that_processes_ask_for_are_the_recorded_ones() {
+    assert_eq!((VERSION, JOURNAL_ALONE), (10, 0));
+    assert_eq!((LOCK, SOCKET), ("lock", "upgrade.sock"));
+}
+
+#[test]
+fn the_state_of_the_module_at_a_start_is_read_and_written_as_recorded() {
+    let mut settings = message_sender::Settings::new(8, 50);
+    settings.classes.push(message_sender::Class::new(
+        "order",
+        message_sender::Effect::Unsafe,
+        1,
+        2,
+    ));
+    let sender = Sender::new(settings, 0x8c1f).expect("sound settings");
+    assert_same_bytes(
+        "module",
+        &postcard::to_allocvec(&sender).expect("encoded"),
+        SENDER,
+    );
+    let read: Sender = postcard::from_bytes(SENDER).expect("decoded");
+    assert_same_bytes(
+        "module read",
+        &postcard::to_allocvec(&read).expect("encoded"),
+        SENDER,
+    );
+}
