--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 mod net;
 
 use message_sender::Sender;
-use net::Seldom;
+use net::RateLimitedLog;
 use net::agreement::settings::Agreement;
 use net::calls::Calls;
 use net::clock::Clock;
@@ -11,11 +11,11 @@
 use net::control::Control;
 use net::discovery::{Backoff, Freshness};
 use net::driver::{Driver, Shared};
-use net::events::{Freezing, Input};
+use net::events::{DriverInput, FreezeChange, SettingsUpdate};
 use net::freeze::settings::FreezeSettings;
 use net::journal::Journal;
 use net::ledger::settings::Ledger;
-use net::machine::RETRY;
+use net::local_errors::RETRY_INTERVAL;
 use net::membership::settings::Membership;
 use net::pool::{Connections, Means, limits};
 use net::server::{Classes, Server, serve};
@@ -87,7 +87,7 @@
     let (parts, parts_asked) = mpsc::channel(ORDERS);
     if let Some(settings) = &config.freeze {
         // the first list is looked at by it
-        let _ = inputs.send(Input::Freezing(Freezing::On(settings.clone())));
+        let _ = inputs.send(DriverInput::Freeze(FreezeChange::On(settings.clone())));
     }
     let (freezes, frozen) = watch::channel(config.freeze);
     let (stop, stopping) = watch::channel(false);
@@ -305,7 +305,7 @@
         draining.set(true);
         let _ = stop.send(true);
         let ends = Instant::now() + END;
-        let _ = inputs.send(Input::Stopping(ends));
+        let _ = inputs.send(DriverInput::ShuttingDown(ends));
         sleep(CLOSE_IDLE).await;
         let _ = close.send(true);
         sleep(END - CLOSE_IDLE).await;
@@ -333,9 +333,9 @@
     mut text: Vec<u8>,
     moved: watch::Sender<SocketAddr>,
     (member, agrees, shares, freezes): Parts,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
-    let faults = Seldom::default();
+    let faults = RateLimitedLog::default();
     let mut wanted = hangup.recv().await.is_some();
     while wanted {
         let before = text.clone();
@@ -344,7 +344,7 @@
             Ok(Err(error)) if error.is_of_this_machine() => {
                 // the platform has told it once, and does not tell it again
                 faults.log(format_args!("SIGHUP: configuration not read yet: {error}"));
-                sleep(RETRY).await;
+                sleep(RETRY_INTERVAL).await;
                 continue;
             }
             Ok(Ok(new)) => {
@@ -360,11 +360,11 @@
                     new.discovery
                 ));
                 text = new.text;
-                let _ = inputs.send(Input::Retuned(Box::new((
-                    new.settings,
-                    new.names,
-                    new.pool,
-                ))));
+                let _ = inputs.send(DriverInput::SettingsChanged(Box::new(SettingsUpdate {
+                    settings: new.settings,
+                    names: new.names,
+                    pool: new.pool,
+                })));
                 replace(&member, new.membership);
                 replace(&agrees, new.agreement);
                 replace(&shares, new.ledger);
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -6,7 +6,7 @@
 use super::asking::{self, AskError, whose_turn};
 use super::clock::Clock;
 use super::discovery::Backoff;
-use super::events::{BODY_MOST, Input, Query};
+use super::events::{DriverInput, MAX_BODY_BYTES, ReportRequest};
 use super::log;
 use hyper::Method;
 use message_sender::{Agreed, Bounds, ClassBound, Effect, MILLISECOND, Micros};
@@ -31,7 +31,7 @@
 pub struct Means {
     pub clock: Clock,
     pub name: String,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// Where the registry is.
     pub agent: watch::Receiver<SocketAddr>,
     /// The version of the list that the decisions go by.
@@ -100,7 +100,7 @@
 pub async fn hold(
     mut means: Means,
     mut wanted: watch::Receiver<Option<Agreement>>,
-    mut queries: mpsc::Receiver<Query>,
+    mut queries: mpsc::Receiver<ReportRequest>,
     mut stopping: watch::Receiver<bool>,
 ) {
     // differs between any two processes of one name
@@ -161,7 +161,10 @@
     /// Has rules bind all that is sent from now on; back once they do.
     async fn bind(&self, agreed: Option<Agreed>) {
         let (binds, bound) = oneshot::channel();
-        let _ = self.inputs.send(Input::Agreed(agreed.map(Box::new), binds));
+        let _ = self.inputs.send(DriverInput::AgreedRules {
+            rules: agreed.map(Box::new),
+            applied: binds,
+        });
         // the driver is gone only when the process ends or has handed over
         let _ = bound.await;
     }
@@ -185,7 +188,7 @@
 }
 
 impl Part<'_> {
-    async fn run(&mut self, queries: &mut mpsc::Receiver<Query>) {
+    async fn run(&mut self, queries: &mut mpsc::Receiver<ReportRequest>) {
         let mut turn = 0;
         loop {
             let begun = Instant::now();
@@ -226,7 +229,7 @@
     }
 
     /// Answers operators and notices the end of the lease until it is time for the next question.
-    async fn rest_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<Query>) {
+    async fn rest_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<ReportRequest>) {
         loop {
             let until = self.holder.until(self.means.now());
             let ends = until.and_then(|until| Micros::try_from(until).ok());
@@ -279,7 +282,7 @@
             "/v1/lease",
             Some(question),
             ANSWER,
-            BODY_MOST,
+            MAX_BODY_BYTES,
         )
         .await?;
         let (tag, lease) = (grant.tag, Duration::from_micros(grant.lease));
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -3,8 +3,8 @@
 //! Nothing here sends a call again by itself: a repeat that the decision module doesn't know of would be a
 //! duplicate. When it is unsure whether a call may have run, the outcome says that it may.
 
-use super::Seldom;
-use super::events::{BODY_MOST, Ended, Input};
+use super::RateLimitedLog;
+use super::events::{AttemptEnd, DriverInput, MAX_BODY_BYTES};
 use super::pool::{Connections, Lease, NoLease, Traffic};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -64,10 +64,10 @@
 struct Shared {
     connections: Connections,
     report_fields: RefCell<Vec<String>>,
-    faults: Seldom,
+    faults: RateLimitedLog,
     /// Some endpoint has told a wait.
     tells_waits: Cell<bool>,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 }
 
 /// What came of the whole call.
@@ -108,11 +108,11 @@
 
 impl Calls {
     /// Calls that go over these connections.
-    pub fn new(inputs: mpsc::UnboundedSender<Input>, connections: Connections) -> Self {
+    pub fn new(inputs: mpsc::UnboundedSender<DriverInput>, connections: Connections) -> Self {
         Calls(Rc::new(Shared {
             connections,
             report_fields: RefCell::default(),
-            faults: Seldom::default(),
+            faults: RateLimitedLog::default(),
             tells_waits: Cell::default(),
             inputs,
         }))
@@ -144,7 +144,7 @@
 
 /// The ends of a call's messages: each is told once, and what is left when the call is dropped may have run.
 struct EndsToTell<'a> {
-    inputs: &'a mpsc::UnboundedSender<Input>,
+    inputs: &'a mpsc::UnboundedSender<DriverInput>,
     call: u64,
     left: Vec<bool>,
 }
@@ -167,16 +167,16 @@
         wait: Option<Micros>,
     ) {
         self.left[item] = false;
-        let end = Ended {
+        let end = AttemptEnd {
             call: self.call,
             item,
             outcome,
             closed,
             report,
-            wait,
+            retry_after: wait,
         };
         // nobody listens any more only when the process ends
-        let _ = self.inputs.send(Input::Ended(end));
+        let _ = self.inputs.send(DriverInput::AttemptEnded(end));
     }
 }
 
@@ -276,7 +276,7 @@
         tokio::select! {
             biased;
             late = &mut exchange => if let Some(wait) = late.wait {
-                let _ = shared.inputs.send(Input::ToldWait { endpoint: call.place.endpoint, wait });
+                let _ = shared.inputs.send(DriverInput::RetryAfter { endpoint: call.place.endpoint, wait });
             },
             () = heard => {}
         }
@@ -385,7 +385,7 @@
     let (outcome, closed) = match head.status {
         StatusCode::OK if items.len() > 1 => {
             // the whole answer tells each message's end
-            let ends = match Limited::new(body, BODY_MOST).collect().await {
+            let ends = match Limited::new(body, MAX_BODY_BYTES).collect().await {
                 Ok(text) => ends_of(&text.to_bytes(), items, wait),
                 Err(_) => {
                     lease.spoil(Cause::Unreadable);
@@ -441,7 +441,7 @@
     };
     // the outcome is known; the rest of the answer only frees the connection
     tokio::task::spawn_local(async move {
-        match timeout(DRAIN, Limited::new(body, BODY_MOST).collect()).await {
+        match timeout(DRAIN, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(_)) => lease.give_back(),
             _ => lease.spoil(Cause::Unreadable),
         }
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -252,7 +252,7 @@
             if give_up == Outcome::Cancelled {
                 cancels.send(0).expect("it is out");
             }
-            let Some(Input::Ended(ended)) = told.recv().await else {
+            let Some(DriverInput::AttemptEnded(ended)) = told.recv().await else {
                 panic!("no end")
             };
             assert_eq!(ended.outcome, give_up);
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -9,7 +9,7 @@
 use super::freeze::settings::{FreezeSettings, FreezeSettingsError};
 use super::ledger;
 use super::ledger::settings::{Ledger, LedgerError};
-use super::machine::{RETRY, is_lasting};
+use super::local_errors::{RETRY_INTERVAL, is_permanent};
 use super::membership;
 use super::membership::settings::{Membership, MembershipError};
 use message_sender::pool::PoolSettings;
@@ -221,7 +221,7 @@
 /// True if reading a file may succeed a moment later, with nothing changed by operators.
 fn is_passing(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{IsADirectory, NotFound};
-    !is_lasting(error) && ![NotFound, IsADirectory].contains(&error.kind())
+    !is_permanent(error) && ![NotFound, IsADirectory].contains(&error.kind())
 }
 
 impl Config {
@@ -385,7 +385,7 @@
     loop {
         match read_file() {
             Err(error) if error.is_of_this_machine() && begun.elapsed() < READ_IN => {
-                std::thread::sleep(RETRY);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             read => return read,
         }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -4,7 +4,7 @@
 //! Whether a connection may end is decided at the one moment at which the system has nothing more to read: what came
 //! before that is a request and is answered, what comes after it crosses the close and is read by nobody.
 
-use super::events::BODY_MOST;
+use super::events::MAX_BODY_BYTES;
 use super::stream::Stream;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -29,7 +29,7 @@
 /// sending side is shut, what crosses that is read for as long.
 pub const SPARE: Duration = Duration::from_millis(250);
 /// So much of it at most.
-const CROSSING_MOST: usize = 4 * BODY_MOST;
+const CROSSING_MOST: usize = 4 * MAX_BODY_BYTES;
 
 /// How far a connection is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,8 +1,8 @@
 //! The operators' address: one call a connection, answered beside whatever else goes on.
 
 use super::connection::{self, Slot};
-use super::events::Query;
-use super::events::{Order, Verdict};
+use super::events::ReportRequest;
+use super::events::{AdminCommand, AdminResult};
 use super::server::accept;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -29,14 +29,14 @@
 const BODY_TIME: Duration = Duration::from_millis(1000);
 const ALL_TIME: Duration = Duration::from_secs(5);
 /// Longest body: an id and its name.
-const BODY_MOST: usize = 4096;
+const MAX_BODY_BYTES: usize = 4096;
 
 /// What the calls need.
 pub struct Control {
-    pub orders: mpsc::Sender<Order>,
-    pub members: mpsc::Sender<Query>,
-    pub agreement: mpsc::Sender<Query>,
-    pub ledger: mpsc::Sender<Query>,
+    pub orders: mpsc::Sender<AdminCommand>,
+    pub members: mpsc::Sender<ReportRequest>,
+    pub agreement: mpsc::Sender<ReportRequest>,
+    pub ledger: mpsc::Sender<ReportRequest>,
     pub ready: watch::Receiver<bool>,
     /// Set once the process takes nothing new.
     pub draining: Rc<Cell<bool>>,
@@ -120,12 +120,22 @@
         ("/pools", &Method::GET) => {
             slot.set_idle(false);
             let ending = (StatusCode::SERVICE_UNAVAILABLE, "ending");
-            return report(&control.orders, |reply| Order::Pools { reply }, ending).await;
+            return report(
+                &control.orders,
+                |reply| AdminCommand::PoolReport { reply },
+                ending,
+            )
+            .await;
         }
         ("/freeze", &Method::GET) => {
             slot.set_idle(false);
             let off = (StatusCode::NOT_FOUND, "the freeze is off");
-            return report(&control.orders, |reply| Order::Frozen { reply }, off).await;
+            return report(
+                &control.orders,
+                |reply| AdminCommand::FreezeReport { reply },
+                off,
+            )
+            .await;
         }
         ("/members", &Method::GET) => {
             slot.set_idle(false);
@@ -166,7 +176,7 @@
     };
     let body = timeout(
         BODY_TIME,
-        Limited::new(request.into_body(), BODY_MOST).collect(),
+        Limited::new(request.into_body(), MAX_BODY_BYTES).collect(),
     )
     .await;
     let body = body
@@ -180,11 +190,18 @@
     })?;
     slot.set_idle(false);
     let (reply, verdict) = oneshot::channel();
-    ask(&control.orders, Order::SetOut { uid, out, reply })?;
+    ask(
+        &control.orders,
+        AdminCommand::SetDisabled {
+            uid,
+            disabled: out,
+            reply,
+        },
+    )?;
     match verdict.await {
-        Ok(Verdict::Done) => Ok("done".into()),
-        Ok(Verdict::Unknown) => Err((StatusCode::NOT_FOUND, "no such endpoint")),
-        Ok(Verdict::Unwritten) => Err((
+        Ok(AdminResult::Done) => Ok("done".into()),
+        Ok(AdminResult::UnknownEndpoint) => Err((StatusCode::NOT_FOUND, "no such endpoint")),
+        Ok(AdminResult::NotWritten) => Err((
             StatusCode::INSUFFICIENT_STORAGE,
             "it could not be written down",
         )),
@@ -201,7 +218,7 @@
 /// A part's report; `none` is the answer where the part drops the question.
 async fn report<T>(
     part: &mpsc::Sender<T>,
-    order: impl FnOnce(Query) -> T,
+    order: impl FnOnce(ReportRequest) -> T,
     none: No,
 ) -> Result<Cow<'static, str>, No> {
     let (reply, report) = oneshot::channel();
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -2,7 +2,7 @@
 //! by it. The rules have no sockets; the clock is passed in, but for the one task that waits for it.
 
 use super::backoff::TOLD;
-use crate::net::events::Input;
+use crate::net::events::DriverInput;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
@@ -89,10 +89,10 @@
     pub fn new(
         pushed: bool,
         grace: Duration,
-        inputs: mpsc::UnboundedSender<Input>,
+        inputs: mpsc::UnboundedSender<DriverInput>,
     ) -> (Self, impl Future<Output = ()>) {
         // the first turn must know
-        let _ = inputs.send(Input::Stale(pushed));
+        let _ = inputs.send(DriverInput::ListStale(pushed));
         let start = if pushed {
             State::Starting
         } else {
@@ -151,7 +151,7 @@
     mut seen: watch::Receiver<State>,
     mut stale: bool,
     grace: Duration,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
     loop {
         let state = *seen.borrow_and_update();
@@ -165,7 +165,7 @@
                     "discovery: changes may count as told for {counted:?}, nothing is sent until it tells"
                 ));
             }
-            if inputs.send(Input::Stale(stale)).is_err() {
+            if inputs.send(DriverInput::ListStale(stale)).is_err() {
                 return;
             }
         }
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -4,16 +4,16 @@
 
 const GRACE: Duration = Duration::from_millis(1500);
 
-fn told(inputs: &mut mpsc::UnboundedReceiver<Input>) -> Vec<bool> {
+fn told(inputs: &mut mpsc::UnboundedReceiver<DriverInput>) -> Vec<bool> {
     std::iter::from_fn(|| inputs.try_recv().ok())
         .map(|input| match input {
-            Input::Stale(stale) => stale,
+            DriverInput::ListStale(stale) => stale,
             other => panic!("{other:?}"),
         })
         .collect()
 }
 
-fn started(pushed: bool) -> (Freshness, mpsc::UnboundedReceiver<Input>) {
+fn started(pushed: bool) -> (Freshness, mpsc::UnboundedReceiver<DriverInput>) {
     let (inputs, received) = mpsc::unbounded_channel();
     let (freshness, tells) = Freshness::new(pushed, GRACE, inputs);
     tokio::spawn(tells);
@@ -22,7 +22,7 @@
 
 /// What the module hears until just before, and until just after, so long after `from`.
 async fn around(
-    received: &mut mpsc::UnboundedReceiver<Input>,
+    received: &mut mpsc::UnboundedReceiver<DriverInput>,
     from: Instant,
     after: Duration,
 ) -> (Vec<bool>, Vec<bool>) {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -6,8 +6,8 @@
 mod notices;
 mod reading;
 
-use super::events::Input;
-use super::machine::RETRY;
+use super::events::DriverInput;
+use super::local_errors::RETRY_INTERVAL;
 use super::stream::{ConnectError, Stream};
 use backoff::SILENCE;
 pub use backoff::{Backoff, Shared};
@@ -93,7 +93,7 @@
     shared: Shared,
     backoff: Backoff,
     freshness: Freshness,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
     Watch {
         agent,
@@ -115,7 +115,7 @@
     shared: Shared,
     backoff: Backoff,
     freshness: Freshness,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
     /// Something could not be read: the next watch asks for the whole list, and takes of it what can be read.
     whole: bool,
     /// The last watch has told something.
@@ -160,7 +160,7 @@
             let delay = match error {
                 WatchError::Silent => self.backoff.after_silence(),
                 // it has taken its time already
-                WatchError::Connect(error) if error.is_local() => RETRY,
+                WatchError::Connect(error) if error.is_local() => RETRY_INTERVAL,
                 _ => self.backoff.spread(),
             };
             let moved = back_off_or_move(delay, &mut self.agent).await;
@@ -242,7 +242,7 @@
                     continue;
                 };
                 self.version = update.version;
-                if self.inputs.send(Input::Listed(update)).is_err() {
+                if self.inputs.send(DriverInput::EndpointList(update)).is_err() {
                     return Ok(());
                 }
             }
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -2,7 +2,7 @@
 
 use super::backoff::RETRY_FIRST;
 use super::{CallError, back_off_or_move, call};
-use crate::net::events::Input;
+use crate::net::events::DriverInput;
 use crate::net::journal::Ending;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -33,7 +33,7 @@
 pub async fn post_notices(
     mut agent: Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notice>,
-    inputs: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
     let mut owed: BTreeMap<u64, Notice> = BTreeMap::new();
     let mut delay = RETRY_FIRST;
@@ -71,7 +71,10 @@
                     owed.remove(number);
                 }
                 (delay, failing) = (RETRY_FIRST, false);
-                if inputs.send(Input::Noticed(batch)).is_err() {
+                if inputs
+                    .send(DriverInput::NotificationsDelivered(batch))
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,6 +1,6 @@
 //! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
 
-use crate::net::events::{ListUpdate, Listed};
+use crate::net::events::{ListUpdate, ListedEndpoint};
 use message_sender::Status;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
@@ -47,7 +47,7 @@
             .endpoint
             .parse()
             .map_err(|_| format!("bad address '{}'", target.endpoint))?;
-        Ok(Listed {
+        Ok(ListedEndpoint {
             uid: target.uid,
             address,
             zone: target.az,
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -2,7 +2,7 @@
 //! What a list takes away is always obeyed.
 
 use super::{Driver, Route};
-use crate::net::events::{Freezing, ListUpdate, Listed};
+use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{Micros, Status};
 use quota_ledger::gate::{Gate, Seen, widens};
@@ -15,15 +15,15 @@
     gate: Gate,
     settings: FreezeSettings,
     /// Entries as they were listed last, by uid.
-    held: BTreeMap<String, Listed>,
+    held: BTreeMap<String, ListedEndpoint>,
     /// When the next one may be admitted.
     next: Micros,
     held_ever: u64,
     admitted: u64,
 }
 
-fn seen(listed: &Listed) -> Seen {
-    let Listed {
+fn seen(listed: &ListedEndpoint) -> Seen {
+    let ListedEndpoint {
         destination,
         zone,
         weight,
@@ -57,10 +57,10 @@
 }
 
 impl Driver {
-    pub(super) fn freeze(&mut self, freezing: Freezing) {
+    pub(super) fn freeze(&mut self, freezing: FreezeChange) {
         let now = self.now();
         match freezing {
-            Freezing::Off => {
+            FreezeChange::Off => {
                 let held = self
                     .frozen
                     .take()
@@ -68,11 +68,15 @@
                     .unwrap_or_default();
                 self.admit_all(held.into_values().collect());
             }
-            Freezing::On(settings) => match &mut self.frozen {
+            FreezeChange::On(settings) => match &mut self.frozen {
                 Some(frozen) => frozen.settings = settings,
                 None => self.frozen = Some(Box::new(Frozen::new(now, settings))),
             },
-            Freezing::Told { asked, fresh, news } => {
+            FreezeChange::Calendar {
+                asked_at: asked,
+                fresh_for: fresh,
+                update: news,
+            } => {
                 if let Some(frozen) = &mut self.frozen {
                     frozen.gate.hear(asked, now, fresh, news);
                 }
@@ -175,7 +179,7 @@
         true
     }
 
-    fn admit_all(&mut self, targets: Vec<Listed>) {
+    fn admit_all(&mut self, targets: Vec<ListedEndpoint>) {
         if !targets.is_empty() {
             let update = ListUpdate {
                 version: self.list_version,
--- a/src/net/driver/handing.rs
+++ b/src/net/driver/handing.rs
@@ -3,10 +3,13 @@
 use super::{Attempt, Driver, Message, Next, Route};
 use crate::net;
 use crate::net::calls::CallOut;
-use crate::net::events::{Answer, Arrival, Ended, Input, Passed, Verdict, Word};
+use crate::net::events::{
+    AdminResult, AttemptEnd, DriverInput, ForwardedSubmission, HandoverMessage, Submission,
+    SubmissionResult,
+};
 use crate::net::journal::JournalError;
 use crate::net::leaving::Leaving;
-use crate::net::machine::RETRY;
+use crate::net::local_errors::RETRY_INTERVAL;
 use crate::net::upgrade::{
     self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text,
 };
@@ -78,7 +81,7 @@
                 Ok(()) => return Next::GoOn,
                 Err(error @ JournalError::Io(_)) => {
                     self.journal_fault.log(format_args!("journal: {error}"));
-                    sleep(RETRY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
                 Err(error) => {
                     net::log(format_args!(
@@ -275,43 +278,60 @@
     }
 
     /// What the old process reports and passes on.
-    pub(super) fn linked(&mut self, word: Word) {
+    pub(super) fn linked(&mut self, word: HandoverMessage) {
         let Some((old, _)) = &self.predecessor else {
             return;
         };
         let old = old.clone();
         match word {
-            Word::Ended(ended) => self.ended(ended),
-            Word::Left(id) => {
+            HandoverMessage::AttemptEnded(ended) => self.ended(ended),
+            HandoverMessage::ClientDisconnected(id) => {
                 if let Ok(id) = HeaderValue::from_str(&id) {
-                    self.learn(Input::ClientLeft(id));
+                    self.learn(DriverInput::ClientDisconnected(id));
                 }
             }
-            Word::Arrived { number, arrival } => {
+            HandoverMessage::Submitted {
+                number,
+                submission: arrival,
+            } => {
                 let (reply, answer) = oneshot::channel();
                 if let Some(arrival) = self.passed(*arrival, reply) {
                     self.arrive(arrival);
                 }
                 tokio::task::spawn_local(async move {
-                    let answer = answer.await.unwrap_or(Answer::NoRoom);
+                    let answer = answer.await.unwrap_or(SubmissionResult::NotStored);
                     // the old process is gone, and its clients with it
-                    let _ = old.send(Word::Answered { number, answer });
+                    let _ = old.send(HandoverMessage::Answered {
+                        number,
+                        result: answer,
+                    });
                 });
             }
-            Word::Ordered { number, uid, out } => {
+            HandoverMessage::AdminCommand {
+                number,
+                uid,
+                disabled: out,
+            } => {
                 let (reply, verdict) = oneshot::channel();
                 self.obey(uid, out, reply);
                 tokio::task::spawn_local(async move {
-                    let verdict = verdict.await.unwrap_or(Verdict::Unwritten);
-                    let _ = old.send(Word::Judged { number, verdict });
+                    let verdict = verdict.await.unwrap_or(AdminResult::NotWritten);
+                    let _ = old.send(HandoverMessage::AdminResult {
+                        number,
+                        result: verdict,
+                    });
                 });
             }
             _ => {}
         }
     }
 
-    pub(super) fn passed(&self, passed: Passed, reply: oneshot::Sender<Answer>) -> Option<Arrival> {
-        Some(Arrival {
+    pub(super) fn passed(
+        &self,
+        passed: ForwardedSubmission,
+        reply: oneshot::Sender<SubmissionResult>,
+    ) -> Option<Submission> {
+        Some(Submission {
             id: HeaderValue::from_str(&passed.id).ok()?,
             key: passed
                 .key
@@ -323,8 +343,8 @@
             tenant: passed.tenant,
             class: passed.class,
             destination: passed.destination,
-            time: passed.time,
-            began: self.clock.instant(passed.began),
+            time_limit: passed.time_limit,
+            received_at: self.clock.instant(passed.received_at),
             again: passed.again,
             orphan: passed.orphan,
             body: passed.body.into(),
@@ -358,13 +378,13 @@
             lost.len()
         ));
         for (call, item) in lost {
-            let ended = Ended {
+            let ended = AttemptEnd {
                 call,
                 item,
                 outcome: upgrade::LOST,
                 closed: false,
                 report: Vec::new(),
-                wait: None,
+                retry_after: None,
             };
             self.ended(ended);
         }
--- a/src/net/driver/intake.rs
+++ b/src/net/driver/intake.rs
@@ -3,7 +3,7 @@
 use super::{Attempt, Driver, Message};
 use crate::net::calls::Item;
 use crate::net::discovery::Notice;
-use crate::net::events::{Answer, Arrival};
+use crate::net::events::{Submission, SubmissionResult};
 use crate::net::journal::{Origin, Taken, Terms};
 use crate::net::upgrade::text;
 use hyper::header::HeaderValue;
@@ -168,7 +168,7 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, arrival: Arrival) {
+    pub(super) fn arrive(&mut self, arrival: Submission) {
         // a receiver that is gone is a client that left: its guard says so too
         if let Some(&message) = self.by_id.get(&arrival.id) {
             if let Some(held) = self.messages.get_mut(&message) {
@@ -176,12 +176,12 @@
             }
             self.doubled.push((message, arrival.id, arrival.reply));
         } else if self.delivered.contains(&arrival.id) {
-            let _ = arrival.reply.send(Answer::Delivered);
+            let _ = arrival.reply.send(SubmissionResult::AlreadyDelivered);
         } else {
             let message = MessageId(self.next_message);
             self.next_message += 1;
-            let began = self.clock.at(arrival.began);
-            let left = began + arrival.time - self.clock.at(Instant::now());
+            let began = self.clock.at(arrival.received_at);
+            let left = began + arrival.time_limit - self.clock.at(Instant::now());
             let new = NewMessage {
                 key: arrival.subject.as_deref().map(key_of),
                 tenant: arrival
@@ -217,9 +217,9 @@
         for (message, (arrival, began)) in std::mem::take(&mut self.arrived) {
             let ends = actions.iter().find_map(|action| match action {
                 Action::Refuse { message: m, wait } if *m == message => {
-                    Some(Answer::Refused { wait: *wait })
+                    Some(SubmissionResult::Rejected { retry_after: *wait })
                 }
-                Action::Fail(m) if *m == message => Some(Answer::Failed),
+                Action::Fail(m) if *m == message => Some(SubmissionResult::Failed),
                 _ => None,
             });
             if !self.messages.get(&message).is_some_and(|held| held.open) {
@@ -227,9 +227,9 @@
             }
             let answer = ends.unwrap_or_else(|| self.write_down(message, &arrival, began));
             crate::net::trace(&arrival.id, format_args!("handed in: {answer:?}"));
-            if answer != Answer::Taken {
+            if answer != SubmissionResult::Accepted {
                 self.close(message);
-                if answer == Answer::NoRoom {
+                if answer == SubmissionResult::NotStored {
                     self.events.push(Event::Dropped(message));
                 }
             }
@@ -239,9 +239,9 @@
         for (message, id, reply) in std::mem::take(&mut self.doubled) {
             let held = self.messages.get(&message).is_some_and(|held| held.open);
             let _ = reply.send(match held {
-                true => Answer::Taken,
-                false if self.delivered.contains(&id) => Answer::Delivered,
-                false => Answer::Refused { wait: None },
+                true => SubmissionResult::Accepted,
+                false if self.delivered.contains(&id) => SubmissionResult::AlreadyDelivered,
+                false => SubmissionResult::Rejected { retry_after: None },
             });
         }
     }
@@ -249,13 +249,13 @@
     pub(super) fn write_down(
         &mut self,
         message: MessageId,
-        arrival: &Arrival,
+        arrival: &Submission,
         began: Micros,
-    ) -> Answer {
+    ) -> SubmissionResult {
         // what came from an old process has its class's place too
         let class = self.settings.classes.get(arrival.class);
         let Some(terms) = class.map(|class| Terms::of(class, self.settings.max_attempts)) else {
-            return Answer::NoRoom;
+            return SubmissionResult::NotStored;
         };
         let taken = Taken {
             id: text(&arrival.id),
@@ -263,7 +263,7 @@
             class: class.map(|class| class.name.clone()).unwrap_or_default(),
             destination: arrival.destination,
             taken_at: began,
-            deadline: began + arrival.time,
+            deadline: began + arrival.time_limit,
             body: arrival.body.to_vec(),
         };
         let origin = Origin {
@@ -273,9 +273,9 @@
         let promise = promise_of(&terms, &origin);
         let written = self.journal.take(message.0, taken, origin, terms);
         if self.check(written).is_none() {
-            return Answer::NoRoom;
+            return SubmissionResult::NotStored;
         }
         self.lifecycle.take(message, promise);
-        Answer::Taken
+        SubmissionResult::Accepted
     }
 }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -10,13 +10,16 @@
 mod undelivered;
 mod violations;
 
-use super::Seldom;
+use super::RateLimitedLog;
 use super::calls::{CallOut, Calls, Item};
 use super::clock::Clock;
 use super::discovery::Notice;
-use super::events::{Answer, Arrival, Input, ListUpdate, Order, Word};
+use super::events::{
+    AdminCommand, DemandReport, DriverInput, HandoverMessage, ListUpdate, SettingsUpdate,
+    Submission, SubmissionResult,
+};
 use super::journal::{Ending, Journal, JournalError};
-use super::machine::RETRY;
+use super::local_errors::RETRY_INTERVAL;
 use super::server::Classes;
 use super::upgrade::{Handover, Link, Lock, Successor};
 use hyper::header::HeaderValue;
@@ -99,7 +102,7 @@
 /// What the driver has in common with the rest of the process.
 pub struct Shared {
     pub clock: Clock,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     pub lock: Lock,
     /// The clients' places, and how many there are when none is taken.
     pub places: Arc<Semaphore>,
@@ -149,12 +152,12 @@
     next_call: u64,
     delivered: VecDeque<HeaderValue>,
     /// Messages that came in this turn, with their clients and the times when these sent them.
-    arrived: BTreeMap<MessageId, (Arrival, Micros)>,
+    arrived: BTreeMap<MessageId, (Submission, Micros)>,
     /// Clients that handed in once more what came in this turn: a promise to them must wait for the journal.
-    doubled: Vec<(MessageId, HeaderValue, oneshot::Sender<Answer>)>,
+    doubled: Vec<(MessageId, HeaderValue, oneshot::Sender<SubmissionResult>)>,
     events: Vec<Event>,
     alarm: Option<Micros>,
-    journal_fault: Seldom,
+    journal_fault: RateLimitedLog,
     /// What the module knows of the journal: that it can't be written.
     host_failing: bool,
     /// Ends that are not durable yet, and so not told.
@@ -164,7 +167,7 @@
     agreed: bool,
     /// A lower version came: what changes of it tell rests on another list.
     behind: bool,
-    behind_fault: Seldom,
+    behind_fault: RateLimitedLog,
     /// What a freeze holds of the lists.
     frozen: Option<Box<frozen::Frozen>>,
     ramp: frozen::Ramp,
@@ -172,7 +175,7 @@
     binding: Vec<oneshot::Sender<()>>,
     shared: Shared,
     /// The old process, while it has calls out or clients connected, and the places that its clients hold.
-    predecessor: Option<(mpsc::UnboundedSender<Word>, usize)>,
+    predecessor: Option<(mpsc::UnboundedSender<HandoverMessage>, usize)>,
 }
 
 impl Driver {
@@ -220,13 +223,13 @@
             doubled: Vec::new(),
             events: Vec::new(),
             alarm: None,
-            journal_fault: Seldom::default(),
+            journal_fault: RateLimitedLog::default(),
             host_failing: false,
             untold: Vec::new(),
             list_version: 0,
             agreed: floor.is_some(),
             behind: false,
-            behind_fault: Seldom::default(),
+            behind_fault: RateLimitedLog::default(),
             frozen: None,
             ramp: frozen::Ramp(seed),
             binding: Vec::new(),
@@ -270,12 +273,12 @@
     /// Turns until the inputs end.
     pub async fn run(
         mut self,
-        mut inputs: mpsc::UnboundedReceiver<Input>,
-        mut orders: mpsc::Receiver<Order>,
+        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
+        mut orders: mpsc::Receiver<AdminCommand>,
         mut successors: mpsc::Receiver<Successor>,
     ) {
         let mut sweep = tokio::time::interval(SWEEP);
-        let mut disk = tokio::time::interval(RETRY);
+        let mut disk = tokio::time::interval(RETRY_INTERVAL);
         disk.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // what was told before the first turn binds it
         while let Ok(input) = inputs.try_recv() {
@@ -289,14 +292,14 @@
                 // operators wait a second at most, however much waits to be done
                 biased;
                 Some(order) = orders.recv() => match order {
-                    Order::SetOut { uid, out, reply } => self.obey(uid, out, reply),
-                    Order::Pools { reply } => {
+                    AdminCommand::SetDisabled { uid, disabled: out, reply } => self.obey(uid, out, reply),
+                    AdminCommand::PoolReport { reply } => {
                         let uid_of = |id: EndpointId| Some(self.routes.get(&id)?.uid.clone());
                         // an operator that has gone asks again
                         let _ = reply.send(self.calls.connections().report(uid_of));
                         continue;
                     }
-                    Order::Frozen { reply } => {
+                    AdminCommand::FreezeReport { reply } => {
                         // without an answer it is off
                         if let Some(report) = self.freeze_report() {
                             let _ = reply.send(report);
@@ -357,10 +360,10 @@
         self.tell_durable_ends();
     }
 
-    fn learn(&mut self, input: Input) {
+    fn learn(&mut self, input: DriverInput) {
         match input {
-            Input::Arrived(arrival) => self.arrive(arrival),
-            Input::ClientLeft(id) => {
+            DriverInput::Submitted(arrival) => self.arrive(arrival),
+            DriverInput::ClientDisconnected(id) => {
                 let Some(&message) = self.by_id.get(&id) else {
                     return;
                 };
@@ -373,40 +376,57 @@
                     self.end(message);
                 }
             }
-            Input::Stopping(at) => self.events.push(Event::Stopping {
+            DriverInput::ShuttingDown(at) => self.events.push(Event::Stopping {
                 ends: self.clock.at(at),
             }),
-            Input::Ended(ended) => self.ended(ended),
-            Input::ToldWait { endpoint, wait } => {
+            DriverInput::AttemptEnded(ended) => self.ended(ended),
+            DriverInput::RetryAfter { endpoint, wait } => {
                 self.told_wait(endpoint, wait);
                 self.events.push(Event::ToldWait { endpoint, wait });
             }
-            Input::Agreed(agreed, binds) => {
-                self.agreed = agreed.is_some();
-                self.events.push(Event::Agreed(agreed));
-                self.binding.push(binds);
+            DriverInput::AgreedRules { rules, applied } => {
+                self.agreed = rules.is_some();
+                self.events.push(Event::Agreed(rules));
+                self.binding.push(applied);
             }
-            Input::Shared(quotas, binds) => {
+            DriverInput::Quotas { quotas, applied } => {
                 self.events.push(Event::Shared(quotas));
-                self.binding.push(binds);
+                self.binding.push(applied);
             }
-            Input::Freezing(freezing) => self.freeze(freezing),
-            Input::Word { destination, out } => self.events.push(Event::Word { destination, out }),
-            Input::Wanted { whole, reply } => {
-                // a part that is off by now asks no more
-                let _ = reply.send(self.sender.demand_in_use(whole));
+            DriverInput::Freeze(freezing) => self.freeze(freezing),
+            DriverInput::FleetHealth {
+                destination,
+                unavailable,
+            } => self.events.push(Event::Word {
+                destination,
+                out: unavailable,
+            }),
+            DriverInput::Demand {
+                complete_up_to,
+                reply,
+            } => {
+                let (listed, by_destination) = self.sender.demand_in_use(complete_up_to);
+                // a ledger client that is off by now asks no more
+                let _ = reply.send(DemandReport {
+                    listed,
+                    by_destination,
+                });
             }
-            Input::Fleet(view) => self.events.push(Event::Fleet(view)),
-            Input::Listed(update) => self.list(update, false),
-            Input::Stale(stale) => self.events.push(Event::Stale(stale)),
-            Input::Retuned(new) => {
-                let (settings, names, pool) = *new;
+            DriverInput::FleetView(view) => self.events.push(Event::Fleet(view)),
+            DriverInput::EndpointList(update) => self.list(update, false),
+            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
+            DriverInput::SettingsChanged(new) => {
+                let SettingsUpdate {
+                    settings,
+                    names,
+                    pool,
+                } = *new;
                 self.pool = pool;
                 self.retune(settings, names);
             }
-            Input::Linked(frame) => self.linked(frame),
-            Input::LinkLost => self.link_lost(),
-            Input::Noticed(numbers) => {
+            DriverInput::Handover(frame) => self.linked(frame),
+            DriverInput::HandoverLinkLost => self.link_lost(),
+            DriverInput::NotificationsDelivered(numbers) => {
                 for number in numbers {
                     let written = self.journal.over(number);
                     self.check(written);
--- a/src/net/driver/orders.rs
+++ b/src/net/driver/orders.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::net;
-use crate::net::events::Verdict;
+use crate::net::events::AdminResult;
 use crate::net::server::Named;
 use message_sender::wire::Names;
 use message_sender::{Class, Effect, Event, Settings};
@@ -49,16 +49,16 @@
 }
 
 impl Driver {
-    pub(super) fn obey(&mut self, uid: String, out: bool, reply: oneshot::Sender<Verdict>) {
+    pub(super) fn obey(&mut self, uid: String, out: bool, reply: oneshot::Sender<AdminResult>) {
         let was_out = self.journal.is_out(&uid);
         let listed = self
             .by_uid
             .get(&uid)
             .and_then(|endpoint| self.routes.get(endpoint));
         let verdict = if !was_out && !listed.is_some_and(|route| route.listed) {
-            Verdict::Unknown
+            AdminResult::UnknownEndpoint
         } else if was_out == out {
-            Verdict::Done
+            AdminResult::Done
         } else {
             let written = self.journal.set_out(&uid, out);
             if self.check(written).is_some() {
@@ -69,9 +69,9 @@
                 } else {
                     Event::Enabled(endpoint)
                 });
-                Verdict::Done
+                AdminResult::Done
             } else {
-                Verdict::Unwritten
+                AdminResult::NotWritten
             }
         };
         let order = if out { "out" } else { "back" };
--- a/src/net/driver/outcomes.rs
+++ b/src/net/driver/outcomes.rs
@@ -3,7 +3,7 @@
 use super::violations::Violation;
 use super::{Attempt, Bundle, Driver, Message, REMEMBERED};
 use crate::net::calls::{self, Call, CallOut};
-use crate::net::events::{BODY_MOST, Ended, Word};
+use crate::net::events::{AttemptEnd, HandoverMessage, MAX_BODY_BYTES};
 use crate::net::upgrade::LOST;
 use message_sender::decide::AttemptOut;
 use message_sender::{Event, MessageId, Micros, Outcome};
@@ -33,11 +33,11 @@
 
 impl Driver {
     /// An attempt's call has told how it ended.
-    pub(super) fn ended(&mut self, ended: Ended) {
+    pub(super) fn ended(&mut self, ended: AttemptEnd) {
         let call = self.out.get(&ended.call);
         let attempt = call.and_then(|call| call.items.get(ended.item)).copied();
         let Some((message, number)) = attempt else {
-            let Ended { call, item, .. } = ended;
+            let AttemptEnd { call, item, .. } = ended;
             return self.violations.count(
                 Violation::OutcomeUnknown,
                 format_args!("call {call}, item {item}"),
@@ -72,7 +72,7 @@
         if let Outcome::Refused { wait: Some(wait) } = ended.outcome {
             self.told_wait(endpoint, wait);
         }
-        if let Some(wait) = ended.wait {
+        if let Some(wait) = ended.retry_after {
             self.told_wait(endpoint, wait);
             self.events.push(Event::ToldWait { endpoint, wait });
         }
@@ -245,7 +245,7 @@
         let room = |bundle: &&mut Bundle| {
             bundle.endpoint == endpoint
                 && bundle.sends.len() < most
-                && bundle.size + size <= BODY_MOST
+                && bundle.size + size <= MAX_BODY_BYTES
         };
         self.trace(message, format_args!("attempt {attempt} begins at {uid}"));
         match bundles.iter_mut().find(room) {
@@ -372,7 +372,7 @@
         match (&call.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(tried.item)),
             (None, Some((old, _))) => {
-                drop(old.send(Word::Cancel {
+                drop(old.send(HandoverMessage::CancelAttempt {
                     call: tried.call,
                     item: tried.item,
                 }));
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,4 +1,5 @@
-//! What the parts tell the driver, and what operators order: data alone, known to all parts.
+//! Messages to the driver from the other tasks and from operators, and those between the two processes of a handover:
+//! data alone, known to all tasks.
 
 use super::freeze::settings::FreezeSettings;
 use bytes::Bytes;
@@ -15,201 +16,322 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Bodies hold at most this.
-pub const BODY_MOST: usize = 64 * 1024;
+/// Longest body of a message, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What the rest of the program tells the driver.
+/// What the other tasks of the process tell the driver.
 #[derive(Debug)]
-pub enum Input {
-    Arrived(Arrival),
-    ClientLeft(HeaderValue),
-    /// The process ends at this time.
-    Stopping(Instant),
-    Ended(Ended),
-    /// An answer that came after its call was given up told to wait.
-    ToldWait {
+pub enum DriverInput {
+    /// A client hands a message in.
+    Submitted(Submission),
+    /// A client left before it had its answer; the id of the message that it handed in.
+    ClientDisconnected(HeaderValue),
+    /// The process shuts down gracefully and ends at this instant.
+    ShuttingDown(Instant),
+    /// An attempt to deliver one message ended.
+    AttemptEnded(AttemptEnd),
+    /// An answer that came after its call was given up carried a Retry-After.
+    RetryAfter {
+        /// The endpoint that asked for it.
         endpoint: EndpointId,
+        /// How long to keep away.
         wait: Micros,
     },
-    Listed(ListUpdate),
-    /// The list may be older than what counts as told, or is good again.
-    Stale(bool),
-    /// Notices that the platform has taken, by number of message.
-    Noticed(Vec<u64>),
-    /// Rules on which the senders agree, and who is to be told once they bind all that is sent.
-    Agreed(Option<Box<Agreed>>, oneshot::Sender<()>),
-    /// What this sender may use of limits that hold for all, and who is told once it binds.
-    Shared(Option<Box<Quotas>>, oneshot::Sender<()>),
-    /// Of the freeze calendar.
-    Freezing(Freezing),
-    /// Enough other senders agree that a destination is out, or back.
-    Word {
+    /// Discovery sent the endpoint list, or changes to it.
+    EndpointList(ListUpdate),
+    /// The endpoint list became stale (true) or is current again (false).
+    ListStale(bool),
+    /// The platform accepted the outcome notifications of these messages.
+    NotificationsDelivered(Vec<u64>),
+    /// The rules on which all senders agree changed.
+    AgreedRules {
+        /// The rules; none while agreement is off.
+        rules: Option<Box<Agreed>>,
+        /// Notified once the rules bind all that is sent.
+        applied: oneshot::Sender<()>,
+    },
+    /// What this sender may use of limits that hold for the whole fleet changed.
+    Quotas {
+        /// The quotas; none while the ledger is off.
+        quotas: Option<Box<Quotas>>,
+        /// Notified once the quotas bind all that is sent.
+        applied: oneshot::Sender<()>,
+    },
+    /// The freeze calendar or its settings changed.
+    Freeze(FreezeChange),
+    /// A quorum of the other senders reports a destination as unavailable, or as available again.
+    FleetHealth {
+        /// The destination.
         destination: u64,
-        out: bool,
+        /// It is unavailable.
+        unavailable: bool,
     },
-    /// Tells how many destinations are listed and what could be used: at each of them if they are `whole` at most, else at
-    /// those that are in use.
-    Wanted {
-        whole: usize,
-        reply: oneshot::Sender<(usize, BTreeMap<u64, Demand>)>,
+    /// Asks what this sender could use of the fleet's limits.
+    Demand {
+        /// With at most so many listed destinations the report names all of them, else those in use.
+        complete_up_to: usize,
+        /// Gets the report.
+        reply: oneshot::Sender<DemandReport>,
     },
-    /// What is seen of the other senders; none where nothing is.
-    Fleet(Option<FleetView>),
-    /// New settings, checked.
-    Retuned(Box<(Settings, Names, PoolSettings)>),
-    /// What the other process of an upgrade says, and that it says no more.
-    Linked(Word),
-    LinkLost,
+    /// What membership knows of the other senders; none where that is nothing.
+    FleetView(Option<FleetView>),
+    /// New settings, already validated.
+    SettingsChanged(Box<SettingsUpdate>),
+    /// A message from the other process of a handover.
+    Handover(HandoverMessage),
+    /// The other process of a handover is gone.
+    HandoverLinkLost,
+}
+
+/// What a sender could use of the fleet's limits.
+#[derive(Debug)]
+pub struct DemandReport {
+    /// Destinations that are listed.
+    pub listed: usize,
+    /// The demand at each reported destination.
+    pub by_destination: BTreeMap<u64, Demand>,
+}
+
+/// Settings that belong together, from one configuration file.
+#[derive(Debug, Clone)]
+pub struct SettingsUpdate {
+    /// Settings of the decision module.
+    pub settings: Settings,
+    /// The names that these settings number.
+    pub names: Names,
+    /// Settings of the connection pool.
+    pub pool: PoolSettings,
 }
 
-/// What the driver's gate is told of the freeze.
+/// A change of the freeze calendar or of its settings.
 #[derive(Debug)]
-pub enum Freezing {
-    /// It is off: nothing is held.
+pub enum FreezeChange {
+    /// The freeze is switched off: nothing is held back.
     Off,
-    /// It is on, by these settings.
+    /// The freeze is switched on, or its settings changed.
     On(FreezeSettings),
-    /// What the registry answered to a question that was asked then, and for how long a broken glass counts by it.
-    Told { asked: u64, fresh: u64, news: News },
+    /// The registry's answer to a poll.
+    Calendar {
+        /// When the poll was sent, in module time.
+        asked_at: u64,
+        /// How long a break-glass override counts by this answer, in microseconds.
+        fresh_for: u64,
+        /// What the registry answered.
+        update: News,
+    },
 }
 
-/// Asks a part for its report, as JSON.
-pub type Query = oneshot::Sender<String>;
+/// Asks a task for its report, which it sends as JSON.
+pub type ReportRequest = oneshot::Sender<String>;
 
-/// What operators order; it overtakes all that waits.
+/// A command of an operator; it overtakes all waiting input.
 #[derive(Debug)]
-pub enum Order {
-    /// Take an endpoint out, or put it back.
-    SetOut {
+pub enum AdminCommand {
+    /// Disables an endpoint, or enables it again.
+    SetDisabled {
+        /// The endpoint's name in the list.
         uid: String,
-        out: bool,
-        reply: oneshot::Sender<Verdict>,
+        /// True to disable it.
+        disabled: bool,
+        /// Gets the result.
+        reply: oneshot::Sender<AdminResult>,
+    },
+    /// Reports on the connections to endpoints.
+    PoolReport {
+        /// Gets the report.
+        reply: ReportRequest,
+    },
+    /// Reports on the freeze; no answer while it is off.
+    FreezeReport {
+        /// Gets the report.
+        reply: ReportRequest,
     },
-    /// Tell how the connections to endpoints stand, as JSON.
-    Pools { reply: Query },
-    /// Tell what the freeze holds, as JSON.
-    Frozen { reply: Query },
 }
 
-/// What came of an order.
+/// The result of [`AdminCommand::SetDisabled`].
+///
+/// Sent between the processes of a handover: the order of the variants is their encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AdminResult {
+    /// It holds, also after a restart.
     Done,
     /// No list has this endpoint.
-    Unknown,
-    /// It could not be written down.
-    Unwritten,
+    UnknownEndpoint,
+    /// The journal could not be written.
+    NotWritten,
 }
 
-/// A message that is handed in.
+/// A message that a client hands in.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct Submission {
+    /// The client's id of the message.
     pub id: HeaderValue,
+    /// Its idempotency key.
     pub key: Option<HeaderValue>,
-    /// What the message is about; messages of one subject take turns in classes that keep order.
+    /// What the message is about; ordered classes deliver messages of one subject one at a time.
     pub subject: Option<String>,
-    /// Whose message it is, for the shares of the tenants.
+    /// The tenant that it counts for.
     pub tenant: Option<String>,
+    /// Its class, by position in the settings.
     pub class: usize,
+    /// Where it goes.
     pub destination: u64,
-    pub time: Micros,
-    pub began: Instant,
+    /// The time that the client gave it, counted from `received_at`.
+    pub time_limit: Micros,
+    /// When its request began.
+    pub received_at: Instant,
+    /// The client hands it in once more.
     pub again: bool,
+    /// The client that first handed it in is gone.
     pub orphan: bool,
+    /// Its body.
     pub body: Bytes,
-    pub reply: oneshot::Sender<Answer>,
+    /// Gets the answer.
+    pub reply: oneshot::Sender<SubmissionResult>,
 }
 
 /// The answer to a client.
+///
+/// Sent between the processes of a handover: the order of the variants is their encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    Taken,
-    Delivered,
-    Refused { wait: Option<Micros> },
-    NoRoom,
+pub enum SubmissionResult {
+    /// The message is durable and will be delivered or reported as undelivered.
+    Accepted,
+    /// A message of this id has been delivered.
+    AlreadyDelivered,
+    /// It was rejected.
+    Rejected {
+        /// When the client may try again, if that is known.
+        retry_after: Option<Micros>,
+    },
+    /// The journal could not take it.
+    NotStored,
+    /// It could not be delivered.
     Failed,
 }
 
-/// How one message of a call ended.
+/// How an attempt to deliver one message of a call ended.
+///
+/// Sent between the processes of a handover: the order of the fields is their encoding.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ended {
+pub struct AttemptEnd {
+    /// The number of the call.
     pub call: u64,
-    /// Its position in the call.
+    /// The message's position in the call.
     pub item: usize,
+    /// How it ended.
     pub outcome: Outcome,
-    /// Nothing more is owed for it.
+    /// The message is complete: nothing more is to be sent or notified for it.
     pub closed: bool,
+    /// The fields of the endpoint's load report.
     pub report: Vec<f64>,
-    /// A wait that the answer told and that no outcome carries.
-    pub wait: Option<Micros>,
+    /// A Retry-After that the outcome does not carry.
+    pub retry_after: Option<Micros>,
 }
 
-/// One endpoint as the list has it.
+/// One endpoint of the list.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ListedEndpoint {
+    /// Its name, which stays the same over changes of its address.
     pub uid: String,
+    /// Where it takes calls.
     pub address: SocketAddr,
+    /// The name of its zone.
     pub zone: String,
+    /// The name of its kind.
     pub kind: String,
+    /// The destination that it belongs to.
     pub destination: u64,
+    /// Whether it takes calls.
     pub status: Status,
+    /// Its capacity as the list has it.
     pub weight: f64,
 }
 
-/// A list, or changes to one.
+/// The endpoint list, or changes to it.
 #[derive(Debug, Clone)]
 pub struct ListUpdate {
+    /// The version of the list.
     pub version: u64,
+    /// True if it names every endpoint.
     pub full: bool,
-    pub targets: Vec<Listed>,
+    /// The endpoints that it names.
+    pub targets: Vec<ListedEndpoint>,
 }
 
-/// What the two processes of an upgrade say to each other once all is handed over.
+/// What the two processes of a handover tell each other once all state is handed over.
+///
+/// The order of variants and fields is their encoding.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Word {
-    /// Call off one message of a call that the old one still has out.
-    Cancel {
+pub enum HandoverMessage {
+    /// The successor cancels one message of a call that the predecessor has in flight.
+    CancelAttempt {
+        /// The number of the call.
         call: u64,
+        /// The message's position in it.
         item: usize,
     },
     /// How one message of such a call ended.
-    Ended(Ended),
-    /// A message that came in on one of the old one's connections, and its answer.
-    Arrived {
+    AttemptEnded(AttemptEnd),
+    /// A message that a client handed in on a connection of the predecessor.
+    Submitted {
+        /// The predecessor's number for the answer.
         number: u64,
-        arrival: Box<Passed>,
+        /// The message.
+        submission: Box<ForwardedSubmission>,
     },
+    /// The answer to such a message.
     Answered {
+        /// The number of the submission.
         number: u64,
-        answer: Answer,
+        /// The answer.
+        result: SubmissionResult,
     },
-    /// The client of a message left before its answer.
-    Left(String),
-    /// An order that came to the old one's operators' address, and what came of it.
-    Ordered {
+    /// The client of such a message left before its answer; the message's id.
+    ClientDisconnected(String),
+    /// A command that an operator gave the predecessor.
+    AdminCommand {
+        /// The predecessor's number for the result.
         number: u64,
+        /// The endpoint's name in the list.
         uid: String,
-        out: bool,
+        /// True to disable it.
+        disabled: bool,
     },
-    Judged {
+    /// The result of such a command.
+    AdminResult {
+        /// The number of the command.
         number: u64,
-        verdict: Verdict,
+        /// The result.
+        result: AdminResult,
     },
 }
 
-/// A message that is handed in, passed on.
+/// A [`Submission`] that the predecessor forwards to its successor.
+///
+/// The order of the fields is their encoding.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Passed {
+pub struct ForwardedSubmission {
+    /// The client's id of the message.
     pub id: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// What the message is about.
     pub subject: Option<String>,
+    /// The tenant that it counts for.
     pub tenant: Option<String>,
+    /// Its class, by position in the settings.
     pub class: usize,
+    /// Where it goes.
     pub destination: u64,
-    pub time: Micros,
-    /// Unix time in microseconds.
-    pub began: Micros,
+    /// The time that the client gave it, counted from `received_at`.
+    pub time_limit: Micros,
+    /// When its request began, in Unix time.
+    pub received_at: Micros,
+    /// The client hands it in once more.
     pub again: bool,
+    /// The client that first handed it in is gone.
     pub orphan: bool,
+    /// Its body.
     pub body: Vec<u8>,
 }
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -5,7 +5,7 @@
 
 use super::asking::{ask, whose_turn};
 use super::clock::Clock;
-use super::events::{Freezing, Input};
+use super::events::{DriverInput, FreezeChange};
 use super::log;
 use hyper::Method;
 use quota_ledger::gate::News;
@@ -28,7 +28,7 @@
 pub struct Means {
     pub clock: Clock,
     pub seed: u64,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// Where the registry is.
     pub agent: watch::Receiver<SocketAddr>,
 }
@@ -45,7 +45,7 @@
         let Some(settings) = settings else {
             if std::mem::take(&mut was_on) {
                 log(format_args!("freeze: off"));
-                let _ = means.inputs.send(Input::Freezing(Freezing::Off));
+                let _ = means.inputs.send(DriverInput::Freeze(FreezeChange::Off));
             }
             tokio::select! {
                 changed = wanted.changed() => if changed.is_err() { return },
@@ -60,7 +60,7 @@
         }
         let _ = means
             .inputs
-            .send(Input::Freezing(Freezing::On(settings.clone())));
+            .send(DriverInput::Freeze(FreezeChange::On(settings.clone())));
         tokio::select! {
             () = poll(&mut means, &settings) => {}
             changed = wanted.changed() => if changed.is_err() { return },
@@ -94,7 +94,11 @@
                 let fresh = u64::try_from((every * FRESH).as_micros()).unwrap_or(u64::MAX);
                 if means
                     .inputs
-                    .send(Input::Freezing(Freezing::Told { asked, fresh, news }))
+                    .send(DriverInput::Freeze(FreezeChange::Calendar {
+                        asked_at: asked,
+                        fresh_for: fresh,
+                        update: news,
+                    }))
                     .is_err()
                 {
                     return;
--- a/src/net/leaving.rs
+++ b/src/net/leaving.rs
@@ -3,7 +3,10 @@
 
 use super::calls::CallOut;
 use super::clock::Clock;
-use super::events::{Answer, Arrival, Input, Order, Passed, Verdict, Word};
+use super::events::{
+    AdminCommand, AdminResult, DriverInput, ForwardedSubmission, HandoverMessage, Submission,
+    SubmissionResult,
+};
 use super::upgrade::{LinkError, Writer, text};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -21,8 +24,8 @@
     /// The clients' places, and how many there are when none is taken.
     pub places: Arc<Semaphore>,
     pub most: usize,
-    pub answers: HashMap<u64, oneshot::Sender<Answer>>,
-    pub verdicts: HashMap<u64, oneshot::Sender<Verdict>>,
+    pub answers: HashMap<u64, oneshot::Sender<SubmissionResult>>,
+    pub verdicts: HashMap<u64, oneshot::Sender<AdminResult>>,
     pub next: u64,
 }
 
@@ -30,8 +33,8 @@
     /// Until no call is out and no client is connected, or the new process is gone.
     pub async fn run(
         mut self,
-        mut inputs: mpsc::UnboundedReceiver<Input>,
-        mut orders: mpsc::Receiver<Order>,
+        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
+        mut orders: mpsc::Receiver<AdminCommand>,
     ) {
         let mut look = tokio::time::interval(LOOK);
         loop {
@@ -57,92 +60,110 @@
         }
     }
 
-    async fn pass_on(&mut self, order: Order) -> Result<(), LinkError> {
-        let Order::SetOut { uid, out, reply } = order else {
+    async fn pass_on(&mut self, order: AdminCommand) -> Result<(), LinkError> {
+        let AdminCommand::SetDisabled {
+            uid,
+            disabled: out,
+            reply,
+        } = order
+        else {
             return Ok(());
         };
         self.next += 1;
         self.verdicts.insert(self.next, reply);
         self.writer
-            .say(Word::Ordered {
+            .say(HandoverMessage::AdminCommand {
                 number: self.next,
                 uid,
-                out,
+                disabled: out,
             })
             .await
     }
 
-    async fn learn(&mut self, input: Input) -> Result<(), LinkError> {
+    async fn learn(&mut self, input: DriverInput) -> Result<(), LinkError> {
         match input {
-            Input::Arrived(arrival) => {
+            DriverInput::Submitted(arrival) => {
                 self.next += 1;
                 let (arrival, reply) = self.passed(arrival);
                 self.answers.insert(self.next, reply);
                 self.writer
-                    .say(Word::Arrived {
+                    .say(HandoverMessage::Submitted {
                         number: self.next,
-                        arrival: Box::new(arrival),
+                        submission: Box::new(arrival),
                     })
                     .await
             }
-            Input::ClientLeft(id) => self.writer.say(Word::Left(text(&id))).await,
-            Input::Ended(ended) => {
+            DriverInput::ClientDisconnected(id) => {
+                self.writer
+                    .say(HandoverMessage::ClientDisconnected(text(&id)))
+                    .await
+            }
+            DriverInput::AttemptEnded(ended) => {
                 if let Some(call) = self.out.get_mut(&ended.call) {
                     call.left -= 1;
                     if call.left == 0 {
                         self.out.remove(&ended.call);
                     }
                 }
-                self.writer.say(Word::Ended(ended)).await
+                self.writer.say(HandoverMessage::AttemptEnded(ended)).await
             }
-            Input::Linked(Word::Cancel { call, item }) => {
+            DriverInput::Handover(HandoverMessage::CancelAttempt { call, item }) => {
                 if let Some(cancels) = self.out.get(&call).and_then(|call| call.cancels.as_ref()) {
                     // a call that has just ended has told how
                     let _ = cancels.send(item);
                 }
                 Ok(())
             }
-            Input::Linked(Word::Answered { number, answer }) => {
+            DriverInput::Handover(HandoverMessage::Answered {
+                number,
+                result: answer,
+            }) => {
                 if let Some(reply) = self.answers.remove(&number) {
                     let _ = reply.send(answer); // a client that is gone has said so by its guard
                 }
                 Ok(())
             }
-            Input::Linked(Word::Judged { number, verdict }) => {
+            DriverInput::Handover(HandoverMessage::AdminResult {
+                number,
+                result: verdict,
+            }) => {
                 if let Some(reply) = self.verdicts.remove(&number) {
                     let _ = reply.send(verdict); // an operator that has gone sees the log
                 }
                 Ok(())
             }
-            Input::LinkLost => Err(LinkError::Unexpected),
+            DriverInput::HandoverLinkLost => Err(LinkError::Unexpected),
             // no word of the link carries a wait without its call's end (docs/ROADMAP.md)
-            Input::ToldWait { .. } => Ok(()),
+            DriverInput::RetryAfter { .. } => Ok(()),
             // the new one reads lists and settings itself, and posts notices
-            Input::Retuned(_)
-            | Input::Agreed(..)
-            | Input::Shared(..)
-            | Input::Freezing(_)
-            | Input::Word { .. }
-            | Input::Wanted { .. }
-            | Input::Fleet(_)
-            | Input::Linked(_)
-            | Input::Listed(_)
-            | Input::Stale(_)
-            | Input::Noticed(_)
-            | Input::Stopping(_) => Ok(()),
+            DriverInput::SettingsChanged(_)
+            | DriverInput::AgreedRules { .. }
+            | DriverInput::Quotas { .. }
+            | DriverInput::Freeze(_)
+            | DriverInput::FleetHealth { .. }
+            | DriverInput::Demand { .. }
+            | DriverInput::FleetView(_)
+            | DriverInput::Handover(_)
+            | DriverInput::EndpointList(_)
+            | DriverInput::ListStale(_)
+            | DriverInput::NotificationsDelivered(_)
+            | DriverInput::ShuttingDown(_) => Ok(()),
         }
     }
 
-    fn passed(&self, arrival: Arrival) -> (Passed, oneshot::Sender<Answer>) {
-        let passed = Passed {
+    fn passed(
+        &self,
+        arrival: Submission,
+    ) -> (ForwardedSubmission, oneshot::Sender<SubmissionResult>) {
+        let passed = ForwardedSubmission {
             id: text(&arrival.id),
             key: arrival.key.as_ref().map(text),
             subject: arrival.subject,
             tenant: arrival.tenant,
             class: arrival.class,
             destination: arrival.destination,
-            time: arrival.time,
-            began: self.clock.at(arrival.began),
+            time_limit: arrival.time_limit,
+            received_at: self.clock.at(arrival.received_at),
             again: arrival.again,
             orphan: arrival.orphan,
             body: arrival.body.to_vec(),
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -10,7 +10,7 @@
 
 use super::asking::{AskError, whose_turn};
 use super::clock::Clock;
-use super::events::{Input, Query};
+use super::events::{DriverInput, ReportRequest};
 use super::log;
 use exchange::Exchange;
 use message_sender::{Demand, Quotas};
@@ -46,7 +46,7 @@
     pub seed: u64,
     /// The zone that it is in, by name.
     pub zone: String,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// Where the registry is.
     pub agent: watch::Receiver<SocketAddr>,
 }
@@ -55,7 +55,7 @@
 pub async fn hold(
     mut means: Means,
     mut wanted: watch::Receiver<Option<Ledger>>,
-    mut queries: mpsc::Receiver<Query>,
+    mut queries: mpsc::Receiver<ReportRequest>,
     mut stopping: watch::Receiver<bool>,
 ) {
     // differs between any two processes of one name
@@ -118,7 +118,10 @@
     /// Has quotas bind all that is sent from now on; back once they do.
     async fn bind(&self, quotas: Option<Quotas>) {
         let (binds, bound) = oneshot::channel();
-        let _ = self.inputs.send(Input::Shared(quotas.map(Box::new), binds));
+        let _ = self.inputs.send(DriverInput::Quotas {
+            quotas: quotas.map(Box::new),
+            applied: binds,
+        });
         // the driver is gone only when the process ends or has handed over
         let _ = bound.await;
     }
@@ -126,8 +129,14 @@
     /// The number of destinations that are listed, and the demand at them: at all if they are `whole` at most.
     async fn demand(&self, whole: usize) -> (usize, BTreeMap<u64, Demand>) {
         let (reply, demand) = oneshot::channel();
-        let _ = self.inputs.send(Input::Wanted { whole, reply });
-        demand.await.unwrap_or_default()
+        let _ = self.inputs.send(DriverInput::Demand {
+            complete_up_to: whole,
+            reply,
+        });
+        let report = demand
+            .await
+            .map(|report| (report.listed, report.by_destination));
+        report.unwrap_or_default()
     }
 }
 
@@ -155,7 +164,7 @@
 }
 
 impl LeaseClient<'_> {
-    async fn run(&mut self, queries: &mut mpsc::Receiver<Query>) {
+    async fn run(&mut self, queries: &mut mpsc::Receiver<ReportRequest>) {
         let (mut turn, mut next) = (0, Instant::now());
         loop {
             let room = self.budget.room(self.means.now(), self.lease_us());
@@ -211,7 +220,7 @@
     }
 
     /// Answers operators until it is time to look again.
-    async fn answer_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<Query>) {
+    async fn answer_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<ReportRequest>) {
         loop {
             tokio::select! {
                 () = sleep_until(at) => return,
@@ -296,7 +305,10 @@
                 log(format_args!(
                     "ledger: destination {destination} is {state}, {observers} senders say"
                 ));
-                let _ = self.means.inputs.send(Input::Word { destination, out });
+                let _ = self.means.inputs.send(DriverInput::FleetHealth {
+                    destination,
+                    unavailable: out,
+                });
             }
             self.verdicts.insert(verdict.destination, held);
         }
--- a/src/net/machine.rs
+++ b/src/net/local_errors.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// How long until a call that this machine failed is made again: many times within any time limit of a peer.
-pub const RETRY: Duration = Duration::from_millis(25);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
 /// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
 pub fn is_local(error: &io::Error) -> bool {
@@ -29,7 +29,7 @@
 }
 
 /// True if `accept(2)` failed for the one connection that it would have given: the next one may be had at once.
-pub fn is_of_one_connection(error: &io::Error) -> bool {
+pub fn concerns_one_connection(error: &io::Error) -> bool {
     let Some(number) = error.raw_os_error() else {
         return false;
     };
@@ -40,7 +40,7 @@
 }
 
 /// True if a file is not to be had until an operator changes something: it does not come right by itself.
-pub fn is_lasting(error: &io::Error) -> bool {
+pub fn is_permanent(error: &io::Error) -> bool {
     let kinds = [
         ErrorKind::PermissionDenied,
         ErrorKind::NotADirectory,
--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -4,8 +4,8 @@
 pub mod settings;
 
 use super::clock::Clock;
-use super::events::{Input, Query};
-use super::{Seldom, log};
+use super::events::{DriverInput, ReportRequest};
+use super::{RateLimitedLog, log};
 use fleet_membership::{Change, LONGEST, Listed, Node, Output, Remembered, State, View};
 use message_sender::FleetView;
 use serde_json::json;
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// The lasting folder.
     pub state: PathBuf,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// The number of senders that the decisions scale by now.
     pub counted: Rc<Cell<u32>>,
 }
@@ -48,7 +48,7 @@
 pub async fn take_part(
     means: Means,
     mut wanted: watch::Receiver<Option<Membership>>,
-    mut queries: mpsc::Receiver<Query>,
+    mut queries: mpsc::Receiver<ReportRequest>,
     mut stopping: watch::Receiver<bool>,
 ) {
     let instance = u64::try_from(means.clock.at(Instant::now())).unwrap_or(0);
@@ -94,7 +94,7 @@
         };
         let stops = part.run(&mut wanted, &mut queries, &mut stopping).await;
         // others' word binds no more
-        let _ = means.inputs.send(Input::Fleet(None));
+        let _ = means.inputs.send(DriverInput::FleetView(None));
         if stops {
             return;
         }
@@ -173,10 +173,10 @@
     async fn run(
         &mut self,
         wanted: &mut watch::Receiver<Option<Membership>>,
-        queries: &mut mpsc::Receiver<Query>,
+        queries: &mut mpsc::Receiver<ReportRequest>,
         stopping: &mut watch::Receiver<bool>,
     ) -> bool {
-        let fault = Seldom::default();
+        let fault = RateLimitedLog::default();
         loop {
             let wake = self
                 .means
@@ -333,13 +333,16 @@
                 doubt,
             } = view;
             // the driver lives as long as the process
-            let _ = self.means.inputs.send(Input::Fleet(Some(FleetView {
-                living,
-                suspects,
-                gone,
-                holders,
-                doubt,
-            })));
+            let _ = self
+                .means
+                .inputs
+                .send(DriverInput::FleetView(Some(FleetView {
+                    living,
+                    suspects,
+                    gone,
+                    holders,
+                    doubt,
+                })));
         }
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,7 +16,7 @@
 pub mod journal;
 pub mod leaving;
 pub mod ledger;
-pub mod machine;
+pub mod local_errors;
 pub mod membership;
 pub mod pool;
 pub mod server;
@@ -51,9 +51,9 @@
 
 /// A fault that lasts is logged when it begins and then seldom, not for each message that it meets.
 #[derive(Debug, Default)]
-pub struct Seldom(std::cell::Cell<Option<std::time::Instant>>);
+pub struct RateLimitedLog(std::cell::Cell<Option<std::time::Instant>>);
 
-impl Seldom {
+impl RateLimitedLog {
     /// Logs the line unless one was logged a short while ago.
     pub fn log(&self, line: std::fmt::Arguments<'_>) {
         const REST: std::time::Duration = std::time::Duration::from_secs(10);
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -5,8 +5,8 @@
 mod report;
 mod traffic;
 
-use super::Seldom;
-use super::events::BODY_MOST;
+use super::RateLimitedLog;
+use super::events::MAX_BODY_BYTES;
 use super::stream::{ConnectError, Stream};
 use bytes::Bytes;
 pub use caps::limits;
@@ -84,7 +84,7 @@
     dial_timeout: Cell<Duration>,
     /// When this machine last failed a dial.
     failed_locally: Cell<Option<Instant>>,
-    faults: Seldom,
+    faults: RateLimitedLog,
 }
 
 fn span(micros: Micros) -> Duration {
@@ -127,7 +127,7 @@
             next_waiter: Cell::default(),
             dial_timeout: Cell::new(span(dial_timeout)),
             failed_locally: Cell::default(),
-            faults: Seldom::default(),
+            faults: RateLimitedLog::default(),
         }))
     }
 
@@ -332,7 +332,7 @@
         traffic: traffic.clone(),
     };
     let shake = http1::Builder::new()
-        .max_buf_size(BODY_MOST)
+        .max_buf_size(MAX_BODY_BYTES)
         .handshake(TokioIo::new(counted));
     let (sender, connection) = shake.await.map_err(io::Error::other)?;
     // how it ends is told to the call on it
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,9 +1,9 @@
 //! The clients' side: reads messages that are handed in, and answers as the driver decides.
 
-use super::Seldom;
+use super::RateLimitedLog;
 use super::connection::{self, Slot};
-use super::events::{Answer, Arrival, BODY_MOST, Input};
-use super::machine::{RETRY, is_of_one_connection};
+use super::events::{DriverInput, MAX_BODY_BYTES, Submission, SubmissionResult};
+use super::local_errors::{RETRY_INTERVAL, concerns_one_connection};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -54,7 +54,7 @@
 pub struct Server {
     /// The classes that messages may name now.
     pub classes: Classes,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     pub ready: watch::Receiver<bool>,
     /// Set once the process is to end: each answer then closes its connection.
     pub draining: Rc<Cell<bool>>,
@@ -93,7 +93,7 @@
 ) where
     F: Future<Output = ()> + 'static,
 {
-    let faults = Seldom::default();
+    let faults = RateLimitedLog::default();
     let slots = Rc::new(Slots::default());
     loop {
         let accepted = tokio::select! {
@@ -129,8 +129,8 @@
             }
             Err(error) => {
                 faults.log(format_args!("{who}: no connection accepted: {error}"));
-                let one = is_of_one_connection(&error);
-                sleep(if one { ACCEPT_AGAIN } else { RETRY }).await;
+                let one = concerns_one_connection(&error);
+                sleep(if one { ACCEPT_AGAIN } else { RETRY_INTERVAL }).await;
             }
         }
     }
@@ -304,12 +304,12 @@
     let (id, key) = (detached(id), key.map(detached));
     // hyper drops the length beside a Transfer-Encoding, so two ends of the body can't be told from one
     let no_length = headers.contains_key(TRANSFER_ENCODING);
-    if request.body().size_hint().lower() > BODY_MOST as u64 {
+    if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
     }
     let body = match timeout(
         BODY_TIME,
-        Limited::new(request.into_body(), BODY_MOST).collect(),
+        Limited::new(request.into_body(), MAX_BODY_BYTES).collect(),
     )
     .await
     {
@@ -334,40 +334,46 @@
         left: Some(id.clone()),
         inputs: &server.inputs,
     };
-    let arrival = Arrival {
+    let submission = Submission {
         id,
         key,
         subject,
         tenant,
         class,
         destination,
-        time,
-        began,
+        time_limit: time,
+        received_at: began,
         again,
         orphan,
         body,
         reply,
     };
-    if server.inputs.send(Input::Arrived(arrival)).is_err() {
+    if server
+        .inputs
+        .send(DriverInput::Submitted(submission))
+        .is_err()
+    {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
     }
     let answer = answer.await;
     guard.left = None;
     let mut response = Response::default();
     match answer {
-        Ok(Answer::Taken) => *response.status_mut() = StatusCode::ACCEPTED,
-        Ok(Answer::Delivered) => {}
-        Ok(Answer::Refused { wait }) => {
+        Ok(SubmissionResult::Accepted) => *response.status_mut() = StatusCode::ACCEPTED,
+        Ok(SubmissionResult::AlreadyDelivered) => {}
+        Ok(SubmissionResult::Rejected { retry_after }) => {
             *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            if let Some(wait) = wait {
+            if let Some(wait) = retry_after {
                 let text = format!("{:.3}", wait as f64 / 1e6);
                 if let Ok(value) = HeaderValue::from_str(&text) {
                     response.headers_mut().insert(RETRY_AFTER, value);
                 }
             }
         }
-        Ok(Answer::NoRoom) | Err(_) => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
-        Ok(Answer::Failed) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
+        Ok(SubmissionResult::NotStored) | Err(_) => {
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE
+        }
+        Ok(SubmissionResult::Failed) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
     }
     Ok(response)
 }
@@ -375,14 +381,14 @@
 /// A client that goes before its answer hands its message in anew elsewhere: hyper drops the request then.
 struct Guard<'a> {
     left: Option<HeaderValue>,
-    inputs: &'a mpsc::UnboundedSender<Input>,
+    inputs: &'a mpsc::UnboundedSender<DriverInput>,
 }
 
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.left.take() {
             // nobody listens any more only when the process ends
-            let _ = self.inputs.send(Input::ClientLeft(id));
+            let _ = self.inputs.send(DriverInput::ClientDisconnected(id));
         }
     }
 }
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,7 +1,7 @@
 //! What a start needs of this machine, asked for until it is to be had.
 
-use super::machine::{RETRY, is_lasting, is_local};
-use super::{Seldom, log};
+use super::local_errors::{RETRY_INTERVAL, is_local, is_permanent};
+use super::{RateLimitedLog, log};
 use std::fmt::Display;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -55,12 +55,12 @@
     what: &str,
     mut attempt: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let faults = Seldom::default();
+    let faults = RateLimitedLog::default();
     loop {
         match attempt() {
-            Err(error) if error.io().is_some_and(|error| !is_lasting(error)) => {
+            Err(error) if error.io().is_some_and(|error| !is_permanent(error)) => {
                 faults.log(format_args!("start: {what} is waited for: {error}"));
-                sleep(RETRY).await;
+                sleep(RETRY_INTERVAL).await;
             }
             other => return other,
         }
@@ -73,7 +73,7 @@
 /// It is not to be had in time.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let begun = Instant::now();
-    let faults = Seldom::default();
+    let faults = RateLimitedLog::default();
     loop {
         let error = match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
@@ -87,7 +87,7 @@
         if !in_use {
             faults.log(format_args!("start: {address} is waited for: {error}"));
         }
-        sleep(RETRY).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -3,7 +3,7 @@
 //! The runtime's own stream takes a short read or write for the last one before the socket blocks, and waits for the next
 //! edge. Linux allows short reads and writes at any time, and then no edge comes.
 
-use super::machine::{RETRY, is_local};
+use super::local_errors::{RETRY_INTERVAL, is_local};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, IoSlice, Read};
 use std::net::{Shutdown, SocketAddr};
@@ -55,14 +55,14 @@
                     return Ok(stream);
                 }
                 Ok(Err(error)) if !is_local(&error) => return Err(ConnectError::Peer(error)),
-                Ok(Err(error)) if Instant::now() + RETRY >= until => {
+                Ok(Err(error)) if Instant::now() + RETRY_INTERVAL >= until => {
                     return Err(ConnectError::Local(error));
                 }
                 Ok(Err(error)) => failed = Some(error),
                 // how long the peer would have taken is not known where this machine used up the time
                 Err(_) => return Err(failed.map_or(ConnectError::Time, ConnectError::Local)),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -5,7 +5,7 @@
 //! hands over, and waits for [`Frame::Owns`]; if the link breaks before that, it takes the lock back if it can.
 
 use super::calls::Item;
-use super::events::{Input, Word};
+use super::events::{DriverInput, HandoverMessage};
 use hyper::header::HeaderValue;
 use message_sender::wire::Names;
 use message_sender::{Micros, Outcome, Sender};
@@ -62,7 +62,7 @@
     /// The new one has the lock and the journal: from here on it alone owns the messages.
     Owns,
     /// Whatever the two say to each other from then on.
-    Said(Word),
+    Said(HandoverMessage),
 }
 
 /// What the driver holds, and the module.
@@ -187,7 +187,7 @@
 
 impl Writer {
     /// Says a word.
-    pub async fn say(&mut self, word: Word) -> Result<(), LinkError> {
+    pub async fn say(&mut self, word: HandoverMessage) -> Result<(), LinkError> {
         self.send(&Frame::Said(word)).await
     }
 
@@ -264,16 +264,16 @@
     }
 
     /// Has all that comes handed to the driver, and the end of the link too; the rest is for writing.
-    pub fn listen(self, inputs: mpsc::UnboundedSender<Input>) -> Writer {
+    pub fn listen(self, inputs: mpsc::UnboundedSender<DriverInput>) -> Writer {
         let Link { reader, writer } = self;
         tokio::task::spawn_local(async move {
             while let Ok(frame) = read_frame(&reader).await {
                 let Frame::Said(word) = frame else { continue };
-                if inputs.send(Input::Linked(word)).is_err() {
+                if inputs.send(DriverInput::Handover(word)).is_err() {
                     return;
                 }
             }
-            let _ = inputs.send(Input::LinkLost);
+            let _ = inputs.send(DriverInput::HandoverLinkLost);
         });
         writer
     }
--- a/src/net/upgrade/tests.rs
+++ b/src/net/upgrade/tests.rs
@@ -1,7 +1,7 @@
 //! The hand-over between processes: what an earlier program says is read, and said again byte for byte.
 
 use super::*;
-use crate::net::events::{Answer, Ended, Passed, Verdict};
+use crate::net::events::{AdminResult, AttemptEnd, ForwardedSubmission, SubmissionResult};
 use crate::net::golden::assert_same_bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -99,45 +99,48 @@
 }
 
 fn ended(outcome: Outcome) -> Frame {
-    Frame::Said(Word::Ended(Ended {
+    Frame::Said(HandoverMessage::AttemptEnded(AttemptEnd {
         call: 41,
         item: 2,
         outcome,
         closed: true,
         report: vec![0.25, 1e9],
-        wait: Some(3_000_003),
+        retry_after: Some(3_000_003),
     }))
 }
 
-fn passed() -> Passed {
-    Passed {
+fn passed() -> ForwardedSubmission {
+    ForwardedSubmission {
         id: "m21".into(),
         key: Some("key-21".into()),
         subject: Some("account-9".into()),
         tenant: Some("acme".into()),
         class: 1,
         destination: 70_000,
-        time: 20_000_004,
-        began: 1_700_000_000_000_005,
+        time_limit: 20_000_004,
+        received_at: 1_700_000_000_000_005,
         again: true,
         orphan: false,
         body: b"passed on".to_vec(),
     }
 }
 
-fn answered(answer: Answer) -> Frame {
-    Frame::Said(Word::Answered { number: 51, answer })
+fn answered(answer: SubmissionResult) -> Frame {
+    Frame::Said(HandoverMessage::Answered {
+        number: 51,
+        result: answer,
+    })
 }
 
-fn judged(verdict: Verdict) -> Frame {
-    Frame::Said(Word::Judged {
+fn judged(verdict: AdminResult) -> Frame {
+    Frame::Said(HandoverMessage::AdminResult {
         number: 61,
-        verdict,
+        result: verdict,
     })
 }
 
 fn every_frame() -> Vec<Frame> {
-    let without = Passed {
+    let without = ForwardedSubmission {
         key: None,
         subject: None,
         tenant: None,
@@ -156,7 +159,7 @@
             ..handover()
         })),
         Frame::Owns,
-        Frame::Said(Word::Cancel { call: 41, item: 1 }),
+        Frame::Said(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
         ended(Outcome::Success),
         ended(Outcome::Error),
         ended(Outcome::Refused { wait: None }),
@@ -168,44 +171,44 @@
         ended(Outcome::Reset),
         ended(Outcome::Cancelled),
         ended(Outcome::Unsent { no_slot: true }),
-        Frame::Said(Word::Ended(Ended {
+        Frame::Said(HandoverMessage::AttemptEnded(AttemptEnd {
             call: 1,
             item: 0,
             outcome: Outcome::Unsent { no_slot: false },
             closed: false,
             report: Vec::new(),
-            wait: None,
+            retry_after: None,
         })),
-        Frame::Said(Word::Arrived {
+        Frame::Said(HandoverMessage::Submitted {
             number: 51,
-            arrival: Box::new(passed()),
+            submission: Box::new(passed()),
         }),
-        Frame::Said(Word::Arrived {
+        Frame::Said(HandoverMessage::Submitted {
             number: 52,
-            arrival: Box::new(without),
+            submission: Box::new(without),
         }),
-        answered(Answer::Taken),
-        answered(Answer::Delivered),
-        answered(Answer::Refused { wait: None }),
-        answered(Answer::Refused {
-            wait: Some(1_500_006),
+        answered(SubmissionResult::Accepted),
+        answered(SubmissionResult::AlreadyDelivered),
+        answered(SubmissionResult::Rejected { retry_after: None }),
+        answered(SubmissionResult::Rejected {
+            retry_after: Some(1_500_006),
         }),
-        answered(Answer::NoRoom),
-        answered(Answer::Failed),
-        Frame::Said(Word::Left("m21".into())),
-        Frame::Said(Word::Ordered {
+        answered(SubmissionResult::NotStored),
+        answered(SubmissionResult::Failed),
+        Frame::Said(HandoverMessage::ClientDisconnected("m21".into())),
+        Frame::Said(HandoverMessage::AdminCommand {
             number: 61,
             uid: "s-3".into(),
-            out: true,
+            disabled: true,
         }),
-        Frame::Said(Word::Ordered {
+        Frame::Said(HandoverMessage::AdminCommand {
             number: 62,
             uid: "s-4".into(),
-            out: false,
+            disabled: false,
         }),
-        judged(Verdict::Done),
-        judged(Verdict::Unknown),
-        judged(Verdict::Unwritten),
+        judged(AdminResult::Done),
+        judged(AdminResult::UnknownEndpoint),
+        judged(AdminResult::NotWritten),
     ]
 }
 
