--- /dev/null
+++ b/agreement/tests/golden.rs
@@ -0,0 +1,147 @@
+//! What is stored or sent keeps its form: rules, versions, leases, and the errors that replicas send to each other.
+
+#[path = "common/golden.rs"]
+mod golden;
+
+use golden::GoldenFile;
+use milletturn_agreement::{
+    Ask, Class, Effect, Grant, NoMeet, Proposal, Refusal, Rules, Tag, Terms, Versions,
+};
+
+fn class(effect: Effect) -> Class {
+    Class {
+        accepted: true,
+        effect,
+        attempts: 300,
+        in_order: true,
+        keyed_by: "reader".to_string(),
+        gap_ms: 70_000,
+    }
+}
+
+fn effects() -> [(&'static str, Effect); 4] {
+    [
+        ("at_most_once", Effect::AtMostOnce),
+        ("deduplicated_in_zone", Effect::DeduplicatedInZone { window_ms: 5_000 }),
+        ("deduplicated", Effect::Deduplicated { window_ms: 90_000 }),
+        ("idempotent", Effect::Idempotent),
+    ]
+}
+
+/// One class of each effect, and both limits.
+fn rules() -> Rules {
+    Rules {
+        classes: effects().map(|(name, effect)| (name.to_string(), class(effect))).into(),
+        limits: [("calls".to_string(), 400), ("messages".to_string(), 100_000)].into(),
+    }
+}
+
+fn floor() -> Rules {
+    let closed = Class { accepted: false, attempts: 1, ..class(Effect::AtMostOnce) };
+    Rules {
+        classes: [("at_most_once".to_string(), closed)].into(),
+        limits: [("calls".to_string(), 4), ("messages".to_string(), 10)].into(),
+    }
+}
+
+fn proposal() -> Proposal {
+    let mut next = rules();
+    next.limits.insert("calls".to_string(), 300);
+    next.classes.remove("idempotent");
+    Proposal { from: 1, rules: next }
+}
+
+/// The first version; a change to the second that is under way; and the second.
+fn versions() -> [(&'static str, Versions); 3] {
+    let first = Versions::new(floor(), rules()).expect("above the floor");
+    let mut under_way = first.clone();
+    under_way.propose(proposal()).expect("taken");
+    let mut second = under_way.clone();
+    assert!(second.advance(2));
+    [("first", first), ("under_way", under_way), ("second", second)]
+}
+
+fn refusals() -> [(&'static str, Refusal); 4] {
+    let no_meet =
+        NoMeet { class: "receipts".to_string(), one: "reader".to_string(), other: "shop".to_string() };
+    [
+        ("stale", Refusal::Stale { now: 300, from: 2 }),
+        ("under_way", Refusal::UnderWay(300)),
+        ("below_floor", Refusal::BelowFloor),
+        ("no_meet", Refusal::NoMeet(no_meet)),
+    ]
+}
+
+const TAG: Tag = Tag { version: 300, whole: true };
+
+#[test]
+fn rules_and_versions_in_postcard_stay_byte_for_byte() {
+    let mut file = GoldenFile::open("postcard.txt");
+    for (name, effect) in effects() {
+        file.postcard(&format!("effect.{name}"), &effect);
+    }
+    file.postcard("rules", &rules());
+    file.postcard("rules.empty", &Rules::default());
+    file.postcard("proposal", &proposal());
+    file.postcard("tag", &TAG);
+    file.postcard("terms", &Terms { lease: 6_000_000, drift: 121_213 });
+    for (name, versions) in versions() {
+        file.postcard(&format!("versions.{name}"), &versions);
+    }
+    file.postcard("ask", &Ask { life: 5_000, number: 300, acts_on: Some(TAG) });
+    file.postcard("ask.on_the_floor", &Ask { life: 5_000, number: 1, acts_on: None });
+    file.postcard("grant", &Grant { tag: TAG, rules: rules(), lease: 6_000_000 });
+    for (name, refusal) in refusals() {
+        file.postcard(&format!("refusal.{name}"), &refusal);
+    }
+    file.finish();
+}
+
+#[test]
+fn rules_and_leases_in_json_stay_byte_for_byte() {
+    let mut file = GoldenFile::open("json.txt");
+    for (name, effect) in effects() {
+        file.json(&format!("effect.{name}"), &effect);
+    }
+    file.json("rules", &rules());
+    file.json("rules.empty", &Rules::default());
+    file.json("proposal", &proposal());
+    file.json("tag", &TAG);
+    file.json("terms", &Terms { lease: 6_000_000, drift: 121_213 });
+    for (name, versions) in versions() {
+        file.json(&format!("versions.{name}"), &versions);
+    }
+    file.json("ask", &Ask { life: 5_000, number: 300, acts_on: Some(TAG) });
+    file.json("ask.on_the_floor", &Ask { life: 5_000, number: 1, acts_on: None });
+    file.json("grant", &Grant { tag: TAG, rules: rules(), lease: 6_000_000 });
+    for (name, refusal) in refusals() {
+        file.json(&format!("refusal.{name}"), &refusal);
+    }
+    file.finish();
+}
+
+#[test]
+fn a_rules_document_without_its_optional_tables_is_read_and_an_unknown_key_is_not() {
+    assert_eq!(serde_json::from_str::<Rules>("{}").expect("read"), Rules::default());
+    for unknown in [r#"{"class":{}}"#, r#"{"limits":{},"rules":{}}"#] {
+        assert!(serde_json::from_str::<Rules>(unknown).is_err(), "{unknown}");
+    }
+    for unknown in [r#"{"version":1,"whole":true,"step":1}"#, r#"{"version":1}"#] {
+        assert!(serde_json::from_str::<Tag>(unknown).is_err(), "{unknown}");
+    }
+}
+
+/// Clients see these texts: the registry answers with them.
+#[test]
+fn the_texts_of_refusals_stay() {
+    let texts = refusals().map(|(_, refusal)| refusal.to_string());
+    assert_eq!(
+        texts,
+        [
+            "version 300 holds, the proposal was made from 2",
+            "version 300 may not be in force everywhere yet",
+            "the floor is not within the rules",
+            "class receipts is kept in order by reader in one and by shop in the other",
+        ]
+    );
+}
