--- a/agreement/tests/golden.rs
+++ b/agreement/tests/golden.rs
@@ -145,3 +145,25 @@
         ]
     );
 }
+
+/// A field of another width would read or write some of these in another form, or not at all.
+#[test]
+fn the_largest_numbers_stay_byte_for_byte() {
+    let most = u64::MAX;
+    let widest =
+        Class { attempts: u32::MAX, gap_ms: most, ..class(Effect::Deduplicated { window_ms: most }) };
+    let zone = Class { attempts: 1, ..class(Effect::DeduplicatedInZone { window_ms: most }) };
+    let rules = Rules {
+        classes: [("widest".to_string(), widest), ("zone".to_string(), zone)].into(),
+        limits: [("calls".to_string(), most)].into(),
+    };
+    let tag = Tag { version: most, whole: false };
+    let mut file = GoldenFile::open("largest.txt");
+    file.postcard("grant", &Grant { tag, rules: rules.clone(), lease: most });
+    file.postcard("proposal", &Proposal { from: most, rules });
+    file.postcard("terms", &Terms { lease: most, drift: most });
+    file.postcard("ask", &Ask { life: most, number: most, acts_on: Some(tag) });
+    file.postcard("refusal.stale", &Refusal::Stale { now: most, from: most });
+    file.postcard("refusal.under_way", &Refusal::UnderWay(most));
+    file.finish();
+}
--- a/ledger/tests/golden.rs
+++ b/ledger/tests/golden.rs
@@ -525,3 +525,62 @@
     }
     file.finish();
 }
+
+/// A field of another width would read or write some of these in another form, or not at all.
+#[test]
+fn the_largest_numbers_stay_byte_for_byte() {
+    let most = u64::MAX;
+    let mut file = GoldenFile::open("largest.txt");
+    let floors = Floors { senders: u32::MAX, each: [("rate".to_string(), most)].into() };
+    let terms = Terms { lease: most, drift: most };
+    let begin = Entry::Begin { floors: floors.clone(), terms, split_at: vec![1, most] };
+    let limit = Limit { total: most, linger_ms: most };
+    let flag = Flag { parent: vec![most], children: vec![most], fence: most, ..flag() };
+    let query = Query::Range { from: most, to: Some(most) };
+    file.postcard("begin", &begin);
+    let entry = Entry::Limit { key: rate(most), limit: Some(limit), if_match: Some(most) };
+    file.postcard("limit", &entry);
+    file.postcard("keeper", &Entry::Keeper { shard: most, epoch: most, replica: most });
+    file.postcard("split", &Entry::Split { first: most, at: most, plant: None });
+    file.postcard("step", &Entry::Step(most));
+    file.postcard("read", &Entry::Read { queries: [most, most], flags: vec![flag.clone()] });
+    file.postcard("undo.range", &Entry::Undo(SplitError::Range(most)));
+    file.postcard("undo.place", &Entry::Undo(SplitError::Place { first: most, at: most }));
+    file.postcard("undo.under_way", &Entry::Undo(SplitError::UnderWay(most)));
+    file.postcard("undo.flags", &Entry::Undo(SplitError::Flags(most)));
+    file.postcard("flag", &Flag { query: Some(query), ..flag.clone() });
+    let queries = [most, most];
+    let ended = Ended { first: most, at: most, undone: None, queries, flags: vec![flag], flagged: most };
+    file.postcard("ended", &ended);
+    file.postcard("want", &Want { key: rate(most), want: most });
+    let quota = Dealt { key: rate(most), part: Some(most - 1), total: Some(most), linger_ms: most };
+    file.postcard("quota", &quota);
+    file.postcard("report", &Word { destination: most, out: true });
+    let verdict = Verdict { destination: most, out: true, epoch: most, observers: usize::MAX };
+    file.postcard("verdict", &verdict);
+    let question = Question {
+        sender: String::new(),
+        life: most,
+        number: most,
+        floors,
+        zone: String::new(),
+        wants: vec![Want { key: rate(most), want: most }],
+        reports: vec![Word { destination: most, out: false }],
+    };
+    let read = |line: &str| Question::read(&bytes(line)).expect("read");
+    file.record("question", &question, |question| hexadecimal(&question.write()), read);
+    let quotas = vec![Dealt { total: None, ..quota }];
+    let answer = Answer { lease: most, rev: most, quotas, verdicts: vec![verdict] };
+    let read = |line: &str| Answer::read(&bytes(line)).expect("read");
+    file.record("answer", &answer, |answer| hexadecimal(&answer.write()), read);
+    file.postcard("settle", &FreezeEntry::Settle(most));
+    file.postcard("clock", &FreezeEntry::Clock(most));
+    let put = FreezeEntry::Put { calendar: Calendar::default(), if_match: Some(most) };
+    file.postcard("put", &put);
+    file.postcard("begin_window", &FreezeEntry::Begin("w".to_string(), On { until_ms: most, ..on() }));
+    let glass = Glass { until_ms: most, ..glass() };
+    file.postcard("break", &FreezeEntry::Break { glass, now_ms: most });
+    let scope = Scope { destinations: [most].into(), ..scope() };
+    file.postcard("scope", &scope);
+    file.finish();
+}
