--- a/agreement/tests/common/golden.rs
+++ b/agreement/tests/common/golden.rs
@@ -22,18 +22,30 @@
             .join("tests/golden")
             .join(name);
         let recorded = std::fs::read_to_string(&path).unwrap_or_default();
-        GoldenFile { path, recorded, written: String::new() }
+        GoldenFile {
+            path,
+            recorded,
+            written: String::new(),
+        }
     }
 
     /// A value in postcard: stored, or sent between replicas.
-    pub fn postcard<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
+    pub fn postcard<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+        &mut self,
+        name: &str,
+        value: &T,
+    ) {
         let encode = |value: &T| hexadecimal(&postcard::to_allocvec(value).expect("encoded"));
         let decode = |line: &str| postcard::from_bytes(&bytes(line)).expect("decoded");
         self.record(name, value, encode, decode);
     }
 
     /// A value in JSON: sent to or by clients, or read from a file.
-    pub fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
+    pub fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+        &mut self,
+        name: &str,
+        value: &T,
+    ) {
         let encode = |value: &T| serde_json::to_string(value).expect("encoded");
         let decode = |line: &str| serde_json::from_str(line).expect("decoded");
         self.record(name, value, encode, decode);
@@ -41,7 +53,11 @@
 
     /// A value in a form of its own.
     pub fn record<T: PartialEq + Debug>(
-        &mut self, name: &str, value: &T, encode: impl Fn(&T) -> String, decode: impl Fn(&str) -> T,
+        &mut self,
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> String,
+        decode: impl Fn(&str) -> T,
     ) {
         assert!(!name.contains(' '), "{name}: a name is one word");
         let line = encode(value);
@@ -49,10 +65,17 @@
         if updates() {
             return;
         }
-        let recorded = self.recorded.lines().filter_map(|line| line.split_once(' '));
-        let recorded: Vec<&str> =
-            recorded.filter(|(other, _)| *other == name).map(|(_, line)| line).collect();
-        let [recorded] = recorded[..] else { panic!("{name}: {} records", recorded.len()) };
+        let recorded = self
+            .recorded
+            .lines()
+            .filter_map(|line| line.split_once(' '));
+        let recorded: Vec<&str> = recorded
+            .filter(|(other, _)| *other == name)
+            .map(|(_, line)| line)
+            .collect();
+        let [recorded] = recorded[..] else {
+            panic!("{name}: {} records", recorded.len())
+        };
         assert_eq!(line, recorded, "{name} is written in another form");
         let read = decode(recorded);
         assert_eq!(&read, value, "{name} is read as another value");
--- a/agreement/tests/golden.rs
+++ b/agreement/tests/golden.rs
@@ -4,7 +4,7 @@
 mod golden;
 
 use golden::GoldenFile;
-use milletturn_agreement::{
+use versioned_config::{
     Ask, Class, Effect, Grant, NoMeet, Proposal, Refusal, Rules, Tag, Terms, Versions,
 };
 
@@ -22,7 +22,10 @@
 fn effects() -> [(&'static str, Effect); 4] {
     [
         ("at_most_once", Effect::AtMostOnce),
-        ("deduplicated_in_zone", Effect::DeduplicatedInZone { window_ms: 5_000 }),
+        (
+            "deduplicated_in_zone",
+            Effect::DeduplicatedInZone { window_ms: 5_000 },
+        ),
         ("deduplicated", Effect::Deduplicated { window_ms: 90_000 }),
         ("idempotent", Effect::Idempotent),
     ]
@@ -31,13 +34,23 @@
 /// One class of each effect, and both limits.
 fn rules() -> Rules {
     Rules {
-        classes: effects().map(|(name, effect)| (name.to_string(), class(effect))).into(),
-        limits: [("calls".to_string(), 400), ("messages".to_string(), 100_000)].into(),
+        classes: effects()
+            .map(|(name, effect)| (name.to_string(), class(effect)))
+            .into(),
+        limits: [
+            ("calls".to_string(), 400),
+            ("messages".to_string(), 100_000),
+        ]
+        .into(),
     }
 }
 
 fn floor() -> Rules {
-    let closed = Class { accepted: false, attempts: 1, ..class(Effect::AtMostOnce) };
+    let closed = Class {
+        accepted: false,
+        attempts: 1,
+        ..class(Effect::AtMostOnce)
+    };
     Rules {
         classes: [("at_most_once".to_string(), closed)].into(),
         limits: [("calls".to_string(), 4), ("messages".to_string(), 10)].into(),
@@ -48,7 +61,10 @@
     let mut next = rules();
     next.limits.insert("calls".to_string(), 300);
     next.classes.remove("idempotent");
-    Proposal { from: 1, rules: next }
+    Proposal {
+        from: 1,
+        rules: next,
+    }
 }
 
 /// The first version; a change to the second that is under way; and the second.
@@ -58,12 +74,19 @@
     under_way.propose(proposal()).expect("taken");
     let mut second = under_way.clone();
     assert!(second.advance(2));
-    [("first", first), ("under_way", under_way), ("second", second)]
+    [
+        ("first", first),
+        ("under_way", under_way),
+        ("second", second),
+    ]
 }
 
 fn refusals() -> [(&'static str, Refusal); 4] {
-    let no_meet =
-        NoMeet { class: "receipts".to_string(), one: "reader".to_string(), other: "shop".to_string() };
+    let no_meet = NoMeet {
+        class: "receipts".to_string(),
+        one: "reader".to_string(),
+        other: "shop".to_string(),
+    };
     [
         ("stale", Refusal::Stale { now: 300, from: 2 }),
         ("under_way", Refusal::UnderWay(300)),
@@ -72,7 +95,10 @@
     ]
 }
 
-const TAG: Tag = Tag { version: 300, whole: true };
+const TAG: Tag = Tag {
+    version: 300,
+    whole: true,
+};
 
 #[test]
 fn rules_and_versions_in_postcard_stay_byte_for_byte() {
@@ -84,13 +110,40 @@
     file.postcard("rules.empty", &Rules::default());
     file.postcard("proposal", &proposal());
     file.postcard("tag", &TAG);
-    file.postcard("terms", &Terms { lease: 6_000_000, drift: 121_213 });
+    file.postcard(
+        "terms",
+        &Terms {
+            lease: 6_000_000,
+            drift: 121_213,
+        },
+    );
     for (name, versions) in versions() {
         file.postcard(&format!("versions.{name}"), &versions);
     }
-    file.postcard("ask", &Ask { life: 5_000, number: 300, acts_on: Some(TAG) });
-    file.postcard("ask.on_the_floor", &Ask { life: 5_000, number: 1, acts_on: None });
-    file.postcard("grant", &Grant { tag: TAG, rules: rules(), lease: 6_000_000 });
+    file.postcard(
+        "ask",
+        &Ask {
+            life: 5_000,
+            number: 300,
+            acts_on: Some(TAG),
+        },
+    );
+    file.postcard(
+        "ask.on_the_floor",
+        &Ask {
+            life: 5_000,
+            number: 1,
+            acts_on: None,
+        },
+    );
+    file.postcard(
+        "grant",
+        &Grant {
+            tag: TAG,
+            rules: rules(),
+            lease: 6_000_000,
+        },
+    );
     for (name, refusal) in refusals() {
         file.postcard(&format!("refusal.{name}"), &refusal);
     }
@@ -107,13 +160,40 @@
     file.json("rules.empty", &Rules::default());
     file.json("proposal", &proposal());
     file.json("tag", &TAG);
-    file.json("terms", &Terms { lease: 6_000_000, drift: 121_213 });
+    file.json(
+        "terms",
+        &Terms {
+            lease: 6_000_000,
+            drift: 121_213,
+        },
+    );
     for (name, versions) in versions() {
         file.json(&format!("versions.{name}"), &versions);
     }
-    file.json("ask", &Ask { life: 5_000, number: 300, acts_on: Some(TAG) });
-    file.json("ask.on_the_floor", &Ask { life: 5_000, number: 1, acts_on: None });
-    file.json("grant", &Grant { tag: TAG, rules: rules(), lease: 6_000_000 });
+    file.json(
+        "ask",
+        &Ask {
+            life: 5_000,
+            number: 300,
+            acts_on: Some(TAG),
+        },
+    );
+    file.json(
+        "ask.on_the_floor",
+        &Ask {
+            life: 5_000,
+            number: 1,
+            acts_on: None,
+        },
+    );
+    file.json(
+        "grant",
+        &Grant {
+            tag: TAG,
+            rules: rules(),
+            lease: 6_000_000,
+        },
+    );
     for (name, refusal) in refusals() {
         file.json(&format!("refusal.{name}"), &refusal);
     }
@@ -122,7 +202,10 @@
 
 #[test]
 fn a_rules_document_without_its_optional_tables_is_read_and_an_unknown_key_is_not() {
-    assert_eq!(serde_json::from_str::<Rules>("{}").expect("read"), Rules::default());
+    assert_eq!(
+        serde_json::from_str::<Rules>("{}").expect("read"),
+        Rules::default()
+    );
     for unknown in [r#"{"class":{}}"#, r#"{"limits":{},"rules":{}}"#] {
         assert!(serde_json::from_str::<Rules>(unknown).is_err(), "{unknown}");
     }
@@ -150,20 +233,55 @@
 #[test]
 fn the_largest_numbers_stay_byte_for_byte() {
     let most = u64::MAX;
-    let widest =
-        Class { attempts: u32::MAX, gap_ms: most, ..class(Effect::Deduplicated { window_ms: most }) };
-    let zone = Class { attempts: 1, ..class(Effect::DeduplicatedInZone { window_ms: most }) };
+    let widest = Class {
+        attempts: u32::MAX,
+        gap_ms: most,
+        ..class(Effect::Deduplicated { window_ms: most })
+    };
+    let zone = Class {
+        attempts: 1,
+        ..class(Effect::DeduplicatedInZone { window_ms: most })
+    };
     let rules = Rules {
         classes: [("widest".to_string(), widest), ("zone".to_string(), zone)].into(),
         limits: [("calls".to_string(), most)].into(),
     };
-    let tag = Tag { version: most, whole: false };
+    let tag = Tag {
+        version: most,
+        whole: false,
+    };
     let mut file = GoldenFile::open("largest.txt");
-    file.postcard("grant", &Grant { tag, rules: rules.clone(), lease: most });
+    file.postcard(
+        "grant",
+        &Grant {
+            tag,
+            rules: rules.clone(),
+            lease: most,
+        },
+    );
     file.postcard("proposal", &Proposal { from: most, rules });
-    file.postcard("terms", &Terms { lease: most, drift: most });
-    file.postcard("ask", &Ask { life: most, number: most, acts_on: Some(tag) });
-    file.postcard("refusal.stale", &Refusal::Stale { now: most, from: most });
+    file.postcard(
+        "terms",
+        &Terms {
+            lease: most,
+            drift: most,
+        },
+    );
+    file.postcard(
+        "ask",
+        &Ask {
+            life: most,
+            number: most,
+            acts_on: Some(tag),
+        },
+    );
+    file.postcard(
+        "refusal.stale",
+        &Refusal::Stale {
+            now: most,
+            from: most,
+        },
+    );
     file.postcard("refusal.under_way", &Refusal::UnderWay(most));
     file.finish();
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `milletturn-lab`: plays fleets of real senders on loopback, puts faults between them, and checks the rules.
+//! `fault-lab`: plays fleets of real senders on loopback, puts faults between them, and checks the rules.
 
 mod agreement;
 mod check;
@@ -51,10 +51,10 @@
         /// The scenario's TOML file.
         scenario: PathBuf,
         /// The sender's program.
-        #[arg(long, default_value = "target/release/milletturn")]
+        #[arg(long, default_value = "target/release/message-sender")]
         program: PathBuf,
         /// The registry's program, where the scenario has one.
-        #[arg(long, default_value = "target/release/milletturn-registry")]
+        #[arg(long, default_value = "target/release/fleet-registry")]
         registry: PathBuf,
         /// Seed of all that is drawn, in place of the scenario's.
         #[arg(long)]
@@ -84,7 +84,7 @@
         #[arg(long, default_value_t = 28.0)]
         seconds: f64,
         /// The sender's program.
-        #[arg(long, default_value = "target/release/milletturn")]
+        #[arg(long, default_value = "target/release/message-sender")]
         program: PathBuf,
         /// Folder for a folder a seed.
         #[arg(long, default_value = "found/soak")]
@@ -133,11 +133,15 @@
 
 fn main() -> ExitCode {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("warn"));
-    tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
     match carry_out(Arguments::parse().command) {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("milletturn-lab: {error:#}");
+            eprintln!("fault-lab: {error:#}");
             ExitCode::from(BAD_INPUT)
         }
     }
@@ -145,47 +149,92 @@
 
 fn carry_out(command: Command) -> anyhow::Result<ExitCode> {
     match command {
-        Command::Run { scenario, program, registry, seed, senders, out } => {
+        Command::Run {
+            scenario,
+            program,
+            registry,
+            seed,
+            senders,
+            out,
+        } => {
             let mut scenario = run::read_scenario(&scenario)?;
             scenario.senders = senders.unwrap_or(scenario.senders);
             let seed = seed.unwrap_or(scenario.seed);
-            let order = run::Order { scenario, seed, program, registry, out };
+            let order = run::Order {
+                scenario,
+                seed,
+                program,
+                registry,
+                out,
+            };
             let outcome = runtime()?.block_on(run::bounded(&order))?;
             println!("{}", serde_json::to_string(&outcome.figures)?);
             let code = verdict(&outcome.violations, outcome.void.as_deref());
             println!("history: {}", order.out.join("history.jsonl").display());
             Ok(code)
         }
-        Command::Soak { from, seeds, least, most, seconds, program, out } => {
-            let soak =
-                soak::Soak { seeds: from..=from + seeds - 1, senders: least..=most, seconds, program, out };
+        Command::Soak {
+            from,
+            seeds,
+            least,
+            most,
+            seconds,
+            program,
+            out,
+        } => {
+            let soak = soak::Soak {
+                seeds: from..=from + seeds - 1,
+                senders: least..=most,
+                seconds,
+                program,
+                out,
+            };
             let broken = soak::soak(&soak)?;
             println!("{broken} of {seeds} seeds broke a rule");
-            Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+            Ok(if broken == 0 {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(BROKEN)
+            })
         }
         Command::Check { history } => {
             let (head, records) = history::read(&history)?;
             let violations = check::check(&head, &records);
             Ok(verdict(&violations, None))
         }
-        Command::Site { base, set, draw, seed, out } => write_site(&base, set, draw, seed, &out),
+        Command::Site {
+            base,
+            set,
+            draw,
+            seed,
+            out,
+        } => write_site(&base, set, draw, seed, &out),
         Command::Axes => {
             list_axes();
             Ok(ExitCode::SUCCESS)
         }
         Command::Scale { what } => scale::carry_out(&what).map(|()| ExitCode::SUCCESS),
-        Command::Exec { parent, program, arguments } => {
-            fleet::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS)
-        }
+        Command::Exec {
+            parent,
+            program,
+            arguments,
+        } => fleet::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS),
     }
 }
 
 fn runtime() -> std::io::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
 }
 
 fn write_site(
-    base: &Path, mut choices: Vec<site::Choice>, draw: usize, seed: u64, out: &Path,
+    base: &Path,
+    mut choices: Vec<site::Choice>,
+    draw: usize,
+    seed: u64,
+    out: &Path,
 ) -> anyhow::Result<ExitCode> {
     choices.extend(site::drawn(seed, draw, &choices));
     let path = site::write(base, out, &choices)?;
