--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,10 +11,12 @@
 pub mod driver;
 pub mod events;
 pub mod freeze;
+#[cfg(test)]
+mod golden;
 pub mod journal;
 pub mod leaving;
 pub mod ledger;
-pub mod machine;
+pub mod local_errors;
 pub mod membership;
 pub mod pool;
 pub mod server;
@@ -26,7 +28,9 @@
 /// `eprintln!` would.
 pub fn log(line: std::fmt::Arguments<'_>) {
     use std::io::Write;
-    let _ = std::io::stderr().lock().write_all(format!("{line}\n").as_bytes());
+    let _ = std::io::stderr()
+        .lock()
+        .write_all(format!("{line}\n").as_bytes());
 }
 
 /// Whether steps of messages are traced.
@@ -38,15 +42,18 @@
 /// A line for each step of a message, with its id, where `RELAY_TRACE` is set: for operators who look for one message.
 pub fn trace(id: &hyper::header::HeaderValue, step: std::fmt::Arguments<'_>) {
     if traces() {
-        log(format_args!("trace: {} {step}", String::from_utf8_lossy(id.as_bytes())));
+        log(format_args!(
+            "trace: {} {step}",
+            String::from_utf8_lossy(id.as_bytes())
+        ));
     }
 }
 
 /// A fault that lasts is logged when it begins and then seldom, not for each message that it meets.
 #[derive(Debug, Default)]
-pub struct Seldom(std::cell::Cell<Option<std::time::Instant>>);
+pub struct RateLimitedLog(std::cell::Cell<Option<std::time::Instant>>);
 
-impl Seldom {
+impl RateLimitedLog {
     /// Logs the line unless one was logged a short while ago.
     pub fn log(&self, line: std::fmt::Arguments<'_>) {
         const REST: std::time::Duration = std::time::Duration::from_secs(10);
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,9 +1,9 @@
 //! The clients' side: reads messages that are handed in, and answers as the driver decides.
 
-use super::Seldom;
+use super::RateLimitedLog;
 use super::connection::{self, Slot};
-use super::events::{Answer, Arrival, BODY_MOST, Input};
-use super::machine::{RETRY, is_of_one_connection};
+use super::events::{DriverInput, MAX_BODY_BYTES, Submission, SubmissionResult};
+use super::local_errors::{RETRY_INTERVAL, concerns_one_connection};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use milletturn::{MILLISECOND, Micros};
+use message_sender::{MILLISECOND, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -54,7 +54,7 @@
 pub struct Server {
     /// The classes that messages may name now.
     pub classes: Classes,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     pub ready: watch::Receiver<bool>,
     /// Set once the process is to end: each answer then closes its connection.
     pub draining: Rc<Cell<bool>>,
@@ -85,12 +85,15 @@
 
 /// Accepts connections until told to end, as many at once as there are places, and has each handled.
 pub async fn accept<F>(
-    who: &'static str, listener: TcpListener, places: Arc<Semaphore>, mut end: watch::Receiver<bool>,
+    who: &'static str,
+    listener: TcpListener,
+    places: Arc<Semaphore>,
+    mut end: watch::Receiver<bool>,
     handle: impl Fn(TcpStream, Rc<Slot>) -> F,
 ) where
     F: Future<Output = ()> + 'static,
 {
-    let faults = Seldom::default();
+    let faults = RateLimitedLog::default();
     let slots = Rc::new(Slots::default());
     loop {
         let accepted = tokio::select! {
@@ -109,7 +112,9 @@
                         faults.log(format_args!("{who}: all places taken, idle ones leave"));
                         slot.leave();
                     }
-                    let Ok(place) = timeout(LOOK, places.clone().acquire_owned()).await else { continue };
+                    let Ok(place) = timeout(LOOK, places.clone().acquire_owned()).await else {
+                        continue;
+                    };
                     let Ok(place) = place else { return };
                     break place;
                 };
@@ -124,8 +129,8 @@
             }
             Err(error) => {
                 faults.log(format_args!("{who}: no connection accepted: {error}"));
-                let one = is_of_one_connection(&error);
-                sleep(if one { ACCEPT_AGAIN } else { RETRY }).await;
+                let one = concerns_one_connection(&error);
+                sleep(if one { ACCEPT_AGAIN } else { RETRY_INTERVAL }).await;
             }
         }
     }
@@ -154,7 +159,9 @@
     /// The connection that may be closed soonest: one that ends already, or has been without a request the longest.
     fn longest_idle(&self, now: Instant) -> Option<Rc<Slot>> {
         let taken = self.taken.borrow();
-        let spare = taken.values().filter_map(|slot| Some((slot.spare(now)?, slot)));
+        let spare = taken
+            .values()
+            .filter_map(|slot| Some((slot.spare(now)?, slot)));
         let (_, slot) = spare.min_by_key(|(spare, _)| *spare)?;
         Some(slot.clone())
     }
@@ -174,10 +181,21 @@
     });
     let mut http = http1::Builder::new();
     http.max_buf_size(32 * 1024);
-    connection::serve(stream, slot, http, IDLE_TIME, service, closing.wait_for(|closing| *closing)).await;
+    connection::serve(
+        stream,
+        slot,
+        http,
+        IDLE_TIME,
+        service,
+        closing.wait_for(|closing| *closing),
+    )
+    .await;
 }
 
-async fn answer(request: Request<Incoming>, server: Rc<Server>) -> Result<Response<Full<Bytes>>, Infallible> {
+async fn answer(
+    request: Request<Incoming>,
+    server: Rc<Server>,
+) -> Result<Response<Full<Bytes>>, Infallible> {
     let close = server.draining.clone();
     let mut response = match handle(request, &server).await {
         Ok(response) => response,
@@ -186,24 +204,33 @@
             *response.status_mut() = status;
             if status == StatusCode::METHOD_NOT_ALLOWED {
                 let allowed = if what == ONLY_GET { "GET" } else { "POST" };
-                response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+                response
+                    .headers_mut()
+                    .insert(ALLOW, HeaderValue::from_static(allowed));
             }
             if status == StatusCode::PAYLOAD_TOO_LARGE || status == StatusCode::REQUEST_TIMEOUT {
                 // the rest of the body is not read
-                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                response
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
             response
         }
     };
     if close.get() {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
 const ONLY_GET: &str = "only GET";
 
-async fn handle(request: Request<Incoming>, server: &Server) -> Result<Response<Full<Bytes>>, Refusal> {
+async fn handle(
+    request: Request<Incoming>,
+    server: &Server,
+) -> Result<Response<Full<Bytes>>, Refusal> {
     let began = Instant::now();
     let path = request.uri().path();
     if path == "/ready" {
@@ -220,8 +247,18 @@
     let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let headers = request.headers();
     let named = single(headers, "x-priority-class", "X-Priority-Class")?;
-    let class = server.classes.borrow().iter().find(|class| class.name == first).cloned();
-    let Some(Named { index: class, keyed, .. }) = class else {
+    let class = server
+        .classes
+        .borrow()
+        .iter()
+        .find(|class| class.name == first)
+        .cloned();
+    let Some(Named {
+        index: class,
+        keyed,
+        ..
+    }) = class
+    else {
         // a class that nobody knows, or a path that is none
         return Err(if named.is_some_and(|name| name == first) {
             bad("unknown class")
@@ -235,28 +272,47 @@
     if named.is_none_or(|name| name != first) {
         return Err(bad("X-Priority-Class is missing or not the path's"));
     }
-    let id = word(single(headers, "x-request-id", "X-Request-ID")?)?.ok_or(bad("X-Request-ID is missing"))?;
+    let id = word(single(headers, "x-request-id", "X-Request-ID")?)?
+        .ok_or(bad("X-Request-ID is missing"))?;
     let key = word(single(headers, "idempotency-key", "Idempotency-Key")?)?;
     if key.is_none() && keyed {
         return Err(bad("Idempotency-Key is missing"));
     }
     let time = single(headers, "x-timeout", "X-Timeout")?.ok_or(bad("X-Timeout is missing"))?;
-    let time = time.to_str().ok().and_then(read_time).ok_or(bad("X-Timeout can't be read"))?;
+    let time = time
+        .to_str()
+        .ok()
+        .and_then(read_time)
+        .ok_or(bad("X-Timeout can't be read"))?;
     let envelope = single(headers, "envelope", "Envelope")?.ok_or(bad("Envelope is missing"))?;
-    let destination = envelope.to_str().ok().and_then(read_destination).ok_or(bad("dest can't be read"))?;
+    let destination = envelope
+        .to_str()
+        .ok()
+        .and_then(read_destination)
+        .ok_or(bad("dest can't be read"))?;
     let subject = read_subject(request.uri().query())?.map(str::to_string);
     let tenant = single(headers, "x-tenant-id", "X-Tenant-Id")?;
-    let tenant = tenant.and_then(|value| value.to_str().ok()).filter(|name| name.len() <= WORD_MOST);
+    let tenant = tenant
+        .and_then(|value| value.to_str().ok())
+        .filter(|name| name.len() <= WORD_MOST);
     let tenant = tenant.map(str::to_string);
     let retried = single(headers, "x-retried", "X-Retried")?;
-    let (again, orphan) = (retried.is_some(), retried.is_some_and(|value| value == "again"));
+    let (again, orphan) = (
+        retried.is_some(),
+        retried.is_some_and(|value| value == "again"),
+    );
     let (id, key) = (detached(id), key.map(detached));
     // hyper drops the length beside a Transfer-Encoding, so two ends of the body can't be told from one
     let no_length = headers.contains_key(TRANSFER_ENCODING);
-    if request.body().size_hint().lower() > BODY_MOST as u64 {
+    if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
     }
-    let body = match timeout(BODY_TIME, Limited::new(request.into_body(), BODY_MOST).collect()).await {
+    let body = match timeout(
+        BODY_TIME,
+        Limited::new(request.into_body(), MAX_BODY_BYTES).collect(),
+    )
+    .await
+    {
         Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
@@ -265,35 +321,59 @@
         Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
     };
     if no_length {
-        return Err((StatusCode::LENGTH_REQUIRED, "Content-Length is missing or not the body's"));
+        return Err((
+            StatusCode::LENGTH_REQUIRED,
+            "Content-Length is missing or not the body's",
+        ));
     }
     if !*server.ready.borrow() {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "not ready"));
     }
     let (reply, answer) = oneshot::channel();
-    let mut guard = Guard { left: Some(id.clone()), inputs: &server.inputs };
-    let arrival =
-        Arrival { id, key, subject, tenant, class, destination, time, began, again, orphan, body, reply };
-    if server.inputs.send(Input::Arrived(arrival)).is_err() {
+    let mut guard = Guard {
+        left: Some(id.clone()),
+        inputs: &server.inputs,
+    };
+    let submission = Submission {
+        id,
+        key,
+        subject,
+        tenant,
+        class,
+        destination,
+        time_limit: time,
+        received_at: began,
+        again,
+        orphan,
+        body,
+        reply,
+    };
+    if server
+        .inputs
+        .send(DriverInput::Submitted(submission))
+        .is_err()
+    {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
     }
     let answer = answer.await;
     guard.left = None;
     let mut response = Response::default();
     match answer {
-        Ok(Answer::Taken) => *response.status_mut() = StatusCode::ACCEPTED,
-        Ok(Answer::Delivered) => {}
-        Ok(Answer::Refused { wait }) => {
+        Ok(SubmissionResult::Accepted) => *response.status_mut() = StatusCode::ACCEPTED,
+        Ok(SubmissionResult::AlreadyDelivered) => {}
+        Ok(SubmissionResult::Rejected { retry_after }) => {
             *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            if let Some(wait) = wait {
+            if let Some(wait) = retry_after {
                 let text = format!("{:.3}", wait as f64 / 1e6);
                 if let Ok(value) = HeaderValue::from_str(&text) {
                     response.headers_mut().insert(RETRY_AFTER, value);
                 }
             }
         }
-        Ok(Answer::NoRoom) | Err(_) => *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE,
-        Ok(Answer::Failed) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
+        Ok(SubmissionResult::NotStored) | Err(_) => {
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE
+        }
+        Ok(SubmissionResult::Failed) => *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
     }
     Ok(response)
 }
@@ -301,25 +381,31 @@
 /// A client that goes before its answer hands its message in anew elsewhere: hyper drops the request then.
 struct Guard<'a> {
     left: Option<HeaderValue>,
-    inputs: &'a mpsc::UnboundedSender<Input>,
+    inputs: &'a mpsc::UnboundedSender<DriverInput>,
 }
 
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.left.take() {
             // nobody listens any more only when the process ends
-            let _ = self.inputs.send(Input::ClientLeft(id));
+            let _ = self.inputs.send(DriverInput::ClientDisconnected(id));
         }
     }
 }
 
 /// The header's only value; a doubled one is refused, since nobody can tell which was meant.
 fn single<'a>(
-    headers: &'a HeaderMap, name: &str, shown: &'static str,
+    headers: &'a HeaderMap,
+    name: &str,
+    shown: &'static str,
 ) -> Result<Option<&'a HeaderValue>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
-    if values.next().is_some() { Err(bad(shown)) } else { Ok(value) }
+    if values.next().is_some() {
+        Err(bad(shown))
+    } else {
+        Ok(value)
+    }
 }
 
 /// An id or key goes into the lines of bulk calls, so it is visible text without spaces.
@@ -356,7 +442,10 @@
 
 /// The query's `subject`, by which classes that keep order tell whose turn it is; an empty one is none.
 fn read_subject(query: Option<&str>) -> Result<Option<&str>, Refusal> {
-    let mut values = query.unwrap_or("").split('&').filter_map(|pair| pair.strip_prefix("subject="));
+    let mut values = query
+        .unwrap_or("")
+        .split('&')
+        .filter_map(|pair| pair.strip_prefix("subject="));
     let value = values.next().filter(|value| !value.is_empty());
     if values.next().is_some() || value.is_some_and(|value| value.len() > WORD_MOST) {
         return Err(bad("subject can't be read"));
@@ -366,7 +455,9 @@
 
 /// Destinations have small numbers: one beyond 16 bits is none that a list will ever name.
 fn read_destination(text: &str) -> Option<u64> {
-    let mut values = text.split([';', ',']).filter_map(|part| part.trim().strip_prefix("dest="));
+    let mut values = text
+        .split([';', ','])
+        .filter_map(|part| part.trim().strip_prefix("dest="));
     let value = values.next()?;
     if values.next().is_some() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -5,10 +5,10 @@
 //! hands over, and waits for [`Frame::Owns`]; if the link breaks before that, it takes the lock back if it can.
 
 use super::calls::Item;
-use super::events::{Input, Word};
+use super::events::{DriverInput, HandoverMessage};
 use hyper::header::HeaderValue;
-use milletturn::wire::Names;
-use milletturn::{Micros, Outcome, Sender};
+use message_sender::wire::Names;
+use message_sender::{Micros, Outcome, Sender};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
@@ -62,7 +62,7 @@
     /// The new one has the lock and the journal: from here on it alone owns the messages.
     Owns,
     /// Whatever the two say to each other from then on.
-    Said(Word),
+    Said(HandoverMessage),
 }
 
 /// What the driver holds, and the module.
@@ -129,8 +129,17 @@
 impl HandedMessage {
     /// The message as calls carry it; none if it can't be one.
     pub fn item(&self) -> Option<Item> {
-        let key = self.key.as_deref().map(HeaderValue::from_str).transpose().ok()?;
-        Some(Item { id: HeaderValue::from_str(&self.id).ok()?, key, body: self.body.clone().into() })
+        let key = self
+            .key
+            .as_deref()
+            .map(HeaderValue::from_str)
+            .transpose()
+            .ok()?;
+        Some(Item {
+            id: HeaderValue::from_str(&self.id).ok()?,
+            key,
+            body: self.body.clone().into(),
+        })
     }
 }
 
@@ -142,7 +151,11 @@
     /// Opens it and does not take it.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
-        let file = OpenOptions::new().write(true).create(true).truncate(false).open(folder.join(LOCK))?;
+        let file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(folder.join(LOCK))?;
         Ok(Lock(file))
     }
 
@@ -174,7 +187,7 @@
 
 impl Writer {
     /// Says a word.
-    pub async fn say(&mut self, word: Word) -> Result<(), LinkError> {
+    pub async fn say(&mut self, word: HandoverMessage) -> Result<(), LinkError> {
         self.send(&Frame::Said(word)).await
     }
 
@@ -202,7 +215,10 @@
 }
 
 fn is_to_be_tried_again(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
 
 /// Fills the room; waits only when the system says that it would block, see [`super::stream`].
@@ -223,7 +239,10 @@
 impl Link {
     fn new(stream: UnixStream) -> Self {
         let (reader, writer) = stream.into_split();
-        Link { reader, writer: Writer(writer) }
+        Link {
+            reader,
+            writer: Writer(writer),
+        }
     }
 
     async fn receive(&mut self) -> Result<Frame, LinkError> {
@@ -239,20 +258,22 @@
                 _ => Err(LinkError::Unexpected),
             }
         };
-        timeout(HAND_TIME, exchange).await.map_err(|_| LinkError::Time)?
+        timeout(HAND_TIME, exchange)
+            .await
+            .map_err(|_| LinkError::Time)?
     }
 
     /// Has all that comes handed to the driver, and the end of the link too; the rest is for writing.
-    pub fn listen(self, inputs: mpsc::UnboundedSender<Input>) -> Writer {
+    pub fn listen(self, inputs: mpsc::UnboundedSender<DriverInput>) -> Writer {
         let Link { reader, writer } = self;
         tokio::task::spawn_local(async move {
             while let Ok(frame) = read_frame(&reader).await {
                 let Frame::Said(word) = frame else { continue };
-                if inputs.send(Input::Linked(word)).is_err() {
+                if inputs.send(DriverInput::Handover(word)).is_err() {
                     return;
                 }
             }
-            let _ = inputs.send(Input::LinkLost);
+            let _ = inputs.send(DriverInput::HandoverLinkLost);
         });
         writer
     }
@@ -305,7 +326,9 @@
                 }
                 let error = error.to_string();
                 if error != told {
-                    super::log(format_args!("upgrade: the old process does not hand over: {error}"));
+                    super::log(format_args!(
+                        "upgrade: the old process does not hand over: {error}"
+                    ));
                     told = error;
                 }
             }
@@ -321,12 +344,18 @@
         match link.receive().await? {
             Frame::Hand(mut handover) => {
                 let sender = Box::new(postcard::from_bytes(&std::mem::take(&mut handover.sender))?);
-                Ok(Taken { sender, handover: *handover, link })
+                Ok(Taken {
+                    sender,
+                    handover: *handover,
+                    link,
+                })
             }
             _ => Err(LinkError::Unexpected),
         }
     };
-    timeout(HAND_TIME, exchange).await.map_err(|_| LinkError::Time)?
+    timeout(HAND_TIME, exchange)
+        .await
+        .map_err(|_| LinkError::Time)?
 }
 
 /// What one who asks wants.
@@ -376,7 +405,8 @@
 
 /// The socket that clients connect to: the one that the platform passed, or one bound here.
 pub async fn listener(
-    passed: Option<RawFd>, address: std::net::SocketAddr,
+    passed: Option<RawFd>,
+    address: std::net::SocketAddr,
 ) -> Result<TcpListener, io::Error> {
     if let Some(descriptor) = passed {
         let taken = inherit(descriptor).and_then(|listener| {
@@ -385,9 +415,9 @@
         });
         match taken {
             Ok(listener) => return Ok(listener),
-            Err(error) => {
-                super::log(format_args!("passed socket {descriptor}: off, one is bound here: {error}"))
-            }
+            Err(error) => super::log(format_args!(
+                "passed socket {descriptor}: off, one is bound here: {error}"
+            )),
         }
     }
     super::startup::listen(address).await
@@ -411,3 +441,6 @@
         _ = handed.wait_for(|handed| *handed) => {}
     }
 }
+
+#[cfg(test)]
+mod tests;
