--- /dev/null
+++ b/tests/decision_record/settings.rs
@@ -0,0 +1,126 @@
+//! Settings, quotas and agreed rules of the recorded scenarios.
+
+use milletturn::*;
+use rand_pcg::Pcg32;
+use rand_pcg::rand_core::RngCore;
+
+/// From this number on, scenarios have all that settings can bring.
+pub const WITH_EVERYTHING: u64 = 100;
+
+const CLASS_NAMES: [&str; 6] = ["repeatable", "zone-keyed", "keyed", "once", "ordered", "ordered-once"];
+
+fn classes() -> Vec<Class> {
+    let zone_keyed = Effect::Keyed { window: 6 * SECOND, zone_only: true };
+    let keyed = Effect::Keyed { window: 4 * SECOND, zone_only: false };
+    let effects = [Effect::Repeatable, zone_keyed, keyed, Effect::Unsafe, Effect::Repeatable, Effect::Unsafe];
+    let mut classes = Vec::new();
+    for (index, effect) in effects.into_iter().enumerate() {
+        let mut class = Class::new(CLASS_NAMES[index], effect, 2 * SECOND, 20 * SECOND);
+        class.worth = 1.0 + index as f64 / 4.0;
+        class.late_share = 0.1 * index as f64;
+        class.ordered = index >= 4;
+        classes.push(class);
+    }
+    classes
+}
+
+/// The settings of a scenario.
+pub fn settings(number: u64) -> Settings {
+    let pick = |divisor: u64, count: u64| (number / divisor % count) as usize;
+    let mut settings = Settings::new([10, 3, 40, 2][pick(1, 4)], [80, 300, 30][pick(1, 3)]);
+    settings.senders = [1, 3, 300, 20][pick(2, 4)];
+    settings.max_attempts = [5, 8][pick(1, 2)];
+    settings.connection_idle = [0, 5 * SECOND][pick(2, 2)];
+    settings.max_client_wait = [0, 4 * SECOND][pick(1, 2)];
+    settings.list_on_request = pick(3, 2) == 0;
+    settings.ends_by_notice = pick(2, 2) == 1;
+    settings.weight_trust = [0.0, 0.5, 1.0][pick(2, 3)];
+    if pick(1, 3) == 2 {
+        settings.report_left = Some(0);
+        settings.report_limit = Some(1);
+    }
+    settings.safety.key_rest = 100 * MILLISECOND;
+    if number >= WITH_EVERYTHING {
+        settings.call_slots = 24;
+        settings.max_held = 300;
+        settings.senders = 8;
+        settings.list_on_request = true;
+        settings.ends_by_notice = true;
+        settings.weight_trust = 0.5;
+        settings.report_left = Some(0);
+        settings.report_limit = Some(1);
+        settings.safety.key_rest = SECOND;
+    }
+    settings.over_share_worth = 0.3;
+    settings.fade = [Fade::Even, Fade::Halving][pick(1, 2)];
+    settings.safety.cold_time = 6 * SECOND;
+    settings.classes = classes();
+    settings.kinds = vec![
+        Kind { name: "plain".into(), separate_routes: false, bundle_max: 1 },
+        Kind { name: "routes".into(), separate_routes: true, bundle_max: 1 },
+        Kind {
+            name: "bundles".into(),
+            separate_routes: false,
+            bundle_max: if number >= WITH_EVERYTHING { 5 } else { [5, 1][pick(5, 2)] },
+        },
+    ];
+    let tenant = |name: &str, allowance| Tenant { name: name.into(), allowance };
+    settings.tenants = vec![tenant("first", 5.0), tenant("second", 40.0)];
+    settings
+}
+
+/// Changes what an operator may change while the process runs.
+pub fn change(settings: &mut Settings, random: &mut Pcg32) {
+    match random.next_u32() % 5 {
+        0 => settings.senders = settings.senders % 7 + 1,
+        1 => settings.second_copies = !settings.second_copies,
+        2 => settings.may_cancel = !settings.may_cancel,
+        3 => settings.call_slots = settings.call_slots % 12 + 2,
+        _ => settings.max_held = settings.max_held % 200 + 20,
+    }
+}
+
+fn share(now: Micros, random: &mut Pcg32) -> Share {
+    let fallback = u64::from(random.next_u32() % 4000);
+    let more = u64::from(random.next_u32() % 20_000);
+    let until = now + Micros::from(random.next_u32() % 4_000_000);
+    let part = match random.next_u32() % 4 {
+        0 => None,
+        1 => Some((None, until)),
+        _ => Some((Some(more), until)),
+    };
+    Share { fallback, part }
+}
+
+/// Quotas for some destinations, and for all others.
+pub fn quotas(now: Micros, random: &mut Pcg32) -> Quotas {
+    let calls = Share { fallback: 1, part: Some((Some(u64::from(random.next_u32() % 4)), now + 3 * SECOND)) };
+    let mut quotas = Quotas::default();
+    let quota = Quota { rate: Some(share(now, random)), out: Some((calls, 2 * SECOND)), cold: None };
+    quotas.named.insert(0, quota);
+    let quota = Quota { rate: None, out: None, cold: Some(share(now, random)) };
+    quotas.named.insert(1, quota);
+    quotas.others = Quota { rate: Some(share(now, random)), out: None, cold: Some(share(now, random)) };
+    quotas
+}
+
+/// Agreed rules: a lease that allows nearly all, and a fallback that allows less.
+pub fn agreed_rules(now: Micros, random: &mut Pcg32) -> Agreed {
+    let mut leased = Bounds { calls: Some(8), messages: Some(150), ..Bounds::default() };
+    let mut fallback = Bounds { calls: Some(3), messages: None, ..Bounds::default() };
+    for (index, class) in classes().into_iter().enumerate() {
+        let attempts = 2 + (random.next_u32() % 4) as usize;
+        let accepted = random.next_u32() % 8 > 0;
+        let key_rest = Micros::from(random.next_u32() % 300_000);
+        let ordered = index == 0 || class.ordered;
+        let bound = ClassBound { accepted, effect: class.effect, attempts, ordered, key_rest };
+        leased.classes.insert(class.name.clone(), bound);
+        if index != 3 {
+            let window = 3 * SECOND;
+            let stricter = class.effect.meet(Effect::Keyed { window, zone_only: index == 2 });
+            fallback.classes.insert(class.name, ClassBound { effect: stricter, ..bound });
+        }
+    }
+    let until = now + Micros::from(random.next_u32() % 5_000_000);
+    Agreed { leased: Some((leased, until)), fallback }
+}
