--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -37,7 +37,7 @@
     #[arg(long, default_value_t = 100)]
     destinations: u32,
     /// The sender's program.
-    #[arg(long, default_value = "target/release/milletturn")]
+    #[arg(long, default_value = "target/release/message-sender")]
     program: PathBuf,
     /// Folder for its configuration, state and log; emptied first.
     #[arg(long, default_value = "found/scale-journal")]
@@ -82,7 +82,7 @@
 
 #[derive(Serialize)]
 struct Terms {
-    effect: milletturn::Effect,
+    effect: message_sender::Effect,
     aim: i64,
     deadline: i64,
     worth: f64,
@@ -121,7 +121,11 @@
     first.kill()?;
     let mut second = setup.start()?;
     let ready = second.ready(patience)?;
-    ensure!(ready.is_none() || owed(&second)? >= order.backlog, "owed: {}", second.log()?);
+    ensure!(
+        ready.is_none() || owed(&second)? >= order.backlog,
+        "owed: {}",
+        second.log()?
+    );
     let after = Memory::of(second.pid()?)?;
     Ok(Figures {
         measure: "journal",
@@ -138,9 +142,17 @@
 /// How many messages the sender found in its journal.
 fn owed(process: &Process) -> anyhow::Result<u64> {
     let log = process.log()?;
-    let line = log.lines().find(|line| line.contains(" messages owed")).context("nothing is owed")?;
-    let number = line.split(" messages owed").next().and_then(|head| head.rsplit(' ').next());
-    number.and_then(|number| number.parse().ok()).context("no number")
+    let line = log
+        .lines()
+        .find(|line| line.contains(" messages owed"))
+        .context("nothing is owed")?;
+    let number = line
+        .split(" messages owed")
+        .next()
+        .and_then(|head| head.rsplit(' ').next());
+    number
+        .and_then(|number| number.parse().ok())
+        .context("no number")
 }
 
 /// Writes a journal in which the messages are owed; its bytes.
@@ -158,11 +170,14 @@
 }
 
 fn record(number: u64, now: i64, destination: u64) -> anyhow::Result<Vec<u8>> {
-    let keyed = milletturn::Effect::Keyed { window: WINDOW, zone_only: false };
+    let keyed = message_sender::Effect::Keyed {
+        window: WINDOW,
+        zone_only: false,
+    };
     let classes = [
-        ("status", milletturn::Effect::Repeatable),
+        ("status", message_sender::Effect::Repeatable),
         ("report", keyed),
-        ("charge", milletturn::Effect::Unsafe),
+        ("charge", message_sender::Effect::Unsafe),
     ];
     let (class, effect) = classes[(number % classes.len() as u64) as usize];
     let taken = Taken {
@@ -174,10 +189,20 @@
         deadline: now + DEADLINE,
         body: vec![b'x'; BODY],
     };
-    let origin = Origin { subject: None, tenant: None };
+    let origin = Origin {
+        subject: None,
+        tenant: None,
+    };
     let (worth, late_share) = (1.0, 0.0);
-    let terms =
-        Terms { effect, aim: AIM, deadline: DEADLINE, worth, late_share, ordered: false, attempts: 12 };
+    let terms = Terms {
+        effect,
+        aim: AIM,
+        deadline: DEADLINE,
+        worth,
+        late_share,
+        ordered: false,
+        attempts: 12,
+    };
     let mut payload = vec![TAKEN_ON];
     payload.extend(postcard::to_allocvec(&(number, taken, origin, terms))?);
     let mut record = Vec::with_capacity(MARK.len() + 8 + payload.len());
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -4,7 +4,7 @@
 //! over restarts of a process, so that a step of the wall clock changes no deadline, window or rest, neither in this life
 //! nor in the next. Only a restart of the machine, which begins another monotonic clock, is bridged by the wall clock.
 
-use milletturn::Micros;
+use message_sender::Micros;
 use nix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::fs;
@@ -19,7 +19,7 @@
 /// Tells one start of the machine from another; see `random(4)`.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 /// A wall clock that is off by more is worth a line in the log.
-const STEP_LOGGED: Micros = milletturn::SECOND;
+const STEP_LOGGED: Micros = message_sender::SECOND;
 
 /// Why the time line can't be gone on with.
 #[derive(Debug, Error)]
@@ -54,9 +54,17 @@
 impl Reading {
     fn now() -> io::Result<Self> {
         let monotonic = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC)?);
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let boot = fs::read_to_string(BOOT_ID).ok().map(|id| id.trim().to_string());
-        Ok(Reading { boot, monotonic: micros(monotonic), wall: micros(wall) })
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let boot = fs::read_to_string(BOOT_ID)
+            .ok()
+            .map(|id| id.trim().to_string());
+        Ok(Reading {
+            boot,
+            monotonic: micros(monotonic),
+            wall: micros(wall),
+        })
     }
 
     /// Module time now, by an anchor of this start of the machine; none without one.
@@ -96,14 +104,28 @@
         if let Some(time) = anchor.and_then(|anchor| reading.by(&anchor)) {
             let step = reading.wall - time;
             if step.abs() > STEP_LOGGED {
-                super::log(format_args!("clock: the wall clock is {:.1} s off", step as f64 / 1e6));
+                super::log(format_args!(
+                    "clock: the wall clock is {:.1} s off",
+                    step as f64 / 1e6
+                ));
             }
             return Ok(Clock { start, unix: time });
         }
-        let Reading { boot, monotonic, wall } = reading;
+        let Reading {
+            boot,
+            monotonic,
+            wall,
+        } = reading;
         if let Some(boot) = boot {
             let new = path.with_extension("new");
-            fs::write(&new, serde_json::to_vec(&Anchor { boot, monotonic, time: wall })?)?;
+            fs::write(
+                &new,
+                serde_json::to_vec(&Anchor {
+                    boot,
+                    monotonic,
+                    time: wall,
+                })?,
+            )?;
             fs::rename(&new, &path)?;
         }
         Ok(Clock { start, unix: wall })
@@ -125,12 +147,20 @@
     use super::*;
 
     fn reading(boot: Option<&str>, monotonic: Micros, wall: Micros) -> Reading {
-        Reading { boot: boot.map(str::to_string), monotonic, wall }
+        Reading {
+            boot: boot.map(str::to_string),
+            monotonic,
+            wall,
+        }
     }
 
     #[test]
     fn the_monotonic_clock_of_one_start_of_the_machine_goes_before_the_wall_clock() {
-        let anchor = Anchor { boot: "a".to_string(), monotonic: 100, time: 1_000_000 };
+        let anchor = Anchor {
+            boot: "a".to_string(),
+            monotonic: 100,
+            time: 1_000_000,
+        };
         assert_eq!(reading(Some("a"), 150, 7).by(&anchor), Some(1_000_050));
         // another start, one that is not told, a clock that began anew
         assert_eq!(reading(Some("b"), 150, 7).by(&anchor), None);
@@ -146,14 +176,18 @@
         let first = Clock::resume(&folder).expect("begun");
         let written = fs::read(folder.join(FILE)).expect("anchored");
         let mut anchor: Anchor = serde_json::from_slice(&written).expect("an anchor");
-        anchor.time -= 3_600 * milletturn::SECOND; // as if the wall clock had been stepped since
-        fs::write(folder.join(FILE), serde_json::to_vec(&anchor).expect("encoded")).expect("written");
+        anchor.time -= 3_600 * message_sender::SECOND; // as if the wall clock had been stepped since
+        fs::write(
+            folder.join(FILE),
+            serde_json::to_vec(&anchor).expect("encoded"),
+        )
+        .expect("written");
         let second = Clock::resume(&folder).expect("gone on");
         let now = Instant::now();
-        let apart = first.at(now) - second.at(now) - 3_600 * milletturn::SECOND;
-        assert!(apart.abs() < milletturn::MILLISECOND, "{apart} us");
+        let apart = first.at(now) - second.at(now) - 3_600 * message_sender::SECOND;
+        assert!(apart.abs() < message_sender::MILLISECOND, "{apart} us");
         fs::write(folder.join(FILE), b"{").expect("written");
         let third = Clock::resume(&folder).expect("begun anew");
-        assert!((third.at(now) - first.at(now)).abs() < milletturn::SECOND);
+        assert!((third.at(now) - first.at(now)).abs() < message_sender::SECOND);
     }
 }
