--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -4,8 +4,8 @@
 //! destination form groups of which a turn need only look at the first: whatever keeps that one from being
 //! sent keeps the others too.
 
+use crate::decisions::state::PendingMessage;
 use crate::interface::{DestinationId, MessageId, Micros};
-use crate::state::Held;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::ops::Bound;
@@ -51,21 +51,21 @@
     /// `spent`: from when on no further send can be legal while none is out.
     pub fn of(
         id: MessageId,
-        held: &Held,
+        held: &PendingMessage,
         now: Micros,
         first: bool,
         repeatable: bool,
         spent: Micros,
     ) -> Self {
-        let out = held.is_out();
+        let out = held.has_attempt_in_flight();
         if !held.open {
             return Standing {
                 out,
                 ..Standing::default()
             };
         }
-        let at = if out { held.copy_at } else { held.retry_at };
-        let at_risk = held.at_risk().next().is_some();
+        let at = if out { held.hedge_at } else { held.retry_at };
+        let at_risk = held.attempts_at_risk().next().is_some();
         // a copy, a key's rest and the window of a key concern one message only
         let alone = out || held.key.is_some() || at_risk && !repeatable;
         let group = Group {
@@ -136,7 +136,7 @@
     /// An index of these messages, each of which is to stand where it is told.
     pub fn of<'a>(
         apart: bool,
-        messages: impl Iterator<Item = (MessageId, &'a mut Held, Standing)>,
+        messages: impl Iterator<Item = (MessageId, &'a mut PendingMessage, Standing)>,
     ) -> Self {
         let mut index = Index {
             built: true,
@@ -144,7 +144,7 @@
             ..Index::default()
         };
         for (id, held, standing) in messages {
-            held.standing = standing;
+            held.index_entry = standing;
             index.insert(id, held, standing);
         }
         index
@@ -216,8 +216,8 @@
     }
 
     /// Has a message stand elsewhere.
-    pub fn set(&mut self, id: MessageId, held: &mut Held, standing: Standing) {
-        let before = std::mem::replace(&mut held.standing, standing);
+    pub fn set(&mut self, id: MessageId, held: &mut PendingMessage, standing: Standing) {
+        let before = std::mem::replace(&mut held.index_entry, standing);
         if before == standing {
             return;
         }
@@ -225,7 +225,7 @@
         self.insert(id, held, standing);
     }
 
-    fn remove(&mut self, id: MessageId, held: &Held, standing: Standing) {
+    fn remove(&mut self, id: MessageId, held: &PendingMessage, standing: Standing) {
         if standing.open {
             self.open -= 1;
             self.deadlines.remove(&(held.deadline, id));
@@ -251,14 +251,14 @@
         }
     }
 
-    fn remove_ready(&mut self, id: MessageId, held: &Held, group: Group) {
+    fn remove_ready(&mut self, id: MessageId, held: &PendingMessage, group: Group) {
         let Some(groups) = self.ready.get_mut(&held.destination) else {
             return;
         };
         let Some(members) = groups.get_mut(&group) else {
             return;
         };
-        members.remove(&(held.born, id));
+        members.remove(&(held.created_at, id));
         if members.is_empty() {
             groups.remove(&group);
         }
@@ -267,7 +267,7 @@
         }
     }
 
-    fn insert(&mut self, id: MessageId, held: &Held, standing: Standing) {
+    fn insert(&mut self, id: MessageId, held: &PendingMessage, standing: Standing) {
         if standing.open {
             self.open += 1;
             self.deadlines.insert((held.deadline, id));
@@ -286,7 +286,10 @@
             Queue::Later(at) => drop(self.later.insert((at, id))),
             Queue::Ready(group) => {
                 let groups = self.ready.entry(held.destination).or_default();
-                groups.entry(group).or_default().insert((held.born, id));
+                groups
+                    .entry(group)
+                    .or_default()
+                    .insert((held.created_at, id));
             }
         }
     }
@@ -328,7 +331,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Rank {
     pub urgency: f64,
-    pub born: Micros,
+    pub created_at: Micros,
     pub id: MessageId,
 }
 
@@ -383,7 +386,7 @@
     fn rank(&self, &(born, id): &(Micros, MessageId)) -> Rank {
         Rank {
             urgency: (self.urgency)(born),
-            born,
+            created_at: born,
             id,
         }
     }
@@ -412,13 +415,13 @@
             return self.search(members, side, Some(last));
         }
         let twins = (
-            Bound::Excluded((last.born, last.id)),
-            Bound::Excluded(first(last.born.saturating_add(1))),
+            Bound::Excluded((last.created_at, last.id)),
+            Bound::Excluded(first(last.created_at.saturating_add(1))),
         );
         if let Some(twin) = members.range(twins).next() {
             return Some(self.rank(twin));
         }
-        let rank = self.rank(&self.following(members, side, last.born)?);
+        let rank = self.rank(&self.following(members, side, last.created_at)?);
         if self.is_tied(members, side, rank) {
             self.search(members, side, Some(last))
         } else {
@@ -439,8 +442,8 @@
     /// Whether members born at another time are just as urgent: then the order of birth is not that of rank.
     fn is_tied(&self, members: &Members, side: Side, rank: Rank) -> bool {
         let next = [
-            self.following(members, side, rank.born),
-            self.preceding(members, side, rank.born),
+            self.following(members, side, rank.created_at),
+            self.preceding(members, side, rank.created_at),
         ];
         next.into_iter()
             .flatten()
--- a/src/decide.rs
+++ b/src/decisions.rs
@@ -11,13 +11,14 @@
 mod permission;
 mod proposals;
 mod silence;
+pub(crate) mod state;
 
 use crate::backlog::{Index, Standing};
-use crate::interface::*;
-use crate::state::{
-    Attempt, Bucket, Call, Endpoint, Health, Held, KeyLine, Unit, UnitId, Warmup, seconds,
+use crate::decisions::state::{
+    Attempt, Bucket, Call, Endpoint, Health, KeyLine, PendingMessage, Unit, UnitId, Warmup, seconds,
 };
-pub use held::AttemptOut;
+use crate::interface::*;
+pub use held::InFlightAttempt;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -55,7 +56,7 @@
 const RETRY_FIRST: Micros = 150 * MILLISECOND;
 const RETRY_MOST: Micros = 2 * SECOND;
 /// Time kept before a deadline for a last answer, and before a keyed window or a wait ends.
-pub const MARGIN: Micros = 30 * MILLISECOND;
+pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
 /// Part of the aim up to which a message gets more urgent.
 const AIM_RISES: f64 = 0.9;
 /// Backoff of a failed subscription: first and most.
@@ -76,7 +77,7 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     routes: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
     units: BTreeMap<UnitId, Unit>,
-    messages: BTreeMap<MessageId, Held>,
+    messages: BTreeMap<MessageId, PendingMessage>,
     keys: BTreeMap<u64, KeyLine>,
     /// Until when no key's message starts, since an earlier life may have given up a call of any.
     keys_rest_until: Micros,
@@ -238,7 +239,7 @@
             Event::Restarted => self.keys_rest_until = self.now + self.settings.safety.key_rest,
             Event::Unnoticed(message) => {
                 self.accept(message);
-                let ended = |held: &mut Held| (held.open, held.unnoticed) = (false, true);
+                let ended = |held: &mut PendingMessage| (held.open, held.unnoticed) = (false, true);
                 self.messages.entry(message.id).and_modify(ended);
                 self.reindex(message.id);
             }
@@ -425,13 +426,13 @@
                 self.forget_gone();
             }
         }
-        let mut held = Held {
+        let mut held = PendingMessage {
             key,
-            born,
+            created_at: born,
             deadline,
             worth,
             open: true,
-            ..Held::default()
+            ..PendingMessage::default()
         };
         (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
         held.most_attempts = new.attempts.unwrap_or(self.settings.max_attempts);
--- a/src/decide/held.rs
+++ b/src/decisions/held.rs
@@ -2,13 +2,13 @@
 
 use super::{AIM_RISES, Sender};
 use crate::backlog::{Group, Index, Order, Standing};
+use crate::decisions::state::{Endpoint, Health, PendingMessage, Unit, units_of};
 use crate::interface::{Demand, DestinationId, Effect, EndpointId, MessageId, Micros};
-use crate::state::{Endpoint, Health, Held, Unit, units_of};
 use std::collections::BTreeMap;
 
 /// An attempt that has begun and has no outcome yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptOut {
+pub struct InFlightAttempt {
     /// Its message.
     pub message: MessageId,
     /// Its number among the message's attempts.
@@ -19,29 +19,29 @@
 
 impl Sender {
     /// For how many messages the last turn looked for an endpoint: what its CPU time grows with.
-    pub fn weighed(&self) -> usize {
+    pub fn candidates_examined(&self) -> usize {
         self.weighed
     }
 
     /// Senders that all is scaled by.
-    pub fn senders(&self) -> u32 {
+    pub fn fleet_size(&self) -> u32 {
         self.counted
     }
 
     /// Attempts that have begun and have no outcome yet: as many as the host has out.
-    pub fn attempts_out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.calls.values().map(|call| call.left).sum()
     }
 
     /// Which these are.
-    pub fn list_attempts_out(&self) -> Vec<AttemptOut> {
-        let of_message = |(&message, held): (&MessageId, &Held)| {
+    pub fn in_flight_attempts(&self) -> Vec<InFlightAttempt> {
+        let of_message = |(&message, held): (&MessageId, &PendingMessage)| {
             let out = held
                 .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, attempt)| attempt.out);
-            out.map(|(number, attempt)| AttemptOut {
+            out.map(|(number, attempt)| InFlightAttempt {
                 message,
                 number,
                 endpoint: attempt.endpoint,
@@ -61,7 +61,7 @@
         for held in self
             .messages
             .values()
-            .filter(|held| held.open && !held.is_out())
+            .filter(|held| held.open && !held.has_attempt_in_flight())
         {
             all.entry(held.destination).or_default().waiting += 1;
         }
@@ -141,7 +141,7 @@
     /// Has every turn look at each message that is due, as if none were held back for the reasons of
     /// another: slow, and what tests compare with.
     #[doc(hidden)]
-    pub fn look_at_each(&mut self) {
+    pub fn examine_each_message(&mut self) {
         self.index.apart = true;
         self.rebuild_index();
     }
@@ -155,7 +155,8 @@
     }
 
     pub(super) fn forget_if_done(&mut self, id: MessageId) {
-        let done = |held: &&Held| !held.open && !held.unnoticed && !held.is_out();
+        let done =
+            |held: &&PendingMessage| !held.open && !held.unnoticed && !held.has_attempt_in_flight();
         let Some(message) = self.messages.get(&id).filter(done) else {
             return;
         };
@@ -183,7 +184,7 @@
             .and_modify(|held| self.index.set(id, held, standing));
     }
 
-    pub(super) fn standing(&self, id: MessageId, held: &Held) -> Standing {
+    pub(super) fn standing(&self, id: MessageId, held: &PendingMessage) -> Standing {
         let line = held.key.and_then(|key| self.keys.get(&key));
         let first = line.is_none_or(|line| line.turn.front() == Some(&id));
         let repeatable = self.own_effect(held.class) == Effect::Repeatable;
--- a/src/decide/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -4,8 +4,8 @@
     FAIL_SICK, FAIL_TRUST, FAIL_WEIGHT, PACE_FIRST, RETRY_MOST, Sender, WINDOW_MOST, WINDOW_SICK,
     share_of,
 };
+use crate::decisions::state::{Health, UnitId, seconds};
 use crate::interface::{Action, EndpointId, MILLISECOND, MessageId, Micros, Outcome, SECOND};
-use crate::state::{Health, UnitId, seconds};
 
 /// Refusals in a row, over at least this long, that mean shut rather than throttled.
 const SHUT_RUN: u32 = 4;
--- a/src/decide/pace.rs
+++ b/src/decisions/pace.rs
@@ -4,8 +4,8 @@
     BUDGET_SHARE, FIRST_COPY_DELAY, LISTED_SURE, PACE_BURST, PACE_FIRST, PACE_LEAST, SILENT_LEAST,
     SILENT_OFFSETS, crowd,
 };
+use crate::decisions::state::{Health, Unit, seconds};
 use crate::interface::{MILLISECOND, Micros, Safety};
-use crate::state::{Health, Unit, seconds};
 
 /// Latencies remembered per unit, and the rank among them that sets the copy offset (20ths).
 const LATENCIES: usize = 40;
--- a/src/decide/permission.rs
+++ b/src/decisions/permission.rs
@@ -1,9 +1,9 @@
 //! What the rules and limits allow now: the only place that knows them. Whoever proposes a send or an end
 //! asks here.
 
-use super::{MARGIN, Sender, WINDOW_MOST, share_of};
+use super::{DEADLINE_MARGIN, Sender, WINDOW_MOST, share_of};
+use crate::decisions::state::{Attempt, PendingMessage, units_of};
 use crate::interface::{Effect, EndpointId, MessageId};
-use crate::state::{Attempt, Held, units_of};
 
 impl Sender {
     /// True if the rules and limits allow this send now. `joins`: it travels in a call opened this turn.
@@ -26,7 +26,7 @@
             || !target.is_open()
             || target.destination != message.destination
             || message.attempts.len() >= message.most_attempts.min(allowed)
-            || self.now + MARGIN >= message.deadline
+            || self.now + DEADLINE_MARGIN >= message.deadline
             || (out > 0 && !settings.second_copies)
         {
             return false;
@@ -42,8 +42,8 @@
                 ..
             }
         );
-        let repeatable =
-            self.is_harmless(message, effect) && !(zone_only && message.at_risk().any(apart));
+        let repeatable = self.is_harmless(message, effect)
+            && !(zone_only && message.attempts_at_risk().any(apart));
         let turn = message
             .key
             .and_then(|key| self.keys.get(&key))
@@ -78,22 +78,22 @@
     }
 
     /// True if the message may be refused: it is certain that a retry does no harm.
-    pub(super) fn may_refuse(&self, message: &Held) -> bool {
+    pub(super) fn may_refuse(&self, message: &PendingMessage) -> bool {
         match self.effect(message.class) {
             Effect::Keyed {
                 zone_only: true, ..
-            } => message.at_risk().next().is_none(),
+            } => message.attempts_at_risk().next().is_none(),
             effect => self.is_harmless(message, effect),
         }
     }
 
     /// True if the message may run once more now: it never ran, or a repeat has no effect.
-    pub(super) fn is_harmless(&self, message: &Held, effect: Effect) -> bool {
+    pub(super) fn is_harmless(&self, message: &PendingMessage, effect: Effect) -> bool {
         match effect {
             Effect::Repeatable => true,
-            Effect::Unsafe => message.at_risk().next().is_none(),
+            Effect::Unsafe => message.attempts_at_risk().next().is_none(),
             Effect::Keyed { window, .. } => message
-                .window_ends(window - MARGIN)
+                .window_ends(window - DEADLINE_MARGIN)
                 .is_none_or(|ends| self.now < ends),
         }
     }
--- a/src/decide/proposals.rs
+++ b/src/decisions/proposals.rs
@@ -2,16 +2,17 @@
 //! [`permission`](super::permission).
 
 use super::{
-    AIM_RISES, BUDGET_SHARE, BURST, FAIL_TRUST, FIRST_COPY_DELAY, MARGIN, Sender, WINDOW_SICK,
-    share_of,
+    AIM_RISES, BUDGET_SHARE, BURST, DEADLINE_MARGIN, FAIL_TRUST, FIRST_COPY_DELAY, Sender,
+    WINDOW_SICK, share_of,
 };
 use crate::backlog::{Candidate, Candidates};
+use crate::decisions::state::{
+    Attempt, Bucket, Call, Endpoint, Health, PendingMessage, Unit, UnitId, rest_until_call,
+    units_of,
+};
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros, Quotas,
 };
-use crate::state::{
-    Attempt, Bucket, Call, Endpoint, Health, Held, Unit, UnitId, rest_until_call, units_of,
-};
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
@@ -28,8 +29,10 @@
             .open()
             .saturating_sub(share_of(self.settings.max_held, HELD_FULL));
         let first = self.index.first_deadline();
-        self.due = first.map_or(self.due, |deadline| self.due.min(deadline - MARGIN));
-        let ended = self.index.ended(self.now + MARGIN, self.now);
+        self.due = first.map_or(self.due, |deadline| {
+            self.due.min(deadline - DEADLINE_MARGIN)
+        });
+        let ended = self.index.ended(self.now + DEADLINE_MARGIN, self.now);
         let mut stuck = Vec::new();
         let all = if excess > 0 {
             Some(&self.messages)
@@ -41,9 +44,9 @@
             .flatten()
             .filter(|(_, message)| message.open)
         {
-            let idle = !message.is_out() && !ended.contains(&id);
+            let idle = !message.has_attempt_in_flight() && !ended.contains(&id);
             if idle && self.may_refuse(message) && self.is_stuck(message) {
-                stuck.push((message.worth, message.born, id));
+                stuck.push((message.worth, message.created_at, id));
             }
         }
         let mut ends: Vec<MessageId> = ended.into_iter().collect();
@@ -74,23 +77,23 @@
     }
 
     /// From when on no send can be legal: it may have run and cannot be repeated, or no attempt is left.
-    pub(super) fn spent_at(&self, message: &Held) -> Micros {
+    pub(super) fn spent_at(&self, message: &PendingMessage) -> Micros {
         // what rules forbid for now they may allow again
         match self.own_effect(message.class) {
             _ if message.attempts.len() >= message.most_attempts => Micros::MIN,
             Effect::Repeatable => Micros::MAX,
             Effect::Unsafe => message
-                .at_risk()
+                .attempts_at_risk()
                 .next()
                 .map_or(Micros::MAX, |_| Micros::MIN),
-            Effect::Keyed { window, .. } => {
-                message.window_ends(window - MARGIN).unwrap_or(Micros::MAX)
-            }
+            Effect::Keyed { window, .. } => message
+                .window_ends(window - DEADLINE_MARGIN)
+                .unwrap_or(Micros::MAX),
         }
     }
 
     /// True if every unit of the message's destination is sick, returning or has failed of late.
-    pub(super) fn is_stuck(&self, message: &Held) -> bool {
+    pub(super) fn is_stuck(&self, message: &PendingMessage) -> bool {
         let goes = |unit: &Unit| unit.health == Health::Well && unit.fails < FAIL_TRUST;
         let stuck = |id: &EndpointId| {
             self.units
@@ -130,7 +133,7 @@
                 break; // the end of a call brings the next turn
             }
             self.weighed += 1;
-            let copy = self.messages[&rank.id].is_out();
+            let copy = self.messages[&rank.id].has_attempt_in_flight();
             let full = copy && self.copies_out >= share_of(self.settings.call_slots, COPY_SHARE);
             // a copy skipped at the ceiling comes up again next turn: its offset is not doubled
             if let Some((endpoint, joined)) = self.pick(rank.id, copy, &opened).filter(|_| !full) {
@@ -459,7 +462,7 @@
             Effect::Unsafe => (message.deadline, None),
             Effect::Keyed { window: w, .. } => (
                 message.deadline.min(now + w),
-                message.window_ends(w - MARGIN),
+                message.window_ends(w - DEADLINE_MARGIN),
             ),
             Effect::Repeatable => (message.deadline.min(now + offset * 10), None),
         };
@@ -469,10 +472,10 @@
             .and_then(|quotas| quotas.of(unit_id.0).out);
         let expires = longest.map_or(expires, |(_, longest)| expires.min(now + longest));
         if copy {
-            message.copy_at = now + message.copy_step;
+            message.hedge_at = now + message.copy_step;
             message.copy_step *= 2;
         } else {
-            message.copy_at = if effect == Effect::Unsafe {
+            message.hedge_at = if effect == Effect::Unsafe {
                 Micros::MAX
             } else {
                 now + offset
@@ -481,7 +484,7 @@
         }
         self.due = self
             .due
-            .min(message.copy_at)
+            .min(message.hedge_at)
             .min(now + silence + MILLISECOND);
         message
             .attempts
--- a/src/decide/silence.rs
+++ b/src/decisions/silence.rs
@@ -1,8 +1,8 @@
 //! Destinations that answer nothing, and calls that are lost.
 
 use super::{FIRST_COPY_DELAY, SILENT_LEAST, Sender, share_of};
+use crate::decisions::state::{Health, Unit, UnitId};
 use crate::interface::{Action, Effect, MILLISECOND};
-use crate::state::{Health, Unit, UnitId};
 use std::collections::BTreeSet;
 
 /// A silent unit's calls are called off after this many limits: lower frees slots sooner, higher waits.
--- a/src/state.rs
+++ b/src/decisions/state.rs
@@ -128,14 +128,14 @@
 
 /// A message until its end and the end of its attempts.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Held {
+pub struct PendingMessage {
     /// Position of its class.
     pub class: usize,
     pub destination: DestinationId,
     /// Its key, if its class keeps order.
     pub key: Option<u64>,
     /// When it was first handed in, and when its time is up.
-    pub born: Micros,
+    pub created_at: Micros,
     pub deadline: Micros,
     /// What its delivery is worth.
     pub worth: f64,
@@ -150,21 +150,21 @@
     pub retry_at: Micros,
     pub retry_rest: Micros,
     /// When the next copy is due, and the offset after it.
-    pub copy_at: Micros,
+    pub hedge_at: Micros,
     pub copy_step: Micros,
     /// Where it stands in the index.
     #[serde(skip)]
-    pub standing: Standing,
+    pub index_entry: Standing,
 }
 
-impl Held {
-    pub fn is_out(&self) -> bool {
+impl PendingMessage {
+    pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.out)
     }
 
     /// Attempts that may run or have run. While there are any, also those that a later one overlapped: a
     /// key's window counts from the first, even if that one turns out never to have run.
-    pub fn at_risk(&self) -> impl Iterator<Item = &Attempt> {
+    pub fn attempts_at_risk(&self) -> impl Iterator<Item = &Attempt> {
         let any = self
             .attempts
             .iter()
@@ -176,7 +176,7 @@
 
     /// When the first attempt that may have run leaves a key's window; none where there is no such attempt.
     pub fn window_ends(&self, window: Micros) -> Option<Micros> {
-        self.at_risk()
+        self.attempts_at_risk()
             .map(|attempt| attempt.sent.saturating_add(window))
             .min()
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,14 +22,13 @@
 //! ```
 
 mod backlog;
-pub mod decide;
+pub mod decisions;
 pub mod interface;
 pub mod lifecycle;
 pub mod pool;
-mod state;
 pub mod wire;
 
-pub use decide::Sender;
+pub use decisions::Sender;
 pub use interface::*;
 
 #[cfg(doctest)]
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -20,7 +20,7 @@
 use super::server::Classes;
 use super::upgrade::{Handover, Link, Lock, Successor};
 use hyper::header::HeaderValue;
-use message_sender::decide::AttemptOut;
+use message_sender::decisions::InFlightAttempt;
 use message_sender::lifecycle::Lifecycle;
 use message_sender::pool::PoolSettings;
 use message_sender::wire::Names;
@@ -439,7 +439,7 @@
             // the part that waits lives as long as the process
             let _ = binds.send(());
         }
-        let counted = self.sender.senders();
+        let counted = self.sender.fleet_size();
         let before = self.shared.counted.replace(counted);
         if counted != before
             && events
@@ -461,7 +461,7 @@
                     expires,
                     start_by,
                 } => {
-                    let attempt = AttemptOut {
+                    let attempt = InFlightAttempt {
                         message,
                         number: attempt,
                         endpoint,
--- a/src/net/driver/outcomes.rs
+++ b/src/net/driver/outcomes.rs
@@ -5,7 +5,7 @@
 use crate::net::calls::{self, Call, CallOut};
 use crate::net::events::{BODY_MOST, Ended, Word};
 use crate::net::upgrade::LOST;
-use message_sender::decide::AttemptOut;
+use message_sender::decisions::InFlightAttempt;
 use message_sender::{Event, MessageId, Micros, Outcome};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -14,8 +14,8 @@
 const UNSENT: Outcome = Outcome::Unsent { no_slot: false };
 
 /// What the module is told of an attempt without a call of its own.
-fn ended(out: AttemptOut, outcome: Outcome, closed: bool) -> Event {
-    let AttemptOut {
+fn ended(out: InFlightAttempt, outcome: Outcome, closed: bool) -> Event {
+    let InFlightAttempt {
         message,
         number: attempt,
         endpoint,
@@ -180,11 +180,11 @@
     pub(super) fn send(
         &mut self,
         now: Micros,
-        out: AttemptOut,
+        out: InFlightAttempt,
         (expires, start_by): (Micros, Option<Micros>),
         bundles: &mut Vec<Bundle>,
     ) {
-        let AttemptOut {
+        let InFlightAttempt {
             message,
             number: attempt,
             endpoint,
@@ -269,7 +269,7 @@
     }
 
     /// An attempt that the driver has and that never left.
-    pub(super) fn unsent(&mut self, out: AttemptOut) {
+    pub(super) fn unsent(&mut self, out: InFlightAttempt) {
         if self.take_out(out.message, out.number).is_none() {
             return;
         }
@@ -289,10 +289,10 @@
 
     /// Finds attempts whose outcome the module would wait for in vain, and gives them one; false if there are none.
     pub(super) fn find_lost_attempts(&mut self) -> bool {
-        if self.sender.attempts_out() == self.attempts_out {
+        if self.sender.attempts_in_flight() == self.attempts_out {
             return false;
         }
-        let mut all = self.sender.list_attempts_out();
+        let mut all = self.sender.in_flight_attempts();
         all.retain(|out| !self.is_out(out.message, out.number));
         for out in &all {
             self.violations
@@ -312,7 +312,7 @@
         let Some(place) = self.place_of(bundle.endpoint) else {
             for &(message, number) in &bundle.sends {
                 self.lifecycle.ended(message, UNSENT, Micros::MIN, 0);
-                self.unsent(AttemptOut {
+                self.unsent(InFlightAttempt {
                     message,
                     number,
                     endpoint: bundle.endpoint,
--- a/src/net/driver/undelivered.rs
+++ b/src/net/driver/undelivered.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::net::discovery::Notice;
 use crate::net::journal::Ending;
-use message_sender::decide::MARGIN;
+use message_sender::decisions::DEADLINE_MARGIN;
 use message_sender::{Event, MessageId, Micros};
 use tokio::time::Instant;
 
@@ -44,7 +44,7 @@
         };
         self.untold.push(Untold {
             notice,
-            spent_at: deadline.saturating_sub(MARGIN),
+            spent_at: deadline.saturating_sub(DEADLINE_MARGIN),
         });
     }
 
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -6,7 +6,7 @@
 use super::printing::print;
 use super::reading::{KNOWN, check_row, read_batch_head, read_event, read_list_head};
 use super::settings::{Pairs, read_settings};
-use crate::decide::Sender;
+use crate::decisions::Sender;
 use crate::interface::{Action, Micros};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
--- a/src/wire/instance.rs
+++ b/src/wire/instance.rs
@@ -2,7 +2,7 @@
 
 use super::numbered::Numbered;
 use super::settings::Names;
-use crate::decide::Sender;
+use crate::decisions::Sender;
 use crate::interface::Event;
 
 /// One instance: its module, its names and the events that wait for the end of the batch.
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -84,7 +84,7 @@
     fn new(seed: u64, each: bool) -> Self {
         let mut sender = Sender::new(play_settings(seed), seed).expect("settings");
         if each {
-            sender.look_at_each();
+            sender.examine_each_message();
         }
         Play {
             each,
@@ -121,7 +121,7 @@
                 let bytes = postcard::to_allocvec(&self.sender).expect("written");
                 self.sender = postcard::from_bytes(&bytes).expect("read back");
                 if self.each {
-                    self.sender.look_at_each();
+                    self.sender.examine_each_message();
                 }
             }
             self.turn();
@@ -350,7 +350,7 @@
     );
     rig.tell(vec![message(waiting, FREE, 8)]);
     assert_eq!(rig.last_send(waiting).0, 2, "what can go does");
-    rig.sender.weighed()
+    rig.sender.candidates_examined()
 }
 
 #[test]
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -12,13 +12,18 @@
 const SCENARIOS: u64 = 48;
 const TURNS: u64 = 4000;
 /// Files of serialized senders, with their scenario and turn; together they hold at least one of everything.
-const GOLDEN_SENDERS: [(&str, u64, u64); 3] =
-    [("sender-1.postcard", 115, 1961), ("sender-2.postcard", 103, 2506), ("sender-3.postcard", 103, 1462)];
+const GOLDEN_SENDERS: [(&str, u64, u64); 3] = [
+    ("sender-1.postcard", 115, 1961),
+    ("sender-2.postcard", 103, 2506),
+    ("sender-3.postcard", 103, 1462),
+];
 /// Turns that each golden sender goes on for.
 const CONTINUED: u64 = 500;
 
 fn golden(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/decisions").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden/decisions")
+        .join(name)
 }
 
 /// The content of a golden file, or this where the files are to be written.
@@ -37,8 +42,12 @@
     for number in (0..SCENARIOS).chain([103, 115, 127, 139]) {
         let mut host = Host::new(number);
         host.run(TURNS);
-        writeln!(lines, "{number} {TURNS} {:016x} {:?} {:?}", host.digest.0, host.actions, host.logged)
-            .expect("written to a string");
+        writeln!(
+            lines,
+            "{number} {TURNS} {:016x} {:?} {:?}",
+            host.digest.0, host.actions, host.logged
+        )
+        .expect("written to a string");
         (0..10).for_each(|index| actions[index] += host.actions[index]);
         (0..5).for_each(|index| logged[index] += host.logged[index]);
     }
@@ -46,8 +55,15 @@
     assert_eq!(lines, expected);
     // no decision asks for probes or writes to other senders
     let taken: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
-    assert_eq!(taken, [0, 1, 2, 3, 4, 6, 7, 9], "each other action is there");
-    assert!(logged.iter().all(|&count| count > 0), "each log event is there: {logged:?}");
+    assert_eq!(
+        taken,
+        [0, 1, 2, 3, 4, 6, 7, 9],
+        "each other action is there"
+    );
+    assert!(
+        logged.iter().all(|&count| count > 0),
+        "each log event is there: {logged:?}"
+    );
 }
 
 #[test]
@@ -58,19 +74,26 @@
         host.run(turn);
         let bytes = host.state();
         let golden = expected(name, &bytes);
-        assert!(bytes == golden, "{name}: the same events led to other bytes");
-        let sender: milletturn::Sender = postcard::from_bytes(&golden).expect("a sender");
+        assert!(
+            bytes == golden,
+            "{name}: the same events led to other bytes"
+        );
+        let sender: message_sender::Sender = postcard::from_bytes(&golden).expect("a sender");
         assert!(
             postcard::to_allocvec(&sender).expect("bytes") == golden,
             "{name}: written otherwise than read"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
         let here = mirror.missing();
-        missing = Some(
-            missing.map_or(here.clone(), |all| all.into_iter().filter(|what| here.contains(what)).collect()),
-        );
+        missing = Some(missing.map_or(here.clone(), |all| {
+            all.into_iter().filter(|what| here.contains(what)).collect()
+        }));
     }
-    assert_eq!(missing, Some(Vec::new()), "together they hold at least one of everything");
+    assert_eq!(
+        missing,
+        Some(Vec::new()),
+        "together they hold at least one of everything"
+    );
 }
 
 #[test]
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -2,7 +2,7 @@
 //! while the order and the kinds of all fields and variants are the same in both.
 #![allow(dead_code)]
 
-use milletturn::{Agreed, FleetView, Micros, Quotas, Settings};
+use message_sender::{Agreed, FleetView, Micros, Quotas, Settings};
 use rand_pcg::Pcg32;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -161,60 +161,178 @@
         let attempts = || messages().flat_map(|message| &message.attempts);
         let endpoints = || self.endpoints.values();
         let checks = [
-            ("a serving endpoint", endpoints().any(|endpoint| endpoint.serving)),
-            ("an endpoint that is not listed", endpoints().any(|endpoint| !endpoint.serving)),
-            ("a disabled endpoint", endpoints().any(|endpoint| endpoint.disabled)),
-            ("an endpoint that warms up", endpoints().any(|endpoint| endpoint.warm_up.is_some())),
+            (
+                "a serving endpoint",
+                endpoints().any(|endpoint| endpoint.serving),
+            ),
+            (
+                "an endpoint that is not listed",
+                endpoints().any(|endpoint| !endpoint.serving),
+            ),
+            (
+                "a disabled endpoint",
+                endpoints().any(|endpoint| endpoint.disabled),
+            ),
+            (
+                "an endpoint that warms up",
+                endpoints().any(|endpoint| endpoint.warm_up.is_some()),
+            ),
             (
                 "an endpoint with scarce connections",
                 endpoints().any(|endpoint| endpoint.connection_scarcity > 0.0),
             ),
             (
                 "a class that fails at an endpoint",
-                endpoints()
-                    .any(|endpoint| endpoint.classes.values().any(|class| class.consecutive_failures > 0)),
+                endpoints().any(|endpoint| {
+                    endpoint
+                        .classes
+                        .values()
+                        .any(|class| class.consecutive_failures > 0)
+                }),
+            ),
+            (
+                "a healthy route",
+                routes().any(|route| matches!(route.health, Health::Healthy)),
             ),
-            ("a healthy route", routes().any(|route| matches!(route.health, Health::Healthy))),
             (
                 "an ejected route",
-                routes().any(|route| matches!(route.health, Health::Ejected { unresponsive: false, .. })),
+                routes().any(|route| {
+                    matches!(
+                        route.health,
+                        Health::Ejected {
+                            unresponsive: false,
+                            ..
+                        }
+                    )
+                }),
             ),
             (
                 "an unresponsive route",
-                routes().any(|route| matches!(route.health, Health::Ejected { unresponsive: true, .. })),
-            ),
-            ("a recovering route", routes().any(|route| matches!(route.health, Health::Recovering { .. }))),
-            ("a route of one endpoint", self.routes.keys().any(|(_, endpoint)| endpoint.is_some())),
-            ("a route that asked to wait", routes().any(|route| route.retry_after_until > self.now)),
-            ("a lagging route", routes().any(|route| route.is_lagging && route.unanswered > 0)),
-            ("a route that rejects", routes().any(|route| route.consecutive_rejections > 0)),
-            ("a reported limit", routes().any(|route| route.reported_limit.is_some())),
-            ("a listed rate", routes().any(|route| route.listed_rate > 0.0)),
-            ("a finite rate limit", routes().any(|route| route.rate_limit.is_finite())),
-            ("an infinite rate limit", routes().any(|route| route.rate_limit.is_infinite())),
+                routes().any(|route| {
+                    matches!(
+                        route.health,
+                        Health::Ejected {
+                            unresponsive: true,
+                            ..
+                        }
+                    )
+                }),
+            ),
+            (
+                "a recovering route",
+                routes().any(|route| matches!(route.health, Health::Recovering { .. })),
+            ),
+            (
+                "a route of one endpoint",
+                self.routes.keys().any(|(_, endpoint)| endpoint.is_some()),
+            ),
+            (
+                "a route that asked to wait",
+                routes().any(|route| route.retry_after_until > self.now),
+            ),
+            (
+                "a lagging route",
+                routes().any(|route| route.is_lagging && route.unanswered > 0),
+            ),
+            (
+                "a route that rejects",
+                routes().any(|route| route.consecutive_rejections > 0),
+            ),
+            (
+                "a reported limit",
+                routes().any(|route| route.reported_limit.is_some()),
+            ),
+            (
+                "a listed rate",
+                routes().any(|route| route.listed_rate > 0.0),
+            ),
+            (
+                "a finite rate limit",
+                routes().any(|route| route.rate_limit.is_finite()),
+            ),
+            (
+                "an infinite rate limit",
+                routes().any(|route| route.rate_limit.is_infinite()),
+            ),
             ("an open message", messages().any(|message| message.open)),
             (
                 "a message that waits for its notification",
                 messages().any(|message| message.notification_pending),
             ),
-            ("an attempt in flight", attempts().any(|attempt| attempt.in_flight)),
-            ("an attempt that may have run", attempts().any(|attempt| attempt.may_have_run)),
-            ("an overlapped attempt", attempts().any(|attempt| attempt.overlapped)),
-            ("a cancelled attempt", attempts().any(|attempt| attempt.cancelled)),
-            ("a hedged call", self.hedges_in_flight > 0 && self.calls.values().any(|call| call.hedge)),
-            ("a call with a bundle", self.calls.values().any(|call| call.size > 1)),
-            ("a queue with two messages", self.key_queues.values().any(|queue| queue.messages.len() > 1)),
-            ("a queue that backs off", self.key_queues.values().any(|queue| queue.backoff_until > self.now)),
+            (
+                "an attempt in flight",
+                attempts().any(|attempt| attempt.in_flight),
+            ),
+            (
+                "an attempt that may have run",
+                attempts().any(|attempt| attempt.may_have_run),
+            ),
+            (
+                "an overlapped attempt",
+                attempts().any(|attempt| attempt.overlapped),
+            ),
+            (
+                "a cancelled attempt",
+                attempts().any(|attempt| attempt.cancelled),
+            ),
+            (
+                "a hedged call",
+                self.hedges_in_flight > 0 && self.calls.values().any(|call| call.hedge),
+            ),
+            (
+                "a call with a bundle",
+                self.calls.values().any(|call| call.size > 1),
+            ),
+            (
+                "a queue with two messages",
+                self.key_queues
+                    .values()
+                    .any(|queue| queue.messages.len() > 1),
+            ),
+            (
+                "a queue that backs off",
+                self.key_queues
+                    .values()
+                    .any(|queue| queue.backoff_until > self.now),
+            ),
             ("a backoff of all keys", self.key_backoff_until > 0),
-            ("scarce connections of a kind", self.connection_scarcity.values().any(|&score| score > 0.0)),
-            ("tokens of a tenant", self.tenant_tokens.iter().any(|(tokens, _)| *tokens < f64::MAX)),
+            (
+                "scarce connections of a kind",
+                self.connection_scarcity.values().any(|&score| score > 0.0),
+            ),
+            (
+                "tokens of a tenant",
+                self.tenant_tokens
+                    .iter()
+                    .any(|(tokens, _)| *tokens < f64::MAX),
+            ),
             ("a retry of the list", self.list_retry_at.is_some()),
-            ("a view of the fleet", self.fleet.is_some() && self.fleet_since > 0),
-            ("a fleet of another size than configured", self.fleet_size != self.settings.senders),
-            ("agreed rules", self.agreed_rules.as_ref().is_some_and(|rules| rules.leased.is_some())),
-            ("quotas", self.quotas.as_ref().is_some_and(|quotas| quotas.named.len() > 1)),
+            (
+                "a view of the fleet",
+                self.fleet.is_some() && self.fleet_since > 0,
+            ),
+            (
+                "a fleet of another size than configured",
+                self.fleet_size != self.settings.senders,
+            ),
+            (
+                "agreed rules",
+                self.agreed_rules
+                    .as_ref()
+                    .is_some_and(|rules| rules.leased.is_some()),
+            ),
+            (
+                "quotas",
+                self.quotas
+                    .as_ref()
+                    .is_some_and(|quotas| quotas.named.len() > 1),
+            ),
             ("a bucket", !self.buckets.is_empty()),
         ];
-        checks.into_iter().filter(|(_, there)| !there).map(|(what, _)| what).collect()
+        checks
+            .into_iter()
+            .filter(|(_, there)| !there)
+            .map(|(what, _)| what)
+            .collect()
     }
 }
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -5,7 +5,7 @@
 pub mod layout;
 pub mod settings;
 
-use milletturn::*;
+use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -174,7 +174,8 @@
         self.record_state();
         let keep = |message: &Message| !message.ended || message.notification_pending;
         let in_flight: BTreeSet<u64> = self.in_flight.iter().map(|flight| flight.message).collect();
-        self.messages.retain(|id, message| keep(message) || in_flight.contains(id));
+        self.messages
+            .retain(|id, message| keep(message) || in_flight.contains(id));
     }
 
     fn restart_or_hand_over(&mut self) {
@@ -185,7 +186,8 @@
         if self.turn % RESTART_EVERY != 0 || self.number % 2 == 0 {
             return;
         }
-        self.sender = Sender::new(self.settings.clone(), self.number + self.turn).expect("valid settings");
+        self.sender =
+            Sender::new(self.settings.clone(), self.number + self.turn).expect("valid settings");
         self.timers.clear();
         self.stale = false;
         self.local_fault = false;
@@ -193,7 +195,10 @@
         self.list(Listing::Old);
         self.in_flight.clear();
         for message in self.messages.values() {
-            let new = NewMessage { time_left: message.deadline - self.now, ..message.new.clone() };
+            let new = NewMessage {
+                time_left: message.deadline - self.now,
+                ..message.new.clone()
+            };
             if message.ended && message.notification_pending {
                 self.events.push(Event::Unnoticed(new));
             } else if !message.ended {
@@ -202,10 +207,14 @@
                     sent: past.sent,
                     may_have_run: past.may_have_run,
                 });
-                self.events.push(Event::Resumed { message: new, attempts: attempts.collect() });
+                self.events.push(Event::Resumed {
+                    message: new,
+                    attempts: attempts.collect(),
+                });
             }
         }
-        self.messages.retain(|_, message| !message.ended || message.notification_pending);
+        self.messages
+            .retain(|_, message| !message.ended || message.notification_pending);
     }
 
     /// The serialized sender, as a handover carries it.
@@ -215,13 +224,18 @@
 
     fn hand_in(&mut self) {
         let bursts = if self.below(150) == 0 { 20 } else { 0 };
-        let arrivals = if self.below(8) == 0 { 1 + self.below(3) } else { bursts };
+        let arrivals = if self.below(8) == 0 {
+            1 + self.below(3)
+        } else {
+            bursts
+        };
         for _ in 0..arrivals {
             let class = self.below(CLASSES) as usize;
             let destination = u64::from(self.below(DESTINATIONS as u32));
             let time = [20 * SECOND, 20 * SECOND, 3 * SECOND][self.below(3) as usize];
             let mut new = NewMessage::new(MessageId(self.next_message), class, destination, time);
-            new.key = (class >= 4 || self.below(8) == 0).then(|| u64::from(self.random.next_u32() % 4));
+            new.key =
+                (class >= 4 || self.below(8) == 0).then(|| u64::from(self.random.next_u32() % 4));
             new.tenant = (self.below(2) == 0).then(|| self.random.next_u32() as usize % 2);
             new.again = self.below(20) == 0;
             new.attempts = (self.below(10) == 0).then_some(2);
@@ -248,7 +262,10 @@
             }
             let flight = self.in_flight.swap_remove(index);
             let report = vec![f64::from(self.below(11)) / 10.0, f64::from(self.below(30))];
-            let message = self.messages.get_mut(&flight.message).expect("kept while in flight");
+            let message = self
+                .messages
+                .get_mut(&flight.message)
+                .expect("kept while in flight");
             message.attempts[flight.attempt].may_have_run = !flight.outcome.never_ran();
             message.ended |= flight.outcome == Outcome::Success;
             self.events.push(Event::Ended {
@@ -262,13 +279,20 @@
             });
             if self.below(40) == 0 {
                 let wait = Micros::from(self.below(6_000_000));
-                self.events.push(Event::ToldWait { endpoint: EndpointId(flight.endpoint), wait });
+                self.events.push(Event::ToldWait {
+                    endpoint: EndpointId(flight.endpoint),
+                    wait,
+                });
             }
         }
     }
 
     fn deliver_notifications(&mut self) {
-        let due = self.notifications.iter().filter(|(_, at)| **at <= self.now).map(|(id, _)| *id);
+        let due = self
+            .notifications
+            .iter()
+            .filter(|(_, at)| **at <= self.now)
+            .map(|(id, _)| *id);
         for id in due.collect::<Vec<_>>() {
             self.notifications.remove(&id);
             if let Some(message) = self.messages.get_mut(&id) {
@@ -302,10 +326,17 @@
                 let endpoint = self.below(ENDPOINTS);
                 let mut entry = self.entry(endpoint);
                 if !self.unlisted.remove(&endpoint) {
-                    entry.status = if self.below(2) == 0 { Status::Draining } else { Status::Gone };
+                    entry.status = if self.below(2) == 0 {
+                        Status::Draining
+                    } else {
+                        Status::Gone
+                    };
                     self.unlisted.insert(endpoint);
                 }
-                self.events.push(Event::Listed { listing: Listing::Changes, entries: vec![entry] });
+                self.events.push(Event::Listed {
+                    listing: Listing::Changes,
+                    entries: vec![entry],
+                });
             }
             5 => self.list(Listing::Full),
             6 | 7 => self.events.push(Event::ListFailed),
@@ -346,12 +377,14 @@
         if self.number % 3 == 1 && (self.turn % 300 == 1 || self.below(200) == 0) {
             let quotas = settings::quotas(now, &mut self.random);
             let none = self.below(6) == 0;
-            self.events.push(Event::Shared((!none).then(|| Box::new(quotas))));
+            self.events
+                .push(Event::Shared((!none).then(|| Box::new(quotas))));
         }
         if self.number % 4 >= 2 && (self.turn % 300 == 1 || self.below(200) == 0) {
             let agreed = settings::agreed_rules(now, &mut self.random);
             let none = self.below(3) == 0;
-            self.events.push(Event::Agreed((!none).then(|| Box::new(agreed))));
+            self.events
+                .push(Event::Agreed((!none).then(|| Box::new(agreed))));
         }
     }
 
@@ -373,14 +406,17 @@
             }
             3 => {
                 settings::change(&mut self.settings, &mut self.random);
-                self.events.push(Event::Retuned(Box::new(self.settings.clone())));
+                self.events
+                    .push(Event::Retuned(Box::new(self.settings.clone())));
             }
             4 => {
                 self.local_fault = !self.local_fault;
                 self.events.push(Event::HostFailing(self.local_fault));
             }
             5 if self.turn % RESTART_EVERY > RESTART_EVERY - 100 => {
-                self.events.push(Event::Stopping { ends: self.now + SECOND });
+                self.events.push(Event::Stopping {
+                    ends: self.now + SECOND,
+                });
             }
             _ if self.local_fault && self.below(20) == 0 => {
                 self.local_fault = false;
@@ -392,7 +428,10 @@
 
     fn notify_of_little(&mut self) {
         match self.below(200) {
-            0 => self.events.push(Event::Noted { from: 1, bytes: vec![7; 9] }),
+            0 => self.events.push(Event::Noted {
+                from: 1,
+                bytes: vec![7; 9],
+            }),
             1 => self.events.push(Event::Probed {
                 endpoint: EndpointId(2),
                 outcome: Outcome::Error,
@@ -406,7 +445,10 @@
                 }
             }
             3 => {
-                if let Some(Flight { message, attempt, .. }) = self.in_flight.first() {
+                if let Some(Flight {
+                    message, attempt, ..
+                }) = self.in_flight.first()
+                {
                     let (message, attempt) = (MessageId(*message), *attempt);
                     self.events.push(Event::Started { message, attempt });
                 }
@@ -437,7 +479,9 @@
         match self.fault(u64::from(endpoint / 3)) {
             Fault::Errors if self.below(5) > 0 => (quick, Outcome::Error),
             Fault::Rejections => (5_000, Outcome::Refused { wait: None }),
-            Fault::RejectionsWithWait if self.below(3) > 0 => (5_000, Outcome::Refused { wait: Some(wait) }),
+            Fault::RejectionsWithWait if self.below(3) > 0 => {
+                (5_000, Outcome::Refused { wait: Some(wait) })
+            }
             Fault::Unresponsive => (Micros::MAX / 4, Outcome::TimedOut),
             Fault::Unreachable => (1_000, Outcome::NoConnection),
             Fault::Slow => (1_500_000 + quick * 10, Outcome::Success),
@@ -459,24 +503,44 @@
 
     fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Send { message, attempt, endpoint, expires, .. } => {
+            Action::Send {
+                message,
+                attempt,
+                endpoint,
+                expires,
+                ..
+            } => {
                 let (latency, outcome) = self.plan(message.0, endpoint.0);
                 let expired = self.now + latency > *expires;
                 let known = self.messages.get_mut(&message.0).expect("sent while open");
-                assert_eq!(*attempt, known.attempts.len(), "attempts are numbered in order");
-                known.attempts.push(Past { endpoint: endpoint.0, sent: self.now, may_have_run: true });
+                assert_eq!(
+                    *attempt,
+                    known.attempts.len(),
+                    "attempts are numbered in order"
+                );
+                known.attempts.push(Past {
+                    endpoint: endpoint.0,
+                    sent: self.now,
+                    may_have_run: true,
+                });
                 self.in_flight.push(Flight {
                     message: message.0,
                     attempt: *attempt,
                     endpoint: endpoint.0,
                     sent: self.now,
-                    ends_at: if expired { *expires } else { self.now + latency },
+                    ends_at: if expired {
+                        *expires
+                    } else {
+                        self.now + latency
+                    },
                     outcome: if expired { Outcome::TimedOut } else { outcome },
                 });
             }
             Action::Cancel { message, attempt } => {
                 let ends_at = self.now + 20 * MILLISECOND;
-                let same = |flight: &&mut Flight| (flight.message, flight.attempt) == (message.0, *attempt);
+                let same = |flight: &&mut Flight| {
+                    (flight.message, flight.attempt) == (message.0, *attempt)
+                };
                 if let Some(flight) = self.in_flight.iter_mut().find(same)
                     && flight.ends_at > ends_at
                 {
@@ -511,9 +575,22 @@
     fn record(&mut self, action: &Action) {
         let none = i64::MIN;
         let fields: Vec<i64> = match action {
-            Action::Send { message, attempt, endpoint, expires, start_by } => {
+            Action::Send {
+                message,
+                attempt,
+                endpoint,
+                expires,
+                start_by,
+            } => {
                 let start_by = start_by.unwrap_or(none);
-                vec![0, message.0 as i64, *attempt as i64, i64::from(endpoint.0), *expires, start_by]
+                vec![
+                    0,
+                    message.0 as i64,
+                    *attempt as i64,
+                    i64::from(endpoint.0),
+                    *expires,
+                    start_by,
+                ]
             }
             Action::Cancel { message, attempt } => vec![1, message.0 as i64, *attempt as i64],
             Action::Refuse { message, wait } => vec![2, message.0 as i64, wait.unwrap_or(none)],
@@ -530,26 +607,45 @@
             }
         };
         self.actions[fields[0] as usize] += 1;
-        fields.into_iter().for_each(|field| self.digest.number(field));
+        fields
+            .into_iter()
+            .for_each(|field| self.digest.number(field));
     }
 
     fn record_state(&mut self) {
         let numbers = [
-            self.sender.weighed() as i64,
-            i64::from(self.sender.senders()),
-            self.sender.attempts_out() as i64,
+            self.sender.candidates_examined() as i64,
+            i64::from(self.sender.fleet_size()),
+            self.sender.attempts_in_flight() as i64,
         ];
-        numbers.into_iter().for_each(|number| self.digest.number(number));
+        numbers
+            .into_iter()
+            .for_each(|number| self.digest.number(number));
         if self.turn % STATE_EVERY != 0 {
             return;
         }
         let state = self.state();
         self.digest.bytes(&state);
         for (destination, demand) in self.sender.demand() {
-            let Demand { waiting, out, sent, sick, failing, alive } = demand;
+            let Demand {
+                waiting,
+                out,
+                sent,
+                sick,
+                failing,
+                alive,
+            } = demand;
             let flags = i64::from(sick) + 2 * i64::from(failing) + 4 * i64::from(alive);
-            let numbers = [destination as i64, waiting as i64, out as i64, sent as i64, flags];
-            numbers.into_iter().for_each(|number| self.digest.number(number));
+            let numbers = [
+                destination as i64,
+                waiting as i64,
+                out as i64,
+                sent as i64,
+                flags,
+            ];
+            numbers
+                .into_iter()
+                .for_each(|number| self.digest.number(number));
         }
     }
 }
@@ -558,7 +654,10 @@
 fn logged(text: &str) -> (i64, i64) {
     let mut words = text.split(' ');
     assert_eq!(words.next(), Some("destination"));
-    let destination = words.next().and_then(|word| word.parse().ok()).expect("a destination");
+    let destination = words
+        .next()
+        .and_then(|word| word.parse().ok())
+        .expect("a destination");
     let kind = match words.collect::<Vec<_>>().as_slice() {
         ["returns"] => 0,
         ["sick:", "silent"] => 1,
--- a/tests/decision_record/settings.rs
+++ b/tests/decision_record/settings.rs
@@ -1,18 +1,38 @@
 //! Settings, quotas and agreed rules of the recorded scenarios.
 
-use milletturn::*;
+use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::RngCore;
 
 /// From this number on, scenarios have all that settings can bring.
 pub const WITH_EVERYTHING: u64 = 100;
 
-const CLASS_NAMES: [&str; 6] = ["repeatable", "zone-keyed", "keyed", "once", "ordered", "ordered-once"];
+const CLASS_NAMES: [&str; 6] = [
+    "repeatable",
+    "zone-keyed",
+    "keyed",
+    "once",
+    "ordered",
+    "ordered-once",
+];
 
 fn classes() -> Vec<Class> {
-    let zone_keyed = Effect::Keyed { window: 6 * SECOND, zone_only: true };
-    let keyed = Effect::Keyed { window: 4 * SECOND, zone_only: false };
-    let effects = [Effect::Repeatable, zone_keyed, keyed, Effect::Unsafe, Effect::Repeatable, Effect::Unsafe];
+    let zone_keyed = Effect::Keyed {
+        window: 6 * SECOND,
+        zone_only: true,
+    };
+    let keyed = Effect::Keyed {
+        window: 4 * SECOND,
+        zone_only: false,
+    };
+    let effects = [
+        Effect::Repeatable,
+        zone_keyed,
+        keyed,
+        Effect::Unsafe,
+        Effect::Repeatable,
+        Effect::Unsafe,
+    ];
     let mut classes = Vec::new();
     for (index, effect) in effects.into_iter().enumerate() {
         let mut class = Class::new(CLASS_NAMES[index], effect, 2 * SECOND, 20 * SECOND);
@@ -56,15 +76,30 @@
     settings.safety.cold_time = 6 * SECOND;
     settings.classes = classes();
     settings.kinds = vec![
-        Kind { name: "plain".into(), separate_routes: false, bundle_max: 1 },
-        Kind { name: "routes".into(), separate_routes: true, bundle_max: 1 },
+        Kind {
+            name: "plain".into(),
+            separate_routes: false,
+            bundle_max: 1,
+        },
+        Kind {
+            name: "routes".into(),
+            separate_routes: true,
+            bundle_max: 1,
+        },
         Kind {
             name: "bundles".into(),
             separate_routes: false,
-            bundle_max: if number >= WITH_EVERYTHING { 5 } else { [5, 1][pick(5, 2)] },
+            bundle_max: if number >= WITH_EVERYTHING {
+                5
+            } else {
+                [5, 1][pick(5, 2)]
+            },
         },
     ];
-    let tenant = |name: &str, allowance| Tenant { name: name.into(), allowance };
+    let tenant = |name: &str, allowance| Tenant {
+        name: name.into(),
+        allowance,
+    };
     settings.tenants = vec![tenant("first", 5.0), tenant("second", 40.0)];
     settings
 }
@@ -94,33 +129,74 @@
 
 /// Quotas for some destinations, and for all others.
 pub fn quotas(now: Micros, random: &mut Pcg32) -> Quotas {
-    let calls = Share { fallback: 1, part: Some((Some(u64::from(random.next_u32() % 4)), now + 3 * SECOND)) };
+    let calls = Share {
+        fallback: 1,
+        part: Some((Some(u64::from(random.next_u32() % 4)), now + 3 * SECOND)),
+    };
     let mut quotas = Quotas::default();
-    let quota = Quota { rate: Some(share(now, random)), out: Some((calls, 2 * SECOND)), cold: None };
+    let quota = Quota {
+        rate: Some(share(now, random)),
+        out: Some((calls, 2 * SECOND)),
+        cold: None,
+    };
     quotas.named.insert(0, quota);
-    let quota = Quota { rate: None, out: None, cold: Some(share(now, random)) };
+    let quota = Quota {
+        rate: None,
+        out: None,
+        cold: Some(share(now, random)),
+    };
     quotas.named.insert(1, quota);
-    quotas.others = Quota { rate: Some(share(now, random)), out: None, cold: Some(share(now, random)) };
+    quotas.others = Quota {
+        rate: Some(share(now, random)),
+        out: None,
+        cold: Some(share(now, random)),
+    };
     quotas
 }
 
 /// Agreed rules: a lease that allows nearly all, and a fallback that allows less.
 pub fn agreed_rules(now: Micros, random: &mut Pcg32) -> Agreed {
-    let mut leased = Bounds { calls: Some(8), messages: Some(150), ..Bounds::default() };
-    let mut fallback = Bounds { calls: Some(3), messages: None, ..Bounds::default() };
+    let mut leased = Bounds {
+        calls: Some(8),
+        messages: Some(150),
+        ..Bounds::default()
+    };
+    let mut fallback = Bounds {
+        calls: Some(3),
+        messages: None,
+        ..Bounds::default()
+    };
     for (index, class) in classes().into_iter().enumerate() {
         let attempts = 2 + (random.next_u32() % 4) as usize;
         let accepted = random.next_u32() % 8 > 0;
         let key_rest = Micros::from(random.next_u32() % 300_000);
         let ordered = index == 0 || class.ordered;
-        let bound = ClassBound { accepted, effect: class.effect, attempts, ordered, key_rest };
+        let bound = ClassBound {
+            accepted,
+            effect: class.effect,
+            attempts,
+            ordered,
+            key_rest,
+        };
         leased.classes.insert(class.name.clone(), bound);
         if index != 3 {
             let window = 3 * SECOND;
-            let stricter = class.effect.meet(Effect::Keyed { window, zone_only: index == 2 });
-            fallback.classes.insert(class.name, ClassBound { effect: stricter, ..bound });
+            let stricter = class.effect.meet(Effect::Keyed {
+                window,
+                zone_only: index == 2,
+            });
+            fallback.classes.insert(
+                class.name,
+                ClassBound {
+                    effect: stricter,
+                    ..bound
+                },
+            );
         }
     }
     let until = now + Micros::from(random.next_u32() % 5_000_000);
-    Agreed { leased: Some((leased, until)), fallback }
+    Agreed {
+        leased: Some((leased, until)),
+        fallback,
+    }
 }
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -35,7 +35,7 @@
         for index in self.fleet.running() {
             let view = self.view(index);
             self.modules[index].handle(now, &[Event::Fleet(Some(view))], &mut Vec::new());
-            sum += 1.0 / f64::from(self.modules[index].senders());
+            sum += 1.0 / f64::from(self.modules[index].fleet_size());
         }
         sum
     }
@@ -59,7 +59,7 @@
     }
 
     fn number(&self, index: usize) -> u32 {
-        self.modules[index].senders()
+        self.modules[index].fleet_size()
     }
 
     fn start(&mut self, index: usize) {
@@ -185,7 +185,7 @@
                 &mut Vec::new(),
             );
         }
-        sum += 1.0 / f64::from(module.senders());
+        sum += 1.0 / f64::from(module.fleet_size());
     }
     assert!(sum <= 1.0001, "{sum}");
 }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -17,7 +17,7 @@
         rig.now += after;
         rig.sender
             .handle(rig.now, &[Event::Fleet(view)], &mut Vec::new());
-        rig.sender.senders()
+        rig.sender.fleet_size()
     };
     (rig, tell)
 }
@@ -41,7 +41,7 @@
     let mut actions = Vec::new();
     rig.now += 1;
     rig.sender.handle(rig.now, &[Event::Alarm], &mut actions);
-    assert_eq!(rig.sender.senders(), 60, "at its own alarm");
+    assert_eq!(rig.sender.fleet_size(), 60, "at its own alarm");
     assert_eq!(tell(&mut rig, SECOND, Some(view(61, 39))), 61, "at once");
     assert_eq!(
         tell(
@@ -129,7 +129,7 @@
         &mut Vec::new(),
     );
     assert_eq!(
-        rig.sender.senders(),
+        rig.sender.fleet_size(),
         60,
         "forty of them are known to be gone"
     );
@@ -141,7 +141,7 @@
         &[Event::Retuned(Box::new(settings))],
         &mut Vec::new(),
     );
-    assert_eq!(rig.sender.senders(), 80);
+    assert_eq!(rig.sender.fleet_size(), 80);
 }
 
 #[test]
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -431,10 +431,10 @@
     }]);
     rig.tell(vec![Event::Disabled(EndpointId(1))]);
     rig.tell((0..300).map(|id| message(id, FREE, 7)).collect());
-    assert_eq!((rig.sender.weighed(), rig.sends.len()), (0, 0));
+    assert_eq!((rig.sender.candidates_examined(), rig.sends.len()), (0, 0));
     rig.tell((300..303).map(|id| message(id, FREE, 8)).collect());
     // one goes, and the next, which finds no room, speaks for the third
-    assert_eq!(rig.sender.weighed(), 2);
+    assert_eq!(rig.sender.candidates_examined(), 2);
     assert!(!rig.sends.is_empty());
     // back in, all are looked at again
     rig.tell(vec![Event::Enabled(EndpointId(1))]);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -25,8 +25,8 @@
 #[test]
 fn each_decision_module_keeps_its_size() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut files = files_of(&source.join("decide"));
-    files.extend(["decide.rs", "state.rs", "backlog.rs"].map(|name| source.join(name)));
+    let mut files = files_of(&source.join("decisions"));
+    files.extend(["decisions.rs", "backlog.rs"].map(|name| source.join(name)));
     assert!(files.len() > 8, "{files:?}");
     for file in files {
         let text = fs::read_to_string(&file).expect("text");
