--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, ensure};
 use clap::Args;
 use message_sender::{
-    Action, Class, DestinationId, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND,
-    MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
+    Action, Class, DestinationId, Effect, EndpointEntry, EndpointId, Event, Kind, ListScope,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -207,20 +207,20 @@
 
     fn list(&mut self, order: &Order) {
         let weight = FLEET_RATE / f64::from(order.destinations);
-        let entry = |number| Entry {
+        let entry = |number| EndpointEntry {
             weight,
-            ..Entry::new(EndpointId(number), u64::from(number))
+            ..EndpointEntry::new(EndpointId(number), u64::from(number))
         };
         let entries = (0..order.destinations).map(entry).collect();
-        self.turn(&[Event::Listed {
-            listing: Listing::Full,
+        self.turn(&[Event::EndpointList {
+            scope: ListScope::Full,
             entries,
         }]);
-        let out = true;
+        let unavailable = true;
         let words: Vec<Event> = (0..self.down)
-            .map(|number| Event::Word {
+            .map(|number| Event::FleetHealth {
                 destination: number.into(),
-                out,
+                unavailable,
             })
             .collect();
         self.turn(&words);
@@ -240,7 +240,7 @@
             let attempts = if tried { vec![past] } else { Vec::new() };
             let message = self.message(endpoint.into());
             self.messages.insert(message.id, attempts.len());
-            events.push(Event::Resumed { message, attempts });
+            events.push(Event::MessageRestored { message, attempts });
         }
         self.turn(&events);
     }
@@ -273,7 +273,7 @@
                 self.end_call()
             } else if self.alarm == next {
                 self.alarm = Micros::MAX;
-                Some(Event::Alarm)
+                Some(Event::TimerExpired)
             } else {
                 arrivals += 1;
                 let destination = self.random.random_range(0..order.destinations);
@@ -290,7 +290,7 @@
     /// Microseconds of a look at the demand in use, and how many destinations that is, a quarter of a lease of arrivals after
     /// the look before.
     fn demand_in_use(&mut self, order: &Order) -> (f64, usize) {
-        self.turn(&[Event::Shared(Some(Box::default()))]);
+        self.turn(&[Event::Quotas(Some(Box::default()))]);
         self.sender.demand_in_use(0);
         for _ in 0..(f64::from(order.rate) * LOOK_EVERY_S).ceil() as u32 {
             let destination = self.random.random_range(0..order.destinations);
@@ -313,15 +313,15 @@
         if outcome == Outcome::Success {
             self.delivered += usize::from(self.messages.remove(&message).is_some());
         }
-        let (closed, report) = (outcome == Outcome::Success, Vec::new());
-        Some(Event::Ended {
+        let complete = outcome == Outcome::Success;
+        Some(Event::AttemptEnded {
             message,
             attempt,
             endpoint,
             outcome,
             latency,
-            closed,
-            report,
+            complete,
+            report: Vec::new(),
         })
     }
 
@@ -359,10 +359,10 @@
             Action::Cancel { message, attempt } => {
                 self.cancelled.insert((message, attempt), self.now);
             }
-            Action::Refuse { message, .. } | Action::Fail(message) => {
+            Action::Reject { message, .. } | Action::Fail(message) => {
                 self.messages.remove(&message);
             }
-            Action::SetAlarm(at) => self.alarm = at,
+            Action::SetTimer(at) => self.alarm = at,
             _ => {}
         }
     }
@@ -375,15 +375,15 @@
     settings.senders = SENDERS;
     settings.max_attempts = 1_000;
     settings.weight_trust = 0.5;
-    settings.connection_idle = 10 * SECOND;
-    let keyed = Effect::Keyed {
+    settings.connection_idle_timeout = 10 * SECOND;
+    let keyed = Effect::IdempotencyKey {
         window: 10 * SECOND,
-        zone_only: false,
+        same_zone_only: false,
     };
     for (name, effect) in [
-        ("repeatable", Effect::Repeatable),
+        ("repeatable", Effect::Idempotent),
         ("keyed", keyed),
-        ("unsafe", Effect::Unsafe),
+        ("unsafe", Effect::NonIdempotent),
     ] {
         let class = Class::new(name, effect, 4 * SECOND, KEPT);
         settings.classes.push(Class {
--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -170,14 +170,14 @@
 }
 
 fn record(number: u64, now: i64, destination: u64) -> anyhow::Result<Vec<u8>> {
-    let keyed = message_sender::Effect::Keyed {
+    let keyed = message_sender::Effect::IdempotencyKey {
         window: WINDOW,
-        zone_only: false,
+        same_zone_only: false,
     };
     let classes = [
-        ("status", message_sender::Effect::Repeatable),
+        ("status", message_sender::Effect::Idempotent),
         ("report", keyed),
-        ("charge", message_sender::Effect::Unsafe),
+        ("charge", message_sender::Effect::NonIdempotent),
     ];
     let (class, effect) = classes[(number % classes.len() as u64) as usize];
     let taken = Taken {
--- a/ledger/src/compact.rs
+++ b/ledger/src/compact.rs
@@ -15,7 +15,7 @@
 use versioned_config::Micros;
 
 /// The media type of both, with the version in its name.
-pub const MEDIA_TYPE: &str = "application/vnd.milletturn.quotas.v1";
+pub const MEDIA_TYPE: &str = "application/vnd.message_sender.quotas.v1";
 /// The first byte of both.
 const VERSION: u8 = 1;
 
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -15,7 +15,7 @@
 pub struct Group {
     pub class: usize,
     /// The bits of the worth of one.
-    pub worth: u64,
+    pub priority_weight: u64,
     /// Attempts so far, and whether any of them may have run.
     pub attempts: usize,
     pub at_risk: bool,
@@ -70,7 +70,7 @@
         let alone = out || held.key.is_some() || at_risk && !repeatable;
         let group = Group {
             class: held.class,
-            worth: held.worth.to_bits(),
+            priority_weight: held.priority_weight.to_bits(),
             attempts: held.attempts.len(),
             at_risk,
             alone: alone.then_some(id),
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -52,7 +52,7 @@
 /// most. Higher returns and works backlogs off sooner, lower spares one that is listed too high.
 const LISTED_SURE: f64 = 0.75;
 const LISTED_MOST: f64 = 1.5;
-/// Rest before a message is tried again: first, and at most. Longer spares attempts, shorter saves time.
+/// Rest before a message is tried resubmitted: first, and at most. Longer spares attempts, shorter saves time.
 const RETRY_FIRST: Micros = 150 * MILLISECOND;
 const RETRY_MOST: Micros = 2 * SECOND;
 /// Time kept before a deadline for a last answer, and before a keyed window or a wait ends.
@@ -98,7 +98,7 @@
     counted: u32,
     fleet: Option<FleetView>,
     fleet_since: Micros,
-    agreed: Option<Box<Agreed>>,
+    agreed: Option<Box<AgreedRules>>,
     /// The list may be older than what counts as told.
     stale: bool,
     /// This machine can't write down what is sent: the next process finds out for itself.
@@ -125,7 +125,7 @@
     /// When the settings make no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let list_retry = settings.list_on_request.then_some(Micros::MIN);
+        let list_retry = settings.list_by_subscription.then_some(Micros::MIN);
         let tenant_tokens = settings.tenants.iter().map(|_| (f64::MAX, 0)).collect();
         Ok(Sender {
             counted: settings.senders,
@@ -183,7 +183,7 @@
         if released
             || events
                 .iter()
-                .any(|event| matches!(event, Event::Resumed { .. }))
+                .any(|event| matches!(event, Event::MessageRestored { .. }))
         {
             self.spread_backlog(released);
         }
@@ -204,52 +204,59 @@
 
     fn learn(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Agreed(agreed) => self.agreed = agreed.clone(),
-            Event::Stale(stale) => self.stale = *stale,
+            Event::AgreedRules(agreed) => self.agreed = agreed.clone(),
+            Event::EndpointListStale(stale) => self.stale = *stale,
             Event::HostFailing(failing) => self.host_failing = *failing,
-            Event::Shared(quotas) => self.share(quotas.clone()),
-            Event::Word { destination, out } => self.hear(*destination, *out, actions),
-            Event::Fleet(view) => {
+            Event::Quotas(quotas) => self.share(quotas.clone()),
+            Event::FleetHealth {
+                destination,
+                unavailable,
+            } => self.hear(*destination, *unavailable, actions),
+            Event::FleetView(view) => {
                 // who holds a view may grow; what is seen must stand
-                let seen = |view: FleetView| FleetView { holders: 0, ..view };
+                let seen = |view: FleetView| FleetView {
+                    agreeing: 0,
+                    ..view
+                };
                 if view.map(seen) != self.fleet.map(seen) {
                     self.fleet_since = self.now;
                 }
                 self.fleet = *view;
             }
-            Event::Listed { listing, entries } => self.learn_list(*listing, entries),
-            Event::ListFailed => {
+            Event::EndpointList { scope, entries } => self.learn_list(*scope, entries),
+            Event::EndpointListFailed => {
                 let jitter = Micros::from(self.random.next_u32()) % self.list_rest;
                 self.list_retry = Some(self.now + self.list_rest / 2 + jitter);
                 self.list_rest = (self.list_rest * 2).min(LIST_MOST);
             }
             Event::Accepted(message) => {
-                if self.index.open() < self.most(|bounds| bounds.messages, self.settings.max_held)
+                if self.index.open()
+                    < self.most(|bounds| bounds.max_messages, self.settings.max_pending)
                     && self.bound(message.class).is_none_or(|bound| bound.accepted)
                 {
                     self.accept(message);
                 } else {
-                    actions.push(Action::Refuse {
+                    actions.push(Action::Reject {
                         message: message.id,
-                        wait: self.client_wait(),
+                        retry_after: self.client_wait(),
                     });
                 }
             }
-            Event::Resumed { message, attempts } => self.resume(message, attempts),
-            Event::Restarted => self.keys_rest_until = self.now + self.settings.safety.key_rest,
-            Event::Unnoticed(message) => {
+            Event::MessageRestored { message, attempts } => self.resume(message, attempts),
+            Event::Restarted => self.keys_rest_until = self.now + self.settings.safety.key_backoff,
+            Event::NotificationPending(message) => {
                 self.accept(message);
                 let ended = |held: &mut PendingMessage| (held.open, held.unnoticed) = (false, true);
                 self.messages.entry(message.id).and_modify(ended);
                 self.reindex(message.id);
             }
-            Event::Noticed(message) => {
+            Event::NotificationDelivered(message) => {
                 self.messages
                     .entry(*message)
                     .and_modify(|held| held.unnoticed = false);
                 self.forget_if_done(*message);
             }
-            Event::Retuned(settings) => {
+            Event::SettingsChanged(settings) => {
                 let same = settings.senders == self.settings.senders;
                 self.counted = if same { self.counted } else { settings.senders };
                 self.settings = (**settings).clone();
@@ -271,50 +278,57 @@
                 actions.push(Action::Disconnect(*endpoint));
                 self.forget_gone();
             }
-            Event::Stopping { ends } => self.ends = Some(*ends),
-            Event::ToldWait { endpoint, wait } => {
+            Event::ShuttingDown { at } => self.ends = Some(*at),
+            Event::RetryAfter { endpoint, wait } => {
                 let id = self.unit_of(*endpoint);
                 self.heed(id, *wait, actions);
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 message,
                 attempt,
                 outcome,
                 latency,
-                closed,
+                complete,
                 report,
                 ..
             } => {
                 self.learn_outcome(*message, *attempt, *outcome, *latency, report, actions);
-                if *outcome == Outcome::Success || *closed {
+                if *outcome == Outcome::Success || *complete {
                     self.close(*message, actions);
                 }
                 self.forget_if_done(*message);
             }
-            Event::Dropped(message) => {
+            Event::MessageAbandoned(message) => {
                 self.close(*message, actions);
                 self.forget_if_done(*message);
             }
-            Event::Started { .. } | Event::Probed { .. } | Event::Noted { .. } | Event::Alarm => {}
+            Event::ResponseStarted { .. }
+            | Event::HealthCheckEnded { .. }
+            | Event::PeerNote { .. }
+            | Event::TimerExpired => {}
         }
     }
 
     /// The number of senders that all is scaled by. Guards destinations against senders that hear less and
     /// grow bolder: it falls below the configured number only once nobody is suspect, a majority of the
     /// configured is known to hold just this view, and it has stood for the cold time; it rises at once, and
-    /// is the configured one in a minority and in doubt. Senders never heard of count as living. Could starve
+    /// is the configured one in a minority and in in_doubt. Senders never heard of count as living. Could starve
     /// a destination for that time after many have gone.
     fn count_senders(&mut self) {
         let (configured, before) = (self.settings.senders, self.counted);
         let target = self.fleet.map_or(configured, |view| {
             let minority = view.living.saturating_mul(2) <= configured;
-            let gone = if view.doubt || minority { 0 } else { view.gone };
+            let gone = if view.in_doubt || minority {
+                0
+            } else {
+                view.gone
+            };
             view.living.max(configured.saturating_sub(gone)).max(1)
         });
         let sure = self
             .fleet
-            .is_some_and(|view| view.suspects == 0 && view.holders.saturating_mul(2) > configured);
-        let stands = self.fleet_since + self.settings.safety.cold_time;
+            .is_some_and(|view| view.suspects == 0 && view.agreeing.saturating_mul(2) > configured);
+        let stands = self.fleet_since + self.settings.safety.warm_up_time;
         if target < before && !(sure && stands <= self.now) {
             self.due = if sure { self.due.min(stands) } else { self.due };
             return;
@@ -333,11 +347,11 @@
         }
     }
 
-    fn learn_list(&mut self, listing: Listing, entries: &[Entry]) {
-        if listing != Listing::Old {
+    fn learn_list(&mut self, scope: ListScope, entries: &[EndpointEntry]) {
+        if scope != ListScope::Stale {
             self.list_rest = LIST_FIRST;
         }
-        if listing != Listing::Changes {
+        if scope != ListScope::Changes {
             self.endpoints
                 .values_mut()
                 .for_each(|known| known.serving = false);
@@ -396,7 +410,8 @@
     fn accept(&mut self, new: &NewMessage) {
         let deadline = self.now + new.time_left;
         let class = self.settings.classes.get(new.class);
-        let (mut worth, ordered) = class.map_or((1.0, false), |class| (class.worth, class.ordered));
+        let (mut priority_weight, ordered) =
+            class.map_or((1.0, false), |class| (class.priority_weight, class.ordered));
         let born = class.map_or(self.now, |class| deadline - class.deadline);
         if let Some(tenant) = new
             .tenant
@@ -411,10 +426,10 @@
             *at = self.now;
             let within = *tokens >= 1.0;
             *tokens -= f64::from(u8::from(within));
-            worth *= if within {
+            priority_weight *= if within {
                 1.0
             } else {
-                self.settings.over_share_worth
+                self.settings.over_share_weight
             };
         }
         let key = new
@@ -422,7 +437,7 @@
             .filter(|_| ordered || self.bound(new.class).is_some_and(|bound| bound.ordered));
         if let Some(key) = key {
             self.keys.entry(key).or_default().turn.push_back(new.id);
-            if self.keys.len() > 2 * self.settings.max_held {
+            if self.keys.len() > 2 * self.settings.max_pending {
                 self.forget_gone();
             }
         }
@@ -430,12 +445,12 @@
             key,
             created_at: born,
             deadline,
-            worth,
+            priority_weight,
             open: true,
             ..PendingMessage::default()
         };
         (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
-        held.most_attempts = new.attempts.unwrap_or(self.settings.max_attempts);
+        held.most_attempts = new.max_attempts.unwrap_or(self.settings.max_attempts);
         if let Some(mut before) = self.messages.insert(new.id, held) {
             self.index.set(new.id, &mut before, Standing::default());
         }
@@ -447,7 +462,7 @@
     /// key must count from the first.
     fn resume(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
         self.accept(message);
-        let rest_until = self.now + self.key_rest(message.class);
+        let rest_until = self.now + self.key_backoff(message.class);
         let Some(held) = self.messages.get_mut(&message.id) else {
             return;
         };
@@ -494,12 +509,12 @@
     fn effect(&self, class: usize) -> Effect {
         let own = self.own_effect(class);
         self.bound(class)
-            .map_or(own, |bound| own.meet(bound.effect))
+            .map_or(own, |bound| own.intersection(bound.effect))
     }
 
     /// What agreed rules allow a class now, if there are any. Guards against senders that contradict each
     /// other; could starve a class that the rules do not name.
-    fn bound(&self, class: usize) -> Option<ClassBound> {
+    fn bound(&self, class: usize) -> Option<ClassBounds> {
         let bounds = self.agreed.as_ref()?.at(self.now);
         let name = self
             .settings
@@ -511,12 +526,12 @@
                 .classes
                 .get(name)
                 .copied()
-                .unwrap_or(ClassBound::NOTHING),
+                .unwrap_or(ClassBounds::NOTHING),
         )
     }
 
     /// A limit of the settings, or a lower one of agreed rules.
-    fn most(&self, limit: impl Fn(&Bounds) -> Option<usize>, own: usize) -> usize {
+    fn most(&self, limit: impl Fn(&RuleBounds) -> Option<usize>, own: usize) -> usize {
         let agreed = self
             .agreed
             .as_ref()
@@ -524,18 +539,18 @@
         agreed.map_or(own, |most| most.min(own))
     }
 
-    fn key_rest(&self, class: usize) -> Micros {
+    fn key_backoff(&self, class: usize) -> Micros {
         self.settings
             .safety
-            .key_rest
-            .max(self.bound(class).map_or(0, |bound| bound.key_rest))
+            .key_backoff
+            .max(self.bound(class).map_or(0, |bound| bound.key_backoff))
     }
 
     fn own_effect(&self, class: usize) -> Effect {
         self.settings
             .classes
             .get(class)
-            .map_or(Effect::Unsafe, |class| class.effect)
+            .map_or(Effect::NonIdempotent, |class| class.effect)
     }
 
     fn unit_of(&self, endpoint: EndpointId) -> UnitId {
--- a/src/decisions/held.rs
+++ b/src/decisions/held.rs
@@ -112,21 +112,24 @@
     }
 
     fn add_unit(&self, unit: &Unit, demand: &mut Demand) {
-        (demand.out, demand.sent) = (demand.out + unit.in_flight as u64, demand.sent + unit.sent);
-        demand.sick |= unit.health != Health::Well;
+        demand.in_flight += unit.in_flight as u64;
+        demand.sent += unit.sent;
+        demand.unhealthy |= unit.health != Health::Well;
         demand.failing |= matches!(unit.health, Health::Sick { .. })
             && (unit.failed_at > unit.alive_at || unit.quiet > 0);
-        demand.alive |= unit.succeeded && self.now - unit.alive_at < self.settings.safety.fall_span;
+        demand.alive |=
+            unit.succeeded && self.now - unit.alive_at < self.settings.safety.overload_span;
     }
 
     /// The order in which the messages of a group are sent.
     pub(super) fn order(&self, group: Group) -> Order<impl Fn(Micros) -> f64> {
-        let urgency = move |born| self.urgency(group.class, f64::from_bits(group.worth), born);
+        let urgency =
+            move |born| self.urgency(group.class, f64::from_bits(group.priority_weight), born);
         let aim = self
             .settings
             .classes
             .get(group.class)
-            .map_or(1, |class| class.aim);
+            .map_or(1, |class| class.latency_objective);
         // the greatest age that is no more than the part of the aim, by the same rounding
         let mut rises = (aim as f64 * AIM_RISES) as Micros + 1;
         while rises as f64 / aim as f64 > AIM_RISES {
@@ -187,7 +190,7 @@
     pub(super) fn standing(&self, id: MessageId, held: &PendingMessage) -> Standing {
         let line = held.key.and_then(|key| self.keys.get(&key));
         let first = line.is_none_or(|line| line.turn.front() == Some(&id));
-        let repeatable = self.own_effect(held.class) == Effect::Repeatable;
+        let repeatable = self.own_effect(held.class) == Effect::Idempotent;
         Standing::of(id, held, self.now, first, repeatable, self.spent_at(held))
             .apart(id, self.index.apart)
     }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -5,7 +5,9 @@
     share_of,
 };
 use crate::decisions::state::{Health, UnitId, seconds};
-use crate::interface::{Action, EndpointId, MILLISECOND, MessageId, Micros, Outcome, SECOND};
+use crate::interface::{
+    Action, EjectionReason, EndpointId, MILLISECOND, MessageId, Micros, Outcome, RouteEvent, SECOND,
+};
 
 /// Refusals in a row, over at least this long, that mean shut rather than throttled.
 const SHUT_RUN: u32 = 4;
@@ -31,7 +33,7 @@
             .messages
             .get(&id)
             .map_or(usize::MAX, |message| message.class);
-        let key_rest = self.key_rest(class);
+        let key_backoff = self.key_backoff(class);
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
@@ -48,11 +50,11 @@
         // what the host could not send rests too, or a lasting fault there would use up all attempts at once
         if !matches!(
             outcome,
-            Outcome::Success | Outcome::Unsent { no_slot: true }
+            Outcome::Success | Outcome::NotSent { no_slot: true }
         ) {
             let rest = message.retry_rest;
             message.retry_rest = (rest * 2).min(RETRY_MOST);
-            let refused = matches!(outcome, Outcome::Refused { .. });
+            let refused = matches!(outcome, Outcome::Rejected { .. });
             message.retry_at = self.now + if refused { 0 } else { rest };
         }
         let rests = matches!(
@@ -64,7 +66,7 @@
             .filter(|_| rests)
             .and_then(|key| self.keys.get_mut(&key));
         line.into_iter()
-            .for_each(|line| line.rest_until = line.rest_until.max(self.now + key_rest));
+            .for_each(|line| line.rest_until = line.rest_until.max(self.now + key_backoff));
         self.reindex(id);
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
@@ -79,7 +81,10 @@
             unit.look_anew();
             self.close_idle(unit_id, endpoint_id, actions);
         }
-        if let Outcome::Refused { wait: Some(wait) } = outcome {
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = outcome
+        {
             self.heed(unit_id, wait, actions);
         }
         self.learn_report(unit_id, report);
@@ -88,8 +93,8 @@
         }
         let (now, span, cold) = (
             self.now,
-            self.settings.safety.fall_span,
-            self.settings.safety.cold_time,
+            self.settings.safety.overload_span,
+            self.settings.safety.warm_up_time,
         );
         let (slots, senders) = (self.settings.call_slots as f64, f64::from(self.counted));
         let (phase, crowd) = (self.phase(), self.crowd());
@@ -121,11 +126,11 @@
         };
         if matches!(
             outcome,
-            Outcome::Success | Outcome::Error | Outcome::Refused { .. }
+            Outcome::Success | Outcome::Error | Outcome::Rejected { .. }
         ) {
             unit.alive_at = now;
         }
-        if outcome.failed() || matches!(outcome, Outcome::Refused { .. }) {
+        if outcome.failed() || matches!(outcome, Outcome::Rejected { .. }) {
             unit.failed_at = now;
         }
         match outcome {
@@ -172,7 +177,9 @@
                                 .entry(*id)
                                 .and_modify(|known| known.crowded = 0.0);
                         }
-                        actions.push(Action::Log(format!("destination {} returns", unit_id.0)));
+                        actions.push(Action::Log(RouteEvent::Recovering {
+                            destination: unit_id.0,
+                        }));
                     }
                     Health::Returning { since } if now - since > late(since) => {
                         unit.health = Health::Well
@@ -180,7 +187,7 @@
                     _ => {}
                 }
             }
-            Outcome::Refused { wait } => {
+            Outcome::Rejected { retry_after: wait } => {
                 unit.refused_since = if unit.refused_run == 0 {
                     now
                 } else {
@@ -196,7 +203,7 @@
                     unit.slow_down(known, rate * (1.0 - crowd), senders, unheard, phase);
                 }
                 if shut {
-                    self.fall_sick(unit_id, false, "shut", actions);
+                    self.fall_sick(unit_id, false, EjectionReason::Closed, actions);
                 }
             }
             _ if outcome.failed() => {
@@ -210,7 +217,7 @@
                 }
                 unit.succeeded = false;
                 if unit.fails > FAIL_SICK {
-                    self.fall_sick(unit_id, false, "fails", actions);
+                    self.fall_sick(unit_id, false, EjectionReason::Failures, actions);
                 }
             }
             _ => {}
@@ -218,8 +225,8 @@
     }
 
     pub(super) fn heed(&mut self, id: UnitId, wait: Micros, actions: &mut Vec<Action>) {
-        if wait > 2 * self.settings.safety.fall_span {
-            self.fall_sick(id, false, "shut", actions); // closed, not throttled: it opens cold
+        if wait > 2 * self.settings.safety.overload_span {
+            self.fall_sick(id, false, EjectionReason::Closed, actions); // closed, not throttled: it opens cold
         }
         let until = self.now + wait + MILLISECOND;
         self.unit(id).wait_until = self.unit(id).wait_until.max(until);
@@ -232,7 +239,7 @@
         let read = |at: Option<usize>| at.and_then(|index| report.get(index).copied());
         let (limit, left) = (
             read(self.settings.report_limit),
-            read(self.settings.report_left),
+            read(self.settings.report_remaining),
         );
         let share = limit.unwrap_or(0.0) / f64::from(self.counted);
         let Some(limit) = limit.filter(|&limit| limit > 0.0 && limit.is_finite()) else {
@@ -260,7 +267,7 @@
         endpoint: EndpointId,
         actions: &mut Vec<Action>,
     ) {
-        let (now, idle) = (self.now, self.settings.connection_idle);
+        let (now, idle) = (self.now, self.settings.connection_idle_timeout);
         let unit = self.unit(id);
         let usual = unit.usual_rate(now, idle);
         let Some(known) = self.endpoints.get(&endpoint) else {
@@ -278,7 +285,7 @@
         &mut self,
         id: UnitId,
         silent: bool,
-        why: &str,
+        reason: EjectionReason,
         actions: &mut Vec<Action>,
     ) {
         let (most, now) = (
@@ -290,12 +297,15 @@
         if !unit.is_sick() {
             unit.tokens = phase;
             // from here on the fail-back budget sets the rate, not what failures made of the pace
-            unit.pace = if why == "shut" {
+            unit.pace = if reason == EjectionReason::Closed {
                 unit.pace
             } else {
                 unit.pace.max(unit.best_rate)
             };
-            actions.push(Action::Log(format!("destination {} sick: {why}", id.0)));
+            actions.push(Action::Log(RouteEvent::Ejected {
+                destination: id.0,
+                reason,
+            }));
             // refusals mean shut after a span, however seldom this one calls; enough of them come later
             let since = if unit.refused_run > 0 {
                 now.min(unit.refused_since + SHUT_SPAN)
--- a/src/decisions/pace.rs
+++ b/src/decisions/pace.rs
@@ -148,7 +148,7 @@
             Health::Sick { .. } => now,
             Health::Returning { since } => since,
         };
-        let cold = safety.cold_time.max(1);
+        let cold = safety.warm_up_time.max(1);
         let warm = (now - since) as f64 / cold as f64;
         let level = safety.start_capacity + (1.0 - safety.start_capacity) * warm.min(1.0);
         let usual = self.usual_rate(now, cold);
@@ -158,10 +158,10 @@
             .clamp(usual, 2.0 * usual)
             .max(self.share)
             .max(listed)
-            * safety.fall_multiple
+            * safety.overload_multiple
             * BUDGET_SHARE
             * level;
-        let span = seconds(safety.fall_span.max(1));
+        let span = seconds(safety.overload_span.max(1));
         let trials = (TRIALS / senders / span)
             .max(0.5 / seconds(cold))
             .min(1.0 / span);
--- a/src/decisions/permission.rs
+++ b/src/decisions/permission.rs
@@ -15,7 +15,7 @@
         let settings = &self.settings;
         let allowed = self
             .bound(message.class)
-            .map_or(usize::MAX, |bound| bound.attempts);
+            .map_or(usize::MAX, |bound| bound.max_attempts);
         let out = message
             .attempts
             .iter()
@@ -27,7 +27,7 @@
             || target.destination != message.destination
             || message.attempts.len() >= message.most_attempts.min(allowed)
             || self.now + DEADLINE_MARGIN >= message.deadline
-            || (out > 0 && !settings.second_copies)
+            || (out > 0 && !settings.hedging_allowed)
         {
             return false;
         }
@@ -35,15 +35,15 @@
             self.endpoints.get(&id).map(|known| known.zone)
         });
         let apart = |past: &Attempt| zone(past.endpoint) != Some(target.zone);
-        let zone_only = matches!(
+        let same_zone_only = matches!(
             effect,
-            Effect::Keyed {
-                zone_only: true,
+            Effect::IdempotencyKey {
+                same_zone_only: true,
                 ..
             }
         );
         let repeatable = self.is_harmless(message, effect)
-            && !(zone_only && message.attempts_at_risk().any(apart));
+            && !(same_zone_only && message.attempts_at_risk().any(apart));
         let turn = message
             .key
             .and_then(|key| self.keys.get(&key))
@@ -61,13 +61,13 @@
         let shared = self
             .quotas
             .as_ref()
-            .and_then(|quotas| quotas.of(message.destination).out);
+            .and_then(|quotas| quotas.of(message.destination).in_flight);
         let shared = shared
-            .and_then(|(share, _)| share.at(self.now))
+            .and_then(|quota| quota.share.at(self.now))
             .unwrap_or(u64::MAX);
         let slots = joins
             || (in_flight as u64) < shared
-                && (self.calls.len() < self.most(|bounds| bounds.calls, settings.call_slots)
+                && (self.calls.len() < self.most(|bounds| bounds.max_calls, settings.call_slots)
                     && in_flight < share_of(settings.call_slots, WINDOW_MOST));
         repeatable && turn && !waits && slots
     }
@@ -80,8 +80,9 @@
     /// True if the message may be refused: it is certain that a retry does no harm.
     pub(super) fn may_refuse(&self, message: &PendingMessage) -> bool {
         match self.effect(message.class) {
-            Effect::Keyed {
-                zone_only: true, ..
+            Effect::IdempotencyKey {
+                same_zone_only: true,
+                ..
             } => message.attempts_at_risk().next().is_none(),
             effect => self.is_harmless(message, effect),
         }
@@ -90,9 +91,9 @@
     /// True if the message may run once more now: it never ran, or a repeat has no effect.
     pub(super) fn is_harmless(&self, message: &PendingMessage, effect: Effect) -> bool {
         match effect {
-            Effect::Repeatable => true,
-            Effect::Unsafe => message.attempts_at_risk().next().is_none(),
-            Effect::Keyed { window, .. } => message
+            Effect::Idempotent => true,
+            Effect::NonIdempotent => message.attempts_at_risk().next().is_none(),
+            Effect::IdempotencyKey { window, .. } => message
                 .window_ends(window - DEADLINE_MARGIN)
                 .is_none_or(|ends| self.now < ends),
         }
--- a/src/decisions/proposals.rs
+++ b/src/decisions/proposals.rs
@@ -11,7 +11,8 @@
     units_of,
 };
 use crate::interface::{
-    Action, DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros, Quotas,
+    Action, DestinationId, Effect, EjectionReason, EndpointId, MILLISECOND, MessageId, Micros,
+    Quotas,
 };
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
@@ -27,7 +28,7 @@
         let mut excess = self
             .index
             .open()
-            .saturating_sub(share_of(self.settings.max_held, HELD_FULL));
+            .saturating_sub(share_of(self.settings.max_pending, HELD_FULL));
         let first = self.index.first_deadline();
         self.due = first.map_or(self.due, |deadline| {
             self.due.min(deadline - DEADLINE_MARGIN)
@@ -46,7 +47,7 @@
         {
             let idle = !message.has_attempt_in_flight() && !ended.contains(&id);
             if idle && self.may_refuse(message) && self.is_stuck(message) {
-                stuck.push((message.worth, message.created_at, id));
+                stuck.push((message.priority_weight, message.created_at, id));
             }
         }
         let mut ends: Vec<MessageId> = ended.into_iter().collect();
@@ -56,16 +57,16 @@
         for id in ends {
             let message = &self.messages[&id];
             actions.push(if self.may_refuse(message) {
-                Action::Refuse {
+                Action::Reject {
                     message: id,
-                    wait: self.client_wait(),
+                    retry_after: self.client_wait(),
                 }
             } else {
                 Action::Fail(id)
             });
             self.close(id, actions);
             if let Some(message) = self.messages.get_mut(&id) {
-                message.unnoticed = self.settings.ends_by_notice;
+                message.unnoticed = self.settings.completion_by_notification;
             }
             self.forget_if_done(id);
         }
@@ -73,7 +74,7 @@
 
     /// When a client that is turned away should come back, where clients are told.
     pub(super) fn client_wait(&self) -> Option<Micros> {
-        Some(self.settings.max_client_wait / 2).filter(|&wait| wait > 0)
+        Some(self.settings.max_retry_after / 2).filter(|&wait| wait > 0)
     }
 
     /// From when on no send can be legal: it may have run and cannot be repeated, or no attempt is left.
@@ -81,12 +82,12 @@
         // what rules forbid for now they may allow again
         match self.own_effect(message.class) {
             _ if message.attempts.len() >= message.most_attempts => Micros::MIN,
-            Effect::Repeatable => Micros::MAX,
-            Effect::Unsafe => message
+            Effect::Idempotent => Micros::MAX,
+            Effect::NonIdempotent => message
                 .attempts_at_risk()
                 .next()
                 .map_or(Micros::MAX, |_| Micros::MIN),
-            Effect::Keyed { window, .. } => message
+            Effect::IdempotencyKey { window, .. } => message
                 .window_ends(window - DEADLINE_MARGIN)
                 .unwrap_or(Micros::MAX),
         }
@@ -141,7 +142,7 @@
                 for passed in candidates.take_passed(place.destination) {
                     candidates.extend(self.index.after(passed, &self.order(passed.group), rank));
                 }
-            } else if !place.group.at_risk || self.effect(place.group.class) == Effect::Repeatable {
+            } else if !place.group.at_risk || self.effect(place.group.class) == Effect::Idempotent {
                 // what holds this one back holds all of its group back
                 candidates.pass_over(place);
                 continue;
@@ -152,18 +153,18 @@
 
     /// Worth still to be won per second of a slot; within the aim the oldest come first. The index relies on
     /// this: it rises with age up to a part of the aim, and never beyond.
-    pub(super) fn urgency(&self, class: usize, worth: f64, born: Micros) -> f64 {
+    pub(super) fn urgency(&self, class: usize, priority_weight: f64, born: Micros) -> f64 {
         let age = self.now - born;
         let Some(class) = self.settings.classes.get(class) else {
             return 0.0;
         };
-        let aims = age as f64 / class.aim as f64;
+        let aims = age as f64 / class.latency_objective as f64;
         let left = if aims <= AIM_RISES {
             1.0 + aims
         } else {
-            0.8 * class.worth_left(age, self.settings.fade)
+            0.8 * class.remaining_weight(age, self.settings.weight_decay)
         };
-        worth * left
+        priority_weight * left
     }
 
     /// The best legal endpoint for the message, and the call of this turn that it can join.
@@ -174,7 +175,7 @@
         opened: &BTreeMap<EndpointId, u64>,
     ) -> Option<(EndpointId, Option<u64>)> {
         let message = &self.messages[&id];
-        let unsafe_class = self.effect(message.class) == Effect::Unsafe;
+        let unsafe_class = self.effect(message.class) == Effect::NonIdempotent;
         let shared = self.allowed_together(message.destination);
         let message = &self.messages[&id];
         let routes: Vec<EndpointId> = self
@@ -305,7 +306,7 @@
         out: bool,
         actions: &mut Vec<Action>,
     ) {
-        let (now, span) = (self.now, self.settings.safety.fall_span);
+        let (now, span) = (self.now, self.settings.safety.overload_span);
         for id in self
             .units
             .range(units_of(destination))
@@ -315,7 +316,7 @@
             let unit = self.unit(id);
             match unit.health {
                 Health::Well if out && now - unit.alive_at > span => {
-                    self.fall_sick(id, true, "told", actions)
+                    self.fall_sick(id, true, EjectionReason::FleetHealth, actions)
                 }
                 Health::Sick { .. } if !out => unit.tokens = unit.tokens.max(1.0),
                 _ => {}
@@ -393,13 +394,13 @@
         let Some(warmup) = &mut known.warmup else {
             return true;
         };
-        let warm = (now - warmup.since) as f64 / safety.cold_time.max(1) as f64;
+        let warm = (now - warmup.since) as f64 / safety.warm_up_time.max(1) as f64;
         if warm >= 1.0 {
             known.warmup = None;
             return true;
         }
         let level = safety.start_capacity + (1.0 - safety.start_capacity) * warm;
-        let rate = known_rate / fellows as f64 * safety.fall_multiple * BUDGET_SHARE * level;
+        let rate = known_rate / fellows as f64 * safety.overload_multiple * BUDGET_SHARE * level;
         warmup.refill(now, rate);
         let allowed = warmup.tokens >= 1.0;
         if !allowed {
@@ -459,23 +460,23 @@
             return;
         };
         let (expires, start_by) = match effect {
-            Effect::Unsafe => (message.deadline, None),
-            Effect::Keyed { window: w, .. } => (
+            Effect::NonIdempotent => (message.deadline, None),
+            Effect::IdempotencyKey { window: w, .. } => (
                 message.deadline.min(now + w),
                 message.window_ends(w - DEADLINE_MARGIN),
             ),
-            Effect::Repeatable => (message.deadline.min(now + offset * 10), None),
+            Effect::Idempotent => (message.deadline.min(now + offset * 10), None),
         };
         let longest = self
             .quotas
             .as_ref()
-            .and_then(|quotas| quotas.of(unit_id.0).out);
-        let expires = longest.map_or(expires, |(_, longest)| expires.min(now + longest));
+            .and_then(|quotas| quotas.of(unit_id.0).in_flight);
+        let expires = longest.map_or(expires, |quota| expires.min(now + quota.max_duration));
         if copy {
             message.hedge_at = now + message.copy_step;
             message.copy_step *= 2;
         } else {
-            message.hedge_at = if effect == Effect::Unsafe {
+            message.hedge_at = if effect == Effect::NonIdempotent {
                 Micros::MAX
             } else {
                 now + offset
@@ -508,7 +509,7 @@
             return;
         };
         message.open = false;
-        let cancels = self.settings.may_cancel;
+        let cancels = self.settings.cancellation_allowed;
         let out = message
             .attempts
             .iter()
@@ -528,7 +529,7 @@
             .max(self.now + MILLISECOND);
         if at < self.alarm {
             self.alarm = at;
-            actions.push(Action::SetAlarm(at));
+            actions.push(Action::SetTimer(at));
         }
     }
 }
--- a/src/decisions/silence.rs
+++ b/src/decisions/silence.rs
@@ -2,7 +2,7 @@
 
 use super::{FIRST_COPY_DELAY, SILENT_LEAST, Sender, share_of};
 use crate::decisions::state::{Health, Unit, UnitId};
-use crate::interface::{Action, Effect, MILLISECOND};
+use crate::interface::{Action, Effect, EjectionReason, MILLISECOND};
 use std::collections::BTreeSet;
 
 /// A silent unit's calls are called off after this many limits: lower frees slots sooner, higher waits.
@@ -68,14 +68,14 @@
             .filter(|id| self.units.get(id).is_some_and(silent))
             .collect();
         ids.into_iter()
-            .for_each(|id| self.fall_sick(id, true, "silent", actions));
+            .for_each(|id| self.fall_sick(id, true, EjectionReason::Unresponsive, actions));
         for &message in self.index.out() {
             let Some(held) = self.messages.get_mut(&message) else {
                 continue;
             };
             let class = self.settings.classes.get(held.class);
-            let repeatable = class.is_some_and(|class| class.effect != Effect::Unsafe);
-            let free = self.settings.may_cancel && (scarce || repeatable);
+            let repeatable = class.is_some_and(|class| class.effect != Effect::NonIdempotent);
+            let free = self.settings.cancellation_allowed && (scarce || repeatable);
             for (index, attempt) in held.attempts.iter_mut().enumerate() {
                 let call = self
                     .calls
--- a/src/decisions/state.rs
+++ b/src/decisions/state.rs
@@ -2,7 +2,8 @@
 
 use crate::backlog::Standing;
 use crate::interface::{
-    DestinationId, EndpointId, Entry, MessageId, Micros, PastAttempt, SECOND, Share, Status,
+    Allocation, DestinationId, EndpointEntry, EndpointId, EndpointStatus, MessageId, Micros,
+    PastAttempt, QuotaShare, SECOND,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -42,9 +43,9 @@
     }
 
     /// Takes over what the list says of it.
-    pub fn update(&mut self, entry: &Entry) {
+    pub fn update(&mut self, entry: &EndpointEntry) {
         (self.destination, self.zone, self.kind) = (entry.destination, entry.zone, entry.kind);
-        self.serving = entry.status == Status::Serving;
+        self.serving = entry.status == EndpointStatus::Serving;
     }
 }
 
@@ -138,7 +139,7 @@
     pub created_at: Micros,
     pub deadline: Micros,
     /// What its delivery is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Attempts that it may have.
     pub most_attempts: usize,
     /// No final answer yet.
@@ -317,12 +318,17 @@
 
     /// Another share of the rate holds. What has come so far came by the one before; a larger part may be
     /// used up at its beginning.
-    pub fn change(&mut self, now: Micros, [before, after]: [Option<Share>; 2], burst: Micros) {
+    pub fn change(&mut self, now: Micros, [before, after]: [Option<QuotaShare>; 2], burst: Micros) {
         let rate = before.and_then(|share| share.at(now)).unwrap_or(0);
         self.refill(now, rate, burst);
-        let part = |share: Option<Share>| share.and_then(|share| share.part_at(now));
-        if let Some((Some(more), until)) = part(after) {
-            let had = part(before).map_or(0, |(part, _)| part.unwrap_or(more));
+        let allocation =
+            |share: Option<QuotaShare>| share.and_then(|share| share.allocation_at(now));
+        if let Some(Allocation {
+            amount: Some(more),
+            until,
+        }) = allocation(after)
+        {
+            let had = allocation(before).map_or(0, |allocation| allocation.amount.unwrap_or(more));
             let more = i64::try_from(more.saturating_sub(had)).unwrap_or(0);
             self.tokens = self.tokens.saturating_add(more.saturating_mul(until - now));
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,15 +1,27 @@
-//! The module's types: ids and time here, settings, rules and quotas, events, outcomes and actions. Validates, decides
-//! nothing.
+//! The types that the decisions and their host share: ids and time here, settings, rules and quotas, events, outcomes
+//! and actions. They are validated here; nothing is decided.
 
 mod actions;
+mod attempts;
+mod classes;
+mod endpoint_list;
 mod events;
+mod fleet;
+mod messages;
 mod quotas;
+mod route_events;
 mod rules;
 mod settings;
 
 pub use actions::*;
+pub use attempts::*;
+pub use classes::*;
+pub use endpoint_list::*;
 pub use events::*;
+pub use fleet::*;
+pub use messages::*;
 pub use quotas::*;
+pub use route_events::*;
 pub use rules::*;
 pub use settings::*;
 
@@ -22,7 +34,7 @@
 /// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
 
-/// A message, numbered by the host; never used again after its end.
+/// A message, numbered by the host; the number is never used again after the message's end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,15 +1,16 @@
-//! What the sender wants done.
+//! What the sender asks its host to do.
 
-use super::{EndpointId, MessageId, Micros};
+use super::{EndpointId, MessageId, Micros, RouteEvent};
 
-/// What the sender wants done.
+/// What the sender asks its host to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Call an endpoint. Sends to one endpoint in one turn share a call as far as its kind allows.
     Send {
         /// Which message.
         message: MessageId,
-        /// Which attempt, numbered on from 0; it comes back in the one [`Event::Ended`](super::Event::Ended) that it gets.
+        /// Which attempt, numbered on from 0; it comes back in the one
+        /// [`Event::AttemptEnded`](super::Event::AttemptEnded) that it gets.
         attempt: usize,
         /// Where to.
         endpoint: EndpointId,
@@ -18,7 +19,7 @@
         /// It may begin only before this time, however long its connection takes to come up; none: at any time.
         start_by: Option<Micros>,
     },
-    /// Call off an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// Which message.
         message: MessageId,
@@ -26,24 +27,24 @@
         attempt: usize,
     },
     /// End a message undelivered; a retry does no harm.
-    Refuse {
+    Reject {
         /// Which message.
         message: MessageId,
-        /// Advice to the client.
-        wait: Option<Micros>,
+        /// When the client should come back, where clients are told.
+        retry_after: Option<Micros>,
     },
     /// End a message as failed.
     Fail(MessageId),
-    /// Ring at this time.
-    SetAlarm(Micros),
-    /// Probe an endpoint.
-    Probe(EndpointId),
-    /// Give back the connections to an endpoint that carry nothing now.
+    /// Let the timer expire at this time.
+    SetTimer(Micros),
+    /// Make a health check of an endpoint.
+    HealthCheck(EndpointId),
+    /// Close the idle connections to an endpoint.
     Disconnect(EndpointId),
     /// Subscribe to the endpoint list.
     Subscribe,
     /// Write to all other senders.
-    Note(Vec<u8>),
-    /// A line for the log.
-    Log(String),
+    SendNote(Vec<u8>),
+    /// Write an event to the log.
+    Log(RouteEvent),
 }
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -1,49 +1,101 @@
-//! Limits that hold for all senders together: what this one may use of them, and what it could.
+//! Quotas: this sender's share of limits that hold for all senders together, and its demand for them.
 
 use super::{DestinationId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a sender may use of a limit that holds for all senders together.
+/// The part of a limit that is allocated to this sender for a time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Option<u64>, Micros)", into = "(Option<u64>, Micros)")]
+pub struct Allocation {
+    /// How much, in the unit of the share; none: there is no limit for so long.
+    pub amount: Option<u64>,
+    /// When it expires.
+    pub until: Micros,
+}
+
+impl From<(Option<u64>, Micros)> for Allocation {
+    fn from((amount, until): (Option<u64>, Micros)) -> Self {
+        Allocation { amount, until }
+    }
+}
+
+impl From<Allocation> for (Option<u64>, Micros) {
+    fn from(allocation: Allocation) -> Self {
+        (allocation.amount, allocation.until)
+    }
+}
+
+/// What this sender may use of a limit that holds for all senders together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
-    /// Without asking: in thousandths of a call a second, or in calls at once.
+pub struct QuotaShare {
+    /// Without an allocation: in thousandths of a call a second, or in concurrent calls.
     #[serde(rename = "floor")]
     pub fallback: u64,
-    /// Beside it, and until when; none within it: there is no limit for so long.
-    pub part: Option<(Option<u64>, Micros)>,
+    /// Added to the fallback while it lasts.
+    #[serde(rename = "part")]
+    pub allocation: Option<Allocation>,
 }
 
-impl Share {
-    /// The part that lasts, and until when; none within it: there is no limit.
-    pub fn part_at(&self, now: Micros) -> Option<(Option<u64>, Micros)> {
-        self.part.filter(|(_, until)| now < *until)
+impl QuotaShare {
+    /// The allocation, if it has not expired.
+    pub fn allocation_at(&self, now: Micros) -> Option<Allocation> {
+        self.allocation.filter(|allocation| now < allocation.until)
     }
 
-    /// What may be used at a time; none: all that it likes.
+    /// What may be used at a time; none: there is no limit.
     pub fn at(&self, now: Micros) -> Option<u64> {
-        match self.part_at(now) {
-            Some((part, _)) => part.map(|part| self.fallback.saturating_add(part)),
+        match self.allocation_at(now) {
+            Some(allocation) => allocation
+                .amount
+                .map(|amount| self.fallback.saturating_add(amount)),
             None => Some(self.fallback),
         }
     }
 }
 
-/// What a sender may send to one destination, as far as all senders together are limited there.
+/// A limit of concurrent calls.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(QuotaShare, Micros)", into = "(QuotaShare, Micros)")]
+pub struct ConcurrencyQuota {
+    /// How many calls.
+    pub share: QuotaShare,
+    /// How long one call may last at most.
+    pub max_duration: Micros,
+}
+
+impl From<(QuotaShare, Micros)> for ConcurrencyQuota {
+    fn from((share, max_duration): (QuotaShare, Micros)) -> Self {
+        ConcurrencyQuota {
+            share,
+            max_duration,
+        }
+    }
+}
+
+impl From<ConcurrencyQuota> for (QuotaShare, Micros) {
+    fn from(quota: ConcurrencyQuota) -> Self {
+        (quota.share, quota.max_duration)
+    }
+}
+
+/// What this sender may send to one destination, as far as all senders together are limited there.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
     /// Thousandths of a call a second.
-    pub rate: Option<Share>,
-    /// Calls out at once, and how long one may last at most.
-    pub out: Option<(Share, Micros)>,
-    /// Thousandths of a call a second while the destination is not well.
-    pub cold: Option<Share>,
+    pub rate: Option<QuotaShare>,
+    /// Calls in flight.
+    #[serde(rename = "out")]
+    pub in_flight: Option<ConcurrencyQuota>,
+    /// Thousandths of a call a second while the destination is not healthy.
+    #[serde(rename = "cold")]
+    pub unhealthy_rate: Option<QuotaShare>,
 }
 
 impl Quota {
-    /// The least rate that holds at a time for a destination that is well or not; none: any.
-    pub fn rate_at(&self, now: Micros, well: bool) -> Option<u64> {
-        let shares = [self.rate, self.cold.filter(|_| !well)];
+    /// The lowest rate that holds at a time for a destination that is healthy or not; none: there is no limit.
+    pub fn rate_at(&self, now: Micros, healthy: bool) -> Option<u64> {
+        let shares = [self.rate, self.unhealthy_rate.filter(|_| !healthy)];
         shares
             .into_iter()
             .flatten()
@@ -71,14 +123,14 @@
 /// What a sender could use at a destination.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Messages that wait there for a call.
+    /// Messages that wait for a call there.
     pub waiting: u64,
-    /// Calls out.
-    pub out: u64,
-    /// Calls sent since it was first seen.
+    /// Calls in flight.
+    pub in_flight: u64,
+    /// Calls sent since the destination was first seen.
     pub sent: u64,
-    /// It is not well.
-    pub sick: bool,
+    /// The destination is not healthy.
+    pub unhealthy: bool,
     /// It is not, by own calls that failed or are not answered.
     pub failing: bool,
     /// Its last call succeeded, a short while ago.
@@ -88,6 +140,6 @@
 impl Demand {
     /// Whether there is anything that a later look at the demand must show again.
     pub fn is_current(&self) -> bool {
-        self.waiting > 0 || self.out > 0 || self.sick || self.alive
+        self.waiting > 0 || self.in_flight > 0 || self.unhealthy || self.alive
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,15 +5,15 @@
 //! reads no clock: the program that hosts it does both. The same events always give the same actions.
 //!
 //! ```
-//! use message_sender::{Action, Class, Effect, Entry, Event, EndpointId, Listing, MessageId, NewMessage,
+//! use message_sender::{Action, Class, Effect, EndpointEntry, Event, EndpointId, ListScope, MessageId, NewMessage,
 //!     Sender, Settings};
 //!
 //! let mut settings = Settings::new(8, 100);
-//! settings.classes.push(Class::new("notice", Effect::Repeatable, 2_000_000, 10_000_000));
+//! settings.classes.push(Class::new("notice", Effect::Idempotent, 2_000_000, 10_000_000));
 //! let mut sender = Sender::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let events = [
-//!     Event::Listed { listing: Listing::Full, entries: vec![Entry::new(EndpointId(1), 40)] },
+//!     Event::EndpointList { scope: ListScope::Full, entries: vec![EndpointEntry::new(EndpointId(1), 40)] },
 //!     Event::Accepted(NewMessage::new(MessageId(5), 0, 40, 10_000_000)),
 //! ];
 //! sender.handle(1_000_000, &events, &mut actions);
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -42,7 +42,7 @@
     pub fn new(key: Option<u64>, effect: Effect) -> Self {
         Promise {
             key,
-            once: effect == Effect::Unsafe,
+            once: effect == Effect::NonIdempotent,
         }
     }
 }
@@ -197,7 +197,7 @@
 
     #[test]
     fn messages_of_a_key_begin_in_turn_and_after_the_rest() {
-        let mut lifecycle = two(Effect::Repeatable);
+        let mut lifecycle = two(Effect::Idempotent);
         assert_eq!(lifecycle.begin(B, 0), Err(Refusal::OutOfTurn));
         assert_eq!(lifecycle.begin(A, 0), Ok(()));
         lifecycle.over(A);
@@ -213,7 +213,7 @@
 
     #[test]
     fn an_end_that_is_not_told_keeps_its_turn() {
-        let mut lifecycle = two(Effect::Repeatable);
+        let mut lifecycle = two(Effect::Idempotent);
         lifecycle.close(A);
         assert_eq!(lifecycle.begin(A, 0), Err(Refusal::NotOpen));
         assert_eq!(lifecycle.begin(B, 0), Err(Refusal::OutOfTurn));
@@ -223,7 +223,7 @@
 
     #[test]
     fn what_must_not_run_twice_is_repeated_only_if_it_never_ran() {
-        let mut lifecycle = two(Effect::Unsafe);
+        let mut lifecycle = two(Effect::NonIdempotent);
         assert_eq!(lifecycle.begin(A, 0), Ok(()));
         assert_eq!(lifecycle.begin(A, 0), Err(Refusal::Repeat), "a second copy");
         lifecycle.ended(A, Outcome::NoConnection, 1, REST);
@@ -235,9 +235,9 @@
     #[test]
     fn what_is_taken_over_counts_its_calls() {
         let mut lifecycle = Lifecycle::default();
-        lifecycle.resume(A, Promise::new(None, Effect::Unsafe), 1, false);
+        lifecycle.resume(A, Promise::new(None, Effect::NonIdempotent), 1, false);
         assert_eq!(lifecycle.begin(A, 0), Err(Refusal::Repeat));
-        lifecycle.ended(A, Outcome::Refused { wait: None }, 0, REST);
+        lifecycle.ended(A, Outcome::Rejected { retry_after: None }, 0, REST);
         assert_eq!(lifecycle.begin(A, 0), Ok(()));
         assert_eq!(lifecycle.begin(B, 0), Err(Refusal::NotOpen));
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -122,7 +122,7 @@
         let clock = until_had("the clock", || Clock::resume(&config.state)).await?;
         let entries = config
             .settings
-            .max_held
+            .max_pending
             .saturating_mul(2 * config.settings.max_attempts + 1) as u64;
         let open = || Journal::open(&config.state, config.disk, entries);
         let (journal, recovery) = until_had("the journal", open).await?;
@@ -140,11 +140,14 @@
         .cloned()
         .unwrap_or_default();
     let span = |micros| Duration::from_micros(u64::try_from(micros).unwrap_or(0));
-    let (ask_lists, safety) = (config.settings.list_on_request, &config.settings.safety);
+    let (ask_lists, safety) = (
+        config.settings.list_by_subscription,
+        &config.settings.safety,
+    );
     let agents = discovery::Shared {
         senders,
         asked: ask_lists,
-        ask_every: span(safety.ask_every),
+        ask_every: span(safety.poll_interval),
     };
     // a call that is decided may be written once its connection is up
     let grace = span(safety.drain_grace).saturating_sub(span(config.names.dial_timeout));
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -9,7 +9,9 @@
 use super::events::{DriverInput, MAX_BODY_BYTES, ReportRequest};
 use super::log;
 use hyper::Method;
-use message_sender::{Agreed, Bounds, ClassBound, Effect, MILLISECOND, Micros};
+use message_sender::{
+    AgreedRules, ClassBounds, Effect, LeasedBounds, MILLISECOND, Micros, RuleBounds,
+};
 use serde_json::json;
 use settings::Agreement;
 use std::cell::Cell;
@@ -55,31 +57,31 @@
 }
 
 /// What rules allow, in the decisions' own terms.
-pub fn bounds(rules: &Rules) -> Bounds {
+pub fn bounds(rules: &Rules) -> RuleBounds {
     let micros = |ms: u64| {
         Micros::try_from(ms)
             .unwrap_or(Micros::MAX)
             .saturating_mul(MILLISECOND)
     };
     let effect = |effect: Agreeable| match effect {
-        Agreeable::AtMostOnce => Effect::Unsafe,
-        Agreeable::DeduplicatedInZone { window_ms } => Effect::Keyed {
+        Agreeable::AtMostOnce => Effect::NonIdempotent,
+        Agreeable::DeduplicatedInZone { window_ms } => Effect::IdempotencyKey {
             window: micros(window_ms),
-            zone_only: true,
+            same_zone_only: true,
         },
-        Agreeable::Deduplicated { window_ms } => Effect::Keyed {
+        Agreeable::Deduplicated { window_ms } => Effect::IdempotencyKey {
             window: micros(window_ms),
-            zone_only: false,
+            same_zone_only: false,
         },
-        Agreeable::Idempotent => Effect::Repeatable,
+        Agreeable::Idempotent => Effect::Idempotent,
     };
     let classes = rules.classes.iter().map(|(name, class)| {
-        let bound = ClassBound {
+        let bound = ClassBounds {
             accepted: class.accepted,
             effect: effect(class.effect),
-            attempts: class.attempts as usize,
+            max_attempts: class.attempts as usize,
             ordered: class.in_order,
-            key_rest: micros(class.gap_ms),
+            key_backoff: micros(class.gap_ms),
         };
         (name.clone(), bound)
     });
@@ -89,10 +91,10 @@
             .get(name)
             .and_then(|most| usize::try_from(*most).ok())
     };
-    Bounds {
+    RuleBounds {
         classes: classes.collect(),
-        calls: limit("calls"),
-        messages: limit("messages"),
+        max_calls: limit("calls"),
+        max_messages: limit("messages"),
     }
 }
 
@@ -124,7 +126,7 @@
         life += 1;
         let floor = bounds(&agreement.floor);
         means
-            .bind(Some(Agreed {
+            .bind(Some(AgreedRules {
                 leased: None,
                 fallback: floor.clone(),
             }))
@@ -159,7 +161,7 @@
     }
 
     /// Has rules bind all that is sent from now on; back once they do.
-    async fn bind(&self, agreed: Option<Agreed>) {
+    async fn bind(&self, agreed: Option<AgreedRules>) {
         let (binds, bound) = oneshot::channel();
         let _ = self.inputs.send(DriverInput::AgreedRules {
             rules: agreed.map(Box::new),
@@ -175,7 +177,7 @@
     means: &'a mut Means,
     agreement: Agreement,
     holder: Holder,
-    floor: Bounds,
+    floor: RuleBounds,
     /// How long the last lease was given for.
     lease: Duration,
     /// The last fault that was logged.
@@ -308,10 +310,13 @@
             .holder
             .until(self.means.now())
             .and_then(|until| Micros::try_from(until).ok());
-        let leased = until.map(|until| (leased, until));
+        let leased = until.map(|until| LeasedBounds {
+            bounds: leased,
+            until,
+        });
         // the next question says that it acts on this: it must by then
         self.means
-            .bind(Some(Agreed {
+            .bind(Some(AgreedRules {
                 leased,
                 fallback: self.floor.clone(),
             }))
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -258,7 +258,12 @@
             Ends::All(outcome, closed) => (*outcome, *closed),
             Ends::Each(ends) => ends.get(item).copied().unwrap_or((Outcome::Error, false)),
         };
-        let carried = matches!(outcome, Outcome::Refused { wait: Some(_) });
+        let carried = matches!(
+            outcome,
+            Outcome::Rejected {
+                retry_after: Some(_)
+            }
+        );
         ends.tell(
             item,
             outcome,
@@ -300,7 +305,7 @@
         let mut lease = match lease {
             Ok(lease) if call.start_by.is_some_and(|by| by <= Instant::now()) => {
                 lease.give_back();
-                return Outcome::Unsent { no_slot: false }.into();
+                return Outcome::NotSent { no_slot: false }.into();
             }
             Ok(lease) => lease,
             // this machine and the list say nothing of the endpoint's health
@@ -313,13 +318,13 @@
                     | Denied::Dial(DialFailure::Local),
                 ),
             ) => {
-                return Outcome::Unsent { no_slot: false }.into();
+                return Outcome::NotSent { no_slot: false }.into();
             }
             Err(_) => return Outcome::NoConnection.into(),
         };
         let Some((request, least)) = request_of(address, items, call.expires) else {
             lease.give_back();
-            return Outcome::Unsent { no_slot: false }.into();
+            return Outcome::NotSent { no_slot: false }.into();
         };
         let connection = lease.connection();
         let traffic = connection.traffic.clone();
@@ -378,9 +383,9 @@
         .set(shared.tells_waits.get() || wait.is_some());
     // what found no room for its connection says nothing of a limit on calls
     let refused = if no_room && wait.is_none() {
-        Outcome::Unsent { no_slot: false }
+        Outcome::NotSent { no_slot: false }
     } else {
-        Outcome::Refused { wait }
+        Outcome::Rejected { retry_after: wait }
     };
     let (outcome, closed) = match head.status {
         StatusCode::OK if items.len() > 1 => {
@@ -414,21 +419,21 @@
                 .is_some_and(|value| value == "1");
             (
                 if no_slot {
-                    Outcome::Unsent { no_slot }
+                    Outcome::NotSent { no_slot }
                 } else {
                     refused
                 },
                 false,
             )
         }
-        StatusCode::GATEWAY_TIMEOUT => (Outcome::Unsent { no_slot: false }, false),
-        StatusCode::GONE => (Outcome::Unsent { no_slot: false }, true),
+        StatusCode::GATEWAY_TIMEOUT => (Outcome::NotSent { no_slot: false }, false),
+        StatusCode::GONE => (Outcome::NotSent { no_slot: false }, true),
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE if items.len() > 1 => {
             shared.faults.log(format_args!(
                 "calls: {address} answered a bulk call with {}",
                 head.status
             ));
-            (Outcome::Unsent { no_slot: false }, false)
+            (Outcome::NotSent { no_slot: false }, false)
         }
         status => {
             if status != StatusCode::INTERNAL_SERVER_ERROR {
@@ -519,9 +524,9 @@
         .collect();
     let end = |item: &Item| match lines.get(item.id.as_bytes()).copied() {
         Some(b"ok") => (Outcome::Success, true),
-        Some(b"later") => (Outcome::Refused { wait }, false),
-        Some(b"gone") => (Outcome::Unsent { no_slot: false }, true),
-        Some(b"exhausted") => (Outcome::Unsent { no_slot: false }, false),
+        Some(b"later") => (Outcome::Rejected { retry_after: wait }, false),
+        Some(b"gone") => (Outcome::NotSent { no_slot: false }, true),
+        Some(b"exhausted") => (Outcome::NotSent { no_slot: false }, false),
         _ => (Outcome::Error, false),
     };
     items.iter().map(end).collect()
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -10,7 +10,7 @@
 
 fn shared(streams: Vec<DuplexStream>) -> (Rc<Shared>, Call) {
     let settings = Settings {
-        connection_idle: 60 * SECOND,
+        connection_idle_timeout: 60 * SECOND,
         ..Settings::new(8, 100)
     };
     let limits = limits(&PoolSettings::default(), 100, &settings);
@@ -163,7 +163,7 @@
         let answer = answer.expect("it has its end at once");
         assert!(matches!(
             answer.ends,
-            Ends::All(Outcome::Unsent { no_slot: false }, false)
+            Ends::All(Outcome::NotSent { no_slot: false }, false)
         ));
         // the connection came up and stays idle, with nothing written
         assert!(timeout(DRAIN, there.read_u8()).await.is_err());
@@ -197,7 +197,7 @@
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("bound");
             let settings = Settings {
-                connection_idle: 60 * SECOND,
+                connection_idle_timeout: 60 * SECOND,
                 ..Settings::new(8, 100)
             };
             let limits = limits(&PoolSettings::default(), 100, &settings);
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -331,7 +331,7 @@
             .map(|(path, text)| (path.as_str(), text.as_str()))
             .collect();
         let (mut settings, names) = read_settings(&Pairs(pairs))?;
-        settings.ends_by_notice = true;
+        settings.completion_by_notification = true;
         settings.validate()?;
         let membership = membership::settings::read(&file.membership, &name, settings.senders)?;
         let agreement = agreement::settings::read(&file.agreement)?;
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::golden::assert_same_bytes;
-use message_sender::Status;
+use message_sender::EndpointStatus;
 use serde_json::json;
 
 /// Every table and every key that the program reads.
@@ -105,7 +105,7 @@
             ["s-1", "a", "one"],
             "127.0.0.1:9001".to_string(),
             7,
-            Status::Serving,
+            EndpointStatus::Serving,
             2.5
         )
     );
@@ -115,7 +115,7 @@
             ["s-2", "b", "bulk"],
             "[::1]:9002".to_string(),
             8,
-            Status::Draining,
+            EndpointStatus::Draining,
             0.0
         )
     );
@@ -125,7 +125,7 @@
             ["s-3", "", ""],
             "127.0.0.1:9003".to_string(),
             9,
-            Status::Gone,
+            EndpointStatus::Removed,
             0.0
         )
     );
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,7 +1,7 @@
 //! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
 
 use crate::net::events::{ListUpdate, ListedEndpoint};
-use message_sender::Status;
+use message_sender::EndpointStatus;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
 
@@ -38,9 +38,9 @@
     let read = |value: &Value| {
         let target = Target::deserialize(value).map_err(|error| error.to_string())?;
         let status = match target.state.as_str() {
-            "up" => Status::Serving,
-            "draining" => Status::Draining,
-            "removed" => Status::Gone,
+            "up" => EndpointStatus::Serving,
+            "draining" => EndpointStatus::Draining,
+            "removed" => EndpointStatus::Removed,
             other => return Err(format!("unknown state '{other}'")),
         };
         let address = target
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -4,7 +4,7 @@
 use super::{Driver, Route};
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
-use message_sender::{Micros, Status};
+use message_sender::{EndpointStatus, Micros};
 use quota_ledger::gate::{Gate, Seen, widens};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
         ..
     } = listed;
     Seen {
-        up: *status == Status::Serving,
+        up: *status == EndpointStatus::Serving,
         destination: *destination,
         zone: zone.clone(),
         weight: *weight,
@@ -128,15 +128,15 @@
                 {
                     listed.weight = before.weight;
                     listed.status = if before.up {
-                        Status::Serving
+                        EndpointStatus::Serving
                     } else {
-                        Status::Draining
+                        EndpointStatus::Draining
                     };
                     taken.push(listed);
                 }
                 Some(before) => {
                     (listed.destination, listed.zone, listed.status) =
-                        (before.destination, before.zone, Status::Gone);
+                        (before.destination, before.zone, EndpointStatus::Removed);
                     taken.push(listed);
                 }
                 None => {}
--- a/src/net/driver/intake.rs
+++ b/src/net/driver/intake.rs
@@ -42,18 +42,18 @@
         let now = self.clock.at(Instant::now());
         for owed in owed.values() {
             if let Some(terms) = &owed.terms {
-                self.settings.place(terms.class(&owed.taken.class));
+                self.settings.class_position(terms.class(&owed.taken.class));
             }
         }
         if self.settings != *self.sender.settings() {
             self.events
-                .push(Event::Retuned(Box::new(self.settings.clone())));
+                .push(Event::SettingsChanged(Box::new(self.settings.clone())));
         }
         for (number, owed) in owed {
             self.next_message = self.next_message.max(number + 1);
             let message = MessageId(number);
             let class = match &owed.terms {
-                Some(terms) => self.settings.place(terms.class(&owed.taken.class)),
+                Some(terms) => self.settings.class_position(terms.class(&owed.taken.class)),
                 None => {
                     let named = |class: &Class| class.name == owed.taken.class;
                     self.settings
@@ -70,7 +70,7 @@
                     .tenant
                     .as_deref()
                     .map(|name| position(&self.names.tenants, name)),
-                attempts: owed.terms.as_ref().map(|terms| terms.attempts as usize),
+                max_attempts: owed.terms.as_ref().map(|terms| terms.attempts as usize),
                 ..NewMessage::new(
                     message,
                     class,
@@ -96,7 +96,7 @@
             if let Some(ending) = owed.ending {
                 self.lifecycle.close(message);
                 if !taken_over {
-                    self.events.push(Event::Unnoticed(new));
+                    self.events.push(Event::NotificationPending(new));
                 }
                 self.notify(Notice {
                     number,
@@ -146,7 +146,7 @@
                 &id,
                 format_args!("taken up again after {} attempts", past.len()),
             );
-            self.events.push(Event::Resumed {
+            self.events.push(Event::MessageRestored {
                 message: new,
                 attempts: past,
             });
@@ -188,7 +188,7 @@
                     .tenant
                     .as_deref()
                     .map(|name| position(&self.names.tenants, name)),
-                again: arrival.again,
+                resubmitted: arrival.again,
                 orphan: arrival.orphan,
                 ..NewMessage::new(message, arrival.class, arrival.destination, left)
             };
@@ -216,9 +216,12 @@
     pub(super) fn answer_arrivals(&mut self, actions: &[Action]) {
         for (message, (arrival, began)) in std::mem::take(&mut self.arrived) {
             let ends = actions.iter().find_map(|action| match action {
-                Action::Refuse { message: m, wait } if *m == message => {
-                    Some(SubmissionResult::Rejected { retry_after: *wait })
-                }
+                Action::Reject {
+                    message: m,
+                    retry_after,
+                } if *m == message => Some(SubmissionResult::Rejected {
+                    retry_after: *retry_after,
+                }),
                 Action::Fail(m) if *m == message => Some(SubmissionResult::Failed),
                 _ => None,
             });
@@ -230,7 +233,7 @@
             if answer != SubmissionResult::Accepted {
                 self.close(message);
                 if answer == SubmissionResult::NotStored {
-                    self.events.push(Event::Dropped(message));
+                    self.events.push(Event::MessageAbandoned(message));
                 }
             }
             // a client that is gone has said so by its guard
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -28,8 +28,8 @@
 use message_sender::pool::PoolSettings;
 use message_sender::wire::Names;
 use message_sender::{
-    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender,
-    Settings,
+    Action, AgreedRules, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, RuleBounds,
+    Sender, Settings,
 };
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -193,7 +193,7 @@
         ready: watch::Sender<bool>,
         shared: Shared,
         handover: Option<Handover>,
-        floor: Option<Bounds>,
+        floor: Option<RuleBounds>,
         floors: Option<Quotas>,
         seed: u64,
     ) -> Self {
@@ -242,20 +242,20 @@
         }
         if taken_over {
             // what the old process saw of the others is its own affair
-            driver.events.push(Event::Fleet(None));
+            driver.events.push(Event::FleetView(None));
         }
         // a start begins on the floor: what an old process was granted is its own
         let agreed = floor.map(|fallback| {
-            Box::new(Agreed {
+            Box::new(AgreedRules {
                 leased: None,
                 fallback,
             })
         });
         if taken_over || agreed.is_some() {
-            driver.events.push(Event::Agreed(agreed));
+            driver.events.push(Event::AgreedRules(agreed));
         }
         if taken_over || floors.is_some() {
-            driver.events.push(Event::Shared(floors.map(Box::new)));
+            driver.events.push(Event::Quotas(floors.map(Box::new)));
         }
         driver.retune(settings, names);
         if let Some(known) = known.filter(|_| !taken_over) {
@@ -372,34 +372,34 @@
                 };
                 held.clients = held.clients.saturating_sub(1);
                 if held.clients == 0 {
-                    self.events.push(Event::Dropped(message));
+                    self.events.push(Event::MessageAbandoned(message));
                     self.end(message);
                 }
             }
-            DriverInput::ShuttingDown(at) => self.events.push(Event::Stopping {
-                ends: self.clock.at(at),
+            DriverInput::ShuttingDown(at) => self.events.push(Event::ShuttingDown {
+                at: self.clock.at(at),
             }),
             DriverInput::AttemptEnded(ended) => self.ended(ended),
             DriverInput::RetryAfter { endpoint, wait } => {
                 self.told_wait(endpoint, wait);
-                self.events.push(Event::ToldWait { endpoint, wait });
+                self.events.push(Event::RetryAfter { endpoint, wait });
             }
             DriverInput::AgreedRules { rules, applied } => {
                 self.agreed = rules.is_some();
-                self.events.push(Event::Agreed(rules));
+                self.events.push(Event::AgreedRules(rules));
                 self.binding.push(applied);
             }
             DriverInput::Quotas { quotas, applied } => {
-                self.events.push(Event::Shared(quotas));
+                self.events.push(Event::Quotas(quotas));
                 self.binding.push(applied);
             }
             DriverInput::Freeze(freezing) => self.freeze(freezing),
             DriverInput::FleetHealth {
                 destination,
                 unavailable,
-            } => self.events.push(Event::Word {
+            } => self.events.push(Event::FleetHealth {
                 destination,
-                out: unavailable,
+                unavailable,
             }),
             DriverInput::Demand {
                 complete_up_to,
@@ -412,9 +412,9 @@
                     by_destination,
                 });
             }
-            DriverInput::FleetView(view) => self.events.push(Event::Fleet(view)),
+            DriverInput::FleetView(view) => self.events.push(Event::FleetView(view)),
             DriverInput::EndpointList(update) => self.list(update, false),
-            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
+            DriverInput::ListStale(stale) => self.events.push(Event::EndpointListStale(stale)),
             DriverInput::SettingsChanged(new) => {
                 let SettingsUpdate {
                     settings,
@@ -431,7 +431,8 @@
                     let written = self.journal.over(number);
                     self.check(written);
                     self.lifecycle.over(MessageId(number));
-                    self.events.push(Event::Noticed(MessageId(number)));
+                    self.events
+                        .push(Event::NotificationDelivered(MessageId(number)));
                 }
             }
         }
@@ -440,7 +441,7 @@
     fn turn(&mut self) {
         let now = self.clock.at(Instant::now());
         if self.alarm.take_if(|at| *at <= now).is_some() {
-            self.events.push(Event::Alarm);
+            self.events.push(Event::TimerExpired);
         }
         if self.journal.is_failing() != self.host_failing {
             self.host_failing = !self.host_failing;
@@ -464,7 +465,7 @@
         if counted != before
             && events
                 .iter()
-                .any(|event| matches!(event, Event::Fleet(_) | Event::Alarm))
+                .any(|event| matches!(event, Event::FleetView(_) | Event::TimerExpired))
         {
             super::log(format_args!(
                 "members: limits are shared by {counted} senders, no longer by {before}"
@@ -489,20 +490,24 @@
                     self.send(now, attempt, (expires, start_by), &mut bundles);
                 }
                 Action::Cancel { message, attempt } => self.cancel(message, attempt),
-                Action::Refuse { message, wait } => {
-                    let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
+                Action::Reject {
+                    message,
+                    retry_after,
+                } => {
+                    let after_ms =
+                        retry_after.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
                     self.give_up(message, Ending::Returned { after_ms });
                 }
                 Action::Fail(message) => self.give_up(message, Ending::Failed),
-                Action::SetAlarm(at) => self.alarm = Some(at),
+                Action::SetTimer(at) => self.alarm = Some(at),
                 Action::Disconnect(endpoint) => {
                     if let Some(place) = self.place_of(endpoint) {
                         self.calls.connections().disconnect(place);
                     }
                 }
-                Action::Log(text) => super::log(format_args!("{text}")),
+                Action::Log(event) => super::log(format_args!("{event}")),
                 // the watch is always on; probes and notes are not to be had on sockets
-                Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
+                Action::Subscribe | Action::HealthCheck(_) | Action::SendNote(_) => {}
             }
         }
         for bundle in bundles {
--- a/src/net/driver/orders.rs
+++ b/src/net/driver/orders.rs
@@ -20,7 +20,10 @@
             })
     };
     let classes = std::mem::replace(&mut new.classes, old.classes);
-    let places = classes.into_iter().map(|class| new.place(class)).collect();
+    let places = classes
+        .into_iter()
+        .map(|class| new.class_position(class))
+        .collect();
     for kind in std::mem::replace(&mut new.kinds, old.kinds) {
         match place(&mut known.kinds, &kind.name) {
             at if at < new.kinds.len() => new.kinds[at] = kind,
@@ -93,14 +96,15 @@
             Named {
                 name: class.name.clone(),
                 index,
-                keyed: matches!(class.effect, Effect::Keyed { .. }),
+                keyed: matches!(class.effect, Effect::IdempotencyKey { .. }),
             }
         };
         self.shared
             .classes
             .replace(places.into_iter().map(named).collect());
         if settings != *self.sender.settings() {
-            self.events.push(Event::Retuned(Box::new(settings.clone())));
+            self.events
+                .push(Event::SettingsChanged(Box::new(settings.clone())));
         }
         self.settings = settings;
     }
--- a/src/net/driver/outcomes.rs
+++ b/src/net/driver/outcomes.rs
@@ -11,22 +11,22 @@
 use tokio::time::Instant;
 
 /// The outcome of an attempt whose call never began.
-const UNSENT: Outcome = Outcome::Unsent { no_slot: false };
+const UNSENT: Outcome = Outcome::NotSent { no_slot: false };
 
 /// What the module is told of an attempt without a call of its own.
-fn ended(out: InFlightAttempt, outcome: Outcome, closed: bool) -> Event {
+fn ended(out: InFlightAttempt, outcome: Outcome, complete: bool) -> Event {
     let InFlightAttempt {
         message,
         number: attempt,
         endpoint,
     } = out;
-    Event::Ended {
+    Event::AttemptEnded {
         message,
         attempt,
         endpoint,
         outcome,
         latency: 0,
-        closed,
+        complete,
         report: Vec::new(),
     }
 }
@@ -62,19 +62,26 @@
         self.call_is_less(ended.call);
         let now = self.clock.at(Instant::now());
         let latency = now - sent;
-        self.lifecycle
-            .ended(message, ended.outcome, now, self.settings.safety.key_rest);
+        self.lifecycle.ended(
+            message,
+            ended.outcome,
+            now,
+            self.settings.safety.key_backoff,
+        );
         let open = self.messages.get(&message).is_some_and(|held| held.open);
         if let Some(record) = record.filter(|_| ended.outcome.never_ran() && open) {
             let written = self.journal.never_ran(message.0, record);
             self.check(written);
         }
-        if let Outcome::Refused { wait: Some(wait) } = ended.outcome {
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = ended.outcome
+        {
             self.told_wait(endpoint, wait);
         }
         if let Some(wait) = ended.retry_after {
             self.told_wait(endpoint, wait);
-            self.events.push(Event::ToldWait { endpoint, wait });
+            self.events.push(Event::RetryAfter { endpoint, wait });
         }
         if ended.closed {
             if ended.outcome == Outcome::Success {
@@ -82,14 +89,14 @@
             }
             self.end(message);
         }
-        let closed = self.messages.get(&message).is_none_or(|held| !held.open);
-        self.events.push(Event::Ended {
+        let complete = self.messages.get(&message).is_none_or(|held| !held.open);
+        self.events.push(Event::AttemptEnded {
             message,
             attempt: number,
             endpoint,
             outcome: ended.outcome,
             latency,
-            closed,
+            complete,
             report: ended.report,
         });
         self.forget_if_done(message);
--- a/src/net/driver/routes.rs
+++ b/src/net/driver/routes.rs
@@ -4,7 +4,7 @@
 use crate::net::events::ListUpdate;
 use message_sender::pool::Place;
 use message_sender::wire::position;
-use message_sender::{EndpointId, Entry, Event, Listing, Micros, Status};
+use message_sender::{EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, Micros};
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
@@ -44,15 +44,15 @@
                         .serve(Place { address, endpoint }, false);
                 }
                 route.address = Some(listed.address);
-                route.listed = listed.status != Status::Gone;
-                route.up = listed.status == Status::Serving;
+                route.listed = listed.status != EndpointStatus::Removed;
+                route.up = listed.status == EndpointStatus::Serving;
                 (route.kind, route.destination) = (kind, listed.destination);
                 (route.zone, route.weight) = (listed.zone.clone(), listed.weight);
             }
             if !update.full {
                 self.admit(endpoint);
             }
-            entries.push(Entry {
+            entries.push(EndpointEntry {
                 endpoint,
                 destination: listed.destination,
                 zone: position(&self.names.zones, &listed.zone) as u16,
@@ -70,12 +70,12 @@
         if !entries.is_empty() {
             self.ready.send_replace(true);
         }
-        let listing = match (old, update.full) {
-            (true, _) => Listing::Old,
-            (false, true) => Listing::Full,
-            (false, false) => Listing::Changes,
+        let scope = match (old, update.full) {
+            (true, _) => ListScope::Stale,
+            (false, true) => ListScope::Full,
+            (false, false) => ListScope::Changes,
         };
-        self.events.push(Event::Listed { listing, entries });
+        self.events.push(Event::EndpointList { scope, entries });
     }
 
     /// Whether a list is of a version below the one that is in force: a registry that came back from an older folder. What
--- a/src/net/driver/undelivered.rs
+++ b/src/net/driver/undelivered.rs
@@ -19,7 +19,7 @@
     pub(super) fn give_up(&mut self, message: MessageId, ending: Ending) {
         let Some(held) = self.messages.get(&message).filter(|held| held.open) else {
             // its client's own answer told it: no notice is owed
-            return self.events.push(Event::Noticed(message));
+            return self.events.push(Event::NotificationDelivered(message));
         };
         let id = held
             .item
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -7,7 +7,7 @@
 use message_sender::pool::PoolSettings;
 use message_sender::wire::Names;
 use message_sender::{
-    Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
+    AgreedRules, Demand, EndpointId, EndpointStatus, FleetView, Micros, Outcome, Quotas, Settings,
 };
 use quota_ledger::gate::News;
 use serde::{Deserialize, Serialize};
@@ -46,7 +46,7 @@
     /// The rules on which all senders agree changed.
     AgreedRules {
         /// The rules; none while agreement is off.
-        rules: Option<Box<Agreed>>,
+        rules: Option<Box<AgreedRules>>,
         /// Notified once the rules bind all that is sent.
         applied: oneshot::Sender<()>,
     },
@@ -243,7 +243,7 @@
     /// The destination that it belongs to.
     pub destination: u64,
     /// Whether it takes calls.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Its capacity as the list has it.
     pub weight: f64,
 }
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -51,9 +51,9 @@
     pub fn of(class: &Class, attempts: usize) -> Self {
         let &Class {
             effect,
-            aim,
+            latency_objective: aim,
             deadline,
-            worth,
+            priority_weight: worth,
             late_share,
             ordered,
             ..
@@ -83,9 +83,9 @@
         Class {
             name: name.to_string(),
             effect,
-            aim,
+            latency_objective: aim,
             deadline,
-            worth,
+            priority_weight: worth,
             late_share,
             ordered,
         }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -21,10 +21,10 @@
     };
     let class = Class {
         name: "order".into(),
-        effect: Effect::Unsafe,
-        aim: 1,
+        effect: Effect::NonIdempotent,
+        latency_objective: 1,
         deadline: 1,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_share: 0.0,
         ordered: false,
     };
@@ -62,7 +62,7 @@
     (
         taken,
         Origin::default(),
-        Terms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12),
+        Terms::of(&Class::new("order", Effect::NonIdempotent, 1, 1), 12),
     )
 }
 
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -34,19 +34,19 @@
     let class = Class {
         name: "order".into(),
         effect,
-        aim: 4_000_003,
+        latency_objective: 4_000_003,
         deadline: 20_000_004,
-        worth: 1.25,
+        priority_weight: 1.25,
         late_share: 0.5,
         ordered: true,
     };
     Terms::of(&class, 12)
 }
 
-fn keyed(zone_only: bool) -> Effect {
-    Effect::Keyed {
+fn keyed(same_zone_only: bool) -> Effect {
+    Effect::IdempotencyKey {
         window: 12_000_005,
-        zone_only,
+        same_zone_only,
     }
 }
 
@@ -67,10 +67,15 @@
             origin(),
         ),
         Entry::HandedIn(3, handed_in("m3"), Origin::default()),
-        Entry::TakenOn(4, handed_in("m4"), origin(), terms(Effect::Repeatable)),
+        Entry::TakenOn(4, handed_in("m4"), origin(), terms(Effect::Idempotent)),
         Entry::TakenOn(5, handed_in("m5"), origin(), terms(keyed(false))),
         Entry::TakenOn(6, handed_in("m6"), origin(), terms(keyed(true))),
-        Entry::TakenOn(300, handed_in("m300"), origin(), terms(Effect::Unsafe)),
+        Entry::TakenOn(
+            300,
+            handed_in("m300"),
+            origin(),
+            terms(Effect::NonIdempotent),
+        ),
         Entry::Sent(4, sent("s-1", false)),
         Entry::Sent(4, sent("s-2", true)),
         Entry::Outcome {
@@ -168,7 +173,10 @@
             after_ms: Some(1_234)
         })
     );
-    assert_eq!(journal.owed()[&300].terms, Some(terms(Effect::Unsafe)));
+    assert_eq!(
+        journal.owed()[&300].terms,
+        Some(terms(Effect::NonIdempotent))
+    );
     assert_eq!(journal.out().collect::<Vec<_>>(), ["s-8"]);
     journal.compact().expect("room");
     assert_same_bytes(
@@ -184,9 +192,9 @@
     journal.set_out("s-8", true).expect("room");
     journal.set_out("s-7", false).expect("room");
     for (number, effect) in [
-        (4, Effect::Repeatable),
+        (4, Effect::Idempotent),
         (5, keyed(true)),
-        (6, Effect::Unsafe),
+        (6, Effect::NonIdempotent),
     ] {
         journal
             .take(
--- a/src/net/ledger/allowance.rs
+++ b/src/net/ledger/allowance.rs
@@ -2,7 +2,9 @@
 
 use super::settings::Ledger;
 use super::wants::keys;
-use message_sender::{MILLISECOND, Micros, Quota, Quotas, Share};
+use message_sender::{
+    Allocation, ConcurrencyQuota, MILLISECOND, Micros, Quota, QuotaShare, Quotas,
+};
 use quota_ledger::{Holder, Key};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,18 +22,23 @@
         .collect();
     let floors = holder.floors();
     let kind = |name: &str| {
-        floors.each.get(name).map(|floor| Share {
+        floors.each.get(name).map(|floor| QuotaShare {
             fallback: *floor,
-            part: None,
+            allocation: None,
         })
     };
     let share = |key: &Key| {
         let part = parts.get(key);
         let until = part.and_then(|(_, _, until)| Micros::try_from(*until).ok());
-        let part = part.and_then(|(_, part, _)| Some((*part, until?)));
-        floors.name(key).then(|| Share {
+        let allocation = part.and_then(|(_, part, _)| {
+            Some(Allocation {
+                amount: *part,
+                until: until?,
+            })
+        });
+        floors.name(key).then(|| QuotaShare {
             fallback: floors.of(key),
-            part,
+            allocation,
         })
     };
     let linger = |key: &Key| {
@@ -53,15 +60,21 @@
         let [rate, out, cold] = keys(destination);
         let quota = Quota {
             rate: share(&rate),
-            out: share(&out).map(|share| (share, linger(&out))),
-            cold: share(&cold),
+            in_flight: share(&out).map(|share| ConcurrencyQuota {
+                share,
+                max_duration: linger(&out),
+            }),
+            unhealthy_rate: share(&cold),
         };
         (destination, quota)
     });
     let others = Quota {
         rate: kind("rate"),
-        out: kind("out").map(|share| (share, Micros::MAX / 4)),
-        cold: kind("cold"),
+        in_flight: kind("out").map(|share| ConcurrencyQuota {
+            share,
+            max_duration: Micros::MAX / 4,
+        }),
+        unhealthy_rate: kind("cold"),
     };
     Quotas {
         named: named.collect(),
--- a/src/net/ledger/wants.rs
+++ b/src/net/ledger/wants.rs
@@ -29,21 +29,21 @@
         });
         let sent = demand.sent.saturating_sub(counted);
         let calls = demand.waiting + sent;
-        if !whole && calls == 0 && demand.out == 0 {
+        if !whole && calls == 0 && demand.in_flight == 0 {
             continue;
         }
         let rate = calls.saturating_mul(1_000_000_000).div_ceil(lease);
         let [rate_key, out_key, cold_key] = keys(*destination);
-        let cold = if demand.sick { rate } else { 0 };
+        let cold = if demand.unhealthy { rate } else { 0 };
         for (key, want) in [
             (rate_key, rate),
-            (out_key, demand.waiting + demand.out),
+            (out_key, demand.waiting + demand.in_flight),
             (cold_key, cold),
         ] {
             if floors.name(&key) {
                 let want = want.saturating_sub(floors.of(&key));
                 let wanted = Wanted { key, want };
-                let (waiting, sick) = (demand.waiting > 0, demand.sick);
+                let (waiting, sick) = (demand.waiting > 0, demand.unhealthy);
                 all.push(KeyDemand {
                     wanted,
                     waiting,
--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -340,8 +340,8 @@
                     living,
                     suspects,
                     gone,
-                    holders,
-                    doubt,
+                    agreeing: holders,
+                    in_doubt: doubt,
                 })));
         }
     }
--- a/src/net/pool/caps.rs
+++ b/src/net/pool/caps.rs
@@ -14,8 +14,8 @@
 
 /// The limits that settings come to. Caps that are not set follow from the descriptors.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> Limits {
-    let idle = if settings.connection_idle > 0 {
-        span(settings.connection_idle)
+    let idle = if settings.connection_idle_timeout > 0 {
+        span(settings.connection_idle_timeout)
     } else {
         IDLE_USUAL
     };
@@ -35,7 +35,7 @@
         decay: (pool.decay_s * 1e6) as Micros,
         learn_caps: pool.learn_caps,
         warm_share: pool.warm_share,
-        cold: settings.safety.cold_time,
+        cold: settings.safety.warm_up_time,
         senders: settings.senders,
     }
 }
--- a/src/net/upgrade/tests.rs
+++ b/src/net/upgrade/tests.rs
@@ -162,19 +162,19 @@
         Frame::Said(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
         ended(Outcome::Success),
         ended(Outcome::Error),
-        ended(Outcome::Refused { wait: None }),
-        ended(Outcome::Refused {
-            wait: Some(2_000_002),
+        ended(Outcome::Rejected { retry_after: None }),
+        ended(Outcome::Rejected {
+            retry_after: Some(2_000_002),
         }),
         ended(Outcome::TimedOut),
         ended(Outcome::NoConnection),
         ended(Outcome::Reset),
         ended(Outcome::Cancelled),
-        ended(Outcome::Unsent { no_slot: true }),
+        ended(Outcome::NotSent { no_slot: true }),
         Frame::Said(HandoverMessage::AttemptEnded(AttemptEnd {
             call: 1,
             item: 0,
-            outcome: Outcome::Unsent { no_slot: false },
+            outcome: Outcome::NotSent { no_slot: false },
             closed: false,
             report: Vec::new(),
             retry_after: None,
@@ -277,7 +277,7 @@
     let mut settings = message_sender::Settings::new(8, 50);
     settings.classes.push(message_sender::Class::new(
         "order",
-        message_sender::Effect::Unsafe,
+        message_sender::Effect::NonIdempotent,
         1,
         2,
     ));
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -96,14 +96,14 @@
     match word {
         "delivered" => Outcome::Success,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Refused {
-            wait: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
+        "shed" => Outcome::Rejected {
+            retry_after: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
         },
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::NoConnection,
         "dropped" => Outcome::Reset,
         "revoked" => Outcome::Cancelled,
-        _ => Outcome::Unsent {
+        _ => Outcome::NotSent {
             no_slot: remark == 1.0,
         },
     }
--- a/src/wire/printing.rs
+++ b/src/wire/printing.rs
@@ -2,7 +2,7 @@
 
 use super::base64::encode;
 use super::instance::Instance;
-use crate::interface::{Action, EndpointId, MessageId, Micros, SECOND};
+use crate::interface::{Action, EjectionReason, EndpointId, MessageId, Micros, RouteEvent, SECOND};
 use std::fmt::{self, Write as _};
 
 struct Seconds(Micros);
@@ -13,6 +13,31 @@
     }
 }
 
+/// The simulator's text of a log event.
+struct LogText<'a>(&'a RouteEvent);
+
+impl fmt::Display for LogText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            RouteEvent::Ejected {
+                destination,
+                reason,
+            } => {
+                let word = match reason {
+                    EjectionReason::Closed => "shut",
+                    EjectionReason::Failures => "fails",
+                    EjectionReason::Unresponsive => "silent",
+                    EjectionReason::FleetHealth => "told",
+                };
+                write!(f, "destination {destination} sick: {word}")
+            }
+            RouteEvent::Recovering { destination } => {
+                write!(f, "destination {destination} returns")
+            }
+        }
+    }
+}
+
 pub(super) fn print(reply: &mut String, id: &str, action: &Action, instance: &Instance) {
     let message = |m: &MessageId| instance.messages.word(m.0);
     let endpoint = |e: &EndpointId| instance.endpoints.word(u64::from(e.0));
@@ -35,17 +60,20 @@
             message: m,
             attempt,
         } => writeln!(reply, "withdraw {id} {} {attempt}", message(m)),
-        Action::Refuse { message: m, wait } => match wait {
+        Action::Reject {
+            message: m,
+            retry_after,
+        } => match retry_after {
             Some(wait) => writeln!(reply, "shed {id} {} {}", message(m), Seconds(*wait)),
             None => writeln!(reply, "shed {id} {} -", message(m)),
         },
         Action::Fail(m) => writeln!(reply, "report_failure {id} {}", message(m)),
-        Action::SetAlarm(at) => writeln!(reply, "set_alarm {id} {} wake", Seconds(*at)),
-        Action::Probe(e) => writeln!(reply, "health_check {id} {}", endpoint(e)),
+        Action::SetTimer(at) => writeln!(reply, "set_alarm {id} {} wake", Seconds(*at)),
+        Action::HealthCheck(e) => writeln!(reply, "health_check {id} {}", endpoint(e)),
         Action::Disconnect(e) => writeln!(reply, "disconnect {id} {}", endpoint(e)),
         Action::Subscribe => writeln!(reply, "listen {id} 1"),
-        Action::Note(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
-        Action::Log(text) => writeln!(reply, "record {id} {}", text.replace(['\n', '\r'], " ")),
+        Action::SendNote(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
+        Action::Log(event) => writeln!(reply, "record {id} {}", LogText(event)),
     };
     written.expect("writing to a string does not fail");
 }
--- a/src/wire/printing/tests.rs
+++ b/src/wire/printing/tests.rs
@@ -1,8 +1,15 @@
 use super::*;
-use crate::decide::Sender;
+use crate::decisions::Sender;
 use crate::interface::Settings;
 use crate::wire::settings::Names;
 
+fn ejected(reason: EjectionReason) -> RouteEvent {
+    RouteEvent::Ejected {
+        destination: 5,
+        reason,
+    }
+}
+
 /// Every action as it is written, byte for byte.
 #[test]
 fn every_action_is_written_in_its_form() {
@@ -12,20 +19,69 @@
     let endpoint = EndpointId(instance.endpoints.number("e9") as u32);
     let written = [
         (
-            Action::Send { message, attempt: 3, endpoint, expires: 12_000_034, start_by: Some(5) },
+            Action::Send {
+                message,
+                attempt: 3,
+                endpoint,
+                expires: 12_000_034,
+                start_by: Some(5),
+            },
             "issue sender/2 m7 12.000034 e9\n",
         ),
-        (Action::Cancel { message, attempt: 3 }, "withdraw sender/2 m7 3\n"),
-        (Action::Refuse { message, wait: None }, "shed sender/2 m7 -\n"),
-        (Action::Refuse { message, wait: Some(1_500_000) }, "shed sender/2 m7 1.500000\n"),
+        (
+            Action::Cancel {
+                message,
+                attempt: 3,
+            },
+            "withdraw sender/2 m7 3\n",
+        ),
+        (
+            Action::Reject {
+                message,
+                retry_after: None,
+            },
+            "shed sender/2 m7 -\n",
+        ),
+        (
+            Action::Reject {
+                message,
+                retry_after: Some(1_500_000),
+            },
+            "shed sender/2 m7 1.500000\n",
+        ),
         (Action::Fail(message), "report_failure sender/2 m7\n"),
-        (Action::SetAlarm(90_250_001), "set_alarm sender/2 90.250001 wake\n"),
-        (Action::Probe(endpoint), "health_check sender/2 e9\n"),
+        (
+            Action::SetTimer(90_250_001),
+            "set_alarm sender/2 90.250001 wake\n",
+        ),
+        (Action::HealthCheck(endpoint), "health_check sender/2 e9\n"),
         (Action::Disconnect(endpoint), "disconnect sender/2 e9\n"),
         (Action::Subscribe, "listen sender/2 1\n"),
-        (Action::Note(vec![0, 255, 7, 1]), "publish sender/2 -1 AP8HAQ==\n"),
-        (Action::Note(Vec::new()), "publish sender/2 -1 -\n"),
-        (Action::Log("destination 5 sick: told".to_string()), "record sender/2 destination 5 sick: told\n"),
+        (
+            Action::SendNote(vec![0, 255, 7, 1]),
+            "publish sender/2 -1 AP8HAQ==\n",
+        ),
+        (Action::SendNote(Vec::new()), "publish sender/2 -1 -\n"),
+        (
+            Action::Log(ejected(EjectionReason::FleetHealth)),
+            "record sender/2 destination 5 sick: told\n",
+        ),
+        (
+            Action::Log(ejected(EjectionReason::Closed)),
+            "record sender/2 destination 5 sick: shut\n",
+        ),
+        (
+            Action::Log(ejected(EjectionReason::Failures)),
+            "record sender/2 destination 5 sick: fails\n",
+        ),
+        (
+            Action::Log(ejected(EjectionReason::Unresponsive)),
+            "record sender/2 destination 5 sick: silent\n",
+        ),
+        (
+            Action::Log(RouteEvent::Recovering { destination: 5 }),
+            "record sender/2 destination 5 returns\n",
+        ),
     ];
     for (action, line) in written {
         let mut reply = String::new();
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -5,7 +5,9 @@
 use super::instance::Instance;
 use super::numbered::Numbered;
 use super::settings::{Names, position};
-use crate::interface::{EndpointId, Entry, Event, Listing, MessageId, Micros, NewMessage, Status};
+use crate::interface::{
+    EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, MessageId, Micros, NewMessage,
+};
 use std::collections::BTreeMap;
 
 /// The first words of all lines in a batch but those of lists.
@@ -22,6 +24,10 @@
     "heard",
 ];
 
+/// The bits of a message that a client has handed in before, and of one that comes from a sender that died.
+const RESUBMITTED_BIT: u64 = 2;
+const ORPHAN_BIT: u64 = 16;
+
 /// The time of a batch.
 pub(super) fn read_batch_head(line: &str) -> Result<Micros, Fault> {
     let mut fields = Fields::new(line);
@@ -55,18 +61,18 @@
         "demand" => demand(fields, instance),
         "first_byte" => first_byte(fields, instance),
         "outcome" => ended(fields, instance),
-        "dropped" => Ok(Event::Dropped(message(fields, instance)?)),
+        "dropped" => Ok(Event::MessageAbandoned(message(fields, instance)?)),
         "echo" => probed(fields, instance),
         "heard" => {
             let from = fields.whole("a sender's number")? as u32;
-            Ok(Event::Noted {
+            Ok(Event::PeerNote {
                 from,
                 bytes: decode(fields.text("bytes")?)?,
             })
         }
         _ => {
             fields.text("a token")?;
-            Ok(Event::Alarm)
+            Ok(Event::TimerExpired)
         }
     }
 }
@@ -88,7 +94,7 @@
     fields.number("a latency")?;
     let attempt = fields.whole("an attempt")? as usize;
     fields.text("an endpoint")?;
-    Ok(Event::Started { message, attempt })
+    Ok(Event::ResponseStarted { message, attempt })
 }
 
 fn ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
@@ -97,19 +103,19 @@
     let endpoint = endpoint(fields, instance)?;
     let word = fields.outcome_word()?;
     let latency = fields.time("a latency")?;
-    let closed = fields.flag("1 or 0")?;
+    let complete = fields.flag("1 or 0")?;
     let remark = fields
         .optional("a remark")?
         .map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
     let report = fields.report()?;
     let outcome = outcome(word, remark);
-    Ok(Event::Ended {
+    Ok(Event::AttemptEnded {
         message,
         attempt,
         endpoint,
         outcome,
         latency,
-        closed,
+        complete,
         report,
     })
 }
@@ -118,29 +124,29 @@
     fields.number("a latency")?;
     let endpoint = endpoint(fields, instance)?;
     let outcome = outcome(fields.outcome_word()?, 0.0);
-    Ok(Event::Probed {
+    Ok(Event::HealthCheckEnded {
         endpoint,
         outcome,
         report: fields.report()?,
     })
 }
 
-fn read_row(row: &str, endpoints: &mut Numbered, names: &Names) -> Result<Entry, Fault> {
+fn read_row(row: &str, endpoints: &mut Numbered, names: &Names) -> Result<EndpointEntry, Fault> {
     let mut fields = Fields::new(row);
     let endpoint = EndpointId(endpoints.number(fields.text("an endpoint")?) as u32);
     let zone = position(&names.zones, fields.text("a zone")?) as u16;
     let kind = position(&names.kinds, fields.text("a kind")?);
     let destination = fields.whole("a destination")?;
     let status = match fields.text("a status")? {
-        "SERVING" => Status::Serving,
-        "DRAINING" => Status::Draining,
-        "DELETED" => Status::Gone,
+        "SERVING" => EndpointStatus::Serving,
+        "DRAINING" => EndpointStatus::Draining,
+        "DELETED" => EndpointStatus::Removed,
         other => return fault("SERVING, DRAINING or DELETED", other),
     };
     let weight = fields
         .optional("a weight")?
         .map_or(Ok(0.0), |text| parse_number(text, "a weight"))?;
-    Ok(Entry {
+    Ok(EndpointEntry {
         endpoint,
         destination,
         zone,
@@ -155,11 +161,11 @@
     instance: &mut Instance,
     lists: &BTreeMap<u64, Vec<String>>,
 ) -> Result<Event, Fault> {
-    let listing = match fields.text("a kind of announcement")? {
-        "delta" => Listing::Changes,
-        "full" => Listing::Full,
-        "cached" => Listing::Old,
-        "failed" => return Ok(Event::ListFailed),
+    let scope = match fields.text("a kind of announcement")? {
+        "delta" => ListScope::Changes,
+        "full" => ListScope::Full,
+        "cached" => ListScope::Stale,
+        "failed" => return Ok(Event::EndpointListFailed),
         other => return fault("delta, full, cached or failed", other),
     };
     let bank = fields.whole("a list number")?;
@@ -170,7 +176,7 @@
     for row in rows {
         entries.push(read_row(row, &mut instance.endpoints, &instance.names)?);
     }
-    Ok(Event::Listed { listing, entries })
+    Ok(Event::EndpointList { scope, entries })
 }
 
 fn demand(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
@@ -192,13 +198,12 @@
         .map(|text| parse_number(text, "a cost"))
         .transpose()?;
     let class = position(&instance.names.classes, fields.text("a class")?);
-    let (again, orphan) = (bits & 2 != 0, bits & 16 != 0);
     let new = NewMessage::new(id, class, destination, time_left);
     Ok(Event::Accepted(NewMessage {
         key,
         tenant,
-        again,
-        orphan,
+        resubmitted: bits & RESUBMITTED_BIT != 0,
+        orphan: bits & ORPHAN_BIT != 0,
         ..new
     }))
 }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -2,7 +2,7 @@
 
 use super::fields::to_micros;
 use crate::interface::{
-    Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+    Class, Effect, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant, WeightDecay,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -27,16 +27,15 @@
         };
         match text.parse::<f64>() {
             Ok(value) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
-            _ => Err(SettingsError::new(
-                path,
-                &format!("is '{text}', not a finite number of zero or more"),
-            )),
+            _ => Err(SettingsError::NotANumber {
+                setting: path.to_string(),
+                value: text.to_string(),
+            }),
         }
     }
 
     fn need(&self, path: &str) -> Result<f64, SettingsError> {
-        self.number(path)?
-            .ok_or_else(|| SettingsError::new(path, "is missing"))
+        self.number(path)?.ok_or_else(|| missing(path))
     }
 
     fn or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
@@ -52,6 +51,12 @@
     }
 }
 
+fn missing(path: &str) -> SettingsError {
+    SettingsError::Missing {
+        setting: path.to_string(),
+    }
+}
+
 /// What a host needs of one instance's settings beside the module: the names that later lines use.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Names {
@@ -115,20 +120,20 @@
 
 fn read_caps(pairs: &Pairs, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.max_attempts = pairs.need("caps.mostTries")? as usize;
-    settings.second_copies = pairs.flag("caps.secondCopies");
-    settings.may_cancel = pairs.flag("caps.mayCancel");
-    settings.may_probe = pairs.flag("caps.mayProbe");
-    settings.may_note = pairs.flag("caps.peers");
-    settings.connection_idle = pairs.span_or("caps.connIdle", 0)?;
+    settings.hedging_allowed = pairs.flag("caps.secondCopies");
+    settings.cancellation_allowed = pairs.flag("caps.mayCancel");
+    settings.health_checks_allowed = pairs.flag("caps.mayProbe");
+    settings.notes_allowed = pairs.flag("caps.peers");
+    settings.connection_idle_timeout = pairs.span_or("caps.connIdle", 0)?;
     if pairs.flag("caps.retryAfter") {
-        settings.max_client_wait = pairs.span_or("caps.maxRetryAfter", 0)?;
+        settings.max_retry_after = pairs.span_or("caps.maxRetryAfter", 0)?;
     }
     Ok(())
 }
 
 /// Where the sender learns of destinations: the list, its weights, load reports.
 fn read_sources(pairs: &Pairs, settings: &mut Settings) {
-    settings.list_on_request = pairs.text("discovery") == Some("on_request");
+    settings.list_by_subscription = pairs.text("discovery") == Some("on_request");
     settings.weight_trust = match pairs.text("weights") {
         Some("nominal") => 1.0,
         Some("rough") => 0.5,
@@ -136,24 +141,25 @@
     };
     if pairs.text("report.how").is_some_and(|how| how != "silent") {
         let fields = pairs.list("report.fields");
-        settings.report_left = fields.iter().position(|&field| field == "x0");
+        settings.report_remaining = fields.iter().position(|&field| field == "x0");
         settings.report_limit = fields.iter().position(|&field| field == "x1");
     }
 }
 
 fn read_prices(pairs: &Pairs, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.price_cross_zone = pairs.or("prices.crossZone", 0.0)?;
-    settings.price_probe = pairs.or("prices.probe", 0.0)?;
+    settings.price_health_check = pairs.or("prices.probe", 0.0)?;
     settings.price_waste = pairs.or("prices.waste", 0.0)?;
-    settings.over_share_worth = pairs.or("overShareWorth", 1.0)?;
+    settings.over_share_weight = pairs.or("overShareWorth", 1.0)?;
     for fee in pairs.list("specifics.zoneFee") {
-        let fee = fee
-            .parse()
-            .map_err(|_| SettingsError::new("specifics.zoneFee", "is not a number"))?;
-        settings.zone_fees.push(fee);
+        let parsed = fee.parse().map_err(|_| SettingsError::NotANumber {
+            setting: "specifics.zoneFee".to_string(),
+            value: fee.to_string(),
+        })?;
+        settings.zone_fees.push(parsed);
     }
     if pairs.text("specifics.fades") == Some("by_half") {
-        settings.fade = Fade::Halving;
+        settings.weight_decay = WeightDecay::Halving;
     }
     Ok(())
 }
@@ -161,13 +167,13 @@
 fn read_safety(pairs: &Pairs, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
         drain_grace: to_micros(pairs.need("safety.stopSendingWithin")?),
-        cold_time: to_micros(pairs.need("safety.cold")?),
+        warm_up_time: to_micros(pairs.need("safety.cold")?),
         start_capacity: pairs.need("safety.startCapacity")?,
-        fall_multiple: pairs.need("safety.fallMultiple")?,
-        fall_span: to_micros(pairs.need("safety.fall")?),
+        overload_multiple: pairs.need("safety.fallMultiple")?,
+        overload_span: to_micros(pairs.need("safety.fall")?),
         answer_grace: pairs.span_or("safety.graceToAnswer", default.answer_grace)?,
-        key_rest: pairs.span_or("safety.turnGap", 0)?,
-        ask_every: pairs.span_or("safety.askEvery", default.ask_every)?,
+        key_backoff: pairs.span_or("safety.turnGap", 0)?,
+        poll_interval: pairs.span_or("safety.askEvery", default.poll_interval)?,
     })
 }
 
@@ -175,13 +181,13 @@
     let path = |field: &str| format!("classes.{index}.{field}");
     let name = pairs
         .text(&path("name"))
-        .ok_or_else(|| SettingsError::new(&path("name"), "is missing"))?;
+        .ok_or_else(|| missing(&path("name")))?;
     Ok(Class {
         name: name.to_string(),
         effect: read_effect(pairs, path)?,
-        aim: to_micros(pairs.need(&path("aim"))?),
+        latency_objective: to_micros(pairs.need(&path("aim"))?),
         deadline: to_micros(pairs.need(&path("deadline"))?),
-        worth: pairs.or(&path("worth"), 1.0)?,
+        priority_weight: pairs.or(&path("worth"), 1.0)?,
         late_share: pairs.or(&path("lateShare"), 0.0)?,
         ordered: pairs.flag(&path("oneAtATime")),
     })
@@ -189,16 +195,18 @@
 
 fn read_effect(pairs: &Pairs, path: impl Fn(&str) -> String) -> Result<Effect, SettingsError> {
     match pairs.text(&path("effect")) {
-        Some("idempotent") => Ok(Effect::Repeatable),
-        Some("deduplicated") => Ok(Effect::Keyed {
+        Some("idempotent") => Ok(Effect::Idempotent),
+        Some("deduplicated") => Ok(Effect::IdempotencyKey {
             window: to_micros(pairs.need(&path("window"))?),
-            zone_only: pairs.text(&path("group")) != Some("all"),
+            same_zone_only: pairs.text(&path("group")) != Some("all"),
         }),
-        Some("at_most_once") => Ok(Effect::Unsafe),
-        other => {
-            let problem = format!("is '{}'", other.unwrap_or("missing"));
-            Err(SettingsError::new(&path("effect"), &problem))
-        }
+        Some("at_most_once") => Ok(Effect::NonIdempotent),
+        Some(other) => Err(SettingsError::UnknownWord {
+            setting: path("effect"),
+            value: other.to_string(),
+            expected: &["idempotent", "deduplicated", "at_most_once"],
+        }),
+        None => Err(missing(&path("effect"))),
     }
 }
 
@@ -207,9 +215,13 @@
     let bundles = pairs.list("specifics.bundleMax");
     let mut kinds = Vec::with_capacity(names.len());
     for (index, name) in names.iter().enumerate() {
-        let parsed = bundles.get(index).map_or(Ok(1), |text| text.parse());
-        let not_whole = |_| SettingsError::new("specifics.bundleMax", "is not a whole number");
-        let bundle_max = parsed.map_err(not_whole)?;
+        let bundle_max = match bundles.get(index) {
+            Some(text) => text.parse().map_err(|_| SettingsError::NotWhole {
+                setting: "specifics.bundleMax".to_string(),
+                value: text.to_string(),
+            })?,
+            None => 1,
+        };
         let separate_routes = apart.get(index) == Some(&"true");
         kinds.push(Kind {
             name: name.clone(),
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -30,22 +30,22 @@
 
 fn play_settings(seed: u64) -> Settings {
     let mut settings = settings([12, 4, 30][seed as usize % 3]);
-    settings.max_held = if seed.is_multiple_of(2) { 60 } else { 400 };
+    settings.max_pending = if seed.is_multiple_of(2) { 60 } else { 400 };
     settings.max_attempts = 5;
     settings.senders = [1, 300, 3][seed as usize % 3];
     settings.weight_trust = 0.5;
-    settings.max_client_wait = 3 * SECOND;
-    settings.ends_by_notice = seed % 4 < 2;
-    settings.connection_idle = 5 * SECOND;
+    settings.max_retry_after = 3 * SECOND;
+    settings.completion_by_notification = seed % 4 < 2;
+    settings.connection_idle_timeout = 5 * SECOND;
     settings.tenants = vec![Tenant {
         name: "first".into(),
         allowance: 5.0,
     }];
-    settings.over_share_worth = if seed % 5 == 4 { 0.0 } else { 0.3 };
-    settings.fade = if seed % 4 == 3 {
-        Fade::Halving
+    settings.over_share_weight = if seed % 5 == 4 { 0.0 } else { 0.3 };
+    settings.weight_decay = if seed % 4 == 3 {
+        WeightDecay::Halving
     } else {
-        Fade::Even
+        WeightDecay::Linear
     };
     if seed % 3 == 1 {
         settings
@@ -54,29 +54,29 @@
             .for_each(|kind| kind.bundle_max = 1);
     }
     for (index, class) in settings.classes.iter_mut().enumerate() {
-        class.worth = 1.0 + index as f64;
+        class.priority_weight = 1.0 + index as f64;
         class.late_share = [0.2, 0.0, 1.0, 0.1][(index + seed as usize) % 4];
     }
     settings
 }
 
-fn bounds(attempts: usize, effect: Effect) -> Bounds {
-    let of = |effect| ClassBound {
+fn bounds(attempts: usize, effect: Effect) -> RuleBounds {
+    let of = |effect| ClassBounds {
         accepted: true,
         effect,
-        attempts,
+        max_attempts: attempts,
         ordered: false,
-        key_rest: 0,
+        key_backoff: 0,
     };
     let names = ["free", "keyed", "unsafe", "ordered"];
     let classes = names
         .iter()
         .map(|name| (name.to_string(), of(effect)))
         .collect();
-    Bounds {
+    RuleBounds {
         classes,
-        calls: None,
-        messages: None,
+        max_calls: None,
+        max_messages: None,
     }
 }
 
@@ -92,8 +92,8 @@
             random: Pcg32::seed_from_u64(seed ^ 0x5ca1e),
             now: T0,
             next: 0,
-            events: vec![Event::Listed {
-                listing: Listing::Full,
+            events: vec![Event::EndpointList {
+                scope: ListScope::Full,
                 entries: (0..DESTINATIONS * ENDPOINTS).map(listed).collect(),
             }],
             calls: Vec::new(),
@@ -115,7 +115,7 @@
             self.end_calls(turn);
             while self.alarms.first().is_some_and(|&at| at <= self.now) {
                 self.alarms.pop_first();
-                self.events.push(Event::Alarm);
+                self.events.push(Event::TimerExpired);
             }
             if turn == TURNS / 2 {
                 let bytes = postcard::to_allocvec(&self.sender).expect("written");
@@ -140,7 +140,7 @@
             self.next += 1;
             new.key = (class == ORDERED).then(|| u64::from(self.below(6)));
             new.tenant = (self.below(3) == 0).then_some(0);
-            new.attempts = (self.below(5) == 0).then_some(3);
+            new.max_attempts = (self.below(5) == 0).then_some(3);
             let tried = self.below(12) == 0;
             self.attempts.insert(new.id.0, usize::from(tried));
             let endpoint = EndpointId(destination as u32 * ENDPOINTS);
@@ -152,7 +152,7 @@
                 may_have_run,
             };
             self.events.push(match tried {
-                true => Event::Resumed {
+                true => Event::MessageRestored {
                     message: new,
                     attempts: vec![past],
                 },
@@ -164,84 +164,84 @@
     fn disturb(&mut self) {
         let (destination, endpoint) = (u64::from(self.below(DESTINATIONS)), self.below(12));
         let event = match self.below(300) {
-            0 => Event::Word {
+            0 => Event::FleetHealth {
                 destination,
-                out: true,
+                unavailable: true,
             },
-            1 | 2 => Event::Word {
+            1 | 2 => Event::FleetHealth {
                 destination,
-                out: false,
+                unavailable: false,
             },
             3 => Event::Disabled(EndpointId(endpoint)),
             4..=6 => Event::Enabled(EndpointId(endpoint)),
-            7 => Event::ToldWait {
+            7 => Event::RetryAfter {
                 endpoint: EndpointId(endpoint),
                 wait: SECOND,
             },
             8 => {
                 let status = if self.below(2) == 0 {
-                    Status::Draining
+                    EndpointStatus::Draining
                 } else {
-                    Status::Gone
+                    EndpointStatus::Removed
                 };
-                let entries = vec![Entry {
+                let entries = vec![EndpointEntry {
                     status,
                     ..listed(endpoint)
                 }];
-                Event::Listed {
-                    listing: Listing::Changes,
+                Event::EndpointList {
+                    scope: ListScope::Changes,
                     entries,
                 }
             }
-            9..=11 => Event::Listed {
-                listing: Listing::Changes,
+            9..=11 => Event::EndpointList {
+                scope: ListScope::Changes,
                 entries: vec![listed(endpoint)],
             },
             12 => {
                 let attempts = self.below(4) as usize;
-                let effect = [Effect::Unsafe, Effect::Repeatable][self.below(2) as usize];
-                Event::Agreed(Some(Box::new(Agreed {
+                let effect = [Effect::NonIdempotent, Effect::Idempotent][self.below(2) as usize];
+                Event::AgreedRules(Some(Box::new(AgreedRules {
                     leased: None,
                     fallback: bounds(attempts, effect),
                 })))
             }
-            13..=15 => Event::Agreed(None),
+            13..=15 => Event::AgreedRules(None),
             16 => {
-                let rate = Some(Share {
+                let rate = Some(QuotaShare {
                     fallback: 2_000 * u64::from(self.below(4)),
-                    part: None,
+                    allocation: None,
                 });
-                let out = Some((
-                    Share {
+                let in_flight = Some(ConcurrencyQuota {
+                    share: QuotaShare {
                         fallback: 3,
-                        part: None,
+                        allocation: None,
                     },
-                    SECOND,
-                ));
+                    max_duration: SECOND,
+                });
                 let named = BTreeMap::from([(
                     destination,
                     Quota {
                         rate,
-                        out,
-                        cold: None,
+                        in_flight,
+                        unhealthy_rate: None,
                     },
                 )]);
-                Event::Shared(Some(Box::new(Quotas {
+                Event::Quotas(Some(Box::new(Quotas {
                     named,
                     others: Quota::default(),
                 })))
             }
-            17 | 18 => Event::Shared(None),
-            19 => Event::Stale(true),
-            20..=29 => Event::Stale(false),
+            17 | 18 => Event::Quotas(None),
+            19 => Event::EndpointListStale(true),
+            20..=29 => Event::EndpointListStale(false),
             30 => {
                 let mut settings = self.sender.settings().clone();
                 settings.classes.swap(FREE, KEYED);
-                Event::Retuned(Box::new(settings))
+                Event::SettingsChanged(Box::new(settings))
             }
-            31 if self.next > 0 => Event::Dropped(MessageId(self.next - 1)),
+            31 if self.next > 0 => Event::MessageAbandoned(MessageId(self.next - 1)),
             32..=40 if self.next > 0 => {
-                Event::Noticed(MessageId(self.random.next_u64() % self.next))
+                Event::NotificationDelivered(MessageId(self.random.next_u64() % self.next))
             }
             _ => return,
         };
@@ -259,12 +259,12 @@
             let bad = u64::from(endpoint / ENDPOINTS) % 3 == turn / 300 % 3;
             let outcome = match self.below(if bad { 8 } else { 60 }) {
                 0 | 1 => Outcome::Error,
-                2 => Outcome::Refused {
-                    wait: (self.below(2) == 0).then_some(SECOND),
+                2 => Outcome::Rejected {
+                    retry_after: (self.below(2) == 0).then_some(SECOND),
                 },
                 3 => Outcome::NoConnection,
                 4 => Outcome::TimedOut,
-                5 => Outcome::Unsent {
+                5 => Outcome::NotSent {
                     no_slot: self.below(2) == 0,
                 },
                 _ => Outcome::Success,
@@ -295,7 +295,7 @@
                         .push((self.now + lasts, message.0, *attempt, endpoint.0, self.now));
                     *attempt += 1;
                 }
-                Action::SetAlarm(at) => drop(self.alarms.insert(*at)),
+                Action::SetTimer(at) => drop(self.alarms.insert(*at)),
                 _ => {}
             }
         }
@@ -303,10 +303,10 @@
     }
 }
 
-fn listed(endpoint: u32) -> Entry {
+fn listed(endpoint: u32) -> EndpointEntry {
     let destination = endpoint / ENDPOINTS;
     let (zone, kind) = ((endpoint % 2) as u16, (destination % 3) as usize);
-    Entry {
+    EndpointEntry {
         zone,
         kind,
         weight: 200.0,
@@ -337,11 +337,11 @@
 /// For how many messages a turn looks for an endpoint while so many wait for a destination that is out.
 fn looked_at(waiting: u64) -> usize {
     let mut roomy = settings(8);
-    roomy.max_held = 10 * waiting as usize;
+    roomy.max_pending = 10 * waiting as usize;
     let mut rig = Rig::new(roomy, vec![entry(1, 7), entry(2, 8)]);
-    rig.tell(vec![Event::Word {
+    rig.tell(vec![Event::FleetHealth {
         destination: 7,
-        out: true,
+        unavailable: true,
     }]);
     rig.tell(
         (0..waiting)
--- a/tests/bounds.rs
+++ b/tests/bounds.rs
@@ -5,30 +5,33 @@
 use common::*;
 use message_sender::*;
 
-fn bound(effect: Effect, attempts: usize) -> ClassBound {
-    ClassBound {
+fn bound(effect: Effect, attempts: usize) -> ClassBounds {
+    ClassBounds {
         accepted: true,
         effect,
-        attempts,
+        max_attempts: attempts,
         ordered: false,
-        key_rest: 0,
+        key_backoff: 0,
     }
 }
 
-fn bounds(classes: &[(&str, ClassBound)]) -> Bounds {
-    Bounds {
+fn bounds(classes: &[(&str, ClassBounds)]) -> RuleBounds {
+    RuleBounds {
         classes: classes
             .iter()
             .map(|(name, bound)| (name.to_string(), *bound))
             .collect(),
-        ..Bounds::default()
+        ..RuleBounds::default()
     }
 }
 
 /// Rules until a time after the start, then the floor.
-fn agreed(leased: Bounds, until: Micros, floor: Bounds) -> Event {
-    Event::Agreed(Some(Box::new(Agreed {
-        leased: Some((leased, T0 + until)),
+fn agreed(leased: RuleBounds, until: Micros, floor: RuleBounds) -> Event {
+    Event::AgreedRules(Some(Box::new(AgreedRules {
+        leased: Some(LeasedBounds {
+            bounds: leased,
+            until: T0 + until,
+        }),
         fallback: floor,
     })))
 }
@@ -43,11 +46,11 @@
     rig.tell(vec![message(1, FREE, 7)]);
     assert_eq!(rig.sends_of(1).len(), 1);
     rig.end(1, Outcome::Success, SECOND / 10);
-    let shut = ClassBound {
+    let shut = ClassBounds {
         accepted: false,
-        ..bound(Effect::Repeatable, 9)
+        ..bound(Effect::Idempotent, 9)
     };
-    let free = bounds(&[("free", bound(Effect::Repeatable, 9)), ("keyed", shut)]);
+    let free = bounds(&[("free", bound(Effect::Idempotent, 9)), ("keyed", shut)]);
     rig.tell(vec![agreed(free, 10 * SECOND, bounds(&[]))]);
     rig.tell(vec![
         message(2, FREE, 7),
@@ -65,7 +68,7 @@
         (1, false, false)
     );
     rig.tell(vec![agreed(
-        bounds(&[("free", bound(Effect::Repeatable, 9))]),
+        bounds(&[("free", bound(Effect::Idempotent, 9))]),
         60 * SECOND,
         bounds(&[]),
     )]);
@@ -79,14 +82,17 @@
 #[test]
 fn a_stricter_effect_and_fewer_attempts_bind_messages_that_were_taken_on_before() {
     for (floor, name) in [
-        (bounds(&[("free", bound(Effect::Unsafe, 9))]), "effect"),
         (
-            bounds(&[("free", bound(Effect::Repeatable, 1))]),
+            bounds(&[("free", bound(Effect::NonIdempotent, 9))]),
+            "effect",
+        ),
+        (
+            bounds(&[("free", bound(Effect::Idempotent, 1))]),
             "attempts",
         ),
     ] {
         let mut rig = rig();
-        let free = bounds(&[("free", bound(Effect::Repeatable, 9))]);
+        let free = bounds(&[("free", bound(Effect::Idempotent, 9))]);
         rig.tell(vec![
             agreed(free.clone(), SECOND, floor),
             message(1, FREE, 7),
@@ -108,14 +114,14 @@
 #[test]
 fn calls_messages_order_and_rests_are_the_stricter_of_both() {
     let mut rig = rig();
-    let free = ClassBound {
+    let free = ClassBounds {
         ordered: true,
-        key_rest: 2 * SECOND,
-        ..bound(Effect::Repeatable, 9)
+        key_backoff: 2 * SECOND,
+        ..bound(Effect::Idempotent, 9)
     };
-    let leased = Bounds {
-        calls: Some(2),
-        messages: Some(3),
+    let leased = RuleBounds {
+        max_calls: Some(2),
+        max_messages: Some(3),
         ..bounds(&[("free", free)])
     };
     let keyed = |id, key| {
@@ -135,7 +141,7 @@
     // the first two are over, the third is called off: its key rests
     rig.end(1, Outcome::Success, SECOND / 10);
     rig.end(2, Outcome::Success, SECOND / 10);
-    rig.tell(vec![Event::Dropped(MessageId(3))]);
+    rig.tell(vec![Event::MessageAbandoned(MessageId(3))]);
     rig.end(3, Outcome::Cancelled, SECOND);
     rig.tell(vec![keyed(5, 6)]);
     rig.run(T0 + 19 * SECOND / 10);
@@ -153,7 +159,7 @@
 #[test]
 fn a_lone_own_setting_that_is_stricter_stays() {
     let mut rig = rig();
-    let loose = bounds(&[("unsafe", bound(Effect::Repeatable, 99))]);
+    let loose = bounds(&[("unsafe", bound(Effect::Idempotent, 99))]);
     rig.tell(vec![
         agreed(loose, 60 * SECOND, bounds(&[])),
         message(1, UNSAFE, 7),
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -37,9 +37,9 @@
     let mut settings = settings(4);
     settings.senders = day.senders as u32;
     settings.weight_trust = 0.5;
-    (settings.safety.start_capacity, settings.safety.cold_time) = (day.start, day.cold);
-    settings.safety.fall_span = day.span;
-    settings.safety.fall_multiple = 2.0;
+    (settings.safety.start_capacity, settings.safety.warm_up_time) = (day.start, day.cold);
+    settings.safety.overload_span = day.span;
+    settings.safety.overload_multiple = 2.0;
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings");
     let mut senders: Vec<Sender> = (0..day.senders as u64)
         .map(|n| start(n + 1000 * day.seed))
@@ -48,8 +48,8 @@
     let mut random = Pcg32::seed_from_u64(day.seed);
     let mut out: Vec<(Micros, usize, u64, usize, u32, Outcome)> = Vec::new();
     let mut attempts: BTreeMap<u64, usize> = BTreeMap::new();
-    let entries: Vec<Entry> = (1..=2)
-        .map(|n| Entry {
+    let entries: Vec<EndpointEntry> = (1..=2)
+        .map(|n| EndpointEntry {
             weight: day.rate * day.listed,
             ..entry(n, 7)
         })
@@ -59,8 +59,8 @@
     while now < back + day.cold {
         let mut events: Vec<Vec<Event>> = vec![Vec::new(); day.senders];
         if now == T0 {
-            let listed = Event::Listed {
-                listing: Listing::Full,
+            let listed = Event::EndpointList {
+                scope: ListScope::Full,
                 entries: entries.clone(),
             };
             events
@@ -87,13 +87,13 @@
             }
             if rings {
                 alarms[index].retain(|at| *at > now);
-                events[index].push(Event::Alarm);
+                events[index].push(Event::TimerExpired);
             }
             let mut actions = Vec::new();
             senders[index].handle(now, &events[index], &mut actions);
             for action in actions {
                 match action {
-                    Action::SetAlarm(at) => drop(alarms[index].insert(at)),
+                    Action::SetTimer(at) => drop(alarms[index].insert(at)),
                     Action::Send {
                         message, endpoint, ..
                     } => {
@@ -179,6 +179,9 @@
 
 #[test]
 fn all_senders_together_stay_within_what_a_destination_bears_that_refused_all_and_is_cold() {
-    let most = worst_of(&[1, 3, 20, 30, 300], &[Outcome::Refused { wait: None }]);
+    let most = worst_of(
+        &[1, 3, 20, 30, 300],
+        &[Outcome::Rejected { retry_after: None }],
+    );
     assert!(most.0 <= 1.0, "{most:?}");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,27 +18,27 @@
     let mut settings = Settings::new(slots, 1000);
     settings.classes.push(Class::new(
         "free",
-        Effect::Repeatable,
+        Effect::Idempotent,
         2 * SECOND,
         30 * SECOND,
     ));
-    let keyed = Effect::Keyed {
+    let keyed = Effect::IdempotencyKey {
         window: 6 * SECOND,
-        zone_only: true,
+        same_zone_only: true,
     };
     settings
         .classes
         .push(Class::new("keyed", keyed, 2 * SECOND, 30 * SECOND));
     settings.classes.push(Class::new(
         "unsafe",
-        Effect::Unsafe,
+        Effect::NonIdempotent,
         2 * SECOND,
         30 * SECOND,
     ));
-    let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 30 * SECOND);
+    let mut ordered = Class::new("ordered", Effect::Idempotent, 2 * SECOND, 30 * SECOND);
     ordered.ordered = true;
     settings.classes.push(ordered);
-    settings.safety.key_rest = 100 * MILLISECOND;
+    settings.safety.key_backoff = 100 * MILLISECOND;
     settings.kinds.push(Kind {
         name: "one".into(),
         separate_routes: false,
@@ -62,8 +62,8 @@
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
-pub fn entry(endpoint: u32, destination: u64) -> Entry {
-    Entry::new(EndpointId(endpoint), destination)
+pub fn entry(endpoint: u32, destination: u64) -> EndpointEntry {
+    EndpointEntry::new(EndpointId(endpoint), destination)
 }
 
 pub fn message(id: u64, class: usize, destination: u64) -> Event {
@@ -82,19 +82,19 @@
     outcome: Outcome,
     latency: Micros,
 ) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         message: MessageId(message),
         attempt,
         endpoint: EndpointId(endpoint),
         outcome,
         latency,
-        closed: outcome == Outcome::Success,
+        complete: outcome == Outcome::Success,
         report: Vec::new(),
     }
 }
 
 impl Rig {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let sender = Sender::new(settings, 11).expect("settings make sense");
         let mut rig = Rig {
             sender,
@@ -103,8 +103,8 @@
             sends: Vec::new(),
             log: Vec::new(),
         };
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            scope: ListScope::Full,
             entries,
         }]);
         rig
@@ -116,7 +116,7 @@
         for action in &actions {
             self.log.push((self.now, action.clone()));
             match action {
-                Action::SetAlarm(at) => self.alarms.push(*at),
+                Action::SetTimer(at) => self.alarms.push(*at),
                 Action::Send {
                     message, endpoint, ..
                 } => {
@@ -137,7 +137,7 @@
                 Some(at) if at <= until => {
                     self.alarms.retain(|&other| other > at);
                     self.now = self.now.max(at);
-                    self.tell(vec![Event::Alarm]);
+                    self.tell(vec![Event::TimerExpired]);
                 }
                 _ => break,
             }
@@ -178,7 +178,7 @@
     }
 
     pub fn refused(&self, message: u64) -> bool {
-        self.count(|a| matches!(a, Action::Refuse { message: m, .. } if m.0 == message)) == 1
+        self.count(|a| matches!(a, Action::Reject { message: m, .. } if m.0 == message)) == 1
     }
 
     pub fn cancels(&self, message: u64) -> usize {
--- a/tests/compatibility_interface.rs
+++ b/tests/compatibility_interface.rs
@@ -1,7 +1,7 @@
 //! Types that are stored or sent to another process keep their JSON names and their postcard bytes.
 
-use milletturn::wire::Names;
-use milletturn::*;
+use message_sender::wire::Names;
+use message_sender::*;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -15,7 +15,10 @@
 
 fn recorded(name: &str, form: &str) -> &'static str {
     let head = format!("{name} {form} ");
-    RECORDED.lines().find_map(|line| line.strip_prefix(head.as_str())).unwrap_or_else(|| panic!("no {head}"))
+    RECORDED
+        .lines()
+        .find_map(|line| line.strip_prefix(head.as_str()))
+        .unwrap_or_else(|| panic!("no {head}"))
 }
 
 fn to_hexadecimal(bytes: &[u8]) -> String {
@@ -34,8 +37,8 @@
     assert_eq!(json, recorded(name, "json"), "{name}");
     assert_eq!(to_hexadecimal(&bytes), recorded(name, "postcard"), "{name}");
     let from_json: T = serde_json::from_str(recorded(name, "json")).expect("JSON is read");
-    let from_bytes: T =
-        postcard::from_bytes(&from_hexadecimal(recorded(name, "postcard"))).expect("postcard is read");
+    let from_bytes: T = postcard::from_bytes(&from_hexadecimal(recorded(name, "postcard")))
+        .expect("postcard is read");
     assert_eq!(&from_json, value, "{name}");
     assert_eq!(&from_bytes, value, "{name}");
 }
@@ -44,9 +47,9 @@
     Class {
         name: name.to_string(),
         effect,
-        aim: 2 * SECOND,
+        latency_objective: 2 * SECOND,
         deadline: 30 * SECOND,
-        worth: 1.5,
+        priority_weight: 1.5,
         late_share: 0.25,
         ordered,
     }
@@ -57,67 +60,101 @@
         senders: u32::MAX,
         zone: u16::MAX,
         call_slots: WIDE,
-        max_held: WIDE + 1,
+        max_pending: WIDE + 1,
         max_attempts: WIDE + 2,
-        second_copies: true,
-        may_cancel: false,
-        may_probe: true,
-        may_note: false,
-        connection_idle: 4 * SECOND,
-        max_client_wait: 5 * SECOND,
-        list_on_request: true,
-        ends_by_notice: false,
+        hedging_allowed: true,
+        cancellation_allowed: false,
+        health_checks_allowed: true,
+        notes_allowed: false,
+        connection_idle_timeout: 4 * SECOND,
+        max_retry_after: 5 * SECOND,
+        list_by_subscription: true,
+        completion_by_notification: false,
         weight_trust: 0.5,
-        report_left: Some(WIDE),
+        report_remaining: Some(WIDE),
         report_limit: Some(WIDE + 3),
         price_cross_zone: 0.05,
-        price_probe: 0.01,
+        price_health_check: 0.01,
         price_waste: 0.2,
         zone_fees: vec![0.1, 0.02],
-        over_share_worth: 0.4,
-        fade: Fade::Halving,
+        over_share_weight: 0.4,
+        weight_decay: WeightDecay::Halving,
         safety: Safety {
             drain_grace: 11,
-            cold_time: 12,
+            warm_up_time: 12,
             start_capacity: 0.125,
-            fall_multiple: 2.5,
-            fall_span: 13,
+            overload_multiple: 2.5,
+            overload_span: 13,
             answer_grace: 14,
-            key_rest: 15,
-            ask_every: 16,
+            key_backoff: 15,
+            poll_interval: 16,
         },
         classes: vec![
-            class("free", Effect::Repeatable, false),
-            class("keyed", Effect::Keyed { window: 6 * SECOND, zone_only: true }, true),
-            class("unsafe", Effect::Unsafe, false),
+            class("free", Effect::Idempotent, false),
+            class(
+                "keyed",
+                Effect::IdempotencyKey {
+                    window: 6 * SECOND,
+                    same_zone_only: true,
+                },
+                true,
+            ),
+            class("unsafe", Effect::NonIdempotent, false),
         ],
-        kinds: vec![Kind { name: "apart".into(), separate_routes: true, bundle_max: WIDE }],
-        tenants: vec![Tenant { name: "gold".into(), allowance: 4.5 }],
+        kinds: vec![Kind {
+            name: "apart".into(),
+            separate_routes: true,
+            bundle_max: WIDE,
+        }],
+        tenants: vec![Tenant {
+            name: "gold".into(),
+            allowance: 4.5,
+        }],
     }
 }
 
-fn bounds() -> Bounds {
-    let bound = ClassBound {
+fn bounds() -> RuleBounds {
+    let bound = ClassBounds {
         accepted: true,
-        effect: Effect::Keyed { window: Micros::MIN, zone_only: false },
-        attempts: WIDE,
+        effect: Effect::IdempotencyKey {
+            window: Micros::MIN,
+            same_zone_only: false,
+        },
+        max_attempts: WIDE,
         ordered: true,
-        key_rest: Micros::MAX,
+        key_backoff: Micros::MAX,
     };
-    let classes = BTreeMap::from([("free".to_string(), bound), ("shut".to_string(), ClassBound::NOTHING)]);
-    Bounds { classes, calls: Some(WIDE), messages: Some(WIDE + 1) }
+    let classes = BTreeMap::from([
+        ("free".to_string(), bound),
+        ("shut".to_string(), ClassBounds::NOTHING),
+    ]);
+    RuleBounds {
+        classes,
+        max_calls: Some(WIDE),
+        max_messages: Some(WIDE + 1),
+    }
 }
 
 fn quotas() -> Quotas {
-    let share = |fallback, part| Share { fallback, part };
+    let share = |fallback, allocation| QuotaShare {
+        fallback,
+        allocation,
+    };
+    let allocation = |amount, until| Some(Allocation { amount, until });
     let quota = Quota {
-        rate: Some(share(u64::MAX, Some((Some(u64::MAX - 1), Micros::MAX)))),
-        out: Some((share(4, Some((None, 5))), 6)),
-        cold: Some(share(7, None)),
+        rate: Some(share(u64::MAX, allocation(Some(u64::MAX - 1), Micros::MAX))),
+        in_flight: Some(ConcurrencyQuota {
+            share: share(4, allocation(None, 5)),
+            max_duration: 6,
+        }),
+        unhealthy_rate: Some(share(7, None)),
     };
     Quotas {
         named: BTreeMap::from([(u64::MAX, quota)]),
-        others: Quota { rate: Some(share(8, None)), ..Quota::default() },
+        others: Quota {
+            rate: Some(share(8, None)),
+            ..Quota::default()
+        },
     }
 }
 
@@ -129,8 +166,23 @@
 
 #[test]
 fn agreed_rules_read_and_write_the_same() {
-    check("agreed", &Agreed { leased: Some((bounds(), 300)), fallback: Bounds::default() });
-    check("agreed_without_lease", &Agreed { leased: None, fallback: bounds() });
+    check(
+        "agreed",
+        &AgreedRules {
+            leased: Some(LeasedBounds {
+                bounds: bounds(),
+                until: 300,
+            }),
+            fallback: RuleBounds::default(),
+        },
+    );
+    check(
+        "agreed_without_lease",
+        &AgreedRules {
+            leased: None,
+            fallback: bounds(),
+        },
+    );
 }
 
 #[test]
@@ -146,8 +198,8 @@
             living: u32::MAX,
             suspects: u32::MAX - 1,
             gone: u32::MAX - 2,
-            holders: u32::MAX - 3,
-            doubt: true,
+            agreeing: u32::MAX - 3,
+            in_doubt: true,
         },
     );
 }
@@ -156,20 +208,28 @@
 fn every_outcome_reads_and_writes_the_same() {
     check("outcome_success", &Outcome::Success);
     check("outcome_error", &Outcome::Error);
-    check("outcome_refused", &Outcome::Refused { wait: None });
-    check("outcome_refused_with_wait", &Outcome::Refused { wait: Some(350 * MILLISECOND) });
+    check("outcome_refused", &Outcome::Rejected { retry_after: None });
+    check(
+        "outcome_refused_with_wait",
+        &Outcome::Rejected {
+            retry_after: Some(350 * MILLISECOND),
+        },
+    );
     check("outcome_timed_out", &Outcome::TimedOut);
     check("outcome_no_connection", &Outcome::NoConnection);
     check("outcome_reset", &Outcome::Reset);
     check("outcome_cancelled", &Outcome::Cancelled);
-    check("outcome_unsent", &Outcome::Unsent { no_slot: false });
-    check("outcome_unsent_without_slot", &Outcome::Unsent { no_slot: true });
+    check("outcome_unsent", &Outcome::NotSent { no_slot: false });
+    check(
+        "outcome_unsent_without_slot",
+        &Outcome::NotSent { no_slot: true },
+    );
 }
 
 #[test]
 fn every_fade_reads_and_writes_the_same() {
-    check("fade_even", &Fade::Even);
-    check("fade_halving", &Fade::Halving);
+    check("fade_even", &WeightDecay::Linear);
+    check("fade_halving", &WeightDecay::Halving);
 }
 
 #[test]
@@ -195,5 +255,8 @@
     let read: Names = postcard::from_bytes(&bytes).expect("postcard is read");
     assert_eq!(serde_json::to_string(&read).expect("written as JSON"), json);
     let read: Names = serde_json::from_str(&json).expect("JSON is read");
-    assert_eq!(postcard::to_allocvec(&read).expect("written as postcard"), bytes);
+    assert_eq!(
+        postcard::to_allocvec(&read).expect("written as postcard"),
+        bytes
+    );
 }
--- a/tests/compatibility_simulator.rs
+++ b/tests/compatibility_simulator.rs
@@ -1,6 +1,6 @@
 //! What the simulator writes and reads stays byte for byte: recorded input gives the recorded answers.
 
-use milletturn::wire::{Host, Pairs, read_settings};
+use message_sender::wire::{Host, Pairs, read_settings};
 use std::collections::BTreeSet;
 
 const TRAFFIC: &str = include_str!("golden/simulator/traffic.in");
@@ -12,7 +12,9 @@
 
 fn answers(input: &str) -> String {
     let mut output = Vec::new();
-    Host::new().run(input.as_bytes(), &mut output).expect("recorded input is well formed");
+    Host::new()
+        .run(input.as_bytes(), &mut output)
+        .expect("recorded input is well formed");
     String::from_utf8(output).expect("answers are text")
 }
 
@@ -36,7 +38,9 @@
 #[test]
 fn recorded_input_holds_every_event_outcome_and_answer() {
     let first_words = |text: &str| -> BTreeSet<String> {
-        text.lines().filter_map(|line| line.split(' ').next().map(str::to_string)).collect()
+        text.lines()
+            .filter_map(|line| line.split(' ').next().map(str::to_string))
+            .collect()
     };
     let events = first_words(&format!("{TRAFFIC}{OUTAGE}"));
     for word in [
@@ -58,11 +62,20 @@
         assert!(events.contains(word), "no line begins with {word}");
     }
     let lines: Vec<&str> = TRAFFIC.lines().chain(OUTAGE.lines()).collect();
-    for outcome in
-        ["delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"]
-    {
+    for outcome in [
+        "delivered",
+        "app_error",
+        "shed",
+        "expired",
+        "dial_failed",
+        "dropped",
+        "revoked",
+        "unused",
+    ] {
         let word = format!(" {outcome} ");
-        let held = lines.iter().any(|line| line.starts_with("outcome ") && line.contains(&word));
+        let held = lines
+            .iter()
+            .any(|line| line.starts_with("outcome ") && line.contains(&word));
         assert!(held, "no outcome {outcome}");
     }
     let answers = first_words(&format!("{TRAFFIC_ANSWERS}{OUTAGE_ANSWERS}"));
@@ -84,7 +97,12 @@
 
 #[test]
 fn every_setting_is_read_under_its_name() {
-    let pairs = Pairs(SETTINGS.lines().filter_map(|line| line.split_once('=')).collect());
+    let pairs = Pairs(
+        SETTINGS
+            .lines()
+            .filter_map(|line| line.split_once('='))
+            .collect(),
+    );
     let read = read_settings(&pairs).expect("the recorded settings make sense");
     let text = serde_json::to_string_pretty(&read).expect("settings can be written") + "\n";
     assert_same_lines(&text, SETTINGS_READ);
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -129,7 +129,7 @@
         let mut settings = settings(6);
         settings.senders = SENDERS as u32;
         settings.weight_trust = 0.5;
-        settings.classes[0] = Class::new("free", Effect::Repeatable, AIM, DEADLINE);
+        settings.classes[0] = Class::new("free", Effect::Idempotent, AIM, DEADLINE);
         let mut fleet = Fleet {
             scenario,
             settings,
@@ -162,13 +162,13 @@
     fn listed(&self) -> Event {
         let weight = self.scenario.limit * self.scenario.listed;
         let entries = (1..=2)
-            .map(|n| Entry {
+            .map(|n| EndpointEntry {
                 weight,
                 ..entry(n, DESTINATION)
             })
             .collect();
-        Event::Listed {
-            listing: Listing::Full,
+        Event::EndpointList {
+            scope: ListScope::Full,
             entries,
         }
     }
@@ -187,7 +187,7 @@
                 may_have_run: false,
             };
             let attempts = (0..message.attempts).map(past).collect();
-            events[message.sender].push(Event::Resumed {
+            events[message.sender].push(Event::MessageRestored {
                 message: new,
                 attempts,
             });
@@ -245,7 +245,7 @@
             .is_some_and(|at| *at <= self.now)
         {
             self.alarms[sender].retain(|at| *at > self.now);
-            events.push(Event::Alarm);
+            events.push(Event::TimerExpired);
         }
         if events.is_empty() {
             return;
@@ -254,11 +254,11 @@
         self.senders[sender].handle(self.now, &events, &mut actions);
         for action in actions {
             match action {
-                Action::SetAlarm(at) => drop(self.alarms[sender].insert(at)),
+                Action::SetTimer(at) => drop(self.alarms[sender].insert(at)),
                 Action::Send {
                     message, endpoint, ..
                 } => self.call(sender, message.0, endpoint.0),
-                Action::Refuse { message, .. } | Action::Fail(message) => {
+                Action::Reject { message, .. } | Action::Fail(message) => {
                     self.messages
                         .entry(message.0)
                         .and_modify(|message| message.open = false);
@@ -276,7 +276,7 @@
         let outcome = if taken {
             Outcome::Success
         } else {
-            Outcome::Refused { wait: None }
+            Outcome::Rejected { retry_after: None }
         };
         self.served.refused_calls += usize::from(!taken);
         let (ends, attempt) = (self.now + LATENCY, message.attempts);
@@ -311,7 +311,7 @@
         if stale != was_stale {
             waiting
                 .iter_mut()
-                .for_each(|events| events.push(Event::Stale(stale)));
+                .for_each(|events| events.push(Event::EndpointListStale(stale)));
             was_stale = stale;
         }
         fleet.hand_in(&mut waiting);
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -2,7 +2,7 @@
 //! while the order and the kinds of all fields and variants are the same in both.
 #![allow(dead_code)]
 
-use message_sender::{Agreed, FleetView, Micros, Quotas, Settings};
+use message_sender::{AgreedRules, FleetView, Micros, Quotas, Settings};
 use rand_pcg::Pcg32;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -32,7 +32,7 @@
     pub fleet_size: u32,
     pub fleet: Option<FleetView>,
     pub fleet_since: Micros,
-    pub agreed_rules: Option<Agreed>,
+    pub agreed_rules: Option<AgreedRules>,
     pub stale: bool,
     pub quotas: Option<Quotas>,
     pub buckets: BTreeMap<u64, Bucket>,
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -131,7 +131,7 @@
             actions: [0; 10],
             logged: [0; 5],
         };
-        host.list(Listing::Old);
+        host.list(ListScope::Stale);
         host
     }
 
@@ -161,7 +161,7 @@
         self.notify_of_little();
         while self.timers.first().is_some_and(|&at| at <= self.now) {
             self.timers.pop_first();
-            self.events.push(Event::Alarm);
+            self.events.push(Event::TimerExpired);
         }
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
@@ -192,7 +192,7 @@
         self.stale = false;
         self.local_fault = false;
         self.events.push(Event::Restarted);
-        self.list(Listing::Old);
+        self.list(ListScope::Stale);
         self.in_flight.clear();
         for message in self.messages.values() {
             let new = NewMessage {
@@ -200,14 +200,14 @@
                 ..message.new.clone()
             };
             if message.ended && message.notification_pending {
-                self.events.push(Event::Unnoticed(new));
+                self.events.push(Event::NotificationPending(new));
             } else if !message.ended {
                 let attempts = message.attempts.iter().map(|past| PastAttempt {
                     endpoint: EndpointId(past.endpoint),
                     sent: past.sent,
                     may_have_run: past.may_have_run,
                 });
-                self.events.push(Event::Resumed {
+                self.events.push(Event::MessageRestored {
                     message: new,
                     attempts: attempts.collect(),
                 });
@@ -237,8 +237,8 @@
             new.key =
                 (class >= 4 || self.below(8) == 0).then(|| u64::from(self.random.next_u32() % 4));
             new.tenant = (self.below(2) == 0).then(|| self.random.next_u32() as usize % 2);
-            new.again = self.below(20) == 0;
-            new.attempts = (self.below(10) == 0).then_some(2);
+            new.resubmitted = self.below(20) == 0;
+            new.max_attempts = (self.below(10) == 0).then_some(2);
             let deadline = self.now + time;
             let message = Message {
                 new: new.clone(),
@@ -268,18 +268,18 @@
                 .expect("kept while in flight");
             message.attempts[flight.attempt].may_have_run = !flight.outcome.never_ran();
             message.ended |= flight.outcome == Outcome::Success;
-            self.events.push(Event::Ended {
+            self.events.push(Event::AttemptEnded {
                 message: MessageId(flight.message),
                 attempt: flight.attempt,
                 endpoint: EndpointId(flight.endpoint),
                 outcome: flight.outcome,
                 latency: self.now - flight.sent,
-                closed: message.ended,
+                complete: message.ended,
                 report,
             });
             if self.below(40) == 0 {
                 let wait = Micros::from(self.below(6_000_000));
-                self.events.push(Event::ToldWait {
+                self.events.push(Event::RetryAfter {
                     endpoint: EndpointId(flight.endpoint),
                     wait,
                 });
@@ -297,27 +297,28 @@
             self.notifications.remove(&id);
             if let Some(message) = self.messages.get_mut(&id) {
                 message.notification_pending = false;
-                self.events.push(Event::Noticed(MessageId(id)));
+                self.events
+                    .push(Event::NotificationDelivered(MessageId(id)));
             }
         }
     }
 
-    fn entry(&self, endpoint: u32) -> Entry {
+    fn entry(&self, endpoint: u32) -> EndpointEntry {
         let destination = u64::from(endpoint / 3);
-        Entry {
+        EndpointEntry {
             endpoint: EndpointId(endpoint),
             destination,
             zone: (endpoint % 2) as u16,
             kind: (destination % 3) as usize,
-            status: Status::Serving,
+            status: EndpointStatus::Serving,
             weight: 5.0 + f64::from(endpoint),
         }
     }
 
-    fn list(&mut self, listing: Listing) {
+    fn list(&mut self, scope: ListScope) {
         let listed = (0..ENDPOINTS).filter(|endpoint| !self.unlisted.contains(endpoint));
         let entries = listed.map(|endpoint| self.entry(endpoint)).collect();
-        self.events.push(Event::Listed { listing, entries });
+        self.events.push(Event::EndpointList { scope, entries });
     }
 
     fn change_list(&mut self) {
@@ -327,27 +328,27 @@
                 let mut entry = self.entry(endpoint);
                 if !self.unlisted.remove(&endpoint) {
                     entry.status = if self.below(2) == 0 {
-                        Status::Draining
+                        EndpointStatus::Draining
                     } else {
-                        Status::Gone
+                        EndpointStatus::Removed
                     };
                     self.unlisted.insert(endpoint);
                 }
-                self.events.push(Event::Listed {
-                    listing: Listing::Changes,
+                self.events.push(Event::EndpointList {
+                    scope: ListScope::Changes,
                     entries: vec![entry],
                 });
             }
-            5 => self.list(Listing::Full),
-            6 | 7 => self.events.push(Event::ListFailed),
+            5 => self.list(ListScope::Full),
+            6 | 7 => self.events.push(Event::EndpointListFailed),
             8 => {
                 self.stale = !self.stale;
-                self.events.push(Event::Stale(self.stale));
+                self.events.push(Event::EndpointListStale(self.stale));
             }
             // what is stale is not for long
             _ if self.stale && self.below(40) == 0 => {
                 self.stale = false;
-                self.events.push(Event::Stale(false));
+                self.events.push(Event::EndpointListStale(false));
             }
             _ => {}
         }
@@ -359,16 +360,19 @@
                 living: 1 + self.below(self.settings.senders * 2),
                 suspects: self.below(3) / 2,
                 gone: self.below(self.settings.senders),
-                holders: self.settings.senders,
-                doubt: self.below(8) == 0,
+                agreeing: self.settings.senders,
+                in_doubt: self.below(8) == 0,
             };
             let known = self.below(6) > 0;
-            self.events.push(Event::Fleet(known.then_some(view)));
+            self.events.push(Event::FleetView(known.then_some(view)));
         }
         if self.below(90) == 0 {
             let destination = u64::from(self.below(DESTINATIONS as u32));
-            let out = self.below(2) == 0;
-            self.events.push(Event::Word { destination, out });
+            let unavailable = self.below(2) == 0;
+            self.events.push(Event::FleetHealth {
+                destination,
+                unavailable,
+            });
         }
     }
 
@@ -378,13 +382,13 @@
             let quotas = settings::quotas(now, &mut self.random);
             let none = self.below(6) == 0;
             self.events
-                .push(Event::Shared((!none).then(|| Box::new(quotas))));
+                .push(Event::Quotas((!none).then(|| Box::new(quotas))));
         }
         if self.number % 4 >= 2 && (self.turn % 300 == 1 || self.below(200) == 0) {
             let agreed = settings::agreed_rules(now, &mut self.random);
             let none = self.below(3) == 0;
             self.events
-                .push(Event::Agreed((!none).then(|| Box::new(agreed))));
+                .push(Event::AgreedRules((!none).then(|| Box::new(agreed))));
         }
     }
 
@@ -407,15 +411,15 @@
             3 => {
                 settings::change(&mut self.settings, &mut self.random);
                 self.events
-                    .push(Event::Retuned(Box::new(self.settings.clone())));
+                    .push(Event::SettingsChanged(Box::new(self.settings.clone())));
             }
             4 => {
                 self.local_fault = !self.local_fault;
                 self.events.push(Event::HostFailing(self.local_fault));
             }
             5 if self.turn % RESTART_EVERY > RESTART_EVERY - 100 => {
-                self.events.push(Event::Stopping {
-                    ends: self.now + SECOND,
+                self.events.push(Event::ShuttingDown {
+                    at: self.now + SECOND,
                 });
             }
             _ if self.local_fault && self.below(20) == 0 => {
@@ -428,11 +432,11 @@
 
     fn notify_of_little(&mut self) {
         match self.below(200) {
-            0 => self.events.push(Event::Noted {
+            0 => self.events.push(Event::PeerNote {
                 from: 1,
                 bytes: vec![7; 9],
             }),
-            1 => self.events.push(Event::Probed {
+            1 => self.events.push(Event::HealthCheckEnded {
                 endpoint: EndpointId(2),
                 outcome: Outcome::Error,
                 report: vec![],
@@ -441,7 +445,7 @@
                 let open = self.messages.iter_mut().find(|(_, message)| !message.ended);
                 if let Some((&id, message)) = open {
                     message.ended = true;
-                    self.events.push(Event::Dropped(MessageId(id)));
+                    self.events.push(Event::MessageAbandoned(MessageId(id)));
                 }
             }
             3 => {
@@ -450,7 +454,8 @@
                 }) = self.in_flight.first()
                 {
                     let (message, attempt) = (MessageId(*message), *attempt);
-                    self.events.push(Event::Started { message, attempt });
+                    self.events
+                        .push(Event::ResponseStarted { message, attempt });
                 }
             }
             _ => {}
@@ -478,10 +483,13 @@
         let class = self.messages[&message].new.class;
         match self.fault(u64::from(endpoint / 3)) {
             Fault::Errors if self.below(5) > 0 => (quick, Outcome::Error),
-            Fault::Rejections => (5_000, Outcome::Refused { wait: None }),
-            Fault::RejectionsWithWait if self.below(3) > 0 => {
-                (5_000, Outcome::Refused { wait: Some(wait) })
-            }
+            Fault::Rejections => (5_000, Outcome::Rejected { retry_after: None }),
+            Fault::RejectionsWithWait if self.below(3) > 0 => (
+                5_000,
+                Outcome::Rejected {
+                    retry_after: Some(wait),
+                },
+            ),
             Fault::Unresponsive => (Micros::MAX / 4, Outcome::TimedOut),
             Fault::Unreachable => (1_000, Outcome::NoConnection),
             Fault::Slow => (1_500_000 + quick * 10, Outcome::Success),
@@ -490,10 +498,10 @@
             }
             _ => match self.below(150) {
                 0 => (quick, Outcome::Error),
-                1 => (quick, Outcome::Refused { wait: None }),
+                1 => (quick, Outcome::Rejected { retry_after: None }),
                 2 => (quick, Outcome::Reset),
-                3 => (0, Outcome::Unsent { no_slot: true }),
-                4 => (0, Outcome::Unsent { no_slot: false }),
+                3 => (0, Outcome::NotSent { no_slot: true }),
+                4 => (0, Outcome::NotSent { no_slot: false }),
                 5 => (quick, Outcome::NoConnection),
                 6 => (4 * SECOND, Outcome::Success),
                 _ => (quick, Outcome::Success),
@@ -548,22 +556,22 @@
                     flight.outcome = Outcome::Cancelled;
                 }
             }
-            Action::Refuse { message, .. } | Action::Fail(message) => {
+            Action::Reject { message, .. } | Action::Fail(message) => {
                 let delay = Micros::from(20_000 + self.below(400_000));
                 let known = self.messages.get_mut(&message.0).expect("ended while open");
                 known.ended = true;
                 // one that was never taken on has nothing to be notified of later
-                if self.settings.ends_by_notice {
+                if self.settings.completion_by_notification {
                     known.notification_pending = true;
                     self.notifications.insert(message.0, self.now + delay);
                 }
             }
-            Action::SetAlarm(at) => drop(self.timers.insert(*at)),
+            Action::SetTimer(at) => drop(self.timers.insert(*at)),
             Action::Subscribe => {
                 if self.below(2) == 0 {
-                    self.list(Listing::Full);
+                    self.list(ListScope::Full);
                 } else {
-                    self.events.push(Event::ListFailed);
+                    self.events.push(Event::EndpointListFailed);
                 }
             }
             _ => {}
@@ -593,15 +601,18 @@
                 ]
             }
             Action::Cancel { message, attempt } => vec![1, message.0 as i64, *attempt as i64],
-            Action::Refuse { message, wait } => vec![2, message.0 as i64, wait.unwrap_or(none)],
+            Action::Reject {
+                message,
+                retry_after,
+            } => vec![2, message.0 as i64, retry_after.unwrap_or(none)],
             Action::Fail(message) => vec![3, message.0 as i64],
-            Action::SetAlarm(at) => vec![4, *at],
-            Action::Probe(endpoint) => vec![5, i64::from(endpoint.0)],
+            Action::SetTimer(at) => vec![4, *at],
+            Action::HealthCheck(endpoint) => vec![5, i64::from(endpoint.0)],
             Action::Disconnect(endpoint) => vec![6, i64::from(endpoint.0)],
             Action::Subscribe => vec![7],
-            Action::Note(bytes) => vec![8, bytes.len() as i64],
-            Action::Log(text) => {
-                let (kind, destination) = logged(text);
+            Action::SendNote(bytes) => vec![8, bytes.len() as i64],
+            Action::Log(event) => {
+                let (kind, destination) = logged(*event);
                 self.logged[kind as usize] += 1;
                 vec![9, kind, destination]
             }
@@ -629,17 +640,17 @@
         for (destination, demand) in self.sender.demand() {
             let Demand {
                 waiting,
-                out,
+                in_flight,
                 sent,
-                sick,
+                unhealthy,
                 failing,
                 alive,
             } = demand;
-            let flags = i64::from(sick) + 2 * i64::from(failing) + 4 * i64::from(alive);
+            let flags = i64::from(unhealthy) + 2 * i64::from(failing) + 4 * i64::from(alive);
             let numbers = [
                 destination as i64,
                 waiting as i64,
-                out as i64,
+                in_flight as i64,
                 sent as i64,
                 flags,
             ];
@@ -651,20 +662,20 @@
 }
 
 /// What a log action says, and of which destination.
-fn logged(text: &str) -> (i64, i64) {
-    let mut words = text.split(' ');
-    assert_eq!(words.next(), Some("destination"));
-    let destination = words
-        .next()
-        .and_then(|word| word.parse().ok())
-        .expect("a destination");
-    let kind = match words.collect::<Vec<_>>().as_slice() {
-        ["returns"] => 0,
-        ["sick:", "silent"] => 1,
-        ["sick:", "shut"] => 2,
-        ["sick:", "fails"] => 3,
-        ["sick:", "told"] => 4,
-        other => panic!("unknown log line: {other:?}"),
-    };
-    (kind, destination)
+fn logged(event: RouteEvent) -> (i64, i64) {
+    match event {
+        RouteEvent::Recovering { destination } => (0, destination as i64),
+        RouteEvent::Ejected {
+            destination,
+            reason,
+        } => {
+            let kind = match reason {
+                EjectionReason::Unresponsive => 1,
+                EjectionReason::Closed => 2,
+                EjectionReason::Failures => 3,
+                EjectionReason::FleetHealth => 4,
+            };
+            (kind, destination as i64)
+        }
+    }
 }
--- a/tests/decision_record/settings.rs
+++ b/tests/decision_record/settings.rs
@@ -17,26 +17,26 @@
 ];
 
 fn classes() -> Vec<Class> {
-    let zone_keyed = Effect::Keyed {
+    let zone_keyed = Effect::IdempotencyKey {
         window: 6 * SECOND,
-        zone_only: true,
+        same_zone_only: true,
     };
-    let keyed = Effect::Keyed {
+    let keyed = Effect::IdempotencyKey {
         window: 4 * SECOND,
-        zone_only: false,
+        same_zone_only: false,
     };
     let effects = [
-        Effect::Repeatable,
+        Effect::Idempotent,
         zone_keyed,
         keyed,
-        Effect::Unsafe,
-        Effect::Repeatable,
-        Effect::Unsafe,
+        Effect::NonIdempotent,
+        Effect::Idempotent,
+        Effect::NonIdempotent,
     ];
     let mut classes = Vec::new();
     for (index, effect) in effects.into_iter().enumerate() {
         let mut class = Class::new(CLASS_NAMES[index], effect, 2 * SECOND, 20 * SECOND);
-        class.worth = 1.0 + index as f64 / 4.0;
+        class.priority_weight = 1.0 + index as f64 / 4.0;
         class.late_share = 0.1 * index as f64;
         class.ordered = index >= 4;
         classes.push(class);
@@ -50,30 +50,30 @@
     let mut settings = Settings::new([10, 3, 40, 2][pick(1, 4)], [80, 300, 30][pick(1, 3)]);
     settings.senders = [1, 3, 300, 20][pick(2, 4)];
     settings.max_attempts = [5, 8][pick(1, 2)];
-    settings.connection_idle = [0, 5 * SECOND][pick(2, 2)];
-    settings.max_client_wait = [0, 4 * SECOND][pick(1, 2)];
-    settings.list_on_request = pick(3, 2) == 0;
-    settings.ends_by_notice = pick(2, 2) == 1;
+    settings.connection_idle_timeout = [0, 5 * SECOND][pick(2, 2)];
+    settings.max_retry_after = [0, 4 * SECOND][pick(1, 2)];
+    settings.list_by_subscription = pick(3, 2) == 0;
+    settings.completion_by_notification = pick(2, 2) == 1;
     settings.weight_trust = [0.0, 0.5, 1.0][pick(2, 3)];
     if pick(1, 3) == 2 {
-        settings.report_left = Some(0);
+        settings.report_remaining = Some(0);
         settings.report_limit = Some(1);
     }
-    settings.safety.key_rest = 100 * MILLISECOND;
+    settings.safety.key_backoff = 100 * MILLISECOND;
     if number >= WITH_EVERYTHING {
         settings.call_slots = 24;
-        settings.max_held = 300;
+        settings.max_pending = 300;
         settings.senders = 8;
-        settings.list_on_request = true;
-        settings.ends_by_notice = true;
+        settings.list_by_subscription = true;
+        settings.completion_by_notification = true;
         settings.weight_trust = 0.5;
-        settings.report_left = Some(0);
+        settings.report_remaining = Some(0);
         settings.report_limit = Some(1);
-        settings.safety.key_rest = SECOND;
+        settings.safety.key_backoff = SECOND;
     }
-    settings.over_share_worth = 0.3;
-    settings.fade = [Fade::Even, Fade::Halving][pick(1, 2)];
-    settings.safety.cold_time = 6 * SECOND;
+    settings.over_share_weight = 0.3;
+    settings.weight_decay = [WeightDecay::Linear, WeightDecay::Halving][pick(1, 2)];
+    settings.safety.warm_up_time = 6 * SECOND;
     settings.classes = classes();
     settings.kinds = vec![
         Kind {
@@ -108,86 +108,101 @@
 pub fn change(settings: &mut Settings, random: &mut Pcg32) {
     match random.next_u32() % 5 {
         0 => settings.senders = settings.senders % 7 + 1,
-        1 => settings.second_copies = !settings.second_copies,
-        2 => settings.may_cancel = !settings.may_cancel,
+        1 => settings.hedging_allowed = !settings.hedging_allowed,
+        2 => settings.cancellation_allowed = !settings.cancellation_allowed,
         3 => settings.call_slots = settings.call_slots % 12 + 2,
-        _ => settings.max_held = settings.max_held % 200 + 20,
+        _ => settings.max_pending = settings.max_pending % 200 + 20,
     }
 }
 
-fn share(now: Micros, random: &mut Pcg32) -> Share {
+fn share(now: Micros, random: &mut Pcg32) -> QuotaShare {
     let fallback = u64::from(random.next_u32() % 4000);
     let more = u64::from(random.next_u32() % 20_000);
     let until = now + Micros::from(random.next_u32() % 4_000_000);
-    let part = match random.next_u32() % 4 {
+    let allocation = match random.next_u32() % 4 {
         0 => None,
-        1 => Some((None, until)),
-        _ => Some((Some(more), until)),
+        1 => Some(Allocation {
+            amount: None,
+            until,
+        }),
+        _ => Some(Allocation {
+            amount: Some(more),
+            until,
+        }),
     };
-    Share { fallback, part }
+    QuotaShare {
+        fallback,
+        allocation,
+    }
 }
 
 /// Quotas for some destinations, and for all others.
 pub fn quotas(now: Micros, random: &mut Pcg32) -> Quotas {
-    let calls = Share {
+    let calls = QuotaShare {
         fallback: 1,
-        part: Some((Some(u64::from(random.next_u32() % 4)), now + 3 * SECOND)),
+        allocation: Some(Allocation {
+            amount: Some(u64::from(random.next_u32() % 4)),
+            until: now + 3 * SECOND,
+        }),
     };
     let mut quotas = Quotas::default();
     let quota = Quota {
         rate: Some(share(now, random)),
-        out: Some((calls, 2 * SECOND)),
-        cold: None,
+        in_flight: Some(ConcurrencyQuota {
+            share: calls,
+            max_duration: 2 * SECOND,
+        }),
+        unhealthy_rate: None,
     };
     quotas.named.insert(0, quota);
     let quota = Quota {
         rate: None,
-        out: None,
-        cold: Some(share(now, random)),
+        in_flight: None,
+        unhealthy_rate: Some(share(now, random)),
     };
     quotas.named.insert(1, quota);
     quotas.others = Quota {
         rate: Some(share(now, random)),
-        out: None,
-        cold: Some(share(now, random)),
+        in_flight: None,
+        unhealthy_rate: Some(share(now, random)),
     };
     quotas
 }
 
 /// Agreed rules: a lease that allows nearly all, and a fallback that allows less.
-pub fn agreed_rules(now: Micros, random: &mut Pcg32) -> Agreed {
-    let mut leased = Bounds {
-        calls: Some(8),
-        messages: Some(150),
-        ..Bounds::default()
+pub fn agreed_rules(now: Micros, random: &mut Pcg32) -> AgreedRules {
+    let mut leased = RuleBounds {
+        max_calls: Some(8),
+        max_messages: Some(150),
+        ..RuleBounds::default()
     };
-    let mut fallback = Bounds {
-        calls: Some(3),
-        messages: None,
-        ..Bounds::default()
+    let mut fallback = RuleBounds {
+        max_calls: Some(3),
+        max_messages: None,
+        ..RuleBounds::default()
     };
     for (index, class) in classes().into_iter().enumerate() {
-        let attempts = 2 + (random.next_u32() % 4) as usize;
+        let max_attempts = 2 + (random.next_u32() % 4) as usize;
         let accepted = random.next_u32() % 8 > 0;
-        let key_rest = Micros::from(random.next_u32() % 300_000);
+        let key_backoff = Micros::from(random.next_u32() % 300_000);
         let ordered = index == 0 || class.ordered;
-        let bound = ClassBound {
+        let bound = ClassBounds {
             accepted,
             effect: class.effect,
-            attempts,
+            max_attempts,
             ordered,
-            key_rest,
+            key_backoff,
         };
         leased.classes.insert(class.name.clone(), bound);
         if index != 3 {
             let window = 3 * SECOND;
-            let stricter = class.effect.meet(Effect::Keyed {
+            let stricter = class.effect.intersection(Effect::IdempotencyKey {
                 window,
-                zone_only: index == 2,
+                same_zone_only: index == 2,
             });
             fallback.classes.insert(
                 class.name,
-                ClassBound {
+                ClassBounds {
                     effect: stricter,
                     ..bound
                 },
@@ -195,8 +210,11 @@
         }
     }
     let until = now + Micros::from(random.next_u32() % 5_000_000);
-    Agreed {
-        leased: Some((leased, until)),
+    AgreedRules {
+        leased: Some(LeasedBounds {
+            bounds: leased,
+            until,
+        }),
         fallback,
     }
 }
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -18,7 +18,7 @@
             .map(|number| entry(number, number.into()))
             .collect(),
     );
-    rig.tell(vec![Event::Shared(Some(Box::default()))]);
+    rig.tell(vec![Event::Quotas(Some(Box::default()))]);
     rig
 }
 
@@ -31,8 +31,9 @@
         assert_eq!(demand, &whole[destination], "{destination}");
     }
     // what is sick by the word of others alone, with nothing held or called, wants nothing and reports nothing
-    let in_use =
-        |demand: &Demand| demand.waiting > 0 || demand.out > 0 || demand.failing || demand.alive;
+    let in_use = |demand: &Demand| {
+        demand.waiting > 0 || demand.in_flight > 0 || demand.failing || demand.alive
+    };
     for (destination, demand) in whole.iter().filter(|(_, demand)| in_use(demand)) {
         assert!(
             used.contains_key(destination),
@@ -58,12 +59,12 @@
     assert_eq!(compare(&mut rig), 0);
     rig.tell(vec![message(1, FREE, 7)]);
     let (_, told) = rig.sender.demand_in_use(0);
-    assert_eq!((told.len(), told[&7].out, told[&7].sent), (1, 1, 1));
+    assert_eq!((told.len(), told[&7].in_flight, told[&7].sent), (1, 1, 1));
     rig.end(1, Outcome::Success, 10 * MILLISECOND);
     assert!(rig.sender.demand_in_use(0).1[&7].alive);
     // its last success is long ago: told once more, and then not
     rig.run(rig.now + 60 * SECOND);
-    rig.tell(vec![Event::Alarm]);
+    rig.tell(vec![Event::TimerExpired]);
     assert_eq!(rig.sender.demand_in_use(0).1.len(), 1);
     assert_eq!(rig.sender.demand_in_use(0).1.len(), 0);
 }
@@ -72,11 +73,11 @@
 fn what_was_there_before_limits_were_shared_is_found_at_the_first_look() {
     let mut rig = rig(3);
     rig.tell(vec![
-        Event::Shared(None),
+        Event::Quotas(None),
         message(1, FREE, 7),
         message(2, FREE, 9),
     ]);
-    rig.tell(vec![Event::Shared(Some(Box::default()))]);
+    rig.tell(vec![Event::Quotas(Some(Box::default()))]);
     assert_eq!(compare(&mut rig), 2);
 }
 
@@ -97,7 +98,7 @@
             )]);
             rig.run(rig.now + Micros::from(below(80)) * MILLISECOND);
             if below(2) == 0 && rig.sends.iter().any(|(_, sent, ..)| *sent == id) {
-                let refused = Outcome::Refused { wait: None };
+                let refused = Outcome::Rejected { retry_after: None };
                 let outcome = [Outcome::Success, refused, Outcome::Error, Outcome::TimedOut]
                     [below(4) as usize];
                 rig.end(id, outcome, 10 * MILLISECOND);
@@ -105,10 +106,10 @@
             match below(10) {
                 0 => looked += compare(&mut rig),
                 1 if below(20) == 0 => {
-                    let out = below(2) == 0;
-                    rig.tell(vec![Event::Word {
+                    let unavailable = below(2) == 0;
+                    rig.tell(vec![Event::FleetHealth {
                         destination: below(DESTINATIONS).into(),
-                        out,
+                        unavailable,
                     }]);
                 }
                 _ => {}
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -34,7 +34,7 @@
         let mut sum = 0.0;
         for index in self.fleet.running() {
             let view = self.view(index);
-            self.modules[index].handle(now, &[Event::Fleet(Some(view))], &mut Vec::new());
+            self.modules[index].handle(now, &[Event::FleetView(Some(view))], &mut Vec::new());
             sum += 1.0 / f64::from(self.modules[index].fleet_size());
         }
         sum
@@ -46,15 +46,15 @@
             living,
             suspects,
             gone,
-            holders,
-            doubt,
+            holders: agreeing,
+            doubt: in_doubt,
         } = view;
         FleetView {
             living,
             suspects,
             gone,
-            holders,
-            doubt,
+            agreeing,
+            in_doubt,
         }
     }
 
@@ -175,13 +175,13 @@
             living: 101 + index % 90,
             suspects: 0,
             gone: 99 - index % 90,
-            holders: 1 + index % 100,
-            doubt: false,
+            agreeing: 1 + index % 100,
+            in_doubt: false,
         };
         for step in 1..=30 {
             module.handle(
                 step * PERIOD as Micros,
-                &[Event::Fleet(Some(view))],
+                &[Event::FleetView(Some(view))],
                 &mut Vec::new(),
             );
         }
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -16,7 +16,7 @@
     let tell = |rig: &mut Rig, after: Micros, view| {
         rig.now += after;
         rig.sender
-            .handle(rig.now, &[Event::Fleet(view)], &mut Vec::new());
+            .handle(rig.now, &[Event::FleetView(view)], &mut Vec::new());
         rig.sender.fleet_size()
     };
     (rig, tell)
@@ -28,8 +28,8 @@
         living,
         suspects: 0,
         gone,
-        holders: living,
-        doubt: false,
+        agreeing: living,
+        in_doubt: false,
     }
 }
 
@@ -40,7 +40,8 @@
     assert_eq!(tell(&mut rig, STANDS - 1, Some(view(60, 40))), 100);
     let mut actions = Vec::new();
     rig.now += 1;
-    rig.sender.handle(rig.now, &[Event::Alarm], &mut actions);
+    rig.sender
+        .handle(rig.now, &[Event::TimerExpired], &mut actions);
     assert_eq!(rig.sender.fleet_size(), 60, "at its own alarm");
     assert_eq!(tell(&mut rig, SECOND, Some(view(61, 39))), 61, "at once");
     assert_eq!(
@@ -48,7 +49,7 @@
             &mut rig,
             SECOND,
             Some(FleetView {
-                doubt: true,
+                in_doubt: true,
                 ..view(61, 39)
             })
         ),
@@ -62,10 +63,13 @@
 fn it_rings_when_the_view_will_have_stood() {
     let (mut rig, _) = sender(100);
     let mut actions = Vec::new();
-    rig.sender
-        .handle(rig.now, &[Event::Fleet(Some(view(60, 40)))], &mut actions);
+    rig.sender.handle(
+        rig.now,
+        &[Event::FleetView(Some(view(60, 40)))],
+        &mut actions,
+    );
     assert!(
-        actions.contains(&Action::SetAlarm(rig.now + STANDS)),
+        actions.contains(&Action::SetTimer(rig.now + STANDS)),
         "{actions:?}"
     );
 }
@@ -84,7 +88,7 @@
         (
             "few hold it",
             FleetView {
-                holders: 50,
+                agreeing: 50,
                 ..lowered
             },
         ),
@@ -92,7 +96,7 @@
         (
             "doubt",
             FleetView {
-                doubt: true,
+                in_doubt: true,
                 ..lowered
             },
         ),
@@ -125,7 +129,7 @@
     settings.senders = 80;
     rig.sender.handle(
         rig.now,
-        &[Event::Retuned(Box::new(settings))],
+        &[Event::SettingsChanged(Box::new(settings))],
         &mut Vec::new(),
     );
     assert_eq!(
@@ -138,7 +142,7 @@
     settings.senders = 80;
     rig.sender.handle(
         rig.now,
-        &[Event::Retuned(Box::new(settings))],
+        &[Event::SettingsChanged(Box::new(settings))],
         &mut Vec::new(),
     );
     assert_eq!(rig.sender.fleet_size(), 80);
@@ -157,14 +161,17 @@
                 living: 1 + below(configured + 3),
                 suspects: below(3) / 2,
                 gone: below(configured + 2),
-                holders: below(configured + 2),
-                doubt: below(5) == 0,
+                agreeing: below(configured + 2),
+                in_doubt: below(5) == 0,
             };
             // often the same one again, so that views stand
             let view = held.filter(|_| below(4) > 0).map_or(view, |(view, _)| view);
             let after = Micros::from(below(8)) * SECOND;
             let now = tell(&mut rig, after, Some(view));
-            let seen = |view: FleetView| FleetView { holders: 0, ..view };
+            let seen = |view: FleetView| FleetView {
+                agreeing: 0,
+                ..view
+            };
             held = Some((
                 view,
                 held.filter(|(old, _)| seen(*old) == seen(view))
@@ -174,11 +181,11 @@
             assert!(now >= view.living.min(before), "{view:?}: {now}");
             if now < before && now < configured {
                 assert!(
-                    stood && view.suspects == 0 && 2 * view.holders > configured,
+                    stood && view.suspects == 0 && 2 * view.agreeing > configured,
                     "{view:?}: {before} to {now}"
                 );
             }
-            if view.doubt || 2 * view.living <= configured {
+            if view.in_doubt || 2 * view.living <= configured {
                 assert!(now >= configured, "{view:?}: {now}");
             }
             before = now;
@@ -193,7 +200,7 @@
         let mut settings = settings(8);
         settings.senders = 20;
         let mut rig = Rig::new(settings, vec![entry(1, 7)]);
-        rig.tell(vec![Event::Fleet(view)]);
+        rig.tell(vec![Event::FleetView(view)]);
         let begin = rig.now + 2 * STANDS;
         rig.run(begin);
         for id in 0..300 {
@@ -203,7 +210,11 @@
                 rig.run(begin + id as Micros * SECOND + step * SECOND / 20);
                 let new: Vec<u64> = rig.sends[before..].iter().map(|send| send.1).collect();
                 new.iter().for_each(|&id| {
-                    drop(rig.end(id, Outcome::Refused { wait: None }, 10 * MILLISECOND))
+                    drop(rig.end(
+                        id,
+                        Outcome::Rejected { retry_after: None },
+                        10 * MILLISECOND,
+                    ))
                 });
             }
         }
@@ -223,20 +234,20 @@
     let sent = |views: [Option<FleetView>; 2]| {
         let mut settings = settings(20);
         (settings.senders, settings.weight_trust) = (20, 1.0);
-        let entries = vec![Entry {
+        let entries = vec![EndpointEntry {
             weight: 40.0,
             ..entry(1, 7)
         }];
         let mut rig = Rig::new(settings, entries.clone());
-        rig.tell(vec![Event::Fleet(views[0])]);
+        rig.tell(vec![Event::FleetView(views[0])]);
         rig.run(T0 + 2 * STANDS);
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            scope: ListScope::Full,
             entries,
         }]);
-        rig.tell(vec![Event::Fleet(views[1])]);
+        rig.tell(vec![Event::FleetView(views[1])]);
         rig.tell(vec![message(1, FREE, 7)]);
-        rig.end(1, Outcome::Refused { wait: None }, 10 * MILLISECOND);
+        rig.end(1, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
         let begin = rig.now;
         (2..60).for_each(|id| drop(rig.tell(vec![message(id, FREE, 7)])));
         for step in 1..=150 {
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -4,7 +4,7 @@
 use common::*;
 use message_sender::*;
 
-fn two_destinations() -> Vec<Entry> {
+fn two_destinations() -> Vec<EndpointEntry> {
     vec![entry(1, 7), entry(2, 8)]
 }
 
@@ -40,9 +40,9 @@
 #[test]
 fn a_call_that_is_lost_alone_is_called_off_though_others_are_answered() {
     let mut settings = settings(40);
-    settings.classes[KEYED].effect = Effect::Keyed {
+    settings.classes[KEYED].effect = Effect::IdempotencyKey {
         window: 20 * SECOND,
-        zone_only: false,
+        same_zone_only: false,
     };
     let mut rig = Rig::new(settings, vec![entry(1, 7)]);
     rig.tell(vec![message(1, KEYED, 7), message(2, UNSAFE, 7)]);
@@ -169,7 +169,13 @@
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(T0 + 3_900 * MILLISECOND);
     assert!(
-        rig.count(|action| matches!(action, Action::Log(line) if line.contains("silent"))) == 0
+        rig.count(|action| matches!(
+            action,
+            Action::Log(RouteEvent::Ejected {
+                reason: EjectionReason::Unresponsive,
+                ..
+            })
+        )) == 0
     );
 }
 
@@ -184,7 +190,7 @@
     }
     rig.run(rig.now + 5 * SECOND); // a pause: nothing was served lately
     rig.tell(vec![message(1, FREE, 7)]);
-    rig.end(1, Outcome::Refused { wait: None }, MILLISECOND);
+    rig.end(1, Outcome::Rejected { retry_after: None }, MILLISECOND);
     let start = rig.now;
     rig.tell((100..140).map(|id| message(id, FREE, 7)).collect());
     while rig.now < start + 3 * SECOND {
@@ -229,7 +235,7 @@
         rig.now += 40 * MILLISECOND;
         let ends = out.iter().map(|s| {
             let mut end = ended(s.1, s.3, s.2, Outcome::Success, 40 * MILLISECOND);
-            if let Event::Ended { report, .. } = &mut end {
+            if let Event::AttemptEnded { report, .. } = &mut end {
                 report.push(16.0);
             }
             end
@@ -290,7 +296,7 @@
 #[test]
 fn messages_of_a_sick_destination_are_refused_when_too_many_are_held() {
     let mut small = settings(8);
-    small.max_held = 20;
+    small.max_pending = 20;
     let mut rig = Rig::new(small, two_destinations());
     rig.tell((0..8).map(|id| message(id, FREE, 7)).collect());
     rig.run(T0 + 6 * SECOND);
@@ -304,7 +310,7 @@
 fn bundles_fill_one_call() {
     let mut rig = Rig::new(
         settings(4),
-        vec![Entry {
+        vec![EndpointEntry {
             kind: 2,
             ..entry(1, 7)
         }],
@@ -336,7 +342,7 @@
             .collect();
         rig.now += 20 * MILLISECOND;
         let result = if rig.now < open {
-            Outcome::Refused { wait: None }
+            Outcome::Rejected { retry_after: None }
         } else {
             Outcome::Success
         };
@@ -352,7 +358,13 @@
         rig.tell(ends);
     }
     assert_eq!(
-        rig.count(|a| matches!(a, Action::Log(line) if line.contains("shut"))),
+        rig.count(|a| matches!(
+            a,
+            Action::Log(RouteEvent::Ejected {
+                reason: EjectionReason::Closed,
+                ..
+            })
+        )),
         1
     );
     assert!(
@@ -365,7 +377,7 @@
 fn a_bundle_is_filled_before_another_endpoint_gets_a_call() {
     // Round 9 (i8e33e4): with two endpoints the second message opened a call of its own.
     let entries = (1..=3)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 2,
             ..entry(n, 7)
         })
@@ -425,8 +437,8 @@
         settings.kinds.retain(|kind| kind.bundle_max == 1);
         Sender::new(settings, 11).expect("settings make sense")
     };
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Full,
         entries: two_destinations(),
     }]);
     rig.tell(vec![Event::Disabled(EndpointId(1))]);
