--- a/tests/property.rs
+++ b/tests/property.rs
@@ -32,9 +32,9 @@
     u64::from(endpoint / 3)
 }
 
-fn listed(endpoint: u32) -> Entry {
+fn listed(endpoint: u32) -> EndpointEntry {
     let kind = (endpoint / 3 % 3) as usize;
-    Entry {
+    EndpointEntry {
         zone: (endpoint % 2) as u16,
         kind,
         ..entry(endpoint, destination(endpoint))
@@ -52,13 +52,13 @@
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
     settings.max_attempts = 5;
     settings.senders = [1, 3, 300][seed as usize % 3];
-    (settings.may_note, settings.list_on_request) = (true, seed.is_multiple_of(2));
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+    (settings.notes_allowed, settings.list_by_subscription) = (true, seed.is_multiple_of(2));
+    (settings.report_remaining, settings.report_limit) = (Some(0), Some(1));
     settings.tenants = vec![Tenant {
         name: "first".into(),
         allowance: 5.0,
     }];
-    settings.connection_idle = 5 * SECOND;
+    settings.connection_idle_timeout = 5 * SECOND;
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
     let (mut now, mut next) = (T0, 0u64);
     let mut books: BTreeMap<u64, Book> = BTreeMap::new();
@@ -69,8 +69,8 @@
     let mut rests: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
-    let mut events = vec![Event::Listed {
-        listing: Listing::Old,
+    let mut events = vec![Event::EndpointList {
+        scope: ListScope::Stale,
         entries: (0..12).map(listed).collect(),
     }];
     let mut sends = 0;
@@ -108,14 +108,14 @@
             let mut changed = listed(endpoint);
             if stopped.remove(&endpoint).is_none() {
                 changed.status = if below(2) == 0 {
-                    Status::Draining
+                    EndpointStatus::Draining
                 } else {
-                    Status::Gone
+                    EndpointStatus::Removed
                 };
                 stopped.insert(endpoint, now);
             }
-            events.push(Event::Listed {
-                listing: Listing::Changes,
+            events.push(Event::EndpointList {
+                scope: ListScope::Changes,
                 entries: vec![changed],
             });
         }
@@ -133,8 +133,8 @@
                 _ if over => Outcome::TimedOut,
                 _ if bad && below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
-                1 => Outcome::Refused {
-                    wait: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
+                1 => Outcome::Rejected {
+                    retry_after: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
                 },
                 2 if below(3) == 0 => Outcome::NoConnection,
                 3 if below(3) == 0 => Outcome::Reset,
@@ -148,9 +148,12 @@
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (book.key, outcome)
             {
-                rests.insert(key, now + settings.safety.key_rest);
+                rests.insert(key, now + settings.safety.key_backoff);
             }
-            if let Outcome::Refused { wait: Some(wait) } = outcome {
+            if let Outcome::Rejected {
+                retry_after: Some(wait),
+            } = outcome
+            {
                 let until = waits.entry(wait_key(call.endpoint)).or_default();
                 *until = (*until).max(now + wait);
             }
@@ -163,8 +166,8 @@
                 outcome,
                 now - call.sent,
             );
-            if let Event::Ended {
-                closed: flag,
+            if let Event::AttemptEnded {
+                complete: flag,
                 report,
                 ..
             } = &mut event
@@ -173,7 +176,7 @@
                 *report = vec![f64::from(below(11)) / 10.0, f64::from(below(30))];
             }
             if below(10) == 0 {
-                events.push(Event::Noted {
+                events.push(Event::PeerNote {
                     from: below(5),
                     bytes: vec![7; below(300) as usize],
                 });
@@ -182,7 +185,7 @@
         }
         while alarms.first().is_some_and(|&at| at <= now) {
             alarms.pop_first();
-            events.push(Event::Alarm);
+            events.push(Event::TimerExpired);
         }
         let mut actions = Vec::new();
         sender.handle(now, &events, &mut actions);
@@ -219,9 +222,11 @@
                     let waits = waits.get(&wait_key(endpoint)).copied().unwrap_or(0);
                     assert!(now >= waits, "sent before a wait was over");
                     match settings.classes[book.class].effect {
-                        Effect::Repeatable => {}
-                        Effect::Unsafe => assert!(book.risky.is_empty(), "unsafe sent twice"),
-                        Effect::Keyed { window, .. } => assert!(
+                        Effect::Idempotent => {}
+                        Effect::NonIdempotent => {
+                            assert!(book.risky.is_empty(), "unsafe sent twice")
+                        }
+                        Effect::IdempotencyKey { window, .. } => assert!(
                             book.risky.values().all(|&(o, at)| o % 2 == endpoint % 2
                                 && now < at + window
                                 && start_by.is_some_and(|by| now < by && by < at + window)),
@@ -246,13 +251,13 @@
                         expires: *expires,
                     });
                 }
-                Action::Refuse { message, .. } => {
+                Action::Reject { message, .. } => {
                     let book = books.get_mut(&message.0).expect("known");
                     assert!(
                         !book.ended && now <= book.deadline + settings.safety.answer_grace,
                         "ended twice or late"
                     );
-                    let free = settings.classes[book.class].effect == Effect::Repeatable;
+                    let free = settings.classes[book.class].effect == Effect::Idempotent;
                     assert!(
                         free || book.risky.is_empty(),
                         "refused although it may have run"
@@ -276,7 +281,7 @@
                         call.expires = now + 20 * MILLISECOND;
                     }
                 }
-                Action::SetAlarm(at) => {
+                Action::SetTimer(at) => {
                     assert!(*at > now);
                     alarms.insert(*at);
                 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use message_sender::*;
 
-fn pool(count: u32) -> Vec<Entry> {
+fn pool(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(|endpoint| entry(endpoint, 7)).collect()
 }
 
@@ -62,7 +62,7 @@
     assert_eq!(rig.sends_of(1).len(), 2);
 
     let mut none = settings(40);
-    none.second_copies = false;
+    none.hedging_allowed = false;
     let mut rig = Rig::new(none, pool(4));
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(T0 + 3 * SECOND);
@@ -70,7 +70,7 @@
 
     let mut rig = Rig::new(settings(40), pool(4));
     let mut late = NewMessage::new(MessageId(1), FREE, 7, SECOND);
-    late.again = true;
+    late.resubmitted = true;
     rig.tell(vec![Event::Accepted(late)]);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "no time was left for a copy");
@@ -138,9 +138,9 @@
 #[test]
 fn an_unsafe_message_goes_again_when_it_never_ran() {
     for outcome in [
-        Outcome::Refused { wait: None },
+        Outcome::Rejected { retry_after: None },
         Outcome::NoConnection,
-        Outcome::Unsent { no_slot: true },
+        Outcome::NotSent { no_slot: true },
     ] {
         let mut rig = Rig::new(settings(40), pool(3));
         rig.tell(vec![message(1, UNSAFE, 7)]);
@@ -175,9 +175,9 @@
 #[test]
 fn a_keyed_window_that_closes_stops_the_copies_and_the_message_fails() {
     let mut short = settings(40);
-    short.classes[KEYED].effect = Effect::Keyed {
+    short.classes[KEYED].effect = Effect::IdempotencyKey {
         window: 1_500 * MILLISECOND,
-        zone_only: true,
+        same_zone_only: true,
     };
     let mut rig = Rig::new(short, pool(4));
     rig.tell(vec![message(1, KEYED, 7)]);
@@ -204,15 +204,15 @@
     let (used, _) = rig.last_send(1);
     let other = 3 - used;
     let mut drains = entry(other, 7);
-    drains.status = Status::Draining;
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Changes,
+    drains.status = EndpointStatus::Draining;
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Changes,
         entries: vec![drains],
     }]);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "no copy to the draining endpoint");
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Full,
         entries: Vec::new(),
     }]);
     rig.end(1, Outcome::Error, SECOND);
@@ -222,8 +222,8 @@
     assert!(rig.refused(1) && rig.refused(2));
     let known = rig.sends.len();
     rig.tell(vec![
-        Event::Listed {
-            listing: Listing::Full,
+        Event::EndpointList {
+            scope: ListScope::Full,
             entries: pool(2),
         },
         message(3, FREE, 7),
@@ -241,12 +241,12 @@
     let out = EndpointId(1);
     rig.tell(vec![Event::Disabled(out), Event::Disabled(out)]);
     // gone and back under the same id
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Full,
         entries: vec![entry(2, 7)],
     }]);
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Full,
         entries: pool(2),
     }]);
     for id in 0..20 {
@@ -289,15 +289,15 @@
 
 #[test]
 fn a_told_wait_binds_the_destination_or_the_one_route() {
-    let wait = Outcome::Refused {
-        wait: Some(2 * SECOND),
+    let wait = Outcome::Rejected {
+        retry_after: Some(2 * SECOND),
     };
     let mut rig = Rig::new(settings(40), pool(3));
     rig.tell(vec![message(1, FREE, 7), message(2, UNSAFE, 7)]);
     rig.now += 10 * MILLISECOND;
     let told = rig.now;
     rig.end(1, wait, 10 * MILLISECOND);
-    rig.end(2, Outcome::Refused { wait: None }, 10 * MILLISECOND);
+    rig.end(2, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
     rig.tell(vec![message(3, FREE, 7)]);
     rig.run(told + 10 * SECOND);
     let early: Vec<_> = rig.sends[2..]
@@ -308,7 +308,7 @@
     assert!(rig.sends.len() > 2, "they go when the wait is over");
 
     let routes = (1..=2)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 1,
             ..entry(n, 7)
         })
@@ -356,7 +356,7 @@
     assert!(
         !rig.log
             .iter()
-            .any(|(_, action)| matches!(action, Action::Log(text) if text.contains("sick")))
+            .any(|(_, action)| matches!(action, Action::Log(RouteEvent::Ejected { .. })))
     );
 }
 
@@ -381,7 +381,7 @@
     );
     rig.tell(vec![with_key(4, 5)]);
     rig.now += 50 * MILLISECOND;
-    rig.tell(vec![Event::Dropped(MessageId(2))]);
+    rig.tell(vec![Event::MessageAbandoned(MessageId(2))]);
     assert_eq!(
         rig.sends_of(4).len(),
         0,
@@ -397,8 +397,8 @@
 #[test]
 fn where_ends_go_by_notice_a_key_waits_for_it() {
     let mut settings = settings(40);
-    settings.classes[ORDERED].effect = Effect::Unsafe;
-    settings.ends_by_notice = true;
+    settings.classes[ORDERED].effect = Effect::NonIdempotent;
+    settings.completion_by_notification = true;
     let mut rig = Rig::new(settings, pool(1));
     rig.tell(vec![with_key(1, 3), with_key(2, 3), with_key(3, 4)]);
     rig.end(1, Outcome::Error, 20 * MILLISECOND);
@@ -410,35 +410,35 @@
         "sent before the first one's notice arrived"
     );
     assert_eq!(rig.sends_of(3).len(), 1, "another key waits for nothing");
-    rig.tell(vec![Event::Noticed(MessageId(1))]);
+    rig.tell(vec![Event::NotificationDelivered(MessageId(1))]);
     assert_eq!(rig.sends_of(2).len(), 1);
     // a notice that a life before still owes holds the key too
     let old = NewMessage {
         key: Some(5),
         ..NewMessage::new(MessageId(5), ORDERED, 7, SECOND)
     };
-    rig.tell(vec![Event::Unnoticed(old), with_key(6, 5)]);
+    rig.tell(vec![Event::NotificationPending(old), with_key(6, 5)]);
     assert_eq!((rig.sends_of(5).len(), rig.sends_of(6).len()), (0, 0));
-    rig.tell(vec![Event::Noticed(MessageId(5))]);
+    rig.tell(vec![Event::NotificationDelivered(MessageId(5))]);
     assert_eq!(rig.sends_of(6).len(), 1);
 }
 
 #[test]
 fn a_message_beyond_those_that_may_be_held_is_told_when_to_come_back() {
     let mut settings = settings(10);
-    (settings.max_held, settings.max_client_wait) = (5, 3 * SECOND);
+    (settings.max_pending, settings.max_retry_after) = (5, 3 * SECOND);
     let mut rig = Rig::new(settings, pool(1));
     let actions = rig.tell((1..=6).map(|id| message(id, UNSAFE, 7)).collect());
     let refusals: Vec<&Action> = actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .collect();
-    let wait = Some(3 * SECOND / 2);
+    let retry_after = Some(3 * SECOND / 2);
     assert_eq!(
         refusals,
-        [&Action::Refuse {
+        [&Action::Reject {
             message: MessageId(6),
-            wait
+            retry_after
         }]
     );
     rig.end(1, Outcome::Success, 100 * MILLISECOND);
@@ -459,7 +459,7 @@
             .log
             .iter()
             .filter(|(_, action)| match action {
-                Action::Fail(m) | Action::Refuse { message: m, .. } => m.0 == id,
+                Action::Fail(m) | Action::Reject { message: m, .. } => m.0 == id,
                 _ => false,
             })
             .map(|(at, _)| *at)
@@ -486,27 +486,27 @@
         ended(1, 1, endpoint, Outcome::Success, SECOND), // a called-off copy that succeeds all the same
         ended(1, 1, endpoint, Outcome::TimedOut, SECOND),
         ended(77, 0, 99, Outcome::Success, SECOND),
-        Event::Dropped(MessageId(1)),
-        Event::Dropped(MessageId(78)),
-        Event::Started {
+        Event::MessageAbandoned(MessageId(1)),
+        Event::MessageAbandoned(MessageId(78)),
+        Event::ResponseStarted {
             message: MessageId(79),
             attempt: 4,
         },
-        Event::Probed {
+        Event::HealthCheckEnded {
             endpoint: EndpointId(99),
             outcome: Outcome::TimedOut,
             report: vec![],
         },
-        Event::Noted {
+        Event::PeerNote {
             from: 3,
             bytes: vec![1, 2, 3],
         },
-        Event::ListFailed,
-        Event::Listed {
-            listing: Listing::Changes,
+        Event::EndpointListFailed,
+        Event::EndpointList {
+            scope: ListScope::Changes,
             entries: Vec::new(),
         },
-        Event::Alarm,
+        Event::TimerExpired,
     ]);
     rig.run(T0 + 40 * SECOND);
     assert_eq!(rig.sends.len(), sends);
@@ -528,7 +528,7 @@
 #[test]
 fn discovery_is_asked_for_at_once_and_again_with_growing_rests() {
     let mut asks = settings(8);
-    asks.list_on_request = true;
+    asks.list_by_subscription = true;
     let mut rig = Rig::new(asks, pool(1));
     let subscribed = |rig: &Rig| -> Vec<Micros> {
         rig.log
@@ -539,7 +539,7 @@
     };
     assert_eq!(subscribed(&rig), [0]);
     for _ in 0..4 {
-        rig.tell(vec![Event::ListFailed]);
+        rig.tell(vec![Event::EndpointListFailed]);
         rig.run(rig.now + 8 * SECOND);
     }
     let times = subscribed(&rig);
@@ -599,16 +599,16 @@
 
 #[test]
 fn a_shared_limit_binds_each_call_and_a_part_ends_by_the_passed_time() {
-    let quotas = |part, until| {
-        let rate = Some(Share {
+    let quotas = |amount, until| {
+        let rate = Some(QuotaShare {
             fallback: 0,
-            part: Some((part, until)),
+            allocation: Some(Allocation { amount, until }),
         });
         let quota = Quota {
             rate,
             ..Quota::default()
         };
-        Event::Shared(Some(Box::new(Quotas {
+        Event::Quotas(Some(Box::new(Quotas {
             named: [(7, quota)].into(),
             ..Quotas::default()
         })))
@@ -648,23 +648,23 @@
 
 #[test]
 fn a_word_of_others_holds_back_where_nothing_was_heard_and_never_where_calls_succeed() {
-    let word = |out| Event::Word {
+    let word = |unavailable| Event::FleetHealth {
         destination: 7,
-        out,
+        unavailable,
     };
     let mut rig = Rig::new(settings(40), pool(2));
     rig.tell(vec![message(1, FREE, 7)]);
     rig.end(1, Outcome::Success, 10 * MILLISECOND);
     let before = rig.sender.demand()[&7];
-    assert!(before.alive && !before.sick);
+    assert!(before.alive && !before.unhealthy);
     // it has just succeeded: a word changes nothing
     rig.tell(vec![word(true)]);
-    assert!(!rig.sender.demand()[&7].sick);
+    assert!(!rig.sender.demand()[&7].unhealthy);
     rig.run(T0 + 20 * SECOND);
     rig.tell(vec![word(true)]);
     let told = rig.sender.demand()[&7];
     assert!(
-        told.sick && !told.failing && !told.alive,
+        told.unhealthy && !told.failing && !told.alive,
         "what others told is no word of its own: {told:?}"
     );
     // few are tried, until it is said to be back, and one success ends it
@@ -673,7 +673,7 @@
     rig.tell(vec![word(false)]);
     let (_, id, ..) = *rig.sends.last().expect("one is tried at once");
     rig.end(id, Outcome::Success, 10 * MILLISECOND);
-    assert!(!rig.sender.demand()[&7].sick);
+    assert!(!rig.sender.demand()[&7].unhealthy);
     rig.run(rig.now + 2 * SECOND);
     assert!(rig.sends.len() > 3, "{:?}", rig.sends);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -38,12 +38,12 @@
             attempts: Default::default(),
             sends: Vec::new(),
         };
-        let entries: Vec<Entry> = (1..=2).map(|n| entry(n, 7)).collect();
+        let entries: Vec<EndpointEntry> = (1..=2).map(|n| entry(n, 7)).collect();
         for index in 0..count {
             fleet.tell(
                 index,
-                vec![Event::Listed {
-                    listing: Listing::Full,
+                vec![Event::EndpointList {
+                    scope: ListScope::Full,
                     entries: entries.clone(),
                 }],
             );
@@ -58,7 +58,7 @@
             .handle(self.now, &events, &mut actions);
         for action in actions {
             match action {
-                Action::SetAlarm(at) => self.senders[index].1.push(at),
+                Action::SetTimer(at) => self.senders[index].1.push(at),
                 Action::Send {
                     message, endpoint, ..
                 } => {
@@ -97,7 +97,7 @@
                 let now = self.now;
                 self.senders[index].1.retain(|&at| at > now);
                 if self.senders[index].1.len() < before {
-                    self.tell(index, vec![Event::Alarm]);
+                    self.tell(index, vec![Event::TimerExpired]);
                 }
             }
         }
@@ -119,7 +119,9 @@
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 12 * SECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 12 * SECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let late = fleet.sent_within(4 * SECOND, 12 * SECOND);
         assert!(late <= 80, "{count} senders: {late} tries in 8 s");
         assert!(
@@ -135,9 +137,13 @@
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let start = fleet.now - T0;
-        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let again = fleet.sent_within(start, 400 * MILLISECOND);
         assert!(
             again <= 20,
@@ -153,8 +159,8 @@
         let told = |settings: &mut Settings| settings.weight_trust = 0.5;
         let mut fleet = Fleet::new(count, 3, told);
         let weight = 0.6 * count as f64;
-        let entries: Vec<Entry> = (1..=2)
-            .map(|n| Entry {
+        let entries: Vec<EndpointEntry> = (1..=2)
+            .map(|n| EndpointEntry {
                 weight,
                 ..entry(n, 7)
             })
@@ -162,14 +168,16 @@
         for index in 0..count {
             fleet.tell(
                 index,
-                vec![Event::Listed {
-                    listing: Listing::Full,
+                vec![Event::EndpointList {
+                    scope: ListScope::Full,
                     entries: entries.clone(),
                 }],
             );
         }
         fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let start = fleet.now - T0;
         fleet.play(T0 + 6 * SECOND, |_| Outcome::Success);
         let soon = fleet.sent_within(start, start + SECOND);
@@ -185,8 +193,8 @@
 /// A hundred senders that know a destination of two endpoints with its weight, and what hands them messages in turn.
 fn crowd_of_a_hundred() -> (Fleet, fn(&mut Fleet, std::ops::Range<u64>)) {
     let mut fleet = Fleet::new(100, 3, |settings| settings.weight_trust = 0.5);
-    let entries: Vec<Entry> = (1..=2)
-        .map(|n| Entry {
+    let entries: Vec<EndpointEntry> = (1..=2)
+        .map(|n| EndpointEntry {
             weight: 60.0,
             ..entry(n, 7)
         })
@@ -194,8 +202,8 @@
     for index in 0..100 {
         fleet.tell(
             index,
-            vec![Event::Listed {
-                listing: Listing::Full,
+            vec![Event::EndpointList {
+                scope: ListScope::Full,
                 entries: entries.clone(),
             }],
         );
@@ -215,7 +223,7 @@
     waiting(&mut fleet, 300..2000);
     for wave in 0..3 {
         let begin = T0 + (20 + 4 * wave) * SECOND;
-        fleet.play(begin + SECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(begin + SECOND, |_| Outcome::Rejected { retry_after: None });
         fleet.play(begin + 4 * SECOND, |_| Outcome::Success);
     }
     let (first, last) = (
@@ -253,7 +261,7 @@
             for send in out {
                 let first = send.0 == T0;
                 let outcome = if first {
-                    Outcome::Refused { wait: None }
+                    Outcome::Rejected { retry_after: None }
                 } else {
                     Outcome::Success
                 };
@@ -289,8 +297,8 @@
     fleet.play(T0 + 20 * SECOND, |_| Outcome::Success);
     let begin = fleet.now;
     waiting(&mut fleet, 300..400);
-    fleet.play(begin + 60 * MILLISECOND, |_| Outcome::Refused {
-        wait: None,
+    fleet.play(begin + 60 * MILLISECOND, |_| Outcome::Rejected {
+        retry_after: None,
     });
     let refused = fleet.now - T0;
     fleet.play(begin + 6 * SECOND, |_| Outcome::Success);
@@ -309,8 +317,8 @@
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
         let opens = T0 + 6 * SECOND;
-        let told = |now: Micros| Outcome::Refused {
-            wait: Some((opens - now).max(MILLISECOND)),
+        let told = |now: Micros| Outcome::Rejected {
+            retry_after: Some((opens - now).max(MILLISECOND)),
         };
         fleet.play(opens, told);
         assert_eq!(
@@ -348,11 +356,11 @@
     // A hundred that each took their own first success for the moment of the return were half as fast as it.
     let mut fleet = Fleet::new(100, 6, |settings| {
         settings.weight_trust = 0.5;
-        (settings.safety.start_capacity, settings.safety.cold_time) = (0.18, 11 * SECOND);
-        settings.safety.fall_span = 1_500 * MILLISECOND;
+        (settings.safety.start_capacity, settings.safety.warm_up_time) = (0.18, 11 * SECOND);
+        settings.safety.overload_span = 1_500 * MILLISECOND;
     });
-    let entries: Vec<Entry> = (1..=2)
-        .map(|n| Entry {
+    let entries: Vec<EndpointEntry> = (1..=2)
+        .map(|n| EndpointEntry {
             weight: 60.0,
             ..entry(n, 7)
         })
@@ -360,8 +368,8 @@
     for index in 0..100 {
         fleet.tell(
             index,
-            vec![Event::Listed {
-                listing: Listing::Full,
+            vec![Event::EndpointList {
+                scope: ListScope::Full,
                 entries: entries.clone(),
             }],
         );
@@ -402,8 +410,8 @@
     // Two seconds of a hundredth of a share are one message: the next lost nine tenths of its worth by chance.
     let first = |senders: u32| {
         let mut settings = settings(1);
-        (settings.senders, settings.over_share_worth) = (senders, 0.1);
-        settings.classes[UNSAFE].worth = 5.0;
+        (settings.senders, settings.over_share_weight) = (senders, 0.1);
+        settings.classes[UNSAFE].priority_weight = 5.0;
         settings.tenants.push(Tenant {
             name: "small".into(),
             allowance: 0.6 * f64::from(senders),
@@ -438,7 +446,7 @@
         (odd.senders, odd.weight_trust) = (senders, 0.5);
         let mut rig = Rig::new(
             odd,
-            vec![Entry {
+            vec![EndpointEntry {
                 weight,
                 ..entry(1, 7)
             }],
@@ -452,7 +460,7 @@
             answered = rig.sends.len();
             late += if round >= 30 { out.len() } else { 0 };
             for send in out {
-                let refused = Outcome::Refused { wait: None };
+                let refused = Outcome::Rejected { retry_after: None };
                 rig.tell(vec![ended(
                     send.1,
                     send.3,
@@ -506,12 +514,14 @@
         (150 * MILLISECOND..=SECOND).contains(&failed),
         "after one failure: {failed}"
     );
-    let refused = again(Outcome::Refused { wait: None });
+    let refused = again(Outcome::Rejected { retry_after: None });
     assert!(
         (100 * MILLISECOND..=5 * SECOND).contains(&refused),
         "after one refusal: {refused}"
     );
-    let told = again(Outcome::Refused { wait: Some(SECOND) });
+    let told = again(Outcome::Rejected {
+        retry_after: Some(SECOND),
+    });
     assert!(
         (1_051 * MILLISECOND..=6 * SECOND).contains(&told),
         "after a told wait: {told}"
@@ -532,7 +542,7 @@
 fn connections_are_given_back_where_they_are_scarce_and_kept_elsewhere() {
     // Rounds 16 and 21: idle connections of hundreds of senders filled endpoints that take few.
     let mut rich = settings(8);
-    rich.connection_idle = 5 * SECOND;
+    rich.connection_idle_timeout = 5 * SECOND;
     let closes = |rig: &Rig| rig.count(|a| *a == Action::Disconnect(EndpointId(1)));
     let mut rig = Rig::new(rich, vec![entry(1, 7), entry(2, 8)]);
     rig.tell(vec![message(1, FREE, 7)]);
@@ -560,7 +570,7 @@
 fn an_outage_is_not_taken_for_a_crowd() {
     // After an outage each call of a hundred senders was a new connection for the rest of the day.
     let mut kept = settings(8);
-    (kept.senders, kept.connection_idle) = (100, 15 * SECOND);
+    (kept.senders, kept.connection_idle_timeout) = (100, 15 * SECOND);
     let mut rig = Rig::new(kept, vec![entry(1, 7), entry(2, 7)]);
     let closes = |rig: &Rig| rig.count(|a| matches!(a, Action::Disconnect(_)));
     for id in 0..8 {
@@ -580,7 +590,7 @@
         rig.run(next);
     }
     assert!(
-        rig.count(|a| matches!(a, Action::Log(text) if text.contains("sick"))) == 1,
+        rig.count(|a| matches!(a, Action::Log(RouteEvent::Ejected { .. }))) == 1,
         "it was out"
     );
     rig.end(50, Outcome::Success, 20 * MILLISECOND);
@@ -608,7 +618,7 @@
     let count = |left: f64| {
         let mut told = settings(3);
         told.senders = 50;
-        (told.report_left, told.report_limit) = (Some(0), Some(1));
+        (told.report_remaining, told.report_limit) = (Some(0), Some(1));
         let mut rig = Rig::new(told, vec![entry(1, 7)]);
         rig.tell((0..40).map(|id| message(id, FREE, 7)).collect());
         let mut answered = 0;
@@ -619,7 +629,7 @@
             rig.run(next);
             for send in out {
                 let mut end = ended(send.1, send.3, send.2, Outcome::Success, 40 * MILLISECOND);
-                if let Event::Ended { report, .. } = &mut end {
+                if let Event::AttemptEnded { report, .. } = &mut end {
                     *report = vec![left, 5.0];
                 }
                 rig.tell(vec![end]);
@@ -638,14 +648,14 @@
 #[test]
 fn replaced_fleets_quiet_destinations_and_old_keys_take_no_memory() {
     let mut small = settings(8);
-    small.max_held = 10;
+    small.max_pending = 10;
     let mut rig = Rig::new(small, vec![entry(1, 7)]);
     let mut early = 0;
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            scope: ListScope::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
@@ -669,9 +679,9 @@
 fn an_id_that_returns_elsewhere_is_new() {
     let mut rig = Rig::new(settings(8), vec![entry(1, 7)]);
     rig.tell(vec![message(1, FREE, 7)]);
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
-        entries: vec![Entry {
+    rig.tell(vec![Event::EndpointList {
+        scope: ListScope::Full,
+        entries: vec![EndpointEntry {
             kind: 1,
             zone: 1,
             ..entry(1, 8)
@@ -688,12 +698,12 @@
 #[test]
 fn odd_reports_weights_notes_and_alarms_neither_panic_nor_stop_the_traffic() {
     let mut told = settings(2);
-    (told.senders, told.weight_trust, told.may_note) = (300, 0.5, true);
-    (told.report_left, told.report_limit) = (Some(0), Some(1));
+    (told.senders, told.weight_trust, told.notes_allowed) = (300, 0.5, true);
+    (told.report_remaining, told.report_limit) = (Some(0), Some(1));
     for odd in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         let mut rig = Rig::new(
             told.clone(),
-            vec![Entry {
+            vec![EndpointEntry {
                 weight: odd,
                 ..entry(1, 7)
             }],
@@ -701,28 +711,28 @@
         for id in 0..5 {
             rig.tell(vec![
                 message(id, FREE, 7),
-                Event::Noted {
+                Event::PeerNote {
                     from: 999,
                     bytes: vec![0; 300],
                 },
-                Event::Alarm,
+                Event::TimerExpired,
             ]);
             rig.run(rig.now + 2 * SECOND);
             let mut end = ended(id, 0, 1, Outcome::Success, 20 * MILLISECOND);
-            if let Event::Ended { report, .. } = &mut end {
+            if let Event::AttemptEnded { report, .. } = &mut end {
                 *report = vec![odd, odd];
             }
             rig.tell(vec![
                 end.clone(),
                 end,
-                Event::Noted {
+                Event::PeerNote {
                     from: 0,
                     bytes: vec![],
                 },
             ]);
         }
         rig.run(rig.now + 3_600 * SECOND);
-        let probe = Event::Probed {
+        let probe = Event::HealthCheckEnded {
             endpoint: EndpointId(1),
             outcome: Outcome::TimedOut,
             report: vec![odd],
@@ -730,8 +740,8 @@
         rig.tell(vec![
             probe,
             message(90, FREE, 7),
-            Event::Alarm,
-            Event::Alarm,
+            Event::TimerExpired,
+            Event::TimerExpired,
         ]);
         rig.run(rig.now + 31 * SECOND);
         assert!(!rig.sends_of(90).is_empty(), "report and weight {odd}");
