--- a/agreement/src/leases.rs
+++ b/agreement/src/leases.rs
@@ -3,23 +3,23 @@
 
 use crate::Micros;
 use crate::rules::Rules;
-use crate::versions::{Tag, Versions};
+use crate::versions::{VersionTag, VersionedRules};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// How long leases last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// On the sender's clock, counted from when it asked.
     pub lease: Micros,
     /// What that may be longer at most on the registry's clock: twice the bound on the drift of one clock, of the lease.
-    pub drift: Micros,
+    pub max_drift: Micros,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// The longest that a sender may act on a lease after it was given, on the registry's clock.
-    pub fn longest(self) -> Micros {
-        self.lease + self.drift
+    pub fn longest_validity(self) -> Micros {
+        self.lease + self.max_drift
     }
 }
 
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
     /// Which rules these are.
-    pub tag: Tag,
+    pub tag: VersionTag,
     /// What it may do.
     pub rules: Rules,
     /// For how long, counted from when it asked, on its clock.
@@ -38,14 +38,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Held {
     /// What it said it acts on.
-    acts_on: Option<Tag>,
+    acts_on: Option<VersionTag>,
     /// Until when each grant may last that it has not gone beyond.
-    grants: BTreeMap<Tag, Micros>,
+    grants: BTreeMap<VersionTag, Micros>,
 }
 
 /// Who is waited for, and until when at the latest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wait {
+pub struct BlockingLease {
     /// None: leases that one before this leader may have given.
     pub sender: Option<u64>,
     /// On the leader's clock.
@@ -55,7 +55,7 @@
 /// The leases that this leader gave.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Leases {
-    terms: Terms,
+    terms: LeaseTerms,
     /// Leases of before that may still last until then, whoever holds them.
     unknown_until: Micros,
     senders: BTreeMap<u64, Held>,
@@ -63,22 +63,22 @@
 
 impl Leases {
     /// Of one that becomes leader now.
-    pub fn new(terms: Terms, now: Micros) -> Self {
+    pub fn new(terms: LeaseTerms, now: Micros) -> Self {
         Leases {
             terms,
-            unknown_until: now + terms.longest(),
+            unknown_until: now + terms.longest_validity(),
             senders: BTreeMap::new(),
         }
     }
 
     /// A life of a sender asks for a lease and says what it acts on; none: on the floor. To be called only once a majority
     /// has confirmed, after the question came in, that this one still leads; else the next leader may be past waiting.
-    pub fn ask(
+    pub fn grant(
         &mut self,
         now: Micros,
         sender: u64,
-        acts_on: Option<Tag>,
-        versions: &Versions,
+        acts_on: Option<VersionTag>,
+        versions: &VersionedRules,
     ) -> Grant {
         let tag = versions.tag();
         let held = self.senders.entry(sender).or_default();
@@ -87,7 +87,7 @@
         let acts_on = held.acts_on;
         held.grants
             .retain(|granted, until| Some(*granted) >= acts_on && *until > now);
-        held.grants.insert(tag, now + self.terms.longest());
+        held.grants.insert(tag, now + self.terms.longest_validity());
         Grant {
             tag,
             rules: versions.rules().clone(),
@@ -96,23 +96,27 @@
     }
 
     /// Who may still act on rules before this step; none: nobody, and the next step may begin.
-    pub fn waits_for(&self, now: Micros, tag: Tag) -> Option<Wait> {
-        let unknown = (self.unknown_until > now).then_some(Wait {
+    pub fn blocking_lease(&self, now: Micros, tag: VersionTag) -> Option<BlockingLease> {
+        let unknown = (self.unknown_until > now).then_some(BlockingLease {
             sender: None,
             until: self.unknown_until,
         });
         unknown
             .into_iter()
-            .chain(self.behind(now, tag))
+            .chain(self.senders_behind(now, tag))
             .max_by_key(|wait| wait.until)
     }
 
     /// The senders that may still act on rules before this step.
-    pub fn behind(&self, now: Micros, tag: Tag) -> impl Iterator<Item = Wait> {
+    pub fn senders_behind(
+        &self,
+        now: Micros,
+        tag: VersionTag,
+    ) -> impl Iterator<Item = BlockingLease> {
         self.senders.iter().filter_map(move |(sender, held)| {
             let until = held.grants.range(..tag).map(|(_, until)| *until).max()?;
             let behind = held.acts_on < Some(tag) && until > now;
-            behind.then_some(Wait {
+            behind.then_some(BlockingLease {
                 sender: Some(*sender),
                 until,
             })
@@ -120,12 +124,12 @@
     }
 
     /// Whether the version in force is in force everywhere, so that another change may begin.
-    pub fn is_settled(&self, now: Micros, versions: &Versions) -> bool {
-        versions.tag().whole && self.waits_for(now, versions.tag()).is_none()
+    pub fn is_settled(&self, now: Micros, versions: &VersionedRules) -> bool {
+        versions.tag().complete && self.blocking_lease(now, versions.tag()).is_none()
     }
 
     /// Forgets those whose leases have all run out, and tells them.
-    pub fn forget(&mut self, now: Micros) -> Vec<u64> {
+    pub fn remove_expired(&mut self, now: Micros) -> Vec<u64> {
         let lapsed = |held: &Held| held.grants.values().all(|until| *until <= now);
         let gone = self
             .senders
@@ -138,7 +142,7 @@
     }
 
     /// Each sender with a lease, what it said it acts on, and until when it may act at all.
-    pub fn held(&self) -> impl Iterator<Item = (u64, Option<Tag>, Micros)> {
+    pub fn holders(&self) -> impl Iterator<Item = (u64, Option<VersionTag>, Micros)> {
         self.senders.iter().map(|(sender, held)| {
             (
                 *sender,
--- a/agreement/src/lib.rs
+++ b/agreement/src/lib.rs
@@ -1,8 +1,8 @@
 //! Rules with versions on which senders agree, without sockets or clock.
 //!
-//! [`Rules`] says what a sender may do; [`Rules::meet`] is the strictest of two, key by key. [`Versions`], which a
+//! [`Rules`] says what a sender may do; [`Rules::meet`] is the strictest of two, key by key. [`VersionedRules`], which a
 //! replicated log keeps, takes each change through two steps, old to meet and meet to new; [`Leases`] is the leader's
-//! knowledge of who may still act on what, by which it sees when a step may begin; a [`Holder`] is the sender's side: it
+//! knowledge of who may still act on what, by which it sees when a step may begin; a [`LeaseHolder`] is the sender's side: it
 //! acts on what its lease allows, and on the floor once that has run out. `docs/agreement.md` states the protocol, its
 //! bound and why.
 
@@ -11,10 +11,10 @@
 mod rules;
 mod versions;
 
-pub use holder::{Ask, Holder, Taken};
-pub use leases::{Grant, Leases, Terms, Wait};
-pub use rules::{Attempts, Class, Effect, LIMITS, NoMeet, Rules, Senseless};
-pub use versions::{Proposal, Refusal, Tag, Versions};
+pub use holder::{GrantResult, LeaseHolder, LeaseRequest};
+pub use leases::{BlockingLease, Grant, LeaseTerms, Leases};
+pub use rules::{Attempts, ClassRules, Effect, InvalidRules, LIMIT_NAMES, NoIntersection, Rules};
+pub use versions::{Proposal, ProposalError, VersionTag, VersionedRules};
 
 /// Microseconds on a clock that does not run backwards; each process has its own.
 pub type Micros = u64;
--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -1,6 +1,6 @@
 //! What the replicated log keeps: the versions, and the step of the change under way. No lease and no time is in it.
 
-use crate::rules::{NoMeet, Rules};
+use crate::rules::{NoIntersection, Rules};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -9,11 +9,12 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
-pub struct Tag {
+pub struct VersionTag {
     /// The version that holds, or is to hold.
     pub version: u64,
     /// False while the meet of it and the one before is in force.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
 }
 
 /// What is to be in force next.
@@ -27,7 +28,7 @@
 
 /// Why a proposal is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum ProposalError {
     /// It was made from a version that is not the last.
     #[error("version {now} holds, the proposal was made from {from}")]
     Stale {
@@ -38,38 +39,38 @@
     },
     /// Another change is under way.
     #[error("version {0} may not be in force everywhere yet")]
-    UnderWay(u64),
+    ChangeInProgress(u64),
     /// A sender without a lease would act more freely than these rules allow.
     #[error("the floor is not within the rules")]
-    BelowFloor,
+    BelowFallback,
     /// No sender can keep both while the change goes through.
     #[error(transparent)]
-    NoMeet(#[from] NoMeet),
+    NoIntersection(#[from] NoIntersection),
 }
 
 /// The versions.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Versions {
+pub struct VersionedRules {
     floor: Rules,
-    tag: Tag,
+    tag: VersionTag,
     new: Rules,
     meet: Rules,
 }
 
-impl Versions {
+impl VersionedRules {
     /// Versions of which these rules are the first.
     ///
     /// # Errors
     /// The floor is not within the rules.
-    pub fn new(floor: Rules, rules: Rules) -> Result<Self, Refusal> {
-        if !floor.within(&rules) {
-            return Err(Refusal::BelowFloor);
+    pub fn new(floor: Rules, rules: Rules) -> Result<Self, ProposalError> {
+        if !floor.is_within(&rules) {
+            return Err(ProposalError::BelowFallback);
         }
-        Ok(Versions {
+        Ok(VersionedRules {
             floor,
-            tag: Tag {
+            tag: VersionTag {
                 version: 1,
-                whole: true,
+                complete: true,
             },
             meet: rules.clone(),
             new: rules,
@@ -77,13 +78,13 @@
     }
 
     /// The version and step in force.
-    pub fn tag(&self) -> Tag {
+    pub fn tag(&self) -> VersionTag {
         self.tag
     }
 
     /// The rules that are granted now.
     pub fn rules(&self) -> &Rules {
-        if self.tag.whole {
+        if self.tag.complete {
             &self.new
         } else {
             &self.meet
@@ -91,12 +92,12 @@
     }
 
     /// The rules that hold once the change under way is through.
-    pub fn new_rules(&self) -> &Rules {
+    pub fn target_rules(&self) -> &Rules {
         &self.new
     }
 
     /// What is within every version.
-    pub fn floor(&self) -> &Rules {
+    pub fn fallback(&self) -> &Rules {
         &self.floor
     }
 
@@ -105,9 +106,9 @@
     ///
     /// # Errors
     /// Says why it is not taken; nothing has changed then.
-    pub fn propose(&mut self, proposal: Proposal) -> Result<Tag, Refusal> {
+    pub fn propose(&mut self, proposal: Proposal) -> Result<VersionTag, ProposalError> {
         if proposal.from != self.tag.version {
-            return Err(Refusal::Stale {
+            return Err(ProposalError::Stale {
                 now: self.tag.version,
                 from: proposal.from,
             });
@@ -115,18 +116,18 @@
         if proposal.rules == self.new {
             return Ok(self.tag);
         }
-        if !self.tag.whole {
-            return Err(Refusal::UnderWay(self.tag.version));
+        if !self.tag.complete {
+            return Err(ProposalError::ChangeInProgress(self.tag.version));
         }
-        if !self.floor.within(&proposal.rules) {
-            return Err(Refusal::BelowFloor);
+        if !self.floor.is_within(&proposal.rules) {
+            return Err(ProposalError::BelowFallback);
         }
-        let meet = self.new.meet(&proposal.rules)?;
+        let meet = self.new.intersection(&proposal.rules)?;
         self.new = proposal.rules;
         self.meet = meet;
-        self.tag = Tag {
+        self.tag = VersionTag {
             version: self.tag.version + 1,
-            whole: false,
+            complete: false,
         };
         Ok(self.tag)
     }
@@ -135,11 +136,11 @@
     /// can still act on the rules before ([`crate::Leases::waits_for`]).
     pub fn advance(&mut self, version: u64) -> bool {
         let goes = self.tag
-            == Tag {
+            == VersionTag {
                 version,
-                whole: false,
+                complete: false,
             };
-        self.tag.whole |= goes;
+        self.tag.complete |= goes;
         goes
     }
 }
--- a/lab/src/agreement.rs
+++ b/lab/src/agreement.rs
@@ -4,12 +4,12 @@
 use crate::violation::Violation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
-use versioned_config::{Rules, Tag};
+use versioned_config::{Rules, VersionTag};
 
 /// What a sender said.
 #[derive(Debug, Deserialize)]
 struct Report {
-    acts_on: Option<Tag>,
+    acts_on: Option<VersionTag>,
     rules: Rules,
 }
 
@@ -56,7 +56,7 @@
 
 fn spans(records: &[Record]) -> (Vec<Span>, Vec<Rules>) {
     let (mut all, mut known): (Vec<Span>, Vec<Rules>) = Default::default();
-    let mut last: BTreeMap<usize, (Option<Tag>, usize)> = BTreeMap::new();
+    let mut last: BTreeMap<usize, (Option<VersionTag>, usize)> = BTreeMap::new();
     for (at, sender, report) in reports(records) {
         let rules = known
             .iter()
@@ -167,7 +167,7 @@
             format!("no order explains {one:?} and {other:?} on the list's version"),
         ));
     }
-    let mut highest: BTreeMap<usize, Tag> = BTreeMap::new();
+    let mut highest: BTreeMap<usize, VersionTag> = BTreeMap::new();
     let mut answered = 0;
     let mut seen = 0;
     for record in records {
@@ -212,7 +212,7 @@
     let mut agreed = Agreed::default();
     let mut times = Vec::new();
     let mut waiting: Option<(u64, u64)> = None;
-    let mut acts: BTreeMap<usize, Option<Tag>> = BTreeMap::new();
+    let mut acts: BTreeMap<usize, Option<VersionTag>> = BTreeMap::new();
     let mut told: BTreeSet<usize> = BTreeSet::new();
     for record in records {
         match &record.event {
@@ -233,9 +233,9 @@
                 let Some((since, version)) = waiting else {
                     continue;
                 };
-                let whole = Tag {
+                let whole = VersionTag {
                     version,
-                    whole: true,
+                    complete: true,
                 };
                 if acts
                     .iter()
--- a/ledger/src/compact.rs
+++ b/ledger/src/compact.rs
@@ -2,11 +2,11 @@
 //! destinations of each kind in order and as differences. A name takes some 4 bytes and its answer some 5, where JSON takes
 //! 30 and 61. A form of another version is refused and not guessed at.
 
-use crate::keys::{BadKey, Key, What};
-use crate::limits::Floors;
-use crate::naming::NAMES_MOST;
-use crate::parts::{Dealt, Want};
-use crate::verdicts::{Verdict, Word};
+use crate::keys::{InvalidKey, LimitKey, Resource};
+use crate::limits::FallbackQuotas;
+use crate::naming::MAX_KEYS_PER_REQUEST;
+use crate::parts::{Allocation, QuotaDemand};
+use crate::verdicts::{HealthReport, HealthVerdict};
 use miette::Diagnostic;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -28,7 +28,7 @@
         code(ledger::compact::version),
         help("ask in JSON, or upgrade the older side")
     )]
-    Version(Option<u8>),
+    UnknownVersion(Option<u8>),
     /// They end too soon, are too many, or hold a number that is out of range.
     #[error("malformed: {0}")]
     #[diagnostic(
@@ -37,45 +37,45 @@
     )]
     Malformed(String),
     /// More is named than a question may name.
-    #[error("more than {NAMES_MOST} names")]
+    #[error("more than {MAX_KEYS_PER_REQUEST} names")]
     #[diagnostic(code(ledger::compact::many), help("name fewer limits in one question"))]
-    Many,
+    TooManyKeys,
     /// It names what can't be limited.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Key(#[from] BadKey),
+    Key(#[from] InvalidKey),
 }
 
 /// A question.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct QuotaRequest {
     /// The sender's name.
     pub sender: String,
     /// Differs between any two processes of one name.
-    pub life: u64,
+    pub incarnation: u64,
     /// Numbers the question within that life.
-    pub number: u64,
+    pub sequence: u64,
     /// The sender's fallback shares.
-    pub floors: Floors,
+    pub fallback_quotas: FallbackQuotas,
     /// The zone that it is in.
     pub zone: String,
     /// What it wants.
-    pub wants: Vec<Want>,
+    pub demands: Vec<QuotaDemand>,
     /// What it says of destinations by its own calls.
-    pub reports: Vec<Word>,
+    pub reports: Vec<HealthReport>,
 }
 
 /// An answer. Whole limits are not in its bytes: senders have no use for them, and operators ask the registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct QuotaResponse {
     /// How long the quotas last, counted from when they were asked for, on the sender's clock.
     pub lease: Micros,
     /// The version of the limits.
-    pub rev: u64,
+    pub revision: u64,
     /// The quotas.
-    pub quotas: Vec<Dealt>,
+    pub allocations: Vec<Allocation>,
     /// What enough senders agree on of these destinations.
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<HealthVerdict>,
 }
 
 /// Rows of a kind, by destination: each with the difference to the one before it.
@@ -95,7 +95,7 @@
     sender: String,
     life: u64,
     number: u64,
-    floors: Floors,
+    floors: FallbackQuotas,
     zone: String,
     wants: Table<u64>,
     reports: Rows<bool>,
@@ -116,15 +116,17 @@
 }
 
 impl<T> Table<T> {
-    fn of(rows: impl Iterator<Item = (Key, T)>) -> Self {
+    fn of(rows: impl Iterator<Item = (LimitKey, T)>) -> Self {
         let (mut rate, mut out, mut cold, mut named) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         for (key, row) in rows {
-            match key.what() {
-                What::Rate => rate.push((key.place(), row)),
-                What::Out => out.push((key.place(), row)),
-                What::Cold => cold.push((key.place(), row)),
-                What::Connections(_) | What::Tenant(_) => named.push((key.to_string(), row)),
+            match key.resource() {
+                Resource::Rate => rate.push((key.position(), row)),
+                Resource::Concurrency => out.push((key.position(), row)),
+                Resource::RecoveryRate => cold.push((key.position(), row)),
+                Resource::Connections(_) | Resource::Tenant(_) => {
+                    named.push((key.to_string(), row))
+                }
             }
         }
         Table {
@@ -135,24 +137,24 @@
         }
     }
 
-    fn rows(self) -> Result<Vec<(Key, T)>, CompactError> {
+    fn rows(self) -> Result<Vec<(LimitKey, T)>, CompactError> {
         let mut all = Vec::new();
         for (rows, what) in [
-            (self.rate, What::Rate),
-            (self.out, What::Out),
-            (self.cold, What::Cold),
+            (self.rate, Resource::Rate),
+            (self.out, Resource::Concurrency),
+            (self.cold, Resource::RecoveryRate),
         ] {
             all.extend(
                 places(rows)?
                     .into_iter()
-                    .map(|(place, row)| (Key::of(place, what.clone()), row)),
+                    .map(|(place, row)| (LimitKey::of(place, what.clone()), row)),
             );
         }
         for (text, row) in self.named {
             all.push((text.parse()?, row));
         }
-        if all.len() > NAMES_MOST {
-            Err(CompactError::Many)
+        if all.len() > MAX_KEYS_PER_REQUEST {
+            Err(CompactError::TooManyKeys)
         } else {
             Ok(all)
         }
@@ -188,7 +190,7 @@
 
 fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CompactError> {
     let Some((&VERSION, rest)) = bytes.split_first() else {
-        return Err(CompactError::Version(bytes.first().copied()));
+        return Err(CompactError::UnknownVersion(bytes.first().copied()));
     };
     let malformed = |error: postcard::Error| CompactError::Malformed(error.to_string());
     let (form, left) = postcard::take_from_bytes(rest).map_err(malformed)?;
@@ -199,24 +201,24 @@
     }
 }
 
-impl Question {
+impl QuotaRequest {
     /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         written(&QuestionForm {
             sender: self.sender.clone(),
-            life: self.life,
-            number: self.number,
-            floors: self.floors.clone(),
+            life: self.incarnation,
+            number: self.sequence,
+            floors: self.fallback_quotas.clone(),
             zone: self.zone.clone(),
             wants: Table::of(
-                self.wants
+                self.demands
                     .iter()
-                    .map(|Want { key, want }| (key.clone(), *want)),
+                    .map(|QuotaDemand { key, amount: want }| (key.clone(), *want)),
             ),
             reports: differences(
                 self.reports
                     .iter()
-                    .map(|report| (report.destination, report.out))
+                    .map(|report| (report.destination, report.unavailable))
                     .collect(),
             ),
         })
@@ -226,21 +228,24 @@
     ///
     /// # Errors
     /// The bytes are none, or of another version.
-    pub fn read(bytes: &[u8]) -> Result<Self, CompactError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, CompactError> {
         let form: QuestionForm = read(bytes)?;
         let wants = form
             .wants
             .rows()?
             .into_iter()
-            .map(|(key, want)| Want { key, want })
+            .map(|(key, want)| QuotaDemand { key, amount: want })
             .collect();
         let reports = places(form.reports)?;
-        if reports.len() > NAMES_MOST {
-            return Err(CompactError::Many);
+        if reports.len() > MAX_KEYS_PER_REQUEST {
+            return Err(CompactError::TooManyKeys);
         }
         let reports = reports
             .into_iter()
-            .map(|(destination, out)| Word { destination, out })
+            .map(|(destination, out)| HealthReport {
+                destination,
+                unavailable: out,
+            })
             .collect();
         let QuestionForm {
             sender,
@@ -250,39 +255,42 @@
             zone,
             ..
         } = form;
-        Ok(Question {
+        Ok(QuotaRequest {
             sender,
-            life,
-            number,
-            floors,
+            incarnation: life,
+            sequence: number,
+            fallback_quotas: floors,
             zone,
-            wants,
+            demands: wants,
             reports,
         })
     }
 }
 
-impl Answer {
+impl QuotaResponse {
     /// Its bytes.
-    pub fn write(&self) -> Vec<u8> {
-        let quota = |quota: &Dealt| {
+    pub fn encode(&self) -> Vec<u8> {
+        let quota = |quota: &Allocation| {
             (
                 quota.key.clone(),
-                quota.part.map_or(0, |part| part.saturating_add(1)),
+                quota.quota.map_or(0, |part| part.saturating_add(1)),
             )
         };
-        let lingering = self.quotas.iter().filter(|quota| quota.linger_ms > 0);
-        let verdict = |verdict: &Verdict| {
+        let lingering = self
+            .allocations
+            .iter()
+            .filter(|quota| quota.expiry_grace_ms > 0);
+        let verdict = |verdict: &HealthVerdict| {
             (
                 verdict.destination,
-                (verdict.out, verdict.epoch, verdict.observers as u64),
+                (verdict.unavailable, verdict.epoch, verdict.observers as u64),
             )
         };
         written(&AnswerForm {
             lease: self.lease,
-            rev: self.rev,
-            quotas: Table::of(self.quotas.iter().map(quota)),
-            lingers: Table::of(lingering.map(|quota| (quota.key.clone(), quota.linger_ms))),
+            rev: self.revision,
+            quotas: Table::of(self.allocations.iter().map(quota)),
+            lingers: Table::of(lingering.map(|quota| (quota.key.clone(), quota.expiry_grace_ms))),
             verdicts: differences(self.verdicts.iter().map(verdict).collect()),
         })
     }
@@ -291,7 +299,7 @@
     ///
     /// # Errors
     /// The bytes are none, or of another version.
-    pub fn read(bytes: &[u8]) -> Result<Self, CompactError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, CompactError> {
         let AnswerForm {
             lease,
             rev,
@@ -299,26 +307,26 @@
             lingers,
             verdicts,
         } = read(bytes)?;
-        let lingers: BTreeMap<Key, u64> = lingers.rows()?.into_iter().collect();
-        let quota = |(key, row): (Key, u64)| {
+        let lingers: BTreeMap<LimitKey, u64> = lingers.rows()?.into_iter().collect();
+        let quota = |(key, row): (LimitKey, u64)| {
             let linger_ms = lingers.get(&key).copied().unwrap_or(0);
-            Dealt {
+            Allocation {
                 key,
-                part: row.checked_sub(1),
+                quota: row.checked_sub(1),
                 total: None,
-                linger_ms,
+                expiry_grace_ms: linger_ms,
             }
         };
-        let verdict = |(destination, (out, epoch, observers))| Verdict {
+        let verdict = |(destination, (out, epoch, observers))| HealthVerdict {
             destination,
-            out,
+            unavailable: out,
             epoch,
             observers: usize::try_from(observers).unwrap_or(usize::MAX),
         };
-        Ok(Answer {
+        Ok(QuotaResponse {
             lease,
-            rev,
-            quotas: quotas.rows()?.into_iter().map(quota).collect(),
+            revision: rev,
+            allocations: quotas.rows()?.into_iter().map(quota).collect(),
             verdicts: places(verdicts)?.into_iter().map(verdict).collect(),
         })
     }
--- a/ledger/src/holder.rs
+++ b/ledger/src/holder.rs
@@ -1,15 +1,15 @@
 //! The sender's side: what it may use now. A part's end is looked at by the time that is passed in, before each use.
 
-use crate::keys::Key;
-use crate::limits::Floors;
-use crate::parts::{Dealt, Grants, Want};
+use crate::keys::LimitKey;
+use crate::limits::FallbackQuotas;
+use crate::parts::{Allocation, Grants};
 use std::collections::BTreeMap;
 use versioned_config::Micros;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Part {
     /// As it was dealt last, and until when that says that there is a limit or none.
-    dealt: Dealt,
+    dealt: Allocation,
     until: Micros,
     grants: Grants,
 }
@@ -17,7 +17,7 @@
 impl Part {
     /// What may be used beside the floor, and until when; none: it has lapsed. None of a part: there is no limit.
     fn at(&self, now: Micros) -> Option<(Option<u64>, Micros)> {
-        if self.dealt.part.is_none() && now < self.until {
+        if self.dealt.quota.is_none() && now < self.until {
             return Some((None, self.until));
         }
         self.grants
@@ -26,28 +26,19 @@
     }
 }
 
-/// What a sender wants of one limit.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Wanted {
-    /// Of what.
-    pub key: Key,
-    /// How much it could use beyond its floor.
-    pub want: u64,
-}
-
 /// What a sender holds. It begins on its floors, whatever it knew in an earlier life.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Holder {
-    floors: Floors,
-    parts: BTreeMap<Key, Part>,
+pub struct QuotaHolder {
+    floors: FallbackQuotas,
+    parts: BTreeMap<LimitKey, Part>,
     number: u64,
     asked: Micros,
 }
 
-impl Holder {
+impl QuotaHolder {
     /// A sender that has just started.
-    pub fn new(floors: Floors) -> Self {
-        Holder {
+    pub fn new(floors: FallbackQuotas) -> Self {
+        QuotaHolder {
             floors,
             parts: BTreeMap::new(),
             number: 0,
@@ -55,12 +46,8 @@
         }
     }
 
-    /// Asks for parts: the question's number, and the wants as the keeper is to see them.
-    pub fn ask(
-        &mut self,
-        now: Micros,
-        wanted: impl IntoIterator<Item = Wanted>,
-    ) -> (u64, Vec<Want>) {
+    /// A request is sent now: its sequence number.
+    pub fn request(&mut self, now: Micros) -> u64 {
         self.number += 1;
         self.asked = now;
         self.parts
@@ -68,15 +55,17 @@
             .for_each(|part| part.grants.lapse(now));
         self.parts
             .retain(|_, part| part.until > now || !part.grants.is_empty());
-        let wants = wanted
-            .into_iter()
-            .map(|Wanted { key, want }| Want { key, want });
-        (self.number, wants.collect())
+        self.number
     }
 
     /// The answer to a question, or as much of it as came; false if it is not to the last one. A lease counts from when the
     /// question was asked: it may have been answered at once, and the answer long under way.
-    pub fn granted(&mut self, number: u64, lease: Micros, dealt: Vec<Dealt>) -> bool {
+    pub fn apply_allocations(
+        &mut self,
+        number: u64,
+        lease: Micros,
+        dealt: Vec<Allocation>,
+    ) -> bool {
         if number != self.number {
             return false;
         }
@@ -88,7 +77,7 @@
                 .map(|part| part.grants)
                 .unwrap_or_default();
             dealt
-                .part
+                .quota
                 .into_iter()
                 .for_each(|part| grants.push(part, until));
             self.parts.insert(
@@ -104,20 +93,20 @@
     }
 
     /// What it may use of a limit now: its floor, and its part for as long as that lasts; none: all that it likes.
-    pub fn may_use(&self, now: Micros, key: &Key) -> Option<u64> {
+    pub fn usable(&self, now: Micros, key: &LimitKey) -> Option<u64> {
         match self.parts.get(key).and_then(|part| part.at(now)) {
             Some((part, _)) => Some(self.floors.of(key) + part?),
-            None => self.floors.name(key).then(|| self.floors.of(key)),
+            None => self.floors.is_limited(key).then(|| self.floors.of(key)),
         }
     }
 
     /// Whether it may use no more of a limit now than its fallback share.
-    pub fn lacks(&self, now: Micros, key: &Key) -> bool {
-        self.floors.name(key) && self.may_use(now, key) == Some(self.floors.of(key))
+    pub fn is_at_fallback(&self, now: Micros, key: &LimitKey) -> bool {
+        self.floors.is_limited(key) && self.usable(now, key) == Some(self.floors.of(key))
     }
 
     /// Until when what was allocated of a limit lasts; the time that is passed in where nothing does.
-    pub fn lasts_until(&self, now: Micros, key: &Key) -> Micros {
+    pub fn valid_until(&self, now: Micros, key: &LimitKey) -> Micros {
         self.parts
             .get(key)
             .and_then(|part| part.at(now))
@@ -125,12 +114,15 @@
     }
 
     /// The floors.
-    pub fn floors(&self) -> &Floors {
+    pub fn fallback_quotas(&self) -> &FallbackQuotas {
         &self.floors
     }
 
     /// What was dealt, what of it lasts beside the floor (none: there is no limit), and until when.
-    pub fn parts(&self, now: Micros) -> impl Iterator<Item = (&Dealt, Option<u64>, Micros)> {
+    pub fn allocations(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (&Allocation, Option<u64>, Micros)> {
         self.parts
             .values()
             .filter_map(move |part| part.at(now).map(|(most, until)| (&part.dealt, most, until)))
--- a/ledger/src/lib.rs
+++ b/ledger/src/lib.rs
@@ -1,7 +1,7 @@
 //! What a fleet of senders holds in common, without sockets or clock.
 //!
-//! A [`Limit`] binds all senders together. Each has a floor of it ([`Floors`]) that it may use without asking; the rest is
-//! dealt out by a [`Keeper`] in leased parts, which a [`Holder`] acts on for as long as its leases last. Floors and parts
+//! A [`Limit`] binds all senders together. Each has a floor of it ([`FallbackQuotas`]) that it may use without asking; the rest is
+//! dealt out by a [`Allocator`] in leased parts, which a [`QuotaHolder`] acts on for as long as its leases last. Floors and parts
 //! never add up to more than the limit: a part that may still be used is not dealt again. `docs/ledger.md` states the
 //! bound, and what is conserved when links, keepers and clocks fail. [`freeze`] holds changes of topology.
 
@@ -19,9 +19,9 @@
 pub mod splits;
 pub mod verdicts;
 
-pub use book::{Book, BookError, Entry, Shard};
-pub use holder::{Holder, Wanted};
-pub use keys::{BadKey, KINDS, Key, What};
-pub use limits::{BadLimit, Floors, Limit, LimitError};
-pub use parts::{Dealt, Keeper, Want};
-pub use versioned_config::{Micros, Terms};
+pub use book::{LedgerEntry, LedgerError, LedgerState, Shard};
+pub use holder::QuotaHolder;
+pub use keys::{InvalidKey, LIMIT_KINDS, LimitKey, Resource};
+pub use limits::{FallbackQuotas, InvalidLimit, Limit, LimitError};
+pub use parts::{Allocation, Allocator, QuotaDemand};
+pub use versioned_config::{LeaseTerms, Micros};
--- a/ledger/src/limits.rs
+++ b/ledger/src/limits.rs
@@ -1,6 +1,6 @@
 //! Limits as the log keeps them, and the floors that hold without it.
 
-use crate::keys::Key;
+use crate::keys::LimitKey;
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,32 +15,33 @@
 /// changed there, for one that hears nothing would not know.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Floors {
+pub struct FallbackQuotas {
     /// Senders that are configured: no more may run at once.
     pub senders: u32,
     /// By a key's text, or by its kind for all of that kind; nothing where neither is named.
     #[serde(default)]
-    pub each: BTreeMap<String, u64>,
+    #[serde(rename = "each")]
+    pub per_sender: BTreeMap<String, u64>,
 }
 
-impl Floors {
+impl FallbackQuotas {
     /// One sender's floor of a key.
-    pub fn of(&self, key: &Key) -> u64 {
+    pub fn of(&self, key: &LimitKey) -> u64 {
         let named = self
-            .each
+            .per_sender
             .get(&key.to_string())
-            .or_else(|| self.each.get(key.kind()));
+            .or_else(|| self.per_sender.get(key.kind()));
         named.copied().unwrap_or(0).min(TOTAL_MOST)
     }
 
     /// Whether a key is limited at all: its text or its kind has a floor, which may be none. Of what is not named a sender
     /// that hears nothing could not know that it is limited.
-    pub fn name(&self, key: &Key) -> bool {
-        self.each.contains_key(&key.to_string()) || self.each.contains_key(key.kind())
+    pub fn is_limited(&self, key: &LimitKey) -> bool {
+        self.per_sender.contains_key(&key.to_string()) || self.per_sender.contains_key(key.kind())
     }
 
     /// All senders' floors of a key.
-    pub fn sum(&self, key: &Key) -> u64 {
+    pub fn total_of(&self, key: &LimitKey) -> u64 {
         self.of(key).saturating_mul(u64::from(self.senders))
     }
 }
@@ -54,19 +55,20 @@
     /// Where a number at once is limited: how long a call may last, ms. A sender gives one up after that, and a part that
     /// has lapsed is dealt again only then.
     #[serde(default)]
-    pub linger_ms: u64,
+    #[serde(rename = "linger_ms")]
+    pub expiry_grace_ms: u64,
 }
 
 /// A limit that makes no sense.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
-pub enum BadLimit {
+pub enum InvalidLimit {
     /// It is larger than any that can be dealt out.
     #[error("a limit of {0} is larger than {TOTAL_MOST}")]
     #[diagnostic(
         code(ledger::limit::size),
         help("calls a second are counted in thousandths; leave a limit out where there is none")
     )]
-    Large(u64),
+    TooLarge(u64),
     /// A number at once needs a longest call, and a rate has none.
     #[error("{0}: linger_ms is {1}")]
     #[diagnostic(
@@ -75,7 +77,7 @@
             "give linger_ms from 1 to 600000 for out/ and connections/, and none for rates: parts of calls that are still out are not dealt again"
         )
     )]
-    Linger(Key, u64),
+    ExpiryGrace(LimitKey, u64),
 }
 
 /// Why limits do not change.
@@ -83,21 +85,21 @@
 pub enum LimitError {
     /// Floors alone are more.
     #[error(
-        "{key}: {senders} senders have a floor of {floor} each, which is more than {total} together"
+        "{key}: {senders} senders have a floor of {fallback} each, which is more than {total} together"
     )]
     #[diagnostic(
         code(ledger::limit::floors),
         help(
-            "a sender that hears nothing goes on with its floor: set the limit to at least {senders} times {floor}, or begin a ledger with lower floors"
+            "a sender that hears nothing goes on with its floor: set the limit to at least {senders} times {fallback}, or begin a ledger with lower floors"
         )
     )]
-    Floors {
+    BelowFallbackQuotas {
         /// The key.
-        key: Key,
+        key: LimitKey,
         /// Senders.
         senders: u32,
         /// Each one's floor.
-        floor: u64,
+        fallback: u64,
         /// The limit that was wanted.
         total: u64,
     },
@@ -109,22 +111,22 @@
             "name it or its kind in the floors, 0 included: a sender that hears nothing goes without limit otherwise"
         )
     )]
-    Unnamed(Key),
+    NoFallbackQuota(LimitKey),
     /// It makes no sense.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Senseless(#[from] BadLimit),
+    Invalid(#[from] InvalidLimit),
     /// There are too many.
     #[error("more than {LIMITS_MOST} limits")]
     #[diagnostic(
         code(ledger::limit::many),
         help("remove limits that are not needed (DELETE /v1/limits/KEY)")
     )]
-    Many,
+    TooMany,
     /// There is none to remove.
     #[error("{0} has no limit")]
     #[diagnostic(code(ledger::limit::unknown), help("GET /v1/limits lists all"))]
-    Unknown(Key),
+    Unknown(LimitKey),
 }
 
 impl Limit {
@@ -132,22 +134,22 @@
     ///
     /// # Errors
     /// Says why it can't.
-    pub fn check(self, floors: &Floors, key: &Key) -> Result<(), LimitError> {
+    pub fn check(self, floors: &FallbackQuotas, key: &LimitKey) -> Result<(), LimitError> {
         if self.total > TOTAL_MOST {
-            return Err(BadLimit::Large(self.total).into());
+            return Err(InvalidLimit::TooLarge(self.total).into());
         }
-        if key.is_rate() != (self.linger_ms == 0) || self.linger_ms > 600_000 {
-            return Err(BadLimit::Linger(key.clone(), self.linger_ms).into());
+        if key.is_rate() != (self.expiry_grace_ms == 0) || self.expiry_grace_ms > 600_000 {
+            return Err(InvalidLimit::ExpiryGrace(key.clone(), self.expiry_grace_ms).into());
         }
-        if !floors.name(key) {
-            return Err(LimitError::Unnamed(key.clone()));
+        if !floors.is_limited(key) {
+            return Err(LimitError::NoFallbackQuota(key.clone()));
         }
-        if floors.sum(key) > self.total {
+        if floors.total_of(key) > self.total {
             let (senders, floor, total) = (floors.senders, floors.of(key), self.total);
-            return Err(LimitError::Floors {
+            return Err(LimitError::BelowFallbackQuotas {
                 key: key.clone(),
                 senders,
-                floor,
+                fallback: floor,
                 total,
             });
         }
@@ -158,21 +160,33 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::keys::What;
+    use crate::keys::Resource;
 
     #[test]
     fn no_limit_is_below_its_floors_and_each_no_says_what_to_do() {
         let each = [("rate", 5), ("rate/7", 20), ("out", 0)]
             .map(|(name, floor)| (name.to_string(), floor))
             .into();
-        let floors = Floors { senders: 10, each };
-        let (other, seven) = (Key::of(3, What::Rate), Key::of(7, What::Rate));
-        let out = Key::of(7, What::Out);
+        let floors = FallbackQuotas {
+            senders: 10,
+            per_sender: each,
+        };
+        let (other, seven) = (
+            LimitKey::of(3, Resource::Rate),
+            LimitKey::of(7, Resource::Rate),
+        );
+        let out = LimitKey::of(7, Resource::Concurrency);
         assert_eq!(
             (floors.of(&other), floors.of(&seven), floors.of(&out)),
             (5, 20, 0)
         );
-        let check = |key: &Key, total, linger_ms| Limit { total, linger_ms }.check(&floors, key);
+        let check = |key: &LimitKey, total, linger_ms| {
+            Limit {
+                total,
+                expiry_grace_ms: linger_ms,
+            }
+            .check(&floors, key)
+        };
         assert_eq!(check(&seven, 200, 0), Ok(()));
         assert_eq!(check(&out, 3, 500), Ok(()));
         let errors = [
@@ -181,7 +195,7 @@
             check(&out, 3, 0),
             check(&seven, 300, 5),
             check(&seven, u64::MAX, 0),
-            check(&Key::of(7, What::Cold), 300, 0),
+            check(&LimitKey::of(7, Resource::RecoveryRate), 300, 0),
         ];
         for error in errors {
             let error = error.expect_err("refused");
--- a/ledger/src/naming.rs
+++ b/ledger/src/naming.rs
@@ -5,17 +5,18 @@
 //! is not named, and its first message asks. What exceeds the room of a question waits for the next one, in turns, with the newest want of
 //! each key and no queue. [`ByteBudget`] sets the room.
 
-use crate::holder::{Holder, Wanted};
-use crate::keys::Key;
+use crate::holder::QuotaHolder;
+use crate::keys::LimitKey;
+use crate::parts::QuotaDemand;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use versioned_config::Micros;
 
 /// Names that one question may have: the registry refuses more.
-pub const NAMES_MOST: usize = 4_096;
+pub const MAX_KEYS_PER_REQUEST: usize = 4_096;
 /// Bytes of a question and its answer beside their bodies: a connection of its own (13 packets of 52 bytes with their
 /// heads) and two HTTP heads of some 130.
-pub const HEADS_BYTES: u64 = 950;
+pub const HEADER_BYTES: u64 = 950;
 /// Bytes that one name and its answer take in the compact form, rather more than less: two differences of places and a want
 /// and a quota of up to 3 bytes each. What they really took is booked afterwards.
 const NAME_BYTES: u64 = 12;
@@ -28,22 +29,22 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyDemand {
     /// What it wants, beyond its fallback share.
-    pub wanted: Wanted,
+    pub demand: QuotaDemand,
     /// Messages wait for it.
     pub waiting: bool,
     /// Its destination is not well: its trickle of calls is within the fallback share.
-    pub sick: bool,
+    pub unhealthy: bool,
     /// Calls sent under it since the process started.
-    pub calls: u64,
+    pub calls_sent: u64,
 }
 
 /// Chooses what questions name.
 #[derive(Debug, Clone, Default)]
-pub struct Naming {
+pub struct DemandSelector {
     /// Calls that had been sent when each key was named last, for as long as a quota of it may last.
-    named: BTreeMap<Key, Named>,
+    named: BTreeMap<LimitKey, Named>,
     /// Where the next question begins if there was no room: for what waits, is in use, and is sick.
-    turns: [Option<Key>; 3],
+    turns: [Option<LimitKey>; 3],
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -52,34 +53,34 @@
     at: Micros,
 }
 
-impl Naming {
+impl DemandSelector {
     /// The wants that the next question names, `room` of them at most. `list` is the number of keys that could be named.
-    pub fn choose(
+    pub fn select(
         &mut self,
         now: Micros,
-        holder: &Holder,
+        holder: &QuotaHolder,
         lease: Micros,
         demand: Vec<KeyDemand>,
         list: usize,
         room: usize,
-    ) -> Vec<Wanted> {
-        let room = room.min(NAMES_MOST);
+    ) -> Vec<QuotaDemand> {
+        let room = room.min(MAX_KEYS_PER_REQUEST);
         self.named.retain(|_, named| now < named.at + 2 * lease);
         if list <= room {
-            return demand.into_iter().map(|demand| demand.wanted).collect();
+            return demand.into_iter().map(|demand| demand.demand).collect();
         }
         let (mut waiting, mut in_use, mut sick) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for demand in demand {
-            let key = demand.wanted.key.clone();
-            let lasts = holder.lasts_until(now, &key).saturating_sub(now);
+            let key = demand.demand.key.clone();
+            let lasts = holder.valid_until(now, &key).saturating_sub(now);
             let calls = self
                 .named
                 .get(&key)
-                .map_or(0, |named| demand.calls.saturating_sub(named.calls));
-            if demand.sick {
+                .map_or(0, |named| demand.calls_sent.saturating_sub(named.calls));
+            if demand.unhealthy {
                 sick.insert(key, demand);
-            } else if demand.waiting && holder.lacks(now, &key) {
+            } else if demand.waiting && holder.is_at_fallback(now, &key) {
                 waiting.insert(key, demand);
             } else if lasts <= lease / RENEW_AT && (demand.waiting || calls >= CALLS_IN_USE) {
                 in_use.insert(key, demand);
@@ -91,21 +92,21 @@
         }
         for demand in &chosen {
             self.named.insert(
-                demand.wanted.key.clone(),
+                demand.demand.key.clone(),
                 Named {
-                    calls: demand.calls,
+                    calls: demand.calls_sent,
                     at: now,
                 },
             );
         }
-        chosen.into_iter().map(|demand| demand.wanted).collect()
+        chosen.into_iter().map(|demand| demand.demand).collect()
     }
 }
 
 /// Adds demands until `room` are chosen, from `turn` on and then from the beginning; the next turn begins behind them.
 fn take_turns(
-    mut demands: BTreeMap<Key, KeyDemand>,
-    turn: &mut Option<Key>,
+    mut demands: BTreeMap<LimitKey, KeyDemand>,
+    turn: &mut Option<LimitKey>,
     room: usize,
     chosen: &mut Vec<KeyDemand>,
 ) {
@@ -125,7 +126,7 @@
 }
 
 /// Health reports that a question has room for: those of failing destinations first.
-pub fn choose_reports<T>(mut reports: Vec<T>, failing: impl Fn(&T) -> bool, room: usize) -> Vec<T> {
+pub fn select_reports<T>(mut reports: Vec<T>, failing: impl Fn(&T) -> bool, room: usize) -> Vec<T> {
     reports.sort_by_key(|report| !failing(report));
     reports.truncate(room);
     reports
@@ -154,7 +155,7 @@
     }
 
     /// Names that a question has room for now; none: no question.
-    pub fn room(&mut self, now: Micros, lease: Micros) -> usize {
+    pub fn available_keys(&mut self, now: Micros, lease: Micros) -> usize {
         let earned = now.saturating_sub(self.at).saturating_mul(self.rate) / 1_000_000;
         if earned > 0 {
             self.tokens = self
@@ -165,23 +166,23 @@
         }
         let bytes = u64::try_from(self.tokens)
             .unwrap_or(0)
-            .saturating_sub(HEADS_BYTES);
+            .saturating_sub(HEADER_BYTES);
         usize::try_from(bytes / NAME_BYTES).unwrap_or(usize::MAX)
     }
 
     /// Books a question of so many bytes, and the heads of both.
-    pub fn spend(&mut self, body: u64) {
-        self.spend_more(body.saturating_add(HEADS_BYTES));
+    pub fn charge_request(&mut self, body: u64) {
+        self.charge_response(body.saturating_add(HEADER_BYTES));
     }
 
     /// Books its answer.
-    pub fn spend_more(&mut self, body: u64) {
+    pub fn charge_response(&mut self, body: u64) {
         self.tokens = self.tokens.saturating_sub_unsigned(body);
     }
 
     /// What may be saved up: a lease's worth, and two questions' heads where leases are short.
     fn most(&self, lease: Micros) -> i64 {
         let worth = lease.saturating_mul(self.rate) / 1_000_000;
-        i64::try_from(worth.max(2 * HEADS_BYTES)).unwrap_or(i64::MAX)
+        i64::try_from(worth.max(2 * HEADER_BYTES)).unwrap_or(i64::MAX)
     }
 }
--- a/ledger/src/parts.rs
+++ b/ledger/src/parts.rs
@@ -5,11 +5,11 @@
 //! the limit after all floors and all parts that others may still use. A part may be used up at its beginning, so it counts
 //! as out to its end whatever its sender says.
 
-use crate::keys::Key;
-use crate::limits::{Floors, Limit};
+use crate::keys::LimitKey;
+use crate::limits::{FallbackQuotas, Limit};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use versioned_config::{Micros, Terms};
+use versioned_config::{LeaseTerms, Micros};
 
 /// How long a computed level of fair parts is good. Wants that come meanwhile are dealt by it.
 const LEVEL_GOOD: Micros = 100_000;
@@ -19,26 +19,29 @@
 /// A sender's wish for a part of one limit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Want {
+pub struct QuotaDemand {
     /// Of what.
-    pub key: Key,
+    pub key: LimitKey,
     /// How much it could use beyond its floor, in the key's units.
-    pub want: u64,
+    #[serde(rename = "want")]
+    pub amount: u64,
 }
 
 /// A part that a sender may use, beside its floor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Dealt {
+pub struct Allocation {
     /// Of what.
-    pub key: Key,
+    pub key: LimitKey,
     /// How much, in the key's units; none: it has no limit now.
-    pub part: Option<u64>,
+    #[serde(rename = "part")]
+    pub quota: Option<u64>,
     /// The whole limit, for all senders, if there is one.
     pub total: Option<u64>,
     /// How long a call under it may last, ms; 0 where that does not matter.
     #[serde(default)]
-    pub linger_ms: u64,
+    #[serde(rename = "linger_ms")]
+    pub expiry_grace_ms: u64,
 }
 
 /// Parts of one limit that may still be used, each until its end: of them the largest counts. A smaller one never takes the
@@ -111,45 +114,45 @@
 
 /// Deals parts of the limits of one range.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Keeper {
-    terms: Terms,
+pub struct Allocator {
+    terms: LeaseTerms,
     /// Leases of a keeper before may last until then.
     from: Micros,
-    accounts: BTreeMap<Key, Account>,
+    accounts: BTreeMap<LimitKey, Account>,
 }
 
-impl Keeper {
+impl Allocator {
     /// One that begins now, and does not know what one before it has dealt.
-    pub fn new(terms: Terms, now: Micros) -> Self {
-        Keeper {
+    pub fn new(terms: LeaseTerms, now: Micros) -> Self {
+        Allocator {
             terms,
-            from: now + terms.longest(),
+            from: now + terms.longest_validity(),
             accounts: BTreeMap::new(),
         }
     }
 
     /// When it begins to deal.
-    pub fn deals_from(&self) -> Micros {
+    pub fn allocates_from(&self) -> Micros {
         self.from
     }
 
     /// A sender's life asks. To be called only once a majority has confirmed, after the question came in, that this is
     /// still the keeper: the next one waits no longer than the leases that were asked for before it was named.
-    pub fn deal(
+    pub fn allocate(
         &mut self,
         now: Micros,
         sender: u64,
-        want: &Want,
+        want: &QuotaDemand,
         limit: Limit,
-        floors: &Floors,
-    ) -> Dealt {
-        let Want { key, want } = want;
-        let (terms, linger) = (self.terms, limit.linger_ms * 1000);
-        let pool = limit.total.saturating_sub(floors.sum(key));
+        floors: &FallbackQuotas,
+    ) -> Allocation {
+        let QuotaDemand { key, amount: want } = want;
+        let (terms, linger) = (self.terms, limit.expiry_grace_ms * 1000);
+        let pool = limit.total.saturating_sub(floors.total_of(key));
         let unit = unit(key, terms);
         let account = self.accounts.entry(key.clone()).or_default();
         let held = account.held.entry(sender).or_default();
-        (held.want, held.wants_until) = (*want, now + terms.longest());
+        (held.want, held.wants_until) = (*want, now + terms.longest_validity());
         account.look(now, pool, unit, terms);
         let held = account.held.get(&sender).map_or(0, |held| held.most(now));
         let others = account.out - held;
@@ -164,21 +167,21 @@
             pool.saturating_sub(others)
         };
         let part = target.min(left);
-        let until = now + terms.longest() + linger;
+        let until = now + terms.longest_validity() + linger;
         if let Some(held) = account.held.get_mut(&sender) {
             held.grants.push(part, until);
             account.out = others + held.most(now);
         }
-        Dealt {
+        Allocation {
             key: key.clone(),
-            part: Some(part),
+            quota: Some(part),
             total: Some(limit.total),
-            linger_ms: limit.linger_ms,
+            expiry_grace_ms: limit.expiry_grace_ms,
         }
     }
 
     /// Takes over what another keeper of the same replica has dealt of these keys, whose range is this one's now.
-    pub fn take_over(&mut self, other: &mut Keeper, theirs: impl Fn(&Key) -> bool) {
+    pub fn take_over(&mut self, other: &mut Allocator, theirs: impl Fn(&LimitKey) -> bool) {
         self.accounts
             .extend(other.accounts.extract_if(.., |key, _| theirs(key)));
         // this one knows all that was dealt of its keys
@@ -186,7 +189,7 @@
     }
 
     /// Forgets what has lapsed.
-    pub fn forget(&mut self, now: Micros) {
+    pub fn remove_expired(&mut self, now: Micros) {
         self.accounts
             .values_mut()
             .for_each(|account| account.lapse(now));
@@ -194,14 +197,14 @@
     }
 
     /// Each key that was asked for, what is out of it, and how many hold or want some.
-    pub fn accounts(&self) -> impl Iterator<Item = (&Key, u64, usize)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&LimitKey, u64, usize)> {
         self.accounts
             .iter()
             .map(|(key, account)| (key, account.out, account.held.len()))
     }
 
     /// What one sender may still use of a key, and wants.
-    pub fn held(&self, now: Micros, key: &Key) -> impl Iterator<Item = (u64, u64, u64)> {
+    pub fn holders(&self, now: Micros, key: &LimitKey) -> impl Iterator<Item = (u64, u64, u64)> {
         let held = self
             .accounts
             .get(key)
@@ -213,7 +216,7 @@
 
 /// The least that is worth dealing: one call in a lease, or one at once. A smaller part of a rate would be worth nothing
 /// within a message's time.
-fn unit(key: &Key, terms: Terms) -> u64 {
+fn unit(key: &LimitKey, terms: LeaseTerms) -> u64 {
     if key.is_rate() {
         (1_000_000_000 / terms.lease.max(1)).max(1)
     } else {
@@ -232,7 +235,7 @@
     }
 
     /// Finds the level up to which all wants can be met at once, in whole units, when it was not found a short while ago.
-    fn look(&mut self, now: Micros, pool: u64, unit: u64, terms: Terms) {
+    fn look(&mut self, now: Micros, pool: u64, unit: u64, terms: LeaseTerms) {
         self.lapse(now);
         if self
             .looked
@@ -269,7 +272,7 @@
     }
 
     /// How many senders with wants are before this one in this lease's turn.
-    fn turn(&self, now: Micros, sender: u64, terms: Terms) -> u64 {
+    fn turn(&self, now: Micros, sender: u64, terms: LeaseTerms) -> u64 {
         if self.extra == 0 {
             return 0;
         }
