--- a/ledger/src/splits.rs
+++ b/ledger/src/splits.rs
@@ -2,7 +2,7 @@
 //! both are read for one question at one point of the log. It is cut over once every key has been compared equal; a
 //! difference is kept with both sides, and has the split undone.
 
-use crate::keys::Key;
+use crate::keys::LimitKey;
 use crate::limits::Limit;
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
@@ -16,12 +16,12 @@
 pub(crate) const ENDED_MOST: usize = 16;
 
 /// What a range holds.
-pub(crate) type Records = BTreeMap<Key, Limit>;
+pub(crate) type Records = BTreeMap<LimitKey, Limit>;
 
 /// A difference that a rehearsal plants into the children, to see it found. Such a split is never cut over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Plant {
+pub enum PlantedFault {
     /// A write is lost.
     Lost,
     /// It is in both children.
@@ -60,7 +60,8 @@
         to: Option<u64>,
     },
     /// The limit of one key.
-    One(Key),
+    #[serde(rename = "one")]
+    Key(LimitKey),
     /// The sum of all limits of a kind.
     Sum(String),
 }
@@ -70,26 +71,27 @@
         match self {
             Query::Range { from, to: None } => write!(f, "range from {from}"),
             Query::Range { from, to: Some(to) } => write!(f, "range from {from} to {to}"),
-            Query::One(key) => write!(f, "{key}"),
+            Query::Key(key) => write!(f, "{key}"),
             Query::Sum(kind) => write!(f, "sum of {kind}"),
         }
     }
 }
 
 /// An answer in its one form: rows in the order of their keys; a sum is one row without a key.
-pub type Rows = Vec<(Option<Key>, u64)>;
+pub type Rows = Vec<(Option<LimitKey>, u64)>;
 
 impl Query {
     /// Answers from records in the order in which they are given.
-    fn answer<'a>(&self, records: impl Iterator<Item = (&'a Key, &'a Limit)>) -> Rows {
-        let row = |(key, limit): (&Key, &Limit)| (Some(key.clone()), limit.total);
+    fn answer<'a>(&self, records: impl Iterator<Item = (&'a LimitKey, &'a Limit)>) -> Rows {
+        let row = |(key, limit): (&LimitKey, &Limit)| (Some(key.clone()), limit.total);
         match self {
             Query::Range { from, to } => {
-                let within =
-                    |key: &Key| key.place() >= *from && to.is_none_or(|to| key.place() < to);
+                let within = |key: &LimitKey| {
+                    key.position() >= *from && to.is_none_or(|to| key.position() < to)
+                };
                 records.filter(|(key, _)| within(key)).map(row).collect()
             }
-            Query::One(key) => records
+            Query::Key(key) => records
                 .filter(|(other, _)| *other == key)
                 .map(row)
                 .collect(),
@@ -106,11 +108,11 @@
 
 /// A disagreement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flag {
+pub struct Disagreement {
     /// The question; none: the walk over all keys found it.
     pub query: Option<Query>,
     /// The first key in which the sides differ, if it is one.
-    pub key: Option<Key>,
+    pub key: Option<LimitKey>,
     /// How.
     pub difference: Difference,
     /// What the parent has of it.
@@ -118,15 +120,21 @@
     /// What the children have of it, merged.
     pub children: Vec<u64>,
     /// The point of the log at which both were read.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub log_revision: u64,
 }
 
 /// Compares two answers; none where they are the same.
-pub fn compare(query: Option<&Query>, parent: &Rows, children: &Rows, fence: u64) -> Option<Flag> {
+pub fn compare(
+    query: Option<&Query>,
+    parent: &Rows,
+    children: &Rows,
+    fence: u64,
+) -> Option<Disagreement> {
     if parent == children {
         return None;
     }
-    let of = |rows: &Rows, key: &Option<Key>| -> Vec<u64> {
+    let of = |rows: &Rows, key: &Option<LimitKey>| -> Vec<u64> {
         rows.iter()
             .filter(|(other, _)| other == key)
             .map(|(_, total)| *total)
@@ -145,13 +153,13 @@
                 .find(|(one, other)| one != other)?
                 .0;
             let (parent, children) = (Vec::new(), Vec::new());
-            Flag {
+            Disagreement {
                 query,
                 key: key.clone(),
                 difference: Difference::Order,
                 parent,
                 children,
-                fence,
+                log_revision: fence,
             }
         }
         Some((key, parent, children)) => {
@@ -160,13 +168,13 @@
                 (1, 1) => Difference::Value,
                 _ => Difference::Twice,
             };
-            Flag {
+            Disagreement {
                 query,
                 key: key.clone(),
                 difference,
                 parent,
                 children,
-                fence,
+                log_revision: fence,
             }
         }
     })
@@ -181,14 +189,14 @@
         code(ledger::split::range),
         help("GET /v1/limits lists the ranges by their first places")
     )]
-    Range(u64),
+    UnknownShard(u64),
     /// The place is not inside it.
     #[error("{at} is not inside the range that begins at {first}")]
     #[diagnostic(
         code(ledger::split::place),
         help("name a destination after the first of the range and before the next range")
     )]
-    Place {
+    OutsideShard {
         /// The range.
         first: u64,
         /// Where it was to be split.
@@ -200,14 +208,14 @@
         code(ledger::split::under_way),
         help("wait for its end (GET /v1/splits), or undo it (DELETE /v1/splits)")
     )]
-    UnderWay(u64),
+    SplitInProgress(u64),
     /// None is under way.
     #[error("no split is under way")]
     #[diagnostic(
         code(ledger::split::none),
         help("GET /v1/splits tells how the last ones ended")
     )]
-    None,
+    NoSplit,
     /// The sides disagree.
     #[error("{0} answers of the two sides disagree")]
     #[diagnostic(
@@ -216,14 +224,14 @@
             "GET /v1/splits has both sides of each; the range is as it was: report it before it is split again"
         )
     )]
-    Flags(u64),
+    Disagreements(u64),
     /// It took too long.
     #[error("it was not compared in whole in time")]
     #[diagnostic(
         code(ledger::split::late),
         help("split it at a quieter time, or a smaller part of it")
     )]
-    Late,
+    TimedOut,
     /// A freeze began.
     #[error("window {0} began before every key had been compared")]
     #[diagnostic(code(ledger::split::frozen), help("split it again after the window"))]
@@ -231,7 +239,7 @@
     /// An operator undid it.
     #[error("an operator undid it")]
     #[diagnostic(code(ledger::split::undone), help("the range is as it was"))]
-    Undone,
+    RolledBackByOperator,
     /// It was a rehearsal.
     #[error("it was a rehearsal, and every key was compared without a flag")]
     #[diagnostic(
@@ -249,15 +257,15 @@
     /// The first place of the second child.
     pub at: u64,
     /// What a rehearsal plants.
-    pub plant: Option<Plant>,
+    pub planted_fault: Option<PlantedFault>,
     /// The two sides of the children.
     pub(crate) children: [Records; 2],
     /// Keys up to here have been copied; none: nothing has.
-    pub(crate) copied: Option<Key>,
+    pub(crate) copied: Option<LimitKey>,
     /// All have been.
     pub copied_all: bool,
     /// Keys up to here have been compared.
-    pub(crate) compared: Option<Key>,
+    pub(crate) compared: Option<LimitKey>,
     /// All have been, by the walk.
     pub compared_all: bool,
     /// Queries that were read on both sides.
@@ -265,35 +273,38 @@
     /// Queries that were not, since the keeper had other work.
     pub not_compared: u64,
     /// Flags, the first ones of them.
-    pub flags: Vec<Flag>,
+    pub disagreements: Vec<Disagreement>,
     /// How many there were.
-    pub flagged: u64,
+    pub disagreement_count: u64,
 }
 
 /// A split that has ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct FinishedSplit {
     /// The range's first place.
     pub first: u64,
     /// Where it was to be split.
     pub at: u64,
     /// Why it was undone; none: it was cut over.
-    pub undone: Option<SplitError>,
+    #[serde(rename = "undone")]
+    pub rolled_back_because: Option<SplitError>,
     /// Queries compared, and not compared.
     pub queries: [u64; 2],
     /// Flags, the first ones of them.
-    pub flags: Vec<Flag>,
+    #[serde(rename = "flags")]
+    pub disagreements: Vec<Disagreement>,
     /// How many there were.
-    pub flagged: u64,
+    #[serde(rename = "flagged")]
+    pub disagreement_count: u64,
 }
 
 impl Split {
     /// One that begins.
-    pub(crate) fn new(first: u64, at: u64, plant: Option<Plant>) -> Self {
+    pub(crate) fn new(first: u64, at: u64, plant: Option<PlantedFault>) -> Self {
         Split {
             first,
             at,
-            plant,
+            planted_fault: plant,
             children: Default::default(),
             copied: None,
             copied_all: false,
@@ -301,24 +312,25 @@
             compared_all: false,
             queries: 0,
             not_compared: 0,
-            flags: Vec::new(),
-            flagged: 0,
+            disagreements: Vec::new(),
+            disagreement_count: 0,
         }
     }
 
-    fn side(&self, key: &Key) -> usize {
-        usize::from(key.place() >= self.at)
+    fn side(&self, key: &LimitKey) -> usize {
+        usize::from(key.position() >= self.at)
     }
 
-    fn is_copied(&self, key: &Key) -> bool {
+    fn is_copied(&self, key: &LimitKey) -> bool {
         self.copied_all || self.copied.as_ref().is_some_and(|copied| key <= copied)
     }
 
     /// Copies the next keys of the parent.
     pub(crate) fn copy(&mut self, parent: &Records, count: usize) {
-        let after =
-            |(key, _): &(&Key, &Limit)| self.copied.as_ref().is_none_or(|copied| *key > copied);
-        let next: Vec<(Key, Limit)> = parent
+        let after = |(key, _): &(&LimitKey, &Limit)| {
+            self.copied.as_ref().is_none_or(|copied| *key > copied)
+        };
+        let next: Vec<(LimitKey, Limit)> = parent
             .iter()
             .filter(after)
             .take(count)
@@ -333,18 +345,18 @@
     }
 
     /// A write of the parent goes to its child too, once its key has been copied.
-    pub(crate) fn write(&mut self, key: &Key, limit: Option<Limit>) {
+    pub(crate) fn write(&mut self, key: &LimitKey, limit: Option<Limit>) {
         if !self.is_copied(key) {
             return; // it is copied with what is written now
         }
         let side = self.side(key);
-        match (self.plant, limit) {
-            (Some(Plant::Lost | Plant::Stale), _) => {}
-            (Some(Plant::WrongSide), Some(limit)) => {
+        match (self.planted_fault, limit) {
+            (Some(PlantedFault::Lost | PlantedFault::Stale), _) => {}
+            (Some(PlantedFault::WrongSide), Some(limit)) => {
                 self.children[side].remove(key);
                 self.children[1 - side].insert(key.clone(), limit);
             }
-            (Some(Plant::Doubled), Some(limit)) => {
+            (Some(PlantedFault::Doubled), Some(limit)) => {
                 for child in &mut self.children {
                     child.insert(key.clone(), limit);
                 }
@@ -359,9 +371,9 @@
     }
 
     /// The children's records, merged: of one side and then the other, only what belongs there.
-    fn merged(&self) -> impl Iterator<Item = (&Key, &Limit)> {
+    fn merged(&self) -> impl Iterator<Item = (&LimitKey, &Limit)> {
         let [left, right] = &self.children;
-        let (first, second) = if self.plant == Some(Plant::Order) {
+        let (first, second) = if self.planted_fault == Some(PlantedFault::Order) {
             (right, left)
         } else {
             (left, right)
@@ -381,7 +393,7 @@
 
     /// Compares one key, and on which side it lies: as the walk comes to it, and again with each write after that, so that what
     /// was compared stays compared.
-    pub(crate) fn look(&mut self, parent: &Records, key: &Key, fence: u64) {
+    pub(crate) fn look(&mut self, parent: &Records, key: &LimitKey, fence: u64) {
         if !self.is_copied(key) {
             return;
         }
@@ -407,14 +419,14 @@
 
     /// Compares the next keys.
     pub(crate) fn walk(&mut self, parent: &Records, count: usize, fence: u64) {
-        let after = |key: &Key| self.compared.as_ref().is_none_or(|compared| key > compared);
-        let mut keys: Vec<&Key> = parent
+        let after = |key: &LimitKey| self.compared.as_ref().is_none_or(|compared| key > compared);
+        let mut keys: Vec<&LimitKey> = parent
             .keys()
             .chain(self.children.iter().flat_map(Records::keys))
             .collect();
         keys.sort_unstable();
         keys.dedup();
-        let keys: Vec<Key> = keys
+        let keys: Vec<LimitKey> = keys
             .into_iter()
             .filter(|key| after(key))
             .take(count)
@@ -426,40 +438,46 @@
     }
 
     /// Keeps a flag.
-    pub(crate) fn flag(&mut self, flag: Flag) {
-        self.flagged += 1;
-        if self.flags.len() < FLAGS_MOST {
-            self.flags.push(flag);
+    pub(crate) fn flag(&mut self, flag: Disagreement) {
+        self.disagreement_count += 1;
+        if self.disagreements.len() < FLAGS_MOST {
+            self.disagreements.push(flag);
         }
     }
 
     /// Whether it may be cut over.
     pub fn is_proven(&self) -> bool {
-        self.copied_all && self.compared_all && self.flagged == 0 && self.plant.is_none()
+        self.copied_all
+            && self.compared_all
+            && self.disagreement_count == 0
+            && self.planted_fault.is_none()
     }
 
     /// How it ended.
-    pub(crate) fn ended(self, undone: Option<SplitError>) -> Ended {
+    pub(crate) fn ended(self, undone: Option<SplitError>) -> FinishedSplit {
         let queries = [self.queries, self.not_compared];
         let Split {
             first,
             at,
-            flags,
-            flagged,
+            disagreements: flags,
+            disagreement_count: flagged,
             ..
         } = self;
-        Ended {
+        FinishedSplit {
             first,
             at,
-            undone,
+            rolled_back_because: undone,
             queries,
-            flags,
-            flagged,
+            disagreements: flags,
+            disagreement_count: flagged,
         }
     }
 }
 
 /// The parent's answer to a query over all ranges.
-pub(crate) fn read<'a>(query: &Query, records: impl Iterator<Item = (&'a Key, &'a Limit)>) -> Rows {
+pub(crate) fn read<'a>(
+    query: &Query,
+    records: impl Iterator<Item = (&'a LimitKey, &'a Limit)>,
+) -> Rows {
     query.answer(records)
 }
--- a/registry/src/client.rs
+++ b/registry/src/client.rs
@@ -296,7 +296,7 @@
     let (Some(first), Some(second)) = (at.version(one).await?, at.version(other).await?) else {
         return Ok(false);
     };
-    let how = match (first.within(&second), second.within(&first)) {
+    let how = match (first.is_within(&second), second.is_within(&first)) {
         (true, true) => "allow the same",
         (true, false) => "the first is the stricter",
         (false, true) => "the second is the stricter",
--- a/registry/src/replica/applying.rs
+++ b/registry/src/replica/applying.rs
@@ -69,7 +69,7 @@
 
     fn apply_command(&mut self, now: Micros, command: Command, mark: &[u8], output: &mut Output) {
         let advances = matches!(command, Command::Advance(_));
-        if let Command::Freeze(FreezeEntry::Clock(ms)) = &command {
+        if let Command::Freeze(FreezeEntry::AdvanceClock(ms)) = &command {
             self.hear_clock(now, *ms);
         }
         let applied = self.state.apply(command);
@@ -128,7 +128,7 @@
             .tag
             .filter(|_| applied.changed.is_empty() && !applied.ledger)
         {
-            let step = if tag.whole {
+            let step = if tag.complete {
                 "in force"
             } else {
                 "as the meet of it and the one before"
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,7 +1,7 @@
 //! The log's clock: wall time that was agreed on, carried on by the time that has passed here since.
 
 use super::Replica;
-use quota_ledger::calendar::{Clocks, SKEW_MS};
+use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
 use versioned_config::Micros;
 
 impl Replica {
@@ -32,7 +32,7 @@
     /// The log's clock was written. One that is read again after a start is as old as that.
     pub(super) fn hear_clock(&mut self, now: Micros, ms: u64) {
         let carried = self.carried_ms(now);
-        if carried.is_some() || self.wall_ms.abs_diff(ms) <= SKEW_MS {
+        if carried.is_some() || self.wall_ms.abs_diff(ms) <= MAX_CLOCK_SKEW_MS {
             self.clock = Some((carried.unwrap_or(ms).max(ms), now));
         }
     }
--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -2,8 +2,8 @@
 
 use super::Replica;
 use crate::state::Command;
-use quota_ledger::Entry;
-use quota_ledger::splits::{Flag, Query, Rows, Split};
+use quota_ledger::LedgerEntry;
+use quota_ledger::splits::{Disagreement, Query, Rows, Split};
 use versioned_config::Micros;
 
 /// What is left free after a dual read, for each row of it, and flags of them in one entry.
@@ -13,7 +13,7 @@
 /// What dual reads have found since it was logged last.
 #[derive(Debug, Default)]
 pub(super) struct DualReads {
-    flags: Vec<Flag>,
+    flags: Vec<Disagreement>,
     compared: u64,
     not_compared: u64,
     /// When the next may be.
@@ -22,7 +22,7 @@
 
 impl DualReads {
     /// The entry that logs it; none where there was no such read.
-    fn take_entry(&mut self) -> Option<Entry> {
+    fn take_entry(&mut self) -> Option<LedgerEntry> {
         let queries = [self.compared, self.not_compared];
         if queries == [0, 0] {
             return None;
@@ -30,7 +30,7 @@
         let mut flags = std::mem::take(&mut self.flags);
         flags.truncate(FLAGS_TOLD);
         (self.compared, self.not_compared) = (0, 0);
-        Some(Entry::Read { queries, flags })
+        Some(LedgerEntry::RecordDualReads { queries, flags })
     }
 }
 
@@ -40,14 +40,14 @@
     pub fn query(&mut self, now: Micros, query: &Query) -> Option<Rows> {
         let book = self.state.ledger.as_ref()?;
         if !book.split().is_some_and(Split::reads_both) {
-            return Some(book.plain(query));
+            return Some(book.query(query));
         }
         let size = book.limits().count() as u64;
         if now < self.dual_reads.next {
             self.dual_reads.not_compared += 1;
-            return Some(book.plain(query));
+            return Some(book.query(query));
         }
-        let (rows, flag) = book.read(query);
+        let (rows, flag) = book.dual_read(query);
         self.dual_reads.compared += 1;
         self.dual_reads.flags.extend(flag);
         // a row read and compared takes some hundred nanoseconds: a tenth of the time goes there at most
--- a/registry/src/replica/leading.rs
+++ b/registry/src/replica/leading.rs
@@ -3,13 +3,13 @@
 use super::Answer;
 use crate::heartbeats::Heartbeats;
 use crate::state::{Applied, Command, Refused, State};
-use quota_ledger::Entry;
+use quota_ledger::LedgerEntry;
 use quota_ledger::calendar::Clocks;
-use quota_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
+use quota_ledger::freeze::{ChangeKind, FreezeEntry, FreezeError, FreezeState, ResourceChange};
 use quota_ledger::splits::SplitError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use versioned_config::{Leases, Micros, Refusal, Rules, Tag, Terms};
+use versioned_config::{LeaseTerms, Leases, Micros, ProposalError, Rules, VersionTag};
 
 /// Lives of senders that may hold a lease at once.
 const LIVES_MOST: usize = 4096;
@@ -36,7 +36,7 @@
     /// Its life: differs between any two processes of one name.
     pub life: u64,
     /// What it acts on; none: the floor.
-    pub acts_on: Option<Tag>,
+    pub acts_on: Option<VersionTag>,
     /// The list that it acts on.
     pub rev: u64,
     /// What it does without a lease.
@@ -79,7 +79,7 @@
 }
 
 impl Leading {
-    pub fn new(term: u64, terms: Option<Terms>, now: Micros) -> Self {
+    pub fn new(term: u64, terms: Option<LeaseTerms>, now: Micros) -> Self {
         Leading {
             term,
             leases: terms.map(|terms| Leases::new(terms, now)),
@@ -109,9 +109,9 @@
             return Some(Answer::Refused(Refused::NoRules));
         };
         let other = proposal.from != versions.tag().version;
-        let same = !other && &proposal.rules == versions.new_rules();
+        let same = !other && &proposal.rules == versions.target_rules();
         let settled = leases.is_settled(now, versions) && self.advancing.is_none();
-        let under_way = Refused::Proposal(Refusal::UnderWay(versions.tag().version));
+        let under_way = Refused::Proposal(ProposalError::ChangeInProgress(versions.tag().version));
         (!other && !same && !settled).then_some(Answer::Refused(under_way))
     }
 
@@ -135,7 +135,7 @@
         let (Some(versions), Some(leases)) = (&state.versions, &mut self.leases) else {
             return Answer::Refused(Refused::NoRules);
         };
-        if &question.floor != versions.floor() {
+        if &question.floor != versions.fallback() {
             return Answer::OtherFloor;
         }
         let Question {
@@ -158,7 +158,7 @@
             }
         };
         self.known.insert(number, Known { name, life, rev });
-        Answer::Granted(Box::new(leases.ask(now, number, acts_on, versions)))
+        Answer::Granted(Box::new(leases.grant(now, number, acts_on, versions)))
     }
 
     /// Which voters there are, and which were heard of a short while ago.
@@ -174,7 +174,7 @@
     pub fn freeze_steps(
         &mut self,
         now: Micros,
-        freeze: &Freeze,
+        freeze: &FreezeState,
         clocks: Clocks,
     ) -> Vec<FreezeEntry> {
         if std::mem::replace(&mut self.clocks_differ, clocks.differ()) != clocks.differ() {
@@ -189,15 +189,15 @@
         if now < self.froze + FREEZE_REST {
             return Vec::new();
         }
-        let mut due = freeze.due(clocks);
-        let rev = freeze.before().map(|_| freeze.rev());
+        let mut due = freeze.due_entries(clocks);
+        let rev = freeze.previous_calendar().map(|_| freeze.revision());
         if rev != self.settles.map(|(rev, _)| rev) {
             self.settles = rev.map(|rev| (rev, now));
         }
         due.extend(
             self.settles
                 .filter(|(_, since)| now >= since + SETTLES)
-                .map(|(rev, _)| FreezeEntry::Settle(rev)),
+                .map(|(rev, _)| FreezeEntry::SettleCalendar(rev)),
         );
         if !due.is_empty() {
             self.froze = now;
@@ -219,37 +219,41 @@
             None => self.split_since = None,
             Some(split) => {
                 let since = *self.split_since.get_or_insert(now);
-                let frozen = Matter {
+                let frozen = ResourceChange {
                     destinations: vec![split.first],
-                    ..Matter::of_all(Widening::Split)
+                    ..ResourceChange::of_all(ChangeKind::Split)
                 };
-                let frozen = state.freeze.judge(&[frozen], false);
+                let frozen = state.freeze.check_changes(&[frozen], false);
                 let proven = split.is_proven();
                 // what is compared in whole is finished; what is not is undone, so that nothing is left half
                 due.extend(match frozen {
-                    _ if split.flagged > 0 => Some(Entry::Undo(SplitError::Flags(split.flagged))),
-                    _ if split.plant.is_some()
+                    _ if split.disagreement_count > 0 => Some(LedgerEntry::RollBack(
+                        SplitError::Disagreements(split.disagreement_count),
+                    )),
+                    _ if split.planted_fault.is_some()
                         && split.compared_all
                         && now >= since + SPLIT_LEAST =>
                     {
-                        Some(Entry::Undo(SplitError::Rehearsed))
+                        Some(LedgerEntry::RollBack(SplitError::Rehearsed))
                     }
                     Err(FreezeError::Held { window, .. }) if !proven => {
-                        Some(Entry::Undo(SplitError::Frozen(window)))
+                        Some(LedgerEntry::RollBack(SplitError::Frozen(window)))
                     }
-                    _ if proven && now >= since + SPLIT_LEAST => Some(Entry::Cut),
-                    _ if now >= since + SPLIT_MOST => Some(Entry::Undo(SplitError::Late)),
-                    _ if !proven => Some(Entry::Step(SPLIT_KEYS)),
+                    _ if proven && now >= since + SPLIT_LEAST => Some(LedgerEntry::CutOver),
+                    _ if now >= since + SPLIT_MOST => {
+                        Some(LedgerEntry::RollBack(SplitError::TimedOut))
+                    }
+                    _ if !proven => Some(LedgerEntry::AdvanceSplit(SPLIT_KEYS)),
                     _ => None,
                 });
             }
         }
         let alive = |(_, heard): &(&u64, &Micros)| now < **heard + SILENT;
         let alive: Vec<u64> = self.heard.iter().filter(alive).map(|(id, _)| *id).collect();
-        due.extend(book.due(&alive));
+        due.extend(book.allocator_assignments(&alive));
         due.retain(|entry| match entry {
             // proposed already, and neither applied nor lost yet
-            Entry::Keeper { shard, epoch, .. } => {
+            LedgerEntry::AssignAllocator { shard, epoch, .. } => {
                 self.naming.insert(*shard, *epoch) != Some(*epoch)
             }
             _ => true,
@@ -266,7 +270,7 @@
     ) -> (Vec<Command>, usize) {
         let mut steps = self.ledger_steps(now, state, begin);
         if let Some(leases) = &mut self.leases {
-            for number in leases.forget(now) {
+            for number in leases.remove_expired(now) {
                 self.lapsed += 1;
                 if let Some(Known { name, life, .. }) = self.known.remove(&number) {
                     self.numbers.remove(&(name, life));
@@ -274,7 +278,7 @@
             }
             let waits = state
                 .tag()
-                .is_none_or(|tag| tag.whole || leases.waits_for(now, tag).is_some());
+                .is_none_or(|tag| tag.complete || leases.blocking_lease(now, tag).is_some());
             if let Some(tag) = state.tag().filter(|_| !waits && self.advancing.is_none()) {
                 self.advancing = Some(tag.version);
                 steps.push(Command::Advance(tag.version));
@@ -299,7 +303,9 @@
         match command {
             Command::Advance(_) => self.advancing = None,
             Command::Begin { .. } => self.beginning = false,
-            Command::Ledger(Entry::Keeper { shard, .. }) => drop(self.naming.remove(shard)),
+            Command::Ledger(LedgerEntry::AssignAllocator { shard, .. }) => {
+                drop(self.naming.remove(shard))
+            }
             Command::Ledger(_) => self.ledger_beginning = false,
             _ => {}
         }
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -3,7 +3,7 @@
 use super::Replica;
 use super::messages::{Answer, Output, ReplicaChange, Ticket};
 use crate::state::Refused;
-use quota_ledger::freeze::{FreezeError, Matter, Widening};
+use quota_ledger::freeze::{ChangeKind, FreezeError, ResourceChange};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
 impl Replica {
@@ -33,8 +33,8 @@
 
     fn judge_replica(&self, change: ReplicaChange) -> Result<(), FreezeError> {
         let joins = change.place.is_some() && !self.state.replicas.contains_key(&change.id);
-        let matters = joins.then(|| Matter::of_all(Widening::Replica));
-        self.state.freeze.judge(matters.as_slice(), false)
+        let matters = joins.then(|| ResourceChange::of_all(ChangeKind::Replica));
+        self.state.freeze.check_changes(matters.as_slice(), false)
     }
 
     /// Appends a change of replicas, as leader; its number.
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::store::Store;
-use quota_ledger::calendar::SKEW_MS;
+use quota_ledger::calendar::MAX_CLOCK_SKEW_MS;
 use raft::Storage;
 use serde_json::{Value, json};
 use versioned_config::Micros;
@@ -36,12 +36,12 @@
             return Value::Null;
         };
         let mut report = self.keeping.report(now, book);
-        report["rev"] = book.rev().into();
+        report["rev"] = book.revision().into();
         report["lease_ms"] = (book.terms().lease / 1000).into();
-        report["drift_ms"] = (book.terms().drift / 1000).into();
+        report["drift_ms"] = (book.terms().max_drift / 1000).into();
         let ranges = book.shards().iter();
         let ranges = ranges
-            .map(|(first, shard)| json!({ "first": first, "keeper": shard.keeper, "epoch": shard.epoch }));
+            .map(|(first, shard)| json!({ "first": first, "keeper": shard.allocator, "epoch": shard.epoch }));
         report["ranges"] = ranges.collect();
         report
     }
@@ -52,19 +52,19 @@
         let Some(clocks) = self.clocks(now) else {
             return Value::Null;
         };
-        let on = freeze.on().iter().map(|(name, on)| {
-            let left = (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest());
+        let on = freeze.active_windows().iter().map(|(name, on)| {
+            let left = (on.until_ms + MAX_CLOCK_SKEW_MS).saturating_sub(clocks.earliest());
             json!({ "window": name, "ends_in_ms": left, "on": on })
         });
-        let soon = freeze.soon(clocks, SOON_MS);
+        let soon = freeze.upcoming_windows(clocks, SOON_MS);
         let soon = soon.into_iter().map(|(name, begins_in_ms, on)| {
             json!({ "window": name, "begins_in_ms": begins_in_ms,
-                "ends_in_ms": (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest()), "on": on })
+                "ends_in_ms": (on.until_ms + MAX_CLOCK_SKEW_MS).saturating_sub(clocks.earliest()), "on": on })
         });
         json!({
-            "rev": freeze.rev(), "settled": freeze.before().is_none(),
-            "on": on.collect::<Vec<_>>(), "soon": soon.collect::<Vec<_>>(), "glass": freeze.glass(),
-            "glass_ends_in_ms": freeze.glass().map_or(0, |glass| glass.until_ms.saturating_sub(clocks.latest())),
+            "rev": freeze.revision(), "settled": freeze.previous_calendar().is_none(),
+            "on": on.collect::<Vec<_>>(), "soon": soon.collect::<Vec<_>>(), "glass": freeze.break_glass_override(),
+            "glass_ends_in_ms": freeze.break_glass_override().map_or(0, |glass| glass.until_ms.saturating_sub(clocks.latest())),
             "wall_ms": clocks.wall_ms, "log_ms": clocks.log_ms, "clocks_differ": clocks.differ(),
         })
     }
@@ -83,9 +83,9 @@
         };
         let (tag, terms) = (versions.tag(), self.state.terms);
         let mut report = json!({
-            "version": tag.version, "whole": tag.whole,
+            "version": tag.version, "whole": tag.complete,
             "lease_ms": terms.map(|terms| terms.lease / 1000),
-            "drift_ms": terms.map(|terms| terms.drift / 1000),
+            "drift_ms": terms.map(|terms| terms.max_drift / 1000),
             "kept": self.state.kept.keys().collect::<Vec<_>>(),
         });
         let Some((leading, leases)) = self
@@ -97,16 +97,16 @@
         };
         let left = |until: Micros| until.saturating_sub(now) / 1000;
         let name = |number: u64| leading.known.get(&number).map(|known| known.name.as_str());
-        let waits = leases.waits_for(now, tag);
+        let waits = leases.blocking_lease(now, tag);
         report["settled"] = leases.is_settled(now, versions).into();
         report["waits_ms"] = waits.map(|wait| left(wait.until)).into();
         report["waits_for_leases_of_before"] =
             waits.is_some_and(|wait| wait.sender.is_none()).into();
-        let behind = leases.behind(now, tag).map(
+        let behind = leases.senders_behind(now, tag).map(
             |wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left(wait.until) }),
         );
         report["not_acknowledged"] = behind.collect();
-        let held = leases.held().filter_map(|(number, acts_on, until)| {
+        let held = leases.holders().filter_map(|(number, acts_on, until)| {
             let known = leading.known.get(&number)?;
             Some(json!({
                 "sender": known.name, "life": known.life, "acts_on": acts_on, "rev": known.rev,
--- a/registry/src/replica/role.rs
+++ b/registry/src/replica/role.rs
@@ -78,7 +78,7 @@
             return;
         };
         for entry in leading.freeze_steps(now, &self.state.freeze, clocks) {
-            if !matches!(entry, FreezeEntry::Clock(_)) {
+            if !matches!(entry, FreezeEntry::AdvanceClock(_)) {
                 output.notes.push(format!("freeze: {entry:?}"));
             }
             // one that can't be appended now is due again
--- a/registry/src/server.rs
+++ b/registry/src/server.rs
@@ -263,7 +263,7 @@
             Answer::Refused(refused) => {
                 let status = match &refused {
                     Refused::Version { .. } => StatusCode::PRECONDITION_FAILED,
-                    Refused::Proposal(versioned_config::Refusal::Stale { .. }) => {
+                    Refused::Proposal(versioned_config::ProposalError::Stale { .. }) => {
                         StatusCode::PRECONDITION_FAILED
                     }
                     Refused::Ledger(error) => return Err(ledger::no(error)),
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -6,22 +6,22 @@
 use crate::replica::Answer;
 use crate::state::Command;
 use hyper::{Method, Response, StatusCode};
-use quota_ledger::freeze::{Calendar, FreezeEntry, FreezeError, Glass};
+use quota_ledger::freeze::{BreakGlassOverride, FreezeCalendar, FreezeEntry, FreezeError};
 use serde_json::json as value;
 use std::sync::Arc;
 
 /// The answer to what a freeze holds or does not take.
 pub(super) fn no(error: &FreezeError) -> No {
     let status = match error {
-        FreezeError::Window { .. } | FreezeError::Many | FreezeError::Glass(_) => {
-            StatusCode::BAD_REQUEST
-        }
-        FreezeError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        FreezeError::Whole => StatusCode::NOT_FOUND,
+        FreezeError::InvalidWindow { .. }
+        | FreezeError::TooManyWindows
+        | FreezeError::InvalidOverride(_) => StatusCode::BAD_REQUEST,
+        FreezeError::VersionMismatch { .. } => StatusCode::PRECONDITION_FAILED,
+        FreezeError::NoOverride => StatusCode::NOT_FOUND,
         FreezeError::Held { .. }
-        | FreezeError::Mixed(_)
-        | FreezeError::Last { .. }
-        | FreezeError::UnderWay(_) => StatusCode::CONFLICT,
+        | FreezeError::MixedBatch(_)
+        | FreezeError::LastEndpoint { .. }
+        | FreezeError::ChangeInProgress(_) => StatusCode::CONFLICT,
     };
     No::new(status, explained(error))
 }
@@ -34,22 +34,25 @@
     let entry = match (rest, &asked.method) {
         ([], &Method::GET) => return show(asked, server).await,
         ([], &Method::PUT) => {
-            let calendar: Calendar = read(asked)?;
-            calendar.check().map_err(|error| no(&error))?;
-            FreezeEntry::Put {
+            let calendar: FreezeCalendar = read(asked)?;
+            calendar.check_times().map_err(|error| no(&error))?;
+            FreezeEntry::PutCalendar {
                 calendar,
                 if_match: wanted(asked)?,
             }
         }
         (["glass"], &Method::POST) => {
-            let glass: Glass = read(asked)?;
+            let glass: BreakGlassOverride = read(asked)?;
             let clocks = server.core.look(|replica, now| replica.clocks(now)).await?;
             let now_ms = clocks
                 .ok_or_else(|| No::busy("the clock is not known yet"))?
                 .earliest();
-            FreezeEntry::Break { glass, now_ms }
+            FreezeEntry::BreakGlass {
+                break_glass_override: glass,
+                now_ms,
+            }
         }
-        (["glass"], &Method::DELETE) => FreezeEntry::Mend,
+        (["glass"], &Method::DELETE) => FreezeEntry::EndOverride,
         ([] | ["glass"], method) => {
             return Err(No::new(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -66,7 +69,7 @@
         Answer::Applied(_) => {
             let rev = server
                 .core
-                .look(|replica, _| replica.state().freeze.rev())
+                .look(|replica, _| replica.state().freeze.revision())
                 .await?;
             Ok(json(&value!({ "rev": rev })))
         }
@@ -82,7 +85,7 @@
         let mut report = replica.freeze_report(now);
         if let (Some(clocks), freeze) = (replica.clocks(now), &replica.state().freeze) {
             report["calendar"] = serde_json::to_value(freeze.calendar()).unwrap_or_default();
-            report["ended"] = value!(freeze.calendar().ended(clocks.earliest()));
+            report["ended"] = value!(freeze.calendar().ended_windows(clocks.earliest()));
         }
         report
     });
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -11,8 +11,8 @@
 use hyper::{Method, Request, Response, StatusCode};
 use miette::Diagnostic;
 use quota_ledger::compact;
-use quota_ledger::splits::{Plant, Query, SplitError};
-use quota_ledger::{BadKey, BookError, Entry, Key, Limit, LimitError};
+use quota_ledger::splits::{PlantedFault, Query, SplitError};
+use quota_ledger::{InvalidKey, LedgerEntry, LedgerError, Limit, LimitError, LimitKey};
 use serde::Deserialize;
 use serde_json::json as value;
 use std::sync::Arc;
@@ -37,16 +37,21 @@
 }
 
 /// The answer to what the ledger does not take.
-pub(super) fn no(error: &BookError) -> No {
+pub(super) fn no(error: &LedgerError) -> No {
     let status = match error {
-        BookError::None | BookError::Limit(LimitError::Unknown(_)) => StatusCode::NOT_FOUND,
-        BookError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        BookError::Limit(LimitError::Senseless(_) | LimitError::Unnamed(_)) | BookError::Ranges => {
-            StatusCode::BAD_REQUEST
+        LedgerError::NotCreated | LedgerError::Limit(LimitError::Unknown(_)) => {
+            StatusCode::NOT_FOUND
+        }
+        LedgerError::VersionMismatch { .. } => StatusCode::PRECONDITION_FAILED,
+        LedgerError::Limit(LimitError::Invalid(_) | LimitError::NoFallbackQuota(_))
+        | LedgerError::InvalidShards => StatusCode::BAD_REQUEST,
+        LedgerError::Split(SplitError::UnknownShard(_) | SplitError::NoSplit) => {
+            StatusCode::NOT_FOUND
+        }
+        LedgerError::Split(SplitError::OutsideShard { .. }) => StatusCode::BAD_REQUEST,
+        LedgerError::AlreadyCreated | LedgerError::Limit(_) | LedgerError::Split(_) => {
+            StatusCode::CONFLICT
         }
-        BookError::Split(SplitError::Range(_) | SplitError::None) => StatusCode::NOT_FOUND,
-        BookError::Split(SplitError::Place { .. }) => StatusCode::BAD_REQUEST,
-        BookError::Begun | BookError::Limit(_) | BookError::Split(_) => StatusCode::CONFLICT,
     };
     No::new(status, explained(error))
 }
@@ -101,14 +106,14 @@
 /// asks in JSON then.
 fn read_compact(asked: &Asked) -> Result<PartsQuestion, No> {
     let question =
-        compact::Question::read(&asked.body).map_err(|error| No::bad(explained(&error)))?;
-    let compact::Question {
+        compact::QuotaRequest::decode(&asked.body).map_err(|error| No::bad(explained(&error)))?;
+    let compact::QuotaRequest {
         sender,
-        life,
-        number,
-        floors,
+        incarnation: life,
+        sequence: number,
+        fallback_quotas: floors,
         zone,
-        wants,
+        demands: wants,
         reports,
     } = question;
     Ok(PartsQuestion {
@@ -130,13 +135,13 @@
         verdicts,
         ..
     } = answer;
-    let bytes = compact::Answer {
+    let bytes = compact::QuotaResponse {
         lease,
-        rev,
-        quotas: dealt,
+        revision: rev,
+        allocations: dealt,
         verdicts,
     }
-    .write();
+    .encode();
     let mut response = text(StatusCode::OK, bytes);
     response
         .headers_mut()
@@ -165,10 +170,10 @@
     if asked.method == Method::GET && key.is_empty() {
         return list(asked, server).await;
     }
-    let key: Key = key
+    let key: LimitKey = key
         .join("/")
         .parse()
-        .map_err(|error: BadKey| No::bad(explained(&error)))?;
+        .map_err(|error: InvalidKey| No::bad(explained(&error)))?;
     let limit: Option<Limit> = match asked.method {
         Method::PUT => Some(read(asked)?),
         Method::DELETE => None,
@@ -179,7 +184,7 @@
             ));
         }
     };
-    let entry = Entry::Limit {
+    let entry = LedgerEntry::SetLimit {
         key,
         limit,
         if_match: wanted(asked)?,
@@ -192,7 +197,7 @@
         Answer::Applied(_) => {
             let rev = server
                 .core
-                .look(|replica, _| replica.state().ledger.as_ref().map(|book| book.rev()))
+                .look(|replica, _| replica.state().ledger.as_ref().map(|book| book.revision()))
                 .await?;
             Ok(json(&value!({ "rev": rev })))
         }
@@ -207,7 +212,7 @@
     first: u64,
     at: u64,
     #[serde(default)]
-    rehearse: Option<Plant>,
+    rehearse: Option<PlantedFault>,
 }
 
 /// The splits under way and ended; another begun, or the one under way undone.
@@ -217,15 +222,15 @@
             let report = |replica: &mut crate::replica::Replica| {
                 let book = replica.state().ledger.as_ref()?;
                 let explained = |why: &SplitError| explained(why);
-                let ended = book.ended().iter().map(|ended| {
+                let ended = book.finished_splits().iter().map(|ended| {
                     let mut row = serde_json::to_value(ended).unwrap_or_default();
-                    row["undone"] = ended.undone.as_ref().map(explained).into();
+                    row["undone"] = ended.rolled_back_because.as_ref().map(explained).into();
                     row
                 });
                 let under_way = book.split().map(|split| {
-                    value!({ "first": split.first, "at": split.at, "rehearse": split.plant,
+                    value!({ "first": split.first, "at": split.at, "rehearse": split.planted_fault,
                         "copied": split.copied_all, "compared": split.compared_all, "queries": split.queries,
-                        "not_compared": split.not_compared, "flagged": split.flagged, "flags": split.flags })
+                        "not_compared": split.not_compared, "flagged": split.disagreement_count, "flags": split.disagreements })
                 });
                 Some(value!({ "under_way": under_way, "ended": ended.collect::<Vec<_>>() }))
             };
@@ -235,7 +240,7 @@
             let report = server.core.look(move |replica, _| report(replica)).await?;
             return report
                 .map(|report| json(&report))
-                .ok_or_else(|| no(&BookError::None));
+                .ok_or_else(|| no(&LedgerError::NotCreated));
         }
         Method::POST => {
             let Wish {
@@ -243,13 +248,13 @@
                 at,
                 rehearse,
             } = read(asked)?;
-            Entry::Split {
+            LedgerEntry::BeginSplit {
                 first,
                 at,
-                plant: rehearse,
+                planted_fault: rehearse,
             }
         }
-        Method::DELETE => Entry::Undo(SplitError::Undone),
+        Method::DELETE => LedgerEntry::RollBack(SplitError::RolledBackByOperator),
         _ => {
             return Err(No::new(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -280,7 +285,7 @@
         .look(move |replica, now| replica.query(now, &query))
         .await?;
     rows.map(|rows| json(&value!({ "rows": rows })))
-        .ok_or_else(|| no(&BookError::None))
+        .ok_or_else(|| no(&LedgerError::NotCreated))
 }
 
 async fn list(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
@@ -292,12 +297,12 @@
         if let Some(book) = &replica.state().ledger {
             let limits: std::collections::BTreeMap<_, _> = book.limits().collect();
             report["limits"] = serde_json::to_value(limits).unwrap_or_default();
-            report["floors"] = serde_json::to_value(book.floors()).unwrap_or_default();
+            report["floors"] = serde_json::to_value(book.fallback_quotas()).unwrap_or_default();
         }
         report
     });
     match report.await? {
-        serde_json::Value::Null => Err(no(&BookError::None)),
+        serde_json::Value::Null => Err(no(&LedgerError::NotCreated)),
         report => Ok(json(&report)),
     }
 }
@@ -305,25 +310,25 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use quota_ledger::{Want, What};
+    use quota_ledger::{QuotaDemand, Resource};
 
     #[test]
     fn each_no_has_a_code_and_tells_what_to_do() {
-        let key = Key::of(7, What::Rate);
-        let floors = LimitError::Floors {
+        let key = LimitKey::of(7, Resource::Rate);
+        let floors = LimitError::BelowFallbackQuotas {
             key: key.clone(),
             senders: 3,
-            floor: 5,
+            fallback: 5,
             total: 2,
         };
         for (error, status) in [
-            (BookError::None, 404),
-            (BookError::Begun, 409),
-            (BookError::Ranges, 400),
-            (BookError::Version { now: 2, wanted: 1 }, 412),
+            (LedgerError::NotCreated, 404),
+            (LedgerError::AlreadyCreated, 409),
+            (LedgerError::InvalidShards, 400),
+            (LedgerError::VersionMismatch { now: 2, wanted: 1 }, 412),
             (floors.into(), 409),
             (LimitError::Unknown(key.clone()).into(), 404),
-            (LimitError::Unnamed(key).into(), 400),
+            (LimitError::NoFallbackQuota(key).into(), 400),
         ] {
             let no = no(&error);
             assert_eq!(no.status, status, "{}", no.what);
@@ -333,7 +338,7 @@
                 no.what
             );
         }
-        let want = serde_json::from_str::<Want>(r#"{"key":"rate/x","want":1}"#)
+        let want = serde_json::from_str::<QuotaDemand>(r#"{"key":"rate/x","want":1}"#)
             .expect_err("no key")
             .to_string();
         assert!(want.contains("names nothing that can be limited"), "{want}");
--- a/registry/src/server/routes.rs
+++ b/registry/src/server/routes.rs
@@ -275,9 +275,9 @@
     let report = server.core.look(|replica, now| {
         let mut report = replica.rules_report(now);
         if let Some(versions) = &replica.state().versions {
-            report["rules"] = serde_json::to_value(versions.new_rules()).unwrap_or_default();
+            report["rules"] = serde_json::to_value(versions.target_rules()).unwrap_or_default();
             report["in_force"] = serde_json::to_value(versions.rules()).unwrap_or_default();
-            report["floor"] = serde_json::to_value(versions.floor()).unwrap_or_default();
+            report["floor"] = serde_json::to_value(versions.fallback()).unwrap_or_default();
         }
         report
     });
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -2,13 +2,13 @@
 
 use crate::state::{Command, Place};
 use crate::target::is_name;
-use quota_ledger::{Entry, Floors, KINDS, Key};
+use quota_ledger::{FallbackQuotas, LIMIT_KINDS, LedgerEntry, LimitKey};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use versioned_config::{Rules, Senseless, Terms, Versions};
+use versioned_config::{InvalidRules, LeaseTerms, Rules, VersionedRules};
 
 /// The settings of one replica.
 #[derive(Debug, Clone, Deserialize)]
@@ -92,12 +92,15 @@
 }
 
 /// A lease of so many ms, and what clocks that are wrong by a part make of it.
-fn terms(lease_ms: u64, drift_percent: f64) -> Terms {
+fn terms(lease_ms: u64, drift_percent: f64) -> LeaseTerms {
     let lease = lease_ms * 1000;
     // the sender's clock slow by the bound, this one's fast by it
     let part = drift_percent / 100.0;
     let drift = (lease as f64 * 2.0 * part / (1.0 - part)).ceil() as u64;
-    Terms { lease, drift }
+    LeaseTerms {
+        lease,
+        max_drift: drift,
+    }
 }
 
 fn six_seconds() -> u64 {
@@ -166,7 +169,7 @@
         /// The file.
         path: PathBuf,
         /// Where and why.
-        error: Senseless,
+        error: InvalidRules,
     },
     /// A setting makes no sense.
     #[error("{0} is not {1}")]
@@ -275,8 +278,9 @@
                 "ledger.senders",
                 "a number from 1 to 100000",
             )?;
-            let named =
-                |name: &String| KINDS.contains(&name.as_str()) || name.parse::<Key>().is_ok();
+            let named = |name: &String| {
+                LIMIT_KINDS.contains(&name.as_str()) || name.parse::<LimitKey>().is_ok()
+            };
             holds(
                 ledger.floors.keys().all(named),
                 "ledger.floors",
@@ -324,7 +328,7 @@
             return Ok(None);
         };
         let (floor, rules) = (rules_of(&agreement.floor)?, rules_of(&agreement.rules)?);
-        Versions::new(floor.clone(), rules.clone()).map_err(|_| SettingsError::Floor)?;
+        VersionedRules::new(floor.clone(), rules.clone()).map_err(|_| SettingsError::Floor)?;
         let terms = terms(agreement.lease_ms, agreement.drift_percent);
         Ok(Some(Command::Begin {
             floor,
@@ -342,12 +346,12 @@
             floors,
             split_at,
         } = self.ledger.clone()?;
-        let floors = Floors {
+        let floors = FallbackQuotas {
             senders,
-            each: floors,
+            per_sender: floors,
         };
-        Some(Command::Ledger(Entry::Begin {
-            floors,
+        Some(Command::Ledger(LedgerEntry::Create {
+            fallback_quotas: floors,
             terms: terms(lease_ms, drift_percent),
             split_at,
         }))
@@ -424,9 +428,9 @@
         };
         assert_eq!(
             terms,
-            Terms {
+            LeaseTerms {
                 lease: 6_000_000,
-                drift: 121_213
+                max_drift: 121_213
             }
         );
         for (from, to, told) in [
--- a/registry/src/topology.rs
+++ b/registry/src/topology.rs
@@ -2,18 +2,18 @@
 
 use crate::state::State;
 use crate::target::{Standing, Target};
-use quota_ledger::freeze::{FreezeError, Matter, Widening};
-use quota_ledger::{Key, Limit, What};
+use quota_ledger::freeze::{ChangeKind, FreezeError, ResourceChange};
+use quota_ledger::{Limit, LimitKey, Resource};
 use std::collections::{BTreeMap, BTreeSet};
 use versioned_config::Rules;
 
 type Targets = BTreeMap<String, Target>;
 
-fn concerning(widening: Widening, targets: &[&Target]) -> Matter {
+fn concerning(widening: ChangeKind, targets: &[&Target]) -> ResourceChange {
     let zones = targets.iter().map(|target| target.az.clone()).collect();
     let destinations = targets.iter().map(|target| target.pod_group).collect();
-    Matter {
-        widening,
+    ResourceChange {
+        kind: widening,
         zones,
         destinations,
         tenants: Vec::new(),
@@ -21,27 +21,27 @@
 }
 
 /// What one endpoint's change widens, and whether it relieves.
-fn of_target(before: Option<&Target>, after: Option<&Target>) -> (Option<Matter>, bool) {
+fn of_target(before: Option<&Target>, after: Option<&Target>) -> (Option<ResourceChange>, bool) {
     let up = |target: &Target| target.state == Standing::Up;
     match (before, after) {
         (None, Some(after)) => (
-            up(after).then(|| concerning(Widening::Added, &[after])),
+            up(after).then(|| concerning(ChangeKind::Added, &[after])),
             false,
         ),
         (Some(_), None) => (None, true),
         (Some(before), Some(after))
             if (before.pod_group, &before.az) != (after.pod_group, &after.az) =>
         {
-            (Some(concerning(Widening::Moved, &[before, after])), false)
+            (Some(concerning(ChangeKind::Moved, &[before, after])), false)
         }
         (Some(before), Some(after)) if !up(before) && up(after) => {
-            (Some(concerning(Widening::Back, &[after])), false)
+            (Some(concerning(ChangeKind::Restored, &[after])), false)
         }
         (Some(before), Some(after)) => {
             let raised = after.capacity_hint > before.capacity_hint;
             let lowered = after.capacity_hint < before.capacity_hint || up(before) && !up(after);
             (
-                raised.then(|| concerning(Widening::Raised, &[after])),
+                raised.then(|| concerning(ChangeKind::Raised, &[after])),
                 lowered,
             )
         }
@@ -60,7 +60,7 @@
     after: &Targets,
     forced: bool,
 ) -> Result<(), FreezeError> {
-    if state.freeze.on().is_empty() {
+    if state.freeze.active_windows().is_empty() {
         return Ok(());
     }
     let uids: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
@@ -69,11 +69,11 @@
         .map(|uid| of_target(before.get(uid), after.get(uid)))
         .collect();
     let relieves = changes.iter().any(|(_, relieves)| *relieves);
-    let matters: Vec<Matter> = changes
+    let matters: Vec<ResourceChange> = changes
         .into_iter()
         .filter_map(|(matter, _)| matter)
         .collect();
-    state.freeze.judge(&matters, relieves)?;
+    state.freeze.check_changes(&matters, relieves)?;
     let open = |targets: &Targets| -> BTreeSet<u64> {
         let up = targets
             .values()
@@ -84,12 +84,12 @@
         return Ok(());
     }
     for destination in open(before).difference(&open(after)) {
-        let added = Matter {
+        let added = ResourceChange {
             destinations: vec![*destination],
-            ..Matter::of_all(Widening::Added)
+            ..ResourceChange::of_all(ChangeKind::Added)
         };
-        if let Err(FreezeError::Held { window, .. }) = state.freeze.judge(&[added], false) {
-            return Err(FreezeError::Last {
+        if let Err(FreezeError::Held { window, .. }) = state.freeze.check_changes(&[added], false) {
+            return Err(FreezeError::LastEndpoint {
                 window,
                 destination: *destination,
             });
@@ -106,11 +106,11 @@
     let freer = state
         .versions
         .as_ref()
-        .is_some_and(|versions| !rules.within(versions.new_rules()));
+        .is_some_and(|versions| !rules.is_within(versions.target_rules()));
     if freer {
         state
             .freeze
-            .judge(&[Matter::of_all(Widening::Rules)], false)
+            .check_changes(&[ResourceChange::of_all(ChangeKind::Rules)], false)
     } else {
         Ok(())
     }
@@ -120,23 +120,24 @@
 ///
 /// # Errors
 /// A window holds it.
-pub fn judge_limit(state: &State, key: &Key, limit: Option<Limit>) -> Result<(), FreezeError> {
+pub fn judge_limit(state: &State, key: &LimitKey, limit: Option<Limit>) -> Result<(), FreezeError> {
     let Some(before) = state.ledger.as_ref().and_then(|book| book.limit(key)) else {
         return Ok(()); // a first limit takes from what was free
     };
-    if limit.is_some_and(|limit| limit.total <= before.total && limit.linger_ms <= before.linger_ms)
-    {
+    if limit.is_some_and(|limit| {
+        limit.total <= before.total && limit.expiry_grace_ms <= before.expiry_grace_ms
+    }) {
         return Ok(());
     }
-    let matter = match key.what() {
-        What::Tenant(name) => Matter {
+    let matter = match key.resource() {
+        Resource::Tenant(name) => ResourceChange {
             tenants: vec![name.clone()],
-            ..Matter::of_all(Widening::Raised)
+            ..ResourceChange::of_all(ChangeKind::Raised)
         },
-        _ => Matter {
-            destinations: vec![key.place()],
-            ..Matter::of_all(Widening::Raised)
+        _ => ResourceChange {
+            destinations: vec![key.position()],
+            ..ResourceChange::of_all(ChangeKind::Raised)
         },
     };
-    state.freeze.judge(&[matter], false)
+    state.freeze.check_changes(&[matter], false)
 }
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -19,7 +19,9 @@
 use thiserror::Error;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
-use versioned_config::{Ask, Effect as Agreeable, Grant, Holder, Rules, Tag, Taken};
+use versioned_config::{
+    Effect as Agreeable, Grant, GrantResult, LeaseHolder, LeaseRequest, Rules, VersionTag,
+};
 
 /// One question, its answer read whole, takes no longer.
 const ANSWER: Duration = Duration::from_secs(1);
@@ -46,7 +48,7 @@
     #[error("its rules forbid what this sender does without a lease")]
     BelowFloor,
     #[error("version {0:?} lies before what was in force here")]
-    Back(Tag),
+    Back(VersionTag),
 }
 
 /// How long to rest after a question that failed, while a lease lasts.
@@ -62,12 +64,12 @@
             .saturating_mul(MILLISECOND)
     };
     let effect = |effect: Agreeable| match effect {
-        Agreeable::AtMostOnce => Effect::Unsafe,
-        Agreeable::DeduplicatedInZone { window_ms } => Effect::Keyed {
+        Agreeable::NonIdempotent => Effect::Unsafe,
+        Agreeable::IdempotencyKeyInZone { window_ms } => Effect::Keyed {
             window: micros(window_ms),
             zone_only: true,
         },
-        Agreeable::Deduplicated { window_ms } => Effect::Keyed {
+        Agreeable::IdempotencyKey { window_ms } => Effect::Keyed {
             window: micros(window_ms),
             zone_only: false,
         },
@@ -77,9 +79,9 @@
         let bound = ClassBound {
             accepted: class.accepted,
             effect: effect(class.effect),
-            attempts: class.attempts as usize,
+            attempts: class.max_attempts as usize,
             ordered: class.in_order,
-            key_rest: micros(class.gap_ms),
+            key_rest: micros(class.key_backoff_ms),
         };
         (name.clone(), bound)
     });
@@ -130,7 +132,7 @@
             }))
             .await;
         log(format_args!("agreement: on the floor until a lease is had"));
-        let holder = Holder::new(agreement.floor.clone(), life);
+        let holder = LeaseHolder::new(agreement.floor.clone(), life);
         let (lease, told, lapsed, asked, granted, failed) = (Duration::ZERO, None, true, 0, 0, 0);
         let mut part = Part {
             means: &mut means,
@@ -171,7 +173,7 @@
 struct Part<'a> {
     means: &'a mut Means,
     agreement: Agreement,
-    holder: Holder,
+    holder: LeaseHolder,
     floor: Bounds,
     /// How long the last lease was given for.
     lease: Duration,
@@ -208,7 +210,7 @@
             let part = 0.75 + 0.5 * self.means.backoff.part();
             let left = self
                 .holder
-                .until(self.means.now())
+                .valid_until(self.means.now())
                 .map(|until| until.saturating_sub(self.means.now()));
             let rest = match (lease, left) {
                 (Some(lease), _) => (lease / RENEW).mul_f64(part),
@@ -228,7 +230,7 @@
     /// Answers operators and notices the end of the lease until it is time for the next question.
     async fn rest_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<Query>) {
         loop {
-            let until = self.holder.until(self.means.now());
+            let until = self.holder.valid_until(self.means.now());
             let ends = until.and_then(|until| Micros::try_from(until).ok());
             let ends = ends.map(|until| self.means.clock.instant(until));
             tokio::select! {
@@ -268,9 +270,13 @@
             *self.means.agent.borrow_and_update(),
             &self.agreement.others,
         );
-        let ask = self.holder.ask(self.means.now());
+        let ask = self.holder.request(self.means.now());
         self.asked += 1;
-        let Ask { life, acts_on, .. } = ask;
+        let LeaseRequest {
+            incarnation: life,
+            acts_on,
+            ..
+        } = ask;
         let question = json!({ "sender": self.means.name, "life": life, "acts_on": acts_on,
             "rev": self.means.listed.get(), "floor": self.agreement.floor });
         let grant: Grant = asking::ask(
@@ -284,12 +290,14 @@
         .await?;
         let (tag, lease) = (grant.tag, Duration::from_micros(grant.lease));
         let leased = bounds(&grant.rules);
-        match self.holder.granted(ask, grant, self.means.now()) {
-            Taken::Late | Taken::Back => return Err(LeaseError::Back(tag)),
-            Taken::BelowFloor => return Err(LeaseError::BelowFloor),
-            Taken::Renewed => {}
-            Taken::Changed => {
-                let step = if tag.whole {
+        match self.holder.apply_grant(ask, grant, self.means.now()) {
+            GrantResult::Outdated | GrantResult::VersionRegressed => {
+                return Err(LeaseError::Back(tag));
+            }
+            GrantResult::BelowFallback => return Err(LeaseError::BelowFloor),
+            GrantResult::Renewed => {}
+            GrantResult::Changed => {
+                let step = if tag.complete {
                     "whole"
                 } else {
                     "the meet of it and the one before"
@@ -303,7 +311,7 @@
         self.lapsed = false;
         let until = self
             .holder
-            .until(self.means.now())
+            .valid_until(self.means.now())
             .and_then(|until| Micros::try_from(until).ok());
         let leased = until.map(|until| (leased, until));
         // the next question says that it acts on this: it must by then
@@ -320,11 +328,11 @@
         let now = self.means.now();
         let left = self
             .holder
-            .until(now)
+            .valid_until(now)
             .map(|until| until.saturating_sub(now) / 1000);
         json!({
             "sender": self.means.name, "acts_on": self.holder.tag(now), "left_ms": left,
-            "until_us": self.holder.until(now), "rules": self.holder.rules(now), "rev": self.means.listed.get(),
+            "until_us": self.holder.valid_until(now), "rules": self.holder.rules(now), "rev": self.means.listed.get(),
             "asked": self.asked, "granted": self.granted, "failed": self.failed, "fault": self.told,
         })
         .to_string()
--- a/src/net/agreement/settings.rs
+++ b/src/net/agreement/settings.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use thiserror::Error;
-use versioned_config::{Rules, Senseless};
+use versioned_config::{InvalidRules, Rules};
 
 /// Addresses beside discovery's own.
 const OTHERS_MOST: usize = 16;
@@ -15,7 +15,7 @@
     #[error("agreement: {0}")]
     Json(#[from] serde_json::Error),
     #[error("agreement.floor: {0}")]
-    Floor(#[from] Senseless),
+    Floor(#[from] InvalidRules),
     #[error("agreement.others is not a list of up to {OTHERS_MOST} addresses")]
     Others,
 }
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -5,14 +5,14 @@
 use crate::net::events::{Freezing, ListUpdate, Listed};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{Micros, Status};
-use quota_ledger::gate::{Gate, Seen, widens};
+use quota_ledger::gate::{EndpointSnapshot, FreezeCheck, resource_change};
 use serde_json::json;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
 /// The freeze, while it is on in the configuration.
 pub(super) struct Frozen {
-    gate: Gate,
+    gate: FreezeCheck,
     settings: FreezeSettings,
     /// Entries as they were listed last, by uid.
     held: BTreeMap<String, Listed>,
@@ -22,7 +22,7 @@
     admitted: u64,
 }
 
-fn seen(listed: &Listed) -> Seen {
+fn seen(listed: &Listed) -> EndpointSnapshot {
     let Listed {
         destination,
         zone,
@@ -30,7 +30,7 @@
         status,
         ..
     } = listed;
-    Seen {
+    EndpointSnapshot {
         up: *status == Status::Serving,
         destination: *destination,
         zone: zone.clone(),
@@ -39,7 +39,7 @@
 }
 
 /// What is known of an endpoint that the last list had.
-fn known(route: &Route) -> Option<Seen> {
+fn known(route: &Route) -> Option<EndpointSnapshot> {
     let Route {
         up,
         destination,
@@ -48,7 +48,7 @@
         listed,
         ..
     } = route;
-    listed.then(|| Seen {
+    listed.then(|| EndpointSnapshot {
         up: *up,
         destination: *destination,
         zone: zone.clone(),
@@ -74,7 +74,7 @@
             },
             Freezing::Told { asked, fresh, news } => {
                 if let Some(frozen) = &mut self.frozen {
-                    frozen.gate.hear(asked, now, fresh, news);
+                    frozen.gate.apply_update(asked, now, fresh, news);
                 }
             }
         }
@@ -107,8 +107,9 @@
                 .get(&listed.uid)
                 .and_then(|endpoint| self.routes.get(endpoint));
             let before = route.and_then(known);
-            let matter = widens(before.as_ref(), &seen(&listed));
-            let Some(Err(error)) = matter.map(|matter| frozen.gate.judge(now, &matter)) else {
+            let matter = resource_change(before.as_ref(), &seen(&listed));
+            let Some(Err(error)) = matter.map(|matter| frozen.gate.check_changes(now, &matter))
+            else {
                 taken.push(listed);
                 continue;
             };
@@ -156,8 +157,8 @@
         let free = frozen.held.iter().find(|(uid, listed)| {
             let route = by_uid.get(*uid).and_then(|endpoint| routes.get(endpoint));
             let before = route.and_then(known);
-            widens(before.as_ref(), &seen(listed))
-                .is_none_or(|matter| frozen.gate.judge(now, &matter).is_ok())
+            resource_change(before.as_ref(), &seen(listed))
+                .is_none_or(|matter| frozen.gate.check_changes(now, &matter).is_ok())
         });
         let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
             return false;
@@ -197,7 +198,7 @@
     pub(super) fn freeze_report(&self) -> Option<String> {
         let (now, frozen) = (self.now(), self.frozen.as_ref()?);
         let held: Vec<&String> = frozen.held.keys().collect();
-        let report = json!({ "calendar": frozen.gate.rev(), "on": frozen.gate.on(now), "held": held,
+        let report = json!({ "calendar": frozen.gate.revision(), "on": frozen.gate.active_windows(now), "held": held,
             "held_ever": frozen.held_ever, "admitted": frozen.admitted });
         Some(report.to_string())
     }
@@ -206,7 +207,7 @@
 impl Frozen {
     /// Of a sender that starts now.
     pub(super) fn new(now: u64, settings: FreezeSettings) -> Self {
-        let gate = Gate::new(now, settings.unknown_ms * 1000);
+        let gate = FreezeCheck::new(now, settings.unknown_ms * 1000);
         Frozen {
             gate,
             settings,
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -8,7 +8,7 @@
 use message_sender::{
     Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
 };
-use quota_ledger::gate::News;
+use quota_ledger::gate::FreezeUpdate;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -70,7 +70,11 @@
     /// It is on, by these settings.
     On(FreezeSettings),
     /// What the registry answered to a question that was asked then, and for how long a broken glass counts by it.
-    Told { asked: u64, fresh: u64, news: News },
+    Told {
+        asked: u64,
+        fresh: u64,
+        news: FreezeUpdate,
+    },
 }
 
 /// Asks a part for its report, as JSON.
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -8,7 +8,7 @@
 use super::events::{Freezing, Input};
 use super::log;
 use hyper::Method;
-use quota_ledger::gate::News;
+use quota_ledger::gate::FreezeUpdate;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use settings::FreezeSettings;
@@ -76,7 +76,7 @@
     loop {
         let address = whose_turn(turn, *means.agent.borrow_and_update(), &settings.others);
         let asked = means.clock.at(Instant::now());
-        match ask::<News>(
+        match ask::<FreezeUpdate>(
             address,
             Method::GET,
             "/v1/freeze",
--- a/src/net/ledger/allowance.rs
+++ b/src/net/ledger/allowance.rs
@@ -3,39 +3,41 @@
 use super::settings::Ledger;
 use super::wants::keys;
 use message_sender::{MILLISECOND, Micros, Quota, Quotas, Share};
-use quota_ledger::{Holder, Key};
+use quota_ledger::{LimitKey, QuotaHolder};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What holds by the floors alone.
 pub fn on_floors(ledger: &Ledger) -> Quotas {
-    quotas(&Holder::new(ledger.floors()), 0)
+    quotas(&QuotaHolder::new(ledger.floors()), 0)
 }
 
 /// What a holder may use, in the decisions' own terms: named are the destinations of which something is allocated or whose
 /// fallback share is their own.
-pub(super) fn quotas(holder: &Holder, now: u64) -> Quotas {
-    let parts: BTreeMap<&Key, _> = holder
-        .parts(now)
+pub(super) fn quotas(holder: &QuotaHolder, now: u64) -> Quotas {
+    let parts: BTreeMap<&LimitKey, _> = holder
+        .allocations(now)
         .map(|(dealt, part, until)| (&dealt.key, (dealt, part, until)))
         .collect();
-    let floors = holder.floors();
+    let floors = holder.fallback_quotas();
     let kind = |name: &str| {
-        floors.each.get(name).map(|floor| Share {
+        floors.per_sender.get(name).map(|floor| Share {
             fallback: *floor,
             part: None,
         })
     };
-    let share = |key: &Key| {
+    let share = |key: &LimitKey| {
         let part = parts.get(key);
         let until = part.and_then(|(_, _, until)| Micros::try_from(*until).ok());
         let part = part.and_then(|(_, part, _)| Some((*part, until?)));
-        floors.name(key).then(|| Share {
+        floors.is_limited(key).then(|| Share {
             fallback: floors.of(key),
             part,
         })
     };
-    let linger = |key: &Key| {
-        let linger = parts.get(key).map_or(0, |(dealt, ..)| dealt.linger_ms);
+    let linger = |key: &LimitKey| {
+        let linger = parts
+            .get(key)
+            .map_or(0, |(dealt, ..)| dealt.expiry_grace_ms);
         // without a word of how long calls may last they are as long as before
         if linger == 0 {
             Micros::MAX / 4
@@ -43,11 +45,11 @@
             Micros::try_from(linger).unwrap_or(0) * MILLISECOND
         }
     };
-    let allocated = parts.keys().map(|key| key.place());
+    let allocated = parts.keys().map(|key| key.position());
     let own = floors
-        .each
+        .per_sender
         .keys()
-        .filter_map(|name| Some(name.parse::<Key>().ok()?.place()));
+        .filter_map(|name| Some(name.parse::<LimitKey>().ok()?.position()));
     let destinations: BTreeSet<u64> = allocated.chain(own).collect();
     let named = destinations.into_iter().map(|destination| {
         let [rate, out, cold] = keys(destination);
--- a/src/net/ledger/exchange.rs
+++ b/src/net/ledger/exchange.rs
@@ -3,10 +3,10 @@
 use crate::net::asking::{AskError, exchange};
 use crate::net::log;
 use hyper::{Method, StatusCode};
-use quota_ledger::Dealt;
-use quota_ledger::compact::{self, Answer, Question};
+use quota_ledger::Allocation;
+use quota_ledger::compact::{self, QuotaRequest, QuotaResponse};
 use quota_ledger::naming::ByteBudget;
-use quota_ledger::verdicts::Verdict;
+use quota_ledger::verdicts::HealthVerdict;
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -25,9 +25,9 @@
 #[derive(Deserialize)]
 struct JsonAnswer {
     lease: u64,
-    dealt: Vec<Dealt>,
+    dealt: Vec<Allocation>,
     #[serde(default)]
-    verdicts: Vec<Verdict>,
+    verdicts: Vec<HealthVerdict>,
 }
 
 /// Which form each replica reads.
@@ -45,22 +45,22 @@
     pub async fn ask(
         &mut self,
         address: SocketAddr,
-        question: &Question,
+        question: &QuotaRequest,
         budget: &mut ByteBudget,
-    ) -> Result<Answer, AskError> {
+    ) -> Result<QuotaResponse, AskError> {
         let path = "/v1/parts";
         if self
             .json_until
             .get(&address)
             .is_none_or(|until| *until <= Instant::now())
         {
-            let body = question.write();
-            budget.spend(body.len() as u64);
+            let body = question.encode();
+            budget.charge_request(body.len() as u64);
             let media = (compact::MEDIA_TYPE, body.into());
             match exchange(address, Method::POST, path, media, ANSWER, ANSWER_MOST).await {
                 Ok(answer) => {
-                    budget.spend_more(answer.len() as u64);
-                    return Ok(Answer::read(&answer)?);
+                    budget.charge_response(answer.len() as u64);
+                    return Ok(QuotaResponse::decode(&answer)?);
                 }
                 Err(AskError::Refused(
                     StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE,
@@ -75,22 +75,22 @@
                 Err(error) => return Err(error),
             }
         }
-        let body = json!({ "sender": question.sender, "life": question.life, "number": question.number,
-            "floors": question.floors, "wants": question.wants, "zone": question.zone, "words": question.reports });
+        let body = json!({ "sender": question.sender, "life": question.incarnation, "number": question.sequence,
+            "floors": question.fallback_quotas, "wants": question.demands, "zone": question.zone, "words": question.reports });
         let body = body.to_string();
-        budget.spend(body.len() as u64);
+        budget.charge_request(body.len() as u64);
         let media = ("application/json", body.into());
         let answer = exchange(address, Method::POST, path, media, ANSWER, ANSWER_MOST).await?;
-        budget.spend_more(answer.len() as u64);
+        budget.charge_response(answer.len() as u64);
         let JsonAnswer {
             lease,
             dealt,
             verdicts,
         } = serde_json::from_slice(&answer)?;
-        Ok(Answer {
+        Ok(QuotaResponse {
             lease,
-            rev: 0,
-            quotas: dealt,
+            revision: 0,
+            allocations: dealt,
             verdicts,
         })
     }
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -14,10 +14,10 @@
 use super::log;
 use exchange::Exchange;
 use message_sender::{Demand, Quotas};
-use quota_ledger::compact::{Answer, Question};
-use quota_ledger::naming::{self, ByteBudget, Naming};
-use quota_ledger::verdicts::Verdict;
-use quota_ledger::{Dealt, Holder};
+use quota_ledger::compact::{QuotaRequest, QuotaResponse};
+use quota_ledger::naming::{self, ByteBudget, DemandSelector};
+use quota_ledger::verdicts::HealthVerdict;
+use quota_ledger::{Allocation, QuotaHolder};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::json;
@@ -80,7 +80,7 @@
         means.bind(Some(on_floors(&ledger))).await;
         log(format_args!("ledger: on the floors until parts are had"));
         let random = Pcg32::seed_from_u64(means.seed ^ life);
-        let holder = Holder::new(ledger.floors());
+        let holder = QuotaHolder::new(ledger.floors());
         let lease = u64::try_from(LEASE.as_micros()).unwrap_or(u64::MAX);
         let budget = ByteBudget::new(ledger.bytes_a_second, lease, means.now());
         let mut client = LeaseClient {
@@ -90,7 +90,7 @@
             holder,
             random,
             lease: LEASE,
-            naming: Naming::default(),
+            naming: DemandSelector::default(),
             budget,
             exchange: Exchange::default(),
             before: None,
@@ -136,17 +136,17 @@
     means: &'a mut Means,
     ledger: Ledger,
     life: u64,
-    holder: Holder,
+    holder: QuotaHolder,
     random: Pcg32,
     lease: Duration,
-    naming: Naming,
+    naming: DemandSelector,
     budget: ByteBudget,
     exchange: Exchange,
     /// Calls sent to each destination that had any when that was last counted, once a lease while it is in use.
     before: Option<BTreeMap<u64, u64>>,
     counted: Instant,
     /// What was agreed of destinations, the last of each.
-    verdicts: BTreeMap<u64, Verdict>,
+    verdicts: BTreeMap<u64, HealthVerdict>,
     /// The last fault that was logged.
     last_fault: Option<String>,
     asked: u64,
@@ -158,8 +158,10 @@
     async fn run(&mut self, queries: &mut mpsc::Receiver<Query>) {
         let (mut turn, mut next) = (0, Instant::now());
         loop {
-            let room = self.budget.room(self.means.now(), self.lease_us());
-            let kinds = wants::limited_kinds(self.holder.floors());
+            let room = self
+                .budget
+                .available_keys(self.means.now(), self.lease_us());
+            let kinds = wants::limited_kinds(self.holder.fallback_quotas());
             let (listed, demand) = self.means.demand(room / kinds).await;
             let (list, whole) = (listed * kinds, listed <= room / kinds);
             let early = self.last_fault.is_none() && whole && self.lacks(&demand);
@@ -177,7 +179,8 @@
                     Err(error) => {
                         (self.failed, turn) = (self.failed + 1, turn + 1);
                         self.log_fault(error.to_string());
-                        let crowd = RETRY_EACH.saturating_mul(self.holder.floors().senders);
+                        let crowd =
+                            RETRY_EACH.saturating_mul(self.holder.fallback_quotas().senders);
                         (self.lease / RENEW).max(crowd).min(RETRY_MOST)
                     }
                 };
@@ -206,7 +209,7 @@
             .filter(|(_, demand)| demand.waiting > 0)
             .any(|(destination, _)| {
                 let [rate, out, _] = wants::keys(*destination);
-                self.holder.lacks(now, &rate) || self.holder.lacks(now, &out)
+                self.holder.is_at_fallback(now, &rate) || self.holder.is_at_fallback(now, &out)
             })
     }
 
@@ -240,7 +243,7 @@
     ) -> Result<(), AskError> {
         let (now, lease) = (self.means.now(), self.lease_us());
         let wants = wants::wanted(
-            self.holder.floors(),
+            self.holder.fallback_quotas(),
             demand,
             self.before.as_ref(),
             self.lease,
@@ -248,32 +251,36 @@
         );
         let chosen = self
             .naming
-            .choose(now, &self.holder, lease, wants, list, room);
+            .select(now, &self.holder, lease, wants, list, room);
         if self.before.is_none() || self.counted.elapsed() >= self.lease {
             self.counted = Instant::now();
             let sent = demand.iter().filter(|(_, demand)| demand.sent > 0);
             let sent = sent.map(|(destination, demand)| (*destination, demand.sent));
             self.before.get_or_insert_default().extend(sent);
         }
-        let (number, wants) = self.holder.ask(now, chosen);
+        let (number, wants) = (self.holder.request(now), chosen);
         self.asked += 1;
-        let question = Question {
+        let question = QuotaRequest {
             sender: self.means.name.clone(),
-            life: self.life,
-            number,
-            floors: self.holder.floors().clone(),
+            incarnation: self.life,
+            sequence: number,
+            fallback_quotas: self.holder.fallback_quotas().clone(),
             zone: self.means.zone.clone(),
-            wants,
-            reports: naming::choose_reports(wants::reports(demand), |report| report.out, room),
+            demands: wants,
+            reports: naming::select_reports(
+                wants::reports(demand),
+                |report| report.unavailable,
+                room,
+            ),
         };
         let address = whose_turn(
             turn,
             *self.means.agent.borrow_and_update(),
             &self.ledger.others,
         );
-        let Answer {
+        let QuotaResponse {
             lease,
-            quotas: allocated,
+            allocations: allocated,
             verdicts,
             ..
         } = self
@@ -281,14 +288,14 @@
             .ask(address, &question, &mut self.budget)
             .await?;
         self.lease = Duration::from_micros(lease).max(Duration::from_millis(100));
-        self.holder.granted(number, lease, allocated);
+        self.holder.apply_allocations(number, lease, allocated);
         for verdict in verdicts {
             let known = self.verdicts.get(&verdict.destination).copied();
-            let held = known.map_or(verdict, |known| known.join(verdict));
+            let held = known.map_or(verdict, |known| known.merge(verdict));
             if known.map(|known| known.epoch) != Some(held.epoch) {
-                let Verdict {
+                let HealthVerdict {
                     destination,
-                    out,
+                    unavailable: out,
                     observers,
                     ..
                 } = held;
@@ -307,13 +314,13 @@
 
     fn report(&self) -> String {
         let now = self.means.now();
-        let parts = self.holder.parts(now).map(|(dealt, part, until)| {
-            let Dealt { key, total, .. } = dealt;
-            json!({ "key": key, "floor": self.holder.floors().of(key), "part": part, "total": total,
+        let parts = self.holder.allocations(now).map(|(dealt, part, until)| {
+            let Allocation { key, total, .. } = dealt;
+            json!({ "key": key, "floor": self.holder.fallback_quotas().of(key), "part": part, "total": total,
                 "until_us": until, "left_ms": (until - now) / 1000 })
         });
         json!({
-            "sender": self.means.name, "parts": parts.collect::<Vec<_>>(), "floors": self.holder.floors(),
+            "sender": self.means.name, "parts": parts.collect::<Vec<_>>(), "floors": self.holder.fallback_quotas(),
             "verdicts": self.verdicts.values().collect::<Vec<_>>(), "lease_ms": self.lease.as_millis() as u64, "now_us": now,
             "asked": self.asked, "granted": self.granted, "failed": self.failed, "fault": self.last_fault,
         })
--- a/src/net/ledger/settings.rs
+++ b/src/net/ledger/settings.rs
@@ -1,6 +1,6 @@
 //! The `ledger` object of the configuration, read strictly.
 
-use quota_ledger::{Floors, KINDS, Key};
+use quota_ledger::{FallbackQuotas, LIMIT_KINDS, LimitKey};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
         "ledger.senders is not above zero; it is the number of senders that the registry's ledger names"
     )]
     Senders,
-    #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = KINDS.join(", "))]
+    #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = LIMIT_KINDS.join(", "))]
     Floor(String),
     #[error(
         "ledger.bytes_a_second is {0}; write {BYTES_LEAST} or more, or leave it out for {BYTES}"
@@ -57,10 +57,10 @@
 
 impl Ledger {
     /// The floors, as the registry's ledger has them.
-    pub fn floors(&self) -> Floors {
-        Floors {
+    pub fn floors(&self) -> FallbackQuotas {
+        FallbackQuotas {
             senders: self.senders,
-            each: self.floors.clone(),
+            per_sender: self.floors.clone(),
         }
     }
 }
@@ -77,7 +77,7 @@
     if ledger.senders == 0 {
         return Err(LedgerError::Senders);
     }
-    let named = |name: &str| KINDS.contains(&name) || name.parse::<Key>().is_ok();
+    let named = |name: &str| LIMIT_KINDS.contains(&name) || name.parse::<LimitKey>().is_ok();
     if let Some(name) = ledger.floors.keys().find(|name| !named(name)) {
         return Err(LedgerError::Floor(name.clone()));
     }
--- a/src/net/ledger/wants.rs
+++ b/src/net/ledger/wants.rs
@@ -2,20 +2,25 @@
 
 use message_sender::Demand;
 use quota_ledger::naming::KeyDemand;
-use quota_ledger::verdicts::Word;
-use quota_ledger::{Floors, Key, Wanted, What};
+use quota_ledger::verdicts::HealthReport;
+use quota_ledger::{FallbackQuotas, LimitKey, QuotaDemand, Resource};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The limits of a destination that the decisions keep to.
-pub(super) fn keys(destination: u64) -> [Key; 3] {
-    [What::Rate, What::Out, What::Cold].map(|what| Key::of(destination, what))
+pub(super) fn keys(destination: u64) -> [LimitKey; 3] {
+    [
+        Resource::Rate,
+        Resource::Concurrency,
+        Resource::RecoveryRate,
+    ]
+    .map(|what| LimitKey::of(destination, what))
 }
 
 /// What a sender wants of each limit: what waits and what it sent since it was last counted, beyond its fallback shares. With
 /// `whole` of its list, else of the destinations that it uses.
 pub(super) fn wanted(
-    floors: &Floors,
+    floors: &FallbackQuotas,
     demand: &BTreeMap<u64, Demand>,
     before: Option<&BTreeMap<u64, u64>>,
     lease: Duration,
@@ -40,15 +45,15 @@
             (out_key, demand.waiting + demand.out),
             (cold_key, cold),
         ] {
-            if floors.name(&key) {
+            if floors.is_limited(&key) {
                 let want = want.saturating_sub(floors.of(&key));
-                let wanted = Wanted { key, want };
+                let wanted = QuotaDemand { key, amount: want };
                 let (waiting, sick) = (demand.waiting > 0, demand.sick);
                 all.push(KeyDemand {
-                    wanted,
+                    demand: wanted,
                     waiting,
-                    sick,
-                    calls: demand.sent,
+                    unhealthy: sick,
+                    calls_sent: demand.sent,
                 });
             }
         }
@@ -57,27 +62,27 @@
 }
 
 /// What this sender reports of destinations by its own calls: nothing of those that it knows nothing of now.
-pub(super) fn reports(demand: &BTreeMap<u64, Demand>) -> Vec<Word> {
+pub(super) fn reports(demand: &BTreeMap<u64, Demand>) -> Vec<HealthReport> {
     let report = |(destination, demand): (&u64, &Demand)| {
         let said = demand.sent > 0 && (demand.failing || demand.alive);
-        said.then_some(Word {
+        said.then_some(HealthReport {
             destination: *destination,
-            out: demand.failing,
+            unavailable: demand.failing,
         })
     };
     demand.iter().filter_map(report).collect()
 }
 
 /// How many kinds of a destination's limits there may be, one at least.
-pub(super) fn limited_kinds(floors: &Floors) -> usize {
-    let of_kind = |name: &str, key: &Key| {
+pub(super) fn limited_kinds(floors: &FallbackQuotas) -> usize {
+    let of_kind = |name: &str, key: &LimitKey| {
         name.split('/')
             .next()
             .is_some_and(|kind| kind == key.kind())
     };
     keys(0)
         .iter()
-        .filter(|key| floors.each.keys().any(|name| of_kind(name, key)))
+        .filter(|key| floors.per_sender.keys().any(|name| of_kind(name, key)))
         .count()
         .max(1)
 }
