--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -162,6 +162,8 @@
     if sound && packet.records.iter().all(record) { Ok(packet) } else { Err(Dropped::Unreadable) }
 }
 
+#[cfg(test)]
+mod compatibility;
 #[cfg(test)]
 mod tests {
     use super::*;
