--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -452,5 +452,7 @@
     fields.iter().map(|field| pairs.get(field.as_str()).copied()).collect::<Option<_>>().unwrap_or_default()
 }
 
+#[cfg(test)]
+mod compatibility;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/calls/compatibility.rs
@@ -0,0 +1,64 @@
+//! Requests to endpoints, byte for byte, and what their answers come to.
+
+use super::*;
+use crate::net::golden;
+
+fn item(id: &'static str, key: Option<&'static str>, body: &'static [u8]) -> Item {
+    let key = key.map(HeaderValue::from_static);
+    Item { id: HeaderValue::from_static(id), key, body: Bytes::from_static(body) }
+}
+
+/// The request as hyper writes it.
+fn written(items: &[Item]) -> String {
+    let address = ([10, 1, 2, 3], 8000).into();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let (least, bytes) = runtime.expect("a runtime").block_on(async move {
+        let expires = Instant::now() + Duration::from_millis(1234);
+        let (request, least) = request_of(address, items, expires).expect("it can be written");
+        let (here, mut there) = tokio::io::duplex(4096);
+        let shake = hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(here));
+        let (mut sender, connection) = shake.await.expect("a connection");
+        tokio::spawn(connection);
+        tokio::spawn(async move { sender.send_request(request).await });
+        let mut bytes = vec![0; usize::try_from(least).expect("short")];
+        tokio::io::AsyncReadExt::read_exact(&mut there, &mut bytes).await.expect("so much at least");
+        (least, bytes)
+    });
+    format!("{least} bytes\n{}\n", String::from_utf8(bytes).expect("text").replace("\r\n", "\n"))
+}
+
+fn told(ends: &[(Outcome, bool)]) -> String {
+    let encoded = |end: &(Outcome, bool)| format!("{:?}", postcard::to_allocvec(end).expect("encoded"));
+    ends.iter().map(encoded).collect::<Vec<_>>().join(" ")
+}
+
+#[test]
+fn requests_to_endpoints_are_the_recorded_bytes() {
+    let mut text = String::new();
+    for items in [
+        vec![item("m1", Some("key-1"), b"body\n")],
+        vec![item("m1", None, b"")],
+        vec![item("m1", Some("key-1"), b"body\n"), item("m2", None, b"more")],
+    ] {
+        text += &written(&items);
+    }
+    golden::compare("endpoint_requests.txt", &text);
+}
+
+#[test]
+fn answers_of_endpoints_are_read_as_recorded() {
+    let items = ["m1", "m2", "m3", "m4", "m5", "m6"].map(|id| item(id, None, b""));
+    let text = b"m2 later\r\nm1 ok\nm3 gone\nm4 exhausted \nm6 what\nm9 ok\n";
+    let mut read = told(&ends_of(text, &items, Some(5000))) + "\n" + &told(&ends_of(text, &items, None)) + "\n";
+    for wait in ["1", "0.0015", " 3 ", "-1", "soon", "99999999", "nan", "0"] {
+        let headers = HeaderMap::from_iter([(RETRY_AFTER, HeaderValue::from_static(wait))]);
+        read += &format!("Retry-After {wait}: {:?}\n", wait_of(&headers));
+    }
+    let fields = ["x0".to_string(), "x1".to_string()];
+    for report in ["x0=1,x1=2.5", "x1=2, x0=-1e3,y=7", "x0=1", "x0=nan,x1=1", "x0=1,x1"] {
+        let name = hyper::header::HeaderName::from_static("x-server-load");
+        let headers = HeaderMap::from_iter([(name, HeaderValue::from_static(report))]);
+        read += &format!("{report}: {:?}\n", report_of(&headers, &fields));
+    }
+    golden::compare("endpoint_answers.txt", &read);
+}
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -166,3 +166,6 @@
     ask(part, order(reply))?;
     report.await.map(Cow::from).map_err(|_| none)
 }
+
+#[cfg(test)]
+mod compatibility;
--- /dev/null
+++ b/src/net/discovery/compatibility.rs
@@ -0,0 +1,98 @@
+//! Requests to discovery, byte for byte, and what is read of its lists.
+
+use super::*;
+use crate::net::golden;
+use crate::net::journal::Ending;
+use std::io::{Read, Write};
+
+/// One request on a connection to the listener, up to this end, which is answered so.
+fn request_to(listener: &std::net::TcpListener, end: &str, answer: &str) -> String {
+    let mut stream = listener.accept().expect("a call").0;
+    let mut seen = String::new();
+    let mut byte = [0];
+    while !seen.ends_with(end) {
+        stream.read_exact(&mut byte).expect("more");
+        seen.push(char::from(byte[0]));
+    }
+    stream.write_all(answer.as_bytes()).expect("written");
+    let address = listener.local_addr().expect("bound");
+    seen.replace(&address.to_string(), "DISCOVERY").replace("\r\n", "\n")
+}
+
+#[test]
+fn requests_to_discovery_are_the_recorded_bytes() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let local = tokio::task::LocalSet::new();
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (_moves, agent) = tokio::sync::watch::channel(listener.local_addr().expect("bound"));
+    let text = local.block_on(&runtime, async {
+        let (inputs, _listed) = mpsc::unbounded_channel();
+        let shared = Shared { senders: 1, asked: false, ask_every: Duration::from_secs(1) };
+        let (freshness, telling) = Freshness::new(true, Duration::from_secs(1), inputs.clone());
+        tokio::task::spawn_local(telling);
+        let watching = watch(agent.clone(), 41, shared, Backoff::new(shared, 1), freshness, inputs.clone());
+        let watching = tokio::task::spawn_local(watching);
+        let list = "{\"rev\":42,\"all\":false,\"targets\":[]}\n";
+        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let requests = tokio::task::spawn_blocking(move || {
+            let first = request_to(&listener, "\r\n\r\n", &answer);
+            let second = request_to(&listener, "\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[]\n");
+            let third = request_to(&listener, "\r\n\r\n", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+            (listener, first + &second + &third)
+        });
+        let (listener, watches) = requests.await.expect("three watches");
+        watching.abort();
+        let (queue, notices) = mpsc::unbounded_channel();
+        let endings = [
+            Ending::Failed,
+            Ending::Returned { after_ms: Some(1500) },
+            Ending::Returned { after_ms: None },
+        ];
+        for (number, ending) in (1..).zip(endings) {
+            queue.send(Notice { number, id: format!("m\"{number}"), ending }).expect("taken");
+        }
+        tokio::task::spawn_local(post_notices(agent, notices, inputs));
+        let posted = tokio::task::spawn_blocking(move || {
+            request_to(&listener, "\"}\n{\"id\":\"m\\\"3\",\"state\":\"returned\"}\n", "HTTP/1.1 204 No Content\r\n\r\n")
+        });
+        watches + &posted.await.expect("one request")
+    });
+    golden::compare("discovery_requests.txt", &text);
+}
+
+#[test]
+fn lists_are_read_as_recorded() {
+    let target = |state: &str| {
+        serde_json::json!({ "uid": "s-1", "endpoint": "10.1.0.18:8000", "az": "a", "model": "one",
+            "pod_group": 7, "state": state, "capacity_hint": 1.5, "boot_ms": 3 })
+    };
+    let mut short = target("up");
+    for key in ["az", "model", "capacity_hint"] {
+        short.as_object_mut().expect("an object").remove(key);
+    }
+    let mut cut = target("up");
+    cut.as_object_mut().expect("an object").remove("pod_group");
+    let mut elsewhere = target("up");
+    elsewhere["endpoint"] = "nowhere".into();
+    let targets = [target("up"), target("draining"), target("removed"), target("lost"), short, cut, elsewhere];
+    let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets })).expect("a list");
+    let mut text = format!("version {}, full {}\n", list.version, list.full);
+    for listed in &list.targets {
+        text += &format!(
+            "{} {} zone {:?} kind {:?} destination {} status {} weight {}\n",
+            listed.uid,
+            listed.address,
+            listed.zone,
+            listed.kind,
+            listed.destination,
+            listed.status as u8,
+            listed.weight
+        );
+    }
+    for key in ["rev", "all", "targets"] {
+        let mut line = serde_json::json!({ "rev": 9, "all": true, "targets": [] });
+        line.as_object_mut().expect("an object").remove(key);
+        text += &format!("without {key}: {}\n", parse_list(&line).is_some());
+    }
+    golden::compare("discovery_lists.txt", &text);
+}
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -266,3 +266,6 @@
     };
     timeout(within, exchange).await.map_err(|_| CallError::Time)?
 }
+
+#[cfg(test)]
+mod compatibility;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,6 +11,8 @@
 pub mod driver;
 pub mod events;
 pub mod freeze;
+#[cfg(test)]
+pub mod golden;
 pub mod journal;
 pub mod leaving;
 pub mod ledger;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -361,3 +361,6 @@
         self.layer.with(|pool, out| pool.spoiled(now, self.number, cause, out));
     }
 }
+
+#[cfg(test)]
+mod compatibility;
--- /dev/null
+++ b/src/net/pool/compatibility.rs
@@ -0,0 +1,48 @@
+//! What operators see of the connections: the same keys and types as always.
+
+use super::*;
+use crate::net::golden;
+use milletturn::{EndpointId, SECOND};
+
+#[test]
+fn report_has_the_recorded_keys_and_types() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let local = tokio::task::LocalSet::new();
+    local.block_on(&runtime.expect("a runtime"), async {
+        let settings = Settings { connection_idle: 60 * SECOND, ..Settings::new(8, 100) };
+        let limits = limits(&PoolSettings::default(), 100, &settings);
+        let (here, _there) = tokio::io::duplex(64);
+        let connections = Connections::ready(vec![here], limits);
+        let place = |port, endpoint| Place {
+            address: ([127, 0, 0, 1], port).into(),
+            endpoint: EndpointId(endpoint),
+        };
+        connections.serve(place(9, 0), true);
+        connections.serve(place(10, 1), true);
+        let end = Rc::new(Cell::new(Cause::CalledOff));
+        let lease = connections.lease(place(9, 0), &end).await.expect("it comes up");
+        lease.spoil(Cause::Reset);
+        assert!(connections.lease(place(10, 1), &end).await.is_err(), "none is left");
+        let report = connections.report(|endpoint| (endpoint == EndpointId(0)).then(|| "s-1".to_string()));
+        let report: serde_json::Value = serde_json::from_str(&report).expect("JSON");
+        golden::compare("pools.json", &serde_json::to_string_pretty(&golden::kinds(&report)).expect("JSON"));
+    });
+    let causes = [
+        Cause::Age,
+        Cause::Surplus,
+        Cause::Scarce,
+        Cause::Evicted,
+        Cause::Retired,
+        Cause::GivenBack,
+        Cause::Leaving,
+        Cause::Suspect,
+        Cause::Peer,
+        Cause::Reset,
+        Cause::Unreadable,
+        Cause::TimedOut,
+        Cause::CalledOff,
+    ];
+    let failures = [DialFailure::Refused, DialFailure::TimedOut, DialFailure::Local, DialFailure::Other];
+    let text = serde_json::to_string(&(causes, failures)).expect("JSON");
+    golden::compare("pool_causes.json", &text);
+}
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -374,5 +374,7 @@
     value.parse::<u16>().ok().map(u64::from)
 }
 
+#[cfg(test)]
+mod compatibility;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/net/server/compatibility.rs
@@ -0,0 +1,137 @@
+//! Every answer that a client may get, byte for byte, and what is read of its request.
+
+use super::*;
+use crate::net::golden;
+
+/// The driver's part, played: each message is answered by its id.
+fn answer_of(id: &str) -> Answer {
+    match id {
+        "taken" => Answer::Taken,
+        "delivered" => Answer::Delivered,
+        "refused" => Answer::Refused { wait: None },
+        "refused-for" => Answer::Refused { wait: Some(1_234_567) },
+        "no-room" => Answer::NoRoom,
+        _ => Answer::Failed,
+    }
+}
+
+fn described(arrival: &Arrival) -> String {
+    let text = |value: &HeaderValue| value.to_str().expect("text").to_string();
+    format!(
+        "id {}, key {:?}, subject {:?}, tenant {:?}, class {}, destination {}, time {}, again {}, orphan {}, body {:?}\n",
+        text(&arrival.id),
+        arrival.key.as_ref().map(text),
+        arrival.subject,
+        arrival.tenant,
+        arrival.class,
+        arrival.destination,
+        arrival.time,
+        arrival.again,
+        arrival.orphan,
+        arrival.body
+    )
+}
+
+fn message(id: &str) -> String {
+    format!(
+        "POST /webhook HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\nX-Priority-Class: webhook\r\n\
+         X-Timeout: 9000m\r\nIdempotency-Key: key-1\r\nContent-Length: 4\r\nEnvelope: dest=7\r\n\r\nbody"
+    )
+}
+
+/// Requests by name, each of which has a connection of its own.
+fn requests() -> Vec<(String, String)> {
+    let mut requests = Vec::new();
+    let mut add = |name: &str, text: String| requests.push((name.to_string(), text));
+    for id in ["taken", "delivered", "refused", "refused-for", "no-room", "failed"] {
+        add(id, message(id));
+    }
+    let good = message("taken");
+    let without = |name: &str| {
+        good.split_inclusive("\r\n").filter(|line| !line.starts_with(name)).collect::<String>()
+    };
+    let header = |line: &str| good.replace("Host: app.svc", &format!("Host: app.svc\r\n{line}"));
+    let all = header("X-Tenant-Id: acme\r\nX-Retried: again").replace("/webhook ", "/webhook?a=b&subject=s%201 ");
+    add("all that a message may carry", all.replace("9000m", "9000u"));
+    add("retried by the same client", header("X-Retried: yes"));
+    for name in ["X-Request-ID", "X-Priority-Class", "X-Timeout", "Idempotency-Key", "Envelope"] {
+        add(&format!("without {name}"), without(name));
+    }
+    for line in
+        ["X-Request-ID: m2", "X-Timeout: 5m", "Envelope: dest=7", "X-Priority-Class: webhook", "X-Tenant-Id: a\r\nX-Tenant-Id: b"]
+    {
+        add(&format!("twice {}", line.replace("\r\n", " ")), header(line));
+    }
+    add("a class without keys", without("Idempotency-Key").replace("webhook", "order"));
+    add("an id with a space", good.replace("ID: taken", "ID: a b"));
+    add("a time that is none", good.replace("9000m", "soon"));
+    add("a destination that is none", good.replace("dest=7", "dest=70000"));
+    add("two subjects", good.replace("/webhook ", "/webhook?subject=a&subject=b "));
+    add("an unknown class", good.replace("webhook", "gossip"));
+    add("an unknown path", good.replace("/webhook", "/elsewhere"));
+    add("another method", good.replace("POST /webhook", "PUT /webhook"));
+    add("another method for readiness", "POST /ready HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".to_string());
+    add("too long", good.replace("Length: 4", "Length: 65537"));
+    add("a body that does not come", good.replace("Length: 4", "Length: 5"));
+    let chunked = good.replace("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
+    add("without a length", chunked.replace("\r\n\r\nbody", "\r\n\r\n4\r\nbody\r\n0\r\n\r\n"));
+    add("a chunk that is none", chunked.replace("\r\n\r\nbody", "\r\n\r\nx\r\nbody\r\n"));
+    add("no request", "no request at all\r\n\r\n".to_string());
+    add("ready", "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".to_string());
+    requests
+}
+
+async fn asked(address: std::net::SocketAddr, name: &str, text: &str) -> String {
+    let bytes = text.as_bytes().to_vec();
+    let answer = tokio::task::spawn_blocking(move || golden::answer_to(address, &bytes));
+    format!("--- {name}\n{}\n", answer.await.expect("it ends").replace("\r\n", "\n"))
+}
+
+#[test]
+fn answers_to_clients_are_the_recorded_bytes() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let local = tokio::task::LocalSet::new();
+    local.block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("bound");
+        let (inputs, mut taken) = mpsc::unbounded_channel();
+        let (set_ready, ready) = watch::channel(false);
+        let (_hand, handed) = watch::channel(false);
+        let (_close, closing) = watch::channel(false);
+        let named = |name: &str, index, keyed| Named { name: name.to_string(), index, keyed };
+        let draining = Rc::new(Cell::new(false));
+        let server = Server {
+            classes: Rc::new(RefCell::new(vec![named("webhook", 0, true), named("order", 3, false)])),
+            inputs,
+            ready,
+            draining: draining.clone(),
+            places: Arc::new(Semaphore::new(8)),
+            handed,
+            closing,
+        };
+        tokio::task::spawn_local(serve(listener, Rc::new(server)));
+        let arrivals = Rc::new(RefCell::new(String::new()));
+        let seen = arrivals.clone();
+        tokio::task::spawn_local(async move {
+            while let Some(input) = taken.recv().await {
+                let Input::Arrived(arrival) = input else { panic!("{input:?}") };
+                *seen.borrow_mut() += &described(&arrival);
+                let answer = answer_of(arrival.id.to_str().expect("text"));
+                arrival.reply.send(answer).expect("it waits");
+            }
+        });
+        let mut told = String::new();
+        let probe = "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
+        told += &asked(address, "before it is ready", probe).await;
+        told += &asked(address, "a message before it is ready", &message("taken")).await;
+        set_ready.send(true).expect("it listens");
+        for (name, text) in requests() {
+            told += &asked(address, &name, &text).await;
+        }
+        draining.set(true);
+        told += &asked(address, "ready while it ends", probe).await;
+        told += &asked(address, "a message while it ends", &message("taken")).await;
+        golden::compare("client_answers.txt", &told);
+        golden::compare("client_messages.txt", &arrivals.borrow());
+    });
+}
