--- a/membership/src/wire/compatibility.rs
+++ b/membership/src/wire/compatibility.rs
@@ -43,21 +43,76 @@
     let dead = record(State::Dead, "[2001:db8::1]:65535", None);
     let left = record(State::Left, "10.1.2.4:1", None);
     vec![
-        ("ping", packet(false, Message::Ping { number, to: text("member-2") }, vec![alive])),
-        ("ping_for", packet(false, Message::PingFor { number, target: text("member-2") }, vec![suspect])),
+        (
+            "ping",
+            packet(
+                false,
+                Message::Ping {
+                    number,
+                    to: text("member-2"),
+                },
+                vec![alive],
+            ),
+        ),
+        (
+            "ping_for",
+            packet(
+                false,
+                Message::PingFor {
+                    number,
+                    target: text("member-2"),
+                },
+                vec![suspect],
+            ),
+        ),
         ("ack", packet(true, Message::Ack { number }, vec![dead])),
         ("nack", packet(false, Message::Nack { number }, vec![left])),
         (
             "pull",
             packet(
                 false,
-                Message::Pull { after: text("a"), until: until.clone(), digest: 0xfedc_ba98_7654_3210 },
+                Message::Pull {
+                    after: text("a"),
+                    until: until.clone(),
+                    digest: 0xfedc_ba98_7654_3210,
+                },
+                vec![],
+            ),
+        ),
+        (
+            "pull_to_the_end",
+            packet(
+                false,
+                Message::Pull {
+                    after: text(""),
+                    until: None,
+                    digest: 1,
+                },
+                vec![],
+            ),
+        ),
+        (
+            "part",
+            packet(
+                false,
+                Message::Part {
+                    after: text("a"),
+                    until,
+                },
+                vec![],
+            ),
+        ),
+        (
+            "part_to_the_end",
+            packet(
+                true,
+                Message::Part {
+                    after: text(""),
+                    until: None,
+                },
                 vec![],
             ),
         ),
-        ("pull_to_the_end", packet(false, Message::Pull { after: text(""), until: None, digest: 1 }, vec![])),
-        ("part", packet(false, Message::Part { after: text("a"), until }, vec![])),
-        ("part_to_the_end", packet(true, Message::Part { after: text(""), until: None }, vec![])),
         ("news", packet(false, Message::News, vec![])),
     ]
 }
@@ -67,7 +122,10 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex"))
+        .collect()
 }
 
 #[test]
@@ -83,7 +141,11 @@
     assert_eq!(written, GOLDEN);
     for line in GOLDEN.lines() {
         let words: Vec<&str> = line.split(' ').collect();
-        let packet = packets().into_iter().find(|(name, _)| *name == words[0]).expect("one of them").1;
+        let packet = packets()
+            .into_iter()
+            .find(|(name, _)| *name == words[0])
+            .expect("one of them")
+            .1;
         let key = (words[1] == "signed").then_some(KEY);
         assert_eq!(decode(&bytes(words[2]), "hue", key), Ok(packet), "{line}");
     }
--- a/membership/tests/compatibility.rs
+++ b/membership/tests/compatibility.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fleet, PERIOD};
-use milletturn_membership::{Change, Counts, Dropped, Listed, Remembered, State, View};
+use fleet_membership::{Change, Counts, Dropped, Listed, Remembered, State, View};
 use xxhash_rust::xxh3::Xxh3;
 
 /// Holds a text against the recorded one.
@@ -12,25 +12,43 @@
     if std::env::var_os("WRITE_GOLDEN").is_some() {
         std::fs::write(&path, written).expect("written");
     }
-    assert_eq!(written, std::fs::read_to_string(&path).expect("a golden file"), "{name}");
+    assert_eq!(
+        written,
+        std::fs::read_to_string(&path).expect("a golden file"),
+        "{name}"
+    );
 }
 
 #[test]
 fn what_is_remembered_is_stored_and_read_as_recorded() {
     let remembered = Remembered {
         incarnation: 1 << 40,
-        contacts: vec!["10.1.2.3:7946".parse().expect("one"), "[2001:db8::1]:65535".parse().expect("another")],
+        contacts: vec![
+            "10.1.2.3:7946".parse().expect("one"),
+            "[2001:db8::1]:65535".parse().expect("another"),
+        ],
     };
     let written = serde_json::to_string(&remembered).expect("JSON");
     compare("remembered.json", &written);
-    assert_eq!(serde_json::from_str::<Remembered>(&written).expect("read"), remembered);
-    assert!(serde_json::from_str::<Remembered>(r#"{"incarnation":1,"contacts":[],"more":1}"#).is_err());
+    assert_eq!(
+        serde_json::from_str::<Remembered>(&written).expect("read"),
+        remembered
+    );
+    assert!(
+        serde_json::from_str::<Remembered>(r#"{"incarnation":1,"contacts":[],"more":1}"#).is_err()
+    );
     assert!(serde_json::from_str::<Remembered>(r#"{"incarnation":1}"#).is_err());
 }
 
 #[test]
 fn reports_have_the_recorded_keys() {
-    let view = View { living: 5, suspects: 1, gone: 2, holders: 4, doubt: true };
+    let view = View {
+        living: 5,
+        suspects: 1,
+        gone: 2,
+        holders: 4,
+        doubt: true,
+    };
     let dropped = [
         Dropped::TooLong,
         Dropped::Unreadable,
@@ -58,7 +76,10 @@
         incarnation: 7,
         for_ms: 8,
         heard_ms,
-        observers: observers.iter().map(|observer| observer.to_string()).collect(),
+        observers: observers
+            .iter()
+            .map(|observer| observer.to_string())
+            .collect(),
     };
     let members = [
         member(State::Alive, Some(9), &[]),
@@ -71,14 +92,22 @@
         serde_json::to_string_pretty(&counts),
         serde_json::to_string_pretty(&members),
     ];
-    let written: Vec<String> = written.into_iter().map(|text| text.expect("JSON")).collect();
+    let written: Vec<String> = written
+        .into_iter()
+        .map(|text| text.expect("JSON"))
+        .collect();
     compare("reports.json", &written.join("\n"));
-    assert_eq!(serde_json::from_str::<View>(&written[0]).expect("read"), view);
+    assert_eq!(
+        serde_json::from_str::<View>(&written[0]).expect("read"),
+        view
+    );
 }
 
 /// A hash of every datagram and every change of one fleet that starts, loses members and datagrams, is split and heals.
 fn digest_of_run(members: usize, seed: u64, lifeguard: bool) -> String {
-    let mut fleet = Fleet::with(members, seed, move |settings| settings.lifeguard = lifeguard);
+    let mut fleet = Fleet::with(members, seed, move |settings| {
+        settings.lifeguard = lifeguard
+    });
     fleet.keep = true;
     fleet.run(30.0);
     fleet.kill(1);
@@ -103,7 +132,13 @@
     let mut changes = Xxh3::new();
     for seen in &fleet.seen {
         let what = match &seen.change {
-            Change::State { name, before, now, incarnation, address } => {
+            Change::State {
+                name,
+                before,
+                now,
+                incarnation,
+                address,
+            } => {
                 format!("state {name} {before:?} {now:?} {incarnation} {address}")
             }
             Change::Refuted { held, incarnation } => format!("refuted {held:?} {incarnation}"),
--- a/src/net/control/compatibility.rs
+++ b/src/net/control/compatibility.rs
@@ -5,7 +5,10 @@
 use std::cell::RefCell;
 
 fn order(call: &str, body: &str) -> String {
-    format!("{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 fn verdict_of(uid: &str) -> Option<Verdict> {
@@ -35,7 +38,15 @@
 
 fn calls() -> Vec<(String, String)> {
     let mut calls = Vec::new();
-    for path in ["/ready", "/pools", "/freeze", "/members", "/agreement", "/ledger", "/elsewhere"] {
+    for path in [
+        "/ready",
+        "/pools",
+        "/freeze",
+        "/members",
+        "/agreement",
+        "/ledger",
+        "/elsewhere",
+    ] {
         calls.push((format!("GET {path}"), order(&format!("GET {path}"), "")));
         calls.push((format!("POST {path}"), order(&format!("POST {path}"), "")));
     }
@@ -45,9 +56,18 @@
             let body = format!(r#"{{"target":"{uid}"}}"#);
             calls.push((format!("{call} {uid}"), order(&call, &body)));
         }
-        calls.push((format!("GET {what}"), order(&format!("GET /endpoints/{what}"), "")));
-        calls.push((format!("{call} with more"), order(&call, r#"{"target":"done","more":1}"#)));
-        calls.push((format!("{call} by another key"), order(&call, r#"{"uid":"done"}"#)));
+        calls.push((
+            format!("GET {what}"),
+            order(&format!("GET /endpoints/{what}"), ""),
+        ));
+        calls.push((
+            format!("{call} with more"),
+            order(&call, r#"{"target":"done","more":1}"#),
+        ));
+        calls.push((
+            format!("{call} by another key"),
+            order(&call, r#"{"uid":"done"}"#),
+        ));
         calls.push((format!("{call} too long"), order(&call, &"x".repeat(5000))));
     }
     calls
@@ -55,7 +75,10 @@
 
 #[test]
 fn answers_to_operators_are_the_recorded_bytes() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -65,7 +88,14 @@
         let ((agreement, gone), (ledger, _full)) = (mpsc::channel(4), mpsc::channel(1));
         drop(gone);
         let (set_ready, ready) = watch::channel(false);
-        let control = Control { orders, members, agreement, ledger, ready, draining: Rc::default() };
+        let control = Control {
+            orders,
+            members,
+            agreement,
+            ledger,
+            ready,
+            draining: Rc::default(),
+        };
         // one question waits already
         let (wait, _waits) = oneshot::channel();
         control.ledger.try_send(wait).expect("room");
@@ -83,7 +113,8 @@
             if at == 1 {
                 set_ready.send(true).expect("it listens");
             }
-            let answer = tokio::task::spawn_blocking(move || golden::answer_to(address, text.as_bytes()));
+            let answer =
+                tokio::task::spawn_blocking(move || golden::answer_to(address, text.as_bytes()));
             let answer = answer.await.expect("it ends").replace("\r\n", "\n");
             told += &format!("--- {name}\n{answer}\n");
         }
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -16,28 +16,54 @@
     }
     stream.write_all(answer.as_bytes()).expect("written");
     let address = listener.local_addr().expect("bound");
-    seen.replace(&address.to_string(), "DISCOVERY").replace("\r\n", "\n")
+    seen.replace(&address.to_string(), "DISCOVERY")
+        .replace("\r\n", "\n")
 }
 
 #[test]
 fn requests_to_discovery_are_the_recorded_bytes() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let (_moves, agent) = tokio::sync::watch::channel(listener.local_addr().expect("bound"));
     let text = local.block_on(&runtime, async {
         let (inputs, _listed) = mpsc::unbounded_channel();
-        let shared = Shared { senders: 1, asked: false, ask_every: Duration::from_secs(1) };
+        let shared = Shared {
+            senders: 1,
+            asked: false,
+            ask_every: Duration::from_secs(1),
+        };
         let (freshness, telling) = Freshness::new(true, Duration::from_secs(1), inputs.clone());
         tokio::task::spawn_local(telling);
-        let watching = watch(agent.clone(), 41, shared, Backoff::new(shared, 1), freshness, inputs.clone());
+        let watching = watch(
+            agent.clone(),
+            41,
+            shared,
+            Backoff::new(shared, 1),
+            freshness,
+            inputs.clone(),
+        );
         let watching = tokio::task::spawn_local(watching);
         let list = "{\"rev\":42,\"all\":false,\"targets\":[]}\n";
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+            list.len()
+        );
         let requests = tokio::task::spawn_blocking(move || {
             let first = request_to(&listener, "\r\n\r\n", &answer);
-            let second = request_to(&listener, "\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[]\n");
-            let third = request_to(&listener, "\r\n\r\n", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+            let second = request_to(
+                &listener,
+                "\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[]\n",
+            );
+            let third = request_to(
+                &listener,
+                "\r\n\r\n",
+                "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+            );
             (listener, first + &second + &third)
         });
         let (listener, watches) = requests.await.expect("three watches");
@@ -45,15 +71,27 @@
         let (queue, notices) = mpsc::unbounded_channel();
         let endings = [
             Ending::Failed,
-            Ending::Returned { after_ms: Some(1500) },
+            Ending::Returned {
+                after_ms: Some(1500),
+            },
             Ending::Returned { after_ms: None },
         ];
         for (number, ending) in (1..).zip(endings) {
-            queue.send(Notice { number, id: format!("m\"{number}"), ending }).expect("taken");
+            queue
+                .send(Notice {
+                    number,
+                    id: format!("m\"{number}"),
+                    ending,
+                })
+                .expect("taken");
         }
         tokio::task::spawn_local(post_notices(agent, notices, inputs));
         let posted = tokio::task::spawn_blocking(move || {
-            request_to(&listener, "\"}\n{\"id\":\"m\\\"3\",\"state\":\"returned\"}\n", "HTTP/1.1 204 No Content\r\n\r\n")
+            request_to(
+                &listener,
+                "\"}\n{\"id\":\"m\\\"3\",\"state\":\"returned\"}\n",
+                "HTTP/1.1 204 No Content\r\n\r\n",
+            )
         });
         watches + &posted.await.expect("one request")
     });
@@ -74,8 +112,17 @@
     cut.as_object_mut().expect("an object").remove("pod_group");
     let mut elsewhere = target("up");
     elsewhere["endpoint"] = "nowhere".into();
-    let targets = [target("up"), target("draining"), target("removed"), target("lost"), short, cut, elsewhere];
-    let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets })).expect("a list");
+    let targets = [
+        target("up"),
+        target("draining"),
+        target("removed"),
+        target("lost"),
+        short,
+        cut,
+        elsewhere,
+    ];
+    let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets }))
+        .expect("a list");
     let mut text = format!("version {}, full {}\n", list.version, list.full);
     for listed in &list.targets {
         text += &format!(
--- a/src/net/golden/mod.rs
+++ b/src/net/golden/mod.rs
@@ -11,13 +11,19 @@
     if std::env::var_os("WRITE_GOLDEN").is_some() {
         std::fs::write(&path, text).expect("written");
     }
-    assert_eq!(text, std::fs::read_to_string(&path).expect("a golden file"), "{name}");
+    assert_eq!(
+        text,
+        std::fs::read_to_string(&path).expect("a golden file"),
+        "{name}"
+    );
 }
 
 /// All that comes in answer to these bytes until the connection ends or nothing more comes, the date replaced.
 pub fn answer_to(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .expect("set");
     stream.write_all(bytes).expect("written");
     let mut answer = Vec::new();
     let mut byte = [0];
@@ -26,14 +32,26 @@
     }
     let text = String::from_utf8(answer).expect("text");
     let lines = text.split_inclusive("\r\n");
-    lines.map(|line| if line.starts_with("date: ") { "date: DATE\r\n" } else { line }).collect()
+    lines
+        .map(|line| {
+            if line.starts_with("date: ") {
+                "date: DATE\r\n"
+            } else {
+                line
+            }
+        })
+        .collect()
 }
 
 /// Whether an answer has come to the end that its head tells.
 fn is_whole(answer: &[u8]) -> bool {
     let text = String::from_utf8_lossy(answer);
-    let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
-    let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+    let Some((head, body)) = text.split_once("\r\n\r\n") else {
+        return false;
+    };
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("content-length: "));
     length.and_then(|length| length.parse().ok()).unwrap_or(0) <= body.len()
 }
 
@@ -47,6 +65,9 @@
         Value::Number(_) => "integer".into(),
         Value::String(_) => "text".into(),
         Value::Array(values) => values.iter().map(kinds).collect(),
-        Value::Object(fields) => fields.iter().map(|(key, value)| (key.clone(), kinds(value))).collect(),
+        Value::Object(fields) => fields
+            .iter()
+            .map(|(key, value)| (key.clone(), kinds(value)))
+            .collect(),
     }
 }
