--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -266,18 +266,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn tries_do_not_crowd_towards_the_end_of_a_lease() {
-        let lease = Duration::from_secs(6);
-        let (mut left, mut tries) = (lease, 0);
-        while tries < 50
-            && let Some(rest) = left.checked_sub(retry(left, lease))
-        {
-            (left, tries) = (rest, tries + 1);
-        }
-        assert_eq!(tries, 6);
-    }
-}
+mod tests;
--- a/src/net/agreement/settings.rs
+++ b/src/net/agreement/settings.rs
@@ -48,29 +48,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn a_faulty_object_names_its_key() {
-        let good = json!({ "floor": { "limits": { "calls": 4 } }, "others": ["10.0.0.4:8500"] });
-        assert_eq!(read(&good).expect("good").expect("there").others.len(), 1);
-        assert_eq!(read(&Value::Null).expect("none is none"), None);
-        for (key, value, told) in [
-            ("flor", json!({}), "unknown field `flor`"),
-            (
-                "floor",
-                json!({ "limits": { "calls": 0 } }),
-                "agreement.floor: limits.calls: must be above zero",
-            ),
-            ("others", json!(vec!["10.0.0.4:1"; 17]), "agreement.others is not"),
-            ("others", json!(["there"]), "agreement: invalid socket address"),
-        ] {
-            let mut bad = good.clone();
-            bad[key] = value;
-            let error = read(&bad).expect_err(key).to_string();
-            assert!(error.contains(told), "{key}: {error}");
-        }
-    }
-}
+mod tests;
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -95,3 +95,6 @@
         sleep(every.mul_f64(0.75 + 0.25 * part)).await;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/freeze/settings.rs
+++ b/src/net/freeze/settings.rs
@@ -64,22 +64,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
-        assert_eq!(read(&json!({})).expect("good"), Some(FreezeSettings::default()));
-        assert_eq!(read(&Value::Null).expect("none is none"), None);
-        for (bad, told) in [
-            (json!({ "poll": 1 }), "unknown field `poll`"),
-            (json!({ "poll_ms": 1 }), "freeze.poll_ms is not"),
-            (json!({ "ramp_ms": 70_000 }), "freeze.ramp_ms is not"),
-            (json!({ "others": vec!["10.0.0.4:1"; 17] }), "freeze.others is not"),
-        ] {
-            let error = read(&bad).expect_err(told).to_string();
-            assert!(error.contains(told), "{error}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/net/freeze/tests.rs
@@ -0,0 +1,53 @@
+use super::*;
+use crate::net::stub_registry::{StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within};
+use milletturn_ledger::freeze::Widening;
+
+#[tokio::test]
+async fn calendar_request_and_answer_keep_their_bytes() {
+    let run = async {
+        let answer = StubAnswer { status: "200 OK", body: golden("freeze/calendar.json") };
+        let mut registry = StubRegistry::answering(vec![answer]).await;
+        let settings =
+            settings::read(&serde_json::from_slice(&golden("freeze/settings.json")).expect("JSON"));
+        let settings = settings.expect("good").expect("there");
+        let (inputs, mut received) = mpsc::unbounded_channel();
+        let (_settings, wanted) = watch::channel(Some(settings.clone()));
+        let (_stop, stopping) = watch::channel(false);
+        let (_registry, agent) = watch::channel(registry.address);
+        let means = Means { clock: standing_clock("freeze"), seed: 5, inputs, agent };
+        tokio::task::spawn_local(follow(means, wanted, stopping));
+        let input = within(received.recv()).await;
+        assert!(matches!(&input, Some(Input::Freezing(Freezing::On(on))) if *on == settings), "{input:?}");
+        let (head, body) = registry.request().await;
+        assert_golden("freeze/request.http", head.as_bytes());
+        assert!(body.is_empty());
+        let input = within(received.recv()).await;
+        let Some(Input::Freezing(Freezing::Told { asked, fresh, news })) = input else { panic!("{input:?}") };
+        assert_eq!((asked, fresh), (0, 3 * 700_000));
+        check(&news);
+    };
+    tokio::task::LocalSet::new().run_until(run).await;
+}
+
+/// Checks that the golden calendar was read with every key.
+fn check(news: &News) {
+    assert_eq!(news.rev, 5);
+    let [now] = &news.on[..] else { panic!("{news:?}") };
+    assert_eq!((now.window.as_str(), now.begins_in_ms, now.ends_in_ms), ("tet", 0, 90_000));
+    assert_eq!(now.on.until_ms, 1_790_000_000_000);
+    assert_eq!(now.on.scope.zones, ["a".to_string()].into());
+    assert_eq!(now.on.scope.destinations, [7, 300].into());
+    assert_eq!(now.on.scope.tenants, ["t1".to_string()].into());
+    assert_eq!(now.on.holds, [Widening::Added, Widening::Raised].into());
+    assert_eq!((now.on.reason.as_str(), now.on.owner.as_str()), ("holidays", "lan"));
+    let [soon] = &news.soon[..] else { panic!("{news:?}") };
+    assert_eq!((soon.window.as_str(), soon.begins_in_ms, soon.ends_in_ms), ("term", 60_000, 120_000));
+    assert!(soon.on.scope.is_all() && soon.on.holds.is_empty());
+    let glass = news.glass.as_ref().expect("a glass");
+    assert_eq!(
+        (&glass.by[..], glass.reason.as_str()),
+        (&["lan".to_string(), "minh".to_string()][..], "s-2 fails")
+    );
+    assert_eq!((glass.until_ms, news.glass_ends_in_ms), (1_790_000_000_500, 30_000));
+    assert_eq!(glass.scope.destinations, [7].into());
+}
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -286,3 +286,6 @@
         .to_string()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/ledger/settings.rs
+++ b/src/net/ledger/settings.rs
@@ -84,27 +84,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn a_faulty_object_names_its_key() {
-        let good = json!({ "senders": 3, "floors": { "rate": 50, "out/7": 0 }, "others": ["10.0.0.4:8500"] });
-        assert_eq!(read(&good).expect("good").expect("there").floors().senders, 3);
-        assert_eq!(read(&Value::Null).expect("none is none"), None);
-        for (key, value, told) in [
-            ("sender", json!(3), "unknown field `sender`"),
-            ("senders", json!(0), "ledger.senders is not"),
-            ("floors", json!({ "rte": 1 }), "ledger.floors names 'rte'"),
-            ("floors", json!({ "rate/x": 1 }), "ledger.floors names 'rate/x'"),
-            ("bytes_a_second", json!(1_999), "ledger.bytes_a_second is 1999"),
-            ("others", json!(vec!["10.0.0.4:1"; 17]), "ledger.others is not"),
-        ] {
-            let mut bad = good.clone();
-            bad[key] = value;
-            let error = read(&bad).expect_err(told).to_string();
-            assert!(error.contains(told), "{key}: {error}");
-        }
-    }
-}
+mod tests;
--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -322,3 +322,6 @@
         State::Left => "left",
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -98,36 +98,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
-        let good = json!({ "listen": "10.0.0.4:7946", "fleet": "hue", "seeds": ["10.0.0.5:7946"], "period_ms": 200 });
-        let read_it = |value: &Value| read(value, "n3", 300);
-        let membership = read_it(&good).expect("good").expect("there");
-        let settings = membership.settings;
-        assert_eq!(
-            (settings.period, settings.configured, settings.advertise),
-            (200_000, 300, membership.listen)
-        );
-        assert!(membership.act && settings.key.is_none());
-        assert_eq!(read_it(&Value::Null).expect("none is none"), None);
-        for (key, value, told) in [
-            ("perriod_ms", json!(200), "unknown field `perriod_ms`"),
-            ("fleet", json!(""), "membership.fleet is not"),
-            ("listen", json!("here"), "membership: "),
-            ("period_ms", json!(-1), "membership.period_ms is not"),
-            ("members_most", json!(100_000), "membership.members_most is not"),
-            ("advertise", json!("0.0.0.0:7946"), "membership.advertise is not"),
-            ("key_file", json!("/nowhere/key"), "membership.key_file: /nowhere/key"),
-            ("act", json!("yes"), "membership: "),
-        ] {
-            let mut bad = good.clone();
-            bad[key] = value;
-            let error = read_it(&bad).expect_err(key).to_string();
-            assert!(error.starts_with(told) || error.contains(told), "{key}: {error}");
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/net/membership/tests.rs
@@ -0,0 +1,101 @@
+use super::*;
+use crate::net::stub_registry::{assert_golden, folder, golden, standing_clock, within};
+use std::net::Ipv4Addr;
+use tokio::sync::oneshot;
+
+/// What a member of these settings tells the decisions, and its report.
+struct Member {
+    inputs: mpsc::UnboundedReceiver<Input>,
+    queries: mpsc::Sender<Query>,
+    _settings: watch::Sender<Option<Membership>>,
+    _stop: watch::Sender<bool>,
+}
+
+fn settings(name: &str, listen: SocketAddr) -> Membership {
+    let object = json!({ "listen": listen, "fleet": "test" });
+    settings::read(&object, name, 3).expect("good").expect("there")
+}
+
+/// An address that is free now.
+async fn free() -> SocketAddr {
+    let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+    socket.local_addr().expect("bound")
+}
+
+impl Member {
+    fn start(test: &str, membership: Membership) -> Self {
+        let state = folder(test);
+        std::fs::write(state.join(FILE), golden("membership/members")).expect("written");
+        let (inputs, received) = mpsc::unbounded_channel();
+        let (queries, asked) = mpsc::channel(1);
+        let (settings, wanted) = watch::channel(Some(membership));
+        let (stop, stopping) = watch::channel(false);
+        let clock = standing_clock(&format!("{test}-clock"));
+        let means = Means { clock, seed: 5, state, inputs, counted: Rc::new(Cell::new(3)) };
+        tokio::task::spawn_local(take_part(means, wanted, asked, stopping));
+        Member { inputs: received, queries, _settings: settings, _stop: stop }
+    }
+
+    async fn report(&self) -> String {
+        let (reply, report) = oneshot::channel();
+        self.queries.send(reply).await.expect("it runs");
+        within(report).await.expect("a report")
+    }
+}
+
+#[tokio::test]
+async fn report_keeps_its_bytes_alone_and_with_a_member() {
+    let run = async {
+        let listen = free().await;
+        let mut member = Member::start("members", settings("a", listen));
+        assert_golden("membership/report-alone.json", member.report().await.as_bytes());
+        // another member finds it, and something that is no datagram of the fleet comes beside
+        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+        let address = socket.local_addr().expect("bound");
+        let mut other = settings("b", address).settings;
+        other.seeds = vec![listen];
+        let mut node = Node::new(other, Remembered::default(), 7, 0, 0).expect("good settings");
+        let mut output = Output::default();
+        node.tick(node.wake_at(), &mut output);
+        assert!(!output.datagrams.is_empty());
+        for (to, datagram) in output.datagrams {
+            assert_eq!(to, listen);
+            socket.send_to(&datagram, to).await.expect("sent");
+        }
+        socket.send_to(b"junk", listen).await.expect("sent");
+        let report = loop {
+            let report = member.report().await;
+            if report.contains("unreadable") {
+                break report;
+            }
+            tokio::task::yield_now().await;
+        };
+        let report = report.replace(&address.port().to_string(), "PORT");
+        assert_golden("membership/report.json", report.as_bytes());
+        let input = within(member.inputs.recv()).await;
+        let Some(Input::Fleet(Some(view))) = input else { panic!("{input:?}") };
+        let FleetView { living, suspects, gone, holders, doubt } = view;
+        assert_eq!((living, suspects, gone, holders, doubt), (2, 0, 0, 1, false));
+    };
+    tokio::task::LocalSet::new().run_until(run).await;
+}
+
+#[tokio::test]
+async fn remembered_members_are_read_and_written_byte_for_byte() {
+    let folder = folder("remembered");
+    std::fs::write(folder.join(FILE), golden("membership/members")).expect("written");
+    let remembered = recall(&folder).await;
+    assert_eq!(remembered.incarnation, 3);
+    let contacts = ["10.0.0.5:7946", "[fd00::6]:7946"].map(|text| text.parse().expect("an address"));
+    assert_eq!(remembered.contacts, contacts);
+    let again = folder.join("again");
+    std::fs::create_dir(&again).expect("a folder");
+    keep(&again, &remembered).expect("written");
+    assert_golden("membership/members", &std::fs::read(again.join(FILE)).expect("written"));
+}
+
+#[test]
+fn states_of_members_keep_their_words() {
+    let words = [State::Alive, State::Suspect, State::Dead, State::Left].map(word);
+    assert_eq!(words, ["alive", "suspect", "dead", "left"]);
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,6 +20,8 @@
 pub mod server;
 pub mod startup;
 pub mod stream;
+#[cfg(test)]
+mod stub_registry;
 pub mod upgrade;
 
 /// A line for the log. A reader of the log that has gone away must not take the sender with it, as a failed
--- a/tests/freeze.rs
+++ b/tests/freeze.rs
@@ -153,3 +153,23 @@
     sent(&node, "m1", 7);
     assert!(!node.logged("freeze"));
 }
+
+#[test]
+fn freeze_report_keeps_its_keys_and_types() {
+    let one = Endpoint::new(|_, _| OK);
+    let registry = registry();
+    wait_until("it answers", || status(&registry, "GET", "/v1/freeze", &Value::Null) == 200);
+    registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
+    let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
+    let node = sender(&agent, &registry);
+    wait_until("it knows the window", || report(&node)["on"]["term"].is_object());
+    agent.tell(changes(8, &[("s-2", one.address, "one", 7, "up")]));
+    wait_until("an entry is held", || report(&node)["held"] == json!(["s-2"]));
+    let text = told(&node, "GET /freeze");
+    let report: Value = serde_json::from_str(&text).expect("JSON");
+    let until_ms = report["on"]["term"]["until_ms"].as_u64().expect("a time");
+    let on = json!({ "term": { "until_ms": until_ms, "reason": "first days of term", "owner": "lan", "holds": [],
+        "scope": { "zones": [], "destinations": [], "tenants": [] } } });
+    let expected = json!({ "calendar": 1, "on": on, "held": ["s-2"], "held_ever": 1, "admitted": 0 });
+    assert_eq!(text.trim_end(), expected.to_string());
+}
