--- a/src/net/agreement/tests.rs
+++ b/src/net/agreement/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::net::discovery::Shared;
-use crate::net::stub_registry::{StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within};
+use crate::net::stub_registry::{
+    StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
+};
 
 #[test]
 fn tries_do_not_crowd_towards_the_end_of_a_lease() {
@@ -25,14 +27,19 @@
 
 impl Sender {
     fn start(test: &str, registry: SocketAddr) -> Self {
-        let settings =
-            settings::read(&serde_json::from_slice(&golden("agreement/settings.json")).expect("JSON"));
+        let settings = settings::read(
+            &serde_json::from_slice(&golden("agreement/settings.json")).expect("JSON"),
+        );
         let (inputs, received) = mpsc::unbounded_channel();
         let (queries, asked) = mpsc::channel(1);
         let (settings, wanted) = watch::channel(settings.expect("good"));
         let (stop, stopping) = watch::channel(false);
         let (found, agent) = watch::channel(registry);
-        let shared = Shared { senders: 3, asked: false, ask_every: Duration::from_secs(1) };
+        let shared = Shared {
+            senders: 3,
+            asked: false,
+            ask_every: Duration::from_secs(1),
+        };
         let means = Means {
             clock: standing_clock(test),
             name: "n1".to_string(),
@@ -42,13 +49,21 @@
             backoff: Backoff::new(shared, 1),
         };
         tokio::task::spawn_local(hold(means, wanted, asked, stopping));
-        Sender { inputs: received, queries, _settings: settings, _stop: stop, _registry: found }
+        Sender {
+            inputs: received,
+            queries,
+            _settings: settings,
+            _stop: stop,
+            _registry: found,
+        }
     }
 
     /// The next rules that are to bind, as the hand-over has them; they do at once.
     async fn rules(&mut self) -> Vec<u8> {
         let input = within(self.inputs.recv()).await.expect("it runs");
-        let Input::Agreed(Some(agreed), binds) = input else { panic!("{input:?}") };
+        let Input::Agreed(Some(agreed), binds) = input else {
+            panic!("{input:?}")
+        };
         binds.send(()).expect("it waits");
         postcard::to_allocvec(&*agreed).expect("encoded")
     }
@@ -64,7 +79,10 @@
 async fn lease_request_and_grant_keep_their_bytes() {
     let local = tokio::task::LocalSet::new();
     let run = async {
-        let answer = || StubAnswer { status: "200 OK", body: golden("agreement/grant.json") };
+        let answer = || StubAnswer {
+            status: "200 OK",
+            body: golden("agreement/grant.json"),
+        };
         let mut registry = StubRegistry::answering(vec![answer(), answer()]).await;
         let mut sender = Sender::start("agreement-lease", registry.address);
         assert_golden("agreement/rules-fallback.postcard", &sender.rules().await);
@@ -84,7 +102,10 @@
 async fn report_without_a_lease_keeps_its_bytes() {
     let local = tokio::task::LocalSet::new();
     let run = async {
-        let refusal = StubAnswer { status: "409 Conflict", body: b"another floor\nmore".to_vec() };
+        let refusal = StubAnswer {
+            status: "409 Conflict",
+            body: b"another floor\nmore".to_vec(),
+        };
         let mut registry = StubRegistry::answering(vec![refusal]).await;
         let mut sender = Sender::start("agreement-refused", registry.address);
         sender.rules().await;
--- a/src/net/freeze/settings.rs
+++ b/src/net/freeze/settings.rs
@@ -35,7 +35,12 @@
 
 impl Default for FreezeSettings {
     fn default() -> Self {
-        FreezeSettings { poll_ms: 1000, unknown_ms: 10_000, ramp_ms: 500, others: Vec::new() }
+        FreezeSettings {
+            poll_ms: 1000,
+            unknown_ms: 10_000,
+            ramp_ms: 500,
+            others: Vec::new(),
+        }
     }
 }
 
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
-use crate::net::stub_registry::{StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within};
+use crate::net::stub_registry::{
+    StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
+};
 use serde_json::Value;
 
 /// What a sender of these settings asks the decisions and tells them.
@@ -15,9 +17,35 @@
 fn demand() -> BTreeMap<u64, Demand> {
     let idle = Demand::default();
     [
-        (3, Demand { waiting: 5, out: 2, sent: 9, alive: true, ..idle }),
-        (7, Demand { out: 1, sent: 4, alive: true, ..idle }),
-        (300, Demand { waiting: 1, sent: 6, sick: true, failing: true, ..idle }),
+        (
+            3,
+            Demand {
+                waiting: 5,
+                out: 2,
+                sent: 9,
+                alive: true,
+                ..idle
+            },
+        ),
+        (
+            7,
+            Demand {
+                out: 1,
+                sent: 4,
+                alive: true,
+                ..idle
+            },
+        ),
+        (
+            300,
+            Demand {
+                waiting: 1,
+                sent: 6,
+                sick: true,
+                failing: true,
+                ..idle
+            },
+        ),
         (70_000, idle),
     ]
     .into()
@@ -41,7 +69,13 @@
             agent,
         };
         tokio::task::spawn_local(hold(means, wanted, asked, stopping));
-        Sender { inputs: received, queries, _settings: settings, _stop: stop, _registry: found }
+        Sender {
+            inputs: received,
+            queries,
+            _settings: settings,
+            _stop: stop,
+            _registry: found,
+        }
     }
 
     /// The next quotas that are to bind, as the hand-over has them; they do at once. Demand is told where it is asked for, and
@@ -88,7 +122,10 @@
     let mut registry = StubRegistry::answering(answers).await;
     let mut sender = Sender::start(&format!("ledger-{form}"), registry.address);
     let mut verdicts = Vec::new();
-    assert_golden("ledger/quotas-fallback.postcard", &sender.quotas(&mut verdicts).await);
+    assert_golden(
+        "ledger/quotas-fallback.postcard",
+        &sender.quotas(&mut verdicts).await,
+    );
     let mut requests = Vec::new();
     let quotas = sender.quotas(&mut verdicts).await;
     for _ in 0..=refusals {
@@ -99,29 +136,48 @@
     assert_golden(&format!("ledger/request.{form}"), &body);
     assert_golden("ledger/quotas-allocated.postcard", &quotas);
     assert_eq!(verdicts, [(7, false), (300, true)]);
-    assert_golden(&format!("ledger/report-{form}.json"), sender.report("\"granted\":1").await.as_bytes());
+    assert_golden(
+        &format!("ledger/report-{form}.json"),
+        sender.report("\"granted\":1").await.as_bytes(),
+    );
 }
 
 #[tokio::test]
 async fn compact_request_and_answer_keep_their_bytes() {
     let local = tokio::task::LocalSet::new();
-    let answer = StubAnswer { status: "200 OK", body: golden("ledger/answer.compact") };
-    local.run_until(check_exchange(vec![answer], "compact")).await;
+    let answer = StubAnswer {
+        status: "200 OK",
+        body: golden("ledger/answer.compact"),
+    };
+    local
+        .run_until(check_exchange(vec![answer], "compact"))
+        .await;
 }
 
 #[tokio::test]
 async fn json_request_and_answer_keep_their_bytes_where_compact_is_refused() {
     let local = tokio::task::LocalSet::new();
-    let refusal = StubAnswer { status: "415 Unsupported Media Type", body: Vec::new() };
-    let answer = StubAnswer { status: "200 OK", body: golden("ledger/answer.json") };
-    local.run_until(check_exchange(vec![refusal, answer], "json")).await;
+    let refusal = StubAnswer {
+        status: "415 Unsupported Media Type",
+        body: Vec::new(),
+    };
+    let answer = StubAnswer {
+        status: "200 OK",
+        body: golden("ledger/answer.json"),
+    };
+    local
+        .run_until(check_exchange(vec![refusal, answer], "json"))
+        .await;
 }
 
 #[tokio::test]
 async fn report_without_quotas_keeps_its_bytes() {
     let local = tokio::task::LocalSet::new();
     let run = async {
-        let refusal = StubAnswer { status: "409 Conflict", body: b"another floor\nmore".to_vec() };
+        let refusal = StubAnswer {
+            status: "409 Conflict",
+            body: b"another floor\nmore".to_vec(),
+        };
         let registry = StubRegistry::answering(vec![refusal]).await;
         let mut sender = Sender::start("ledger-refused", registry.address);
         let report = sender.report("\"failed\":1").await;
@@ -135,6 +191,9 @@
     let compact = Answer::read(&golden("ledger/answer.compact")).expect("compact");
     let json: Value = serde_json::from_slice(&golden("ledger/answer.json")).expect("JSON");
     assert_eq!(json["lease"], compact.lease);
-    assert_eq!(serde_json::to_value(&compact.verdicts).expect("encoded"), json["verdicts"]);
+    assert_eq!(
+        serde_json::to_value(&compact.verdicts).expect("encoded"),
+        json["verdicts"]
+    );
     assert_eq!(compact.write(), golden("ledger/answer.compact"));
 }
--- a/src/net/membership/tests.rs
+++ b/src/net/membership/tests.rs
@@ -13,12 +13,16 @@
 
 fn settings(name: &str, listen: SocketAddr) -> Membership {
     let object = json!({ "listen": listen, "fleet": "test" });
-    settings::read(&object, name, 3).expect("good").expect("there")
+    settings::read(&object, name, 3)
+        .expect("good")
+        .expect("there")
 }
 
 /// An address that is free now.
 async fn free() -> SocketAddr {
-    let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+    let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
+        .await
+        .expect("a port");
     socket.local_addr().expect("bound")
 }
 
@@ -31,9 +35,20 @@
         let (settings, wanted) = watch::channel(Some(membership));
         let (stop, stopping) = watch::channel(false);
         let clock = standing_clock(&format!("{test}-clock"));
-        let means = Means { clock, seed: 5, state, inputs, counted: Rc::new(Cell::new(3)) };
+        let means = Means {
+            clock,
+            seed: 5,
+            state,
+            inputs,
+            counted: Rc::new(Cell::new(3)),
+        };
         tokio::task::spawn_local(take_part(means, wanted, asked, stopping));
-        Member { inputs: received, queries, _settings: settings, _stop: stop }
+        Member {
+            inputs: received,
+            queries,
+            _settings: settings,
+            _stop: stop,
+        }
     }
 
     async fn report(&self) -> String {
@@ -48,9 +63,14 @@
     let run = async {
         let listen = free().await;
         let mut member = Member::start("members", settings("a", listen));
-        assert_golden("membership/report-alone.json", member.report().await.as_bytes());
+        assert_golden(
+            "membership/report-alone.json",
+            member.report().await.as_bytes(),
+        );
         // another member finds it, and something that is no datagram of the fleet comes beside
-        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
+        let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))
+            .await
+            .expect("a port");
         let address = socket.local_addr().expect("bound");
         let mut other = settings("b", address).settings;
         other.seeds = vec![listen];
@@ -73,9 +93,20 @@
         let report = report.replace(&address.port().to_string(), "PORT");
         assert_golden("membership/report.json", report.as_bytes());
         let input = within(member.inputs.recv()).await;
-        let Some(Input::Fleet(Some(view))) = input else { panic!("{input:?}") };
-        let FleetView { living, suspects, gone, holders, doubt } = view;
-        assert_eq!((living, suspects, gone, holders, doubt), (2, 0, 0, 1, false));
+        let Some(Input::Fleet(Some(view))) = input else {
+            panic!("{input:?}")
+        };
+        let FleetView {
+            living,
+            suspects,
+            gone,
+            holders,
+            doubt,
+        } = view;
+        assert_eq!(
+            (living, suspects, gone, holders, doubt),
+            (2, 0, 0, 1, false)
+        );
     };
     tokio::task::LocalSet::new().run_until(run).await;
 }
@@ -86,12 +117,16 @@
     std::fs::write(folder.join(FILE), golden("membership/members")).expect("written");
     let remembered = recall(&folder).await;
     assert_eq!(remembered.incarnation, 3);
-    let contacts = ["10.0.0.5:7946", "[fd00::6]:7946"].map(|text| text.parse().expect("an address"));
+    let contacts =
+        ["10.0.0.5:7946", "[fd00::6]:7946"].map(|text| text.parse().expect("an address"));
     assert_eq!(remembered.contacts, contacts);
     let again = folder.join("again");
     std::fs::create_dir(&again).expect("a folder");
     keep(&again, &remembered).expect("written");
-    assert_golden("membership/members", &std::fs::read(again.join(FILE)).expect("written"));
+    assert_golden(
+        "membership/members",
+        &std::fs::read(again.join(FILE)).expect("written"),
+    );
 }
 
 #[test]
--- a/src/net/stub_registry.rs
+++ b/src/net/stub_registry.rs
@@ -34,9 +34,15 @@
             for answer in answers {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
                 let _ = seen.send(read_request(&mut stream).await);
-                let head =
-                    format!("HTTP/1.1 {}\r\ncontent-length: {}\r\n\r\n", answer.status, answer.body.len());
-                stream.write_all(&[head.as_bytes(), &answer.body].concat()).await.expect("written");
+                let head = format!(
+                    "HTTP/1.1 {}\r\ncontent-length: {}\r\n\r\n",
+                    answer.status,
+                    answer.body.len()
+                );
+                stream
+                    .write_all(&[head.as_bytes(), &answer.body].concat())
+                    .await
+                    .expect("written");
             }
             std::future::pending::<()>().await;
         });
@@ -49,12 +55,18 @@
         let end = end_of_head(&bytes).expect("a head");
         let head = String::from_utf8(bytes[..end].to_vec()).expect("text");
         let port = format!(":{}\r\n", self.address.port());
-        (head.replace(&port, ":PORT\r\n").replace("\r\n", "\n"), bytes[end..].to_vec())
+        (
+            head.replace(&port, ":PORT\r\n").replace("\r\n", "\n"),
+            bytes[end..].to_vec(),
+        )
     }
 }
 
 fn end_of_head(bytes: &[u8]) -> Option<usize> {
-    bytes.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4)
+    bytes
+        .windows(4)
+        .position(|window| window == b"\r\n\r\n")
+        .map(|at| at + 4)
 }
 
 async fn read_request(stream: &mut TcpStream) -> Vec<u8> {
@@ -62,20 +74,28 @@
     loop {
         if let Some(end) = end_of_head(&bytes) {
             let head = String::from_utf8_lossy(&bytes[..end]).to_lowercase();
-            let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
+            let length = head
+                .lines()
+                .find_map(|line| line.strip_prefix("content-length: "));
             let length: usize = length.map_or(0, |length| length.parse().expect("a length"));
             if bytes.len() >= end + length {
                 return bytes;
             }
         }
         let read = stream.read_buf(&mut bytes).await.expect("readable");
-        assert!(read > 0, "the request was cut: {}", String::from_utf8_lossy(&bytes));
+        assert!(
+            read > 0,
+            "the request was cut: {}",
+            String::from_utf8_lossy(&bytes)
+        );
     }
 }
 
 /// What comes, if it comes in time.
 pub async fn within<T>(task: impl Future<Output = T>) -> T {
-    tokio::time::timeout(WAIT, task).await.expect("it comes in time")
+    tokio::time::timeout(WAIT, task)
+        .await
+        .expect("it comes in time")
 }
 
 /// An empty folder of this test.
@@ -89,9 +109,9 @@
 /// A clock that says zero for ever to all that count in unsigned microseconds: its time lies before its beginning.
 pub fn standing_clock(test: &str) -> Clock {
     let folder = folder(test);
-    let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").expect("the machine's boot id");
-    let anchor =
-        serde_json::json!({ "boot": boot.trim(), "monotonic": 0, "time": -1_000_000_000_000_000_i64 });
+    let boot =
+        std::fs::read_to_string("/proc/sys/kernel/random/boot_id").expect("the machine's boot id");
+    let anchor = serde_json::json!({ "boot": boot.trim(), "monotonic": 0, "time": -1_000_000_000_000_000_i64 });
     std::fs::write(folder.join("clock"), anchor.to_string()).expect("written");
     Clock::resume(&folder).expect("a clock")
 }
@@ -103,7 +123,9 @@
 }
 
 fn golden_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/fleet").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden/fleet")
+        .join(name)
 }
 
 /// Checks that bytes are those of a golden file.
