--- a/src/net/agreement/tests.rs
+++ b/src/net/agreement/tests.rs
@@ -18,8 +18,8 @@
 
 /// What a sender of these settings tells the decisions, step by step.
 struct Sender {
-    inputs: mpsc::UnboundedReceiver<Input>,
-    queries: mpsc::Sender<Query>,
+    inputs: mpsc::UnboundedReceiver<DriverInput>,
+    queries: mpsc::Sender<ReportRequest>,
     _settings: watch::Sender<Option<Agreement>>,
     _stop: watch::Sender<bool>,
     _registry: watch::Sender<SocketAddr>,
@@ -61,11 +61,15 @@
     /// The next rules that are to bind, as the hand-over has them; they do at once.
     async fn rules(&mut self) -> Vec<u8> {
         let input = within(self.inputs.recv()).await.expect("it runs");
-        let Input::Agreed(Some(agreed), binds) = input else {
+        let DriverInput::AgreedRules {
+            rules: Some(rules),
+            applied,
+        } = input
+        else {
             panic!("{input:?}")
         };
-        binds.send(()).expect("it waits");
-        postcard::to_allocvec(&*agreed).expect("encoded")
+        applied.send(()).expect("it waits");
+        postcard::to_allocvec(&*rules).expect("encoded")
     }
 
     async fn report(&self) -> String {
--- a/src/net/freeze/tests.rs
+++ b/src/net/freeze/tests.rs
@@ -28,18 +28,23 @@
         tokio::task::spawn_local(follow(means, wanted, stopping));
         let input = within(received.recv()).await;
         assert!(
-            matches!(&input, Some(Input::Freezing(Freezing::On(on))) if *on == settings),
+            matches!(&input, Some(DriverInput::Freeze(FreezeChange::On(on))) if *on == settings),
             "{input:?}"
         );
         let (head, body) = registry.request().await;
         assert_golden("freeze/request.http", head.as_bytes());
         assert!(body.is_empty());
         let input = within(received.recv()).await;
-        let Some(Input::Freezing(Freezing::Told { asked, fresh, news })) = input else {
+        let Some(DriverInput::Freeze(FreezeChange::Calendar {
+            asked_at,
+            fresh_for,
+            update,
+        })) = input
+        else {
             panic!("{input:?}")
         };
-        assert_eq!((asked, fresh), (0, 3 * 700_000));
-        check(&news);
+        assert_eq!((asked_at, fresh_for), (0, 3 * 700_000));
+        check(&update);
     };
     tokio::task::LocalSet::new().run_until(run).await;
 }
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::net::events::DemandReport;
 use crate::net::stub_registry::{
     StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
 };
@@ -6,8 +7,8 @@
 
 /// What a sender of these settings asks the decisions and tells them.
 struct Sender {
-    inputs: mpsc::UnboundedReceiver<Input>,
-    queries: mpsc::Sender<Query>,
+    inputs: mpsc::UnboundedReceiver<DriverInput>,
+    queries: mpsc::Sender<ReportRequest>,
     _settings: watch::Sender<Option<Ledger>>,
     _stop: watch::Sender<bool>,
     _registry: watch::Sender<SocketAddr>,
@@ -51,6 +52,13 @@
     .into()
 }
 
+fn demand_report() -> DemandReport {
+    DemandReport {
+        listed: 4,
+        by_destination: demand(),
+    }
+}
+
 impl Sender {
     fn start(test: &str, registry: SocketAddr) -> Self {
         let settings =
@@ -83,12 +91,18 @@
     async fn quotas(&mut self, verdicts: &mut Vec<(u64, bool)>) -> Vec<u8> {
         loop {
             match within(self.inputs.recv()).await.expect("it runs") {
-                Input::Shared(Some(quotas), binds) => {
-                    binds.send(()).expect("it waits");
+                DriverInput::Quotas {
+                    quotas: Some(quotas),
+                    applied,
+                } => {
+                    applied.send(()).expect("it waits");
                     return postcard::to_allocvec(&*quotas).expect("encoded");
                 }
-                Input::Wanted { reply, .. } => reply.send((4, demand())).expect("it waits"),
-                Input::Word { destination, out } => verdicts.push((destination, out)),
+                DriverInput::Demand { reply, .. } => reply.send(demand_report()).expect("it waits"),
+                DriverInput::FleetHealth {
+                    destination,
+                    unavailable,
+                } => verdicts.push((destination, unavailable)),
                 input => panic!("{input:?}"),
             }
         }
@@ -103,8 +117,8 @@
                 tokio::select! {
                     report = &mut report => break report.expect("a report"),
                     input = within(self.inputs.recv()) => match input.expect("it runs") {
-                        Input::Shared(_, binds) => binds.send(()).expect("it waits"),
-                        Input::Wanted { reply, .. } => reply.send((4, demand())).expect("it waits"),
+                        DriverInput::Quotas { applied, .. } => applied.send(()).expect("it waits"),
+                        DriverInput::Demand { reply, .. } => reply.send(demand_report()).expect("it waits"),
                         _ => {}
                     }
                 }
--- a/src/net/membership/tests.rs
+++ b/src/net/membership/tests.rs
@@ -5,8 +5,8 @@
 
 /// What a member of these settings tells the decisions, and its report.
 struct Member {
-    inputs: mpsc::UnboundedReceiver<Input>,
-    queries: mpsc::Sender<Query>,
+    inputs: mpsc::UnboundedReceiver<DriverInput>,
+    queries: mpsc::Sender<ReportRequest>,
     _settings: watch::Sender<Option<Membership>>,
     _stop: watch::Sender<bool>,
 }
@@ -93,7 +93,7 @@
         let report = report.replace(&address.port().to_string(), "PORT");
         assert_golden("membership/report.json", report.as_bytes());
         let input = within(member.inputs.recv()).await;
-        let Some(Input::Fleet(Some(view))) = input else {
+        let Some(DriverInput::FleetView(Some(view))) = input else {
             panic!("{input:?}")
         };
         let FleetView {
