--- a/lab/src/scale/simulation.rs
+++ b/lab/src/scale/simulation.rs
@@ -341,7 +341,7 @@
             let view = self.members[index]
                 .as_ref()
                 .map(|member| member.node().view());
-            view.is_some_and(|view| view.living as usize == count && view.suspects == 0)
+            view.is_some_and(|view| view.present as usize == count && view.suspects == 0)
         };
         self.running().all(agrees)
     }
@@ -351,7 +351,7 @@
         let view = self.members[index]
             .as_ref()
             .map(|member| member.node().view());
-        view.is_some_and(|view| view.living as usize == self.running().count())
+        view.is_some_and(|view| view.present as usize == self.running().count())
     }
 
     /// Pairs of an observer and a member that it holds for something else than it is.
--- a/src/net/calls/compatibility.rs
+++ b/src/net/calls/compatibility.rs
@@ -1,7 +1,7 @@
 //! Requests to endpoints, byte for byte, and what their answers come to.
 
 use super::*;
-use crate::net::golden;
+use crate::net::http_golden as golden;
 
 fn item(id: &'static str, key: Option<&'static str>, body: &'static [u8]) -> Item {
     let key = key.map(HeaderValue::from_static);
--- a/src/net/control/compatibility.rs
+++ b/src/net/control/compatibility.rs
@@ -1,7 +1,7 @@
 //! Every answer that an operator may get, byte for byte.
 
 use super::*;
-use crate::net::golden;
+use crate::net::http_golden as golden;
 use std::cell::RefCell;
 
 fn order(call: &str, body: &str) -> String {
@@ -11,27 +11,33 @@
     )
 }
 
-fn verdict_of(uid: &str) -> Option<Verdict> {
+fn verdict_of(uid: &str) -> Option<AdminResult> {
     match uid {
-        "done" => Some(Verdict::Done),
-        "unknown" => Some(Verdict::Unknown),
-        "unwritten" => Some(Verdict::Unwritten),
+        "done" => Some(AdminResult::Done),
+        "unknown" => Some(AdminResult::UnknownEndpoint),
+        "unwritten" => Some(AdminResult::NotWritten),
         _ => None,
     }
 }
 
 /// Plays the driver: reports are their own names, orders are judged by the id they name.
-async fn play(mut orders: mpsc::Receiver<Order>, seen: Rc<RefCell<String>>) {
+async fn play(mut orders: mpsc::Receiver<AdminCommand>, seen: Rc<RefCell<String>>) {
     while let Some(order) = orders.recv().await {
         match order {
-            Order::SetOut { uid, out, reply } => {
-                *seen.borrow_mut() += &format!("{uid} out {out}\n");
+            AdminCommand::SetDisabled {
+                uid,
+                disabled,
+                reply,
+            } => {
+                *seen.borrow_mut() += &format!("{uid} out {disabled}\n");
                 if let Some(verdict) = verdict_of(&uid) {
                     reply.send(verdict).expect("it waits");
                 }
             }
-            Order::Pools { reply } => reply.send("the pools".to_string()).expect("it waits"),
-            Order::Frozen { reply } => drop(reply),
+            AdminCommand::PoolReport { reply } => {
+                reply.send("the pools".to_string()).expect("it waits")
+            }
+            AdminCommand::FreezeReport { reply } => drop(reply),
         }
     }
 }
@@ -84,7 +90,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let (orders, taken) = mpsc::channel(4);
-        let (members, mut asked) = mpsc::channel::<Query>(4);
+        let (members, mut asked) = mpsc::channel::<ReportRequest>(4);
         let ((agreement, gone), (ledger, _full)) = (mpsc::channel(4), mpsc::channel(1));
         drop(gone);
         let (set_ready, ready) = watch::channel(false);
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -1,7 +1,7 @@
 //! Requests to discovery, byte for byte, and what is read of its lists.
 
 use super::*;
-use crate::net::golden;
+use crate::net::http_golden as golden;
 use crate::net::journal::Ending;
 use std::io::{Read, Write};
 
--- a/src/net/golden/mod.rs
+++ b/src/net/http_golden/mod.rs
@@ -7,7 +7,7 @@
 
 /// Holds a text against the recorded one.
 pub fn compare(name: &str, text: &str) {
-    let path = format!("{}/src/net/golden/{name}", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/src/net/http_golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("WRITE_GOLDEN").is_some() {
         std::fs::write(&path, text).expect("written");
     }
--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -4,8 +4,8 @@
 pub mod settings;
 
 use super::clock::Clock;
-use super::events::{Input, Query};
-use super::{Seldom, log};
+use super::events::{DriverInput, ReportRequest};
+use super::{RateLimitedLog, log};
 use fleet_membership::{
     Change, Datagram, MAX_DATAGRAM_BYTES, MemberReport, Node, Output, PersistedState, State, View,
 };
@@ -40,7 +40,7 @@
     pub seed: u64,
     /// The lasting folder.
     pub state: PathBuf,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// The number of senders that the decisions scale by now.
     pub counted: Rc<Cell<u32>>,
 }
@@ -50,7 +50,7 @@
 pub async fn take_part(
     means: Means,
     mut wanted: watch::Receiver<Option<Membership>>,
-    mut queries: mpsc::Receiver<Query>,
+    mut queries: mpsc::Receiver<ReportRequest>,
     mut stopping: watch::Receiver<bool>,
 ) {
     let instance = u64::try_from(means.clock.at(Instant::now())).unwrap_or(0);
@@ -96,7 +96,7 @@
         };
         let stops = part.run(&mut wanted, &mut queries, &mut stopping).await;
         // others' word binds no more
-        let _ = means.inputs.send(Input::Fleet(None));
+        let _ = means.inputs.send(DriverInput::FleetView(None));
         if stops {
             return;
         }
@@ -175,10 +175,10 @@
     async fn run(
         &mut self,
         wanted: &mut watch::Receiver<Option<Membership>>,
-        queries: &mut mpsc::Receiver<Query>,
+        queries: &mut mpsc::Receiver<ReportRequest>,
         stopping: &mut watch::Receiver<bool>,
     ) -> bool {
-        let fault = Seldom::default();
+        let fault = RateLimitedLog::default();
         loop {
             let wake = self
                 .means
@@ -339,13 +339,16 @@
         if view != self.told && self.act {
             self.told = view;
             // the driver lives as long as the process
-            let _ = self.means.inputs.send(Input::Fleet(Some(FleetView {
-                living: view.present,
-                suspects: view.suspects,
-                gone: view.departed,
-                holders: view.agreeing,
-                doubt: view.isolated,
-            })));
+            let _ = self
+                .means
+                .inputs
+                .send(DriverInput::FleetView(Some(FleetView {
+                    living: view.present,
+                    suspects: view.suspects,
+                    gone: view.departed,
+                    holders: view.agreeing,
+                    doubt: view.isolated,
+                })));
         }
     }
 
@@ -381,3 +384,6 @@
         State::Left => "left",
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/pool/compatibility.rs
+++ b/src/net/pool/compatibility.rs
@@ -1,7 +1,7 @@
 //! What operators see of the connections: the same keys and types as always.
 
 use super::*;
-use crate::net::golden;
+use crate::net::http_golden as golden;
 use message_sender::{EndpointId, SECOND};
 
 #[test]
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -1,23 +1,23 @@
 //! Every answer that a client may get, byte for byte, and what is read of its request.
 
 use super::*;
-use crate::net::golden;
+use crate::net::http_golden as golden;
 
 /// The driver's part, played: each message is answered by its id.
-fn answer_of(id: &str) -> Answer {
+fn answer_of(id: &str) -> SubmissionResult {
     match id {
-        "taken" => Answer::Taken,
-        "delivered" => Answer::Delivered,
-        "refused" => Answer::Refused { wait: None },
-        "refused-for" => Answer::Refused {
-            wait: Some(1_234_567),
+        "taken" => SubmissionResult::Accepted,
+        "delivered" => SubmissionResult::AlreadyDelivered,
+        "refused" => SubmissionResult::Rejected { retry_after: None },
+        "refused-for" => SubmissionResult::Rejected {
+            retry_after: Some(1_234_567),
         },
-        "no-room" => Answer::NoRoom,
-        _ => Answer::Failed,
+        "no-room" => SubmissionResult::NotStored,
+        _ => SubmissionResult::Failed,
     }
 }
 
-fn described(arrival: &Arrival) -> String {
+fn described(arrival: &Submission) -> String {
     let text = |value: &HeaderValue| value.to_str().expect("text").to_string();
     format!(
         "id {}, key {:?}, subject {:?}, tenant {:?}, class {}, destination {}, time {}, again {}, orphan {}, body {:?}\n",
@@ -27,7 +27,7 @@
         arrival.tenant,
         arrival.class,
         arrival.destination,
-        arrival.time,
+        arrival.time_limit,
         arrival.again,
         arrival.orphan,
         arrival.body
@@ -182,7 +182,7 @@
         let seen = arrivals.clone();
         tokio::task::spawn_local(async move {
             while let Some(input) = taken.recv().await {
-                let Input::Arrived(arrival) = input else {
+                let DriverInput::Submitted(arrival) = input else {
                     panic!("{input:?}")
                 };
                 *seen.borrow_mut() += &described(&arrival);
