--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -300,7 +300,11 @@
                         rules,
                     } => {
                         let ask = LeaseRequest {
-                            incarnation: if self.0 == Without::Life { 0 } else { ask.incarnation },
+                            incarnation: if self.0 == Without::Life {
+                                0
+                            } else {
+                                ask.incarnation
+                            },
                             ..ask
                         };
                         let local = self.local(sender, now);
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -2,7 +2,7 @@
 //! What a list takes away is always obeyed.
 
 use super::{Driver, Route};
-use crate::net::events::{Freezing, ListUpdate, Listed};
+use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{Micros, Status};
 use quota_ledger::gate::{EndpointSnapshot, FreezeCheck, resource_change};
@@ -15,15 +15,15 @@
     gate: FreezeCheck,
     settings: FreezeSettings,
     /// Entries as they were listed last, by uid.
-    held: BTreeMap<String, Listed>,
+    held: BTreeMap<String, ListedEndpoint>,
     /// When the next one may be admitted.
     next: Micros,
     held_ever: u64,
     admitted: u64,
 }
 
-fn seen(listed: &Listed) -> EndpointSnapshot {
-    let Listed {
+fn seen(listed: &ListedEndpoint) -> EndpointSnapshot {
+    let ListedEndpoint {
         destination,
         zone,
         weight,
@@ -57,10 +57,10 @@
 }
 
 impl Driver {
-    pub(super) fn freeze(&mut self, freezing: Freezing) {
+    pub(super) fn freeze(&mut self, freezing: FreezeChange) {
         let now = self.now();
         match freezing {
-            Freezing::Off => {
+            FreezeChange::Off => {
                 let held = self
                     .frozen
                     .take()
@@ -68,11 +68,15 @@
                     .unwrap_or_default();
                 self.admit_all(held.into_values().collect());
             }
-            Freezing::On(settings) => match &mut self.frozen {
+            FreezeChange::On(settings) => match &mut self.frozen {
                 Some(frozen) => frozen.settings = settings,
                 None => self.frozen = Some(Box::new(Frozen::new(now, settings))),
             },
-            Freezing::Told { asked, fresh, news } => {
+            FreezeChange::Calendar {
+                asked_at: asked,
+                fresh_for: fresh,
+                update: news,
+            } => {
                 if let Some(frozen) = &mut self.frozen {
                     frozen.gate.apply_update(asked, now, fresh, news);
                 }
@@ -176,7 +180,7 @@
         true
     }
 
-    fn admit_all(&mut self, targets: Vec<Listed>) {
+    fn admit_all(&mut self, targets: Vec<ListedEndpoint>) {
         if !targets.is_empty() {
             let update = ListUpdate {
                 version: self.list_version,
