--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -312,18 +312,18 @@
     /// The number of senders that all is scaled by. Guards destinations against senders that hear less and
     /// grow bolder: it falls below the configured number only once nobody is suspect, a majority of the
     /// configured is known to hold just this view, and it has stood for the cold time; it rises at once, and
-    /// is the configured one in a minority and in in_doubt. Senders never heard of count as living. Could starve
+    /// is the configured one in a minority and in doubt. Senders never heard of count as living. Could starve
     /// a destination for that time after many have gone.
     fn count_senders(&mut self) {
         let (configured, before) = (self.settings.senders, self.counted);
         let target = self.fleet.map_or(configured, |view| {
-            let minority = view.living.saturating_mul(2) <= configured;
-            let gone = if view.in_doubt || minority {
+            let minority = view.present.saturating_mul(2) <= configured;
+            let gone = if view.isolated || minority {
                 0
             } else {
-                view.gone
+                view.departed
             };
-            view.living.max(configured.saturating_sub(gone)).max(1)
+            view.present.max(configured.saturating_sub(gone)).max(1)
         });
         let sure = self
             .fleet
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -299,3 +299,6 @@
         .await
         .map_err(|_| CallError::Time)?
 }
+
+#[cfg(test)]
+mod compatibility;
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -9,7 +9,7 @@
 use message_sender::{
     AgreedRules, Demand, EndpointId, EndpointStatus, FleetView, Micros, Outcome, Quotas, Settings,
 };
-use quota_ledger::gate::News;
+use quota_ledger::gate::FreezeUpdate;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
         /// How long a break-glass override counts by this answer, in microseconds.
         fresh_for: u64,
         /// What the registry answered.
-        update: News,
+        update: FreezeUpdate,
     },
 }
 
--- a/tests/compatibility_interface.rs
+++ b/tests/compatibility_interface.rs
@@ -195,11 +195,11 @@
     check(
         "fleet_view",
         &FleetView {
-            living: u32::MAX,
+            present: u32::MAX,
             suspects: u32::MAX - 1,
-            gone: u32::MAX - 2,
+            departed: u32::MAX - 2,
             agreeing: u32::MAX - 3,
-            in_doubt: true,
+            isolated: true,
         },
     );
 }
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -42,19 +42,12 @@
 
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
-        let fleet_membership::View {
-            living,
-            suspects,
-            gone,
-            holders: agreeing,
-            doubt: in_doubt,
-        } = view;
         FleetView {
-            living,
-            suspects,
-            gone,
-            agreeing,
-            in_doubt,
+            present: view.present,
+            suspects: view.suspects,
+            departed: view.departed,
+            agreeing: view.agreeing,
+            isolated: view.isolated,
         }
     }
 
@@ -99,7 +92,7 @@
 
 /// What a rule without care would scale by: those that answer.
 fn careless(view: FleetView) -> u32 {
-    view.living - view.suspects
+    view.present - view.suspects
 }
 
 #[test]
@@ -172,11 +165,11 @@
         settings.senders = 200;
         let mut module = Sender::new(settings, u64::from(index)).expect("settings make sense");
         let view = FleetView {
-            living: 101 + index % 90,
+            present: 101 + index % 90,
             suspects: 0,
-            gone: 99 - index % 90,
+            departed: 99 - index % 90,
             agreeing: 1 + index % 100,
-            in_doubt: false,
+            isolated: false,
         };
         for step in 1..=30 {
             module.handle(
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -23,13 +23,13 @@
 }
 
 /// All that live hold this view.
-fn view(living: u32, gone: u32) -> FleetView {
+fn view(present: u32, departed: u32) -> FleetView {
     FleetView {
-        living,
+        present,
         suspects: 0,
-        gone,
-        agreeing: living,
-        in_doubt: false,
+        departed,
+        agreeing: present,
+        isolated: false,
     }
 }
 
@@ -49,7 +49,7 @@
             &mut rig,
             SECOND,
             Some(FleetView {
-                in_doubt: true,
+                isolated: true,
                 ..view(61, 39)
             })
         ),
@@ -96,7 +96,7 @@
         (
             "doubt",
             FleetView {
-                in_doubt: true,
+                isolated: true,
                 ..lowered
             },
         ),
@@ -158,11 +158,11 @@
         let (mut before, mut held): (u32, Option<(FleetView, Micros)>) = (configured, None);
         for _ in 0..60 {
             let view = FleetView {
-                living: 1 + below(configured + 3),
+                present: 1 + below(configured + 3),
                 suspects: below(3) / 2,
-                gone: below(configured + 2),
+                departed: below(configured + 2),
                 agreeing: below(configured + 2),
-                in_doubt: below(5) == 0,
+                isolated: below(5) == 0,
             };
             // often the same one again, so that views stand
             let view = held.filter(|_| below(4) > 0).map_or(view, |(view, _)| view);
@@ -178,14 +178,14 @@
                     .map_or(rig.now, |(_, at)| at),
             ));
             let stood = held.is_some_and(|(_, since)| rig.now - since >= STANDS);
-            assert!(now >= view.living.min(before), "{view:?}: {now}");
+            assert!(now >= view.present.min(before), "{view:?}: {now}");
             if now < before && now < configured {
                 assert!(
                     stood && view.suspects == 0 && 2 * view.agreeing > configured,
                     "{view:?}: {before} to {now}"
                 );
             }
-            if view.in_doubt || 2 * view.living <= configured {
+            if view.isolated || 2 * view.present <= configured {
                 assert!(now >= configured, "{view:?}: {now}");
             }
             before = now;
@@ -195,7 +195,7 @@
 
 #[test]
 fn those_that_are_left_try_a_shut_destination_as_often_as_all_did() {
-    // twenty senders, nine of which have gone: what refuses all is tried by the eleven as often as by the twenty
+    // twenty senders, nine of which have departed: what refuses all is tried by the eleven as often as by the twenty
     let tries = |view: Option<FleetView>| {
         let mut settings = settings(8);
         settings.senders = 20;
