--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -19,7 +19,7 @@
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-pub use notices::{Notice, post_notices};
+pub use notices::{OutcomeNotification, post_notices};
 use reading::Reading;
 pub use reading::parse_list;
 use std::error::Error;
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -3,7 +3,7 @@
 use super::backoff::RETRY_FIRST;
 use super::{CallError, back_off_or_move, call};
 use crate::net::events::DriverInput;
-use crate::net::journal::Ending;
+use crate::net::journal::UndeliveredOutcome;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -23,19 +23,19 @@
 
 /// A notice that is owed, by the number of its message.
 #[derive(Debug)]
-pub struct Notice {
+pub struct OutcomeNotification {
     pub number: u64,
     pub id: String,
-    pub ending: Ending,
+    pub outcome: UndeliveredOutcome,
 }
 
 /// Posts notices until each has been answered 204.
 pub async fn post_notices(
     mut agent: Receiver<SocketAddr>,
-    mut queue: mpsc::UnboundedReceiver<Notice>,
+    mut queue: mpsc::UnboundedReceiver<OutcomeNotification>,
     inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
-    let mut owed: BTreeMap<u64, Notice> = BTreeMap::new();
+    let mut owed: BTreeMap<u64, OutcomeNotification> = BTreeMap::new();
     let mut delay = RETRY_FIRST;
     let mut failing = false;
     loop {
@@ -102,11 +102,11 @@
     }
 }
 
-fn line_of(notice: &Notice) -> String {
+fn line_of(notice: &OutcomeNotification) -> String {
     let mut object = serde_json::json!({ "id": notice.id });
-    match notice.ending {
-        Ending::Failed => object["state"] = "failed".into(),
-        Ending::Returned { after_ms } => {
+    match notice.outcome {
+        UndeliveredOutcome::Failed => object["state"] = "failed".into(),
+        UndeliveredOutcome::Returned { after_ms } => {
             object["state"] = "returned".into();
             if let Some(after) = after_ms {
                 object["after_ms"] = after.into();
--- /dev/null
+++ b/src/net/driver/attempts.rs
@@ -0,0 +1,234 @@
+//! Attempts: how they begin, how they are cancelled and how they end.
+
+use super::Driver;
+use super::calls_in_flight::{Bundle, Send, add_to_bundle};
+use super::violations::Violation;
+use crate::net::calls;
+use crate::net::events::{AttemptEnd, HandoverMessage};
+use crate::net::handover::LOST_CALL_OUTCOME;
+use message_sender::decide::AttemptOut;
+use message_sender::{Event, MessageId, Micros, Outcome};
+use tokio::time::Instant;
+
+/// The outcome of an attempt whose call never began.
+pub(super) const NOT_SENT: Outcome = Outcome::Unsent { no_slot: false };
+
+/// What the decision module is told of an attempt without a call of its own.
+fn ended_without_call(attempt: AttemptOut, outcome: Outcome, closed: bool) -> Event {
+    Event::Ended {
+        message: attempt.message,
+        attempt: attempt.number,
+        endpoint: attempt.endpoint,
+        outcome,
+        latency: 0,
+        closed,
+        report: Vec::new(),
+    }
+}
+
+/// What the decision module asks to be sent.
+pub(super) struct SendRequest {
+    pub attempt: AttemptOut,
+    /// The latest time at which an answer counts.
+    pub expires: Micros,
+    /// The call must not begin later.
+    pub start_by: Option<Micros>,
+}
+
+impl Driver {
+    /// Begins an attempt, if what has happened allows it and the journal takes it.
+    pub(super) fn send(&mut self, now: Micros, request: SendRequest, bundles: &mut Vec<Bundle>) {
+        let attempt = request.attempt;
+        let Some(pending) = self.messages.get(attempt.message) else {
+            // the journal has refused it in this very turn
+            return self
+                .events
+                .push(ended_without_call(attempt, NOT_SENT, true));
+        };
+        let open = pending.open;
+        if pending.attempts.len() != attempt.number {
+            self.violations
+                .count(Violation::AttemptNumber, format_args!("{attempt:?}"));
+            return self
+                .events
+                .push(ended_without_call(attempt, NOT_SENT, !open));
+        }
+        let size = calls::bulk_size(&pending.item);
+        self.messages
+            .begin_attempt(attempt.message, attempt.endpoint, now);
+        let Some(endpoint) = self.endpoints.get(attempt.endpoint) else {
+            return self.attempt_not_sent(attempt);
+        };
+        let uid = endpoint.uid.clone();
+        let kind = self.settings.kinds.get(endpoint.kind);
+        let max_messages = kind.map_or(1, |kind| kind.bundle_max);
+        let Some(record) = self.permit_and_record(attempt, &uid, now, open) else {
+            return self.attempt_not_sent(attempt);
+        };
+        if let Some(begun) = self.messages.attempt_mut(attempt.message, attempt.number) {
+            begun.record = Some(record);
+        }
+        let number = attempt.number;
+        self.trace(
+            attempt.message,
+            format_args!("attempt {number} begins at {uid}"),
+        );
+        let send = Send {
+            attempt,
+            expires: request.expires,
+            start_by: request.start_by,
+            size,
+        };
+        add_to_bundle(bundles, send, max_messages);
+    }
+
+    /// The attempt's position in the journal; none if it must not begin.
+    fn permit_and_record(
+        &mut self,
+        attempt: AttemptOut,
+        uid: &str,
+        now: Micros,
+        open: bool,
+    ) -> Option<usize> {
+        if let Err(refusal) = self.lifecycle.begin(attempt.message, now) {
+            if open {
+                self.violations.count(
+                    Violation::CallForbidden(refusal),
+                    format_args!("{attempt:?}"),
+                );
+            }
+            return None;
+        }
+        // one that is not open was dropped in this very turn
+        let record = open
+            .then(|| self.journal.start_attempt(attempt.message, uid, now))
+            .flatten();
+        if record.is_none() {
+            self.lifecycle.ended(attempt.message, NOT_SENT, now, 0);
+        }
+        record
+    }
+
+    /// An attempt that the driver has in flight never left.
+    pub(super) fn attempt_not_sent(&mut self, attempt: AttemptOut) {
+        if !self.end_attempt(attempt.message, attempt.number) {
+            return;
+        }
+        let closed = !self.messages.is_open(attempt.message);
+        self.events
+            .push(ended_without_call(attempt, NOT_SENT, closed));
+        self.messages.forget_if_done(attempt.message);
+    }
+
+    /// Marks an attempt as no longer in flight; false, and a violation, if it was not in flight.
+    fn end_attempt(&mut self, message: MessageId, number: usize) -> bool {
+        let ended = self.messages.end_attempt(message, number).is_some();
+        if !ended {
+            self.count_unknown_outcome(message, number);
+        }
+        ended
+    }
+
+    fn count_unknown_outcome(&mut self, message: MessageId, number: usize) {
+        self.violations.count(
+            Violation::OutcomeUnknown,
+            format_args!("{message:?}, attempt {number}"),
+        );
+    }
+
+    /// An attempt's call has told how it ended.
+    pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
+        let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.item) else {
+            let AttemptEnd { call, item, .. } = end;
+            return self.violations.count(
+                Violation::OutcomeUnknown,
+                format_args!("call {call}, item {item}"),
+            );
+        };
+        let Some(attempt) = self.messages.end_attempt(message, number) else {
+            return self.count_unknown_outcome(message, number);
+        };
+        self.trace(
+            message,
+            format_args!(
+                "attempt {number} ended: {:?}, closed {}",
+                end.outcome, end.closed
+            ),
+        );
+        self.end_call_item(end.call);
+        let now = self.clock.at(Instant::now());
+        let key_backoff = self.settings.safety.key_rest;
+        self.lifecycle.ended(message, end.outcome, now, key_backoff);
+        if let Some(record) = attempt.record
+            && end.outcome.never_ran()
+            && self.messages.is_open(message)
+        {
+            self.journal.attempt_never_ran(message, record);
+        }
+        if let Outcome::Refused { wait: Some(wait) } = end.outcome {
+            self.delay_connections(attempt.endpoint, wait);
+        }
+        if let Some(wait) = end.retry_after {
+            self.retry_after(attempt.endpoint, wait);
+        }
+        if end.closed {
+            if end.outcome == Outcome::Success {
+                self.messages.remember_delivered(message);
+            }
+            self.complete(message);
+        }
+        self.events.push(Event::Ended {
+            message,
+            attempt: number,
+            endpoint: attempt.endpoint,
+            outcome: end.outcome,
+            latency: now - attempt.sent_at,
+            closed: !self.messages.is_open(message),
+            report: end.report,
+        });
+        self.messages.forget_if_done(message);
+    }
+
+    /// Finds attempts whose outcome the decision module would wait for in vain, and gives them one; false if there are
+    /// none.
+    pub(super) fn find_lost_attempts(&mut self) -> bool {
+        if self.sender.attempts_out() == self.messages.attempts_in_flight() {
+            return false;
+        }
+        let mut lost = self.sender.list_attempts_out();
+        lost.retain(|attempt| !self.messages.is_in_flight(attempt.message, attempt.number));
+        for attempt in &lost {
+            self.violations
+                .count(Violation::AttemptLost, format_args!("{attempt:?}"));
+            let closed = !self.messages.is_open(attempt.message);
+            self.events
+                .push(ended_without_call(*attempt, LOST_CALL_OUTCOME, closed));
+        }
+        !lost.is_empty()
+    }
+
+    /// Cancels an attempt, here or in the predecessor that has it in flight.
+    pub(super) fn cancel(&mut self, message: MessageId, number: usize) {
+        let attempt = self.messages.attempt(message, number);
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
+            return;
+        };
+        let call = attempt.call;
+        let item = attempt.item;
+        self.trace(message, format_args!("attempt {number} is called off"));
+        let Some(in_flight) = self.calls_in_flight.get(call) else {
+            return self.violations.count(
+                Violation::CancelUnknown,
+                format_args!("{message:?}, attempt {number}"),
+            );
+        };
+        // a call that has just ended has told how
+        match (&in_flight.cancels, &self.predecessor) {
+            (Some(cancels), _) => drop(cancels.send(item)),
+            (None, Some(predecessor)) => {
+                predecessor.send(HandoverMessage::CancelAttempt { call, item });
+            }
+            (None, None) => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/net/driver/completion.rs
@@ -0,0 +1,109 @@
+//! How messages become complete, and the notifications of those that end undelivered: the platform is notified once the
+//! end is durable, or once no later process could send the message any more.
+
+use super::Driver;
+use crate::net::discovery::OutcomeNotification;
+use crate::net::journal::UndeliveredOutcome;
+use message_sender::decide::MARGIN;
+use message_sender::{Event, MessageId, Micros};
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// A notification that must wait: a later process would not know of the end, and would send the message.
+struct PendingNotification {
+    notification: OutcomeNotification,
+    /// From then on no process sends the message.
+    no_send_after: Micros,
+}
+
+/// The notifications of messages that ended undelivered.
+pub(super) struct Notifications {
+    queue: mpsc::UnboundedSender<OutcomeNotification>,
+    pending: Vec<PendingNotification>,
+}
+
+impl Notifications {
+    pub fn new(queue: mpsc::UnboundedSender<OutcomeNotification>) -> Self {
+        Notifications {
+            queue,
+            pending: Vec::new(),
+        }
+    }
+
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    /// When the next notification can be sent though its end is not durable.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.pending.iter().map(|end| end.no_send_after).min()
+    }
+
+    pub fn send(&self, notification: OutcomeNotification) {
+        // the task that posts them lives as long as the process
+        let _ = self.queue.send(notification);
+    }
+
+    /// Sends the notifications of ends that no later process can undo.
+    fn send_final(&mut self, now: Micros, all_durable: bool) {
+        let is_final = |end: &PendingNotification| all_durable || end.no_send_after <= now;
+        let pending = std::mem::take(&mut self.pending);
+        let (ready, waiting): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_final);
+        self.pending = waiting;
+        for end in ready {
+            self.send(end.notification);
+        }
+    }
+}
+
+impl Driver {
+    /// Nothing more is to be done for the message.
+    pub(super) fn complete(&mut self, message: MessageId) {
+        self.lifecycle.over(message);
+        if self.messages.close(message) {
+            self.journal.complete(message);
+        }
+    }
+
+    /// The decision module has ended the message undelivered.
+    pub(super) fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
+        let Some(pending) = self.messages.get(message).filter(|held| held.open) else {
+            // its client's own answer told it: no notification is due
+            return self.events.push(Event::Noticed(message));
+        };
+        let id = pending.item.id.clone();
+        let unfinished = self.journal.unfinished().get(&message.0);
+        let deadline = unfinished.map_or(Micros::MIN, |unfinished| unfinished.accepted.deadline);
+        crate::net::trace(&id, format_args!("ended undelivered: {outcome:?}"));
+        self.journal.end_undelivered(message, outcome);
+        self.lifecycle.close(message);
+        self.messages.close(message);
+        let notification = OutcomeNotification {
+            number: message.0,
+            id: id.to_str().map(str::to_string).unwrap_or_default(),
+            outcome,
+        };
+        self.notifications.pending.push(PendingNotification {
+            notification,
+            no_send_after: deadline.saturating_sub(MARGIN),
+        });
+    }
+
+    /// Sends the notifications that need not wait any longer.
+    pub(super) fn send_final_notifications(&mut self) {
+        if self.notifications.has_pending() {
+            let now = self.clock.at(Instant::now());
+            let all_durable = !self.journal.has_pending();
+            self.notifications.send_final(now, all_durable);
+        }
+    }
+
+    /// The platform has accepted the notifications of these messages.
+    pub(super) fn notifications_delivered(&mut self, numbers: Vec<u64>) {
+        for message in numbers.into_iter().map(MessageId) {
+            self.journal.complete(message);
+            self.lifecycle.over(message);
+            self.events.push(Event::Noticed(message));
+        }
+    }
+}
--- /dev/null
+++ b/src/net/driver/draining_predecessor.rs
@@ -0,0 +1,195 @@
+//! What is left of a process that has handed over: it reports how its calls end, and forwards what clients and operators
+//! still bring. It decides nothing, writes nothing down and starts no call.
+
+use super::ClientSlots;
+use super::calls_in_flight::CallsInFlight;
+use crate::net;
+use crate::net::clock::Clock;
+use crate::net::events::{
+    AdminCommand, AdminResult, AttemptEnd, DriverInput, ForwardedSubmission, HandoverMessage,
+    Submission, SubmissionResult,
+};
+use crate::net::handover::{LinkError, LinkWriter, text};
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::interval;
+
+/// How often it is looked at whether all is done.
+const DONE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A process after the handover.
+pub(super) struct DrainingPredecessor {
+    writer: LinkWriter,
+    clock: Clock,
+    calls_in_flight: CallsInFlight,
+    client_slots: ClientSlots,
+    /// Clients that wait for the successor's answer, by number of their submission.
+    clients: HashMap<u64, oneshot::Sender<SubmissionResult>>,
+    /// Operators that wait for the successor's result, by number of their command.
+    operators: HashMap<u64, oneshot::Sender<AdminResult>>,
+    last_number: u64,
+}
+
+impl DrainingPredecessor {
+    pub fn new(
+        writer: LinkWriter,
+        clock: Clock,
+        calls_in_flight: CallsInFlight,
+        client_slots: ClientSlots,
+    ) -> Self {
+        DrainingPredecessor {
+            writer,
+            clock,
+            calls_in_flight,
+            client_slots,
+            clients: HashMap::new(),
+            operators: HashMap::new(),
+            last_number: 0,
+        }
+    }
+
+    /// Runs until no call is in flight and no client is connected, or the successor is gone.
+    pub async fn run(
+        mut self,
+        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
+        mut commands: mpsc::Receiver<AdminCommand>,
+    ) {
+        let mut done_check = interval(DONE_CHECK_INTERVAL);
+        loop {
+            let sent = tokio::select! {
+                biased;
+                Some(command) = commands.recv() => self.forward_command(command).await,
+                _ = done_check.tick() => {
+                    if self.is_done() {
+                        net::log(format_args!("upgrade: all is done here, the old process ends"));
+                        return;
+                    }
+                    Ok(())
+                }
+                Some(input) = inputs.recv() => self.receive(input).await,
+            };
+            if let Err(error) = sent {
+                // whoever takes the journal next must not meet calls that still run
+                return net::log(format_args!(
+                    "upgrade: the new process is lost, the old one ends: {error}"
+                ));
+            }
+        }
+    }
+
+    fn is_done(&self) -> bool {
+        let nobody_waits = self.clients.is_empty() && self.operators.is_empty();
+        self.calls_in_flight.is_empty() && nobody_waits && self.client_slots.in_use() == 0
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    async fn forward_command(&mut self, command: AdminCommand) -> Result<(), LinkError> {
+        let AdminCommand::SetDisabled {
+            uid,
+            disabled,
+            reply,
+        } = command
+        else {
+            return Ok(());
+        };
+        let number = self.next_number();
+        self.operators.insert(number, reply);
+        let forwarded = HandoverMessage::AdminCommand {
+            number,
+            uid,
+            disabled,
+        };
+        self.writer.send_message(forwarded).await
+    }
+
+    async fn receive(&mut self, input: DriverInput) -> Result<(), LinkError> {
+        match input {
+            DriverInput::Submitted(submission) => self.forward_submission(submission).await,
+            DriverInput::ClientDisconnected(id) => {
+                let message = HandoverMessage::ClientDisconnected(text(&id));
+                self.writer.send_message(message).await
+            }
+            DriverInput::AttemptEnded(end) => self.report_attempt(end).await,
+            DriverInput::Handover(message) => {
+                self.receive_from_successor(message);
+                Ok(())
+            }
+            DriverInput::HandoverLinkLost => Err(LinkError::Unexpected),
+            // no message of the link carries a wait without its call's end (docs/ROADMAP.md)
+            DriverInput::RetryAfter { .. } => Ok(()),
+            // the successor reads lists and settings itself, and posts notifications
+            DriverInput::SettingsChanged(_)
+            | DriverInput::AgreedRules { .. }
+            | DriverInput::Quotas { .. }
+            | DriverInput::Freeze(_)
+            | DriverInput::FleetHealth { .. }
+            | DriverInput::Demand { .. }
+            | DriverInput::FleetView(_)
+            | DriverInput::EndpointList(_)
+            | DriverInput::ListStale(_)
+            | DriverInput::NotificationsDelivered(_)
+            | DriverInput::ShuttingDown(_) => Ok(()),
+        }
+    }
+
+    async fn forward_submission(&mut self, submission: Submission) -> Result<(), LinkError> {
+        let number = self.next_number();
+        let forwarded = ForwardedSubmission {
+            id: text(&submission.id),
+            key: submission.key.as_ref().map(text),
+            subject: submission.subject,
+            tenant: submission.tenant,
+            class: submission.class,
+            destination: submission.destination,
+            time_limit: submission.time_limit,
+            received_at: self.clock.at(submission.received_at),
+            again: submission.again,
+            orphan: submission.orphan,
+            body: submission.body.to_vec(),
+        };
+        self.clients.insert(number, submission.reply);
+        let message = HandoverMessage::Submitted {
+            number,
+            submission: Box::new(forwarded),
+        };
+        self.writer.send_message(message).await
+    }
+
+    async fn report_attempt(&mut self, end: AttemptEnd) -> Result<(), LinkError> {
+        self.calls_in_flight.end_item(end.call);
+        let message = HandoverMessage::AttemptEnded(end);
+        self.writer.send_message(message).await
+    }
+
+    fn receive_from_successor(&mut self, message: HandoverMessage) {
+        match message {
+            HandoverMessage::CancelAttempt { call, item } => {
+                let call = self.calls_in_flight.get(call);
+                if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
+                    // a call that has just ended has told how
+                    let _ = cancels.send(item);
+                }
+            }
+            HandoverMessage::Answered { number, result } => {
+                if let Some(client) = self.clients.remove(&number) {
+                    let _ = client.send(result); // a client that is gone has said so by its guard
+                }
+            }
+            HandoverMessage::AdminResult { number, result } => {
+                if let Some(operator) = self.operators.remove(&number) {
+                    let _ = operator.send(result); // an operator that has gone sees the log
+                }
+            }
+            // what only a predecessor sends
+            HandoverMessage::AttemptEnded(_)
+            | HandoverMessage::Submitted { .. }
+            | HandoverMessage::ClientDisconnected(_)
+            | HandoverMessage::AdminCommand { .. } => {}
+        }
+    }
+}
--- /dev/null
+++ b/src/net/driver/freeze_filter.rs
@@ -0,0 +1,232 @@
+//! What a freeze holds back of the endpoint list: such entries are not used, counted, reported, and admitted one after
+//! another once the freeze ends. What a list takes away is always obeyed.
+
+use super::Driver;
+use super::endpoints::EndpointRecord;
+use crate::net;
+use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
+use crate::net::freeze::settings::FreezeSettings;
+use message_sender::{MILLISECOND, Micros, Status};
+use quota_ledger::gate::{Gate, Seen, widens};
+use rand_pcg::Pcg32;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
+use serde_json::json;
+use std::collections::{BTreeMap, BTreeSet};
+use tokio::time::Instant;
+
+/// The freeze, while it is on in the configuration.
+pub(super) struct FreezeFilter {
+    gate: Gate,
+    settings: FreezeSettings,
+    /// Entries that are held back, as they were listed last, by uid.
+    held_back: BTreeMap<String, ListedEndpoint>,
+    /// When the next one may be admitted.
+    next_admission: Micros,
+    /// How often an entry was held back.
+    held_back_count: u64,
+    /// Entries that were admitted afterwards.
+    admitted_count: u64,
+}
+
+/// An entry of the list as the freeze compares it.
+fn listed_state(listed: &ListedEndpoint) -> Seen {
+    Seen {
+        up: listed.status == Status::Serving,
+        destination: listed.destination,
+        zone: listed.zone.clone(),
+        weight: listed.weight,
+    }
+}
+
+/// What is known of an endpoint that the last list had.
+fn known_state(record: &EndpointRecord) -> Option<Seen> {
+    record.listed.then(|| Seen {
+        up: record.serving,
+        destination: record.destination,
+        zone: record.zone.clone(),
+        weight: record.weight,
+    })
+}
+
+impl FreezeFilter {
+    fn new(now: u64, settings: FreezeSettings) -> Self {
+        FreezeFilter {
+            gate: Gate::new(now, settings.unknown_ms * 1000),
+            settings,
+            held_back: BTreeMap::new(),
+            next_admission: 0,
+            held_back_count: 0,
+            admitted_count: 0,
+        }
+    }
+
+    /// Forgets entries that a full list does not name any more.
+    fn retain_listed(&mut self, listed: &[ListedEndpoint]) {
+        let names: BTreeSet<&str> = listed.iter().map(|entry| entry.uid.as_str()).collect();
+        self.held_back.retain(|uid, _| names.contains(uid.as_str()));
+    }
+
+    /// What of an entry may be used now; `before` is what the endpoint was so far.
+    fn filter(
+        &mut self,
+        now: u64,
+        mut entry: ListedEndpoint,
+        before: Option<Seen>,
+    ) -> Option<ListedEndpoint> {
+        self.held_back.remove(&entry.uid);
+        let resource = widens(before.as_ref(), &listed_state(&entry));
+        let verdict = resource.map(|resource| self.gate.judge(now, &resource));
+        let Some(Err(error)) = verdict else {
+            return Some(entry);
+        };
+        self.held_back_count += 1;
+        net::log(format_args!("freeze: {} is held: {error}", entry.uid));
+        self.held_back.insert(entry.uid.clone(), entry.clone());
+        let before = before?;
+        if before.destination == entry.destination && before.zone == entry.zone {
+            // it stays what it was
+            entry.weight = before.weight;
+            entry.status = if before.up {
+                Status::Serving
+            } else {
+                Status::Draining
+            };
+        } else {
+            entry.destination = before.destination;
+            entry.zone = before.zone;
+            entry.status = Status::Gone;
+        }
+        Some(entry)
+    }
+}
+
+impl Driver {
+    /// The freeze calendar or its settings changed.
+    pub(super) fn change_freeze(&mut self, change: FreezeChange) {
+        let now = self.freeze_time();
+        match change {
+            FreezeChange::Off => {
+                let filter = self.freeze.take();
+                let held_back = filter.map(|filter| filter.held_back).unwrap_or_default();
+                self.admit_entries(held_back.into_values().collect());
+            }
+            FreezeChange::On(settings) => match &mut self.freeze {
+                Some(filter) => filter.settings = settings,
+                None => self.freeze = Some(Box::new(FreezeFilter::new(now, settings))),
+            },
+            FreezeChange::Calendar {
+                asked_at,
+                fresh_for,
+                update,
+            } => {
+                if let Some(filter) = &mut self.freeze {
+                    filter.gate.hear(asked_at, now, fresh_for, update);
+                }
+            }
+        }
+    }
+
+    /// Module time, as the freeze calendar counts it.
+    fn freeze_time(&self) -> u64 {
+        u64::try_from(self.clock.at(Instant::now())).unwrap_or(0)
+    }
+
+    /// The list without what is held back of it.
+    pub(super) fn hold_back_frozen(&mut self, mut update: ListUpdate) -> ListUpdate {
+        let now = self.freeze_time();
+        let Some(filter) = &mut self.freeze else {
+            return update;
+        };
+        if update.full {
+            filter.retain_listed(&update.targets);
+        }
+        // with no list at all it serves with what it gets
+        if !self.endpoints.is_any_listed() {
+            return update;
+        }
+        let endpoints = &self.endpoints;
+        let usable = update.targets.into_iter().filter_map(|entry| {
+            let before = endpoints.by_uid(&entry.uid).and_then(known_state);
+            filter.filter(now, entry, before)
+        });
+        update.targets = usable.collect();
+        update
+    }
+
+    /// Admits what is held back no more, one entry at a time; true if one was.
+    pub(super) fn admit_unfrozen(&mut self) -> bool {
+        let now = self.freeze_time();
+        let at = self.clock.at(Instant::now());
+        let Some(filter) = &mut self.freeze else {
+            return false;
+        };
+        if filter.held_back.is_empty() || at < filter.next_admission {
+            return false;
+        }
+        let endpoints = &self.endpoints;
+        let free = filter.held_back.iter().find(|(uid, entry)| {
+            let before = endpoints.by_uid(uid).and_then(known_state);
+            widens(before.as_ref(), &listed_state(entry))
+                .is_none_or(|resource| filter.gate.judge(now, &resource).is_ok())
+        });
+        let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
+            return false;
+        };
+        let Some(entry) = filter.held_back.remove(&uid) else {
+            return false;
+        };
+        // senders whose freeze ends at one moment do not admit the same entry at that moment
+        let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
+        filter.next_admission = at + interval / 2 + self.admission_jitter.next(interval);
+        filter.admitted_count += 1;
+        net::log(format_args!("freeze: {uid} is admitted"));
+        self.admit_entries(vec![entry]);
+        true
+    }
+
+    fn admit_entries(&mut self, targets: Vec<ListedEndpoint>) {
+        if !targets.is_empty() {
+            self.apply_list(ListUpdate {
+                version: self.list.version,
+                full: false,
+                targets,
+            });
+        }
+    }
+
+    /// Whether entries of the list are held back.
+    pub(super) fn has_held_back_entries(&self) -> bool {
+        let filter = self.freeze.as_ref();
+        filter.is_some_and(|filter| !filter.held_back.is_empty())
+    }
+
+    /// How the freeze stands here, as JSON; none while it is off.
+    pub(super) fn freeze_report(&self) -> Option<String> {
+        let filter = self.freeze.as_ref()?;
+        let report = json!({
+            "calendar": filter.gate.rev(),
+            "on": filter.gate.on(self.freeze_time()),
+            "held": filter.held_back.keys().collect::<Vec<_>>(),
+            "held_ever": filter.held_back_count,
+            "admitted": filter.admitted_count,
+        });
+        Some(report.to_string())
+    }
+}
+
+/// Jitter between admissions, which differs from sender to sender.
+pub(super) struct AdmissionJitter(u64);
+
+impl AdmissionJitter {
+    pub fn new(seed: u64) -> Self {
+        AdmissionJitter(seed)
+    }
+
+    /// A further time up to `interval`.
+    fn next(&mut self, interval: Micros) -> Micros {
+        self.0 = self.0.wrapping_add(1);
+        let draw = Pcg32::seed_from_u64(self.0).next_u32();
+        let part = f64::from(draw) / f64::from(u32::MAX);
+        (interval as f64 * part) as Micros
+    }
+}
--- /dev/null
+++ b/src/net/driver/handover.rs
@@ -0,0 +1,171 @@
+//! The predecessor's side of a handover: all state goes to the successor, which alone owns the messages from then on.
+
+use super::Driver;
+use super::draining_predecessor::DrainingPredecessor;
+use super::endpoints::EndpointRecord;
+use super::messages::{Attempt, Message};
+use crate::net;
+use crate::net::calls::CallOut;
+use crate::net::handover::{
+    AttemptState, CallItemState, CallState, EndpointState, HandoverState, Link, LinkError,
+    MessageState, SuccessorRequest, text,
+};
+use message_sender::{EndpointId, MessageId};
+
+/// What follows a successor's request.
+pub(super) enum AfterRequest {
+    /// This process still owns the messages.
+    Continue,
+    /// The successor owns the messages; this process ends once its calls and clients have.
+    Drain(Link),
+    /// The successor owns the messages, and this process ends at once.
+    Exit,
+}
+
+impl Driver {
+    /// Hands all state over, if the successor takes it; nothing is decided meanwhile.
+    pub(super) async fn hand_over(&mut self, request: SuccessorRequest) -> AfterRequest {
+        let mut link = match request {
+            SuccessorRequest::SameVersion(link) => link,
+            SuccessorRequest::OtherVersion => {
+                net::log(format_args!(
+                    "upgrade: the new process speaks another version, this one ends"
+                ));
+                return AfterRequest::Exit;
+            }
+        };
+        if self.predecessor.is_some() {
+            return AfterRequest::Continue; // it asks again once the process before this one is gone
+        }
+        self.take_turns();
+        if self.journal.has_pending() {
+            return AfterRequest::Continue; // what it would read is not all that has happened: it asks again
+        }
+        let state = match self.handover_state() {
+            Ok(state) => state,
+            Err(error) => {
+                net::log(format_args!("upgrade: not handed over: {error}"));
+                return AfterRequest::Continue;
+            }
+        };
+        let sent = match self.process.lock.release() {
+            Ok(()) => link.send_state(state).await,
+            Err(error) => Err(error.into()),
+        };
+        match sent {
+            Ok(()) => {
+                let messages = self.messages.open_count();
+                let calls = self.calls_in_flight.len();
+                net::log(format_args!(
+                    "upgrade: handed over {messages} messages, {calls} calls are out"
+                ));
+                AfterRequest::Drain(link)
+            }
+            Err(error) => self.resume_after(error).await,
+        }
+    }
+
+    /// The successor did not take over: this process goes on, if it gets the lock back.
+    async fn resume_after(&mut self, error: LinkError) -> AfterRequest {
+        if !self.process.lock.try_acquire().unwrap_or(false) {
+            net::log(format_args!(
+                "upgrade: another process owns the journal, this one ends"
+            ));
+            return AfterRequest::Exit;
+        }
+        net::log(format_args!(
+            "upgrade: not taken over, this process goes on: {error}"
+        ));
+        match self.journal.reopen().await {
+            Ok(()) => AfterRequest::Continue,
+            Err(error) => {
+                net::log(format_args!(
+                    "upgrade: the journal is lost, this process ends: {error}"
+                ));
+                AfterRequest::Exit
+            }
+        }
+    }
+
+    fn handover_state(&self) -> Result<HandoverState, postcard::Error> {
+        // what a freeze holds back of the list is not handed over: the successor asks for all of it
+        let list_version = if self.has_held_back_entries() {
+            0
+        } else {
+            self.list.version
+        };
+        Ok(HandoverState {
+            sender: postcard::to_allocvec(&self.sender)?,
+            names: self.names.clone(),
+            endpoints: self.endpoints.iter().map(endpoint_state).collect(),
+            next_endpoint: self.endpoints.next_number(),
+            messages: self.messages.iter().map(message_state).collect(),
+            next_message: self.messages.next_number(),
+            calls: self.calls_in_flight.iter().map(call_state).collect(),
+            next_call: self.calls_in_flight.next_number(),
+            delivered: self.messages.delivered_ids().map(text).collect(),
+            list_version,
+            timer: self.timer,
+            client_connections: self.process.client_slots.in_use(),
+        })
+    }
+
+    /// What is left of this process once its successor has taken over.
+    pub(super) fn into_draining_predecessor(self, link: Link) -> DrainingPredecessor {
+        self.process.draining.set(true);
+        self.process.handed_over.send_replace(true);
+        self.calls.connections().leave();
+        let writer = link.listen(self.process.inputs);
+        let slots = self.process.client_slots;
+        DrainingPredecessor::new(writer, self.clock, self.calls_in_flight, slots)
+    }
+}
+
+fn endpoint_state((endpoint, record): (EndpointId, &EndpointRecord)) -> EndpointState {
+    EndpointState {
+        endpoint: endpoint.0,
+        uid: record.uid.clone(),
+        address: record.address,
+        kind: record.kind,
+        destination: record.destination,
+        listed: record.listed,
+        serving: record.serving,
+        zone: record.zone.clone(),
+        weight: record.weight,
+    }
+}
+
+fn message_state((number, message): (MessageId, &Message)) -> MessageState {
+    MessageState {
+        number: number.0,
+        id: text(&message.item.id),
+        key: message.item.key.as_ref().map(text),
+        body: message.item.body.to_vec(),
+        open: message.open,
+        clients: message.clients,
+        attempts: message.attempts.iter().map(attempt_state).collect(),
+    }
+}
+
+fn attempt_state(attempt: &Attempt) -> AttemptState {
+    AttemptState {
+        endpoint: attempt.endpoint.0,
+        sent_at: attempt.sent_at,
+        call: attempt.call,
+        item: attempt.item,
+        in_flight: attempt.in_flight,
+        record: attempt.record,
+    }
+}
+
+fn call_state((number, call): (u64, &CallOut)) -> CallState {
+    let item = |&(message, attempt): &(MessageId, usize)| CallItemState {
+        message: message.0,
+        attempt,
+    };
+    CallState {
+        number,
+        items: call.items.iter().map(item).collect(),
+        left: call.left,
+    }
+}
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,399 +1,328 @@
-//! The turns: all that is ready becomes events, the decision module is asked once, its actions become calls.
-//! This is the only owner of the module and of the messages.
+//! The event loop: the only owner of the decision module and of the messages.
+//!
+//! All input that is ready becomes events, the decision module is asked once, and its actions are carried out: one turn.
+//! Each kind of state has a module of its own ([`endpoints`], [`messages`], [`calls_in_flight`], [`journal_state`],
+//! [`completion`], [`submissions`]); so has each job.
 
-mod frozen;
-mod handing;
-mod intake;
-mod orders;
-mod outcomes;
-mod routes;
-mod undelivered;
+mod admin;
+mod attempts;
+mod calls_in_flight;
+mod completion;
+mod draining_predecessor;
+mod endpoint_list;
+mod endpoints;
+mod freeze_filter;
+mod handover;
+mod journal_state;
+mod messages;
+mod process_state;
+mod recovery;
+mod settings;
+mod submissions;
+mod takeover;
+mod turn;
 mod violations;
 
-use super::RateLimitedLog;
-use super::calls::{CallOut, Calls, Item};
+use super::calls::Calls;
 use super::clock::Clock;
-use super::discovery::Notice;
-use super::events::{
-    AdminCommand, DemandReport, DriverInput, HandoverMessage, ListUpdate, SettingsUpdate,
-    Submission, SubmissionResult,
-};
-use super::journal::{Ending, Journal, JournalError};
+use super::discovery::OutcomeNotification;
+use super::events::{AdminCommand, DemandReport, DriverInput, ListUpdate, SettingsUpdate};
+use super::handover::{HandoverState, SuccessorRequest};
+use super::journal::Journal;
 use super::local_errors::RETRY_INTERVAL;
-use super::server::Classes;
-use super::upgrade::{Handover, Link, Lock, Successor};
-use hyper::header::HeaderValue;
-use message_sender::decide::AttemptOut;
+use calls_in_flight::CallsInFlight;
+use completion::Notifications;
+use endpoint_list::ListState;
+use endpoints::Endpoints;
+use freeze_filter::{AdmissionJitter, FreezeFilter};
+use handover::AfterRequest;
+
+use journal_state::JournalState;
 use message_sender::lifecycle::Lifecycle;
-use message_sender::pool::PoolSettings;
 use message_sender::wire::Names;
-use message_sender::{
-    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender,
-    Settings,
-};
-use std::cell::Cell;
-use std::collections::{BTreeMap, HashMap, VecDeque};
-use std::net::SocketAddr;
-use std::rc::Rc;
-use std::sync::Arc;
+use message_sender::{Agreed, Bounds, Event, MessageId, Micros, Quotas, Sender, Settings};
+use messages::Messages;
+pub use process_state::{ClientSlots, ProcessState};
 use std::time::Duration;
-use tokio::sync::{Semaphore, mpsc, oneshot, watch};
-use tokio::time::{Instant, MissedTickBehavior, sleep_until};
-use undelivered::Untold;
+use submissions::WaitingClients;
+use takeover::Predecessor;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 use violations::Violations;
 
-/// Delivered ids that are remembered, for clients whose request crossed a closed connection.
-const REMEMBERED: usize = 4096;
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_millis(250);
-/// What goes and comes back within this time is the same endpoint still, with its waits: longer than these are.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
-/// Inputs taken into one turn, so that a turn stays short: the ends of a call to each of as many endpoints.
-const MOST_AT_ONCE: usize = 1024;
-
-#[derive(Clone)]
-struct Attempt {
-    endpoint: EndpointId,
-    sent: Micros,
-    call: u64,
-    item: usize,
-    out: bool,
-    /// Its position in the journal; none where it was not written down, so that it never left.
-    record: Option<usize>,
-}
-
-struct Message {
-    item: Item,
-    open: bool,
-    /// Clients that were told, or are to be told, that it is taken on.
-    clients: usize,
-    /// Attempts of an earlier life count too, as calls that are over.
-    attempts: Vec<Attempt>,
-}
-
-/// A turn's sends to one endpoint that travel together.
-struct Bundle {
-    endpoint: EndpointId,
-    expires: Micros,
-    /// None of them may begin later.
-    start_by: Option<Micros>,
-    sends: Vec<(MessageId, usize)>,
-    size: usize,
-}
+/// How often idle connections are closed and frozen entries are looked at.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Inputs of one turn, so that a turn stays short: the ends of a call to each of as many endpoints.
+const MAX_INPUTS_PER_TURN: usize = 1024;
 
-/// Where an endpoint is and what its kind allows.
-struct Route {
-    uid: String,
-    address: Option<SocketAddr>,
-    /// Its kind, by position in the settings.
-    kind: usize,
-    destination: u64,
-    /// The last list that named it did not say that it is gone.
-    listed: bool,
-    /// Nor that it drains.
-    up: bool,
-    /// Its zone and weight, as listed last.
-    zone: String,
-    weight: f64,
-    /// Since when nothing needs it any more, as far as that has been looked at.
-    gone: Option<Instant>,
+/// What the driver works with.
+pub struct Dependencies {
+    /// State that it shares with the other tasks.
+    pub process: ProcessState,
+    /// The open journal.
+    pub journal: Journal,
+    /// Starts calls to endpoints.
+    pub calls: Calls,
+    /// Takes the notifications of undelivered messages.
+    pub notifications: mpsc::UnboundedSender<OutcomeNotification>,
+    /// Set once endpoints are known.
+    pub ready: watch::Sender<bool>,
+    /// Seed of the jitter of frozen entries.
+    pub seed: u64,
 }
 
-/// What the driver has in common with the rest of the process.
-pub struct Shared {
-    pub clock: Clock,
-    pub inputs: mpsc::UnboundedSender<DriverInput>,
-    pub lock: Lock,
-    /// The clients' places, and how many there are when none is taken.
-    pub places: Arc<Semaphore>,
-    pub most: usize,
-    /// What clients may name.
-    pub classes: Classes,
-    /// Tells that the process takes nothing new, and that another has taken over.
-    pub draining: Rc<Cell<bool>>,
-    pub handed: watch::Sender<bool>,
-    /// The number of senders that the decisions scale by.
-    pub counted: Rc<Cell<u32>>,
-    /// The version of the list that they go by.
-    pub listed: Rc<Cell<u64>>,
+/// What the driver starts from.
+pub struct InitialState {
+    /// The decision module, new or handed over.
+    pub sender: Sender,
+    /// The settings of the configuration file.
+    pub settings: SettingsUpdate,
+    /// The endpoint list of the configuration file.
+    pub known_list: Option<ListUpdate>,
+    /// Rules that hold until some are leased; none while agreement is off.
+    pub fallback_rules: Option<Bounds>,
+    /// Quotas that hold until some are leased; none while the ledger is off.
+    pub fallback_quotas: Option<Quotas>,
+    /// What a predecessor handed over, but for the decision module.
+    pub handover: Option<HandoverState>,
 }
 
-/// What follows once a next process has asked.
-enum Next {
-    GoOn,
-    Leave(Link),
-    End,
+/// The channels that the event loop reads.
+pub struct DriverChannels {
+    /// Input of the other tasks.
+    pub inputs: mpsc::UnboundedReceiver<DriverInput>,
+    /// Commands of operators.
+    pub commands: mpsc::Receiver<AdminCommand>,
+    /// Processes that ask to take over.
+    pub successors: mpsc::Receiver<SuccessorRequest>,
 }
 
-/// Owner of the module and the messages.
+/// Owner of the decision module and of the messages.
 pub struct Driver {
     sender: Sender,
     clock: Clock,
     names: Names,
-    /// As the module has them: all that was ever in force, each in its place.
+    /// As the decision module has them: all that was ever in force, each at its position.
     settings: Settings,
-    pool: PoolSettings,
-    journal: Journal,
-    calls: Calls,
-    notices: mpsc::UnboundedSender<Notice>,
-    ready: watch::Sender<bool>,
-    routes: BTreeMap<EndpointId, Route>,
-    next_endpoint: u32,
-    by_uid: HashMap<String, EndpointId>,
-    messages: BTreeMap<MessageId, Message>,
-    /// Attempts of all messages that have no outcome yet.
-    attempts_out: usize,
-    violations: Violations,
     /// What has happened to each message: asked before a call begins.
     lifecycle: Lifecycle,
-    by_id: HashMap<HeaderValue, MessageId>,
-    next_message: u64,
-    out: BTreeMap<u64, CallOut>,
-    next_call: u64,
-    delivered: VecDeque<HeaderValue>,
-    /// Messages that came in this turn, with their clients and the times when these sent them.
-    arrived: BTreeMap<MessageId, (Submission, Micros)>,
-    /// Clients that handed in once more what came in this turn: a promise to them must wait for the journal.
-    doubled: Vec<(MessageId, HeaderValue, oneshot::Sender<SubmissionResult>)>,
+    journal: JournalState,
+    messages: Messages,
+    clients: WaitingClients,
+    calls: Calls,
+    calls_in_flight: CallsInFlight,
+    notifications: Notifications,
+    endpoints: Endpoints,
+    list: ListState,
+    /// What a freeze holds back of the list; none while it is off.
+    freeze: Option<Box<FreezeFilter>>,
+    admission_jitter: AdmissionJitter,
+    /// Events of the next turn.
     events: Vec<Event>,
-    alarm: Option<Micros>,
-    journal_fault: RateLimitedLog,
-    /// What the module knows of the journal: that it can't be written.
-    host_failing: bool,
-    /// Ends that are not durable yet, and so not told.
-    untold: Vec<Untold>,
-    list_version: u64,
-    /// Senders agree on rules, and the list is the registry's: no lower version than this is taken.
-    agreed: bool,
-    /// A lower version came: what changes of it tell rests on another list.
-    behind: bool,
-    behind_fault: RateLimitedLog,
-    /// What a freeze holds of the lists.
-    frozen: Option<Box<frozen::Frozen>>,
-    ramp: frozen::Ramp,
-    /// Those that wait until agreed rules bind.
-    binding: Vec<oneshot::Sender<()>>,
-    shared: Shared,
-    /// The old process, while it has calls out or clients connected, and the places that its clients hold.
-    predecessor: Option<(mpsc::UnboundedSender<HandoverMessage>, usize)>,
+    /// When the decision module wants its next turn.
+    timer: Option<Micros>,
+    /// Tasks that wait until what they sent binds.
+    waiting_for_turn: Vec<oneshot::Sender<()>>,
+    violations: Violations,
+    ready: watch::Sender<bool>,
+    process: ProcessState,
+    /// The process before this one, while it has calls in flight or clients connected.
+    predecessor: Option<Predecessor>,
 }
 
 impl Driver {
-    /// Sets the module up and hands it the list as last known and what the journal holds.
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        sender: Sender,
-        settings: Settings,
-        names: Names,
-        pool: PoolSettings,
-        known: Option<ListUpdate>,
-        journal: Journal,
-        calls: Calls,
-        notices: mpsc::UnboundedSender<Notice>,
-        ready: watch::Sender<bool>,
-        shared: Shared,
-        handover: Option<Handover>,
-        floor: Option<Bounds>,
-        floors: Option<Quotas>,
-        seed: u64,
-    ) -> Self {
-        let mut driver = Driver {
-            settings: sender.settings().clone(),
+    /// A driver whose decision module knows the list as last known and what the journal holds.
+    pub fn new(dependencies: Dependencies, initial: InitialState) -> Self {
+        let InitialState {
             sender,
-            clock: shared.clock,
-            names: names.clone(),
-            pool,
+            settings,
+            known_list,
+            fallback_rules,
+            fallback_quotas,
+            handover,
+        } = initial;
+        let names = settings.names.clone();
+        let mut driver = Driver::empty(dependencies, sender, names);
+        driver.list.rules_agreed = fallback_rules.is_some();
+        let taken_over = handover.is_some();
+        if let Some(state) = handover {
+            driver.take_over(state);
+            // what the predecessor saw of the fleet is its own
+            driver.events.push(Event::Fleet(None));
+        }
+        driver.push_fallbacks(fallback_rules, fallback_quotas, taken_over);
+        driver.apply_settings(settings);
+        if let Some(known) = known_list.filter(|_| !taken_over) {
+            driver.apply_known_list(known);
+        }
+        driver.push_disabled_endpoints();
+        driver.recover_messages(taken_over);
+        driver
+    }
+
+    fn empty(dependencies: Dependencies, sender: Sender, names: Names) -> Self {
+        let Dependencies {
+            process,
             journal,
             calls,
-            notices,
+            notifications,
             ready,
-            routes: BTreeMap::new(),
-            next_endpoint: 0,
-            by_uid: HashMap::new(),
-            messages: BTreeMap::new(),
-            attempts_out: 0,
-            violations: Violations::default(),
+            seed,
+        } = dependencies;
+        Driver {
+            settings: sender.settings().clone(),
+            sender,
+            clock: process.clock,
+            names,
             lifecycle: Lifecycle::default(),
-            by_id: HashMap::new(),
-            next_message: 0,
-            out: BTreeMap::new(),
-            next_call: 0,
-            delivered: VecDeque::new(),
-            arrived: BTreeMap::new(),
-            doubled: Vec::new(),
+            journal: JournalState::new(journal),
+            messages: Messages::default(),
+            clients: WaitingClients::default(),
+            calls,
+            calls_in_flight: CallsInFlight::default(),
+            notifications: Notifications::new(notifications),
+            endpoints: Endpoints::default(),
+            list: ListState::default(),
+            freeze: None,
+            admission_jitter: AdmissionJitter::new(seed),
             events: Vec::new(),
-            alarm: None,
-            journal_fault: RateLimitedLog::default(),
-            host_failing: false,
-            untold: Vec::new(),
-            list_version: 0,
-            agreed: floor.is_some(),
-            behind: false,
-            behind_fault: RateLimitedLog::default(),
-            frozen: None,
-            ramp: frozen::Ramp(seed),
-            binding: Vec::new(),
-            shared,
+            timer: None,
+            waiting_for_turn: Vec::new(),
+            violations: Violations::default(),
+            ready,
+            process,
             predecessor: None,
-        };
-        let taken_over = handover.is_some();
-        if let Some(handover) = handover {
-            driver.take_over(handover);
         }
-        if taken_over {
-            // what the old process saw of the others is its own affair
-            driver.events.push(Event::Fleet(None));
-        }
-        // a start begins on the floor: what an old process was granted is its own
-        let agreed = floor.map(|fallback| {
-            Box::new(Agreed {
-                leased: None,
-                fallback,
-            })
-        });
-        if taken_over || agreed.is_some() {
-            driver.events.push(Event::Agreed(agreed));
-        }
-        if taken_over || floors.is_some() {
-            driver.events.push(Event::Shared(floors.map(Box::new)));
+    }
+
+    /// A start begins with the fallbacks: what a predecessor was granted is its own.
+    fn push_fallbacks(&mut self, rules: Option<Bounds>, quotas: Option<Quotas>, taken_over: bool) {
+        if taken_over || rules.is_some() {
+            let rules = rules.map(|fallback| {
+                Box::new(Agreed {
+                    leased: None,
+                    fallback,
+                })
+            });
+            self.events.push(Event::Agreed(rules));
         }
-        driver.retune(settings, names);
-        if let Some(known) = known.filter(|_| !taken_over) {
-            driver.list(known, true);
+        if taken_over || quotas.is_some() {
+            self.events.push(Event::Shared(quotas.map(Box::new)));
         }
-        let out: Vec<String> = driver.journal.out().map(str::to_string).collect();
-        for uid in out {
-            let endpoint = driver.endpoint_of(&uid);
-            driver.events.push(Event::Disabled(endpoint));
+    }
+
+    fn push_disabled_endpoints(&mut self) {
+        let disabled: Vec<String> = self
+            .journal
+            .disabled_endpoints()
+            .map(str::to_string)
+            .collect();
+        for uid in disabled {
+            let endpoint = self.endpoints.id_or_new(&uid);
+            self.events.push(Event::Disabled(endpoint));
         }
-        driver.resume(taken_over);
-        driver
     }
 
-    /// Turns until the inputs end.
-    pub async fn run(
-        mut self,
-        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
-        mut orders: mpsc::Receiver<AdminCommand>,
-        mut successors: mpsc::Receiver<Successor>,
-    ) {
-        let mut sweep = tokio::time::interval(SWEEP);
-        let mut disk = tokio::time::interval(RETRY_INTERVAL);
-        disk.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        // what was told before the first turn binds it
-        while let Ok(input) = inputs.try_recv() {
-            self.learn(input);
+    /// The version of the list that is in force.
+    pub fn list_version(&self) -> u64 {
+        self.list.version
+    }
+
+    /// Turns until the inputs end, or until another process owns the messages.
+    pub async fn run(mut self, mut channels: DriverChannels) {
+        let mut sweep = interval(SWEEP_INTERVAL);
+        let mut journal_retry = interval(RETRY_INTERVAL);
+        journal_retry.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        // what was sent before the first turn binds it
+        while let Ok(input) = channels.inputs.try_recv() {
+            self.receive(input);
         }
-        self.turns();
+        self.take_turns();
         loop {
-            let alarm = [self.alarm, self.next_untold()].into_iter().flatten().min();
-            let alarm = alarm.map(|at| self.clock.instant(at));
+            let deadline = self.next_deadline();
             tokio::select! {
-                // operators wait a second at most, however much waits to be done
+                // operators wait a second at most, however much input waits
                 biased;
-                Some(order) = orders.recv() => match order {
-                    AdminCommand::SetDisabled { uid, disabled: out, reply } => self.obey(uid, out, reply),
-                    AdminCommand::PoolReport { reply } => {
-                        let uid_of = |id: EndpointId| Some(self.routes.get(&id)?.uid.clone());
-                        // an operator that has gone asks again
-                        let _ = reply.send(self.calls.connections().report(uid_of));
+                Some(command) = channels.commands.recv() => {
+                    if !self.execute(command) {
                         continue;
                     }
-                    AdminCommand::FreezeReport { reply } => {
-                        // without an answer it is off
-                        if let Some(report) = self.freeze_report() {
-                            let _ = reply.send(report);
-                        }
-                        continue;
+                }
+                Some(request) = channels.successors.recv() => match self.hand_over(request).await {
+                    AfterRequest::Continue => {}
+                    AfterRequest::Drain(link) => {
+                        let draining = self.into_draining_predecessor(link);
+                        return draining.run(channels.inputs, channels.commands).await;
                     }
-                },
-                Some(successor) = successors.recv() => match self.hand_over(successor).await {
-                    Next::GoOn => {}
-                    Next::Leave(link) => return self.leave(link).run(inputs, orders).await,
-                    Next::End => return,
+                    AfterRequest::Exit => return,
                 },
                 _ = sweep.tick() => {
-                    self.calls.connections().sweep();
-                    let recovered = self.retry_disk();
-                    if !self.thaw() && !recovered && self.untold.is_empty() {
+                    if !self.sweep() {
                         continue;
                     }
                 }
                 // all waits for the disk meanwhile
-                _ = disk.tick(), if self.host_failing => {
-                    if !self.retry_disk() {
+                _ = journal_retry.tick(), if self.journal.is_reported_failing() => {
+                    if !self.journal.retry() {
                         continue;
                     }
                 }
-                input = inputs.recv() => match input {
-                    Some(input) => self.learn(input),
+                input = channels.inputs.recv() => match input {
+                    Some(input) => self.receive(input),
                     None => return,
                 },
-                () = sleep_until(alarm.unwrap_or_else(Instant::now)), if alarm.is_some() => {}
+                () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {}
             }
-            for _ in 0..MOST_AT_ONCE {
-                let Ok(input) = inputs.try_recv() else { break };
-                self.learn(input);
-            }
-            self.turns();
+            self.receive_waiting(&mut channels.inputs);
+            self.take_turns();
         }
     }
 
-    /// Tries again what the disk failed; whether it takes records again.
-    fn retry_disk(&mut self) -> bool {
-        let written = self.journal.retry();
-        self.check(written);
-        self.host_failing && !self.journal.is_failing()
+    /// When the next turn is due without further input.
+    fn next_deadline(&self) -> Option<Instant> {
+        let deadlines = [self.timer, self.notifications.next_deadline()];
+        let next = deadlines.into_iter().flatten().min();
+        next.map(|at| self.clock.instant(at))
     }
 
-    /// The list that is known, by its version.
-    pub fn list_version(&self) -> u64 {
-        self.list_version
+    /// Regular work; true if a turn is due.
+    fn sweep(&mut self) -> bool {
+        self.calls.connections().sweep();
+        let journal_recovered = self.journal.retry();
+        self.admit_unfrozen() || journal_recovered || self.notifications.has_pending()
     }
 
-    /// A turn, and further ones while its own actions led to news for the module.
-    fn turns(&mut self) {
-        self.turn();
-        while !self.events.is_empty() || self.find_lost_attempts() {
-            self.turn();
+    /// Further input that has come already.
+    fn receive_waiting(&mut self, inputs: &mut mpsc::UnboundedReceiver<DriverInput>) {
+        for _ in 0..MAX_INPUTS_PER_TURN {
+            let Ok(input) = inputs.try_recv() else { break };
+            self.receive(input);
         }
-        self.tell_durable_ends();
     }
 
-    fn learn(&mut self, input: DriverInput) {
+    /// Turns one input to events of the next turn.
+    fn receive(&mut self, input: DriverInput) {
         match input {
-            DriverInput::Submitted(arrival) => self.arrive(arrival),
-            DriverInput::ClientDisconnected(id) => {
-                let Some(&message) = self.by_id.get(&id) else {
-                    return;
-                };
-                let Some(held) = self.messages.get_mut(&message) else {
-                    return;
-                };
-                held.clients = held.clients.saturating_sub(1);
-                if held.clients == 0 {
-                    self.events.push(Event::Dropped(message));
-                    self.end(message);
-                }
-            }
+            DriverInput::Submitted(submission) => self.receive_submission(submission),
+            DriverInput::ClientDisconnected(id) => self.client_disconnected(&id),
             DriverInput::ShuttingDown(at) => self.events.push(Event::Stopping {
                 ends: self.clock.at(at),
             }),
-            DriverInput::AttemptEnded(ended) => self.ended(ended),
-            DriverInput::RetryAfter { endpoint, wait } => {
-                self.told_wait(endpoint, wait);
-                self.events.push(Event::ToldWait { endpoint, wait });
-            }
+            DriverInput::AttemptEnded(end) => self.attempt_ended(end),
+            DriverInput::RetryAfter { endpoint, wait } => self.retry_after(endpoint, wait),
+            DriverInput::EndpointList(update) => self.receive_list(update),
+            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
+            DriverInput::NotificationsDelivered(numbers) => self.notifications_delivered(numbers),
             DriverInput::AgreedRules { rules, applied } => {
-                self.agreed = rules.is_some();
+                self.list.rules_agreed = rules.is_some();
                 self.events.push(Event::Agreed(rules));
-                self.binding.push(applied);
+                self.waiting_for_turn.push(applied);
             }
             DriverInput::Quotas { quotas, applied } => {
                 self.events.push(Event::Shared(quotas));
-                self.binding.push(applied);
+                self.waiting_for_turn.push(applied);
             }
-            DriverInput::Freeze(freezing) => self.freeze(freezing),
+            DriverInput::Freeze(change) => self.change_freeze(change),
             DriverInput::FleetHealth {
                 destination,
                 unavailable,
@@ -413,107 +342,19 @@
                 });
             }
             DriverInput::FleetView(view) => self.events.push(Event::Fleet(view)),
-            DriverInput::EndpointList(update) => self.list(update, false),
-            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
-            DriverInput::SettingsChanged(new) => {
-                let SettingsUpdate {
-                    settings,
-                    names,
-                    pool,
-                } = *new;
-                self.pool = pool;
-                self.retune(settings, names);
-            }
-            DriverInput::Handover(frame) => self.linked(frame),
-            DriverInput::HandoverLinkLost => self.link_lost(),
-            DriverInput::NotificationsDelivered(numbers) => {
-                for number in numbers {
-                    let written = self.journal.over(number);
-                    self.check(written);
-                    self.lifecycle.over(MessageId(number));
-                    self.events.push(Event::Noticed(MessageId(number)));
-                }
-            }
+            DriverInput::SettingsChanged(update) => self.apply_settings(*update),
+            DriverInput::Handover(message) => self.receive_from_predecessor(message),
+            DriverInput::HandoverLinkLost => self.predecessor_lost(),
         }
     }
 
-    fn turn(&mut self) {
-        let now = self.clock.at(Instant::now());
-        if self.alarm.take_if(|at| *at <= now).is_some() {
-            self.events.push(Event::Alarm);
-        }
-        if self.journal.is_failing() != self.host_failing {
-            self.host_failing = !self.host_failing;
-            let state = if self.host_failing {
-                "takes nothing: no call begins"
-            } else {
-                "takes records again"
-            };
-            super::log(format_args!("journal: the disk {state}"));
-            self.events.push(Event::HostFailing(self.host_failing));
-        }
-        let events = std::mem::take(&mut self.events);
-        let mut actions = Vec::new();
-        self.sender.handle(now, &events, &mut actions);
-        for binds in self.binding.drain(..) {
-            // the part that waits lives as long as the process
-            let _ = binds.send(());
-        }
-        let counted = self.sender.senders();
-        let before = self.shared.counted.replace(counted);
-        if counted != before
-            && events
-                .iter()
-                .any(|event| matches!(event, Event::Fleet(_) | Event::Alarm))
+    /// Logs a step of the message, where steps are traced.
+    fn trace(&self, message: MessageId, step: std::fmt::Arguments<'_>) {
+        // no message is looked up for nothing
+        if super::traces()
+            && let Some(pending) = self.messages.get(message)
         {
-            super::log(format_args!(
-                "members: limits are shared by {counted} senders, no longer by {before}"
-            ));
-        }
-        self.answer_arrivals(&actions);
-        let mut bundles: Vec<Bundle> = Vec::new();
-        for action in actions {
-            match action {
-                Action::Send {
-                    message,
-                    attempt,
-                    endpoint,
-                    expires,
-                    start_by,
-                } => {
-                    let attempt = AttemptOut {
-                        message,
-                        number: attempt,
-                        endpoint,
-                    };
-                    self.send(now, attempt, (expires, start_by), &mut bundles);
-                }
-                Action::Cancel { message, attempt } => self.cancel(message, attempt),
-                Action::Refuse { message, wait } => {
-                    let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
-                    self.give_up(message, Ending::Returned { after_ms });
-                }
-                Action::Fail(message) => self.give_up(message, Ending::Failed),
-                Action::SetAlarm(at) => self.alarm = Some(at),
-                Action::Disconnect(endpoint) => {
-                    if let Some(place) = self.place_of(endpoint) {
-                        self.calls.connections().disconnect(place);
-                    }
-                }
-                Action::Log(text) => super::log(format_args!("{text}")),
-                // the watch is always on; probes and notes are not to be had on sockets
-                Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
-            }
-        }
-        for bundle in bundles {
-            self.start(bundle);
+            super::trace(&pending.item.id, step);
         }
     }
-
-    /// What the journal tells of an entry; none if it was not written.
-    fn check<T>(&self, written: Result<T, JournalError>) -> Option<T> {
-        written
-            .inspect_err(|error| self.journal_fault.log(format_args!("journal: {error}")))
-            .ok()
-    }
 }
--- /dev/null
+++ b/src/net/driver/recovery.rs
@@ -0,0 +1,165 @@
+//! What an earlier process had accepted: handed back to the decision module from the journal.
+
+use super::Driver;
+use super::messages::{Attempt, Message, NO_CALL};
+use super::submissions::{key_of, promise_of};
+use crate::net::calls::Item;
+use crate::net::discovery::OutcomeNotification;
+use crate::net::journal::{RecordedAttempt, UnfinishedMessage};
+use hyper::header::HeaderValue;
+use message_sender::lifecycle::Promise;
+use message_sender::wire::position;
+use message_sender::{Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
+use tokio::time::Instant;
+
+/// An endpoint that no list has.
+const UNKNOWN_ENDPOINT: EndpointId = EndpointId(u32::MAX);
+
+impl Driver {
+    /// Hands back what an earlier process had accepted; what had ended is notified again.
+    pub(super) fn recover_messages(&mut self, taken_over: bool) {
+        if !taken_over && self.journal.has_records() {
+            self.events.push(Event::Restarted);
+        }
+        let unfinished = self.journal.unfinished().clone();
+        let now = self.clock.at(Instant::now());
+        for message in unfinished.values() {
+            self.place_recorded_class(message);
+        }
+        if self.settings != *self.sender.settings() {
+            let settings = Box::new(self.settings.clone());
+            self.events.push(Event::Retuned(settings));
+        }
+        for (number, message) in unfinished {
+            let next = self.messages.next_number().max(number + 1);
+            self.messages.set_next_number(next);
+            self.recover_message(MessageId(number), message, now, taken_over);
+        }
+    }
+
+    /// The position of the class that a message was accepted with; none where its terms were not written down.
+    fn place_recorded_class(&mut self, message: &UnfinishedMessage) -> Option<usize> {
+        let terms = message.terms.as_ref()?;
+        Some(self.settings.place(terms.class(&message.accepted.class)))
+    }
+
+    fn recover_message(
+        &mut self,
+        number: MessageId,
+        message: UnfinishedMessage,
+        now: Micros,
+        taken_over: bool,
+    ) {
+        let new = self.recovered(number, &message, now);
+        self.recover_lifecycle(number, &message);
+        if let Some(outcome) = message.outcome {
+            self.lifecycle.close(number);
+            if !taken_over {
+                self.events.push(Event::Unnoticed(new));
+            }
+            return self.notifications.send(OutcomeNotification {
+                number: number.0,
+                id: message.accepted.id,
+                outcome,
+            });
+        }
+        // one that was handed over came with all that the journal does not hold
+        if self.messages.get(number).is_none() {
+            self.recover_open_message(number, message, new);
+        }
+    }
+
+    /// The message as the decision module gets it.
+    fn recovered(
+        &mut self,
+        number: MessageId,
+        message: &UnfinishedMessage,
+        now: Micros,
+    ) -> NewMessage {
+        let class = self.place_recorded_class(message).unwrap_or_else(|| {
+            let is_named = |class: &Class| class.name == message.accepted.class;
+            let position = self.settings.classes.iter().rposition(is_named);
+            position.unwrap_or(usize::MAX)
+        });
+        let tenant = message.origin.tenant.as_deref();
+        let terms = message.terms.as_ref();
+        let time_left = message.accepted.deadline - now;
+        NewMessage {
+            key: message.origin.subject.as_deref().map(key_of),
+            tenant: tenant.map(|name| position(&self.names.tenants, name)),
+            attempts: terms.map(|terms| terms.max_attempts as usize),
+            ..NewMessage::new(number, class, message.accepted.destination, time_left)
+        }
+    }
+
+    fn recover_lifecycle(&mut self, number: MessageId, message: &UnfinishedMessage) {
+        let promise = match &message.terms {
+            Some(terms) => promise_of(terms, &message.origin),
+            None => Promise {
+                key: None,
+                once: false,
+            },
+        };
+        let in_flight = self.messages.get(number).map_or(0, |held| {
+            let recorded = |attempt: &&Attempt| attempt.in_flight && attempt.record.is_some();
+            held.attempts.iter().filter(recorded).count()
+        });
+        let attempts = message.attempts.iter();
+        let may_have_run = attempts.filter(|attempt| !attempt.never_ran).count();
+        self.lifecycle
+            .resume(number, promise, in_flight, may_have_run > in_flight);
+    }
+
+    fn recover_open_message(
+        &mut self,
+        number: MessageId,
+        message: UnfinishedMessage,
+        new: NewMessage,
+    ) {
+        let accepted = message.accepted;
+        let Ok(id) = HeaderValue::from_str(&accepted.id) else {
+            return;
+        };
+        let key = accepted.key.as_deref();
+        let key = key.and_then(|key| HeaderValue::from_str(key).ok());
+        let past: Vec<PastAttempt> = message
+            .attempts
+            .iter()
+            .map(|attempt| self.past_attempt(attempt))
+            .collect();
+        let attempts = past.iter().enumerate().map(|(record, past)| Attempt {
+            endpoint: past.endpoint,
+            sent_at: past.sent,
+            call: NO_CALL,
+            item: 0,
+            in_flight: false,
+            record: Some(record),
+        });
+        let attempts = attempts.collect();
+        crate::net::trace(
+            &id,
+            format_args!("taken up again after {} attempts", past.len()),
+        );
+        self.events.push(Event::Resumed {
+            message: new,
+            attempts: past,
+        });
+        let body = accepted.body.into();
+        let recovered = Message {
+            attempts,
+            ..Message::new(Item { id, key, body })
+        };
+        self.messages.insert(number, recovered);
+    }
+
+    fn past_attempt(&self, attempt: &RecordedAttempt) -> PastAttempt {
+        PastAttempt {
+            endpoint: self
+                .endpoints
+                .id_of(&attempt.uid)
+                .unwrap_or(UNKNOWN_ENDPOINT),
+            sent: attempt.sent_at,
+            may_have_run: !attempt.never_ran,
+        }
+    }
+}
--- /dev/null
+++ b/src/net/driver/takeover.rs
@@ -0,0 +1,241 @@
+//! The successor's side of a handover: the state that it takes over, and what the predecessor still reports and forwards.
+
+use super::Driver;
+use super::endpoints::EndpointRecord;
+use super::messages::{Attempt, Message};
+use crate::net;
+use crate::net::calls::CallOut;
+use crate::net::events::{
+    AdminResult, AttemptEnd, ForwardedSubmission, HandoverMessage, Submission, SubmissionResult,
+};
+use crate::net::handover::{
+    AttemptState, CallState, EndpointState, HandoverState, LOST_CALL_OUTCOME, LinkWriter,
+    MessageState,
+};
+use hyper::header::HeaderValue;
+use message_sender::{EndpointId, MessageId};
+use tokio::sync::{mpsc, oneshot};
+
+/// The process before this one, while it has calls in flight or clients connected.
+pub(super) struct Predecessor {
+    messages: mpsc::UnboundedSender<HandoverMessage>,
+    /// Client connections that it holds.
+    client_connections: usize,
+}
+
+impl Predecessor {
+    pub fn send(&self, message: HandoverMessage) {
+        // one that is gone has no use for it
+        let _ = self.messages.send(message);
+    }
+}
+
+impl Driver {
+    /// Takes over what a predecessor handed over, but for the decision module. Its calls are still in flight.
+    pub(super) fn take_over(&mut self, state: HandoverState) {
+        self.names = state.names;
+        self.list.version = state.list_version;
+        self.timer = state.timer;
+        self.endpoints.set_next_number(state.next_endpoint);
+        self.messages.set_next_number(state.next_message);
+        self.calls_in_flight.set_next_number(state.next_call);
+        for endpoint in state.endpoints {
+            self.take_over_endpoint(endpoint);
+        }
+        for message in state.messages {
+            self.take_over_message(message);
+        }
+        for call in state.calls {
+            self.take_over_call(call);
+        }
+        self.count_calls_of_predecessor();
+        let delivered = state.delivered.iter();
+        let delivered = delivered.filter_map(|id| HeaderValue::from_str(id).ok());
+        self.messages.set_delivered_ids(delivered);
+        if self.endpoints.is_any_listed() {
+            self.ready.send_replace(true);
+        }
+    }
+
+    fn take_over_endpoint(&mut self, state: EndpointState) {
+        let endpoint = EndpointId(state.endpoint);
+        let record = EndpointRecord {
+            uid: state.uid,
+            address: state.address,
+            kind: state.kind,
+            destination: state.destination,
+            listed: state.listed,
+            serving: state.serving,
+            zone: state.zone,
+            weight: state.weight,
+            unneeded_since: None,
+        };
+        self.endpoints.insert(endpoint, record);
+        self.update_pool(endpoint);
+    }
+
+    fn take_over_message(&mut self, state: MessageState) {
+        let Some(item) = state.item() else {
+            return;
+        };
+        let message = Message {
+            item,
+            open: state.open,
+            clients: state.clients,
+            attempts: state.attempts.into_iter().map(attempt).collect(),
+        };
+        self.messages.insert(MessageId(state.number), message);
+    }
+
+    fn take_over_call(&mut self, state: CallState) {
+        let items = state.items.into_iter();
+        let call = CallOut {
+            cancels: None,
+            items: items
+                .map(|item| (MessageId(item.message), item.attempt))
+                .collect(),
+            left: state.left,
+        };
+        self.calls_in_flight.insert(state.number, call);
+    }
+
+    /// Names the process that this one took over from, and the client connections that it holds.
+    pub fn set_predecessor(&mut self, mut link: LinkWriter, client_connections: usize) {
+        let (messages, mut queue) = mpsc::unbounded_channel();
+        tokio::task::spawn_local(async move {
+            while let Some(message) = queue.recv().await {
+                if link.send_message(message).await.is_err() {
+                    return; // the reader of the link reports its end
+                }
+            }
+        });
+        self.predecessor = Some(Predecessor {
+            messages,
+            client_connections,
+        });
+    }
+
+    /// What the predecessor reports and forwards.
+    pub(super) fn receive_from_predecessor(&mut self, message: HandoverMessage) {
+        let Some(predecessor) = &self.predecessor else {
+            return;
+        };
+        let replies = predecessor.messages.clone();
+        match message {
+            HandoverMessage::AttemptEnded(end) => self.attempt_ended(end),
+            HandoverMessage::ClientDisconnected(id) => {
+                if let Ok(id) = HeaderValue::from_str(&id) {
+                    self.client_disconnected(&id);
+                }
+            }
+            HandoverMessage::Submitted { number, submission } => {
+                self.receive_forwarded(number, *submission, replies);
+            }
+            HandoverMessage::AdminCommand {
+                number,
+                uid,
+                disabled,
+            } => {
+                let (reply, result) = oneshot::channel();
+                self.set_disabled(uid, disabled, reply);
+                tokio::task::spawn_local(async move {
+                    let result = result.await.unwrap_or(AdminResult::NotWritten);
+                    // a predecessor that is gone has no operator to answer
+                    let _ = replies.send(HandoverMessage::AdminResult { number, result });
+                });
+            }
+            // what only a successor sends
+            HandoverMessage::CancelAttempt { .. }
+            | HandoverMessage::Answered { .. }
+            | HandoverMessage::AdminResult { .. } => {}
+        }
+    }
+
+    fn receive_forwarded(
+        &mut self,
+        number: u64,
+        forwarded: ForwardedSubmission,
+        replies: mpsc::UnboundedSender<HandoverMessage>,
+    ) {
+        let (reply, result) = oneshot::channel();
+        if let Some(submission) = self.submission_of(forwarded, reply) {
+            self.receive_submission(submission);
+        }
+        tokio::task::spawn_local(async move {
+            let result = result.await.unwrap_or(SubmissionResult::NotStored);
+            // a predecessor that is gone has no client to answer
+            let _ = replies.send(HandoverMessage::Answered { number, result });
+        });
+    }
+
+    fn submission_of(
+        &self,
+        forwarded: ForwardedSubmission,
+        reply: oneshot::Sender<SubmissionResult>,
+    ) -> Option<Submission> {
+        let key = forwarded.key.as_deref().map(HeaderValue::from_str);
+        Some(Submission {
+            id: HeaderValue::from_str(&forwarded.id).ok()?,
+            key: key.transpose().ok()?,
+            subject: forwarded.subject,
+            tenant: forwarded.tenant,
+            class: forwarded.class,
+            destination: forwarded.destination,
+            time_limit: forwarded.time_limit,
+            received_at: self.clock.instant(forwarded.received_at),
+            again: forwarded.again,
+            orphan: forwarded.orphan,
+            body: forwarded.body.into(),
+            reply,
+        })
+    }
+
+    /// The predecessor has ended: nobody will report how its last calls do.
+    pub(super) fn predecessor_lost(&mut self) {
+        let Some(predecessor) = self.predecessor.take() else {
+            return;
+        };
+        self.process
+            .client_slots
+            .add(predecessor.client_connections);
+        let lost = self.attempts_of_predecessor();
+        net::log(format_args!(
+            "upgrade: the old process has ended, {} calls with it",
+            lost.len()
+        ));
+        for (call, item) in lost {
+            self.attempt_ended(AttemptEnd {
+                call,
+                item,
+                outcome: LOST_CALL_OUTCOME,
+                closed: false,
+                report: Vec::new(),
+                retry_after: None,
+            });
+        }
+    }
+
+    /// Call and position of each attempt that a predecessor has in flight. Others of its bundle may have ended before.
+    fn attempts_of_predecessor(&self) -> Vec<(u64, usize)> {
+        let mut attempts = Vec::new();
+        for (number, call) in self.calls_in_flight.of_predecessor() {
+            for (position, &(message, attempt)) in call.items.iter().enumerate() {
+                if self.messages.is_in_flight(message, attempt) {
+                    attempts.push((number, position));
+                }
+            }
+        }
+        attempts
+    }
+}
+
+fn attempt(state: AttemptState) -> Attempt {
+    Attempt {
+        endpoint: EndpointId(state.endpoint),
+        sent_at: state.sent_at,
+        call: state.call,
+        item: state.item,
+        in_flight: state.in_flight,
+        record: state.record,
+    }
+}
--- /dev/null
+++ b/src/net/driver/turn.rs
@@ -0,0 +1,110 @@
+//! A turn: the decision module is asked once, and its actions are carried out.
+
+use super::Driver;
+use super::attempts::SendRequest;
+use super::calls_in_flight::Bundle;
+use crate::net;
+use crate::net::journal::UndeliveredOutcome;
+use message_sender::decide::AttemptOut;
+use message_sender::{Action, Event, MILLISECOND, Micros};
+use tokio::time::Instant;
+
+impl Driver {
+    /// A turn, and further ones while its own actions led to events for the decision module.
+    pub(super) fn take_turns(&mut self) {
+        self.take_turn();
+        while !self.events.is_empty() || self.find_lost_attempts() {
+            self.take_turn();
+        }
+        self.send_final_notifications();
+    }
+
+    fn take_turn(&mut self) {
+        let now = self.clock.at(Instant::now());
+        if self.timer.take_if(|at| *at <= now).is_some() {
+            self.events.push(Event::Alarm);
+        }
+        self.report_journal_change();
+        let events = std::mem::take(&mut self.events);
+        let mut actions = Vec::new();
+        self.sender.handle(now, &events, &mut actions);
+        for applied in self.waiting_for_turn.drain(..) {
+            // the task that waits lives as long as the process
+            let _ = applied.send(());
+        }
+        self.publish_fleet_size(&events);
+        self.answer_clients(&actions);
+        let mut bundles = Vec::new();
+        for action in actions {
+            self.carry_out(now, action, &mut bundles);
+        }
+        for bundle in bundles {
+            self.start_call(bundle);
+        }
+    }
+
+    /// Tells the decision module that the journal takes nothing, or takes records again.
+    fn report_journal_change(&mut self) {
+        let Some(failing) = self.journal.take_change() else {
+            return;
+        };
+        let state = if failing {
+            "takes nothing: no call begins"
+        } else {
+            "takes records again"
+        };
+        net::log(format_args!("journal: the disk {state}"));
+        self.events.push(Event::HostFailing(failing));
+    }
+
+    /// Tells the other tasks the number of senders that the decisions scale by.
+    fn publish_fleet_size(&self, events: &[Event]) {
+        let size = self.sender.senders();
+        let before = self.process.fleet_size.replace(size);
+        let by_fleet = |event: &Event| matches!(event, Event::Fleet(_) | Event::Alarm);
+        if size != before && events.iter().any(by_fleet) {
+            net::log(format_args!(
+                "members: limits are shared by {size} senders, no longer by {before}"
+            ));
+        }
+    }
+
+    fn carry_out(&mut self, now: Micros, action: Action, bundles: &mut Vec<Bundle>) {
+        match action {
+            Action::Send {
+                message,
+                attempt,
+                endpoint,
+                expires,
+                start_by,
+            } => {
+                let attempt = AttemptOut {
+                    message,
+                    number: attempt,
+                    endpoint,
+                };
+                let request = SendRequest {
+                    attempt,
+                    expires,
+                    start_by,
+                };
+                self.send(now, request, bundles);
+            }
+            Action::Cancel { message, attempt } => self.cancel(message, attempt),
+            Action::Refuse { message, wait } => {
+                let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
+                self.end_undelivered(message, UndeliveredOutcome::Returned { after_ms });
+            }
+            Action::Fail(message) => self.end_undelivered(message, UndeliveredOutcome::Failed),
+            Action::SetAlarm(at) => self.timer = Some(at),
+            Action::Disconnect(endpoint) => {
+                if let Some(place) = self.endpoints.place_of(endpoint) {
+                    self.calls.connections().disconnect(place);
+                }
+            }
+            Action::Log(text) => net::log(format_args!("{text}")),
+            // the watch is always on; probes and notes are not to be had on sockets
+            Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
+        }
+    }
+}
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -3,53 +3,45 @@
 use message_sender::lifecycle::Refusal;
 use std::collections::BTreeMap;
 use std::fmt;
+use thiserror::Error;
+
+/// Violations of each kind that are logged one by one.
+const LOGGED_ONE_BY_ONE: u64 = 10;
+/// Of the later ones only every so many is logged.
+const LOGGED_EVERY: u64 = 1000;
 
 /// An invariant that does not hold. Each is a defect of this program, not a failure of a peer or of the machine.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Violation {
-    /// The module waits for the outcome of an attempt that the driver does not have out.
+    /// The decision module waits for the outcome of an attempt that the driver does not have in flight.
+    #[error("an attempt is waited for that is not out")]
     AttemptLost,
-    /// The module numbers a message's attempts otherwise than the driver.
+    /// The decision module numbers a message's attempts otherwise than the driver.
+    #[error("an attempt has another number than expected")]
     AttemptNumber,
-    /// A call told of an attempt that is not out.
+    /// A call reported an attempt that is not in flight.
+    #[error("an outcome came for an attempt that is not out")]
     OutcomeUnknown,
-    /// The module called off an attempt whose call is not known.
+    /// The decision module cancelled an attempt whose call is not known.
+    #[error("an attempt is called off whose call is not known")]
     CancelUnknown,
-    /// The module decided a call that what has happened forbids.
+    /// The decision module decided a call that what has happened forbids.
+    #[error("a call must not begin: {0}")]
     CallForbidden(Refusal),
 }
 
-impl fmt::Display for Violation {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let text = match self {
-            Violation::CallForbidden(refusal) => {
-                return write!(formatter, "a call must not begin: {refusal}");
-            }
-            Violation::AttemptLost => "an attempt is waited for that is not out",
-            Violation::AttemptNumber => "an attempt has another number than expected",
-            Violation::OutcomeUnknown => "an outcome came for an attempt that is not out",
-            Violation::CancelUnknown => "an attempt is called off whose call is not known",
-        };
-        formatter.write_str(text)
-    }
-}
-
 /// How often each was seen.
 #[derive(Debug, Default)]
 pub struct Violations(BTreeMap<Violation, u64>);
 
-/// The first ones of each kind are logged one by one, of the others only these.
-const LOGGED_ONE_BY_ONE: u64 = 10;
-const LOGGED_EVERY: u64 = 1000;
-
 impl Violations {
     /// Counts one and logs it, with what it was about.
-    pub fn count(&mut self, violation: Violation, about: fmt::Arguments<'_>) {
+    pub fn count(&mut self, violation: Violation, subject: fmt::Arguments<'_>) {
         let count = self.0.entry(violation).or_default();
         *count += 1;
         if *count <= LOGGED_ONE_BY_ONE || count.is_multiple_of(LOGGED_EVERY) {
             crate::net::log(format_args!(
-                "violation: {violation}: {about} (number {count})"
+                "violation: {violation}: {subject} (number {count})"
             ));
         }
     }
--- a/src/net/upgrade/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,9 +1,13 @@
-//! The hand-over between processes: what an earlier program says is read, and said again byte for byte.
+//! The handover between processes: what an earlier program sends is read, and sent again byte for byte.
 
+use super::lock::LOCK;
 use super::*;
 use crate::net::events::{AdminResult, AttemptEnd, ForwardedSubmission, SubmissionResult};
 use crate::net::golden::assert_same_bytes;
+use message_sender::wire::Names;
+use message_sender::{Outcome, Sender};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::UnixStream;
 
 /// Every frame in the order of [`every_frame`], with its length before it as on the link.
 const LINK: &[u8] = include_bytes!("../../../tests/golden/handover/link");
@@ -21,48 +25,48 @@
     }
 }
 
-fn handover() -> Handover {
-    Handover {
+fn handover() -> HandoverState {
+    HandoverState {
         sender: vec![1, 2, 3, 255],
         names: names(),
-        routes: vec![
-            HandedRoute {
+        endpoints: vec![
+            EndpointState {
                 endpoint: 3,
                 uid: "s-3".into(),
                 address: Some("127.0.0.1:8003".parse().expect("an address")),
                 kind: 1,
                 destination: 70_000,
                 listed: true,
-                up: false,
+                serving: false,
                 zone: "a".into(),
                 weight: 2.5,
             },
-            HandedRoute {
+            EndpointState {
                 endpoint: 4,
                 uid: "s-4".into(),
                 address: Some("[::1]:8004".parse().expect("an address")),
                 kind: usize::MAX,
                 destination: 8,
                 listed: false,
-                up: true,
+                serving: true,
                 zone: String::new(),
                 weight: 0.0,
             },
-            HandedRoute {
+            EndpointState {
                 endpoint: 5,
                 uid: "s-5".into(),
                 address: None,
                 kind: 0,
                 destination: 9,
                 listed: true,
-                up: true,
+                serving: true,
                 zone: "b".into(),
                 weight: 1.0,
             },
         ],
         next_endpoint: 6,
         messages: vec![
-            HandedMessage {
+            MessageState {
                 number: 11,
                 id: "m11".into(),
                 key: Some("key-11".into()),
@@ -70,11 +74,25 @@
                 open: true,
                 clients: 2,
                 attempts: vec![
-                    (3, 1_700_000_000_000_001, 41, 1, true, Some(7)),
-                    (4, -1, u64::MAX, 0, false, None),
+                    AttemptState {
+                        endpoint: 3,
+                        sent_at: 1_700_000_000_000_001,
+                        call: 41,
+                        item: 1,
+                        in_flight: true,
+                        record: Some(7),
+                    },
+                    AttemptState {
+                        endpoint: 4,
+                        sent_at: -1,
+                        call: u64::MAX,
+                        item: 0,
+                        in_flight: false,
+                        record: None,
+                    },
                 ],
             },
-            HandedMessage {
+            MessageState {
                 number: 12,
                 id: "m12".into(),
                 key: None,
@@ -85,21 +103,30 @@
             },
         ],
         next_message: 13,
-        out: vec![HandedCall {
+        calls: vec![CallState {
             number: 41,
-            items: vec![(10, 2), (11, 0)],
+            items: vec![
+                CallItemState {
+                    message: 10,
+                    attempt: 2,
+                },
+                CallItemState {
+                    message: 11,
+                    attempt: 0,
+                },
+            ],
             left: 1,
         }],
         next_call: 42,
         delivered: vec!["d1".into(), "d2".into()],
         list_version: 90,
-        alarm: Some(1_700_000_000_000_002),
-        clients: 17,
+        timer: Some(1_700_000_000_000_002),
+        client_connections: 17,
     }
 }
 
 fn ended(outcome: Outcome) -> Frame {
-    Frame::Said(HandoverMessage::AttemptEnded(AttemptEnd {
+    Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
         call: 41,
         item: 2,
         outcome,
@@ -109,7 +136,7 @@
     }))
 }
 
-fn passed() -> ForwardedSubmission {
+fn forwarded() -> ForwardedSubmission {
     ForwardedSubmission {
         id: "m21".into(),
         key: Some("key-21".into()),
@@ -125,18 +152,15 @@
     }
 }
 
-fn answered(answer: SubmissionResult) -> Frame {
-    Frame::Said(HandoverMessage::Answered {
+fn answered(result: SubmissionResult) -> Frame {
+    Frame::Message(HandoverMessage::Answered {
         number: 51,
-        result: answer,
+        result: result,
     })
 }
 
-fn judged(verdict: AdminResult) -> Frame {
-    Frame::Said(HandoverMessage::AdminResult {
-        number: 61,
-        result: verdict,
-    })
+fn executed(result: AdminResult) -> Frame {
+    Frame::Message(HandoverMessage::AdminResult { number: 61, result })
 }
 
 fn every_frame() -> Vec<Frame> {
@@ -146,20 +170,20 @@
         tenant: None,
         again: false,
         orphan: true,
-        ..passed()
+        ..forwarded()
     };
     vec![
-        Frame::Ask { version: VERSION },
-        Frame::Ask {
-            version: JOURNAL_ALONE,
+        Frame::Request { version: VERSION },
+        Frame::Request {
+            version: JOURNAL_ONLY,
         },
-        Frame::Hand(Box::new(handover())),
-        Frame::Hand(Box::new(Handover {
-            alarm: None,
+        Frame::State(Box::new(handover())),
+        Frame::State(Box::new(HandoverState {
+            timer: None,
             ..handover()
         })),
-        Frame::Owns,
-        Frame::Said(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
+        Frame::Accepted,
+        Frame::Message(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
         ended(Outcome::Success),
         ended(Outcome::Error),
         ended(Outcome::Refused { wait: None }),
@@ -171,7 +195,7 @@
         ended(Outcome::Reset),
         ended(Outcome::Cancelled),
         ended(Outcome::Unsent { no_slot: true }),
-        Frame::Said(HandoverMessage::AttemptEnded(AttemptEnd {
+        Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
             call: 1,
             item: 0,
             outcome: Outcome::Unsent { no_slot: false },
@@ -179,11 +203,11 @@
             report: Vec::new(),
             retry_after: None,
         })),
-        Frame::Said(HandoverMessage::Submitted {
+        Frame::Message(HandoverMessage::Submitted {
             number: 51,
-            submission: Box::new(passed()),
+            submission: Box::new(forwarded()),
         }),
-        Frame::Said(HandoverMessage::Submitted {
+        Frame::Message(HandoverMessage::Submitted {
             number: 52,
             submission: Box::new(without),
         }),
@@ -195,20 +219,20 @@
         }),
         answered(SubmissionResult::NotStored),
         answered(SubmissionResult::Failed),
-        Frame::Said(HandoverMessage::ClientDisconnected("m21".into())),
-        Frame::Said(HandoverMessage::AdminCommand {
+        Frame::Message(HandoverMessage::ClientDisconnected("m21".into())),
+        Frame::Message(HandoverMessage::AdminCommand {
             number: 61,
             uid: "s-3".into(),
             disabled: true,
         }),
-        Frame::Said(HandoverMessage::AdminCommand {
+        Frame::Message(HandoverMessage::AdminCommand {
             number: 62,
             uid: "s-4".into(),
             disabled: false,
         }),
-        judged(AdminResult::Done),
-        judged(AdminResult::UnknownEndpoint),
-        judged(AdminResult::NotWritten),
+        executed(AdminResult::Done),
+        executed(AdminResult::UnknownEndpoint),
+        executed(AdminResult::NotWritten),
     ]
 }
 
@@ -268,7 +292,7 @@
 
 #[test]
 fn the_versions_that_processes_ask_for_are_the_recorded_ones() {
-    assert_eq!((VERSION, JOURNAL_ALONE), (10, 0));
+    assert_eq!((VERSION, JOURNAL_ONLY), (10, 0));
     assert_eq!((LOCK, SOCKET), ("lock", "upgrade.sock"));
 }
 
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -1,111 +1,155 @@
-//! What the records say in all: what is still owed, and which endpoints operators have taken out.
+//! What the records say in all: the messages that are not complete, and the endpoints that operators have disabled.
 
-use super::records::{Ending, Entry, Origin, Sent, Taken, Terms, encode};
+use super::records::{
+    AcceptedMessage, ClassTerms, MessageOrigin, Record, RecordedAttempt, UndeliveredOutcome, encode,
+};
 use std::collections::BTreeMap;
 
-/// What the journal still holds of a message.
+/// What the journal holds of a message that is not complete.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Owed {
-    pub taken: Taken,
-    pub origin: Origin,
+pub struct UnfinishedMessage {
+    /// The message as it was handed in.
+    pub accepted: AcceptedMessage,
+    /// Whose message it is.
+    pub origin: MessageOrigin,
     /// Not known of messages that an earlier program wrote down.
-    pub terms: Option<Terms>,
-    pub attempts: Vec<Sent>,
-    /// It has ended, but its notice has not been answered.
-    pub ending: Option<Ending>,
+    pub terms: Option<ClassTerms>,
+    /// All attempts, in their order.
+    pub attempts: Vec<RecordedAttempt>,
+    /// It has ended undelivered, but its notification has not been accepted.
+    pub outcome: Option<UndeliveredOutcome>,
     /// Bytes of the records that a compacted file needs for it.
     size: u64,
 }
 
+impl UnfinishedMessage {
+    fn new(
+        accepted: AcceptedMessage,
+        origin: MessageOrigin,
+        terms: Option<ClassTerms>,
+        size: u64,
+    ) -> Self {
+        UnfinishedMessage {
+            accepted,
+            origin,
+            terms,
+            attempts: Vec::new(),
+            outcome: None,
+            size,
+        }
+    }
+
+    /// The records that a compacted file needs for it.
+    fn encode(&self, number: u64) -> Result<Vec<u8>, postcard::Error> {
+        let accepted = self.accepted.clone();
+        let origin = self.origin.clone();
+        let mut bytes = encode(&match self.terms.clone() {
+            Some(terms) => Record::Accepted(number, accepted, origin, terms),
+            None => Record::AcceptedWithoutTerms(number, accepted, origin),
+        })?;
+        for attempt in &self.attempts {
+            bytes.extend(encode(&Record::AttemptStarted(number, attempt.clone()))?);
+        }
+        if let Some(outcome) = self.outcome {
+            bytes.extend(encode(&Record::Undelivered(number, outcome))?);
+        }
+        Ok(bytes)
+    }
+}
+
 /// All that a journal holds, and the bytes that a compacted file needs for it.
 #[derive(Debug, Default)]
 pub struct Contents {
     /// By number of message.
-    pub owed: BTreeMap<u64, Owed>,
-    /// Endpoints that are out, and the bytes that each one's record takes.
-    pub out: BTreeMap<String, u64>,
-    pub live: u64,
+    pub unfinished: BTreeMap<u64, UnfinishedMessage>,
+    /// Endpoints that are disabled, and the bytes that each one's record takes.
+    pub disabled: BTreeMap<String, u64>,
+    /// Bytes that a compacted file needs.
+    pub live_bytes: u64,
 }
 
 impl Contents {
     /// Takes in a record of this length.
-    pub fn apply(&mut self, entry: Entry, length: u64) {
-        match entry {
-            Entry::Taken(number, taken) => self.owe(number, taken, Origin::default(), None, length),
-            Entry::HandedIn(number, taken, origin) => self.owe(number, taken, origin, None, length),
-            Entry::TakenOn(number, taken, origin, terms) => {
-                self.owe(number, taken, origin, Some(terms), length);
+    pub fn apply(&mut self, record: Record, length: u64) {
+        match record {
+            Record::AcceptedWithoutOrigin(number, accepted) => {
+                let origin = MessageOrigin::default();
+                self.insert(
+                    number,
+                    UnfinishedMessage::new(accepted, origin, None, length),
+                );
             }
-            Entry::Over(number) => {
-                if let Some(old) = self.owed.remove(&number) {
-                    self.live -= old.size;
+            Record::AcceptedWithoutTerms(number, accepted, origin) => {
+                self.insert(
+                    number,
+                    UnfinishedMessage::new(accepted, origin, None, length),
+                );
+            }
+            Record::Accepted(number, accepted, origin, terms) => {
+                let message = UnfinishedMessage::new(accepted, origin, Some(terms), length);
+                self.insert(number, message);
+            }
+            Record::Completed(number) => {
+                if let Some(old) = self.unfinished.remove(&number) {
+                    self.live_bytes -= old.size;
                 }
             }
-            Entry::Sent(number, sent) => self.grow(number, length, |owed| owed.attempts.push(sent)),
-            Entry::Outcome {
+            Record::AttemptStarted(number, attempt) => {
+                self.change(number, length, |message| message.attempts.push(attempt));
+            }
+            Record::AttemptOutcome {
                 message,
                 attempt,
                 never_ran,
-            } => self.grow(message, 0, |owed| {
-                if let Some(sent) = owed.attempts.get_mut(attempt as usize) {
-                    sent.never_ran = never_ran;
+            } => self.change(message, 0, |message| {
+                if let Some(attempt) = message.attempts.get_mut(attempt as usize) {
+                    attempt.never_ran = never_ran;
                 }
             }),
-            Entry::PutOut(uid) => {
-                self.live += length - self.out.insert(uid, length).unwrap_or(0);
+            Record::EndpointDisabled(uid) => {
+                let before = self.disabled.insert(uid, length);
+                self.live_bytes += length - before.unwrap_or(0);
             }
-            Entry::PutBack(uid) => self.live -= self.out.remove(&uid).unwrap_or(0),
-            Entry::Ending(number, ending) => {
-                self.grow(number, length, |owed| owed.ending = Some(ending))
+            Record::EndpointEnabled(uid) => {
+                self.live_bytes -= self.disabled.remove(&uid).unwrap_or(0);
+            }
+            Record::Undelivered(number, outcome) => {
+                self.change(number, length, |message| message.outcome = Some(outcome));
             }
         }
     }
 
-    fn owe(
-        &mut self,
-        number: u64,
-        taken: Taken,
-        origin: Origin,
-        terms: Option<Terms>,
-        length: u64,
-    ) {
-        let owed = Owed {
-            taken,
-            origin,
-            terms,
-            attempts: Vec::new(),
-            ending: None,
-            size: length,
-        };
-        self.live += length;
-        if let Some(old) = self.owed.insert(number, owed) {
-            self.live -= old.size;
+    fn insert(&mut self, number: u64, message: UnfinishedMessage) {
+        self.live_bytes += message.size;
+        if let Some(old) = self.unfinished.insert(number, message) {
+            self.live_bytes -= old.size;
         }
     }
 
-    fn grow(&mut self, number: u64, length: u64, change: impl FnOnce(&mut Owed)) {
-        if let Some(owed) = self.owed.get_mut(&number) {
-            owed.size += length;
-            self.live += length;
-            change(owed);
+    /// Changes a message by a record that a compacted file needs so many bytes for.
+    fn change(&mut self, number: u64, length: u64, change: impl FnOnce(&mut UnfinishedMessage)) {
+        if let Some(message) = self.unfinished.get_mut(&number) {
+            message.size += length;
+            self.live_bytes += length;
+            change(message);
         }
     }
 
-    /// A record was lost: it may have told of a send of any message that is owed.
+    /// A record was lost: it may have told of an attempt of any unfinished message.
     ///
     /// # Errors
     /// A message can't be encoded.
-    pub fn presume_sends(&mut self) -> Result<(), postcard::Error> {
-        self.live = self.out.values().sum();
-        for (&number, owed) in &mut self.owed {
-            let presumed = Sent {
+    pub fn presume_attempts(&mut self) -> Result<(), postcard::Error> {
+        self.live_bytes = self.disabled.values().sum();
+        for (&number, message) in &mut self.unfinished {
+            let presumed = RecordedAttempt {
                 uid: String::new(),
-                sent_at: owed.taken.taken_at,
+                sent_at: message.accepted.accepted_at,
                 never_ran: false,
             };
-            owed.attempts.insert(0, presumed);
-            owed.size = encode_owed(number, owed)?.len() as u64;
-            self.live += owed.size;
+            message.attempts.insert(0, presumed);
+            message.size = message.encode(number)?.len() as u64;
+            self.live_bytes += message.size;
         }
         Ok(())
     }
@@ -116,27 +160,12 @@
     /// Something can't be encoded.
     pub fn compacted(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = Vec::new();
-        for uid in self.out.keys() {
-            bytes.extend(encode(&Entry::PutOut(uid.clone()))?);
+        for uid in self.disabled.keys() {
+            bytes.extend(encode(&Record::EndpointDisabled(uid.clone()))?);
         }
-        for (&number, owed) in &self.owed {
-            bytes.extend(encode_owed(number, owed)?);
+        for (&number, message) in &self.unfinished {
+            bytes.extend(message.encode(number)?);
         }
         Ok(bytes)
     }
 }
-
-fn encode_owed(number: u64, owed: &Owed) -> Result<Vec<u8>, postcard::Error> {
-    let (taken, origin) = (owed.taken.clone(), owed.origin.clone());
-    let mut bytes = encode(&match owed.terms.clone() {
-        Some(terms) => Entry::TakenOn(number, taken, origin, terms),
-        None => Entry::HandedIn(number, taken, origin),
-    })?;
-    for sent in &owed.attempts {
-        bytes.extend(encode(&Entry::Sent(number, sent.clone()))?);
-    }
-    if let Some(ending) = owed.ending {
-        bytes.extend(encode(&Entry::Ending(number, ending))?);
-    }
-    Ok(bytes)
-}
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -1,39 +1,50 @@
-//! What the sender has taken on, in a file that outlasts the process.
+//! What the sender has accepted, in a file that outlasts the process.
 //!
 //! Records are appended whole, each by one write straight to the file: what was written outlasts a SIGKILL without a sync.
-//! Before the file could grow beyond what lets old and new stand side by side under the limit, what is still owed is
+//! Before the file could grow beyond what lets old and new stand side by side under the limit, what is not complete is
 //! written to a new file that then takes the old one's name.
 //!
 //! A write may fail for a while. No record is ever written before one that failed: what has happened (an outcome, an end)
-//! is kept in its order and written first as soon as the disk takes it, and what is yet to happen (a message to be taken
-//! on, a send) is not written, so that it must not happen, until then. Half a record is cut off before anything
-//! follows it. So a next life reads a prefix of what happened, never a later part without an earlier one.
+//! is kept in its order and written first as soon as the disk takes it, and what is yet to happen (a message to be
+//! accepted, an attempt) is not written, so that it must not happen, until then. Half a record is cut off before anything
+//! follows it. So a later process reads a prefix of what happened, never a later part without an earlier one.
 
 mod contents;
+mod file;
 mod records;
+mod recovery;
+#[cfg(test)]
+mod tests;
 
 use contents::Contents;
-pub use contents::Owed;
-pub use records::{Ending, Origin, Sent, Taken, Terms};
-use records::{Entry, MARK, decode, encode};
+pub use contents::UnfinishedMessage;
+use file::JournalFile;
+use message_sender::Micros;
+pub use records::{
+    AcceptedMessage, ClassTerms, MessageOrigin, RecordedAttempt, UndeliveredOutcome,
+};
+use records::{Record, encode};
+pub use recovery::Recovery;
 use std::collections::{BTreeMap, VecDeque};
-use std::fs::{self, File, OpenOptions};
-use std::io::{self, Write};
+use std::fs;
+use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Most that one send, outcome or end takes up.
-const SMALL_ENTRY: u64 = 64;
-/// Part of the room that is kept free of new messages, at most.
-const RESERVE_MOST: u64 = 4;
+/// The journal, in the state folder.
+const FILE: &str = "journal";
+/// Most bytes that one attempt, outcome or end takes up.
+const MAX_SMALL_RECORD_BYTES: u64 = 64;
+/// The part of the limit that is kept free of new messages, at most.
+const MAX_RESERVE: u64 = 4;
 /// For the folder's own blocks, the clock's anchor, and the rounding of the files to whole 512 bytes.
-const ROUNDING: u64 = 5 * 1024;
+const ROUNDING_BYTES: u64 = 5 * 1024;
 /// Below this a file is not worth compacting.
-const SMALL: u64 = 256 * 1024;
-/// No message has this number: that it is over says nothing, and shows that the disk takes records.
+const COMPACTION_BYTES: u64 = 256 * 1024;
+/// No message has this number: that it is complete says nothing, and shows that the disk takes records.
 const NO_MESSAGE: u64 = u64::MAX;
 
-/// Why an entry was not written.
+/// Why a record was not written.
 #[derive(Debug, Error)]
 pub enum JournalError {
     /// The folder's limit: room comes back as messages end; a larger `disk_mb` holds more of them.
@@ -47,90 +58,82 @@
     Encode(#[from] postcard::Error),
 }
 
-/// What was found at the start.
-#[derive(Debug, Default, PartialEq, Eq)]
-pub struct Recovery {
-    pub records: usize,
-    /// Bytes dropped at the end: a record that a kill cut short.
-    pub torn: usize,
-    /// Bytes skipped before sound records: real damage.
-    pub damaged: usize,
-}
-
 /// What a journal is opened with.
 #[derive(Debug, Clone)]
-struct Opening {
+struct OpenOptions {
     folder: PathBuf,
     limit: u64,
-    entries: u64,
+    max_records: u64,
+}
+
+/// A record that has happened and is not in the file yet.
+#[derive(Debug)]
+struct PendingRecord {
+    /// The message that it is about.
+    message: Option<u64>,
+    /// As it is to be written.
+    bytes: Vec<u8>,
 }
 
 /// The open journal.
 #[derive(Debug)]
 pub struct Journal {
-    path: PathBuf,
-    file: File,
-    /// Bytes of whole records in the file.
-    size: u64,
+    file: JournalFile,
+    options: OpenOptions,
+    /// Bytes that old and new file may take together.
     limit: u64,
-    opening: Opening,
-    /// Kept free of new messages, for the sends, outcomes and ends of those that were taken.
+    /// Kept free of new messages, for the attempts, outcomes and ends of those that were accepted.
     reserve: u64,
     /// All that has happened, what is pending included.
     contents: Contents,
     /// What has happened and is not in the file yet, in its order.
-    pending: VecDeque<Entry>,
-    /// Half a record may stand behind the whole ones.
-    dirty: bool,
+    pending: VecDeque<PendingRecord>,
     /// The last write failed.
     failing: bool,
 }
 
 impl Journal {
-    /// Opens the journal in the folder and reads what is owed. `limit` is what the folder may hold, `entries`
-    /// the sends, outcomes and ends that the messages held at once may come to.
+    /// Opens the journal in the folder and reads what is not complete. `limit` is what the folder may hold in bytes,
+    /// `max_records` the attempts, outcomes and ends that the messages held at once may come to.
     ///
     /// # Errors
     /// The file can't be opened or read, or is damaged and can't be written anew. Nothing is lost by trying again.
-    pub fn open(folder: &Path, limit: u64, entries: u64) -> Result<(Self, Recovery), JournalError> {
-        fs::create_dir_all(folder)?;
-        let path = folder.join("journal");
-        // what a kill in the middle of a compaction left behind; one that stays is written over
-        let _ = fs::remove_file(path.with_extension("new"));
-        let bytes = match fs::read(&path) {
-            Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
-            other => other?,
-        };
-        let file = OpenOptions::new().append(true).create(true).open(&path)?;
-        let opening = Opening {
-            folder: folder.to_path_buf(),
+    pub fn open(
+        folder: &Path,
+        limit: u64,
+        max_records: u64,
+    ) -> Result<(Self, Recovery), JournalError> {
+        let folder = folder.to_path_buf();
+        Journal::open_with(OpenOptions {
+            folder,
             limit,
-            entries,
-        };
+            max_records,
+        })
+    }
+
+    fn open_with(options: OpenOptions) -> Result<(Self, Recovery), JournalError> {
+        fs::create_dir_all(&options.folder)?;
+        let (file, bytes) = JournalFile::open(options.folder.join(FILE))?;
+        let small_records = options.max_records.saturating_mul(MAX_SMALL_RECORD_BYTES);
         let mut journal = Journal {
-            path,
             file,
-            size: bytes.len() as u64,
-            limit: limit.saturating_sub(ROUNDING),
-            opening,
-            reserve: entries
-                .saturating_mul(SMALL_ENTRY)
-                .min(limit / RESERVE_MOST),
+            limit: options.limit.saturating_sub(ROUNDING_BYTES),
+            reserve: small_records.min(options.limit / MAX_RESERVE),
+            options,
             contents: Contents::default(),
             pending: VecDeque::new(),
-            dirty: false,
             failing: false,
         };
-        let recovery = journal.read(&bytes);
+        let recovery = recovery::read(&bytes, &mut journal.contents);
         if recovery.torn > 0 {
-            journal.size -= recovery.torn as u64;
-            journal.dirty = true;
+            journal.file.mark_partial_record(recovery.torn);
         }
         if recovery.damaged > 0 {
-            journal.contents.presume_sends()?;
+            journal.contents.presume_attempts()?;
             // what is presumed has to stand in the file before anything refers to it
             journal.compact()?;
-        } else if journal.size > SMALL || journal.cut_half_record().is_err() {
+        } else if journal.file.size > COMPACTION_BYTES || journal.file.cut_partial_record().is_err()
+        {
             // the larger file serves as well
             journal.failing = journal.compact().is_err();
         }
@@ -142,281 +145,202 @@
     /// # Errors
     /// As [`Journal::open`]; it is as it was then.
     pub fn reopen(&mut self) -> Result<(), JournalError> {
-        let Opening {
-            folder,
-            limit,
-            entries,
-        } = self.opening.clone();
-        *self = Journal::open(&folder, limit, entries)?.0;
+        let (journal, _) = Journal::open_with(self.options.clone())?;
+        *self = journal;
         Ok(())
     }
 
-    /// What is owed, by the numbers of [`Journal::take`].
-    pub fn owed(&self) -> &BTreeMap<u64, Owed> {
-        &self.contents.owed
+    /// The messages that are not complete, by the numbers of [`Journal::accept`].
+    pub fn unfinished(&self) -> &BTreeMap<u64, UnfinishedMessage> {
+        &self.contents.unfinished
     }
 
-    /// The endpoints that operators have taken out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.contents.out.keys().map(String::as_str)
+    /// The endpoints that operators have disabled.
+    pub fn disabled_endpoints(&self) -> impl Iterator<Item = &str> {
+        self.contents.disabled.keys().map(String::as_str)
     }
 
-    /// True if operators have taken the endpoint out.
-    pub fn is_out(&self, uid: &str) -> bool {
-        self.contents.out.contains_key(uid)
+    /// True if operators have disabled the endpoint.
+    pub fn is_disabled(&self, uid: &str) -> bool {
+        self.contents.disabled.contains_key(uid)
     }
 
     /// True if an earlier process, or this one, has written something down.
     pub fn has_records(&self) -> bool {
-        self.size > 0
+        self.file.size > 0
     }
 
-    /// True while something that has happened is not in the file yet: a next life would not know of it.
+    /// True while something that has happened is not in the file yet: a later process would not know of it.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// True while the disk takes nothing: a message can't be taken on, and a call can't begin.
+    /// True while the disk takes nothing: a message can't be accepted, and a call can't begin.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
 
-    /// Writes down that an endpoint is taken out or put back; it may be promised once this has succeeded.
+    /// Writes down that an endpoint is disabled or enabled; it may be promised once this has succeeded.
     ///
     /// # Errors
     /// It is not written.
-    pub fn set_out(&mut self, uid: &str, out: bool) -> Result<(), JournalError> {
+    pub fn set_disabled(&mut self, uid: &str, disabled: bool) -> Result<(), JournalError> {
         let uid = uid.to_string();
-        self.write_ahead(
-            if out {
-                Entry::PutOut(uid)
-            } else {
-                Entry::PutBack(uid)
-            },
-            0,
-        )
+        let record = if disabled {
+            Record::EndpointDisabled(uid)
+        } else {
+            Record::EndpointEnabled(uid)
+        };
+        self.write_ahead(record, 0)
     }
 
     /// Writes a message down; it may be promised once this has succeeded.
     ///
     /// # Errors
     /// It is not written.
-    pub fn take(
+    pub fn accept(
         &mut self,
         number: u64,
-        taken: Taken,
-        origin: Origin,
-        terms: Terms,
+        accepted: AcceptedMessage,
+        origin: MessageOrigin,
+        terms: ClassTerms,
     ) -> Result<(), JournalError> {
-        self.write_ahead(Entry::TakenOn(number, taken, origin, terms), self.reserve)
+        let record = Record::Accepted(number, accepted, origin, terms);
+        self.write_ahead(record, self.reserve)
     }
 
-    /// Writes a send down; its call may begin once this has succeeded. Returns its position among the message's
-    /// sends here, which one that was not written down does not take.
+    /// Writes an attempt down; its call may begin once this has succeeded. Returns its position among the message's
+    /// attempts here, which one that was not written down does not take.
     ///
     /// # Errors
     /// It is not written.
-    pub fn sent(&mut self, number: u64, uid: &str, sent_at: i64) -> Result<usize, JournalError> {
-        let position = self
-            .contents
-            .owed
-            .get(&number)
-            .map_or(0, |owed| owed.attempts.len());
-        self.write_ahead(
-            Entry::Sent(
-                number,
-                Sent {
-                    uid: uid.to_string(),
-                    sent_at,
-                    never_ran: false,
-                },
-            ),
-            0,
-        )?;
+    pub fn start_attempt(
+        &mut self,
+        number: u64,
+        uid: &str,
+        sent_at: Micros,
+    ) -> Result<usize, JournalError> {
+        let message = self.contents.unfinished.get(&number);
+        let position = message.map_or(0, |message| message.attempts.len());
+        let attempt = RecordedAttempt {
+            uid: uid.to_string(),
+            sent_at,
+            never_ran: false,
+        };
+        self.write_ahead(Record::AttemptStarted(number, attempt), 0)?;
         Ok(position)
     }
 
-    /// An attempt has proved that it never ran. That it may have run is what a send without outcome says.
+    /// An attempt has proved that it never ran. That it may have run is what an attempt without outcome says.
     ///
     /// # Errors
     /// It is pending: known here, and written as soon as the disk takes it.
-    pub fn never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
-        self.write_behind(Entry::Outcome {
+    pub fn attempt_never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
+        self.write_behind(Record::AttemptOutcome {
             message,
             attempt: position as u32,
             never_ran: true,
         })
     }
 
-    /// A message has ended, and a notice is owed.
+    /// A message has ended undelivered, and a notification is pending.
     ///
     /// # Errors
     /// It is pending: known here, and written as soon as the disk takes it.
-    pub fn ending(&mut self, number: u64, ending: Ending) -> Result<(), JournalError> {
-        self.write_behind(Entry::Ending(number, ending))
+    pub fn end_undelivered(
+        &mut self,
+        number: u64,
+        outcome: UndeliveredOutcome,
+    ) -> Result<(), JournalError> {
+        self.write_behind(Record::Undelivered(number, outcome))
     }
 
-    /// Nothing more is owed.
+    /// Nothing more is to be done for a message.
     ///
     /// # Errors
     /// It is pending: known here, and written as soon as the disk takes it.
-    pub fn over(&mut self, number: u64) -> Result<(), JournalError> {
-        if !self.contents.owed.contains_key(&number) {
+    pub fn complete(&mut self, number: u64) -> Result<(), JournalError> {
+        if !self.contents.unfinished.contains_key(&number) {
             return Ok(());
         }
         // what else is pending of it says nothing any more
-        self.pending.retain(|entry| entry.message() != Some(number));
-        self.write_behind(Entry::Over(number))
+        self.pending.retain(|record| record.message != Some(number));
+        self.write_behind(Record::Completed(number))
     }
 
     /// Tries again what failed: what is pending is written, and a disk that took nothing is asked whether it does again.
     ///
     /// # Errors
     /// It still fails.
-    pub fn retry(&mut self) -> Result<(), JournalError> {
-        if self.cut_half_record().is_err() {
+    pub fn retry_pending(&mut self) -> Result<(), JournalError> {
+        if self.file.cut_partial_record().is_err() {
             // the half may be left behind with the whole file
             self.compact()?;
         }
-        self.flush()?;
+        self.write_pending()?;
         if self.failing {
-            self.append(&Entry::Over(NO_MESSAGE), 0)?;
+            let nothing = encode(&Record::Completed(NO_MESSAGE))?;
+            self.append(&nothing, 0)?;
         }
         Ok(())
     }
 
     /// What is yet to happen: written before it does, and after all that has happened.
-    fn write_ahead(&mut self, entry: Entry, reserve: u64) -> Result<(), JournalError> {
-        self.flush()?;
-        let length = self.append(&entry, reserve)?;
-        self.contents.apply(entry, length);
+    fn write_ahead(&mut self, record: Record, reserve: u64) -> Result<(), JournalError> {
+        self.write_pending()?;
+        let bytes = encode(&record)?;
+        self.append(&bytes, reserve)?;
+        self.contents.apply(record, bytes.len() as u64);
         Ok(())
     }
 
     /// What has happened: true at once, and in the file now or later.
-    fn write_behind(&mut self, entry: Entry) -> Result<(), JournalError> {
-        let length = encode(&entry)?.len() as u64;
-        self.contents.apply(entry.clone(), length);
-        self.pending.push_back(entry);
-        self.flush()
+    fn write_behind(&mut self, record: Record) -> Result<(), JournalError> {
+        let bytes = encode(&record)?;
+        let message = record.message();
+        self.contents.apply(record, bytes.len() as u64);
+        self.pending.push_back(PendingRecord { message, bytes });
+        self.write_pending()
     }
 
     /// Writes what is pending, in its order.
-    fn flush(&mut self) -> Result<(), JournalError> {
-        while let Some(entry) = self.pending.front().cloned() {
-            self.append(&entry, 0)?;
+    fn write_pending(&mut self) -> Result<(), JournalError> {
+        while let Some(record) = self.pending.front() {
+            let bytes = record.bytes.clone();
+            self.append(&bytes, 0)?;
             // a compaction on the way has written all of it
             self.pending.pop_front();
         }
         Ok(())
     }
 
-    /// Appends a record; its length.
-    fn append(&mut self, entry: &Entry, reserve: u64) -> Result<u64, JournalError> {
-        let record = encode(entry)?;
-        let length = record.len() as u64;
-        let live = self.contents.live;
+    /// Appends a record, and leaves so many bytes free.
+    fn append(&mut self, bytes: &[u8], reserve: u64) -> Result<(), JournalError> {
+        let length = bytes.len() as u64;
+        let live = self.contents.live_bytes;
         // old and new file must fit together, also after this record
         let fits = |size: u64| size + live + 2 * length + reserve <= self.limit;
-        if !fits(self.size) {
+        if !fits(self.file.size) {
             if !fits(live) {
                 return Err(JournalError::Full);
             }
             self.compact()?;
         }
-        let written = self.cut_half_record().and_then(|()| {
-            self.dirty = true;
-            self.file.write_all(&record)
-        });
+        let written = self.file.append(bytes);
         self.failing = written.is_err();
-        if let Err(error) = written {
-            // what can't be cut off now is cut off before the next record
-            let _ = self.cut_half_record();
-            return Err(error.into());
-        }
-        self.dirty = false;
-        self.size += length;
-        Ok(length)
-    }
-
-    /// Cuts off what a failed write may have left behind the whole records.
-    fn cut_half_record(&mut self) -> io::Result<()> {
-        if self.dirty {
-            self.file.set_len(self.size)?;
-            self.dirty = false;
-        }
-        Ok(())
+        Ok(written?)
     }
 
-    /// Writes what is still owed to a new file in the old one's place.
+    /// Writes what is not complete to a new file in the old one's place.
     fn compact(&mut self) -> Result<(), JournalError> {
         let bytes = self.contents.compacted()?;
-        if self.size + bytes.len() as u64 > self.limit {
+        if self.file.size + bytes.len() as u64 > self.limit {
             return Err(JournalError::Full);
         }
-        let new = self.path.with_extension("new");
-        match replace_file(&new, &self.path, &bytes) {
-            Ok(file) => {
-                self.file = file;
-                self.size = bytes.len() as u64;
-                self.dirty = false;
-                self.failing = false;
-                self.pending.clear();
-                Ok(())
-            }
-            Err(error) => {
-                // one that stays is written over by the next
-                let _ = fs::remove_file(&new);
-                self.failing = true;
-                Err(JournalError::Io(error))
-            }
-        }
-    }
-
-    fn read(&mut self, bytes: &[u8]) -> Recovery {
-        let mut recovery = Recovery::default();
-        let (mut at, mut bad) = (0, 0);
-        while at < bytes.len() {
-            let Some((entry, length)) = decode(&bytes[at..]) else {
-                (at, bad) = (at + 1, bad + 1);
-                continue;
-            };
-            recovery.damaged += std::mem::take(&mut bad);
-            recovery.records += 1;
-            at += length;
-            self.contents.apply(entry, length as u64);
-        }
-        // a kill cuts one record short; more than one lost at the end is damage
-        let tail = &bytes[bytes.len() - bad..];
-        if tail
-            .iter()
-            .skip(1)
-            .zip(1..)
-            .any(|(_, from)| tail[from..].starts_with(&MARK))
-        {
-            recovery.damaged += bad;
-        } else {
-            recovery.torn = bad;
-        }
-        recovery
-    }
-}
-
-/// Writes a file beside another one and has it take that one's name.
-fn replace_file(new: &Path, old: &Path, bytes: &[u8]) -> io::Result<File> {
-    // a file is not opened to be appended to and cut to nothing at once
-    fs::remove_file(new).or_else(|error| match error.kind() {
-        io::ErrorKind::NotFound => Ok(()),
-        _ => File::create(new).map(drop),
-    })?;
-    let mut file = OpenOptions::new().append(true).create(true).open(new)?;
-    file.write_all(bytes)?;
-    match fs::rename(new, old) {
-        // it may have been carried out before it failed
-        Err(error) if new.exists() => Err(error),
-        _ => Ok(file),
+        let replaced = self.file.replace(&bytes);
+        self.failing = replaced.is_err();
+        replaced?;
+        self.pending.clear();
+        Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -1,180 +1,195 @@
-//! Records: what is written down, and its form on disk: a mark, a length, a checksum and the encoded entry.
+//! Records of the journal and their form on disk: a mark, a length, a checksum and the encoded record.
 
-use message_sender::{Class, Effect};
+use message_sender::{Class, Effect, Micros};
 use serde::{Deserialize, Serialize};
 
+/// Each record begins with it.
 pub const MARK: [u8; 4] = *b"MTJ1";
-const HEAD: usize = 12;
-/// More than any entry needs; a longer length is damage.
-const LONGEST: usize = 1 << 18;
-/// How a message that was not delivered ends.
+/// Bytes of mark, length and checksum.
+const HEADER_BYTES: usize = 12;
+/// More than any record needs; a longer length is damage.
+const MAX_PAYLOAD_BYTES: usize = 1 << 18;
+
+/// How a message that was not delivered ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum UndeliveredOutcome {
+    /// It can't be delivered, or may have been.
     Failed,
-    Returned { after_ms: Option<u64> },
+    /// It was never delivered: the client may hand it in again.
+    Returned {
+        /// Not before so many milliseconds.
+        after_ms: Option<u64>,
+    },
 }
 
-/// A message as it was handed in.
+/// A message as a client handed it in.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
+    /// The client's id of the message.
     pub id: String,
+    /// Its idempotency key.
     pub key: Option<String>,
+    /// The name of its class.
     pub class: String,
+    /// Where it goes.
     pub destination: u64,
-    /// Unix time in microseconds.
-    pub taken_at: i64,
-    pub deadline: i64,
+    /// When its request began, in module time.
+    pub accepted_at: Micros,
+    /// No longer delivered after this module time.
+    pub deadline: Micros,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
-/// Whose message it is, which the turns of a life to come need.
+/// Whose message it is, which the ordering and the shares of a later process need.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Origin {
+pub struct MessageOrigin {
+    /// What the message is about.
     pub subject: Option<String>,
+    /// The tenant that it counts for.
     pub tenant: Option<String>,
 }
 
-/// What its class promised when it was taken on.
+/// What its class allowed when the message was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Terms {
+pub struct ClassTerms {
+    /// What a repeat does.
     pub effect: Effect,
-    pub aim: i64,
-    pub deadline: i64,
-    pub worth: f64,
+    /// Full priority weight when delivered within this time.
+    pub latency_objective: Micros,
+    /// No longer delivered after this time.
+    pub deadline: Micros,
+    /// The weight of one message.
+    pub priority_weight: f64,
+    /// The share of the weight that is left at the deadline.
     pub late_share: f64,
+    /// Messages of one subject go one at a time, in order.
     pub ordered: bool,
-    pub attempts: u32,
+    /// Attempts that the message has.
+    pub max_attempts: u32,
 }
 
-impl Terms {
+impl ClassTerms {
     /// The terms of a class, with the attempts that a message has now.
-    pub fn of(class: &Class, attempts: usize) -> Self {
-        let &Class {
-            effect,
-            aim,
-            deadline,
-            worth,
-            late_share,
-            ordered,
-            ..
-        } = class;
-        Terms {
-            effect,
-            aim,
-            deadline,
-            worth,
-            late_share,
-            ordered,
-            attempts: attempts as u32,
+    pub fn of(class: &Class, max_attempts: usize) -> Self {
+        ClassTerms {
+            effect: class.effect,
+            latency_objective: class.aim,
+            deadline: class.deadline,
+            priority_weight: class.worth,
+            late_share: class.late_share,
+            ordered: class.ordered,
+            max_attempts: max_attempts as u32,
         }
     }
 
     /// The class that they are the terms of.
     pub fn class(&self, name: &str) -> Class {
-        let &Terms {
-            effect,
-            aim,
-            deadline,
-            worth,
-            late_share,
-            ordered,
-            ..
-        } = self;
         Class {
             name: name.to_string(),
-            effect,
-            aim,
-            deadline,
-            worth,
-            late_share,
-            ordered,
+            effect: self.effect,
+            aim: self.latency_objective,
+            deadline: self.deadline,
+            worth: self.priority_weight,
+            late_share: self.late_share,
+            ordered: self.ordered,
         }
     }
 }
 
-/// One send of a message.
+/// One attempt to deliver a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct RecordedAttempt {
+    /// The endpoint's name in the list.
     pub uid: String,
-    /// Unix time in microseconds.
-    pub sent_at: i64,
+    /// Module time.
+    pub sent_at: Micros,
     /// An outcome has proved that it never ran.
     pub never_ran: bool,
 }
 
 /// One record. The order of the variants is their form on disk: new ones come last.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Entry {
+pub enum Record {
     /// Read only: as messages were written down before their origin was.
-    Taken(u64, Taken),
-    Sent(u64, Sent),
-    Outcome {
+    AcceptedWithoutOrigin(u64, AcceptedMessage),
+    /// An attempt to deliver the message begins.
+    AttemptStarted(u64, RecordedAttempt),
+    /// What an attempt's outcome has proved.
+    AttemptOutcome {
+        /// The message's number.
         message: u64,
+        /// The position among the message's attempts.
         attempt: u32,
+        /// It never ran.
         never_ran: bool,
     },
-    Ending(u64, Ending),
-    Over(u64),
+    /// The message ended undelivered, and a notification is pending.
+    Undelivered(u64, UndeliveredOutcome),
+    /// Nothing more is to be done for the message.
+    Completed(u64),
     /// Read only: as messages were written down before their terms were.
-    HandedIn(u64, Taken, Origin),
-    /// Operators took this endpoint out, or put it back.
-    PutOut(String),
-    PutBack(String),
-    TakenOn(u64, Taken, Origin, Terms),
+    AcceptedWithoutTerms(u64, AcceptedMessage, MessageOrigin),
+    /// Operators disabled this endpoint.
+    EndpointDisabled(String),
+    /// Operators enabled this endpoint again.
+    EndpointEnabled(String),
+    /// A client's message was accepted.
+    Accepted(u64, AcceptedMessage, MessageOrigin, ClassTerms),
 }
 
-impl Entry {
+impl Record {
     /// The message that it is about.
     pub fn message(&self) -> Option<u64> {
         match *self {
-            Entry::Taken(number, _)
-            | Entry::HandedIn(number, ..)
-            | Entry::TakenOn(number, ..)
-            | Entry::Sent(number, _)
-            | Entry::Outcome {
+            Record::AcceptedWithoutOrigin(number, _)
+            | Record::AcceptedWithoutTerms(number, ..)
+            | Record::Accepted(number, ..)
+            | Record::AttemptStarted(number, _)
+            | Record::AttemptOutcome {
                 message: number, ..
             }
-            | Entry::Ending(number, _)
-            | Entry::Over(number) => Some(number),
-            Entry::PutOut(_) | Entry::PutBack(_) => None,
+            | Record::Undelivered(number, _)
+            | Record::Completed(number) => Some(number),
+            Record::EndpointDisabled(_) | Record::EndpointEnabled(_) => None,
         }
     }
 }
 
-/// The record of an entry.
+/// The bytes of a record.
 ///
 /// # Errors
-/// The entry can't be encoded.
-pub fn encode(entry: &Entry) -> Result<Vec<u8>, postcard::Error> {
-    let payload = postcard::to_allocvec(entry)?;
-    let mut record = Vec::with_capacity(HEAD + payload.len());
-    record.extend_from_slice(&MARK);
-    record.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-    record.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
-    record.extend_from_slice(&payload);
-    Ok(record)
+/// The record can't be encoded.
+pub fn encode(record: &Record) -> Result<Vec<u8>, postcard::Error> {
+    let payload = postcard::to_allocvec(record)?;
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
+    bytes.extend_from_slice(&MARK);
+    bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+    bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
+    bytes.extend_from_slice(&payload);
+    Ok(bytes)
 }
 
 /// The record at the start of the bytes and its length, if a sound one stands there.
-pub fn decode(bytes: &[u8]) -> Option<(Entry, usize)> {
-    let word = |at: usize| {
-        bytes
-            .get(at..at + 4)?
-            .try_into()
-            .ok()
-            .map(u32::from_le_bytes)
-    };
+pub fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     if !bytes.starts_with(&MARK) {
         return None;
     }
-    let (length, sum) = (word(4)? as usize, word(8)?);
-    let payload = bytes
-        .get(HEAD..HEAD + length)
-        .filter(|_| length <= LONGEST)?;
-    if crc32fast::hash(payload) != sum {
+    let length = word_at(bytes, 4)? as usize;
+    let checksum = word_at(bytes, 8)?;
+    if length > MAX_PAYLOAD_BYTES {
+        return None;
+    }
+    let end = HEADER_BYTES + length;
+    let payload = bytes.get(HEADER_BYTES..end)?;
+    if crc32fast::hash(payload) != checksum {
         return None;
     }
-    postcard::from_bytes(payload)
-        .ok()
-        .map(|entry| (entry, HEAD + length))
+    let record = postcard::from_bytes(payload).ok()?;
+    Some((record, end))
+}
+
+fn word_at(bytes: &[u8], at: usize) -> Option<u32> {
+    let word = bytes.get(at..at + 4)?.try_into().ok()?;
+    Some(u32::from_le_bytes(word))
 }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -4,18 +4,19 @@
 
 use super::*;
 use message_sender::{Class, Effect};
+use std::fs::File;
 
 #[test]
 fn a_send_that_found_no_room_takes_no_position_and_an_outcome_finds_its_own() {
     let folder = std::env::temp_dir().join(format!("journal-positions-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let (mut journal, _) = Journal::open(&folder, 16 * 1024, 0).expect("opened");
-    let taken = Taken {
+    let taken = AcceptedMessage {
         id: "m".into(),
         key: None,
         class: "order".into(),
         destination: 7,
-        taken_at: 0,
+        accepted_at: 0,
         deadline: 1,
         body: Vec::new(),
     };
@@ -29,18 +30,23 @@
         ordered: false,
     };
     journal
-        .take(5, taken, Origin::default(), Terms::of(&class, 12))
+        .accept(
+            5,
+            taken,
+            MessageOrigin::default(),
+            ClassTerms::of(&class, 12),
+        )
         .expect("room");
     // the first is larger than the room there is, the second may have run, the third never did
     assert!(matches!(
-        journal.sent(5, &"x".repeat(20_000), 1),
+        journal.start_attempt(5, &"x".repeat(20_000), 1),
         Err(JournalError::Full)
     ));
-    assert_eq!(journal.sent(5, "a", 2).expect("room"), 0);
-    assert_eq!(journal.sent(5, "b", 3).expect("room"), 1);
-    journal.never_ran(5, 1).expect("room");
+    assert_eq!(journal.start_attempt(5, "a", 2).expect("room"), 0);
+    assert_eq!(journal.start_attempt(5, "b", 3).expect("room"), 1);
+    journal.attempt_never_ran(5, 1).expect("room");
     journal.reopen().expect("opened");
-    let sends: Vec<_> = journal.owed()[&5]
+    let sends: Vec<_> = journal.unfinished()[&5]
         .attempts
         .iter()
         .map(|sent| (sent.uid.as_str(), sent.never_ran))
@@ -49,20 +55,20 @@
     fs::remove_dir_all(&folder).expect("removed");
 }
 
-fn message(id: u64) -> (Taken, Origin, Terms) {
-    let taken = Taken {
+fn message(id: u64) -> (AcceptedMessage, MessageOrigin, ClassTerms) {
+    let taken = AcceptedMessage {
         id: format!("m{id}"),
         key: None,
         class: "order".into(),
         destination: 7,
-        taken_at: 0,
+        accepted_at: 0,
         deadline: 1,
         body: vec![b'x'; 100],
     };
     (
         taken,
-        Origin::default(),
-        Terms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12),
+        MessageOrigin::default(),
+        ClassTerms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12),
     )
 }
 
@@ -87,19 +93,21 @@
 
 /// Something is written down or has happened; true if it was acknowledged as durable.
 fn step(journal: &mut Journal, draws: &mut Draws, next: &mut u64) -> bool {
-    let owed: Vec<u64> = journal.owed().keys().copied().collect();
+    let owed: Vec<u64> = journal.unfinished().keys().copied().collect();
     let one = (!owed.is_empty()).then(|| owed[draws.below(owed.len() as u64) as usize]);
     match (draws.below(5), one) {
         (0, _) | (_, None) => {
             let (taken, origin, terms) = message(*next);
-            let written = journal.take(*next, taken, origin, terms);
+            let written = journal.accept(*next, taken, origin, terms);
             *next += u64::from(written.is_ok());
             written.is_ok()
         }
-        (1, Some(one)) => journal.sent(one, "s-1", 5).is_ok(),
-        (2, Some(one)) => journal.never_ran(one, 0).is_ok(),
-        (3, Some(one)) => journal.ending(one, Ending::Failed).is_ok(),
-        (_, Some(one)) => journal.over(one).is_ok(),
+        (1, Some(one)) => journal.start_attempt(one, "s-1", 5).is_ok(),
+        (2, Some(one)) => journal.attempt_never_ran(one, 0).is_ok(),
+        (3, Some(one)) => journal
+            .end_undelivered(one, UndeliveredOutcome::Failed)
+            .is_ok(),
+        (_, Some(one)) => journal.complete(one).is_ok(),
     }
 }
 
@@ -113,38 +121,38 @@
         let limit = if seed % 2 == 0 { 1 << 20 } else { 16 * 1024 };
         let (mut journal, _) = Journal::open(&folder, limit, 16).expect("opened");
         let (mut draws, mut next) = (Draws(seed), 0);
-        let mut states = vec![journal.owed().clone()];
+        let mut states = vec![journal.unfinished().clone()];
         let mut durable = 0;
         for _ in 0..150 {
             match draws.below(8) {
                 // a handle that takes nothing, neither records nor to be cut
-                0 => journal.file = File::open(&journal.path).expect("opened"),
+                0 => journal.file.handle = File::open(&journal.file.path).expect("opened"),
                 // half a record gets out before the disk fails
                 1 => {
                     use std::io::Write;
-                    let mut file = OpenOptions::new()
+                    let mut file = File::options()
                         .append(true)
-                        .open(&journal.path)
+                        .open(&journal.file.path)
                         .expect("opened");
-                    let record = encode(&Entry::Over(7)).expect("encoded");
-                    if !journal.dirty {
+                    let record = encode(&Record::Completed(7)).expect("encoded");
+                    if !journal.file.has_partial_record {
                         file.write_all(&record[..record.len() / 2])
                             .expect("written");
-                        journal.dirty = true;
+                        journal.file.has_partial_record = true;
                     }
                 }
                 2 => {
-                    journal.file = OpenOptions::new()
+                    journal.file.handle = File::options()
                         .append(true)
-                        .open(&journal.path)
+                        .open(&journal.file.path)
                         .expect("opened");
-                    journal.retry().expect("the disk is well");
+                    journal.retry_pending().expect("the disk is well");
                     durable = states.len() - 1;
                 }
                 _ => {}
             }
             let acknowledged = step(&mut journal, &mut draws, &mut next);
-            states.push(journal.owed().clone());
+            states.push(journal.unfinished().clone());
             if acknowledged {
                 assert!(
                     !journal.has_pending(),
@@ -155,15 +163,17 @@
             let (life, recovery) = {
                 let copy = fresh("journal-prefix-copy");
                 fs::create_dir_all(&copy).expect("a folder");
-                fs::copy(&journal.path, copy.join("journal")).expect("copied");
+                fs::copy(&journal.file.path, copy.join("journal")).expect("copied");
                 Journal::open(&copy, limit, 16).expect("opened")
             };
             assert_eq!(recovery.damaged, 0, "seed {seed}");
-            let found = states[durable..].iter().any(|state| state == life.owed());
+            let found = states[durable..]
+                .iter()
+                .any(|state| state == life.unfinished());
             assert!(
                 found,
                 "seed {seed}: {:?} is no state since {durable}: {:?}",
-                life.owed(),
+                life.unfinished(),
                 &states[durable..]
             );
         }
@@ -175,12 +185,12 @@
     let folder = fresh("journal-cut");
     let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
     let (mut draws, mut next) = (Draws(3), 0);
-    let mut states = vec![(0, journal.owed().clone())];
+    let mut states = vec![(0, journal.unfinished().clone())];
     for _ in 0..40 {
         step(&mut journal, &mut draws, &mut next);
-        states.push((journal.size, journal.owed().clone()));
+        states.push((journal.file.size, journal.unfinished().clone()));
     }
-    let bytes = fs::read(&journal.path).expect("read");
+    let bytes = fs::read(&journal.file.path).expect("read");
     for length in 0..=bytes.len() {
         let copy = fresh("journal-cut-copy");
         fs::create_dir_all(&copy).expect("a folder");
@@ -192,7 +202,7 @@
             .find(|(size, _)| *size <= length as u64)
             .expect("the empty one");
         assert_eq!(
-            (life.owed(), recovery.damaged),
+            (life.unfinished(), recovery.damaged),
             (&last.1, 0),
             "{length} bytes"
         );
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -1,6 +1,6 @@
 //! The journal's form on disk: files that an earlier program wrote are read, and written again byte for byte.
 
-use super::super::records::{Entry, decode, encode};
+use super::super::records::{Record, decode, encode};
 use super::*;
 use crate::net::golden::assert_same_bytes;
 
@@ -11,26 +11,26 @@
 /// The same journal after a compaction.
 const COMPACTED: &[u8] = include_bytes!("../../../../tests/golden/state/journal-compacted");
 
-fn handed_in(id: &str) -> Taken {
-    Taken {
+fn handed_in(id: &str) -> AcceptedMessage {
+    AcceptedMessage {
         id: id.into(),
         key: Some("key-1".into()),
         class: "order".into(),
         destination: 77,
-        taken_at: 1_700_000_000_000_001,
+        accepted_at: 1_700_000_000_000_001,
         deadline: 1_700_000_020_000_002,
         body: b"body \0\xff".to_vec(),
     }
 }
 
-fn origin() -> Origin {
-    Origin {
+fn origin() -> MessageOrigin {
+    MessageOrigin {
         subject: Some("account-9".into()),
         tenant: Some("acme".into()),
     }
 }
 
-fn terms(effect: Effect) -> Terms {
+fn terms(effect: Effect) -> ClassTerms {
     let class = Class {
         name: "order".into(),
         effect,
@@ -40,7 +40,7 @@
         late_share: 0.5,
         ordered: true,
     };
-    Terms::of(&class, 12)
+    ClassTerms::of(&class, 12)
 }
 
 fn keyed(zone_only: bool) -> Effect {
@@ -50,52 +50,52 @@
     }
 }
 
-fn every_record() -> Vec<Entry> {
-    let sent = |uid: &str, never_ran| Sent {
+fn every_record() -> Vec<Record> {
+    let sent = |uid: &str, never_ran| RecordedAttempt {
         uid: uid.into(),
         sent_at: 1_700_000_000_500_006,
         never_ran,
     };
     vec![
-        Entry::Taken(1, handed_in("m1")),
-        Entry::HandedIn(
+        Record::AcceptedWithoutOrigin(1, handed_in("m1")),
+        Record::AcceptedWithoutTerms(
             2,
-            Taken {
+            AcceptedMessage {
                 key: None,
                 ..handed_in("m2")
             },
             origin(),
         ),
-        Entry::HandedIn(3, handed_in("m3"), Origin::default()),
-        Entry::TakenOn(4, handed_in("m4"), origin(), terms(Effect::Repeatable)),
-        Entry::TakenOn(5, handed_in("m5"), origin(), terms(keyed(false))),
-        Entry::TakenOn(6, handed_in("m6"), origin(), terms(keyed(true))),
-        Entry::TakenOn(300, handed_in("m300"), origin(), terms(Effect::Unsafe)),
-        Entry::Sent(4, sent("s-1", false)),
-        Entry::Sent(4, sent("s-2", true)),
-        Entry::Outcome {
+        Record::AcceptedWithoutTerms(3, handed_in("m3"), MessageOrigin::default()),
+        Record::Accepted(4, handed_in("m4"), origin(), terms(Effect::Repeatable)),
+        Record::Accepted(5, handed_in("m5"), origin(), terms(keyed(false))),
+        Record::Accepted(6, handed_in("m6"), origin(), terms(keyed(true))),
+        Record::Accepted(300, handed_in("m300"), origin(), terms(Effect::Unsafe)),
+        Record::AttemptStarted(4, sent("s-1", false)),
+        Record::AttemptStarted(4, sent("s-2", true)),
+        Record::AttemptOutcome {
             message: 4,
             attempt: 1,
             never_ran: true,
         },
-        Entry::Outcome {
+        Record::AttemptOutcome {
             message: 300,
             attempt: 200,
             never_ran: false,
         },
-        Entry::Ending(2, Ending::Failed),
-        Entry::Ending(3, Ending::Returned { after_ms: None }),
-        Entry::Ending(
+        Record::Undelivered(2, UndeliveredOutcome::Failed),
+        Record::Undelivered(3, UndeliveredOutcome::Returned { after_ms: None }),
+        Record::Undelivered(
             5,
-            Ending::Returned {
+            UndeliveredOutcome::Returned {
                 after_ms: Some(1_234),
             },
         ),
-        Entry::PutOut("s-7".into()),
-        Entry::PutOut("s-8".into()),
-        Entry::PutBack("s-7".into()),
-        Entry::Over(6),
-        Entry::Over(NO_MESSAGE),
+        Record::EndpointDisabled("s-7".into()),
+        Record::EndpointDisabled("s-8".into()),
+        Record::EndpointEnabled("s-7".into()),
+        Record::Completed(6),
+        Record::Completed(NO_MESSAGE),
     ]
 }
 
@@ -148,48 +148,51 @@
         }
     );
     assert_eq!(
-        journal.owed().keys().copied().collect::<Vec<_>>(),
+        journal.unfinished().keys().copied().collect::<Vec<_>>(),
         [1, 2, 3, 4, 5, 300]
     );
-    let first = &journal.owed()[&1];
+    let first = &journal.unfinished()[&1];
     assert_eq!(
-        (&first.taken, &first.origin, &first.terms),
-        (&handed_in("m1"), &Origin::default(), &None)
+        (&first.accepted, &first.origin, &first.terms),
+        (&handed_in("m1"), &MessageOrigin::default(), &None)
     );
-    let attempts: Vec<_> = journal.owed()[&4]
+    let attempts: Vec<_> = journal.unfinished()[&4]
         .attempts
         .iter()
         .map(|sent| (sent.uid.as_str(), sent.never_ran))
         .collect();
     assert_eq!(attempts, [("s-1", false), ("s-2", true)]);
     assert_eq!(
-        journal.owed()[&5].ending,
-        Some(Ending::Returned {
+        journal.unfinished()[&5].outcome,
+        Some(UndeliveredOutcome::Returned {
             after_ms: Some(1_234)
         })
     );
-    assert_eq!(journal.owed()[&300].terms, Some(terms(Effect::Unsafe)));
-    assert_eq!(journal.out().collect::<Vec<_>>(), ["s-8"]);
+    assert_eq!(
+        journal.unfinished()[&300].terms,
+        Some(terms(Effect::Unsafe))
+    );
+    assert_eq!(journal.disabled_endpoints().collect::<Vec<_>>(), ["s-8"]);
     journal.compact().expect("room");
     assert_same_bytes(
         "compacted file",
-        &fs::read(&journal.path).expect("read"),
+        &fs::read(&journal.file.path).expect("read"),
         COMPACTED,
     );
     fs::remove_dir_all(&folder).expect("removed");
 }
 
 fn write_through_the_interface(journal: &mut Journal) {
-    journal.set_out("s-7", true).expect("room");
-    journal.set_out("s-8", true).expect("room");
-    journal.set_out("s-7", false).expect("room");
+    journal.set_disabled("s-7", true).expect("room");
+    journal.set_disabled("s-8", true).expect("room");
+    journal.set_disabled("s-7", false).expect("room");
     for (number, effect) in [
         (4, Effect::Repeatable),
         (5, keyed(true)),
         (6, Effect::Unsafe),
     ] {
         journal
-            .take(
+            .accept(
                 number,
                 handed_in(&format!("m{number}")),
                 origin(),
@@ -198,24 +201,30 @@
             .expect("room");
     }
     assert_eq!(
-        journal.sent(4, "s-1", 1_700_000_000_500_006).expect("room"),
+        journal
+            .start_attempt(4, "s-1", 1_700_000_000_500_006)
+            .expect("room"),
         0
     );
     assert_eq!(
-        journal.sent(4, "s-2", 1_700_000_000_600_007).expect("room"),
+        journal
+            .start_attempt(4, "s-2", 1_700_000_000_600_007)
+            .expect("room"),
         1
     );
-    journal.never_ran(4, 1).expect("written");
+    journal.attempt_never_ran(4, 1).expect("written");
     journal
-        .ending(
+        .end_undelivered(
             5,
-            Ending::Returned {
+            UndeliveredOutcome::Returned {
                 after_ms: Some(1_234),
             },
         )
         .expect("written");
-    journal.ending(4, Ending::Failed).expect("written");
-    journal.over(6).expect("written");
+    journal
+        .end_undelivered(4, UndeliveredOutcome::Failed)
+        .expect("written");
+    journal.complete(6).expect("written");
 }
 
 #[test]
@@ -225,25 +234,25 @@
     write_through_the_interface(&mut journal);
     assert_same_bytes(
         "written file",
-        &fs::read(&journal.path).expect("read"),
+        &fs::read(&journal.file.path).expect("read"),
         WRITTEN,
     );
-    let state = journal.owed().clone();
+    let state = journal.unfinished().clone();
     let other = folder_with("journal-golden-read", WRITTEN);
     let (mut found, recovery) = Journal::open(&other, 1 << 20, 16).expect("opened");
     assert_eq!(
-        (found.owed(), recovery.torn, recovery.damaged),
+        (found.unfinished(), recovery.torn, recovery.damaged),
         (&state, 0, 0)
     );
-    assert_eq!(found.out().collect::<Vec<_>>(), ["s-8"]);
+    assert_eq!(found.disabled_endpoints().collect::<Vec<_>>(), ["s-8"]);
     // what is written next stands behind what stood there
-    found.over(5).expect("written");
-    let file = fs::read(&found.path).expect("read");
+    found.complete(5).expect("written");
+    let file = fs::read(&found.file.path).expect("read");
     assert_same_bytes("file gone on with", &file[..WRITTEN.len()], WRITTEN);
     assert_same_bytes(
         "last record",
         &file[WRITTEN.len()..],
-        &encode(&Entry::Over(5)).expect("encoded"),
+        &encode(&Record::Completed(5)).expect("encoded"),
     );
     fs::remove_dir_all(&folder).expect("removed");
     fs::remove_dir_all(&other).expect("removed");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,8 +13,9 @@
 pub mod freeze;
 #[cfg(test)]
 mod golden;
+pub mod handover;
 pub mod journal;
-pub mod leaving;
+
 pub mod ledger;
 pub mod local_errors;
 pub mod membership;
@@ -22,7 +23,6 @@
 pub mod server;
 pub mod startup;
 pub mod stream;
-pub mod upgrade;
 
 /// A line for the log. A reader of the log that has gone away must not take the sender with it, as a failed
 /// `eprintln!` would.
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,91 +1,142 @@
 //! What a start needs of this machine, asked for until it is to be had.
 
+use super::clock::ClockError;
+use super::journal::JournalError;
 use super::local_errors::{RETRY_INTERVAL, is_local, is_permanent};
 use super::{RateLimitedLog, log};
 use std::fmt::Display;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
+use std::os::fd::{BorrowedFd, RawFd};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Longest time in which a listening address must fall free: an old process ends within it.
-const ADDRESS_FREE: Duration = Duration::from_secs(3);
+/// Longest time in which a listening address must fall free: a predecessor ends within it.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest time in which this machine must have the address: a sender has to be ready by then.
-const ADDRESS_HAD: Duration = Duration::from_secs(30);
-
+const ADDRESS_MISSING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two tries to have the operators' address.
-const OPERATORS_AGAIN: Duration = Duration::from_millis(250);
+const OPERATORS_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An error that a failing machine may be the cause of.
-pub trait MayPass: Display {
+pub trait LocalError: Display {
     /// The system's error in it, if there is one.
     fn io(&self) -> Option<&io::Error>;
 }
 
-impl MayPass for io::Error {
+impl LocalError for io::Error {
     fn io(&self) -> Option<&io::Error> {
         Some(self)
     }
 }
 
-impl MayPass for super::journal::JournalError {
+impl LocalError for JournalError {
     fn io(&self) -> Option<&io::Error> {
         match self {
-            super::journal::JournalError::Io(error) => Some(error),
-            _ => None,
+            JournalError::Io(error) => Some(error),
+            JournalError::Full | JournalError::Encode(_) => None,
         }
     }
 }
 
-impl MayPass for super::clock::ClockError {
+impl LocalError for ClockError {
     fn io(&self) -> Option<&io::Error> {
         match self {
-            super::clock::ClockError::Io(error) => Some(error),
-            super::clock::ClockError::Encode(_) => None,
+            ClockError::Io(error) => Some(error),
+            ClockError::Encode(_) => None,
         }
     }
 }
 
-/// Tries until it succeeds, or fails in a way that does not pass by itself.
+/// Repeats an attempt for as long as its error is transient, and reports each such error.
 ///
 /// # Errors
-/// The last one.
-pub async fn until_had<T, E: MayPass>(
-    what: &str,
+/// The first one that is not transient.
+pub async fn retry_while<T, E>(
     mut attempt: impl FnMut() -> Result<T, E>,
+    is_transient: impl Fn(&E) -> bool,
+    report: impl Fn(&E),
 ) -> Result<T, E> {
-    let faults = RateLimitedLog::default();
     loop {
         match attempt() {
-            Err(error) if error.io().is_some_and(|error| !is_permanent(error)) => {
-                faults.log(format_args!("start: {what} is waited for: {error}"));
+            Err(error) if is_transient(&error) => {
+                report(&error);
                 sleep(RETRY_INTERVAL).await;
             }
-            other => return other,
+            result => return result,
         }
     }
 }
 
-/// Listens on the address, as soon as an old process has left it and this machine has it.
+/// Repeats an attempt until it succeeds, or fails in a way that does not pass by itself.
+///
+/// # Errors
+/// The last one.
+pub async fn retry_until_available<T, E: LocalError>(
+    resource: &str,
+    attempt: impl FnMut() -> Result<T, E>,
+) -> Result<T, E> {
+    let errors = RateLimitedLog::default();
+    retry_while(
+        attempt,
+        |error| error.io().is_some_and(|error| !is_permanent(error)),
+        |error| errors.log(format_args!("start: {resource} is waited for: {error}")),
+    )
+    .await
+}
+
+/// The socket that clients connect to: the one that the platform passed, or one bound here.
 ///
 /// # Errors
-/// It is not to be had in time.
-pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let begun = Instant::now();
-    let faults = RateLimitedLog::default();
+/// The address is not to be had in time.
+pub async fn client_listener(
+    passed: Option<RawFd>,
+    address: SocketAddr,
+) -> Result<TcpListener, io::Error> {
+    if let Some(descriptor) = passed {
+        match inherit_listener(descriptor) {
+            Ok(listener) => return Ok(listener),
+            Err(error) => log(format_args!(
+                "passed socket {descriptor}: off, one is bound here: {error}"
+            )),
+        }
+    }
+    listen(address).await
+}
+
+/// A copy of the listening socket that every process inherits under this number.
+#[allow(unsafe_code)]
+fn inherit_listener(descriptor: RawFd) -> io::Result<TcpListener> {
+    // SAFETY: the number is the platform's promise that the descriptor is open for the whole life of the process;
+    // nothing here closes it, since only a copy is kept. A number that is not open makes the copy fail.
+    let passed = unsafe { BorrowedFd::borrow_raw(descriptor) };
+    let listener = std::net::TcpListener::from(passed.try_clone_to_owned()?);
+    listener.local_addr()?; // not a socket: an error now, not at the first client
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
+
+/// Listens on the address, as soon as a predecessor has left it and this machine has it.
+async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let started = Instant::now();
+    let errors = RateLimitedLog::default();
     loop {
         let error = match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
             Err(error) => error,
         };
         let in_use = error.kind() == ErrorKind::AddrInUse;
-        let most = if in_use { ADDRESS_FREE } else { ADDRESS_HAD };
-        if !is_local(&error) || begun.elapsed() >= most {
+        let timeout = if in_use {
+            ADDRESS_IN_USE_TIMEOUT
+        } else {
+            ADDRESS_MISSING_TIMEOUT
+        };
+        if !is_local(&error) || started.elapsed() >= timeout {
             return Err(error);
         }
         if !in_use {
-            faults.log(format_args!("start: {address} is waited for: {error}"));
+            errors.log(format_args!("start: {address} is waited for: {error}"));
         }
         sleep(RETRY_INTERVAL).await;
     }
@@ -102,10 +153,10 @@
     }
 }
 
-/// The same, however long the address takes to be had.
+/// Listens for operators, however long the address takes to be had.
 pub async fn wait_for_operators_address(address: SocketAddr) -> TcpListener {
     loop {
-        sleep(OPERATORS_AGAIN).await;
+        sleep(OPERATORS_RETRY_DELAY).await;
         if let Ok(listener) = TcpListener::bind(address).await {
             return listener;
         }
--- /dev/null
+++ b/src/process.rs
@@ -0,0 +1,294 @@
+//! One process of the sender, from its configuration to its end: the channels between its tasks, the state folder, the
+//! driver, the tasks, and a graceful shutdown.
+
+mod channels;
+mod part_settings;
+mod reload;
+mod state_folder;
+mod tasks;
+
+use crate::net;
+use crate::net::calls::Calls;
+use crate::net::clock::ClockError;
+use crate::net::config::Config;
+use crate::net::control::{self, Control};
+use crate::net::driver::{ClientSlots, Dependencies, Driver, InitialState, ProcessState};
+use crate::net::events::{DriverInput, FreezeChange, SettingsUpdate};
+use crate::net::handover::{Frame, Link, LinkError};
+use crate::net::journal::JournalError;
+use crate::net::pool::{Connections, Means, limits};
+use crate::net::server::{Classes, Server, serve};
+use crate::net::startup;
+use crate::net::{agreement, ledger};
+use channels::{Channels, Flags, Receivers, Senders};
+use message_sender::{Sender, SettingsError};
+use part_settings::PartSettings;
+use state_folder::{StateFolder, open_state_folder};
+use std::cell::Cell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tasks::Tasks;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::JoinError;
+use tokio::time::{Instant, sleep};
+
+/// From SIGTERM to the end of idle client connections.
+const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2500);
+/// From SIGTERM to the end of the process. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+const EXIT_AFTER: Duration = Duration::from_millis(3300);
+/// The part of all descriptors that clients may hold; calls, idle connections and files share the rest.
+const CLIENT_DESCRIPTORS: usize = 3;
+
+/// Why the process could not start, or ended.
+#[derive(Debug, Error)]
+pub enum ProcessError {
+    /// A signal handler, the lock or the listening socket is not to be had.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The clock's anchor can't be used.
+    #[error(transparent)]
+    Clock(#[from] ClockError),
+    /// The journal can't be used.
+    #[error(transparent)]
+    Journal(#[from] JournalError),
+    /// The settings make no sense.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The driver panicked.
+    #[error(transparent)]
+    Driver(#[from] JoinError),
+}
+
+/// Runs the sender until SIGTERM, or until a successor has taken over and nothing is left to do.
+///
+/// # Errors
+/// What the process needs is not to be had, or the driver panicked.
+pub async fn run(config: Config) -> Result<(), ProcessError> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let hangup = signal(SignalKind::hangup())?;
+    let Channels { senders, receivers } = Channels::new();
+    if let Some(settings) = &config.freeze {
+        // the first list is filtered by it
+        let change = FreezeChange::On(settings.clone());
+        let _ = senders.inputs.send(DriverInput::Freeze(change));
+    }
+    let parts = PartSettings::new(&config);
+    let flags = Flags::new();
+    start_control(&config, &senders, &flags).await;
+    let folder = tokio::select! {
+        opened = open_state_folder(&config) => opened?,
+        _ = terminate.recv() => return Ok(()),
+    };
+    let process = Process {
+        config,
+        senders,
+        flags,
+        parts,
+    };
+    process.run(folder, receivers, terminate, hangup).await
+}
+
+/// Serves operators, as soon as their address is to be had.
+async fn start_control(config: &Config, senders: &Senders, flags: &Flags) {
+    let Some(address) = config.control else {
+        return;
+    };
+    let control = Control {
+        orders: senders.commands.clone(),
+        members: senders.membership_reports.clone(),
+        agreement: senders.agreement_reports.clone(),
+        ledger: senders.ledger_reports.clone(),
+        ready: flags.ready.subscribe(),
+        draining: flags.draining.clone(),
+    };
+    let name = config.name.clone();
+    let listener = startup::listen_for_operators(&name, address).await;
+    tokio::task::spawn_local(async move {
+        let listener = match listener {
+            Some(listener) => listener,
+            None => startup::wait_for_operators_address(address).await,
+        };
+        let address = listener.local_addr().unwrap_or(address);
+        net::log(format_args!("{name}: operators at {address}"));
+        control::serve(listener, Rc::new(control)).await;
+    });
+}
+
+/// What the parts of the process are made from.
+struct Process {
+    config: Config,
+    senders: Senders,
+    flags: Flags,
+    parts: PartSettings,
+}
+
+/// The connections that clients may hold.
+struct ClientCapacity {
+    /// Those of this process.
+    slots: ClientSlots,
+    /// Those that a predecessor still holds.
+    of_predecessor: usize,
+}
+
+impl Process {
+    async fn run(
+        self,
+        folder: StateFolder,
+        receivers: Receivers,
+        terminate: Signal,
+        hangup: Signal,
+    ) -> Result<(), ProcessError> {
+        let clock = folder.clock;
+        let fleet_size = Rc::new(Cell::new(self.config.settings.senders));
+        let list_version = Rc::new(Cell::new(0));
+        let calls = self.calls();
+        let (sender, handover, link) = match folder.received {
+            Some(received) => (*received.sender, Some(received.state), Some(received.link)),
+            None => {
+                let sender = Sender::new(self.config.settings.clone(), self.config.seed)?;
+                (sender, None, None)
+            }
+        };
+        let held = handover
+            .as_ref()
+            .map_or(0, |state| state.client_connections);
+        let clients = self.client_capacity(held);
+        let server = self.server(&clients.slots);
+        let dependencies = Dependencies {
+            process: ProcessState {
+                clock,
+                inputs: self.senders.inputs.clone(),
+                lock: folder.lock,
+                client_slots: clients.slots,
+                classes: server.classes.clone(),
+                draining: self.flags.draining.clone(),
+                handed_over: self.flags.handed_over.clone(),
+                fleet_size: fleet_size.clone(),
+                list_version: list_version.clone(),
+            },
+            journal: folder.journal,
+            calls,
+            notifications: self.senders.notifications.clone(),
+            ready: self.flags.ready.clone(),
+            seed: self.config.seed,
+        };
+        let initial = InitialState {
+            sender,
+            handover,
+            settings: SettingsUpdate {
+                settings: self.config.settings.clone(),
+                names: self.config.names.clone(),
+                pool: self.config.pool.clone(),
+            },
+            known_list: self.config.known.clone(),
+            fallback_rules: self
+                .parts
+                .agreement
+                .borrow()
+                .as_ref()
+                .map(|agreement| agreement::bounds(&agreement.floor)),
+            fallback_quotas: self.parts.ledger.borrow().as_ref().map(ledger::on_floors),
+        };
+        let mut driver = Driver::new(dependencies, initial);
+        if let Some(link) = link {
+            self.follow_predecessor(&mut driver, link, clients.of_predecessor)
+                .await;
+        }
+        let listener = self.listen().await?;
+        Tasks {
+            process: &self,
+            clock,
+            fleet_size,
+            list_version,
+        }
+        .start(driver.list_version(), receivers.tasks);
+        reload::start(hangup, &self);
+        self.flags.draining.set(false);
+        tokio::task::spawn_local(serve(listener, Rc::new(server)));
+        let driver = tokio::task::spawn_local(driver.run(receivers.driver));
+        tokio::select! {
+            // it ends by itself only once another process has all
+            ended = driver => ended?,
+            () = self.shut_down_on(terminate) => {}
+        }
+        Ok(())
+    }
+
+    fn calls(&self) -> Calls {
+        let config = &self.config;
+        let limits = limits(&config.pool, config.sockets, &config.settings);
+        let means = Means {
+            descriptors: config.sockets,
+            seed: config.seed,
+        };
+        let connections = Connections::new(limits, config.names.dial_timeout, means);
+        Calls::new(self.senders.inputs.clone(), connections)
+    }
+
+    /// The slots of this process, without those that a predecessor's clients hold.
+    fn client_capacity(&self, held_by_predecessor: usize) -> ClientCapacity {
+        let total = (self.config.sockets / CLIENT_DESCRIPTORS).max(1);
+        let of_predecessor = held_by_predecessor.min(total - 1);
+        ClientCapacity {
+            slots: ClientSlots::new(total - of_predecessor),
+            of_predecessor,
+        }
+    }
+
+    fn server(&self, slots: &ClientSlots) -> Server {
+        Server {
+            classes: Classes::default(),
+            inputs: self.senders.inputs.clone(),
+            ready: self.flags.ready.subscribe(),
+            draining: self.flags.draining.clone(),
+            places: slots.free.clone(),
+            handed: self.flags.handed_over.subscribe(),
+            closing: self.flags.close_clients.subscribe(),
+        }
+    }
+
+    /// Tells the predecessor that this process owns the messages; one that is gone leaves all to it just the same.
+    async fn follow_predecessor(&self, driver: &mut Driver, mut link: Link, connections: usize) {
+        let accepted = link.send(&Frame::Accepted).await;
+        net::log(format_args!(
+            "{}: upgrade: taken over ({})",
+            self.config.name,
+            describe_link(&accepted)
+        ));
+        driver.set_predecessor(link.listen(self.senders.inputs.clone()), connections);
+    }
+
+    async fn listen(&self) -> Result<TcpListener, io::Error> {
+        let config = &self.config;
+        let listener = startup::client_listener(config.passed, config.listen).await?;
+        let address = listener.local_addr().unwrap_or(config.listen);
+        net::log(format_args!("{}: listening on {address}", config.name));
+        Ok(listener)
+    }
+
+    /// Waits for SIGTERM and shuts down gracefully.
+    async fn shut_down_on(&self, mut terminate: Signal) {
+        terminate.recv().await;
+        let name = &self.config.name;
+        net::log(format_args!("{name}: SIGTERM, draining"));
+        self.flags.draining.set(true);
+        let _ = self.flags.stopping.send(true);
+        let exit_at = Instant::now() + EXIT_AFTER;
+        let _ = self.senders.inputs.send(DriverInput::ShuttingDown(exit_at));
+        sleep(CLOSE_IDLE_AFTER).await;
+        let _ = self.flags.close_clients.send(true);
+        sleep(EXIT_AFTER - CLOSE_IDLE_AFTER).await;
+        net::log(format_args!("{name}: ends"));
+    }
+}
+
+/// What became of the link to a predecessor, for the log.
+fn describe_link(accepted: &Result<(), LinkError>) -> String {
+    match accepted {
+        Ok(()) => "as it was".into(),
+        Err(error) => format!("the old process is gone: {error}"),
+    }
+}
--- /dev/null
+++ b/src/process/tasks.rs
@@ -0,0 +1,146 @@
+//! The tasks beside the driver. Each ends once a successor has taken over.
+
+use super::Process;
+use super::channels::TaskReceivers;
+use crate::net::clock::Clock;
+use crate::net::discovery::{self, Backoff, Freshness};
+use crate::net::events::ReportRequest;
+use crate::net::handover::{until_handed_over, wait_for_successors};
+use crate::net::{agreement, freeze, ledger, membership};
+use message_sender::Micros;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+type ReportRequests = mpsc::Receiver<ReportRequest>;
+
+/// What the tasks are started with.
+pub(super) struct Tasks<'a> {
+    pub process: &'a Process,
+    pub clock: Clock,
+    /// The number of senders that the decisions scale by.
+    pub fleet_size: Rc<Cell<u32>>,
+    /// The version of the list that they go by.
+    pub list_version: Rc<Cell<u64>>,
+}
+
+fn span(micros: Micros) -> Duration {
+    Duration::from_micros(u64::try_from(micros).unwrap_or(0))
+}
+
+impl Tasks<'_> {
+    /// Starts all tasks; discovery's begins with the list of this version.
+    pub fn start(self, list_version: u64, receivers: TaskReceivers) {
+        let discovery = self.process.parts.discovery.subscribe();
+        self.start_discovery(list_version);
+        self.start_agreement(receivers.agreement_reports);
+        self.start_ledger(receivers.ledger_reports);
+        self.start_freeze();
+        self.spawn(discovery::post_notices(
+            discovery,
+            receivers.notifications,
+            self.process.senders.inputs.clone(),
+        ));
+        self.spawn(wait_for_successors(
+            self.process.config.state.clone(),
+            self.process.senders.successors.clone(),
+        ));
+        self.start_membership(receivers.membership_reports);
+    }
+
+    /// Spawns a task that ends once a successor has taken over.
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        let handed_over = self.process.flags.handed_over.subscribe();
+        tokio::task::spawn_local(until_handed_over(handed_over, task));
+    }
+
+    /// What all clients of discovery and the registry know of the fleet.
+    fn discovery_clients(&self) -> discovery::Shared {
+        let settings = &self.process.config.settings;
+        discovery::Shared {
+            senders: settings.senders,
+            asked: settings.list_on_request,
+            ask_every: span(settings.safety.ask_every),
+        }
+    }
+
+    fn start_discovery(&self, list_version: u64) {
+        let config = &self.process.config;
+        let inputs = &self.process.senders.inputs;
+        // a call that is decided may be written once its connection is up
+        let drain_grace = span(config.settings.safety.drain_grace);
+        let grace = drain_grace.saturating_sub(span(config.names.dial_timeout));
+        let pushed = !config.settings.list_on_request;
+        let (freshness, staleness) = Freshness::new(pushed, grace, inputs.clone());
+        self.spawn(staleness);
+        let clients = self.discovery_clients();
+        self.spawn(discovery::watch(
+            self.process.parts.discovery.subscribe(),
+            list_version,
+            clients,
+            Backoff::new(clients, config.seed),
+            freshness,
+            inputs.clone(),
+        ));
+    }
+
+    fn start_agreement(&self, reports: ReportRequests) {
+        let process = self.process;
+        let means = agreement::Means {
+            clock: self.clock,
+            name: process.config.name.clone(),
+            inputs: process.senders.inputs.clone(),
+            agent: process.parts.discovery.subscribe(),
+            listed: self.list_version.clone(),
+            backoff: Backoff::new(self.discovery_clients(), !process.config.seed),
+        };
+        let settings = process.parts.agreement.subscribe();
+        let stopping = process.flags.stopping.subscribe();
+        self.spawn(agreement::hold(means, settings, reports, stopping));
+    }
+
+    fn start_ledger(&self, reports: ReportRequests) {
+        let process = self.process;
+        let config = &process.config;
+        let zone = config.names.zones.get(usize::from(config.settings.zone));
+        let means = ledger::Means {
+            clock: self.clock,
+            name: config.name.clone(),
+            seed: config.seed,
+            zone: zone.cloned().unwrap_or_default(),
+            inputs: process.senders.inputs.clone(),
+            agent: process.parts.discovery.subscribe(),
+        };
+        let settings = process.parts.ledger.subscribe();
+        let stopping = process.flags.stopping.subscribe();
+        self.spawn(ledger::hold(means, settings, reports, stopping));
+    }
+
+    fn start_freeze(&self) {
+        let process = self.process;
+        let means = freeze::Means {
+            clock: self.clock,
+            seed: process.config.seed,
+            inputs: process.senders.inputs.clone(),
+            agent: process.parts.discovery.subscribe(),
+        };
+        let settings = process.parts.freeze.subscribe();
+        let stopping = process.flags.stopping.subscribe();
+        self.spawn(freeze::follow(means, settings, stopping));
+    }
+
+    fn start_membership(&self, reports: ReportRequests) {
+        let process = self.process;
+        let means = membership::Means {
+            clock: self.clock,
+            seed: process.config.seed,
+            state: process.config.state.clone(),
+            inputs: process.senders.inputs.clone(),
+            counted: self.fleet_size.clone(),
+        };
+        let settings = process.parts.membership.subscribe();
+        let stopping = process.flags.stopping.subscribe();
+        self.spawn(membership::take_part(means, settings, reports, stopping));
+    }
+}
