--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
 //! The message sender: reads its configuration and runs until SIGTERM.
 
 mod net;
-mod process;
 
 use net::config::Config;
+use net::process;
 use std::error::Error;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -6,7 +6,7 @@
 use crate::net::calls;
 use crate::net::events::{AttemptEnd, HandoverMessage};
 use crate::net::handover::LOST_CALL_OUTCOME;
-use message_sender::decide::AttemptOut;
+use message_sender::decisions::InFlightAttempt;
 use message_sender::{Event, MessageId, Micros, Outcome};
 use tokio::time::Instant;
 
@@ -14,7 +14,7 @@
 pub(super) const NOT_SENT: Outcome = Outcome::Unsent { no_slot: false };
 
 /// What the decision module is told of an attempt without a call of its own.
-fn ended_without_call(attempt: AttemptOut, outcome: Outcome, closed: bool) -> Event {
+fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, closed: bool) -> Event {
     Event::Ended {
         message: attempt.message,
         attempt: attempt.number,
@@ -28,7 +28,7 @@
 
 /// What the decision module asks to be sent.
 pub(super) struct SendRequest {
-    pub attempt: AttemptOut,
+    pub attempt: InFlightAttempt,
     /// The latest time at which an answer counts.
     pub expires: Micros,
     /// The call must not begin later.
@@ -85,7 +85,7 @@
     /// The attempt's position in the journal; none if it must not begin.
     fn permit_and_record(
         &mut self,
-        attempt: AttemptOut,
+        attempt: InFlightAttempt,
         uid: &str,
         now: Micros,
         open: bool,
@@ -110,7 +110,7 @@
     }
 
     /// An attempt that the driver has in flight never left.
-    pub(super) fn attempt_not_sent(&mut self, attempt: AttemptOut) {
+    pub(super) fn attempt_not_sent(&mut self, attempt: InFlightAttempt) {
         if !self.end_attempt(attempt.message, attempt.number) {
             return;
         }
@@ -192,10 +192,10 @@
     /// Finds attempts whose outcome the decision module would wait for in vain, and gives them one; false if there are
     /// none.
     pub(super) fn find_lost_attempts(&mut self) -> bool {
-        if self.sender.attempts_out() == self.messages.attempts_in_flight() {
+        if self.sender.attempts_in_flight() == self.messages.attempts_in_flight() {
             return false;
         }
-        let mut lost = self.sender.list_attempts_out();
+        let mut lost = self.sender.in_flight_attempts();
         lost.retain(|attempt| !self.messages.is_in_flight(attempt.message, attempt.number));
         for attempt in &lost {
             self.violations
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -4,7 +4,7 @@
 use super::attempts::NOT_SENT;
 use crate::net::calls::{Call, CallOut};
 use crate::net::events::MAX_BODY_BYTES;
-use message_sender::decide::AttemptOut;
+use message_sender::decisions::InFlightAttempt;
 use message_sender::{EndpointId, MessageId, Micros};
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
@@ -24,7 +24,7 @@
 
 /// One attempt that may begin.
 pub(super) struct Send {
-    pub attempt: AttemptOut,
+    pub attempt: InFlightAttempt,
     pub expires: Micros,
     pub start_by: Option<Micros>,
     /// Bytes of the message in a call.
@@ -33,7 +33,7 @@
 
 /// Adds a send to a bundle that has room, or to a new one.
 pub(super) fn add_to_bundle(bundles: &mut Vec<Bundle>, send: Send, max_messages: usize) {
-    let AttemptOut {
+    let InFlightAttempt {
         message,
         number,
         endpoint,
@@ -165,7 +165,7 @@
     fn abandon_bundle(&mut self, bundle: Bundle) {
         for &(message, number) in &bundle.sends {
             self.lifecycle.ended(message, NOT_SENT, Micros::MIN, 0);
-            self.attempt_not_sent(AttemptOut {
+            self.attempt_not_sent(InFlightAttempt {
                 message,
                 number,
                 endpoint: bundle.endpoint,
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -4,7 +4,7 @@
 use super::Driver;
 use crate::net::discovery::OutcomeNotification;
 use crate::net::journal::UndeliveredOutcome;
-use message_sender::decide::MARGIN;
+use message_sender::decisions::DEADLINE_MARGIN;
 use message_sender::{Event, MessageId, Micros};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -85,7 +85,7 @@
         };
         self.notifications.pending.push(PendingNotification {
             notification,
-            no_send_after: deadline.saturating_sub(MARGIN),
+            no_send_after: deadline.saturating_sub(DEADLINE_MARGIN),
         });
     }
 
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -5,7 +5,7 @@
 use super::calls_in_flight::Bundle;
 use crate::net;
 use crate::net::journal::UndeliveredOutcome;
-use message_sender::decide::AttemptOut;
+use message_sender::decisions::InFlightAttempt;
 use message_sender::{Action, Event, MILLISECOND, Micros};
 use tokio::time::Instant;
 
@@ -59,7 +59,7 @@
 
     /// Tells the other tasks the number of senders that the decisions scale by.
     fn publish_fleet_size(&self, events: &[Event]) {
-        let size = self.sender.senders();
+        let size = self.sender.fleet_size();
         let before = self.process.fleet_size.replace(size);
         let by_fleet = |event: &Event| matches!(event, Event::Fleet(_) | Event::Alarm);
         if size != before && events.iter().any(by_fleet) {
@@ -78,7 +78,7 @@
                 expires,
                 start_by,
             } => {
-                let attempt = AttemptOut {
+                let attempt = InFlightAttempt {
                     message,
                     number: attempt,
                     endpoint,
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -332,3 +332,6 @@
         .to_string()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,15 +14,19 @@
 #[cfg(test)]
 mod golden;
 pub mod handover;
+#[cfg(test)]
+mod http_golden;
 pub mod journal;
-
 pub mod ledger;
 pub mod local_errors;
 pub mod membership;
 pub mod pool;
+pub mod process;
 pub mod server;
 pub mod startup;
 pub mod stream;
+#[cfg(test)]
+mod stub_registry;
 
 /// A line for the log. A reader of the log that has gone away must not take the sender with it, as a failed
 /// `eprintln!` would.
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -35,31 +35,24 @@
         for index in self.fleet.running() {
             let view = self.view(index);
             self.modules[index].handle(now, &[Event::Fleet(Some(view))], &mut Vec::new());
-            sum += 1.0 / f64::from(self.modules[index].senders());
+            sum += 1.0 / f64::from(self.modules[index].fleet_size());
         }
         sum
     }
 
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
-        let fleet_membership::View {
-            living,
-            suspects,
-            gone,
-            holders,
-            doubt,
-        } = view;
         FleetView {
-            living,
-            suspects,
-            gone,
-            holders,
-            doubt,
+            living: view.present,
+            suspects: view.suspects,
+            gone: view.departed,
+            holders: view.agreeing,
+            doubt: view.isolated,
         }
     }
 
     fn number(&self, index: usize) -> u32 {
-        self.modules[index].senders()
+        self.modules[index].fleet_size()
     }
 
     fn start(&mut self, index: usize) {
@@ -185,7 +178,7 @@
                 &mut Vec::new(),
             );
         }
-        sum += 1.0 / f64::from(module.senders());
+        sum += 1.0 / f64::from(module.fleet_size());
     }
     assert!(sum <= 1.0001, "{sum}");
 }
