--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -190,7 +190,7 @@
 
     let ledger = config.ledger.expect("there");
     assert_eq!(ledger.floors().senders, 3);
-    assert_eq!(json!(ledger.floors().each), file["ledger"]["floors"]);
+    assert_eq!(json!(ledger.floors().per_sender), file["ledger"]["floors"]);
     assert_eq!(json!(ledger.others), file["ledger"]["others"]);
     assert_eq!(ledger.bytes_a_second, 4000);
 
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -7,7 +7,7 @@
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{MILLISECOND, Micros, Status};
-use quota_ledger::gate::{Gate, Seen, widens};
+use quota_ledger::gate::{EndpointSnapshot, FreezeCheck, resource_change};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::json;
@@ -16,7 +16,7 @@
 
 /// The freeze, while it is on in the configuration.
 pub(super) struct FreezeFilter {
-    gate: Gate,
+    check: FreezeCheck,
     settings: FreezeSettings,
     /// Entries that are held back, as they were listed last, by uid.
     held_back: BTreeMap<String, ListedEndpoint>,
@@ -29,8 +29,8 @@
 }
 
 /// An entry of the list as the freeze compares it.
-fn listed_state(listed: &ListedEndpoint) -> Seen {
-    Seen {
+fn listed_state(listed: &ListedEndpoint) -> EndpointSnapshot {
+    EndpointSnapshot {
         up: listed.status == Status::Serving,
         destination: listed.destination,
         zone: listed.zone.clone(),
@@ -39,8 +39,8 @@
 }
 
 /// What is known of an endpoint that the last list had.
-fn known_state(record: &EndpointRecord) -> Option<Seen> {
-    record.listed.then(|| Seen {
+fn known_state(record: &EndpointRecord) -> Option<EndpointSnapshot> {
+    record.listed.then(|| EndpointSnapshot {
         up: record.serving,
         destination: record.destination,
         zone: record.zone.clone(),
@@ -51,7 +51,7 @@
 impl FreezeFilter {
     fn new(now: u64, settings: FreezeSettings) -> Self {
         FreezeFilter {
-            gate: Gate::new(now, settings.unknown_ms * 1000),
+            check: FreezeCheck::new(now, settings.unknown_ms * 1000),
             settings,
             held_back: BTreeMap::new(),
             next_admission: 0,
@@ -71,11 +71,11 @@
         &mut self,
         now: u64,
         mut entry: ListedEndpoint,
-        before: Option<Seen>,
+        before: Option<EndpointSnapshot>,
     ) -> Option<ListedEndpoint> {
         self.held_back.remove(&entry.uid);
-        let resource = widens(before.as_ref(), &listed_state(&entry));
-        let verdict = resource.map(|resource| self.gate.judge(now, &resource));
+        let resource = resource_change(before.as_ref(), &listed_state(&entry));
+        let verdict = resource.map(|resource| self.check.check_changes(now, &resource));
         let Some(Err(error)) = verdict else {
             return Some(entry);
         };
@@ -120,7 +120,7 @@
                 update,
             } => {
                 if let Some(filter) = &mut self.freeze {
-                    filter.gate.hear(asked_at, now, fresh_for, update);
+                    filter.check.apply_update(asked_at, now, fresh_for, update);
                 }
             }
         }
@@ -166,8 +166,8 @@
         let endpoints = &self.endpoints;
         let free = filter.held_back.iter().find(|(uid, entry)| {
             let before = endpoints.by_uid(uid).and_then(known_state);
-            widens(before.as_ref(), &listed_state(entry))
-                .is_none_or(|resource| filter.gate.judge(now, &resource).is_ok())
+            resource_change(before.as_ref(), &listed_state(entry))
+                .is_none_or(|resource| filter.check.check_changes(now, &resource).is_ok())
         });
         let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
             return false;
@@ -204,8 +204,8 @@
     pub(super) fn freeze_report(&self) -> Option<String> {
         let filter = self.freeze.as_ref()?;
         let report = json!({
-            "calendar": filter.gate.rev(),
-            "on": filter.gate.on(self.freeze_time()),
+            "calendar": filter.check.revision(),
+            "on": filter.check.active_windows(self.freeze_time()),
             "held": filter.held_back.keys().collect::<Vec<_>>(),
             "held_ever": filter.held_back_count,
             "admitted": filter.admitted_count,
--- a/src/net/ledger/settings/tests.rs
+++ b/src/net/ledger/settings/tests.rs
@@ -45,7 +45,7 @@
     let floors = ledger.floors();
     assert_eq!(floors.senders, 3);
     assert_eq!(
-        serde_json::to_value(&floors.each).expect("encoded"),
+        serde_json::to_value(&floors.per_sender).expect("encoded"),
         object["floors"]
     );
     assert_eq!(
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -202,12 +202,12 @@
 
 #[test]
 fn both_golden_answers_say_the_same() {
-    let compact = Answer::read(&golden("ledger/answer.compact")).expect("compact");
+    let compact = QuotaResponse::decode(&golden("ledger/answer.compact")).expect("compact");
     let json: Value = serde_json::from_slice(&golden("ledger/answer.json")).expect("JSON");
     assert_eq!(json["lease"], compact.lease);
     assert_eq!(
         serde_json::to_value(&compact.verdicts).expect("encoded"),
         json["verdicts"]
     );
-    assert_eq!(compact.write(), golden("ledger/answer.compact"));
+    assert_eq!(compact.encode(), golden("ledger/answer.compact"));
 }
