--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,7 +1,7 @@
 //! Module time: a time line that goes on from one process to the next as the monotonic clock does.
 //!
-//! It begins with the wall clock when the lasting folder is new. From then on it follows the monotonic clock, which runs on
-//! over restarts of a process, so that a step of the wall clock changes no deadline, window or rest, neither in this life
+//! It begins with the wall clock when the state folder is new. From then on it follows the monotonic clock, which runs on
+//! over restarts of a process, so that a step of the wall clock changes no deadline, window or backoff, neither in this process
 //! nor in the next. Only a restart of the machine, which begins another monotonic clock, is bridged by the wall clock.
 
 use message_sender::Micros;
@@ -15,13 +15,13 @@
 use tokio::time::Instant;
 
 /// Where the folder keeps its anchor.
-const FILE: &str = "clock";
+const ANCHOR_FILE: &str = "clock";
 /// Tells one start of the machine from another; see `random(4)`.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 /// A wall clock that is off by more is worth a line in the log.
-const STEP_LOGGED: Micros = message_sender::SECOND;
+const MIN_LOGGED_STEP: Micros = message_sender::SECOND;
 
-/// Why the time line can't be gone on with.
+/// Why the time line can't be continued.
 #[derive(Debug, Error)]
 pub enum ClockError {
     /// The folder or the system failed the reading or the writing: it is to be tried again.
@@ -32,11 +32,12 @@
     Encode(#[from] serde_json::Error),
 }
 
-/// A point of the time line, which all processes on the folder share.
+/// A point of the time line, which all processes on the folder share. Stored as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Anchor {
     /// The start of the machine that the monotonic clock belongs to.
     boot: String,
+    /// The monotonic clock then.
     monotonic: Micros,
     /// Module time then.
     time: Micros,
@@ -79,7 +80,7 @@
     Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Module time, as a process carries it on.
+/// Module time, as one process continues it.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -94,7 +95,7 @@
     pub fn resume(folder: &Path) -> Result<Self, ClockError> {
         let start = Instant::now();
         let reading = Reading::now()?;
-        let path = folder.join(FILE);
+        let path = folder.join(ANCHOR_FILE);
         let anchor = match fs::read(&path) {
             // what can't be understood was written by no process of this time line
             Ok(bytes) => serde_json::from_slice::<Anchor>(&bytes).ok(),
@@ -103,7 +104,7 @@
         };
         if let Some(time) = anchor.and_then(|anchor| reading.by(&anchor)) {
             let step = reading.wall - time;
-            if step.abs() > STEP_LOGGED {
+            if step.abs() > MIN_LOGGED_STEP {
                 super::log(format_args!(
                     "clock: the wall clock is {:.1} s off",
                     step as f64 / 1e6
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_monotonic_clock_of_one_start_of_the_machine_goes_before_the_wall_clock() {
+fn monotonic_clock_of_same_boot_overrides_wall_clock() {
     let anchor = Anchor {
         boot: "a".to_string(),
         monotonic: 100,
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn a_next_process_goes_on_with_the_time_line_and_a_broken_anchor_begins_another() {
+fn successor_continues_time_line_and_broken_anchor_begins_another() {
     let folder = std::env::temp_dir().join(format!("clock-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     let first = Clock::resume(&folder).expect("begun");
-    let written = fs::read(folder.join(FILE)).expect("anchored");
+    let written = fs::read(folder.join(ANCHOR_FILE)).expect("anchored");
     let mut anchor: Anchor = serde_json::from_slice(&written).expect("an anchor");
     anchor.time -= 3_600 * message_sender::SECOND; // as if the wall clock had been stepped since
     fs::write(
-        folder.join(FILE),
+        folder.join(ANCHOR_FILE),
         serde_json::to_vec(&anchor).expect("encoded"),
     )
     .expect("written");
@@ -43,7 +43,7 @@
     let now = Instant::now();
     let apart = first.at(now) - second.at(now) - 3_600 * message_sender::SECOND;
     assert!(apart.abs() < message_sender::MILLISECOND, "{apart} us");
-    fs::write(folder.join(FILE), b"{").expect("written");
+    fs::write(folder.join(ANCHOR_FILE), b"{").expect("written");
     let third = Clock::resume(&folder).expect("begun anew");
     assert!((third.at(now) - first.at(now)).abs() < message_sender::SECOND);
 }
@@ -52,7 +52,7 @@
 const RECORDED: &[u8] = include_bytes!("../../../tests/golden/state/clock");
 
 #[test]
-fn an_anchor_is_read_and_written_as_recorded() {
+fn anchor_is_decoded_and_encoded_as_recorded() {
     let anchor = Anchor {
         boot: "5f0d1e0c-8f5e-4a57-9d0a-0c0b7a3f2b11".to_string(),
         monotonic: 123_456_789,
@@ -67,5 +67,5 @@
         serde_json::from_slice::<Anchor>(RECORDED).expect("decoded"),
         anchor
     );
-    assert_eq!(FILE, "clock");
+    assert_eq!(ANCHOR_FILE, "clock");
 }
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_settings_of_a_file_with_every_key_are_the_recorded_ones() {
+fn file_with_every_key_gives_recorded_settings() {
     let config = every_key();
     assert_same_bytes(
         "settings",
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn the_process_keys_of_a_file_with_every_key_are_read() {
+fn file_with_every_key_gives_process_keys() {
     let config = every_key();
     assert_eq!(
-        (config.name.as_str(), config.seed, config.sockets),
+        (config.name.as_str(), config.seed, config.max_descriptors),
         ("n1", 0x8c1f, 1024)
     );
     assert_eq!(config.listen.to_string(), "127.0.0.1:8001");
@@ -57,11 +57,11 @@
         config.control.map(|address| address.to_string()).as_deref(),
         Some("127.0.0.1:8002")
     );
-    assert_eq!(config.passed, None);
+    assert_eq!(config.passed_socket, None);
     // the last good file, twice, and what members are remembered take their part of the folder
     let remembered = crate::net::membership::DISK;
     assert_eq!(
-        config.disk,
+        config.journal_bytes,
         3_500_000 - 2 * EVERY_KEY.len() as u64 - 4096 - remembered
     );
     let pool = PoolSettings {
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn the_known_list_of_a_file_with_every_key_is_read() {
-    let known = every_key().known.expect("a list");
+fn file_with_every_key_gives_known_list() {
+    let known = every_key().known_list.expect("a list");
     assert_eq!(
         (known.version, known.full, known.targets.len()),
         (9, true, 3)
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn the_tables_of_the_fleet_in_a_file_with_every_key_are_read() {
+fn file_with_every_key_gives_fleet_tables() {
     let config = every_key();
     let file: Value = serde_json::from_slice(EVERY_KEY).expect("JSON");
     let membership = config.membership.expect("there");
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_file_is_kept_byte_for_byte_and_read_again() {
+fn file_is_kept_byte_for_byte() {
     let folder = std::env::temp_dir().join(format!("config-golden-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     read_text(EVERY_KEY, folder.clone())
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_file_that_lacks_a_key_of_the_one_in_force_is_not_read() {
+fn file_without_key_of_file_in_force_is_rejected() {
     let file: Value = serde_json::from_slice(EVERY_KEY).expect("JSON");
     for (pointer, key) in [
         ("", "limits"),
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn every_frame_is_sent_as_recorded() {
+async fn every_frame_kind_is_sent_as_recorded() {
     let mut at = 0;
     for frame in every_frame() {
         let bytes = sent(std::slice::from_ref(&frame)).await;
@@ -265,7 +265,7 @@
 }
 
 #[tokio::test]
-async fn every_recorded_frame_is_received_as_it_was_sent() {
+async fn every_recorded_frame_is_received_and_sent_again() {
     let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
     let mut link = Link::new(here);
     let write = async {
@@ -291,13 +291,13 @@
 }
 
 #[test]
-fn the_versions_that_processes_ask_for_are_the_recorded_ones() {
+fn version_and_file_names_are_the_recorded_ones() {
     assert_eq!((VERSION, JOURNAL_ONLY), (10, 0));
     assert_eq!((LOCK, SOCKET), ("lock", "upgrade.sock"));
 }
 
 #[test]
-fn the_state_of_the_module_at_a_start_is_read_and_written_as_recorded() {
+fn sender_at_start_is_decoded_and_encoded_as_recorded() {
     let mut settings = message_sender::Settings::new(8, 50);
     settings.classes.push(message_sender::Class::new(
         "order",
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -7,7 +7,7 @@
 use std::fs::File;
 
 #[test]
-fn a_send_that_found_no_room_takes_no_position_and_an_outcome_finds_its_own() {
+fn attempt_not_written_takes_no_position() {
     let folder = std::env::temp_dir().join(format!("journal-positions-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let (mut journal, _) = Journal::open(&folder, 16 * 1024, 0).expect("opened");
@@ -114,7 +114,7 @@
 /// Writes with a disk that fails and recovers; a next life at any moment reads a prefix of what happened, with all that
 /// was acknowledged.
 #[test]
-fn a_next_life_reads_a_prefix_of_what_happened_wherever_writes_failed() {
+fn reopened_journal_holds_prefix_of_history_after_failed_writes() {
     for seed in 0..40 {
         let folder = fresh("journal-prefix");
         // half of them are compacted on the way
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_is_cut_short_anywhere_reads_as_what_was_written_before() {
+fn truncated_journal_holds_records_before_the_cut() {
     let folder = fresh("journal-cut");
     let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
     let (mut draws, mut next) = (Draws(3), 0);
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn every_record_is_written_as_recorded() {
+fn every_record_kind_is_encoded_as_recorded() {
     let written: Vec<u8> = every_record()
         .iter()
         .flat_map(|entry| encode(entry).expect("encoded"))
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn every_recorded_record_is_read_as_it_was_written() {
+fn every_recorded_record_is_decoded_and_encoded_again() {
     let mut at = 0;
     for expected in every_record() {
         let (entry, length) = decode(&EVERY_RECORD[at..]).expect("a record");
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_recorded_file_opens_with_what_is_owed_and_compacts_as_recorded() {
+fn recorded_journal_opens_and_compacts_as_recorded() {
     let folder = folder_with("journal-golden-open", EVERY_RECORD);
     let (mut journal, recovery) = Journal::open(&folder, 1 << 20, 16).expect("opened");
     assert_eq!(
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_journal_is_written_as_recorded_and_a_recorded_one_is_gone_on_with() {
+fn journal_is_written_as_recorded_and_recorded_one_is_continued() {
     let folder = fresh("journal-golden-written");
     let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
     write_through_the_interface(&mut journal);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The real sender round the decision module: sockets in, calls out, one job a file.
+//! The sender as a process round the decision module: sockets in, calls out, one subsystem a module.
 
 pub mod agreement;
 pub mod asking;
@@ -28,7 +28,10 @@
 #[cfg(test)]
 mod stub_registry;
 
-/// A line for the log. A reader of the log that has gone away must not take the sender with it, as a failed
+use std::cell::Cell;
+use std::time::{Duration, Instant};
+
+/// Writes a line to the log. A reader of the log that has gone away must not take the sender with it, as a failed
 /// `eprintln!` would.
 pub fn log(line: std::fmt::Arguments<'_>) {
     use std::io::Write;
@@ -43,7 +46,7 @@
     *WANTED.get_or_init(|| std::env::var_os("RELAY_TRACE").is_some())
 }
 
-/// A line for each step of a message, with its id, where `RELAY_TRACE` is set: for operators who look for one message.
+/// Logs a step of a message, with its id, where `RELAY_TRACE` is set: for operators who look for one message.
 pub fn trace(id: &hyper::header::HeaderValue, step: std::fmt::Arguments<'_>) {
     if traces() {
         log(format_args!(
@@ -53,16 +56,19 @@
     }
 }
 
-/// A fault that lasts is logged when it begins and then seldom, not for each message that it meets.
+/// How often a fault that lasts is logged.
+const RATE_LIMITED_LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Logs a fault that lasts when it begins and then once in a while, not for each message that it meets.
 #[derive(Debug, Default)]
-pub struct RateLimitedLog(std::cell::Cell<Option<std::time::Instant>>);
+pub struct RateLimitedLog(Cell<Option<Instant>>);
 
 impl RateLimitedLog {
     /// Logs the line unless one was logged a short while ago.
     pub fn log(&self, line: std::fmt::Arguments<'_>) {
-        const REST: std::time::Duration = std::time::Duration::from_secs(10);
-        if self.0.get().is_none_or(|last| last.elapsed() > REST) {
-            self.0.set(Some(std::time::Instant::now()));
+        let last = self.0.get();
+        if last.is_none_or(|last| last.elapsed() > RATE_LIMITED_LOG_INTERVAL) {
+            self.0.set(Some(Instant::now()));
             log(line);
         }
     }
--- a/src/net/pool/caps.rs
+++ b/src/net/pool/caps.rs
@@ -1,7 +1,7 @@
 //! The limits of the pool, from settings and descriptors.
 
 use super::{micros, span};
-use crate::net::config::pool_most;
+use crate::net::config::max_pool_connections;
 use message_sender::pool::{Limits, PoolSettings};
 use message_sender::{Micros, Settings};
 use std::time::Duration;
@@ -22,7 +22,7 @@
     // connections are given up somewhat before the endpoint would close them
     let keep = (idle * 9 / 10).min(idle.saturating_sub(Duration::from_millis(300)));
     // a file that was read for more descriptors than the process started with allows no more
-    let most = pool_most(descriptors);
+    let most = max_pool_connections(descriptors);
     let all = pool.all.unwrap_or(most).min(most);
     let cap = |set: Option<usize>, usual: usize| set.unwrap_or(usual).min(all);
     Limits {
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -183,7 +183,7 @@
                 names: self.config.names.clone(),
                 pool: self.config.pool.clone(),
             },
-            known_list: self.config.known.clone(),
+            known_list: self.config.known_list.clone(),
             fallback_rules: self
                 .parts
                 .agreement
@@ -219,9 +219,9 @@
 
     fn calls(&self) -> Calls {
         let config = &self.config;
-        let limits = limits(&config.pool, config.sockets, &config.settings);
+        let limits = limits(&config.pool, config.max_descriptors, &config.settings);
         let means = Means {
-            descriptors: config.sockets,
+            descriptors: config.max_descriptors,
             seed: config.seed,
         };
         let connections = Connections::new(limits, config.names.dial_timeout, means);
@@ -230,7 +230,7 @@
 
     /// The slots of this process, without those that a predecessor's clients hold.
     fn client_capacity(&self, held_by_predecessor: usize) -> ClientCapacity {
-        let total = (self.config.sockets / CLIENT_DESCRIPTORS).max(1);
+        let total = (self.config.max_descriptors / CLIENT_DESCRIPTORS).max(1);
         let of_predecessor = held_by_predecessor.min(total - 1);
         ClientCapacity {
             slots: ClientSlots::new(total - of_predecessor),
@@ -263,7 +263,7 @@
 
     async fn listen(&self) -> Result<TcpListener, io::Error> {
         let config = &self.config;
-        let listener = startup::client_listener(config.passed, config.listen).await?;
+        let listener = startup::client_listener(config.passed_socket, config.listen).await?;
         let address = listener.local_addr().unwrap_or(config.listen);
         net::log(format_args!("{}: listening on {address}", config.name));
         Ok(listener)
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -22,12 +22,18 @@
 /// # Errors
 /// It fails in a way that does not pass by itself.
 pub(super) async fn open_state_folder(config: &Config) -> Result<StateFolder, ProcessError> {
-    let open_lock = || FolderLock::open(&config.state);
+    let open_lock = || FolderLock::open(&config.state_folder);
     let lock = retry_until_available("the folder's lock", open_lock).await?;
-    let received = receive_handover(&lock, &config.state).await;
-    let resume_clock = || Clock::resume(&config.state);
+    let received = receive_handover(&lock, &config.state_folder).await;
+    let resume_clock = || Clock::resume(&config.state_folder);
     let clock = retry_until_available("the clock", resume_clock).await?;
-    let open_journal = || Journal::open(&config.state, config.disk, max_records(config));
+    let open_journal = || {
+        Journal::open(
+            &config.state_folder,
+            config.journal_bytes,
+            max_records(config),
+        )
+    };
     let (journal, recovery) = retry_until_available("the journal", open_journal).await?;
     log_recovery(&config.name, &journal, &recovery);
     Ok(StateFolder {
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -43,7 +43,7 @@
             self.process.senders.inputs.clone(),
         ));
         self.spawn(wait_for_successors(
-            self.process.config.state.clone(),
+            self.process.config.state_folder.clone(),
             self.process.senders.successors.clone(),
         ));
         self.start_membership(receivers.membership_reports);
@@ -135,7 +135,7 @@
         let means = membership::Means {
             clock: self.clock,
             seed: process.config.seed,
-            state: process.config.state.clone(),
+            state: process.config.state_folder.clone(),
             inputs: process.senders.inputs.clone(),
             counted: self.fleet_size.clone(),
         };
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -10,12 +10,49 @@
 use std::time::{Duration, Instant};
 
 /// From SIGTERM to the end of a process.
-const END: Duration = Duration::from_millis(3300);
+const EXIT_AFTER: Duration = Duration::from_millis(3300);
 /// Call slots of the sender in these tests.
 const SLOTS: usize = 8;
 
-fn as_it_is(config: String) -> String {
-    config
+/// A sender whose system calls fail by order, its discovery, and the endpoint that it delivers to.
+struct FaultySender {
+    endpoint: Endpoint,
+    agent: Agent,
+    faults: Faults,
+}
+
+impl FaultySender {
+    /// One with an endpoint that accepts every call.
+    fn new() -> Self {
+        FaultySender::with_endpoint(Endpoint::new(|_, _| OK))
+    }
+
+    /// One with this endpoint, which is listed for destination 7.
+    fn with_endpoint(endpoint: Endpoint) -> Self {
+        let agent = one(&endpoint);
+        FaultySender::with_agent(endpoint, agent)
+    }
+
+    /// One whose endpoint is listed as the agent has it.
+    fn with_agent(endpoint: Endpoint, agent: Agent) -> Self {
+        let faults = Faults::new(&agent, |config| config);
+        FaultySender {
+            endpoint,
+            agent,
+            faults,
+        }
+    }
+
+    /// The same sender with its configuration changed.
+    fn configured(mut self, change: impl FnOnce(String) -> String) -> Self {
+        self.faults = Faults::new(&self.agent, change);
+        self
+    }
+
+    /// Starts a process of it, and waits until it is ready.
+    fn start(&self) -> Node {
+        self.faults.start().ready()
+    }
 }
 
 /// An endpoint that answers one message only once the gate is open.
@@ -32,7 +69,7 @@
 }
 
 #[test]
-fn what_the_journal_refused_holds_no_call_slot() {
+fn message_not_stored_holds_no_call_slot() {
     let endpoint = Endpoint::new(|_, _| OK);
     let uids: Vec<String> = (0..SLOTS).map(|number| format!("s-{number}")).collect();
     let listed = uids
@@ -40,8 +77,11 @@
         .zip(0..)
         .map(|(uid, dest)| (uid.as_str(), endpoint.address, "one", dest, "up"));
     let agent = Agent::new(vec![list(&listed.collect::<Vec<_>>())]);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+    let sender = FaultySender::with_agent(endpoint, agent);
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let node = sender.start();
     faults.on("journal_write", EIO);
     for dest in 0..SLOTS as u64 {
         assert_eq!(
@@ -56,11 +96,12 @@
 }
 
 #[test]
-fn half_a_record_that_cannot_be_taken_back_shuts_the_journal_only_for_as_long() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+fn partial_record_that_cannot_be_cut_off_closes_journal_until_compaction() {
+    let sender = FaultySender::new();
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let node = sender.start();
     faults.on("journal_truncate", EIO);
     // nor can a whole file take the place of this one
     faults.on("journal_rename", EIO);
@@ -81,15 +122,14 @@
     // what was written after the half is found by the next life
     assert_eq!(node.hand_in("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
-    let node = faults.start().ready();
+    let node = sender.start();
     wait_until("it is told", || node.logged("1 messages owed"));
     assert!(!node.logged("damaged"));
 }
 
 #[test]
-fn no_message_goes_out_before_the_end_of_the_one_before_is_written() {
+fn ordered_message_waits_until_end_of_previous_one_is_durable() {
     let (endpoint, gate) = gated("first");
-    let agent = one(&endpoint);
     // an ordered class that may be repeated: what a next life sends again shows at the endpoint
     let repeatable = |text: String| {
         text.replace(
@@ -97,8 +137,11 @@
             r#""effect":"idempotent","oneAtATime":true"#,
         )
     };
-    let faults = Faults::new(&agent, repeatable);
-    let node = faults.start().ready();
+    let sender = FaultySender::with_endpoint(endpoint).configured(repeatable);
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let node = sender.start();
     for id in ["first", "second"] {
         assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
     }
@@ -114,7 +157,7 @@
     assert_eq!(endpoint.count(), 1);
     drop(node);
     faults.off("journal_short");
-    let node = faults.start().ready();
+    let node = sender.start();
     wait_until("the second is delivered", || endpoint.times("second") >= 1);
     assert_eq!(node.raw(&about("a", "charge", "third", 7, 20_000)).0, 202);
     wait_until("the third is delivered", || endpoint.times("third") >= 1);
@@ -131,7 +174,7 @@
 }
 
 #[test]
-fn an_end_with_time_left_is_told_only_once_it_is_durable() {
+fn failure_before_deadline_is_notified_only_once_durable() {
     // its end is a failure as soon as the gate opens; a next life that did not know of that would end it once more
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
@@ -139,9 +182,13 @@
         wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
         Reply::Answer("500 Oops", String::new())
     });
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+    let sender = FaultySender::with_endpoint(endpoint);
+    let FaultySender {
+        endpoint,
+        agent,
+        faults,
+    } = &sender;
+    let node = sender.start();
     assert_eq!(node.hand_in("order", "one", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.times("one") == 1);
     faults.on("journal_write", EIO);
@@ -159,11 +206,10 @@
 }
 
 #[test]
-fn an_end_is_told_in_time_though_it_can_not_be_written() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+fn failure_at_deadline_is_notified_though_not_durable() {
+    let sender = FaultySender::new();
+    let FaultySender { agent, faults, .. } = &sender;
+    let node = sender.start();
     assert_eq!(node.hand_in("order", "one", 99, 1_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "two", 99, 4_000, b"x"), 202);
     faults.on("journal_write", ENOSPC);
@@ -194,11 +240,14 @@
 }
 
 #[test]
-fn calls_and_answers_go_through_in_small_pieces() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+fn calls_and_answers_in_small_pieces_succeed() {
+    let sender = FaultySender::new();
+    let FaultySender {
+        endpoint,
+        agent,
+        faults,
+    } = &sender;
+    let node = sender.start();
     faults.on("short_send", 1);
     faults.on("short_receive", 64);
     for number in 0..3 {
@@ -215,7 +264,7 @@
 }
 
 #[test]
-fn a_fault_of_this_machine_is_not_booked_to_the_endpoint() {
+fn local_dial_error_does_not_eject_endpoint() {
     let numbers = [ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EINTR];
     thread::scope(|scope| {
         for fault in ["socket", "connect"] {
@@ -225,10 +274,11 @@
 }
 
 fn dials_fail_here(fault: &str, number: i32) {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+    let sender = FaultySender::new();
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let node = sender.start();
     faults.on(fault, number);
     let ids: Vec<String> = (0..6).map(|number| format!("m{number}")).collect();
     for id in &ids {
@@ -259,9 +309,7 @@
 }
 
 #[test]
-fn a_start_waits_for_what_this_machine_fails_for_a_moment() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+fn start_waits_for_transient_local_error() {
     thread::scope(|scope| {
         for fault in [
             "bind",
@@ -270,10 +318,10 @@
             "journal_read",
             "lock_open",
         ] {
-            let agent = &agent;
             scope.spawn(move || {
-                let faults = Faults::new(agent, as_it_is);
-                let node = faults.start().ready();
+                let sender = FaultySender::new();
+                let faults = &sender.faults;
+                let node = sender.start();
                 assert_eq!(
                     node.hand_in("webhook", &format!("owed-{fault}"), 99, 20_000, b"x"),
                     202
@@ -306,16 +354,18 @@
 }
 
 #[test]
-fn times_are_real_over_a_restart_whatever_the_wall_clock_does() {
+fn deadlines_hold_over_restart_with_wall_clock_step() {
     const HOUR: i32 = 3_600;
-    let endpoint = Endpoint::new(|_, _| OK);
     thread::scope(|scope| {
         for step in [HOUR, -HOUR] {
-            let endpoint = &endpoint;
             scope.spawn(move || {
-                let agent = one(endpoint);
-                let faults = Faults::new(&agent, as_it_is);
-                let node = faults.start().ready();
+                let sender = FaultySender::new();
+                let FaultySender {
+                    endpoint,
+                    agent,
+                    faults,
+                } = &sender;
+                let node = sender.start();
                 let (long, short) = (format!("long{step}"), format!("short{step}"));
                 assert_eq!(node.hand_in("webhook", &long, 8, 20_000, b"x"), 202);
                 assert_eq!(node.hand_in("webhook", &short, 9, 3_000, b"x"), 202);
@@ -326,7 +376,7 @@
                     ("s-2", endpoint.address, "one", 8, "up"),
                 ]);
                 *agent.lines.lock().expect("not poisoned") = vec![lines];
-                let node = faults.start().ready();
+                let node = sender.start();
                 wait_until("what has time left is sent", || endpoint.times(&long) == 1);
                 wait_until("what has none ends", || !agent.notices().is_empty());
                 assert!(agent.notices()[0].contains(&short), "{:?}", agent.notices());
@@ -337,11 +387,13 @@
 }
 
 #[test]
-fn a_new_configuration_that_can_not_be_read_at_once_is_read_later() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let (agent, next) = (one(&endpoint), one(&endpoint));
-    let faults = Faults::new(&agent, as_it_is);
-    let node = faults.start().ready();
+fn unreadable_configuration_is_read_once_readable() {
+    let sender = FaultySender::new();
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let next = one(endpoint);
+    let node = sender.start();
     faults.on("config_read", EIO);
     node.move_discovery(&next);
     wait_until("it can't be read", || node.logged("os error 5"));
@@ -352,11 +404,13 @@
 }
 
 #[test]
-fn a_process_hands_over_in_small_pieces_and_once_the_disk_has_all() {
+fn handover_in_small_pieces_waits_for_durable_journal() {
     let (endpoint, gate) = gated("held");
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let old = faults.start().ready();
+    let sender = FaultySender::with_endpoint(endpoint);
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let old = sender.start();
     assert_eq!(
         old.hand_in("order", "waits", 99, 20_000, &[b'x'; 20_000]),
         202
@@ -397,18 +451,19 @@
 }
 
 #[test]
-fn a_next_process_does_not_take_over_that_the_disk_fails() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let old = faults.start().ready();
+fn successor_does_not_inherit_failing_journal() {
+    let sender = FaultySender::new();
+    let FaultySender {
+        endpoint, faults, ..
+    } = &sender;
+    let old = sender.start();
     assert_eq!(old.hand_in("webhook", "first", 7, 20_000, b"x"), 202);
     wait_until("its end is written", || {
         old.hand_in("webhook", "first", 7, 20_000, b"x") == 200
     });
     faults.on("journal_write", EIO);
     assert_eq!(old.hand_in("webhook", "refused", 7, 20_000, b"x"), 503);
-    let new = faults.start().ready();
+    let new = sender.start();
     assert!(new.logged("taken over (as it was)"), "{:?}", new.log);
     faults.off("journal_write");
     assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
@@ -416,21 +471,20 @@
 }
 
 #[test]
-fn a_next_process_does_not_take_over_that_the_old_one_was_to_end() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
-    let faults = Faults::new(&agent, as_it_is);
-    let old = faults.start().ready();
+fn successor_does_not_inherit_shutdown() {
+    let sender = FaultySender::new();
+    let endpoint = &sender.endpoint;
+    let old = sender.start();
     let told = Instant::now();
     old.terminate();
     wait_until("draining", || old.logged("draining"));
-    let new = faults.start().ready();
+    let new = sender.start();
     assert!(new.logged("taken over (as it was)"), "{:?}", new.log);
     wait_until("the old one has ended", || {
         new.logged("the old process has ended")
     });
     // from here on the old one could not have made a call
-    thread::sleep(END.saturating_sub(told.elapsed()));
+    thread::sleep(EXIT_AFTER.saturating_sub(told.elapsed()));
     assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
     wait_until("it is delivered", || endpoint.times("after") == 1);
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn operators_are_answered_beside_callers_that_send_no_whole_call() {
+fn operator_is_answered_beside_callers_with_incomplete_requests() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&two(&endpoint, &endpoint)).ready();
     let parts = [
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_call_that_makes_no_sense_gets_a_no() {
+fn invalid_admin_request_is_rejected() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&two(&endpoint, &endpoint)).ready();
     for (call, body, status) in [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_endpoint_out_gets_nothing_until_one_call_back_whatever_is_listed_and_across_a_restart() {
+fn disabled_endpoint_gets_no_calls_until_enabled_over_lists_and_restart() {
     let (first, second) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = two(&first, &second);
     let node = Node::new(&agent).ready();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_upgrade_keeps_calls_keys_ids_endpoints_out_and_old_connections() {
+fn handover_keeps_calls_keys_ids_disabled_endpoints_and_connections() {
     let (endpoint, gate) = gated("held");
     let agent = Agent::new(vec![list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn calls_of_an_old_process_that_is_killed_may_have_run() {
+fn calls_of_killed_predecessor_may_have_run() {
     let (endpoint, _gate) = gated("held");
     let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
     let mut old = Node::on_a_passed_socket(&agent).ready();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn an_old_process_that_is_not_relieved_goes_on() {
+fn predecessor_continues_after_failed_handover() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = two(&endpoint, &endpoint);
     let old = Node::on_a_passed_socket(&agent).ready();
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_next_process_of_another_version_has_the_journal_alone() {
+fn successor_of_other_version_gets_only_the_journal() {
     let (endpoint, gate) = gated("held");
     let agent = two(&endpoint, &endpoint);
     let mut old = Node::on_a_passed_socket(&agent).ready();
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn new_settings_bind_new_messages_and_open_ones_keep_theirs_also_across_a_restart() {
+fn new_settings_apply_to_new_messages_only_also_over_restart() {
     // each first call fails: what may be repeated goes again, what may not fails
     let endpoint = Endpoint::new({
         let seen: Mutex<Vec<String>> = Mutex::default();
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn nothing_is_taken_from_a_broken_file_and_a_start_beside_one_has_the_last_good_settings() {
+fn broken_configuration_changes_nothing_and_start_uses_last_good_one() {
     let endpoint = Endpoint::new(|_, _| OK);
     let (agent, elsewhere) = (two(&endpoint, &endpoint), Agent::new(Vec::new()));
     let node = Node::new(&agent).ready();
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn a_sender_serves_where_the_local_socket_can_not_be_bound() {
+fn sender_serves_without_handover_socket() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = two(&endpoint, &endpoint);
     let mut node = Node::new(&agent).ready();
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn a_sender_serves_where_operators_address_and_passed_socket_are_not_to_be_had() {
+fn sender_serves_without_operators_address_and_passed_socket() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = two(&endpoint, &endpoint);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -60,7 +60,7 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn a_repeat_that_gets_its_connection_after_its_window_is_not_written() {
+fn retry_connected_after_idempotency_window_is_not_sent() {
     let gate = Gate::new();
     let agent = gate.listed();
     let node = Node::configured_with(&agent, |text| {
@@ -111,7 +111,7 @@
 const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
 #[test]
-fn a_connection_that_is_to_make_room_answers_the_request_that_has_come() {
+fn client_connection_closed_for_room_answers_request_already_received() {
     let gate = Gate::new();
     // twenty places for clients
     let node = Node::with_sockets(gate.listed().address, 3.0, 5.0, 60).ready();
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn requests_that_meet_the_end_of_resting_connections_in_a_drain_are_answered() {
+fn requests_at_idle_close_during_shutdown_are_answered() {
     let gate = Gate::new();
     let agent = gate.listed();
     let met = || {
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn requests_that_meet_the_end_of_connections_that_have_been_idle_for_too_long_are_answered() {
+fn requests_at_idle_timeout_are_answered() {
     let gate = Gate::new();
     let node = Node::new(&gate.listed()).ready();
     let met = || {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_taken_by_nobody() {
+fn request_after_connection_close_is_not_accepted() {
     let gate = Gate::new();
     let agent = gate.listed();
     let node = Node::new(&agent).ready();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn an_answer_before_the_end_of_its_request_is_read_whole() {
+fn early_answer_to_long_request_is_complete() {
     let gate = Gate::new();
     let node = Node::new(&gate.listed()).ready();
     let head = b"POST /webhook HTTP/1.1\r\nHost: a\r\nX-Request-ID: m1\r\nX-Priority-Class: webhook\r\n\
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn an_answer_that_is_there_as_its_call_times_out_counts() {
+fn answer_that_arrives_at_timeout_counts() {
     let gate = Gate::new();
     let agent = gate.listed();
     // a head without an end is true too, by its first line
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_wait_that_is_told_after_its_call_timed_out_holds() {
+fn retry_after_received_after_timeout_is_obeyed() {
     let gate = Gate::new();
     let agent = gate.listed();
     let told = || {
