--- a/lab/src/scale/ledger.rs
+++ b/lab/src/scale/ledger.rs
@@ -8,7 +8,7 @@
 use super::resources::{resident, thread_time};
 use clap::Args;
 use fleet_registry::replica::{PartsAnswer, PartsQuestion};
-use quota_ledger::verdicts::{EPOCHS_PER_ALLOCATOR, HealthVerdict};
+use quota_ledger::health::{EPOCHS_PER_ALLOCATOR, HealthVerdict};
 use quota_ledger::{
     Allocation, Allocator, FallbackQuotas, LeaseTerms, LedgerEntry, LedgerError, LedgerState,
     Limit, LimitKey, Micros, QuotaDemand, Resource,
--- a/ledger/src/parts.rs
+++ b/ledger/src/quotas/allocator.rs
@@ -1,87 +1,23 @@
-//! The keeper's side: who may still use which part of a limit, and what is dealt to one that asks.
+//! The allocator of a shard: who may still use which quota of a limit, and what is allocated to a sender that asks.
 //!
-//! Parts are not replicated. One that becomes keeper knows none, and deals nothing until every lease that one before it
-//! may have given has surely lapsed. That nothing is dealt twice follows from one line: a part is at most what is left of
-//! the limit after all floors and all parts that others may still use. A part may be used up at its beginning, so it counts
-//! as out to its end whatever its sender says.
-
-use crate::keys::LimitKey;
-use crate::limits::{FallbackQuotas, Limit};
-use serde::{Deserialize, Serialize};
+//! Allocations are not replicated. A new allocator knows none, and allocates nothing until every lease that an earlier one
+//! may have granted has surely expired. That nothing is allocated twice follows from one line: a quota is at most what is
+//! left of the limit after all fallback quotas and all quotas that others may still use. A quota may be used up at its
+//! beginning, so it counts as in use to its end whatever its sender reports.
+
+use super::allocation::{Allocation, QuotaDemand};
+use super::grants::Grants;
+use super::key::LimitKey;
+use super::limit::{FallbackQuotas, Limit};
 use std::collections::BTreeMap;
 use versioned_config::{LeaseTerms, Micros};
 
 /// How long a computed level of fair parts is good. Wants that come meanwhile are dealt by it.
 const LEVEL_GOOD: Micros = 100_000;
+
 /// Part of what nobody wants that is dealt to all that ask: ahead of a clump, and yet some is left for one that has it.
 const AHEAD: u64 = 2;
 
-/// A sender's wish for a part of one limit.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct QuotaDemand {
-    /// Of what.
-    pub key: LimitKey,
-    /// How much it could use beyond its floor, in the key's units.
-    #[serde(rename = "want")]
-    pub amount: u64,
-}
-
-/// A part that a sender may use, beside its floor.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Allocation {
-    /// Of what.
-    pub key: LimitKey,
-    /// How much, in the key's units; none: it has no limit now.
-    #[serde(rename = "part")]
-    pub quota: Option<u64>,
-    /// The whole limit, for all senders, if there is one.
-    pub total: Option<u64>,
-    /// How long a call under it may last, ms; 0 where that does not matter.
-    #[serde(default)]
-    #[serde(rename = "linger_ms")]
-    pub expiry_grace_ms: u64,
-}
-
-/// Parts of one limit that may still be used, each until its end: of them the largest counts. A smaller one never takes the
-/// place of a larger one before its end, at the keeper and at the sender alike: what comes back sooner could be used twice, for
-/// a part may be used up at its beginning.
-#[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Grants(Vec<(u64, Micros)>);
-
-impl Grants {
-    /// A further part. Those that end no later and are no larger are forgotten.
-    pub(crate) fn push(&mut self, part: u64, until: Micros) {
-        if !self
-            .0
-            .iter()
-            .any(|(other, end)| *other >= part && *end >= until)
-        {
-            self.0.retain(|(other, end)| *other > part || *end > until);
-            self.0.push((part, until));
-        }
-    }
-
-    /// Forgets what has ended.
-    pub(crate) fn lapse(&mut self, now: Micros) {
-        self.0.retain(|(_, until)| *until > now);
-    }
-
-    /// The largest that lasts, and until when.
-    pub(crate) fn most(&self, now: Micros) -> Option<(u64, Micros)> {
-        self.0
-            .iter()
-            .filter(|(_, until)| *until > now)
-            .copied()
-            .max()
-    }
-
-    pub(crate) fn is_empty(&self) -> bool {
-        self.0.is_empty()
-    }
-}
-
 /// What one sender may still use of one limit, and what it asked for last.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Held {
--- a/ledger/src/compact.rs
+++ b/ledger/src/quotas/compact.rs
@@ -1,12 +1,12 @@
-//! The compact form of questions for quotas and of their answers: a version, then fields in postcard's varints, with the
-//! destinations of each kind in order and as differences. A name takes some 4 bytes and its answer some 5, where JSON takes
-//! 30 and 61. A form of another version is refused and not guessed at.
+//! The compact form of quota requests and responses: a version, then fields in postcard's varints, with the destinations of
+//! each kind in order and as differences. A key takes some 4 bytes and its allocation some 5, where JSON takes 30 and 61. A
+//! form of another version is rejected and not guessed at.
 
-use crate::keys::{InvalidKey, LimitKey, Resource};
-use crate::limits::FallbackQuotas;
-use crate::naming::MAX_KEYS_PER_REQUEST;
-use crate::parts::{Allocation, QuotaDemand};
-use crate::verdicts::{HealthReport, HealthVerdict};
+use super::allocation::{Allocation, QuotaDemand};
+use super::key::{InvalidKey, LimitKey, Resource};
+use super::key_selection::MAX_KEYS_PER_REQUEST;
+use super::limit::FallbackQuotas;
+use crate::health::{HealthReport, HealthVerdict};
 use miette::Diagnostic;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -16,6 +16,7 @@
 
 /// The media type of both, with the version in its name.
 pub const MEDIA_TYPE: &str = "application/vnd.milletturn.quotas.v1";
+
 /// The first byte of both.
 const VERSION: u8 = 1;
 
--- a/ledger/src/holder.rs
+++ b/ledger/src/quotas/lease_holder.rs
@@ -1,8 +1,9 @@
-//! The sender's side: what it may use now. A part's end is looked at by the time that is passed in, before each use.
+//! The sender's side: what it may use now. The end of a quota is compared with the time that is passed in before each use.
 
-use crate::keys::LimitKey;
-use crate::limits::FallbackQuotas;
-use crate::parts::{Allocation, Grants};
+use super::allocation::Allocation;
+use super::grants::Grants;
+use super::key::LimitKey;
+use super::limit::FallbackQuotas;
 use std::collections::BTreeMap;
 use versioned_config::Micros;
 
--- a/ledger/src/limits.rs
+++ b/ledger/src/quotas/limit.rs
@@ -1,6 +1,6 @@
-//! Limits as the log keeps them, and the floors that hold without it.
+//! Limits as the replicated log keeps them, and the fallback quotas that hold without it.
 
-use crate::keys::LimitKey;
+use super::key::LimitKey;
 use miette::Diagnostic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -8,6 +8,7 @@
 
 /// Limits that a log may have.
 pub(crate) const LIMITS_MOST: usize = 20_000;
+
 /// Greatest limit: sums of all floors and parts stay far within the integers.
 const TOTAL_MOST: u64 = 1 << 40;
 
@@ -158,48 +159,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::keys::Resource;
-
-    #[test]
-    fn no_limit_is_below_its_floors_and_each_no_says_what_to_do() {
-        let each = [("rate", 5), ("rate/7", 20), ("out", 0)]
-            .map(|(name, floor)| (name.to_string(), floor))
-            .into();
-        let floors = FallbackQuotas {
-            senders: 10,
-            per_sender: each,
-        };
-        let (other, seven) = (
-            LimitKey::of(3, Resource::Rate),
-            LimitKey::of(7, Resource::Rate),
-        );
-        let out = LimitKey::of(7, Resource::Concurrency);
-        assert_eq!(
-            (floors.of(&other), floors.of(&seven), floors.of(&out)),
-            (5, 20, 0)
-        );
-        let check = |key: &LimitKey, total, linger_ms| {
-            Limit {
-                total,
-                expiry_grace_ms: linger_ms,
-            }
-            .check(&floors, key)
-        };
-        assert_eq!(check(&seven, 200, 0), Ok(()));
-        assert_eq!(check(&out, 3, 500), Ok(()));
-        let errors = [
-            check(&seven, 199, 0),
-            check(&other, 49, 0),
-            check(&out, 3, 0),
-            check(&seven, 300, 5),
-            check(&seven, u64::MAX, 0),
-            check(&LimitKey::of(7, Resource::RecoveryRate), 300, 0),
-        ];
-        for error in errors {
-            let error = error.expect_err("refused");
-            assert!(error.help().is_some() && error.code().is_some(), "{error}");
-        }
-    }
-}
+mod tests;
--- a/ledger/src/splits.rs
+++ b/ledger/src/splits/split.rs
@@ -1,17 +1,15 @@
-//! A split of a range: its keys are copied to two children while it goes on to answer, every write goes to both sides, and
-//! both are read for one question at one point of the log. It is cut over once every key has been compared equal; a
-//! difference is kept with both sides, and has the split undone.
+//! The state of one split: copying, comparing, and how it ended.
 
-use crate::keys::LimitKey;
-use crate::limits::Limit;
-use miette::Diagnostic;
+use super::comparison::{Disagreement, compare};
+use super::error::SplitError;
+use super::query::{Query, Rows};
+use crate::quotas::{Limit, LimitKey};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
-use thiserror::Error;
 
 /// Flags that are kept of one split; more are counted.
 const FLAGS_MOST: usize = 32;
+
 /// Ended splits that are remembered.
 pub(crate) const ENDED_MOST: usize = 16;
 
@@ -34,221 +32,6 @@
     Order,
 }
 
-/// How two sides differ.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Difference {
-    /// One side lacks it.
-    Missing,
-    /// One side has it twice.
-    Twice,
-    /// The values differ.
-    Value,
-    /// The same, in another order.
-    Order,
-}
-
-/// A question that may span ranges.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Query {
-    /// All limits from one place up to another.
-    Range {
-        /// The first place.
-        from: u64,
-        /// The place after the last; none: to the end.
-        to: Option<u64>,
-    },
-    /// The limit of one key.
-    #[serde(rename = "one")]
-    Key(LimitKey),
-    /// The sum of all limits of a kind.
-    Sum(String),
-}
-
-impl fmt::Display for Query {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Query::Range { from, to: None } => write!(f, "range from {from}"),
-            Query::Range { from, to: Some(to) } => write!(f, "range from {from} to {to}"),
-            Query::Key(key) => write!(f, "{key}"),
-            Query::Sum(kind) => write!(f, "sum of {kind}"),
-        }
-    }
-}
-
-/// An answer in its one form: rows in the order of their keys; a sum is one row without a key.
-pub type Rows = Vec<(Option<LimitKey>, u64)>;
-
-impl Query {
-    /// Answers from records in the order in which they are given.
-    fn answer<'a>(&self, records: impl Iterator<Item = (&'a LimitKey, &'a Limit)>) -> Rows {
-        let row = |(key, limit): (&LimitKey, &Limit)| (Some(key.clone()), limit.total);
-        match self {
-            Query::Range { from, to } => {
-                let within = |key: &LimitKey| {
-                    key.position() >= *from && to.is_none_or(|to| key.position() < to)
-                };
-                records.filter(|(key, _)| within(key)).map(row).collect()
-            }
-            Query::Key(key) => records
-                .filter(|(other, _)| *other == key)
-                .map(row)
-                .collect(),
-            Query::Sum(kind) => {
-                let of_kind = records.filter(|(key, _)| key.kind() == kind);
-                vec![(
-                    None,
-                    of_kind.fold(0, |sum: u64, (_, limit)| sum.saturating_add(limit.total)),
-                )]
-            }
-        }
-    }
-}
-
-/// A disagreement.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disagreement {
-    /// The question; none: the walk over all keys found it.
-    pub query: Option<Query>,
-    /// The first key in which the sides differ, if it is one.
-    pub key: Option<LimitKey>,
-    /// How.
-    pub difference: Difference,
-    /// What the parent has of it.
-    pub parent: Vec<u64>,
-    /// What the children have of it, merged.
-    pub children: Vec<u64>,
-    /// The point of the log at which both were read.
-    #[serde(rename = "fence")]
-    pub log_revision: u64,
-}
-
-/// Compares two answers; none where they are the same.
-pub fn compare(
-    query: Option<&Query>,
-    parent: &Rows,
-    children: &Rows,
-    fence: u64,
-) -> Option<Disagreement> {
-    if parent == children {
-        return None;
-    }
-    let of = |rows: &Rows, key: &Option<LimitKey>| -> Vec<u64> {
-        rows.iter()
-            .filter(|(other, _)| other == key)
-            .map(|(_, total)| *total)
-            .collect()
-    };
-    let keys = parent.iter().chain(children).map(|(key, _)| key);
-    let differing = keys
-        .map(|key| (key, of(parent, key), of(children, key)))
-        .find(|(_, one, other)| one != other);
-    let query = query.cloned();
-    Some(match differing {
-        None => {
-            let (key, _) = parent
-                .iter()
-                .zip(children)
-                .find(|(one, other)| one != other)?
-                .0;
-            let (parent, children) = (Vec::new(), Vec::new());
-            Disagreement {
-                query,
-                key: key.clone(),
-                difference: Difference::Order,
-                parent,
-                children,
-                log_revision: fence,
-            }
-        }
-        Some((key, parent, children)) => {
-            let difference = match (parent.len(), children.len()) {
-                (0, _) | (_, 0) => Difference::Missing,
-                (1, 1) => Difference::Value,
-                _ => Difference::Twice,
-            };
-            Disagreement {
-                query,
-                key: key.clone(),
-                difference,
-                parent,
-                children,
-                log_revision: fence,
-            }
-        }
-    })
-}
-
-/// Why a split does not begin, or is undone.
-#[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic, Serialize, Deserialize)]
-pub enum SplitError {
-    /// There is no such range.
-    #[error("no range begins at {0}")]
-    #[diagnostic(
-        code(ledger::split::range),
-        help("GET /v1/limits lists the ranges by their first places")
-    )]
-    UnknownShard(u64),
-    /// The place is not inside it.
-    #[error("{at} is not inside the range that begins at {first}")]
-    #[diagnostic(
-        code(ledger::split::place),
-        help("name a destination after the first of the range and before the next range")
-    )]
-    OutsideShard {
-        /// The range.
-        first: u64,
-        /// Where it was to be split.
-        at: u64,
-    },
-    /// One is under way.
-    #[error("a split of the range that begins at {0} is under way")]
-    #[diagnostic(
-        code(ledger::split::under_way),
-        help("wait for its end (GET /v1/splits), or undo it (DELETE /v1/splits)")
-    )]
-    SplitInProgress(u64),
-    /// None is under way.
-    #[error("no split is under way")]
-    #[diagnostic(
-        code(ledger::split::none),
-        help("GET /v1/splits tells how the last ones ended")
-    )]
-    NoSplit,
-    /// The sides disagree.
-    #[error("{0} answers of the two sides disagree")]
-    #[diagnostic(
-        code(ledger::split::flags),
-        help(
-            "GET /v1/splits has both sides of each; the range is as it was: report it before it is split again"
-        )
-    )]
-    Disagreements(u64),
-    /// It took too long.
-    #[error("it was not compared in whole in time")]
-    #[diagnostic(
-        code(ledger::split::late),
-        help("split it at a quieter time, or a smaller part of it")
-    )]
-    TimedOut,
-    /// A freeze began.
-    #[error("window {0} began before every key had been compared")]
-    #[diagnostic(code(ledger::split::frozen), help("split it again after the window"))]
-    Frozen(String),
-    /// An operator undid it.
-    #[error("an operator undid it")]
-    #[diagnostic(code(ledger::split::undone), help("the range is as it was"))]
-    RolledBackByOperator,
-    /// It was a rehearsal.
-    #[error("it was a rehearsal, and every key was compared without a flag")]
-    #[diagnostic(
-        code(ledger::split::rehearsed),
-        help("what was planted was not found: report it, and split nothing")
-    )]
-    Rehearsed,
-}
-
 /// A split under way.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Split {
@@ -473,11 +256,3 @@
         }
     }
 }
-
-/// The parent's answer to a query over all ranges.
-pub(crate) fn read<'a>(
-    query: &Query,
-    records: impl Iterator<Item = (&'a LimitKey, &'a Limit)>,
-) -> Rows {
-    query.answer(records)
-}
--- a/ledger/tests/codes.rs
+++ b/ledger/tests/codes.rs
@@ -1,8 +1,8 @@
 //! Every refusal has a code and says what an operator can do, and the on-call page lists the code.
 
 use miette::Diagnostic;
-use quota_ledger::compact::CompactError;
 use quota_ledger::freeze::{ChangeKind, FreezeError};
+use quota_ledger::quotas::compact::CompactError;
 use quota_ledger::splits::SplitError;
 use quota_ledger::{InvalidKey, InvalidLimit, LedgerError, LimitError, LimitKey, Resource};
 use std::collections::BTreeSet;
--- a/ledger/tests/compact.rs
+++ b/ledger/tests/compact.rs
@@ -1,9 +1,9 @@
 //! The compact form of questions and answers: its bytes are fixed, what is written is read back, and nothing else is read.
 
 use proptest::prelude::*;
-use quota_ledger::compact::{CompactError, QuotaRequest, QuotaResponse};
-use quota_ledger::naming::MAX_KEYS_PER_REQUEST;
-use quota_ledger::verdicts::{HealthReport, HealthVerdict};
+use quota_ledger::health::{HealthReport, HealthVerdict};
+use quota_ledger::quotas::MAX_KEYS_PER_REQUEST;
+use quota_ledger::quotas::compact::{CompactError, QuotaRequest, QuotaResponse};
 use quota_ledger::{Allocation, FallbackQuotas, LimitKey, QuotaDemand, Resource};
 
 fn question() -> QuotaRequest {
--- a/ledger/tests/golden.rs
+++ b/ledger/tests/golden.rs
@@ -4,16 +4,16 @@
 mod golden;
 
 use golden::{GoldenFile, bytes, hexadecimal};
-use quota_ledger::compact::{MEDIA_TYPE, QuotaRequest, QuotaResponse};
 use quota_ledger::freeze::{
     ActiveWindow, BreakGlassOverride, ChangeKind, FreezeCalendar, FreezeEntry, FreezeError,
     FreezeState, FreezeWindow, Recurrence, ResourceChange, Scope,
 };
-use quota_ledger::gate::{FreezeCheck, FreezeUpdate, WindowNotice};
+use quota_ledger::freeze::{FreezeCheck, FreezeUpdate, WindowNotice};
+use quota_ledger::health::{HealthReport, HealthVerdict};
+use quota_ledger::quotas::compact::{MEDIA_TYPE, QuotaRequest, QuotaResponse};
 use quota_ledger::splits::{
     Difference, Disagreement, FinishedSplit, PlantedFault, Query, Split, SplitError,
 };
-use quota_ledger::verdicts::{HealthReport, HealthVerdict};
 use quota_ledger::{
     Allocation, FallbackQuotas, InvalidLimit, LeaseTerms, LedgerEntry, LedgerError, LedgerState,
     Limit, LimitError, LimitKey, QuotaDemand, Resource, Shard,
--- a/ledger/tests/naming.rs
+++ b/ledger/tests/naming.rs
@@ -1,6 +1,6 @@
 //! What questions name: a short list whole, of a long one what is used, in turns and within the budget of bytes.
 
-use quota_ledger::naming::{
+use quota_ledger::quotas::{
     ByteBudget, DemandSelector, HEADER_BYTES, KeyDemand, MAX_KEYS_PER_REQUEST, select_reports,
 };
 use quota_ledger::{
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,7 +1,7 @@
 //! The log's clock: wall time that was agreed on, carried on by the time that has passed here since.
 
 use super::Replica;
-use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
+use quota_ledger::freeze::schedule::{Clocks, MAX_CLOCK_SKEW_MS};
 use versioned_config::Micros;
 
 impl Replica {
--- a/registry/src/replica/keeping.rs
+++ b/registry/src/replica/keeping.rs
@@ -3,7 +3,7 @@
 
 use super::Answer;
 use crate::state::Refused;
-use quota_ledger::verdicts::{EPOCHS_PER_ALLOCATOR, HealthReport, HealthVerdict, ReportCounts};
+use quota_ledger::health::{EPOCHS_PER_ALLOCATOR, HealthReport, HealthVerdict, ReportCounts};
 use quota_ledger::{
     Allocation, Allocator, FallbackQuotas, LedgerError, LedgerState, LimitKey, Micros, QuotaDemand,
     Resource,
--- a/registry/src/replica/leading.rs
+++ b/registry/src/replica/leading.rs
@@ -4,7 +4,7 @@
 use crate::heartbeats::Heartbeats;
 use crate::state::{Applied, Command, Refused, State};
 use quota_ledger::LedgerEntry;
-use quota_ledger::calendar::Clocks;
+use quota_ledger::freeze::schedule::Clocks;
 use quota_ledger::freeze::{ChangeKind, FreezeEntry, FreezeError, FreezeState, ResourceChange};
 use quota_ledger::splits::SplitError;
 use serde::{Deserialize, Serialize};
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::store::Store;
-use quota_ledger::calendar::MAX_CLOCK_SKEW_MS;
+use quota_ledger::freeze::schedule::MAX_CLOCK_SKEW_MS;
 use raft::Storage;
 use serde_json::{Value, json};
 use versioned_config::Micros;
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -10,7 +10,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use miette::Diagnostic;
-use quota_ledger::compact;
+use quota_ledger::quotas::compact;
 use quota_ledger::splits::{PlantedFault, Query, SplitError};
 use quota_ledger::{InvalidKey, LedgerEntry, LedgerError, Limit, LimitError, LimitKey};
 use serde::Deserialize;
--- a/src/net/asking.rs
+++ b/src/net/asking.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{CONTENT_TYPE, HOST};
 use hyper::{Method, Request, StatusCode};
-use quota_ledger::compact::CompactError;
+use quota_ledger::quotas::compact::CompactError;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/net/driver/frozen.rs
+++ b/src/net/driver/frozen.rs
@@ -5,7 +5,7 @@
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{Micros, Status};
-use quota_ledger::gate::{EndpointSnapshot, FreezeCheck, resource_change};
+use quota_ledger::freeze::{EndpointSnapshot, FreezeCheck, resource_change};
 use serde_json::json;
 use std::collections::BTreeMap;
 use tokio::time::Instant;
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -9,7 +9,7 @@
 use message_sender::{
     Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
 };
-use quota_ledger::gate::FreezeUpdate;
+use quota_ledger::freeze::FreezeUpdate;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -8,7 +8,7 @@
 use super::events::{DriverInput, FreezeChange};
 use super::log;
 use hyper::Method;
-use quota_ledger::gate::FreezeUpdate;
+use quota_ledger::freeze::FreezeUpdate;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use settings::FreezeSettings;
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -14,9 +14,9 @@
 use super::log;
 use exchange::Exchange;
 use message_sender::{Demand, Quotas};
-use quota_ledger::compact::{QuotaRequest, QuotaResponse};
-use quota_ledger::naming::{self, ByteBudget, DemandSelector};
-use quota_ledger::verdicts::HealthVerdict;
+use quota_ledger::health::HealthVerdict;
+use quota_ledger::quotas::compact::{QuotaRequest, QuotaResponse};
+use quota_ledger::quotas::{self, ByteBudget, DemandSelector};
 use quota_ledger::{Allocation, QuotaHolder};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -276,7 +276,7 @@
             fallback_quotas: self.holder.fallback_quotas().clone(),
             zone: self.means.zone.clone(),
             demands: wants,
-            reports: naming::select_reports(
+            reports: quotas::select_reports(
                 wants::reports(demand),
                 |report| report.unavailable,
                 room,
--- a/src/net/ledger/wants.rs
+++ b/src/net/ledger/wants.rs
@@ -1,8 +1,8 @@
 //! What a sender wants of limits that all hold together, and what it reports of destinations, by the demand of its decisions.
 
 use message_sender::Demand;
-use quota_ledger::naming::KeyDemand;
-use quota_ledger::verdicts::HealthReport;
+use quota_ledger::health::HealthReport;
+use quota_ledger::quotas::KeyDemand;
 use quota_ledger::{FallbackQuotas, LimitKey, QuotaDemand, Resource};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -4,7 +4,7 @@
 
 use node::registry::Registry;
 use node::*;
-use quota_ledger::compact::MEDIA_TYPE;
+use quota_ledger::quotas::compact::MEDIA_TYPE;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
