--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -7,7 +7,7 @@
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use message_sender::{MILLISECOND, Micros, Status};
-use quota_ledger::gate::{EndpointSnapshot, FreezeCheck, resource_change};
+use quota_ledger::freeze::{EndpointSnapshot, FreezeCheck, resource_change};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::json;
