--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -9,7 +9,7 @@
 use message_sender::{
     AgreedRules, Demand, EndpointId, EndpointStatus, FleetView, Micros, Outcome, Quotas, Settings,
 };
-use quota_ledger::gate::FreezeUpdate;
+use quota_ledger::freeze::FreezeUpdate;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
