--- a/registry/src/main.rs
+++ b/registry/src/main.rs
@@ -1,16 +1,16 @@
-//! `milletturn-registry`: runs a replica, and asks one.
+//! `fleet-registry`: runs a replica, and asks one.
 
 mod client;
 
 use clap::{Args, Parser, Subcommand};
 use client::Ask;
-use milletturn_registry::core;
-use milletturn_registry::peers::Peers;
-use milletturn_registry::replica::Replica;
-use milletturn_registry::server::{Server, serve};
-use milletturn_registry::settings::Settings;
-use milletturn_registry::state::State;
-use milletturn_registry::store::{Purpose, Store};
+use fleet_registry::core;
+use fleet_registry::peers::Peers;
+use fleet_registry::replica::Replica;
+use fleet_registry::server::{Server, serve};
+use fleet_registry::settings::Settings;
+use fleet_registry::state::State;
+use fleet_registry::store::{Purpose, Store};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -62,8 +62,15 @@
 
 fn main() -> ExitCode {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-    tracing_subscriber::fmt().json().with_env_filter(filter).with_writer(std::io::stderr).init();
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    tracing_subscriber::fmt()
+        .json()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(error) => return told(BAD_INPUT, &error),
     };
@@ -78,7 +85,7 @@
 }
 
 fn told(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("milletturn-registry: {error}");
+    eprintln!("fleet-registry: {error}");
     ExitCode::from(code)
 }
 
@@ -104,9 +111,16 @@
         most: settings.limits.log_bytes,
         sync: true,
     };
-    let store = Store::open(&settings.folder, purpose, &postcard::to_allocvec(&State::default())?)?;
+    let store = Store::open(
+        &settings.folder,
+        purpose,
+        &postcard::to_allocvec(&State::default())?,
+    )?;
     let torn = store.torn();
-    let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    let life = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_nanos() as u64;
     let begin = begin.into_iter().chain(settings.begin_ledger());
     let replica = Replica::new(settings.id, store, life, begin)?;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -146,7 +160,10 @@
         let mut seen = core.seen.clone();
         let handed = seen.wait_for(|seen| seen.leader.is_some_and(|leader| leader != settings.id));
         let handed = timeout(TRANSFER, handed).await;
-        tracing::info!(handed = matches!(handed, Ok(Ok(_))), "the lead is handed over");
+        tracing::info!(
+            handed = matches!(handed, Ok(Ok(_))),
+            "the lead is handed over"
+        );
     }
     let _ = end.send(true);
     // answers that are being written
--- a/registry/tests/compatibility/messages.rs
+++ b/registry/tests/compatibility/messages.rs
@@ -2,10 +2,10 @@
 
 use crate::golden;
 use crate::samples::place;
-use milletturn_registry::inputs::Input;
-use milletturn_registry::mirror::{Entry, Kind, Snapshot, Voters, decode, encode};
-use milletturn_registry::peers::Peers;
-use milletturn_registry::state::Place;
+use fleet_registry::inputs::Input;
+use fleet_registry::mirror::{Entry, Kind, Snapshot, Voters, decode, encode};
+use fleet_registry::peers::Peers;
+use fleet_registry::state::Place;
 use raft::eraftpb::{self, Message, MessageType};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -37,7 +37,13 @@
 
 /// A message in which each field has a value of its own.
 fn message(kind: MessageType) -> Message {
-    let mut message = Message { msg_type: kind, to: 2, from: 1, term: LARGE + 9, ..Message::default() };
+    let mut message = Message {
+        msg_type: kind,
+        to: 2,
+        from: 1,
+        term: LARGE + 9,
+        ..Message::default()
+    };
     message.log_term = LARGE + 8;
     message.index = LARGE + 7;
     message.commit = LARGE + 6;
@@ -48,13 +54,36 @@
     message.priority = -(LARGE as i64);
     message.context = vec![9, 8, 7].into();
     let entry = |kind, index| {
-        let entry = Entry { kind, term: LARGE + 2, index, data: vec![1, 2], context: vec![3] };
+        let entry = Entry {
+            kind,
+            term: LARGE + 2,
+            index,
+            data: vec![1, 2],
+            context: vec![3],
+        };
         eraftpb::Entry::from(entry)
     };
-    message.set_entries(vec![entry(Kind::Normal, LARGE + 8), entry(Kind::Replicas, LARGE + 9)].into());
+    message.set_entries(
+        vec![
+            entry(Kind::Normal, LARGE + 8),
+            entry(Kind::Replicas, LARGE + 9),
+        ]
+        .into(),
+    );
     if kind == MessageType::MsgSnapshot {
-        let voters = Voters { voters: vec![1, 2, 3], learners: vec![4] };
-        message.set_snapshot((&Snapshot { index: LARGE, term: LARGE + 1, voters, data: vec![8; 20] }).into());
+        let voters = Voters {
+            voters: vec![1, 2, 3],
+            learners: vec![4],
+        };
+        message.set_snapshot(
+            (&Snapshot {
+                index: LARGE,
+                term: LARGE + 1,
+                voters,
+                data: vec![8; 20],
+            })
+                .into(),
+        );
     }
     message
 }
@@ -76,10 +105,15 @@
 
 /// A runtime on this thread, and a listener on a port of its own.
 fn on_loopback<T>(test: impl AsyncFnOnce(TcpListener) -> T) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        tokio::time::timeout(Duration::from_secs(20), test(listener)).await.expect("in time")
+        tokio::time::timeout(Duration::from_secs(20), test(listener))
+            .await
+            .expect("in time")
     })
 }
 
@@ -88,13 +122,27 @@
     let sent = on_loopback(async |listener: TcpListener| {
         let peers = Peers::new("golden", 1, Handle::current());
         let address = listener.local_addr().expect("an address");
-        peers.know(&BTreeMap::from([(2, Place { peers: address, ..place() })]));
+        peers.know(&BTreeMap::from([(
+            2,
+            Place {
+                peers: address,
+                ..place()
+            },
+        )]));
         let (mut link, _) = listener.accept().await.expect("a link");
-        peers.send(vec![message(MessageType::MsgHeartbeat), message(MessageType::MsgAppend)]);
-        let mut sent = vec![0; std::fs::metadata(golden::path("link.bin")).map_or(4096, |file| file.len() as usize)];
+        peers.send(vec![
+            message(MessageType::MsgHeartbeat),
+            message(MessageType::MsgAppend),
+        ]);
+        let mut sent = vec![
+            0;
+            std::fs::metadata(golden::path("link.bin"))
+                .map_or(4096, |file| file.len() as usize)
+        ];
         let mut length = 0;
         while length < sent.len() {
-            let read = tokio::time::timeout(Duration::from_secs(2), link.read(&mut sent[length..])).await;
+            let read =
+                tokio::time::timeout(Duration::from_secs(2), link.read(&mut sent[length..])).await;
             match read {
                 Ok(read) => length += read.expect("read"),
                 Err(_) => break, // the file is written for the first time
@@ -115,7 +163,9 @@
         let address = listener.local_addr().expect("an address");
         tokio::spawn(peers.listen(listener));
         let mut link = TcpStream::connect(address).await.expect("connected");
-        link.write_all(&std::fs::read(golden::path("link.bin")).expect("the file")).await.expect("written");
+        link.write_all(&std::fs::read(golden::path("link.bin")).expect("the file"))
+            .await
+            .expect("written");
         let mut messages = Vec::new();
         while messages.len() < 2 {
             match received.try_recv() {
@@ -126,5 +176,11 @@
         }
         messages
     });
-    assert_eq!(received, [message(MessageType::MsgHeartbeat), message(MessageType::MsgAppend)]);
+    assert_eq!(
+        received,
+        [
+            message(MessageType::MsgHeartbeat),
+            message(MessageType::MsgAppend)
+        ]
+    );
 }
--- a/registry/tests/golden/golden.rs
+++ b/registry/tests/golden/golden.rs
@@ -4,7 +4,9 @@
 
 /// Where a golden file lies.
 pub fn path(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 /// Compares bytes with a golden file. `WRITE_GOLDEN=1` writes it: for a new file only, never to get a pass.
@@ -15,12 +17,19 @@
     }
     let golden = std::fs::read(&path).expect("the golden file");
     if golden != bytes {
-        let difference = golden.iter().zip(bytes).position(|(one, other)| one != other);
+        let difference = golden
+            .iter()
+            .zip(bytes)
+            .position(|(one, other)| one != other);
         let difference = difference.unwrap_or(golden.len().min(bytes.len()));
         let near = |bytes: &[u8]| {
             let from = difference.saturating_sub(40).min(bytes.len());
             String::from_utf8_lossy(&bytes[from..bytes.len().min(difference + 80)]).into_owned()
         };
-        panic!("{name} differs from byte {difference}: {:?} is now {:?}", near(&golden), near(bytes));
+        panic!(
+            "{name} differs from byte {difference}: {:?} is now {:?}",
+            near(&golden),
+            near(bytes)
+        );
     }
 }
--- a/registry/tests/processes/cluster.rs
+++ b/registry/tests/processes/cluster.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn-registry");
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_fleet-registry");
 /// Longer than any election, start or lease here takes on a machine that is busy.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -34,9 +34,17 @@
             }
         };
         let folder = tempfile::tempdir().expect("a folder");
-        let mut cluster = Cluster { folder, ip: [127, b, c], _claim: claim, replicas: Vec::new() };
+        let mut cluster = Cluster {
+            folder,
+            ip: [127, b, c],
+            _claim: claim,
+            replicas: Vec::new(),
+        };
         cluster.write("floor.json", "{}");
-        cluster.write("rules.json", r#"{"limits":{"calls":40}}"#.replace("40", "50").as_str());
+        cluster.write(
+            "rules.json",
+            r#"{"limits":{"calls":40}}"#.replace("40", "50").as_str(),
+        );
         cluster.write("floor.json", r#"{"limits":{"calls":5}}"#);
         for number in 0..replicas {
             cluster.write_settings(number, replicas, false, more);
@@ -65,7 +73,10 @@
         let others: String = (0..replicas)
             .map(|other| {
                 let (peers, clients) = (self.peers(other), self.clients(other));
-                format!("[[replica]]\nid = {}\npeers = \"{peers}\"\nclients = \"{clients}\"\n", other + 1)
+                format!(
+                    "[[replica]]\nid = {}\npeers = \"{peers}\"\nclients = \"{clients}\"\n",
+                    other + 1
+                )
             })
             .collect();
         let (listen, peers, id) = (self.clients(number), self.peers(number), number + 1);
@@ -81,10 +92,18 @@
 
     pub fn start(&mut self, number: usize) {
         let log = self.folder.path().join(format!("r{number}.log"));
-        let log = std::fs::File::options().create(true).append(true).open(log).expect("a log");
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(log)
+            .expect("a log");
         let settings = self.folder.path().join(format!("r{number}.toml"));
         let mut command = Command::new(PROGRAM);
-        command.args(["run", "--config"]).arg(settings).stderr(log).stdout(Stdio::null());
+        command
+            .args(["run", "--config"])
+            .arg(settings)
+            .stderr(log)
+            .stdout(Stdio::null());
         self.replicas[number] = Some(command.spawn().expect("started"));
     }
 
@@ -93,7 +112,13 @@
         child.kill().and_then(|()| child.wait()).expect("killed");
     }
 
-    pub fn ask(&self, number: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+    pub fn ask(
+        &self,
+        number: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<(u16, String)> {
         call(self.clients(number), method, path, "", body)
     }
 
@@ -111,11 +136,17 @@
     }
 
     pub fn leader(&self) -> usize {
-        let running = self.replicas.iter().position(Option::is_some).expect("one runs");
+        let running = self
+            .replicas
+            .iter()
+            .position(Option::is_some)
+            .expect("one runs");
         let begin = Instant::now();
         loop {
             let leader = self.until(running, "GET", "/v1/status", "")["leader"].as_u64();
-            if let Some(leader) = leader.filter(|leader| self.replicas[*leader as usize - 1].is_some()) {
+            if let Some(leader) =
+                leader.filter(|leader| self.replicas[*leader as usize - 1].is_some())
+            {
                 return leader as usize - 1;
             }
             assert!(begin.elapsed() < PATIENCE, "nobody leads");
@@ -126,7 +157,11 @@
     pub fn run(&self, arguments: &[&str]) -> Output {
         let registries = (0..self.replicas.len())
             .flat_map(|number| ["--registry".to_string(), self.clients(number).to_string()]);
-        Command::new(PROGRAM).args(arguments).args(registries).output().expect("it runs")
+        Command::new(PROGRAM)
+            .args(arguments)
+            .args(registries)
+            .output()
+            .expect("it runs")
     }
 }
 
@@ -139,19 +174,35 @@
     }
 }
 
-pub fn request(address: SocketAddr, method: &str, path: &str, head: &str, body: &str) -> Option<TcpStream> {
+pub fn request(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    head: &str,
+    body: &str,
+) -> Option<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     let length = body.len();
-    let text = format!("{method} {path} HTTP/1.1\r\nhost: r\r\n{head}content-length: {length}\r\n\r\n{body}");
+    let text = format!(
+        "{method} {path} HTTP/1.1\r\nhost: r\r\n{head}content-length: {length}\r\n\r\n{body}"
+    );
     stream.write_all(text.as_bytes()).ok()?;
     Some(stream)
 }
 
-pub fn call(address: SocketAddr, method: &str, path: &str, head: &str, body: &str) -> Option<(u16, String)> {
+pub fn call(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    head: &str,
+    body: &str,
+) -> Option<(u16, String)> {
     let head = format!("{head}connection: close\r\n");
     let mut text = String::new();
-    request(address, method, path, &head, body)?.read_to_string(&mut text).ok()?;
+    request(address, method, path, &head, body)?
+        .read_to_string(&mut text)
+        .ok()?;
     let status = text.split(' ').nth(1)?.parse().ok()?;
     Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
 }
@@ -166,7 +217,9 @@
 impl Watch {
     pub fn begin(address: SocketAddr, from: u64) -> Self {
         let path = format!("/v1/endpoints?watch=1&from={from}");
-        Watch(BufReader::new(request(address, "GET", &path, "", "").expect("connected")))
+        Watch(BufReader::new(
+            request(address, "GET", &path, "", "").expect("connected"),
+        ))
     }
 
     pub fn next(&mut self) -> Option<Value> {
--- a/registry/tests/processes/command_line.rs
+++ b/registry/tests/processes/command_line.rs
@@ -5,8 +5,8 @@
 use std::process::Command;
 
 const SUBCOMMANDS: [&str; 14] = [
-    "run", "status", "list", "put", "drain", "remove", "show", "compare", "rules", "undo", "wait", "join",
-    "leave", "transfer",
+    "run", "status", "list", "put", "drain", "remove", "show", "compare", "rules", "undo", "wait",
+    "join", "leave", "transfer",
 ];
 
 /// The names in a help text: what stands before the descriptions, and defaults.
@@ -29,14 +29,24 @@
 #[test]
 fn subcommands_and_flags_keep_their_names() {
     let help = |arguments: &[&str]| {
-        let output = Command::new(PROGRAM).args(arguments).output().expect("it runs");
+        let output = Command::new(PROGRAM)
+            .args(arguments)
+            .output()
+            .expect("it runs");
         assert!(output.status.success(), "{output:?}");
         String::from_utf8(output.stdout).expect("text")
     };
-    let program = std::path::Path::new(PROGRAM).file_name().expect("a name").to_string_lossy().into_owned();
+    let program = std::path::Path::new(PROGRAM)
+        .file_name()
+        .expect("a name")
+        .to_string_lossy()
+        .into_owned();
     let mut text = names(&help(&["--help"]));
     for subcommand in SUBCOMMANDS {
         text += &format!("\n{subcommand}\n{}", names(&help(&[subcommand, "--help"])));
     }
-    golden::assert_same("command-line.txt", text.replace(&program, "PROGRAM").as_bytes());
+    golden::assert_same(
+        "command-line.txt",
+        text.replace(&program, "PROGRAM").as_bytes(),
+    );
 }
--- a/src/net/driver/handing.rs
+++ b/src/net/driver/handing.rs
@@ -3,13 +3,18 @@
 use super::{Attempt, Driver, Message, Next, Route};
 use crate::net;
 use crate::net::calls::CallOut;
-use crate::net::events::{Answer, Arrival, Ended, Input, Passed, Verdict, Word};
+use crate::net::events::{
+    AdminResult, AttemptEnd, DriverInput, ForwardedSubmission, HandoverMessage, Submission,
+    SubmissionResult,
+};
 use crate::net::journal::JournalError;
 use crate::net::leaving::Leaving;
-use crate::net::machine::RETRY;
-use crate::net::upgrade::{self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text};
+use crate::net::local_errors::RETRY_INTERVAL;
+use crate::net::upgrade::{
+    self, HandedCall, HandedMessage, HandedRoute, Handover, Link, Successor, text,
+};
 use hyper::header::HeaderValue;
-use milletturn::{EndpointId, MessageId};
+use message_sender::{EndpointId, MessageId};
 use std::collections::HashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
@@ -20,7 +25,9 @@
         let mut link = match successor {
             Successor::Heir(link) => link,
             Successor::Stranger => {
-                net::log(format_args!("upgrade: the new process speaks another version, this one ends"));
+                net::log(format_args!(
+                    "upgrade: the new process speaks another version, this one ends"
+                ));
                 return Next::End;
             }
         };
@@ -45,16 +52,22 @@
         };
         match handed {
             Ok(()) => {
-                net::log(format_args!("upgrade: handed over {messages} messages, {calls} calls are out"));
+                net::log(format_args!(
+                    "upgrade: handed over {messages} messages, {calls} calls are out"
+                ));
                 Next::Leave(link)
             }
             Err(error) => match self.shared.lock.try_take() {
                 Ok(true) => {
-                    net::log(format_args!("upgrade: not taken over, this process goes on: {error}"));
+                    net::log(format_args!(
+                        "upgrade: not taken over, this process goes on: {error}"
+                    ));
                     self.reopen_journal().await
                 }
                 Ok(false) | Err(_) => {
-                    net::log(format_args!("upgrade: another process owns the journal, this one ends"));
+                    net::log(format_args!(
+                        "upgrade: another process owns the journal, this one ends"
+                    ));
                     Next::End
                 }
             },
@@ -68,10 +81,12 @@
                 Ok(()) => return Next::GoOn,
                 Err(error @ JournalError::Io(_)) => {
                     self.journal_fault.log(format_args!("journal: {error}"));
-                    sleep(RETRY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
                 Err(error) => {
-                    net::log(format_args!("upgrade: the journal is lost, this process ends: {error}"));
+                    net::log(format_args!(
+                        "upgrade: the journal is lost, this process ends: {error}"
+                    ));
                     return Next::End;
                 }
             }
@@ -105,7 +120,11 @@
         };
         let call = |(&number, call): (&u64, &CallOut)| HandedCall {
             number,
-            items: call.items.iter().map(|&(message, attempt)| (message.0, attempt)).collect(),
+            items: call
+                .items
+                .iter()
+                .map(|&(message, attempt)| (message.0, attempt))
+                .collect(),
             left: call.left,
         };
         Ok(Handover {
@@ -119,9 +138,16 @@
             next_call: self.next_call,
             delivered: self.delivered.iter().map(text).collect(),
             // what a freeze holds of the list is not handed over: the next process asks for all of it
-            list_version: if self.holds_entries() { 0 } else { self.list_version },
+            list_version: if self.holds_entries() {
+                0
+            } else {
+                self.list_version
+            },
             alarm: self.alarm,
-            clients: self.shared.most.saturating_sub(self.shared.places.available_permits()),
+            clients: self
+                .shared
+                .most
+                .saturating_sub(self.shared.places.available_permits()),
         })
     }
 
@@ -132,11 +158,33 @@
         (self.list_version, self.alarm) = (handover.list_version, handover.alarm);
         self.next_endpoint = handover.next_endpoint;
         for handed in handover.routes {
-            let HandedRoute { endpoint, uid, address, kind, destination, listed, up, zone, weight } = handed;
+            let HandedRoute {
+                endpoint,
+                uid,
+                address,
+                kind,
+                destination,
+                listed,
+                up,
+                zone,
+                weight,
+            } = handed;
             let (endpoint, gone) = (EndpointId(endpoint), None);
             self.by_uid.insert(uid.clone(), endpoint);
-            self.routes
-                .insert(endpoint, Route { uid, address, kind, destination, listed, up, zone, weight, gone });
+            self.routes.insert(
+                endpoint,
+                Route {
+                    uid,
+                    address,
+                    kind,
+                    destination,
+                    listed,
+                    up,
+                    zone,
+                    weight,
+                    gone,
+                },
+            );
             self.admit(endpoint);
         }
         for handed in handover.messages {
@@ -147,20 +195,54 @@
             }
             let attempt = |(endpoint, sent, call, item, out, record)| {
                 let endpoint = EndpointId(endpoint);
-                Attempt { endpoint, sent, call, item, out, record }
+                Attempt {
+                    endpoint,
+                    sent,
+                    call,
+                    item,
+                    out,
+                    record,
+                }
             };
             let attempts = handed.attempts.into_iter().map(attempt).collect();
             let (open, clients) = (handed.open, handed.clients);
-            self.messages.insert(message, Message { item, open, clients, attempts });
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open,
+                    clients,
+                    attempts,
+                },
+            );
         }
         let attempts = self.messages.values().flat_map(|held| &held.attempts);
         self.attempts_out = attempts.filter(|attempt| attempt.out).count();
-        for HandedCall { number, items, left } in handover.out {
-            let items = items.into_iter().map(|(message, attempt)| (MessageId(message), attempt)).collect();
-            self.out.insert(number, CallOut { cancels: None, items, left });
+        for HandedCall {
+            number,
+            items,
+            left,
+        } in handover.out
+        {
+            let items = items
+                .into_iter()
+                .map(|(message, attempt)| (MessageId(message), attempt))
+                .collect();
+            self.out.insert(
+                number,
+                CallOut {
+                    cancels: None,
+                    items,
+                    left,
+                },
+            );
         }
         self.count_elsewhere();
-        self.delivered = handover.delivered.iter().filter_map(|id| HeaderValue::from_str(id).ok()).collect();
+        self.delivered = handover
+            .delivered
+            .iter()
+            .filter_map(|id| HeaderValue::from_str(id).ok())
+            .collect();
         if self.routes.values().any(|route| route.listed) {
             self.ready.send_replace(true);
         }
@@ -196,49 +278,73 @@
     }
 
     /// What the old process reports and passes on.
-    pub(super) fn linked(&mut self, word: Word) {
-        let Some((old, _)) = &self.predecessor else { return };
+    pub(super) fn linked(&mut self, word: HandoverMessage) {
+        let Some((old, _)) = &self.predecessor else {
+            return;
+        };
         let old = old.clone();
         match word {
-            Word::Ended(ended) => self.ended(ended),
-            Word::Left(id) => {
+            HandoverMessage::AttemptEnded(ended) => self.ended(ended),
+            HandoverMessage::ClientDisconnected(id) => {
                 if let Ok(id) = HeaderValue::from_str(&id) {
-                    self.learn(Input::ClientLeft(id));
+                    self.learn(DriverInput::ClientDisconnected(id));
                 }
             }
-            Word::Arrived { number, arrival } => {
+            HandoverMessage::Submitted {
+                number,
+                submission: arrival,
+            } => {
                 let (reply, answer) = oneshot::channel();
                 if let Some(arrival) = self.passed(*arrival, reply) {
                     self.arrive(arrival);
                 }
                 tokio::task::spawn_local(async move {
-                    let answer = answer.await.unwrap_or(Answer::NoRoom);
+                    let answer = answer.await.unwrap_or(SubmissionResult::NotStored);
                     // the old process is gone, and its clients with it
-                    let _ = old.send(Word::Answered { number, answer });
+                    let _ = old.send(HandoverMessage::Answered {
+                        number,
+                        result: answer,
+                    });
                 });
             }
-            Word::Ordered { number, uid, out } => {
+            HandoverMessage::AdminCommand {
+                number,
+                uid,
+                disabled: out,
+            } => {
                 let (reply, verdict) = oneshot::channel();
                 self.obey(uid, out, reply);
                 tokio::task::spawn_local(async move {
-                    let verdict = verdict.await.unwrap_or(Verdict::Unwritten);
-                    let _ = old.send(Word::Judged { number, verdict });
+                    let verdict = verdict.await.unwrap_or(AdminResult::NotWritten);
+                    let _ = old.send(HandoverMessage::AdminResult {
+                        number,
+                        result: verdict,
+                    });
                 });
             }
             _ => {}
         }
     }
 
-    pub(super) fn passed(&self, passed: Passed, reply: oneshot::Sender<Answer>) -> Option<Arrival> {
-        Some(Arrival {
+    pub(super) fn passed(
+        &self,
+        passed: ForwardedSubmission,
+        reply: oneshot::Sender<SubmissionResult>,
+    ) -> Option<Submission> {
+        Some(Submission {
             id: HeaderValue::from_str(&passed.id).ok()?,
-            key: passed.key.as_deref().map(HeaderValue::from_str).transpose().ok()?,
+            key: passed
+                .key
+                .as_deref()
+                .map(HeaderValue::from_str)
+                .transpose()
+                .ok()?,
             subject: passed.subject,
             tenant: passed.tenant,
             class: passed.class,
             destination: passed.destination,
-            time: passed.time,
-            began: self.clock.instant(passed.began),
+            time_limit: passed.time_limit,
+            received_at: self.clock.instant(passed.received_at),
             again: passed.again,
             orphan: passed.orphan,
             body: passed.body.into(),
@@ -248,22 +354,38 @@
 
     /// The old process has ended: nobody will tell how its last calls do.
     pub(super) fn link_lost(&mut self) {
-        let Some((_, places)) = self.predecessor.take() else { return };
+        let Some((_, places)) = self.predecessor.take() else {
+            return;
+        };
         self.shared.places.add_permits(places);
         self.shared.most += places;
         let lost: Vec<(u64, usize)> = self
             .out
             .iter()
             .filter(|(_, call)| call.cancels.is_none())
-            .flat_map(|(&number, call)| call.items.iter().enumerate().map(move |item| (number, item)))
+            .flat_map(|(&number, call)| {
+                call.items
+                    .iter()
+                    .enumerate()
+                    .map(move |item| (number, item))
+            })
             // one of a bundle may have ended before
             .filter(|(_, (_, (message, attempt)))| self.is_out(*message, *attempt))
             .map(|(number, (item, _))| (number, item))
             .collect();
-        net::log(format_args!("upgrade: the old process has ended, {} calls with it", lost.len()));
+        net::log(format_args!(
+            "upgrade: the old process has ended, {} calls with it",
+            lost.len()
+        ));
         for (call, item) in lost {
-            let ended =
-                Ended { call, item, outcome: upgrade::LOST, closed: false, report: Vec::new(), wait: None };
+            let ended = AttemptEnd {
+                call,
+                item,
+                outcome: upgrade::LOST,
+                closed: false,
+                report: Vec::new(),
+                retry_after: None,
+            };
             self.ended(ended);
         }
     }
--- a/src/net/driver/intake.rs
+++ b/src/net/driver/intake.rs
@@ -3,13 +3,15 @@
 use super::{Attempt, Driver, Message};
 use crate::net::calls::Item;
 use crate::net::discovery::Notice;
-use crate::net::events::{Answer, Arrival};
+use crate::net::events::{Submission, SubmissionResult};
 use crate::net::journal::{Origin, Taken, Terms};
 use crate::net::upgrade::text;
 use hyper::header::HeaderValue;
-use milletturn::lifecycle::Promise;
-use milletturn::wire::position;
-use milletturn::{Action, Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
+use message_sender::lifecycle::Promise;
+use message_sender::wire::position;
+use message_sender::{
+    Action, Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt,
+};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tokio::time::Instant;
 
@@ -22,7 +24,11 @@
 
 /// What was promised for a message when it was taken on.
 fn promise_of(terms: &Terms, origin: &Origin) -> Promise {
-    let key = origin.subject.as_deref().filter(|_| terms.ordered).map(key_of);
+    let key = origin
+        .subject
+        .as_deref()
+        .filter(|_| terms.ordered)
+        .map(key_of);
     Promise::new(key, terms.effect)
 }
 
@@ -40,7 +46,8 @@
             }
         }
         if self.settings != *self.sender.settings() {
-            self.events.push(Event::Retuned(Box::new(self.settings.clone())));
+            self.events
+                .push(Event::Retuned(Box::new(self.settings.clone())));
         }
         for (number, owed) in owed {
             self.next_message = self.next_message.max(number + 1);
@@ -49,21 +56,40 @@
                 Some(terms) => self.settings.place(terms.class(&owed.taken.class)),
                 None => {
                     let named = |class: &Class| class.name == owed.taken.class;
-                    self.settings.classes.iter().rposition(named).unwrap_or(usize::MAX)
+                    self.settings
+                        .classes
+                        .iter()
+                        .rposition(named)
+                        .unwrap_or(usize::MAX)
                 }
             };
             let new = NewMessage {
                 key: owed.origin.subject.as_deref().map(key_of),
-                tenant: owed.origin.tenant.as_deref().map(|name| position(&self.names.tenants, name)),
+                tenant: owed
+                    .origin
+                    .tenant
+                    .as_deref()
+                    .map(|name| position(&self.names.tenants, name)),
                 attempts: owed.terms.as_ref().map(|terms| terms.attempts as usize),
-                ..NewMessage::new(message, class, owed.taken.destination, owed.taken.deadline - now)
+                ..NewMessage::new(
+                    message,
+                    class,
+                    owed.taken.destination,
+                    owed.taken.deadline - now,
+                )
             };
             let promise = match &owed.terms {
                 Some(terms) => promise_of(terms, &owed.origin),
-                None => Promise { key: None, once: false },
+                None => Promise {
+                    key: None,
+                    once: false,
+                },
             };
             let out = self.messages.get(&message).map_or(0, |held| {
-                held.attempts.iter().filter(|attempt| attempt.out && attempt.record.is_some()).count()
+                held.attempts
+                    .iter()
+                    .filter(|attempt| attempt.out && attempt.record.is_some())
+                    .count()
             });
             let risky = owed.attempts.iter().filter(|sent| !sent.never_ran).count();
             self.lifecycle.resume(message, promise, out, risky > out);
@@ -72,7 +98,11 @@
                 if !taken_over {
                     self.events.push(Event::Unnoticed(new));
                 }
-                self.notify(Notice { number, id: owed.taken.id, ending });
+                self.notify(Notice {
+                    number,
+                    id: owed.taken.id,
+                    ending,
+                });
                 continue;
             }
             if self.messages.contains_key(&message) {
@@ -80,7 +110,10 @@
             }
             let (Ok(id), key) = (
                 HeaderValue::from_str(&owed.taken.id),
-                owed.taken.key.as_deref().and_then(|key| HeaderValue::from_str(key).ok()),
+                owed.taken
+                    .key
+                    .as_deref()
+                    .and_then(|key| HeaderValue::from_str(key).ok()),
             ) else {
                 continue;
             };
@@ -88,7 +121,11 @@
                 .attempts
                 .iter()
                 .map(|sent| PastAttempt {
-                    endpoint: self.by_uid.get(&sent.uid).copied().unwrap_or(EndpointId(u32::MAX)),
+                    endpoint: self
+                        .by_uid
+                        .get(&sent.uid)
+                        .copied()
+                        .unwrap_or(EndpointId(u32::MAX)),
                     sent: sent.sent_at,
                     may_have_run: !sent.never_ran,
                 })
@@ -105,15 +142,33 @@
                     record: Some(record),
                 })
                 .collect();
-            crate::net::trace(&id, format_args!("taken up again after {} attempts", past.len()));
-            self.events.push(Event::Resumed { message: new, attempts: past });
-            let item = Item { id: id.clone(), key, body: owed.taken.body.into() };
-            self.messages.insert(message, Message { item, open: true, clients: 1, attempts });
+            crate::net::trace(
+                &id,
+                format_args!("taken up again after {} attempts", past.len()),
+            );
+            self.events.push(Event::Resumed {
+                message: new,
+                attempts: past,
+            });
+            let item = Item {
+                id: id.clone(),
+                key,
+                body: owed.taken.body.into(),
+            };
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open: true,
+                    clients: 1,
+                    attempts,
+                },
+            );
             self.by_id.insert(id, message);
         }
     }
 
-    pub(super) fn arrive(&mut self, arrival: Arrival) {
+    pub(super) fn arrive(&mut self, arrival: Submission) {
         // a receiver that is gone is a client that left: its guard says so too
         if let Some(&message) = self.by_id.get(&arrival.id) {
             if let Some(held) = self.messages.get_mut(&message) {
@@ -121,22 +176,37 @@
             }
             self.doubled.push((message, arrival.id, arrival.reply));
         } else if self.delivered.contains(&arrival.id) {
-            let _ = arrival.reply.send(Answer::Delivered);
+            let _ = arrival.reply.send(SubmissionResult::AlreadyDelivered);
         } else {
             let message = MessageId(self.next_message);
             self.next_message += 1;
-            let began = self.clock.at(arrival.began);
-            let left = began + arrival.time - self.clock.at(Instant::now());
+            let began = self.clock.at(arrival.received_at);
+            let left = began + arrival.time_limit - self.clock.at(Instant::now());
             let new = NewMessage {
                 key: arrival.subject.as_deref().map(key_of),
-                tenant: arrival.tenant.as_deref().map(|name| position(&self.names.tenants, name)),
+                tenant: arrival
+                    .tenant
+                    .as_deref()
+                    .map(|name| position(&self.names.tenants, name)),
                 again: arrival.again,
                 orphan: arrival.orphan,
                 ..NewMessage::new(message, arrival.class, arrival.destination, left)
             };
             self.events.push(Event::Accepted(new));
-            let item = Item { id: arrival.id.clone(), key: arrival.key.clone(), body: arrival.body.clone() };
-            self.messages.insert(message, Message { item, open: true, clients: 1, attempts: Vec::new() });
+            let item = Item {
+                id: arrival.id.clone(),
+                key: arrival.key.clone(),
+                body: arrival.body.clone(),
+            };
+            self.messages.insert(
+                message,
+                Message {
+                    item,
+                    open: true,
+                    clients: 1,
+                    attempts: Vec::new(),
+                },
+            );
             self.by_id.insert(arrival.id.clone(), message);
             self.arrived.insert(message, (arrival, began));
         }
@@ -146,8 +216,10 @@
     pub(super) fn answer_arrivals(&mut self, actions: &[Action]) {
         for (message, (arrival, began)) in std::mem::take(&mut self.arrived) {
             let ends = actions.iter().find_map(|action| match action {
-                Action::Refuse { message: m, wait } if *m == message => Some(Answer::Refused { wait: *wait }),
-                Action::Fail(m) if *m == message => Some(Answer::Failed),
+                Action::Refuse { message: m, wait } if *m == message => {
+                    Some(SubmissionResult::Rejected { retry_after: *wait })
+                }
+                Action::Fail(m) if *m == message => Some(SubmissionResult::Failed),
                 _ => None,
             });
             if !self.messages.get(&message).is_some_and(|held| held.open) {
@@ -155,9 +227,9 @@
             }
             let answer = ends.unwrap_or_else(|| self.write_down(message, &arrival, began));
             crate::net::trace(&arrival.id, format_args!("handed in: {answer:?}"));
-            if answer != Answer::Taken {
+            if answer != SubmissionResult::Accepted {
                 self.close(message);
-                if answer == Answer::NoRoom {
+                if answer == SubmissionResult::NotStored {
                     self.events.push(Event::Dropped(message));
                 }
             }
@@ -167,18 +239,23 @@
         for (message, id, reply) in std::mem::take(&mut self.doubled) {
             let held = self.messages.get(&message).is_some_and(|held| held.open);
             let _ = reply.send(match held {
-                true => Answer::Taken,
-                false if self.delivered.contains(&id) => Answer::Delivered,
-                false => Answer::Refused { wait: None },
+                true => SubmissionResult::Accepted,
+                false if self.delivered.contains(&id) => SubmissionResult::AlreadyDelivered,
+                false => SubmissionResult::Rejected { retry_after: None },
             });
         }
     }
 
-    pub(super) fn write_down(&mut self, message: MessageId, arrival: &Arrival, began: Micros) -> Answer {
+    pub(super) fn write_down(
+        &mut self,
+        message: MessageId,
+        arrival: &Submission,
+        began: Micros,
+    ) -> SubmissionResult {
         // what came from an old process has its class's place too
         let class = self.settings.classes.get(arrival.class);
         let Some(terms) = class.map(|class| Terms::of(class, self.settings.max_attempts)) else {
-            return Answer::NoRoom;
+            return SubmissionResult::NotStored;
         };
         let taken = Taken {
             id: text(&arrival.id),
@@ -186,16 +263,19 @@
             class: class.map(|class| class.name.clone()).unwrap_or_default(),
             destination: arrival.destination,
             taken_at: began,
-            deadline: began + arrival.time,
+            deadline: began + arrival.time_limit,
             body: arrival.body.to_vec(),
         };
-        let origin = Origin { subject: arrival.subject.clone(), tenant: arrival.tenant.clone() };
+        let origin = Origin {
+            subject: arrival.subject.clone(),
+            tenant: arrival.tenant.clone(),
+        };
         let promise = promise_of(&terms, &origin);
         let written = self.journal.take(message.0, taken, origin, terms);
         if self.check(written).is_none() {
-            return Answer::NoRoom;
+            return SubmissionResult::NotStored;
         }
         self.lifecycle.take(message, promise);
-        Answer::Taken
+        SubmissionResult::Accepted
     }
 }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -10,22 +10,26 @@
 mod undelivered;
 mod violations;
 
-use super::Seldom;
+use super::RateLimitedLog;
 use super::calls::{CallOut, Calls, Item};
 use super::clock::Clock;
 use super::discovery::Notice;
-use super::events::{Answer, Arrival, Input, ListUpdate, Order, Word};
+use super::events::{
+    AdminCommand, DemandReport, DriverInput, HandoverMessage, ListUpdate, SettingsUpdate,
+    Submission, SubmissionResult,
+};
 use super::journal::{Ending, Journal, JournalError};
-use super::machine::RETRY;
+use super::local_errors::RETRY_INTERVAL;
 use super::server::Classes;
 use super::upgrade::{Handover, Link, Lock, Successor};
 use hyper::header::HeaderValue;
-use milletturn::decide::AttemptOut;
-use milletturn::lifecycle::Lifecycle;
-use milletturn::pool::PoolSettings;
-use milletturn::wire::Names;
-use milletturn::{
-    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender, Settings,
+use message_sender::decide::AttemptOut;
+use message_sender::lifecycle::Lifecycle;
+use message_sender::pool::PoolSettings;
+use message_sender::wire::Names;
+use message_sender::{
+    Action, Agreed, Bounds, EndpointId, Event, MILLISECOND, MessageId, Micros, Quotas, Sender,
+    Settings,
 };
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -98,7 +102,7 @@
 /// What the driver has in common with the rest of the process.
 pub struct Shared {
     pub clock: Clock,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     pub lock: Lock,
     /// The clients' places, and how many there are when none is taken.
     pub places: Arc<Semaphore>,
@@ -148,12 +152,12 @@
     next_call: u64,
     delivered: VecDeque<HeaderValue>,
     /// Messages that came in this turn, with their clients and the times when these sent them.
-    arrived: BTreeMap<MessageId, (Arrival, Micros)>,
+    arrived: BTreeMap<MessageId, (Submission, Micros)>,
     /// Clients that handed in once more what came in this turn: a promise to them must wait for the journal.
-    doubled: Vec<(MessageId, HeaderValue, oneshot::Sender<Answer>)>,
+    doubled: Vec<(MessageId, HeaderValue, oneshot::Sender<SubmissionResult>)>,
     events: Vec<Event>,
     alarm: Option<Micros>,
-    journal_fault: Seldom,
+    journal_fault: RateLimitedLog,
     /// What the module knows of the journal: that it can't be written.
     host_failing: bool,
     /// Ends that are not durable yet, and so not told.
@@ -163,7 +167,7 @@
     agreed: bool,
     /// A lower version came: what changes of it tell rests on another list.
     behind: bool,
-    behind_fault: Seldom,
+    behind_fault: RateLimitedLog,
     /// What a freeze holds of the lists.
     frozen: Option<Box<frozen::Frozen>>,
     ramp: frozen::Ramp,
@@ -171,16 +175,27 @@
     binding: Vec<oneshot::Sender<()>>,
     shared: Shared,
     /// The old process, while it has calls out or clients connected, and the places that its clients hold.
-    predecessor: Option<(mpsc::UnboundedSender<Word>, usize)>,
+    predecessor: Option<(mpsc::UnboundedSender<HandoverMessage>, usize)>,
 }
 
 impl Driver {
     /// Sets the module up and hands it the list as last known and what the journal holds.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        sender: Sender, settings: Settings, names: Names, pool: PoolSettings, known: Option<ListUpdate>,
-        journal: Journal, calls: Calls, notices: mpsc::UnboundedSender<Notice>, ready: watch::Sender<bool>,
-        shared: Shared, handover: Option<Handover>, floor: Option<Bounds>, floors: Option<Quotas>, seed: u64,
+        sender: Sender,
+        settings: Settings,
+        names: Names,
+        pool: PoolSettings,
+        known: Option<ListUpdate>,
+        journal: Journal,
+        calls: Calls,
+        notices: mpsc::UnboundedSender<Notice>,
+        ready: watch::Sender<bool>,
+        shared: Shared,
+        handover: Option<Handover>,
+        floor: Option<Bounds>,
+        floors: Option<Quotas>,
+        seed: u64,
     ) -> Self {
         let mut driver = Driver {
             settings: sender.settings().clone(),
@@ -208,13 +223,13 @@
             doubled: Vec::new(),
             events: Vec::new(),
             alarm: None,
-            journal_fault: Seldom::default(),
+            journal_fault: RateLimitedLog::default(),
             host_failing: false,
             untold: Vec::new(),
             list_version: 0,
             agreed: floor.is_some(),
             behind: false,
-            behind_fault: Seldom::default(),
+            behind_fault: RateLimitedLog::default(),
             frozen: None,
             ramp: frozen::Ramp(seed),
             binding: Vec::new(),
@@ -230,7 +245,12 @@
             driver.events.push(Event::Fleet(None));
         }
         // a start begins on the floor: what an old process was granted is its own
-        let agreed = floor.map(|fallback| Box::new(Agreed { leased: None, fallback }));
+        let agreed = floor.map(|fallback| {
+            Box::new(Agreed {
+                leased: None,
+                fallback,
+            })
+        });
         if taken_over || agreed.is_some() {
             driver.events.push(Event::Agreed(agreed));
         }
@@ -252,11 +272,13 @@
 
     /// Turns until the inputs end.
     pub async fn run(
-        mut self, mut inputs: mpsc::UnboundedReceiver<Input>, mut orders: mpsc::Receiver<Order>,
+        mut self,
+        mut inputs: mpsc::UnboundedReceiver<DriverInput>,
+        mut orders: mpsc::Receiver<AdminCommand>,
         mut successors: mpsc::Receiver<Successor>,
     ) {
         let mut sweep = tokio::time::interval(SWEEP);
-        let mut disk = tokio::time::interval(RETRY);
+        let mut disk = tokio::time::interval(RETRY_INTERVAL);
         disk.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // what was told before the first turn binds it
         while let Ok(input) = inputs.try_recv() {
@@ -270,14 +292,14 @@
                 // operators wait a second at most, however much waits to be done
                 biased;
                 Some(order) = orders.recv() => match order {
-                    Order::SetOut { uid, out, reply } => self.obey(uid, out, reply),
-                    Order::Pools { reply } => {
+                    AdminCommand::SetDisabled { uid, disabled: out, reply } => self.obey(uid, out, reply),
+                    AdminCommand::PoolReport { reply } => {
                         let uid_of = |id: EndpointId| Some(self.routes.get(&id)?.uid.clone());
                         // an operator that has gone asks again
                         let _ = reply.send(self.calls.connections().report(uid_of));
                         continue;
                     }
-                    Order::Frozen { reply } => {
+                    AdminCommand::FreezeReport { reply } => {
                         // without an answer it is off
                         if let Some(report) = self.freeze_report() {
                             let _ = reply.send(report);
@@ -338,50 +360,73 @@
         self.tell_durable_ends();
     }
 
-    fn learn(&mut self, input: Input) {
+    fn learn(&mut self, input: DriverInput) {
         match input {
-            Input::Arrived(arrival) => self.arrive(arrival),
-            Input::ClientLeft(id) => {
-                let Some(&message) = self.by_id.get(&id) else { return };
-                let Some(held) = self.messages.get_mut(&message) else { return };
+            DriverInput::Submitted(arrival) => self.arrive(arrival),
+            DriverInput::ClientDisconnected(id) => {
+                let Some(&message) = self.by_id.get(&id) else {
+                    return;
+                };
+                let Some(held) = self.messages.get_mut(&message) else {
+                    return;
+                };
                 held.clients = held.clients.saturating_sub(1);
                 if held.clients == 0 {
                     self.events.push(Event::Dropped(message));
                     self.end(message);
                 }
             }
-            Input::Stopping(at) => self.events.push(Event::Stopping { ends: self.clock.at(at) }),
-            Input::Ended(ended) => self.ended(ended),
-            Input::ToldWait { endpoint, wait } => {
+            DriverInput::ShuttingDown(at) => self.events.push(Event::Stopping {
+                ends: self.clock.at(at),
+            }),
+            DriverInput::AttemptEnded(ended) => self.ended(ended),
+            DriverInput::RetryAfter { endpoint, wait } => {
                 self.told_wait(endpoint, wait);
                 self.events.push(Event::ToldWait { endpoint, wait });
             }
-            Input::Agreed(agreed, binds) => {
-                self.agreed = agreed.is_some();
-                self.events.push(Event::Agreed(agreed));
-                self.binding.push(binds);
+            DriverInput::AgreedRules { rules, applied } => {
+                self.agreed = rules.is_some();
+                self.events.push(Event::Agreed(rules));
+                self.binding.push(applied);
             }
-            Input::Shared(quotas, binds) => {
+            DriverInput::Quotas { quotas, applied } => {
                 self.events.push(Event::Shared(quotas));
-                self.binding.push(binds);
+                self.binding.push(applied);
             }
-            Input::Freezing(freezing) => self.freeze(freezing),
-            Input::Word { destination, out } => self.events.push(Event::Word { destination, out }),
-            Input::Wanted { whole, reply } => {
-                // a part that is off by now asks no more
-                let _ = reply.send(self.sender.demand_in_use(whole));
+            DriverInput::Freeze(freezing) => self.freeze(freezing),
+            DriverInput::FleetHealth {
+                destination,
+                unavailable,
+            } => self.events.push(Event::Word {
+                destination,
+                out: unavailable,
+            }),
+            DriverInput::Demand {
+                complete_up_to,
+                reply,
+            } => {
+                let (listed, by_destination) = self.sender.demand_in_use(complete_up_to);
+                // a ledger client that is off by now asks no more
+                let _ = reply.send(DemandReport {
+                    listed,
+                    by_destination,
+                });
             }
-            Input::Fleet(view) => self.events.push(Event::Fleet(view)),
-            Input::Listed(update) => self.list(update, false),
-            Input::Stale(stale) => self.events.push(Event::Stale(stale)),
-            Input::Retuned(new) => {
-                let (settings, names, pool) = *new;
+            DriverInput::FleetView(view) => self.events.push(Event::Fleet(view)),
+            DriverInput::EndpointList(update) => self.list(update, false),
+            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
+            DriverInput::SettingsChanged(new) => {
+                let SettingsUpdate {
+                    settings,
+                    names,
+                    pool,
+                } = *new;
                 self.pool = pool;
                 self.retune(settings, names);
             }
-            Input::Linked(frame) => self.linked(frame),
-            Input::LinkLost => self.link_lost(),
-            Input::Noticed(numbers) => {
+            DriverInput::Handover(frame) => self.linked(frame),
+            DriverInput::HandoverLinkLost => self.link_lost(),
+            DriverInput::NotificationsDelivered(numbers) => {
                 for number in numbers {
                     let written = self.journal.over(number);
                     self.check(written);
@@ -399,8 +444,11 @@
         }
         if self.journal.is_failing() != self.host_failing {
             self.host_failing = !self.host_failing;
-            let state =
-                if self.host_failing { "takes nothing: no call begins" } else { "takes records again" };
+            let state = if self.host_failing {
+                "takes nothing: no call begins"
+            } else {
+                "takes records again"
+            };
             super::log(format_args!("journal: the disk {state}"));
             self.events.push(Event::HostFailing(self.host_failing));
         }
@@ -413,7 +461,11 @@
         }
         let counted = self.sender.senders();
         let before = self.shared.counted.replace(counted);
-        if counted != before && events.iter().any(|event| matches!(event, Event::Fleet(_) | Event::Alarm)) {
+        if counted != before
+            && events
+                .iter()
+                .any(|event| matches!(event, Event::Fleet(_) | Event::Alarm))
+        {
             super::log(format_args!(
                 "members: limits are shared by {counted} senders, no longer by {before}"
             ));
@@ -422,8 +474,18 @@
         let mut bundles: Vec<Bundle> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { message, attempt, endpoint, expires, start_by } => {
-                    let attempt = AttemptOut { message, number: attempt, endpoint };
+                Action::Send {
+                    message,
+                    attempt,
+                    endpoint,
+                    expires,
+                    start_by,
+                } => {
+                    let attempt = AttemptOut {
+                        message,
+                        number: attempt,
+                        endpoint,
+                    };
                     self.send(now, attempt, (expires, start_by), &mut bundles);
                 }
                 Action::Cancel { message, attempt } => self.cancel(message, attempt),
@@ -450,6 +512,8 @@
 
     /// What the journal tells of an entry; none if it was not written.
     fn check<T>(&self, written: Result<T, JournalError>) -> Option<T> {
-        written.inspect_err(|error| self.journal_fault.log(format_args!("journal: {error}"))).ok()
+        written
+            .inspect_err(|error| self.journal_fault.log(format_args!("journal: {error}")))
+            .ok()
     }
 }
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -10,14 +10,14 @@
 
 use super::asking::{AskError, whose_turn};
 use super::clock::Clock;
-use super::events::{Input, Query};
+use super::events::{DriverInput, ReportRequest};
 use super::log;
 use exchange::Exchange;
-use milletturn::{Demand, Quotas};
-use milletturn_ledger::compact::{Answer, Question};
-use milletturn_ledger::naming::{self, ByteBudget, Naming};
-use milletturn_ledger::verdicts::Verdict;
-use milletturn_ledger::{Dealt, Holder};
+use message_sender::{Demand, Quotas};
+use quota_ledger::compact::{Answer, Question};
+use quota_ledger::naming::{self, ByteBudget, Naming};
+use quota_ledger::verdicts::Verdict;
+use quota_ledger::{Dealt, Holder};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde_json::json;
@@ -46,14 +46,16 @@
     pub seed: u64,
     /// The zone that it is in, by name.
     pub zone: String,
-    pub inputs: mpsc::UnboundedSender<Input>,
+    pub inputs: mpsc::UnboundedSender<DriverInput>,
     /// Where the registry is.
     pub agent: watch::Receiver<SocketAddr>,
 }
 
 /// Holds parts for as long as the settings want it, until the process stops or hands over.
 pub async fn hold(
-    mut means: Means, mut wanted: watch::Receiver<Option<Ledger>>, mut queries: mpsc::Receiver<Query>,
+    mut means: Means,
+    mut wanted: watch::Receiver<Option<Ledger>>,
+    mut queries: mpsc::Receiver<ReportRequest>,
     mut stopping: watch::Receiver<bool>,
 ) {
     // differs between any two processes of one name
@@ -116,7 +118,10 @@
     /// Has quotas bind all that is sent from now on; back once they do.
     async fn bind(&self, quotas: Option<Quotas>) {
         let (binds, bound) = oneshot::channel();
-        let _ = self.inputs.send(Input::Shared(quotas.map(Box::new), binds));
+        let _ = self.inputs.send(DriverInput::Quotas {
+            quotas: quotas.map(Box::new),
+            applied: binds,
+        });
         // the driver is gone only when the process ends or has handed over
         let _ = bound.await;
     }
@@ -124,8 +129,14 @@
     /// The number of destinations that are listed, and the demand at them: at all if they are `whole` at most.
     async fn demand(&self, whole: usize) -> (usize, BTreeMap<u64, Demand>) {
         let (reply, demand) = oneshot::channel();
-        let _ = self.inputs.send(Input::Wanted { whole, reply });
-        demand.await.unwrap_or_default()
+        let _ = self.inputs.send(DriverInput::Demand {
+            complete_up_to: whole,
+            reply,
+        });
+        let report = demand
+            .await
+            .map(|report| (report.listed, report.by_destination));
+        report.unwrap_or_default()
     }
 }
 
@@ -153,7 +164,7 @@
 }
 
 impl LeaseClient<'_> {
-    async fn run(&mut self, queries: &mut mpsc::Receiver<Query>) {
+    async fn run(&mut self, queries: &mut mpsc::Receiver<ReportRequest>) {
         let (mut turn, mut next) = (0, Instant::now());
         loop {
             let room = self.budget.room(self.means.now(), self.lease_us());
@@ -199,14 +210,17 @@
     /// Whether something waits for a part that it has none of.
     fn lacks(&self, demand: &BTreeMap<u64, Demand>) -> bool {
         let now = self.means.now();
-        demand.iter().filter(|(_, demand)| demand.waiting > 0).any(|(destination, _)| {
-            let [rate, out, _] = wants::keys(*destination);
-            self.holder.lacks(now, &rate) || self.holder.lacks(now, &out)
-        })
+        demand
+            .iter()
+            .filter(|(_, demand)| demand.waiting > 0)
+            .any(|(destination, _)| {
+                let [rate, out, _] = wants::keys(*destination);
+                self.holder.lacks(now, &rate) || self.holder.lacks(now, &out)
+            })
     }
 
     /// Answers operators until it is time to look again.
-    async fn answer_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<Query>) {
+    async fn answer_until(&mut self, at: Instant, queries: &mut mpsc::Receiver<ReportRequest>) {
         loop {
             tokio::select! {
                 () = sleep_until(at) => return,
@@ -227,12 +241,23 @@
 
     /// Asks one replica for quotas of at most `room` limits, and has them bind.
     async fn ask(
-        &mut self, turn: usize, demand: &BTreeMap<u64, Demand>, list: usize, room: usize,
+        &mut self,
+        turn: usize,
+        demand: &BTreeMap<u64, Demand>,
+        list: usize,
+        room: usize,
     ) -> Result<(), AskError> {
         let (now, lease) = (self.means.now(), self.lease_us());
-        let wants =
-            wants::wanted(self.holder.floors(), demand, self.before.as_ref(), self.lease, list <= room);
-        let chosen = self.naming.choose(now, &self.holder, lease, wants, list, room);
+        let wants = wants::wanted(
+            self.holder.floors(),
+            demand,
+            self.before.as_ref(),
+            self.lease,
+            list <= room,
+        );
+        let chosen = self
+            .naming
+            .choose(now, &self.holder, lease, wants, list, room);
         if self.before.is_none() || self.counted.elapsed() >= self.lease {
             self.counted = Instant::now();
             let sent = demand.iter().filter(|(_, demand)| demand.sent > 0);
@@ -250,19 +275,40 @@
             wants,
             reports: naming::choose_reports(wants::reports(demand), |report| report.out, room),
         };
-        let address = whose_turn(turn, *self.means.agent.borrow_and_update(), &self.ledger.others);
-        let Answer { lease, quotas: allocated, verdicts, .. } =
-            self.exchange.ask(address, &question, &mut self.budget).await?;
+        let address = whose_turn(
+            turn,
+            *self.means.agent.borrow_and_update(),
+            &self.ledger.others,
+        );
+        let Answer {
+            lease,
+            quotas: allocated,
+            verdicts,
+            ..
+        } = self
+            .exchange
+            .ask(address, &question, &mut self.budget)
+            .await?;
         self.lease = Duration::from_micros(lease).max(Duration::from_millis(100));
         self.holder.granted(number, lease, allocated);
         for verdict in verdicts {
             let known = self.verdicts.get(&verdict.destination).copied();
             let held = known.map_or(verdict, |known| known.join(verdict));
             if known.map(|known| known.epoch) != Some(held.epoch) {
-                let Verdict { destination, out, observers, .. } = held;
+                let Verdict {
+                    destination,
+                    out,
+                    observers,
+                    ..
+                } = held;
                 let state = if out { "out" } else { "back" };
-                log(format_args!("ledger: destination {destination} is {state}, {observers} senders say"));
-                let _ = self.means.inputs.send(Input::Word { destination, out });
+                log(format_args!(
+                    "ledger: destination {destination} is {state}, {observers} senders say"
+                ));
+                let _ = self.means.inputs.send(DriverInput::FleetHealth {
+                    destination,
+                    unavailable: out,
+                });
             }
             self.verdicts.insert(verdict.destination, held);
         }
