--- a/lab/src/scale/ledger.rs
+++ b/lab/src/scale/ledger.rs
@@ -7,7 +7,7 @@
 
 use super::resources::{resident, thread_time};
 use clap::Args;
-use fleet_registry::replica::{PartsAnswer, PartsQuestion};
+use fleet_registry::replica::{QuotaRequest, QuotaResponse};
 use quota_ledger::verdicts::{EPOCHS, Verdict};
 use quota_ledger::{
     Book, BookError, Dealt, Entry, Floors, Keeper, Key, Limit, Micros, Terms, Want, What,
@@ -261,14 +261,14 @@
             want: 0,
         })
         .collect();
-    let question = PartsQuestion {
+    let question = QuotaRequest {
         sender: "s-0001".to_string(),
-        life: 1_800_000_000_000_000,
+        incarnation: 1_800_000_000_000_000,
         number: 1_000_000,
         floors: floors(order.senders),
-        wants,
+        demands: wants,
         zone: "zone-01".to_string(),
-        words: Vec::new(),
+        health_reports: Vec::new(),
     };
     let total = limit(order.senders).total;
     let dealt = |destination| Dealt {
@@ -277,17 +277,17 @@
         total: Some(total),
         linger_ms: 0,
     };
-    let answer = PartsAnswer {
+    let answer = QuotaResponse {
         lease: TERMS.lease,
         rev: order.destinations,
-        dealt: (0..order.destinations).map(dealt).collect(),
-        ..PartsAnswer::default()
+        allocations: (0..order.destinations).map(dealt).collect(),
+        ..QuotaResponse::default()
     };
     let cpu = thread_time();
     let request = serde_json::to_vec(&question)?;
     let reply = serde_json::to_vec(&answer)?;
-    serde_json::from_slice::<PartsQuestion>(&request)?;
-    serde_json::from_slice::<PartsAnswer>(&reply)?;
+    serde_json::from_slice::<QuotaRequest>(&request)?;
+    serde_json::from_slice::<QuotaResponse>(&reply)?;
     let codec_us = microseconds(thread_time().saturating_sub(cpu), 1);
     let (request_bytes, answer_bytes) = (request.len() as u64, reply.len() as u64);
     let a_second = QUESTIONS_A_LEASE * 1e6 / TERMS.lease as f64;
--- a/lab/src/scale/registry.rs
+++ b/lab/src/scale/registry.rs
@@ -1,5 +1,5 @@
 //! What the endpoint list costs at a replica and for a watcher, by destinations: the state, one change, and the lines that
-//! watchers are sent. In process, with the registry's own state and feed; nothing is sent.
+//! watchers are sent. In process, with the registry's own state and broadcaster; nothing is sent.
 
 #[cfg(test)]
 mod tests;
@@ -7,9 +7,9 @@
 use super::resources::{resident, thread_time};
 use bytes::Bytes;
 use clap::Args;
-use fleet_registry::feed::Feed;
-use fleet_registry::state::{Change, Changed, Command, Refused, State};
-use fleet_registry::target::{Standing, Target};
+use fleet_registry::endpoint::{Endpoint, EndpointState};
+use fleet_registry::state::{Command, CommandError, EndpointChange, ListChange, State};
+use fleet_registry::watch_broadcaster::WatchBroadcaster;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -47,13 +47,13 @@
     pub senders: u64,
     /// Number of the run.
     pub seed: u64,
-    /// Resident memory of the state and the feed for each destination, bytes.
+    /// Resident memory of the state and the broadcaster for each destination, bytes.
     pub bytes_each: f64,
     /// Why a change of a list of this size is refused, if it is.
     pub refused: Option<String>,
     /// CPU time to apply one change, microseconds; none if it is refused.
     pub apply_us: Option<f64>,
-    /// CPU time to add one change to the feed, microseconds.
+    /// CPU time to add one change to the broadcaster, microseconds.
     pub push_us: f64,
     /// Bytes of the whole list, as a new watcher gets it.
     pub whole_bytes: u64,
@@ -68,11 +68,11 @@
 }
 
 /// The line that a watcher gets that knows a version.
-type Answer = fn(&mut Feed, u64) -> Option<Bytes>;
+type Answer = fn(&mut WatchBroadcaster, u64) -> Option<Bytes>;
 
 /// As the registry answers.
-fn real(feed: &mut Feed, from: u64) -> Option<Bytes> {
-    feed.since(from).map(|(_, line)| line)
+fn real(broadcaster: &mut WatchBroadcaster, from: u64) -> Option<Bytes> {
+    broadcaster.changes_since(from).map(|update| update.line)
 }
 
 /// Measures all.
@@ -87,15 +87,15 @@
     let before = resident()?;
     let mut state = State {
         rev: 1,
-        targets: targets(order.destinations),
+        endpoints: endpoints(order.destinations),
         ..State::default()
     };
-    let mut feed = Feed::default();
-    feed.reset(state.rev, &state.targets);
+    let mut broadcaster = WatchBroadcaster::default();
+    broadcaster.reset(state.rev, &state.endpoints);
     let bytes = resident()?.saturating_sub(before);
-    let (push_us, lines) = changes(&mut feed, real);
+    let (push_us, lines) = changes(&mut broadcaster, real);
     let cpu = thread_time();
-    let whole_bytes = feed.whole().len() as u64;
+    let whole_bytes = broadcaster.full_list().len() as u64;
     let whole_us = microseconds(thread_time().saturating_sub(cpu), 1);
     // last: it copies the list and frees the copy, which the next allocations would pay for
     let (refused, apply_us) = apply(&mut state)?;
@@ -123,31 +123,31 @@
     format!("endpoint-{destination:06}")
 }
 
-fn target(destination: u64) -> Target {
+fn endpoint(destination: u64) -> Endpoint {
     let [_, high, middle, low] = u32::try_from(destination).unwrap_or(u32::MAX).to_be_bytes();
-    Target {
+    Endpoint {
         endpoint: SocketAddr::from((Ipv4Addr::new(10, high, middle, low), 8443)),
         az: format!("zone-{:02}", destination % ZONES),
         model: "standard".to_string(),
         pod_group: destination,
-        state: Standing::Up,
+        state: EndpointState::Up,
         capacity_hint: 120.0,
         boot_ms: BOOT_MS,
         ttl_ms: None,
     }
 }
 
-fn targets(destinations: u64) -> BTreeMap<String, Target> {
+fn endpoints(destinations: u64) -> BTreeMap<String, Endpoint> {
     (0..destinations)
-        .map(|destination| (uid(destination), target(destination)))
+        .map(|destination| (uid(destination), endpoint(destination)))
         .collect()
 }
 
 /// One that is there comes back from a later start.
-fn restarted(number: u64) -> Target {
-    Target {
+fn restarted(number: u64) -> Endpoint {
+    Endpoint {
         boot_ms: BOOT_MS + number,
-        ..target(0)
+        ..endpoint(0)
     }
 }
 
@@ -155,16 +155,16 @@
 fn apply(state: &mut State) -> anyhow::Result<(Option<String>, Option<f64>)> {
     let cpu = thread_time();
     for number in 1..=TIMED {
-        let put = Change::Put {
+        let put = ListChange::Put {
             uid: uid(0),
-            target: restarted(number),
+            endpoint: restarted(number),
         };
-        match state.apply(Command::List {
+        match state.apply(Command::ChangeList {
             if_match: None,
             changes: vec![put],
         }) {
             Ok(_) => {}
-            Err(refused @ (Refused::Size(_) | Refused::Target(_))) => {
+            Err(refused @ (CommandError::TooMany(_) | CommandError::InvalidEndpoint(_))) => {
                 return Ok((Some(refused.to_string()), None));
             }
             Err(refused) => return Err(refused.into()),
@@ -184,23 +184,23 @@
     hour: u64,
 }
 
-/// Adds changes to a feed, each of another endpoint: the CPU time of one, and what watchers are sent.
-fn changes(feed: &mut Feed, answer: Answer) -> (f64, Lines) {
-    let first = feed.rev();
+/// Adds changes to a broadcaster, each of another endpoint: the CPU time of one, and what watchers are sent.
+fn changes(broadcaster: &mut WatchBroadcaster, answer: Answer) -> (f64, Lines) {
+    let first = broadcaster.rev();
     let cpu = thread_time();
     for number in 1..=AWAY {
-        let changed: Changed = (
-            uid(number),
-            Target {
+        let changed = EndpointChange {
+            uid: uid(number),
+            endpoint: Endpoint {
                 boot_ms: BOOT_MS + 1,
-                ..target(number)
+                ..endpoint(number)
             },
-            false,
-        );
-        feed.push(first + number, &[changed]);
+            removed: false,
+        };
+        broadcaster.push(first + number, &[changed]);
     }
     let push_us = microseconds(thread_time().saturating_sub(cpu), AWAY);
-    let mut bytes = |from| answer(feed, from).map_or(0, |line| line.len() as u64);
+    let mut bytes = |from| answer(broadcaster, from).map_or(0, |line| line.len() as u64);
     let lines = Lines {
         one: bytes(first + AWAY - 1),
         hour: bytes(first),
--- a/lab/src/scale/registry/tests.rs
+++ b/lab/src/scale/registry/tests.rs
@@ -6,16 +6,16 @@
 const GROWTH_MOST: f64 = 1.05;
 
 /// The planted fault: every change brings the whole list.
-fn whole_again(feed: &mut Feed, _: u64) -> Option<Bytes> {
-    Some(feed.whole())
+fn whole_again(broadcaster: &mut WatchBroadcaster, _: u64) -> Option<Bytes> {
+    Some(broadcaster.full_list())
 }
 
 /// How much more a watcher is sent for one change of a list of 256 than of 64.
 fn growth(answer: Answer) -> f64 {
     let bytes = [64, 256].map(|destinations| {
-        let mut feed = Feed::default();
-        feed.reset(1, &targets(destinations));
-        changes(&mut feed, answer).1.one as f64
+        let mut broadcaster = WatchBroadcaster::default();
+        broadcaster.reset(1, &endpoints(destinations));
+        changes(&mut broadcaster, answer).1.one as f64
     });
     bytes[1] / bytes[0]
 }
--- a/registry/src/heartbeats.rs
+++ b/registry/src/heartbeats.rs
@@ -1,151 +1,127 @@
-//! Which entries with a time to live have run out, by the leader's clock. A leader that has just begun gives each a whole
-//! time; where a large share runs out at once the fault is likelier here, and they are kept.
+//! Which endpoints with a time to live have expired, by the leader's clock. A new leader gives each a whole time to live.
+//! Where a large share expires at once the fault is likelier here, and the endpoints are retained.
 
-use crate::target::Target;
+use crate::endpoint::Endpoint;
+use crate::state::{Endpoints, ExpiredEndpoint};
 use std::collections::BTreeMap;
 use versioned_config::Micros;
 
-/// Entries that are kept for having run out together count with those that run out so much later.
-const AT_ONCE: Micros = 2_000_000;
-/// What has this part of its time left at most has missed heartbeats too: they come three times in it or more often.
-const MISSED: Micros = 4;
-/// More than this part of the entries with a time to live is a large share, where they are more than a few.
+/// Retained endpoints count together with those that expire within this time after them.
+const SIMULTANEOUS: Micros = 2_000_000;
+/// An endpoint with at most this part of its time to live left has missed heartbeats: they come three times in it or oftener.
+const MISSED_PART: Micros = 4;
+/// More than this share of the endpoints with a time to live is a large one.
 const LARGE_SHARE: f64 = 0.25;
+/// As many endpoints are no large share, however few there are.
 const FEW: usize = 3;
 
 /// What the leader knows of heartbeats.
 #[derive(Debug, Default)]
 pub struct Heartbeats {
-    due: BTreeMap<String, Micros>,
-    /// Run out, and kept: too many did at once.
-    kept: BTreeMap<String, Micros>,
+    /// When each endpoint expires.
+    deadlines: BTreeMap<String, Micros>,
+    /// Endpoints that expired and are retained, and since when.
+    retained: BTreeMap<String, Micros>,
+}
+
+/// The endpoints that expire now.
+#[derive(Debug, Default, PartialEq)]
+pub struct Expiry {
+    /// These are to be removed.
+    pub expired: Vec<ExpiredEndpoint>,
+    /// So many more have expired and are retained.
+    pub newly_retained: usize,
+}
+
+fn time_to_live(endpoint: &Endpoint) -> Option<Micros> {
+    endpoint.ttl_ms.map(|ttl_ms| ttl_ms * 1000)
 }
 
 impl Heartbeats {
-    /// A heartbeat came, or the entry was put.
-    pub fn beat(&mut self, now: Micros, uid: &str, target: &Target) {
-        self.kept.remove(uid);
-        match target.ttl_ms {
-            Some(ttl) => self.due.insert(uid.to_string(), now + ttl * 1000),
-            None => self.due.remove(uid),
+    /// Records a heartbeat, or a put of the endpoint.
+    pub fn record(&mut self, now: Micros, uid: &str, endpoint: &Endpoint) {
+        self.retained.remove(uid);
+        match time_to_live(endpoint) {
+            Some(ttl) => self.deadlines.insert(uid.to_string(), now + ttl),
+            None => self.deadlines.remove(uid),
         };
     }
 
-    /// Entries that are kept though they have run out.
-    pub fn kept(&self) -> impl Iterator<Item = &String> {
-        self.kept.keys()
+    /// The names of the endpoints that are retained though they have expired.
+    pub fn retained(&self) -> impl Iterator<Item = &String> {
+        self.retained.keys()
+    }
+
+    /// The endpoints that expire now, unless so many do that they are retained.
+    pub fn expire(&mut self, now: Micros, endpoints: &Endpoints) -> Expiry {
+        self.follow_list(now, endpoints);
+        if self.deadlines.values().all(|deadline| *deadline > now) {
+            return Expiry::default();
+        }
+        let large_share = self.is_large_share(now, endpoints);
+        let expired: Vec<String> = self
+            .deadlines
+            .extract_if(.., |_, deadline| *deadline <= now)
+            .map(|(uid, _)| uid)
+            .collect();
+        if large_share {
+            let newly_retained = expired.len();
+            self.retained
+                .extend(expired.into_iter().map(|uid| (uid, now)));
+            return Expiry {
+                expired: Vec::new(),
+                newly_retained,
+            };
+        }
+        let expired = expired.into_iter().filter_map(|uid| {
+            let endpoint = endpoints.get(&uid)?.clone();
+            Some(ExpiredEndpoint { uid, endpoint })
+        });
+        Expiry {
+            expired: expired.collect(),
+            newly_retained: 0,
+        }
     }
 
-    /// Entries that have run out now and are to go, and how many are newly kept.
-    pub fn run_out(
-        &mut self,
-        now: Micros,
-        targets: &BTreeMap<String, Target>,
-    ) -> (Vec<(String, Target)>, usize) {
-        let living = |uid: &String| {
-            targets
+    /// Forgets endpoints that are gone or have no time to live any more, and begins with those that are new.
+    fn follow_list(&mut self, now: Micros, endpoints: &Endpoints) {
+        let expires = |uid: &String| {
+            endpoints
                 .get(uid)
-                .is_some_and(|target| target.ttl_ms.is_some())
+                .is_some_and(|endpoint| endpoint.ttl_ms.is_some())
         };
-        self.due.retain(|uid, _| living(uid));
-        self.kept.retain(|uid, _| living(uid));
-        for (uid, target) in targets {
-            if let Some(ttl) = target.ttl_ms
-                && !self.kept.contains_key(uid)
+        self.deadlines.retain(|uid, _| expires(uid));
+        self.retained.retain(|uid, _| expires(uid));
+        for (uid, endpoint) in endpoints {
+            if let Some(ttl) = time_to_live(endpoint)
+                && !self.retained.contains_key(uid)
             {
-                self.due.entry(uid.clone()).or_insert(now + ttl * 1000);
+                self.deadlines.entry(uid.clone()).or_insert(now + ttl);
             }
         }
-        if self.due.values().all(|due| *due > now) {
-            return (Vec::new(), 0);
-        }
-        let all = self.due.len() + self.kept.len();
-        // those that are about to, too: a registry that was cut off sees them run out one after another
-        let silent = |(uid, due): &(&String, &Micros)| {
-            let ttl = targets
+    }
+
+    /// Whether a large share has expired or missed heartbeats: a registry that was cut off sees them expire one after
+    /// another.
+    fn is_large_share(&self, now: Micros, endpoints: &Endpoints) -> bool {
+        let has_missed = |(uid, deadline): &(&String, &Micros)| {
+            let ttl = endpoints
                 .get(*uid)
-                .and_then(|target| target.ttl_ms)
-                .unwrap_or_default()
-                * 1000;
-            **due <= now + ttl / MISSED
+                .and_then(time_to_live)
+                .unwrap_or_default();
+            **deadline <= now + ttl / MISSED_PART
         };
-        let soon = self.due.iter().filter(silent).count()
-            + self
-                .kept
-                .values()
-                .filter(|since| **since + AT_ONCE > now)
-                .count();
-        let late: Vec<String> = self
-            .due
-            .iter()
-            .filter(|(_, due)| **due <= now)
-            .map(|(uid, _)| uid.clone())
-            .collect();
-        self.due.retain(|_, due| *due > now);
-        if soon > FEW && soon as f64 > LARGE_SHARE * all as f64 {
-            let newly = late.len();
-            self.kept.extend(late.into_iter().map(|uid| (uid, now)));
-            return (Vec::new(), newly);
-        }
-        let gone = late
-            .into_iter()
-            .filter_map(|uid| Some((uid.clone(), targets.get(&uid)?.clone())));
-        (gone.collect(), 0)
+        let missed = self.deadlines.iter().filter(has_missed).count();
+        let lately_retained = self
+            .retained
+            .values()
+            .filter(|since| **since + SIMULTANEOUS > now)
+            .count();
+        let silent = missed + lately_retained;
+        let all = self.deadlines.len() + self.retained.len();
+        silent > FEW && silent as f64 > LARGE_SHARE * all as f64
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn targets(count: usize) -> BTreeMap<String, Target> {
-        let target =
-            serde_json::json!({ "endpoint": "10.0.0.1:80", "pod_group": 1, "ttl_ms": 1000 });
-        let target: Target = serde_json::from_value(target).expect("a target");
-        (0..count)
-            .map(|number| (format!("e{number:02}"), target.clone()))
-            .collect()
-    }
-
-    #[test]
-    fn one_that_is_silent_runs_out_and_those_that_beat_do_not() {
-        let (targets, mut heartbeats) = (targets(10), Heartbeats::default());
-        assert_eq!(heartbeats.run_out(0, &targets), (vec![], 0));
-        for now in [500_000, 1_000_000, 1_500_000] {
-            targets
-                .keys()
-                .skip(1)
-                .for_each(|uid| heartbeats.beat(now, uid, &targets[uid]));
-            let (gone, kept) = heartbeats.run_out(now, &targets);
-            let gone: Vec<&String> = gone.iter().map(|(uid, _)| uid).collect();
-            assert_eq!(
-                gone,
-                if now == 1_000_000 {
-                    vec!["e00"]
-                } else {
-                    vec![]
-                },
-                "at {now}"
-            );
-            assert_eq!(kept, 0);
-        }
-    }
-
-    #[test]
-    fn where_many_run_out_at_once_they_are_kept_until_they_beat_again() {
-        let (targets, mut heartbeats) = (targets(10), Heartbeats::default());
-        heartbeats.run_out(0, &targets);
-        // half of them, a little apart
-        targets
-            .keys()
-            .skip(5)
-            .for_each(|uid| heartbeats.beat(900_000, uid, &targets[uid]));
-        assert_eq!(heartbeats.run_out(1_000_000, &targets), (vec![], 5));
-        assert_eq!(heartbeats.kept().count(), 5);
-        targets
-            .keys()
-            .for_each(|uid| heartbeats.beat(1_500_000, uid, &targets[uid]));
-        assert_eq!(heartbeats.kept().count(), 0);
-        assert_eq!(heartbeats.run_out(2_400_000, &targets), (vec![], 0));
-    }
-}
+mod tests;
--- a/registry/src/lib.rs
+++ b/registry/src/lib.rs
@@ -1,23 +1,23 @@
 //! The registry: endpoint lists and agreed rules in versions, on a replicated log.
 //!
-//! Parts without sockets or clock: [`state`] is what the log's entries change, [`replica`] one replica round the raft
-//! engine, [`feed`] what watchers are told, [`heartbeats`] which entries have run out. [`store`] keeps the log in a file. The
-//! rest owns sockets and clock: [`core`](mod@core) a thread that turns the replica, [`peers`] the way between replicas,
-//! [`server`] what clients ask. `docs/registry.md` is the page for operators, `docs/agreement.md` states the protocol.
+//! Without sockets or clock: [`state`] is the state machine that the log's commands change, [`replica`] one replica around the
+//! raft engine, [`watch_broadcaster`] the lines for watchers, [`heartbeats`] the expiry of endpoints. [`store`] keeps the log
+//! in a file. The rest owns sockets and clock: [`replica_thread`] runs the replica, [`transport`] connects the replicas,
+//! [`server`] is the HTTP API. `docs/registry.md` is the page for operators, `docs/agreement.md` states the protocol.
 
-pub mod core;
-pub mod exchange;
-pub mod feed;
-pub mod frames;
+pub mod commands;
+pub mod endpoint;
 pub mod heartbeats;
-pub mod inputs;
-pub mod locks;
-pub mod mirror;
-pub mod peers;
+pub mod lock;
+pub mod record_file;
 pub mod replica;
+pub mod replica_thread;
+pub mod round_trip;
 pub mod server;
 pub mod settings;
 pub mod state;
 pub mod store;
-pub mod target;
 pub mod topology;
+pub mod transport;
+pub mod watch_broadcaster;
+pub mod wire_types;
--- a/registry/src/locks.rs
+++ b/registry/src/lock.rs
@@ -1,8 +1,8 @@
-//! Locks that are never left half-way.
+//! A lock that a panic does not poison.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks what no holder leaves half-way.
+/// Locks a mutex whose value no holder leaves half changed, also after a holder has panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/registry/src/replica.rs
+++ b/registry/src/replica.rs
@@ -1,83 +1,95 @@
-//! One replica round the raft engine, without sockets or clock: questions and messages in, answers and messages out, the log
-//! in its store. It leads or follows as the engine says; leases are the leader's alone.
+//! One replica around the raft engine, without sockets or clock: requests and messages go in, answers and messages come out,
+//! and the log is kept in the store. The engine says whether it leads or follows; only the leader grants leases.
 
+mod allocating;
 mod applying;
 mod clock;
 mod confirmations;
 mod dual_reads;
-mod engine_log;
-mod keeping;
-mod leading;
+mod interface;
+mod leadership;
 mod membership;
-mod messages;
 mod proposals;
+mod raft_log_lines;
 mod report;
 mod role;
 
-pub use keeping::{PartsAnswer, PartsQuestion};
-pub use leading::Question;
-pub use messages::{Answer, Output, ReplicaChange, ReplicaError, Ticket};
+pub use allocating::{QuotaRequest, QuotaResponse};
+pub use interface::{
+    Answer, BusyReason, ListVersion, Output, ReplicaChange, ReplicaError, ReplicaEvent, RequestId,
+};
+pub use leadership::SenderLeaseRequest;
 
-use crate::mirror::{Entry as Logged, Hard};
-use crate::state::{Command, Refused, State};
+use crate::state::{Command, CommandError, State};
 use crate::store::Store;
+use crate::wire_types::{HardState, LogEntry};
+use allocating::RangeAllocations;
+use clock::LogClock;
 use confirmations::Batch;
 use dual_reads::DualReads;
-use engine_log::EngineLog;
-use keeping::Keeping;
-use leading::Leading;
+use leadership::Leadership;
 use raft::eraftpb::Message;
-use raft::{Config, RawNode, StateRole};
+use raft::{Config, RawNode, SnapshotStatus, StateRole};
+use raft_log_lines::RaftLogLines;
 use std::collections::BTreeMap;
 use versioned_config::Micros;
 
-/// Between two ticks, and ticks without a leader after which a replica stands for election: so many to twice as many.
+/// The time between two ticks.
 pub const TICK: Micros = 100_000;
+/// Ticks without a leader after which a replica stands for election: so many to twice as many.
 const ELECTION_TICKS: usize = 10;
+/// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of entries in one message, messages under way to one replica, bytes that may wait to be committed.
-const MESSAGE_MOST: u64 = 1 << 20;
-const UNDER_WAY: usize = 64;
-const UNCOMMITTED_MOST: u64 = 16 << 20;
+/// Bytes of entries in one message.
+const MAX_MESSAGE_BYTES: u64 = 1 << 20;
+/// Messages in flight to one replica.
+const MAX_IN_FLIGHT: usize = 64;
+/// Bytes of entries that may wait to be committed.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 << 20;
 
 /// One replica.
 pub struct Replica {
     id: u64,
     raw: RawNode<Store>,
     state: State,
+    /// The index of the last applied entry.
     applied: u64,
-    /// Tells this process's proposals and questions from another's.
-    life: u64,
-    next: u64,
-    proposals: BTreeMap<u64, Ticket>,
+    /// Tells this process's proposals and reads from another's.
+    incarnation: u64,
+    /// The number of the last proposal or batch.
+    last_number: u64,
+    /// Proposals under way, by number.
+    proposals: BTreeMap<u64, RequestId>,
+    /// Requests since the last turn that a majority has to confirm.
     collecting: Batch,
-    asked: Vec<Batch>,
-    leading: Option<Leading>,
-    keeping: Keeping,
-    /// What a log begins with that lacks it: rules, a ledger.
-    begin: Vec<Command>,
+    /// Batches that are not confirmed, or whose index is not applied.
+    unconfirmed: Vec<Batch>,
+    /// Some while this replica leads.
+    leadership: Option<Leadership>,
+    allocations: RangeAllocations,
+    /// The commands with which a log begins that lacks their subject: rules, a ledger.
+    initial_commands: Vec<Command>,
     dual_reads: DualReads,
-    /// This machine's clock as told last, Unix time in ms; 0: not told.
+    /// This machine's clock as set last, Unix time in ms; 0: not set.
     wall_ms: u64,
-    /// The log's clock, and when it showed that here.
-    clock: Option<(u64, Micros)>,
-    /// Who led when it was looked at last.
-    leader: u64,
-    /// Other replicas take part than the snapshot says: one that comes would not take it.
-    reshaped: bool,
+    log_clock: Option<LogClock>,
+    /// The leader of the last event.
+    noted_leader: Option<u64>,
+    /// The voters are others than in the snapshot: a replica that joins would not take that.
+    membership_changed: bool,
 }
 
 impl Replica {
-    /// A replica with what its store holds. `life` differs between any two processes; `begin` is proposed where the log
-    /// has no rules yet.
+    /// A replica with what its store holds. `incarnation` differs between any two processes; `initial_commands` are proposed
+    /// where the log lacks their subject.
     ///
     /// # Errors
-    /// The store holds what can't be read.
+    /// The store holds what can't be decoded.
     pub fn new(
         id: u64,
         store: Store,
-        life: u64,
-        begin: impl IntoIterator<Item = Command>,
+        incarnation: u64,
+        initial_commands: impl IntoIterator<Item = Command>,
     ) -> Result<Self, ReplicaError> {
         let snapshot = store.snapshot();
         let applied = snapshot.index;
@@ -85,135 +97,143 @@
             index: applied,
             error,
         })?;
-        let config = Config {
-            id,
-            election_tick: ELECTION_TICKS,
-            heartbeat_tick: HEARTBEAT_TICKS,
-            applied,
-            max_size_per_msg: MESSAGE_MOST,
-            max_inflight_msgs: UNDER_WAY,
-            max_uncommitted_size: UNCOMMITTED_MOST,
-            check_quorum: true,
-            pre_vote: true,
-            ..Config::default()
-        };
-        let logger = slog::Logger::root(EngineLog, slog::o!());
-        let raw = RawNode::new(&config, store, &logger)?;
+        let logger = slog::Logger::root(RaftLogLines, slog::o!());
+        let raw = RawNode::new(&raft_config(id, applied), store, &logger)?;
         Ok(Replica {
             id,
             raw,
             state,
             applied,
-            life,
-            next: 0,
+            incarnation,
+            last_number: 0,
             proposals: BTreeMap::new(),
             collecting: Batch::default(),
-            asked: Vec::new(),
-            leading: None,
-            keeping: Keeping::default(),
-            begin: begin.into_iter().collect(),
+            unconfirmed: Vec::new(),
+            leadership: None,
+            allocations: RangeAllocations::default(),
+            initial_commands: initial_commands.into_iter().collect(),
             dual_reads: DualReads::default(),
             wall_ms: 0,
-            clock: None,
-            leader: raft::INVALID_ID,
-            reshaped: false,
+            log_clock: None,
+            noted_leader: None,
+            membership_changed: false,
         })
     }
 
-    /// What is applied.
+    /// The applied state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Who leads, as far as this one knows. A follower has heard of it within twice the election time; a leader has a
-    /// majority's word of that age.
+    /// The leader, as far as this replica knows. A follower has heard from it within twice the election time; a leader has
+    /// heard from a majority within that time.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raw.raft.leader_id).filter(|id| *id != raft::INVALID_ID)
     }
 
-    /// Whether this one leads.
-    pub fn leads(&self) -> bool {
+    /// Whether this replica leads.
+    pub fn is_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// One of [`TICK`] has passed.
+    /// One [`TICK`] has passed.
     pub fn tick(&mut self, now: Micros, output: &mut Output) {
         self.raw.tick();
-        if self.leads() {
-            self.look_for_steps(now, output);
+        if self.is_leader() {
+            self.take_leader_steps(now, output);
             self.log_dual_reads();
         }
-        self.keeping
+        self.allocations
             .follow(now, self.id, self.state.ledger.as_ref());
         self.age_batches(output);
     }
 
-    /// Takes a message of another replica in.
+    /// Receives a message of another replica.
     pub fn receive(&mut self, message: Message) {
-        // one that makes no sense now is as good as lost
+        // one that the engine rejects is as good as lost
         let _ = self.raw.step(message);
     }
 
-    /// A message could not be sent.
-    pub fn unreachable(&mut self, id: u64) {
+    /// A message to this replica could not be sent.
+    pub fn report_unreachable(&mut self, id: u64) {
         self.raw.report_unreachable(id);
     }
 
-    /// A snapshot was sent, or could not be.
-    pub fn snapshot_sent(&mut self, id: u64, sent: bool) {
+    /// A snapshot to this replica was sent, or could not be.
+    pub fn report_snapshot(&mut self, id: u64, sent: bool) {
         let status = if sent {
-            raft::SnapshotStatus::Finish
+            SnapshotStatus::Finish
         } else {
-            raft::SnapshotStatus::Failure
+            SnapshotStatus::Failure
         };
         self.raw.report_snapshot(id, status);
     }
 
-    /// A heartbeat of an endpoint came in. It changes no version.
-    pub fn beat(&mut self, now: Micros, uid: &str) -> Answer {
-        let Some(leading) = &mut self.leading else {
+    /// A heartbeat of an endpoint. It changes no version.
+    pub fn heartbeat(&mut self, now: Micros, uid: &str) -> Answer {
+        let Some(leadership) = &mut self.leadership else {
             return Answer::NotLeader(self.leader());
         };
-        let Some(target) = self.state.targets.get(uid) else {
-            return Answer::Refused(Refused::Unknown(uid.to_string()));
+        let Some(endpoint) = self.state.endpoints.get(uid) else {
+            return Answer::Rejected(CommandError::UnknownEndpoint(uid.to_string()));
         };
-        leading.heartbeats.beat(now, uid, target);
-        Answer::Fresh
+        leadership.heartbeats.record(now, uid, endpoint);
+        Answer::UpToDate
     }
 
-    /// Carries out all that follows: writes, sends, applies, answers.
+    /// Carries out all that follows from what was received: writes, messages, applied entries, answers.
     ///
     /// # Errors
-    /// The log can't be kept or read: the process must end.
-    pub fn settle(&mut self, now: Micros, output: &mut Output) -> Result<(), ReplicaError> {
-        self.ask_collected();
+    /// The log can't be kept or decoded: the process must end.
+    pub fn process_ready(&mut self, now: Micros, output: &mut Output) -> Result<(), ReplicaError> {
+        self.send_collected();
         while self.raw.has_ready() {
-            let mut ready = self.raw.ready();
-            self.notice_role(now, output);
-            output.messages.extend(ready.take_messages());
-            let hard = ready.hs().map(Hard::from);
-            if !ready.snapshot().is_empty() {
-                let snapshot = ready.snapshot().into();
-                self.install(snapshot, hard, output)?;
-            }
-            let entries = ready.entries().iter().map(Logged::from).collect();
-            self.raw
-                .mut_store()
-                .append(entries, hard, ready.must_sync())?;
-            self.apply(now, ready.take_committed_entries(), output)?;
-            output.messages.extend(ready.take_persisted_messages());
-            let states = ready.take_read_states();
-            let mut light = self.raw.advance(ready);
-            output.messages.extend(light.take_messages());
-            self.apply(now, light.take_committed_entries(), output)?;
-            self.raw.advance_apply();
-            self.confirm(states);
+            self.process_one_ready(now, output)?;
         }
-        self.notice_role(now, output);
+        self.update_role(now, output);
         self.answer_confirmed(now, output);
-        if self.raw.store().is_long() || std::mem::take(&mut self.reshaped) {
+        if self.raw.store().is_long() || std::mem::take(&mut self.membership_changed) {
             self.compact()?;
         }
         Ok(())
     }
+
+    /// What the engine has ready goes to the disk before anything is said that rests on it.
+    fn process_one_ready(&mut self, now: Micros, output: &mut Output) -> Result<(), ReplicaError> {
+        let mut ready = self.raw.ready();
+        self.update_role(now, output);
+        output.messages.extend(ready.take_messages());
+        let hard_state = ready.hs().map(HardState::from);
+        if !ready.snapshot().is_empty() {
+            self.install(ready.snapshot().into(), hard_state, output)?;
+        }
+        let entries = ready.entries().iter().map(LogEntry::from).collect();
+        self.raw
+            .mut_store()
+            .append(entries, hard_state, ready.must_sync())?;
+        self.apply(now, ready.take_committed_entries(), output)?;
+        output.messages.extend(ready.take_persisted_messages());
+        let confirmed = ready.take_read_states();
+        let mut light = self.raw.advance(ready);
+        output.messages.extend(light.take_messages());
+        self.apply(now, light.take_committed_entries(), output)?;
+        self.raw.advance_apply();
+        self.confirm(confirmed);
+        Ok(())
+    }
+}
+
+fn raft_config(id: u64, applied: u64) -> Config {
+    Config {
+        id,
+        election_tick: ELECTION_TICKS,
+        heartbeat_tick: HEARTBEAT_TICKS,
+        applied,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_IN_FLIGHT,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        check_quorum: true,
+        pre_vote: true,
+        ..Config::default()
+    }
 }
--- a/registry/src/replica/applying.rs
+++ b/registry/src/replica/applying.rs
@@ -1,17 +1,19 @@
 //! Applies what is committed: commands, changes of replicas, snapshots.
 
 use super::Replica;
-use super::messages::{Answer, Output, ReplicaChange, ReplicaError};
-use crate::mirror::{Entry as Logged, Hard, Kind, Snapshot, Voters};
-use crate::state::{Applied, Command, Refused, State};
+use super::interface::{
+    Answer, ListVersion, Output, ReplicaChange, ReplicaChangeEntry, ReplicaError, ReplicaEvent,
+};
+use crate::state::{Applied, Command, CommandError, State};
+use crate::wire_types::{EntryKind, HardState, LogEntry, Membership, Snapshot};
 use quota_ledger::freeze::FreezeEntry;
 use versioned_config::Micros;
 
 impl Replica {
-    /// Puts the state in place of the log.
+    /// Replaces the applied entries of the log by the state.
     ///
     /// # Errors
-    /// It can't be written.
+    /// The store can't write it.
     pub fn compact(&mut self) -> Result<(), ReplicaError> {
         let data = postcard::to_allocvec(&self.state).map_err(|error| ReplicaError::Entry {
             index: self.applied,
@@ -20,26 +22,26 @@
         Ok(self.raw.mut_store().compact(self.applied, data)?)
     }
 
-    /// Puts a leader's snapshot in place of the state.
+    /// Replaces the state by a leader's snapshot.
     pub(super) fn install(
         &mut self,
         snapshot: Snapshot,
-        hard: Option<Hard>,
+        hard_state: Option<HardState>,
         output: &mut Output,
     ) -> Result<(), ReplicaError> {
         let index = snapshot.index;
         self.state =
             State::read(&snapshot.data).map_err(|error| ReplicaError::Entry { index, error })?;
         self.applied = index;
-        self.raw.mut_store().install(snapshot, hard)?;
+        self.raw.mut_store().install(snapshot, hard_state)?;
         output.reset = true;
         output
-            .notes
-            .push(format!("the state came as a snapshot at {index}"));
+            .events
+            .push(ReplicaEvent::SnapshotInstalled { index });
         Ok(())
     }
 
-    /// Applies entries that are committed.
+    /// Applies committed entries.
     pub(super) fn apply(
         &mut self,
         now: Micros,
@@ -47,20 +49,20 @@
         output: &mut Output,
     ) -> Result<(), ReplicaError> {
         for entry in entries {
-            let entry = Logged::from(&entry);
+            let entry = LogEntry::from(&entry);
             let index = entry.index;
             self.applied = index;
-            let unread = |error| ReplicaError::Entry { index, error };
+            let unreadable = |error| ReplicaError::Entry { index, error };
             match entry.kind {
-                Kind::Normal if entry.data.is_empty() => {}
-                Kind::Normal => {
-                    let command = postcard::from_bytes(&entry.data).map_err(unread)?;
+                EntryKind::Normal if entry.data.is_empty() => {}
+                EntryKind::Normal => {
+                    let command = postcard::from_bytes(&entry.data).map_err(unreadable)?;
                     self.apply_command(now, command, &entry.context, output);
                 }
-                Kind::Replicas => {
-                    let (mark, change): (Vec<u8>, ReplicaChange) =
-                        postcard::from_bytes(&entry.context).map_err(unread)?;
-                    self.apply_replicas(change, &mark, output)?;
+                EntryKind::Replicas => {
+                    let ReplicaChangeEntry { mark, change } =
+                        postcard::from_bytes(&entry.context).map_err(unreadable)?;
+                    self.apply_replica_change(change, &mark, output)?;
                 }
             }
         }
@@ -68,30 +70,32 @@
     }
 
     fn apply_command(&mut self, now: Micros, command: Command, mark: &[u8], output: &mut Output) {
-        let advances = matches!(command, Command::Advance(_));
+        let advances = matches!(command, Command::AdvanceRules(_));
         if let Command::Freeze(FreezeEntry::Clock(ms)) = &command {
-            self.hear_clock(now, *ms);
+            self.apply_clock(now, *ms);
         }
         let applied = self.state.apply(command);
         self.follow(now, &applied, advances, output);
-        let answer = applied.map_or_else(Answer::Refused, Answer::Applied);
+        let answer = applied.map_or_else(Answer::Rejected, Answer::Applied);
         self.answer_proposal(mark, answer, output);
     }
 
-    fn apply_replicas(
+    fn apply_replica_change(
         &mut self,
         change: ReplicaChange,
         mark: &[u8],
         output: &mut Output,
     ) -> Result<(), ReplicaError> {
-        let conf = self.raw.apply_conf_change(&change.engine())?;
-        self.raw.mut_store().set_voters(Voters::from(&conf));
-        self.reshaped = true;
-        match change.place {
-            Some(place) => self.state.replicas.insert(change.id, place),
+        let conf = self.raw.apply_conf_change(&change.to_raft())?;
+        self.raw.mut_store().set_membership(Membership::from(&conf));
+        self.membership_changed = true;
+        match change.addresses {
+            Some(addresses) => self.state.replicas.insert(change.id, addresses),
             None => self.state.replicas.remove(&change.id),
         };
-        output.notes.push(format!("replicas are {:?}", conf.voters));
+        output.events.push(ReplicaEvent::VotersChanged {
+            voters: conf.voters,
+        });
         let applied = Applied {
             rev: self.state.rev,
             tag: self.state.tag(),
@@ -101,41 +105,37 @@
         Ok(())
     }
 
-    /// Answers whoever proposed what is applied now, if that was here.
+    /// Answers the request whose proposal is applied now, if it was made here.
     fn answer_proposal(&mut self, mark: &[u8], answer: Answer, output: &mut Output) {
-        let ticket = self
-            .number_of(mark)
-            .and_then(|number| self.proposals.remove(&number));
-        output.answers.extend(ticket.map(|ticket| (ticket, answer)));
+        let number = self.number_of(mark);
+        if let Some(id) = number.and_then(|number| self.proposals.remove(&number)) {
+            output.answers.push((id, answer));
+        }
     }
 
-    /// What a command did goes to watchers, and to the leader's own knowledge.
+    /// Passes what a command did to watchers, and to what the leader alone knows.
     fn follow(
         &mut self,
         now: Micros,
-        applied: &Result<Applied, Refused>,
+        applied: &Result<Applied, CommandError>,
         advances: bool,
         output: &mut Output,
     ) {
         let Ok(applied) = applied else { return };
         if !applied.changed.is_empty() {
-            output.changes.push((applied.rev, applied.changed.clone()));
+            output.changes.push(ListVersion {
+                rev: applied.rev,
+                endpoints: applied.changed.clone(),
+            });
         }
-        if let Some(leading) = &mut self.leading {
-            leading.follow(now, applied, advances, &self.state);
+        if let Some(leadership) = &mut self.leadership {
+            leadership.follow(now, applied, advances, &self.state);
         }
-        if let Some(tag) = applied
-            .tag
-            .filter(|_| applied.changed.is_empty() && !applied.ledger)
+        if let Some(tag) = applied.tag
+            && applied.changed.is_empty()
+            && !applied.ledger
         {
-            let step = if tag.whole {
-                "in force"
-            } else {
-                "as the meet of it and the one before"
-            };
-            output
-                .notes
-                .push(format!("rules: version {} {step}", tag.version));
+            output.events.push(ReplicaEvent::RulesChanged(tag));
         }
     }
 }
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,39 +1,53 @@
-//! The log's clock: wall time that was agreed on, carried on by the time that has passed here since.
+//! The log's clock: wall time from the log, advanced by the time that has passed here since.
 
 use super::Replica;
 use quota_ledger::calendar::{Clocks, SKEW_MS};
 use versioned_config::Micros;
 
+/// The log's clock, as it was set here last.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct LogClock {
+    /// What it showed, Unix time in ms.
+    ms: u64,
+    /// When it showed that, by this replica's monotonic clock.
+    set_at: Micros,
+}
+
 impl Replica {
-    /// What this machine's clock shows, Unix time in ms. It may jump.
-    pub fn tell_time(&mut self, now: Micros, wall_ms: u64) {
+    /// Sets what this machine's clock shows, Unix time in ms. It may jump.
+    pub fn set_wall_clock(&mut self, now: Micros, wall_ms: u64) {
         self.wall_ms = wall_ms;
-        if self.clock.is_none() && self.leads() && wall_ms > 0 {
-            // nothing was heard in this life: the log's clock may be as old as the last process
-            self.clock = Some((wall_ms.max(self.state.freeze.clock_ms()), now));
+        if self.log_clock.is_none() && self.is_leader() && wall_ms > 0 {
+            // nothing was applied in this process: the log's clock may be as old as the last one
+            let ms = wall_ms.max(self.state.freeze.clock_ms());
+            self.log_clock = Some(LogClock { ms, set_at: now });
         }
     }
 
-    /// What the two clocks show that a calendar goes by; none while no clock was told.
+    /// The two clocks that a calendar goes by; none before the wall clock is set.
     pub fn clocks(&self, now: Micros) -> Option<Clocks> {
-        let carried = self.carried_ms(now);
-        (self.wall_ms > 0).then(|| Clocks {
+        if self.wall_ms == 0 {
+            return None;
+        }
+        let log_ms = self.log_clock_ms(now).unwrap_or(self.wall_ms);
+        Some(Clocks {
             wall_ms: self.wall_ms,
-            log_ms: carried.unwrap_or(self.wall_ms),
+            log_ms,
         })
     }
 
-    /// The log's clock, carried on by the time that has passed since it showed.
-    fn carried_ms(&self, now: Micros) -> Option<u64> {
-        self.clock
-            .map(|(ms, at)| ms + now.saturating_sub(at) / 1000)
+    /// The log's clock, advanced by the time that has passed since it was set.
+    fn log_clock_ms(&self, now: Micros) -> Option<u64> {
+        self.log_clock
+            .map(|clock| clock.ms + now.saturating_sub(clock.set_at) / 1000)
     }
 
-    /// The log's clock was written. One that is read again after a start is as old as that.
-    pub(super) fn hear_clock(&mut self, now: Micros, ms: u64) {
-        let carried = self.carried_ms(now);
-        if carried.is_some() || self.wall_ms.abs_diff(ms) <= SKEW_MS {
-            self.clock = Some((carried.unwrap_or(ms).max(ms), now));
+    /// Applies an entry of the log's clock. An entry that is read again after a start may be old.
+    pub(super) fn apply_clock(&mut self, now: Micros, ms: u64) {
+        let advanced = self.log_clock_ms(now);
+        if advanced.is_some() || self.wall_ms.abs_diff(ms) <= SKEW_MS {
+            let ms = advanced.unwrap_or(ms).max(ms);
+            self.log_clock = Some(LogClock { ms, set_at: now });
         }
     }
 }
--- a/registry/src/replica/confirmations.rs
+++ b/registry/src/replica/confirmations.rs
@@ -1,101 +1,111 @@
-//! Questions that a majority has to confirm first, asked in batches: reads, leases, parts of limits.
+//! Requests that a majority has to confirm first, in batches: reads, leases, quotas.
 
 use super::Replica;
-use super::keeping::PartsQuestion;
-use super::leading::Question;
-use super::messages::{Answer, Output, Ticket};
+use super::allocating::QuotaRequest;
+use super::interface::{Answer, Output, RequestId};
+use super::leadership::SenderLeaseRequest;
 use raft::ReadState;
 use versioned_config::Micros;
 
-/// Ticks after which a question for a majority's word is asked again, and after which it is given up.
-const ASK_AGAIN: u64 = 3;
-const GIVE_UP: u64 = 15;
+/// Ticks after which a batch without a confirmation is sent again.
+const RETRY_TICKS: u64 = 3;
+/// Ticks after which a batch is given up.
+const GIVE_UP_TICKS: u64 = 15;
 
-/// Questions that wait for a majority's word together.
+/// Requests that wait for the same confirmation.
 #[derive(Debug, Default)]
 pub(super) struct Batch {
-    pub(super) number: u64,
-    reads: Vec<Ticket>,
-    pub(super) asks: Vec<(Ticket, Question)>,
-    parts: Vec<(Ticket, PartsQuestion)>,
-    /// Ticks since it was first asked.
+    number: u64,
+    reads: Vec<RequestId>,
+    leases: Vec<(RequestId, SenderLeaseRequest)>,
+    quotas: Vec<(RequestId, QuotaRequest)>,
+    /// Ticks since it was first sent.
     age: u64,
-    /// The log must be applied up to here; none: no word yet.
+    /// The index up to which the log must be applied; none: not confirmed yet.
     index: Option<u64>,
 }
 
 impl Batch {
     pub(super) fn is_empty(&self) -> bool {
-        self.reads.is_empty() && self.asks.is_empty() && self.parts.is_empty()
+        self.reads.is_empty() && self.leases.is_empty() && self.quotas.is_empty()
     }
 
-    /// Takes out all questions.
-    fn take_tickets(&mut self) -> Vec<Ticket> {
-        let mut tickets = std::mem::take(&mut self.reads);
-        tickets.extend(self.asks.drain(..).map(|(ticket, _)| ticket));
-        tickets.extend(self.parts.drain(..).map(|(ticket, _)| ticket));
-        tickets
+    /// Takes out the ids of all requests.
+    fn take_ids(&mut self) -> Vec<RequestId> {
+        let mut ids = std::mem::take(&mut self.reads);
+        ids.extend(self.take_lease_ids());
+        ids.extend(self.quotas.drain(..).map(|(id, _)| id));
+        ids
+    }
+
+    /// Takes out the ids of the requests for leases, which only the leader serves.
+    pub(super) fn take_lease_ids(&mut self) -> impl Iterator<Item = RequestId> {
+        self.leases.drain(..).map(|(id, _)| id)
     }
 }
 
 impl Replica {
-    /// Asks for a majority's word that what is applied here is not behind what was answered before.
-    pub fn read(&mut self, ticket: Ticket) {
-        self.collecting.reads.push(ticket);
+    /// A linearizable read: a majority confirms that what is applied here is not behind what was answered before.
+    pub fn read(&mut self, id: RequestId) {
+        self.collecting.reads.push(id);
     }
 
-    /// A life of a sender asks for a lease.
-    pub fn ask(&mut self, ticket: Ticket, question: Question, output: &mut Output) {
-        if self.leads() {
-            self.collecting.asks.push((ticket, question));
+    /// A sender requests a lease.
+    pub fn request_lease(
+        &mut self,
+        id: RequestId,
+        request: SenderLeaseRequest,
+        output: &mut Output,
+    ) {
+        if self.is_leader() {
+            self.collecting.leases.push((id, request));
         } else {
-            output
-                .answers
-                .push((ticket, Answer::NotLeader(self.leader())));
+            output.answers.push((id, Answer::NotLeader(self.leader())));
         }
     }
 
-    /// A life of a sender asks for parts of limits, of which this replica deals those that it keeps.
-    pub fn ask_parts(&mut self, ticket: Ticket, question: PartsQuestion) {
-        self.collecting.parts.push((ticket, question));
+    /// A sender requests quotas, of which this replica allocates those that it holds.
+    pub fn request_quotas(&mut self, id: RequestId, request: QuotaRequest) {
+        self.collecting.quotas.push((id, request));
     }
 
-    /// Has a majority asked for what was collected since the last turn.
-    pub(super) fn ask_collected(&mut self) {
+    /// Requests a confirmation of what was collected since the last turn.
+    pub(super) fn send_collected(&mut self) {
         if self.collecting.is_empty() {
             return;
         }
-        self.next += 1;
-        self.collecting.number = self.next;
-        self.asked.push(std::mem::take(&mut self.collecting));
-        self.ask_majority(self.next);
+        let number = self.next_number();
+        self.collecting.number = number;
+        self.unconfirmed.push(std::mem::take(&mut self.collecting));
+        self.request_confirmation(number);
     }
 
-    /// A tick has passed: asks again for batches that have no answer yet, and gives the old ones up.
+    /// A tick has passed: sends batches without a confirmation again, and gives the old ones up.
     pub(super) fn age_batches(&mut self, output: &mut Output) {
-        let (mut given_up, mut again) = (Vec::new(), Vec::new());
-        for batch in &mut self.asked {
+        let mut given_up = Vec::new();
+        let mut retries = Vec::new();
+        for batch in &mut self.unconfirmed {
             batch.age += 1;
-            if batch.age >= GIVE_UP {
-                given_up.append(&mut batch.take_tickets());
-            } else if batch.index.is_none() && batch.age.is_multiple_of(ASK_AGAIN) {
-                again.push(batch.number);
+            if batch.age >= GIVE_UP_TICKS {
+                given_up.append(&mut batch.take_ids());
+            } else if batch.index.is_none() && batch.age.is_multiple_of(RETRY_TICKS) {
+                retries.push(batch.number);
             }
         }
-        self.asked.retain(|batch| !batch.is_empty());
-        // the engine drops such questions while it knows no leader or has not committed in its term
-        again
+        self.unconfirmed.retain(|batch| !batch.is_empty());
+        // the engine drops such requests while it knows no leader or has not committed in its term
+        retries
             .into_iter()
-            .for_each(|number| self.ask_majority(number));
+            .for_each(|number| self.request_confirmation(number));
         let leader = self.leader().filter(|leader| *leader != self.id);
         output.answers.extend(
             given_up
                 .into_iter()
-                .map(|ticket| (ticket, Answer::NotLeader(leader))),
+                .map(|id| (id, Answer::NotLeader(leader))),
         );
     }
 
-    fn ask_majority(&mut self, number: u64) {
+    fn request_confirmation(&mut self, number: u64) {
         let mark = self.mark(number);
         self.raw.read_index(mark);
     }
@@ -105,7 +115,7 @@
         for ReadState { index, request_ctx } in states {
             let number = self.number_of(&request_ctx);
             let batch = self
-                .asked
+                .unconfirmed
                 .iter_mut()
                 .find(|batch| Some(batch.number) == number);
             if let Some(batch) = batch {
@@ -114,35 +124,35 @@
         }
     }
 
-    /// Answers the batches that are confirmed, up to what is applied.
+    /// Answers the confirmed batches whose index is applied.
     pub(super) fn answer_confirmed(&mut self, now: Micros, output: &mut Output) {
         let applied = self.applied;
-        let ready = |batch: &mut Batch| batch.index.is_some_and(|index| index <= applied);
-        for batch in self.asked.extract_if(.., ready) {
-            output.answers.extend(
-                batch
-                    .reads
-                    .into_iter()
-                    .map(|ticket| (ticket, Answer::Fresh)),
-            );
-            if !batch.parts.is_empty() {
-                // whoever keeps a range now did so when the question came, or is asked with a later word
-                self.keeping
-                    .follow(now, self.id, self.state.ledger.as_ref());
-            }
-            for (ticket, question) in batch.parts {
-                let answer = self
-                    .keeping
-                    .deal(now, question, self.id, self.state.ledger.as_ref());
-                output.answers.push((ticket, answer));
-            }
-            for (ticket, question) in batch.asks {
-                let answer = match &mut self.leading {
-                    Some(leading) => leading.grant(now, question, &self.state),
-                    None => Answer::NotLeader(None),
-                };
-                output.answers.push((ticket, answer));
-            }
+        let is_ready = |batch: &mut Batch| batch.index.is_some_and(|index| index <= applied);
+        let ready: Vec<Batch> = self.unconfirmed.extract_if(.., is_ready).collect();
+        for batch in ready {
+            self.answer_batch(now, batch, output);
+        }
+    }
+
+    fn answer_batch(&mut self, now: Micros, batch: Batch, output: &mut Output) {
+        output
+            .answers
+            .extend(batch.reads.into_iter().map(|id| (id, Answer::UpToDate)));
+        let ledger = self.state.ledger.as_ref();
+        if !batch.quotas.is_empty() {
+            // whoever holds a range now did so when the request came, or is asked with a later confirmation
+            self.allocations.follow(now, self.id, ledger);
+        }
+        for (id, request) in batch.quotas {
+            let answer = self.allocations.allocate(now, request, self.id, ledger);
+            output.answers.push((id, answer));
+        }
+        for (id, request) in batch.leases {
+            let answer = match &mut self.leadership {
+                Some(leadership) => leadership.grant(now, request, &self.state),
+                None => Answer::NotLeader(None),
+            };
+            output.answers.push((id, answer));
         }
     }
 }
--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -6,56 +6,57 @@
 use quota_ledger::splits::{Flag, Query, Rows, Split};
 use versioned_config::Micros;
 
-/// What is left free after a dual read, for each row of it, and flags of them in one entry.
-const COMPARE_ROW: Micros = 5;
-const FLAGS_TOLD: usize = 32;
+/// The pause after a dual read for each of its rows. A row read and compared takes some hundred nanoseconds, so that a tenth
+/// of the time goes there at most.
+const PAUSE_PER_ROW: Micros = 5;
+/// The most flags of one entry.
+const MAX_FLAGS: usize = 32;
 
-/// What dual reads have found since it was logged last.
+/// What dual reads have found since it was last appended to the log.
 #[derive(Debug, Default)]
 pub(super) struct DualReads {
     flags: Vec<Flag>,
     compared: u64,
     not_compared: u64,
-    /// When the next may be.
-    next: Micros,
+    /// The next dual read is made no earlier.
+    next_at: Micros,
 }
 
 impl DualReads {
-    /// The entry that logs it; none where there was no such read.
+    /// Takes out the entry for the log; none where there was no query during a split.
     fn take_entry(&mut self) -> Option<Entry> {
         let queries = [self.compared, self.not_compared];
         if queries == [0, 0] {
             return None;
         }
         let mut flags = std::mem::take(&mut self.flags);
-        flags.truncate(FLAGS_TOLD);
-        (self.compared, self.not_compared) = (0, 0);
+        flags.truncate(MAX_FLAGS);
+        self.compared = 0;
+        self.not_compared = 0;
         Some(Entry::Read { queries, flags })
     }
 }
 
 impl Replica {
-    /// Answers a query over the ledger's ranges. While one is split, its two sides are compared too, for no more than a share
-    /// of the time: what does not fit counts as not compared.
+    /// Answers a query over the ledger's ranges; none where there is no ledger. While a range is split, its two sides are
+    /// compared too, for no more than a share of the time: what does not fit counts as not compared.
     pub fn query(&mut self, now: Micros, query: &Query) -> Option<Rows> {
-        let book = self.state.ledger.as_ref()?;
-        if !book.split().is_some_and(Split::reads_both) {
-            return Some(book.plain(query));
+        let ledger = self.state.ledger.as_ref()?;
+        if !ledger.split().is_some_and(Split::reads_both) {
+            return Some(ledger.plain(query));
         }
-        let size = book.limits().count() as u64;
-        if now < self.dual_reads.next {
+        if now < self.dual_reads.next_at {
             self.dual_reads.not_compared += 1;
-            return Some(book.plain(query));
+            return Some(ledger.plain(query));
         }
-        let (rows, flag) = book.read(query);
+        let (rows, flag) = ledger.read(query);
         self.dual_reads.compared += 1;
         self.dual_reads.flags.extend(flag);
-        // a row read and compared takes some hundred nanoseconds: a tenth of the time goes there at most
-        self.dual_reads.next = now + size * COMPARE_ROW;
+        self.dual_reads.next_at = now + ledger.limits().count() as u64 * PAUSE_PER_ROW;
         Some(rows)
     }
 
-    /// What dual reads here have found, for the log, which this one leads.
+    /// Appends what dual reads have found to the log, as leader.
     pub(super) fn log_dual_reads(&mut self) {
         if let Some(entry) = self.dual_reads.take_entry() {
             self.append(&Command::Ledger(entry));
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -1,96 +1,110 @@
-//! Replicas that come, vote and go, one at a time.
+//! Replicas that join, become voters and leave, one at a time.
 
 use super::Replica;
-use super::messages::{Answer, Output, ReplicaChange, Ticket};
-use crate::state::Refused;
+use super::interface::{Answer, BusyReason, Output, ReplicaChange, ReplicaChangeEntry, RequestId};
+use crate::state::CommandError;
 use quota_ledger::freeze::{FreezeError, Matter, Widening};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
 impl Replica {
-    /// Has a replica come or go, one at a time. One that comes gets the log first and votes once it has it.
-    pub fn reconfigure(&mut self, ticket: Ticket, change: ReplicaChange, output: &mut Output) {
-        let answer = if !self.leads() {
-            Answer::NotLeader(self.leader())
-        } else if let Err(held) = self.judge_replica(change) {
-            Answer::Refused(Refused::Freeze(held))
-        } else if self.raw.raft.has_pending_conf() {
-            Answer::Busy("another change of replicas is under way")
-        } else if change.id == 0 {
-            Answer::Busy("a replica's id is above zero")
-        } else if change.place.is_none() && change.id == self.id {
-            Answer::Busy("it leads: ask again once another does")
-        } else {
-            match self.append_change(change) {
-                Some(number) => {
-                    self.proposals.insert(number, ticket);
-                    return;
-                }
-                None => Answer::Busy("too much waits to be committed"),
-            }
-        };
-        output.answers.push((ticket, answer));
+    /// Adds or removes a replica. One that is added gets the log first and votes once it has it.
+    pub fn change_replicas(&mut self, id: RequestId, change: ReplicaChange, output: &mut Output) {
+        match self.try_change_replicas(change) {
+            Ok(number) => drop(self.proposals.insert(number, id)),
+            Err(answer) => output.answers.push((id, answer)),
+        }
+    }
+
+    /// Appends the change; its number, or the answer of one that can't be made now.
+    fn try_change_replicas(&mut self, change: ReplicaChange) -> Result<u64, Answer> {
+        if !self.is_leader() {
+            return Err(Answer::NotLeader(self.leader()));
+        }
+        self.check_freeze(change)
+            .map_err(|held| Answer::Rejected(CommandError::Freeze(held)))?;
+        if self.raw.raft.has_pending_conf() {
+            return Err(Answer::Busy(BusyReason::ReplicaChange));
+        }
+        if change.id == 0 {
+            return Err(Answer::Busy(BusyReason::ReplicaIdZero));
+        }
+        if change.addresses.is_none() && change.id == self.id {
+            return Err(Answer::Busy(BusyReason::RemovesLeader));
+        }
+        self.append_change(change)
+            .ok_or(Answer::Busy(BusyReason::UncommittedLog))
     }
 
-    fn judge_replica(&self, change: ReplicaChange) -> Result<(), FreezeError> {
-        let joins = change.place.is_some() && !self.state.replicas.contains_key(&change.id);
-        let matters = joins.then(|| Matter::of_all(Widening::Replica));
-        self.state.freeze.judge(matters.as_slice(), false)
+    fn check_freeze(&self, change: ReplicaChange) -> Result<(), FreezeError> {
+        let joins = change.addresses.is_some() && !self.state.replicas.contains_key(&change.id);
+        let matter = joins.then(|| Matter::of_all(Widening::Replica));
+        self.state.freeze.judge(matter.as_slice(), false)
     }
 
     /// Appends a change of replicas, as leader; its number.
     pub(super) fn append_change(&mut self, change: ReplicaChange) -> Option<u64> {
-        self.next += 1;
-        let number = self.next;
-        let context = postcard::to_allocvec(&(self.mark(number), change)).ok()?;
+        let number = self.next_number();
+        let entry = ReplicaChangeEntry {
+            mark: self.mark(number),
+            change,
+        };
+        let context = postcard::to_allocvec(&entry).ok()?;
         self.raw
-            .propose_conf_change(context, change.engine())
+            .propose_conf_change(context, change.to_raft())
             .ok()
             .map(|()| number)
     }
 
-    /// Hands the lead to the replica that has most of the log; false if there is none or this one does not lead.
-    pub fn transfer(&mut self) -> bool {
-        let id = self.id;
-        let others = self.raw.raft.prs().iter().filter(|(other, progress)| {
-            **other != id
-                && progress.recent_active
-                && self.raw.raft.prs().conf().voters().contains(**other)
+    /// Transfers leadership to the replica that has most of the log; false if there is none or this one does not lead.
+    pub fn transfer_leadership(&mut self) -> bool {
+        let progress = self.raw.raft.prs();
+        let voters = progress.conf().voters();
+        let others = progress.iter().filter(|(other, progress)| {
+            **other != self.id && progress.recent_active && voters.contains(**other)
         });
-        let next = others
+        let successor = others
             .max_by_key(|(_, progress)| progress.matched)
             .map(|(other, _)| *other);
-        let transfers = next.filter(|_| self.leads());
-        transfers
-            .into_iter()
-            .for_each(|next| self.raw.transfer_leader(next));
-        transfers.is_some()
+        let Some(successor) = successor.filter(|_| self.is_leader()) else {
+            return false;
+        };
+        self.raw.transfer_leader(successor);
+        true
     }
 
-    /// A replica that has the log, and does not vote yet.
+    /// The change that makes a voter of a learner that has the log, if there is one.
     pub(super) fn next_voter(&self) -> Option<ReplicaChange> {
-        let prs = self.raw.raft.prs();
+        let progress = self.raw.raft.prs();
         let committed = self.raw.raft.raft_log.committed;
-        let ready = |id: &&u64| {
-            prs.get(**id)
+        let has_log = |id: &&u64| {
+            progress
+                .get(**id)
                 .is_some_and(|progress| progress.matched >= committed)
         };
-        let id = *self.raw.store().voters().learners.iter().find(ready)?;
+        let id = *self
+            .raw
+            .store()
+            .membership()
+            .learners
+            .iter()
+            .find(has_log)?;
+        let addresses = self.state.replicas.get(&id).copied();
         Some(ReplicaChange {
             id,
-            place: self.state.replicas.get(&id).copied(),
+            addresses,
             votes: true,
         })
     }
 }
 
 impl ReplicaChange {
-    /// The same as the engine has it.
-    pub(super) fn engine(self) -> ConfChange {
+    /// The change in the raft engine's types.
+    pub(super) fn to_raft(self) -> ConfChange {
         let mut change = ConfChange {
             node_id: self.id,
             ..Default::default()
         };
-        change.set_change_type(match (self.place, self.votes) {
+        change.set_change_type(match (self.addresses, self.votes) {
             (None, _) => ConfChangeType::RemoveNode,
             (Some(_), true) => ConfChangeType::AddNode,
             (Some(_), false) => ConfChangeType::AddLearnerNode,
--- a/registry/src/replica/engine_log.rs
+++ b/registry/src/replica/raft_log_lines.rs
@@ -1,9 +1,9 @@
-//! The log lines of the raft engine.
+//! Passes the log lines of the raft engine on to `tracing`.
 
-/// The engine's lines go where this program's do.
-pub(super) struct EngineLog;
+/// A drain for the engine's logger.
+pub(super) struct RaftLogLines;
 
-impl slog::Drain for EngineLog {
+impl slog::Drain for RaftLogLines {
     type Ok = ();
     type Err = slog::Never;
 
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -1,120 +1,155 @@
-//! How a replica stands, for operators.
+//! Reports for operators, as JSON. Times are ms from now.
 
 use super::Replica;
-use crate::store::Store;
-use quota_ledger::calendar::SKEW_MS;
+use super::leadership::Leadership;
+use quota_ledger::calendar::{Clocks, SKEW_MS};
+use quota_ledger::freeze::On;
 use raft::Storage;
 use serde_json::{Value, json};
-use versioned_config::Micros;
+use versioned_config::{Leases, Micros, Versions};
 
-/// Windows that begin within so long are told ahead, ms: a sender that hears nothing more goes by them.
-const SOON_MS: u64 = 7 * 24 * 3600 * 1000;
+/// Windows that begin within this time are reported ahead, ms: a sender that hears nothing more goes by them.
+const UPCOMING_MS: u64 = 7 * 24 * 3600 * 1000;
 
 impl Replica {
-    /// All that operators may want to know, as JSON; times are ms from now.
+    /// The status report.
     pub fn report(&self, now: Micros) -> Value {
         let raft = &self.raw.raft;
-        let store: &Store = self.raw.store();
-        let (log_bytes, snapshot_index, snapshot_bytes) = store.sizes();
-        let voters = store.voters();
+        let store = self.raw.store();
+        let sizes = store.sizes();
+        let membership = store.membership();
         json!({
-            "id": self.id, "role": if self.leads() { "leader" } else { "follower" },
+            "id": self.id, "role": if self.is_leader() { "leader" } else { "follower" },
             "leader": self.leader(), "term": raft.term, "applied": self.applied,
             "committed": raft.raft_log.committed, "last": store.last_index().unwrap_or_default(),
-            "log_bytes": log_bytes, "snapshot_index": snapshot_index, "snapshot_bytes": snapshot_bytes,
-            "voters": voters.voters, "learners": voters.learners,
-            "rev": self.state.rev, "targets": self.state.targets.len(),
-            "proposals": self.proposals.len(), "questions": self.asked.len(),
-            "rules": self.rules_report(now), "kept_endpoints": self.kept(),
+            "log_bytes": sizes.log_bytes, "snapshot_index": sizes.snapshot_index,
+            "snapshot_bytes": sizes.snapshot_bytes,
+            "voters": membership.voters, "learners": membership.learners,
+            "rev": self.state.rev, "targets": self.state.endpoints.len(),
+            "proposals": self.proposals.len(), "questions": self.unconfirmed.len(),
+            "rules": self.rules_report(now), "kept_endpoints": self.retained_endpoints(),
             "ledger": self.ledger_report(now), "freeze": self.freeze_report(now),
         })
     }
 
-    /// The ledger: its ranges, and what of those that this replica keeps is out; null where there is none.
+    /// The quota ledger: its ranges, and what this replica has allocated; null where there is no ledger.
     pub fn ledger_report(&self, now: Micros) -> Value {
-        let Some(book) = &self.state.ledger else {
+        let Some(ledger) = &self.state.ledger else {
             return Value::Null;
         };
-        let mut report = self.keeping.report(now, book);
-        report["rev"] = book.rev().into();
-        report["lease_ms"] = (book.terms().lease / 1000).into();
-        report["drift_ms"] = (book.terms().drift / 1000).into();
-        let ranges = book.shards().iter();
-        let ranges = ranges
-            .map(|(first, shard)| json!({ "first": first, "keeper": shard.keeper, "epoch": shard.epoch }));
-        report["ranges"] = ranges.collect();
+        let ranges: Vec<Value> = ledger
+            .shards()
+            .iter()
+            .map(|(first, shard)| json!({ "first": first, "keeper": shard.keeper, "epoch": shard.epoch }))
+            .collect();
+        let mut report = self.allocations.report(now, ledger);
+        report["rev"] = ledger.rev().into();
+        report["lease_ms"] = (ledger.terms().lease / 1000).into();
+        report["drift_ms"] = (ledger.terms().drift / 1000).into();
+        report["ranges"] = ranges.into();
         report
     }
 
-    /// The freeze: the windows that are on or come soon, with the times until then, and how the clocks stand.
+    /// The freeze: the windows that are on or come soon, and how the clocks stand; null before the wall clock is set.
     pub fn freeze_report(&self, now: Micros) -> Value {
         let freeze = &self.state.freeze;
         let Some(clocks) = self.clocks(now) else {
             return Value::Null;
         };
-        let on = freeze.on().iter().map(|(name, on)| {
-            let left = (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest());
-            json!({ "window": name, "ends_in_ms": left, "on": on })
-        });
-        let soon = freeze.soon(clocks, SOON_MS);
-        let soon = soon.into_iter().map(|(name, begins_in_ms, on)| {
-            json!({ "window": name, "begins_in_ms": begins_in_ms,
-                "ends_in_ms": (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest()), "on": on })
-        });
+        let active: Vec<Value> = freeze
+            .on()
+            .iter()
+            .map(|(name, on)| json!({ "window": name, "ends_in_ms": ends_in_ms(on, clocks), "on": on }))
+            .collect();
+        let upcoming: Vec<Value> = freeze
+            .soon(clocks, UPCOMING_MS)
+            .into_iter()
+            .map(|(name, begins_in_ms, on)| {
+                json!({
+                    "window": name, "begins_in_ms": begins_in_ms, "ends_in_ms": ends_in_ms(&on, clocks),
+                    "on": on
+                })
+            })
+            .collect();
+        let glass_ends_in_ms = freeze
+            .glass()
+            .map_or(0, |glass| glass.until_ms.saturating_sub(clocks.latest()));
         json!({
-            "rev": freeze.rev(), "settled": freeze.before().is_none(),
-            "on": on.collect::<Vec<_>>(), "soon": soon.collect::<Vec<_>>(), "glass": freeze.glass(),
-            "glass_ends_in_ms": freeze.glass().map_or(0, |glass| glass.until_ms.saturating_sub(clocks.latest())),
+            "rev": freeze.rev(), "settled": freeze.before().is_none(), "on": active, "soon": upcoming,
+            "glass": freeze.glass(), "glass_ends_in_ms": glass_ends_in_ms,
             "wall_ms": clocks.wall_ms, "log_ms": clocks.log_ms, "clocks_differ": clocks.differ(),
         })
     }
 
-    fn kept(&self) -> Vec<&String> {
-        self.leading
-            .iter()
-            .flat_map(|leading| leading.heartbeats.kept())
-            .collect()
-    }
-
-    /// The rules' version and step, and who is waited for.
+    /// The rules' version and step, and on the leader the leases and who is waited for; null where there are no rules.
     pub fn rules_report(&self, now: Micros) -> Value {
         let Some(versions) = &self.state.versions else {
             return Value::Null;
         };
-        let (tag, terms) = (versions.tag(), self.state.terms);
+        let tag = versions.tag();
+        let terms = self.state.terms;
         let mut report = json!({
             "version": tag.version, "whole": tag.whole,
             "lease_ms": terms.map(|terms| terms.lease / 1000),
             "drift_ms": terms.map(|terms| terms.drift / 1000),
-            "kept": self.state.kept.keys().collect::<Vec<_>>(),
-        });
-        let Some((leading, leases)) = self
-            .leading
-            .as_ref()
-            .and_then(|leading| Some((leading, leading.leases.as_ref()?)))
-        else {
-            return report;
-        };
-        let left = |until: Micros| until.saturating_sub(now) / 1000;
-        let name = |number: u64| leading.known.get(&number).map(|known| known.name.as_str());
-        let waits = leases.waits_for(now, tag);
-        report["settled"] = leases.is_settled(now, versions).into();
-        report["waits_ms"] = waits.map(|wait| left(wait.until)).into();
-        report["waits_for_leases_of_before"] =
-            waits.is_some_and(|wait| wait.sender.is_none()).into();
-        let behind = leases.behind(now, tag).map(
-            |wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left(wait.until) }),
-        );
-        report["not_acknowledged"] = behind.collect();
-        let held = leases.held().filter_map(|(number, acts_on, until)| {
-            let known = leading.known.get(&number)?;
-            Some(json!({
-                "sender": known.name, "life": known.life, "acts_on": acts_on, "rev": known.rev,
-                "left_ms": left(until)
-            }))
+            "kept": self.state.stored_rules.keys().collect::<Vec<_>>(),
         });
-        report["leases"] = held.collect();
-        report["lapsed"] = leading.lapsed.into();
+        if let Some(leadership) = &self.leadership
+            && let Some(leases) = &leadership.leases
+        {
+            add_leases(&mut report, now, versions, leadership, leases);
+        }
         report
     }
+
+    fn retained_endpoints(&self) -> Vec<&String> {
+        self.leadership
+            .iter()
+            .flat_map(|leadership| leadership.heartbeats.retained())
+            .collect()
+    }
+}
+
+fn ends_in_ms(on: &On, clocks: Clocks) -> u64 {
+    (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest())
+}
+
+/// Adds what the leader alone knows: whether the rules are settled, who is waited for, the leases.
+fn add_leases(
+    report: &mut Value,
+    now: Micros,
+    versions: &Versions,
+    leadership: &Leadership,
+    leases: &Leases,
+) {
+    let tag = versions.tag();
+    let left_ms = |until: Micros| until.saturating_sub(now) / 1000;
+    let name = |number: u64| {
+        leadership
+            .holders
+            .get(&number)
+            .map(|holder| holder.id.name.as_str())
+    };
+    let waits_for = leases.waits_for(now, tag);
+    let behind: Vec<Value> = leases
+        .behind(now, tag)
+        .map(|wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left_ms(wait.until) }))
+        .collect();
+    let held: Vec<Value> = leases
+        .held()
+        .filter_map(|(number, acts_on, until)| {
+            let holder = leadership.holders.get(&number)?;
+            Some(json!({
+                "sender": holder.id.name, "life": holder.id.incarnation, "acts_on": acts_on,
+                "rev": holder.rev, "left_ms": left_ms(until)
+            }))
+        })
+        .collect();
+    report["settled"] = leases.is_settled(now, versions).into();
+    report["waits_ms"] = waits_for.map(|wait| left_ms(wait.until)).into();
+    report["waits_for_leases_of_before"] =
+        waits_for.is_some_and(|wait| wait.sender.is_none()).into();
+    report["not_acknowledged"] = behind.into();
+    report["leases"] = held.into();
+    report["lapsed"] = leadership.lapsed.into();
 }
--- a/registry/src/replica/role.rs
+++ b/registry/src/replica/role.rs
@@ -1,69 +1,62 @@
-//! Beginning and ending to lead, and what the leader does by itself.
+//! Gaining and losing leadership, and the steps that the leader takes by itself.
 
 use super::Replica;
-use super::leading::Leading;
-use super::messages::{Answer, Output};
+use super::interface::{Answer, Output, ReplicaEvent};
+use super::leadership::Leadership;
 use crate::state::Command;
 use quota_ledger::freeze::FreezeEntry;
 use versioned_config::Micros;
 
 impl Replica {
-    /// Begins or ends to lead. What was proposed and is not committed yet may be, by the next leader.
-    pub(super) fn notice_role(&mut self, now: Micros, output: &mut Output) {
+    /// Notices that this replica has become leader, or is one no more. What was proposed and is not committed yet may be, by
+    /// the next leader.
+    pub(super) fn update_role(&mut self, now: Micros, output: &mut Output) {
         self.note_leader(output);
         let term = self.raw.raft.term;
-        let led = self.leading.as_ref().map(|leading| leading.term);
-        if led.is_some() && (!self.leads() || led != Some(term)) {
-            self.stop_leading(output);
+        let led_term = self.leadership.as_ref().map(|leadership| leadership.term);
+        if led_term.is_some() && (!self.is_leader() || led_term != Some(term)) {
+            self.end_leadership(output);
         }
-        if self.leads() && self.leading.is_none() {
-            self.leading = Some(Leading::new(term, self.state.terms, now));
+        if self.is_leader() && self.leadership.is_none() {
+            self.leadership = Some(Leadership::new(term, self.state.terms, now));
         }
     }
 
-    /// Logs that another leads, or nobody.
     fn note_leader(&mut self, output: &mut Output) {
-        let (leader, term) = (self.raw.raft.leader_id, self.raw.raft.term);
-        if leader == self.leader {
-            return;
+        let leader = self.leader();
+        if leader != self.noted_leader {
+            self.noted_leader = leader;
+            let term = self.raw.raft.term;
+            output
+                .events
+                .push(ReplicaEvent::LeaderChanged { leader, term });
         }
-        self.leader = leader;
-        output.notes.push(match leader {
-            raft::INVALID_ID => format!("no leader is known, term {term}"),
-            leader => format!("replica {leader} leads in term {term}"),
-        });
     }
 
-    fn stop_leading(&mut self, output: &mut Output) {
-        self.leading = None;
-        let unsure = std::mem::take(&mut self.proposals).into_values();
+    fn end_leadership(&mut self, output: &mut Output) {
+        self.leadership = None;
+        let proposed = std::mem::take(&mut self.proposals).into_values();
         output
             .answers
-            .extend(unsure.map(|ticket| (ticket, Answer::Unsure)));
-        let next = self.leader().filter(|leader| *leader != self.id);
-        for batch in &mut self.asked {
-            let asks = batch
-                .asks
-                .drain(..)
-                .map(|(ticket, _)| (ticket, Answer::NotLeader(next)));
-            output.answers.extend(asks);
+            .extend(proposed.map(|id| (id, Answer::OutcomeUnknown)));
+        let leader = self.leader().filter(|leader| *leader != self.id);
+        for batch in &mut self.unconfirmed {
+            output.answers.extend(
+                batch
+                    .take_lease_ids()
+                    .map(|id| (id, Answer::NotLeader(leader))),
+            );
         }
-        self.asked.retain(|batch| !batch.is_empty());
+        self.unconfirmed.retain(|batch| !batch.is_empty());
     }
 
-    /// What the leader does by itself: begins the rules, goes on to a next step, drops what has run out, lets a replica
-    /// vote that has the log.
-    pub(super) fn look_for_steps(&mut self, now: Micros, output: &mut Output) {
-        let voters = self.raw.store().voters().voters.clone();
-        let prs = self.raw.raft.prs();
-        let active = |id: &u64| {
-            *id == self.id || prs.get(*id).is_some_and(|progress| progress.recent_active)
-        };
-        let active: Vec<u64> = voters.iter().copied().filter(active).collect();
-        let Some(leading) = &mut self.leading else {
-            return;
-        };
-        leading.hear_of(now, &voters, &active);
+    /// The steps that the leader takes by itself: it begins the rules and the ledger, advances changes, removes expired
+    /// endpoints, and makes a voter of a learner that has the log.
+    pub(super) fn take_leader_steps(&mut self, now: Micros, output: &mut Output) {
+        if self.leadership.is_none() {
+            return; // it has just become leader
+        }
+        self.note_active_voters(now);
         self.take_freeze_steps(now, output);
         self.take_steps(now, output);
         if !self.raw.raft.has_pending_conf()
@@ -73,36 +66,53 @@
         }
     }
 
+    fn note_active_voters(&mut self, now: Micros) {
+        let voters = &self.raw.store().membership().voters;
+        let progress = self.raw.raft.prs();
+        let is_active = |id: &u64| {
+            *id == self.id
+                || progress
+                    .get(*id)
+                    .is_some_and(|progress| progress.recent_active)
+        };
+        let active: Vec<u64> = voters.iter().copied().filter(is_active).collect();
+        if let Some(leadership) = &mut self.leadership {
+            leadership.note_voters(now, voters, &active);
+        }
+    }
+
     fn take_freeze_steps(&mut self, now: Micros, output: &mut Output) {
-        let (Some(clocks), Some(leading)) = (self.clocks(now), &mut self.leading) else {
+        let Some(clocks) = self.clocks(now) else {
+            return;
+        };
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        for entry in leading.freeze_steps(now, &self.state.freeze, clocks) {
+        for entry in leadership.freeze_steps(now, &self.state.freeze, clocks) {
             if !matches!(entry, FreezeEntry::Clock(_)) {
-                output.notes.push(format!("freeze: {entry:?}"));
+                output.events.push(ReplicaEvent::FreezeStep(entry.clone()));
             }
-            // one that can't be appended now is due again
+            // a step that can't be appended now is due again
             self.append(&Command::Freeze(entry));
         }
     }
 
     fn take_steps(&mut self, now: Micros, output: &mut Output) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let (steps, kept) = leading.steps(now, &self.state, &self.begin);
-        if kept > 0 {
-            let why = "heartbeats of many are missing at once: the fault is likelier here";
-            output.notes.push(format!(
-                "{kept} endpoints are kept though they have run out: {why}"
-            ));
+        let steps = leadership.steps(now, &self.state, &self.initial_commands);
+        if steps.newly_retained > 0 {
+            output.events.push(ReplicaEvent::EndpointsRetained {
+                count: steps.newly_retained,
+            });
         }
-        for command in steps {
-            // one that can't be appended now comes up again
+        for command in steps.commands {
+            // a step that can't be appended now comes up again
             if self.append(&command).is_none()
-                && let Some(leading) = &mut self.leading
+                && let Some(leadership) = &mut self.leadership
             {
-                leading.not_appended(&command);
+                leadership.not_appended(&command);
             }
         }
     }
--- a/registry/src/exchange.rs
+++ b/registry/src/round_trip.rs
@@ -1,4 +1,4 @@
-//! One request on a connection of its own.
+//! One HTTP request on a connection of its own.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -9,26 +9,26 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why there is no whole answer.
+/// Why there is no complete response.
 #[derive(Debug, Error)]
-pub enum ExchangeError {
-    /// No connection.
+pub enum RoundTripError {
+    /// No connection came up.
     #[error("no connection: {0}")]
-    Io(#[from] std::io::Error),
+    Connect(#[from] std::io::Error),
     /// The connection broke, or what came is no HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
 }
 
-/// Asks a replica; the answer, read whole. How long that may take is for the caller to say.
+/// Sends a request to a replica and reads the whole response. The caller bounds the time.
 ///
 /// # Errors
-/// It is not there, or the connection broke.
-pub async fn exchange(
-    place: SocketAddr,
+/// There is no connection, or it broke.
+pub async fn round_trip(
+    address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<Response<Bytes>, ExchangeError> {
-    let stream = TcpStream::connect(place).await?;
+) -> Result<Response<Bytes>, RoundTripError> {
+    let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
     let (head, body) = sender.send_request(request).await?.into_parts();
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -1,93 +1,74 @@
-//! What clients ask of the freeze: the calendar, the windows that are on, the glass.
+//! The freeze calendar, the windows that are on, and the break-glass override.
 
-use super::ledger::explained;
-use super::{Asked, Body, No, Server, elsewhere, json, routes::read, routes::wanted};
-use crate::core::Asked as Question;
-use crate::replica::Answer;
+use super::Server;
+use super::api::{ApiError, ApiRequest, ApiResult, json, propose};
+use super::forwarding::Read;
+use crate::replica::{Answer, Replica};
 use crate::state::Command;
-use hyper::{Method, Response, StatusCode};
-use quota_ledger::freeze::{Calendar, FreezeEntry, FreezeError, Glass};
-use serde_json::json as value;
-use std::sync::Arc;
+use hyper::Method;
+use quota_ledger::freeze::{Calendar, FreezeEntry, Glass};
+use serde_json::{Value, json as value};
+use versioned_config::Micros;
 
-/// The answer to what a freeze holds or does not take.
-pub(super) fn no(error: &FreezeError) -> No {
-    let status = match error {
-        FreezeError::Window { .. } | FreezeError::Many | FreezeError::Glass(_) => {
-            StatusCode::BAD_REQUEST
-        }
-        FreezeError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        FreezeError::Whole => StatusCode::NOT_FOUND,
-        FreezeError::Held { .. }
-        | FreezeError::Mixed(_)
-        | FreezeError::Last { .. }
-        | FreezeError::UnderWay(_) => StatusCode::CONFLICT,
-    };
-    No::new(status, explained(error))
-}
-
-pub(super) async fn answer(
-    asked: &Asked,
-    server: &Arc<Server>,
-    rest: &[&str],
-) -> Result<Response<Body>, No> {
-    let entry = match (rest, &asked.method) {
-        ([], &Method::GET) => return show(asked, server).await,
-        ([], &Method::PUT) => {
-            let calendar: Calendar = read(asked)?;
-            calendar.check().map_err(|error| no(&error))?;
-            FreezeEntry::Put {
-                calendar,
-                if_match: wanted(asked)?,
-            }
-        }
-        (["glass"], &Method::POST) => {
-            let glass: Glass = read(asked)?;
-            let clocks = server.core.look(|replica, now| replica.clocks(now)).await?;
-            let now_ms = clocks
-                .ok_or_else(|| No::busy("the clock is not known yet"))?
-                .earliest();
-            FreezeEntry::Break { glass, now_ms }
-        }
+/// The paths below `/v1/freeze`.
+pub(super) async fn handle(request: &ApiRequest, server: &Server, path: &[&str]) -> ApiResult {
+    let entry = match (path, &request.method) {
+        ([], &Method::GET) => return report(request, server).await,
+        ([], &Method::PUT) => put_calendar(request)?,
+        (["glass"], &Method::POST) => break_glass(request, server).await?,
         (["glass"], &Method::DELETE) => FreezeEntry::Mend,
-        ([] | ["glass"], method) => {
-            return Err(No::new(
-                StatusCode::METHOD_NOT_ALLOWED,
-                format!("{method} means nothing here"),
-            ));
-        }
-        _ => return Err(No::new(StatusCode::NOT_FOUND, "no such path")),
+        ([] | ["glass"], _) => return Err(request.method_not_allowed()),
+        _ => return Err(ApiError::NoSuchPath),
     };
     match server
-        .core
-        .ask(Question::Change(Command::Freeze(entry)))
+        .replica
+        .request(propose(Command::Freeze(entry)))
         .await?
     {
         Answer::Applied(_) => {
             let rev = server
-                .core
-                .look(|replica, _| replica.state().freeze.rev())
+                .replica
+                .inspect(|replica, _| replica.state().freeze.rev())
                 .await?;
             Ok(json(&value!({ "rev": rev })))
         }
-        other => server.otherwise(asked, other).await,
+        answer => server.respond_to(request, answer).await,
     }
 }
 
-async fn show(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    if let Some(response) = elsewhere(asked, server).await? {
-        return Ok(response);
+fn put_calendar(request: &ApiRequest) -> Result<FreezeEntry, ApiError> {
+    let calendar: Calendar = request.json()?;
+    calendar.check().map_err(ApiError::Freeze)?;
+    Ok(FreezeEntry::Put {
+        calendar,
+        if_match: request.expected_version()?,
+    })
+}
+
+async fn break_glass(request: &ApiRequest, server: &Server) -> Result<FreezeEntry, ApiError> {
+    let glass: Glass = request.json()?;
+    let clocks = server
+        .replica
+        .inspect(|replica, now| replica.clocks(now))
+        .await?;
+    let now_ms = clocks.ok_or(ApiError::ClockUnknown)?.earliest();
+    Ok(FreezeEntry::Break { glass, now_ms })
+}
+
+async fn report(request: &ApiRequest, server: &Server) -> ApiResult {
+    match server.read(request, full_report).await? {
+        Read::Here(Value::Null) => Err(ApiError::ClockUnknown),
+        Read::Here(report) => Ok(json(&report)),
+        Read::Forwarded(response) => Ok(response),
     }
-    let report = server.core.look(|replica, now| {
-        let mut report = replica.freeze_report(now);
-        if let (Some(clocks), freeze) = (replica.clocks(now), &replica.state().freeze) {
-            report["calendar"] = serde_json::to_value(freeze.calendar()).unwrap_or_default();
-            report["ended"] = value!(freeze.calendar().ended(clocks.earliest()));
-        }
-        report
-    });
-    match report.await? {
-        serde_json::Value::Null => Err(No::busy("the clock is not known yet")),
-        report => Ok(json(&report)),
+}
+
+fn full_report(replica: &mut Replica, now: Micros) -> Value {
+    let mut report = replica.freeze_report(now);
+    if let Some(clocks) = replica.clocks(now) {
+        let calendar = replica.state().freeze.calendar();
+        report["calendar"] = serde_json::to_value(calendar).unwrap_or_default();
+        report["ended"] = value!(calendar.ended(clocks.earliest()));
     }
+    report
 }
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -1,341 +1,83 @@
-//! What clients ask of the ledger: parts, limits.
+//! The quota ledger: limits, and queries over them.
 
-use super::{Asked, Body, HOP, No, Server, elsewhere, json, routes::read, routes::wanted, text};
-use crate::core::Asked as Question;
-use crate::exchange::exchange;
-use crate::replica::{Answer, PartsAnswer, PartsQuestion};
+use super::Server;
+use super::api::{ApiError, ApiRequest, ApiResult, json, propose};
+use super::forwarding::Read;
+use crate::replica::{Answer, Replica};
 use crate::state::Command;
-use bytes::Bytes;
-use http_body_util::Full;
-use hyper::header::{CONTENT_TYPE, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
-use miette::Diagnostic;
-use quota_ledger::compact;
-use quota_ledger::splits::{Plant, Query, SplitError};
-use quota_ledger::{BadKey, BookError, Entry, Key, Limit, LimitError};
-use serde::Deserialize;
-use serde_json::json as value;
-use std::sync::Arc;
-use std::time::Duration;
-use tokio::task::JoinSet;
-use tokio::time::timeout;
+use hyper::Method;
+use quota_ledger::splits::Query;
+use quota_ledger::{BookError, Entry, Key, Limit};
+use serde_json::{Value, json as value};
+use std::collections::BTreeMap;
+use versioned_config::Micros;
 
-/// Longest time in which the keeper of another range answers. What it deals counts from when the sender asked.
-const KEEPER: Duration = Duration::from_millis(400);
-
-/// What is wrong, its code, and what an operator can do, on one line.
-pub(super) fn explained(error: &dyn Diagnostic) -> String {
-    let code = error
-        .code()
-        .map(|code| format!(" [{code}]"))
-        .unwrap_or_default();
-    let help = error
-        .help()
-        .map(|help| format!("; {help}"))
-        .unwrap_or_default();
-    format!("{error}{code}{help}")
-}
-
-/// The answer to what the ledger does not take.
-pub(super) fn no(error: &BookError) -> No {
-    let status = match error {
-        BookError::None | BookError::Limit(LimitError::Unknown(_)) => StatusCode::NOT_FOUND,
-        BookError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        BookError::Limit(LimitError::Senseless(_) | LimitError::Unnamed(_)) | BookError::Ranges => {
-            StatusCode::BAD_REQUEST
-        }
-        BookError::Split(SplitError::Range(_) | SplitError::None) => StatusCode::NOT_FOUND,
-        BookError::Split(SplitError::Place { .. }) => StatusCode::BAD_REQUEST,
-        BookError::Begun | BookError::Limit(_) | BookError::Split(_) => StatusCode::CONFLICT,
-    };
-    No::new(status, explained(error))
-}
-
-/// Parts of limits: those that this replica keeps, and by one hop those that others keep. What a keeper does not answer
-/// in time is left out, and the sender goes on with what it has.
-pub(super) async fn parts(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    let compact = asked
-        .content_type
-        .as_ref()
-        .is_some_and(|media| media == compact::MEDIA_TYPE);
-    let question = if compact {
-        read_compact(asked)?
-    } else {
-        read(asked)?
-    };
-    let mut whole = match server.core.ask(Question::Parts(question.clone())).await? {
-        Answer::Parts(answer) => *answer,
-        // any replica deals what it keeps: no other is asked in this one's place
-        Answer::NotLeader(_) => return Err(No::busy("no majority is heard of")),
-        other => return server.otherwise(asked, other).await,
-    };
-    let elsewhere = std::mem::take(&mut whole.elsewhere);
-    let mut others = JoinSet::new();
-    for (keeper, wants) in elsewhere.into_iter().filter(|_| !asked.hop) {
-        let place = server.core.seen.borrow().places.get(&keeper).copied();
-        if let Some(place) = place {
-            let question = PartsQuestion {
-                wants,
-                ..question.clone()
-            };
-            others.spawn(async move {
-                timeout(KEEPER, of_keeper(place.clients, question))
-                    .await
-                    .ok()?
-            });
-        }
-    }
-    while let Some(answer) = others.join_next().await {
-        if let Ok(Some(answer)) = answer {
-            whole.dealt.extend(answer.dealt);
-            whole.verdicts.extend(answer.verdicts);
-        }
-    }
-    if compact {
-        return Ok(written_compact(whole));
-    }
-    Ok(json(&serde_json::to_value(whole).map_err(No::busy)?))
-}
-
-/// A question in the compact form. An older replica takes it for broken JSON and refuses it in the same way, and the sender
-/// asks in JSON then.
-fn read_compact(asked: &Asked) -> Result<PartsQuestion, No> {
-    let question =
-        compact::Question::read(&asked.body).map_err(|error| No::bad(explained(&error)))?;
-    let compact::Question {
-        sender,
-        life,
-        number,
-        floors,
-        zone,
-        wants,
-        reports,
-    } = question;
-    Ok(PartsQuestion {
-        sender,
-        life,
-        number,
-        floors,
-        wants,
-        zone,
-        words: reports,
-    })
-}
-
-fn written_compact(answer: PartsAnswer) -> Response<Body> {
-    let PartsAnswer {
-        lease,
-        rev,
-        dealt,
-        verdicts,
-        ..
-    } = answer;
-    let bytes = compact::Answer {
-        lease,
-        rev,
-        quotas: dealt,
-        verdicts,
-    }
-    .write();
-    let mut response = text(StatusCode::OK, bytes);
-    response
-        .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(compact::MEDIA_TYPE));
-    response
-}
-
-async fn of_keeper(place: std::net::SocketAddr, question: PartsQuestion) -> Option<PartsAnswer> {
-    let body = Full::new(Bytes::from(serde_json::to_vec(&question).ok()?));
-    let request = Request::post("/v1/parts")
-        .header("host", place.to_string())
-        .header(HOP, "1")
-        .body(body)
-        .ok()?;
-    let response = exchange(place, request).await.ok()?;
-    let good = response.status() == StatusCode::OK;
-    good.then(|| serde_json::from_slice(response.body()).ok())?
-}
-
-/// All limits, or one of them set or removed.
-pub(super) async fn limits(
-    asked: &Asked,
-    server: &Arc<Server>,
-    key: &[&str],
-) -> Result<Response<Body>, No> {
-    if asked.method == Method::GET && key.is_empty() {
-        return list(asked, server).await;
+/// `GET /v1/limits`: all limits; `PUT` and `DELETE /v1/limits/KEY`: one of them is set or removed.
+pub(super) async fn limits(request: &ApiRequest, server: &Server, key: &[&str]) -> ApiResult {
+    if request.method == Method::GET && key.is_empty() {
+        return report(request, server).await;
     }
-    let key: Key = key
-        .join("/")
-        .parse()
-        .map_err(|error: BadKey| No::bad(explained(&error)))?;
-    let limit: Option<Limit> = match asked.method {
-        Method::PUT => Some(read(asked)?),
+    let key: Key = key.join("/").parse()?;
+    let limit: Option<Limit> = match request.method {
+        Method::PUT => Some(request.json()?),
         Method::DELETE => None,
-        _ => {
-            return Err(No::new(
-                StatusCode::METHOD_NOT_ALLOWED,
-                format!("{} means nothing here", asked.method),
-            ));
-        }
+        _ => return Err(request.method_not_allowed()),
     };
     let entry = Entry::Limit {
         key,
         limit,
-        if_match: wanted(asked)?,
+        if_match: request.expected_version()?,
     };
     match server
-        .core
-        .ask(Question::Change(Command::Ledger(entry)))
+        .replica
+        .request(propose(Command::Ledger(entry)))
         .await?
     {
         Answer::Applied(_) => {
-            let rev = server
-                .core
-                .look(|replica, _| replica.state().ledger.as_ref().map(|book| book.rev()))
-                .await?;
-            Ok(json(&value!({ "rev": rev })))
-        }
-        other => server.otherwise(asked, other).await,
-    }
-}
-
-/// Where a range is to be split.
-#[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Wish {
-    first: u64,
-    at: u64,
-    #[serde(default)]
-    rehearse: Option<Plant>,
-}
-
-/// The splits under way and ended; another begun, or the one under way undone.
-pub(super) async fn splits(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    let entry = match asked.method {
-        Method::GET => {
-            let report = |replica: &mut crate::replica::Replica| {
-                let book = replica.state().ledger.as_ref()?;
-                let explained = |why: &SplitError| explained(why);
-                let ended = book.ended().iter().map(|ended| {
-                    let mut row = serde_json::to_value(ended).unwrap_or_default();
-                    row["undone"] = ended.undone.as_ref().map(explained).into();
-                    row
-                });
-                let under_way = book.split().map(|split| {
-                    value!({ "first": split.first, "at": split.at, "rehearse": split.plant,
-                        "copied": split.copied_all, "compared": split.compared_all, "queries": split.queries,
-                        "not_compared": split.not_compared, "flagged": split.flagged, "flags": split.flags })
-                });
-                Some(value!({ "under_way": under_way, "ended": ended.collect::<Vec<_>>() }))
+            let rev = |replica: &mut Replica, _| {
+                replica.state().ledger.as_ref().map(|ledger| ledger.rev())
             };
-            if let Some(response) = elsewhere(asked, server).await? {
-                return Ok(response);
-            }
-            let report = server.core.look(move |replica, _| report(replica)).await?;
-            return report
-                .map(|report| json(&report))
-                .ok_or_else(|| no(&BookError::None));
-        }
-        Method::POST => {
-            let Wish {
-                first,
-                at,
-                rehearse,
-            } = read(asked)?;
-            Entry::Split {
-                first,
-                at,
-                plant: rehearse,
-            }
+            Ok(json(&value!({ "rev": server.replica.inspect(rev).await? })))
         }
-        Method::DELETE => Entry::Undo(SplitError::Undone),
-        _ => {
-            return Err(No::new(
-                StatusCode::METHOD_NOT_ALLOWED,
-                format!("{} means nothing here", asked.method),
-            ));
-        }
-    };
-    let answer = server
-        .core
-        .ask(Question::Change(Command::Ledger(entry)))
-        .await?;
-    server.otherwise(asked, answer).await
+        answer => server.respond_to(request, answer).await,
+    }
 }
 
-/// Answers a query over all ranges; while one is split, both sides are read at the same point of the log.
-pub(super) async fn query(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    let query: Query = read(asked)?;
-    // what dual reads find goes to the log, which the leader writes
-    if !server.core.look(|replica, _| replica.leads()).await? {
-        let leader = server.core.seen.borrow().leader;
-        return server.otherwise(asked, Answer::NotLeader(leader)).await;
+async fn report(request: &ApiRequest, server: &Server) -> ApiResult {
+    match server.read(request, full_report).await? {
+        Read::Here(Value::Null) => Err(ApiError::Ledger(BookError::None)),
+        Read::Here(report) => Ok(json(&report)),
+        Read::Forwarded(response) => Ok(response),
     }
-    if let Some(response) = elsewhere(asked, server).await? {
-        return Ok(response);
-    }
-    let rows = server
-        .core
-        .look(move |replica, now| replica.query(now, &query))
-        .await?;
-    rows.map(|rows| json(&value!({ "rows": rows })))
-        .ok_or_else(|| no(&BookError::None))
 }
 
-async fn list(asked: &Asked, server: &Arc<Server>) -> Result<Response<Body>, No> {
-    if let Some(response) = elsewhere(asked, server).await? {
-        return Ok(response);
-    }
-    let report = server.core.look(|replica, now| {
-        let mut report = replica.ledger_report(now);
-        if let Some(book) = &replica.state().ledger {
-            let limits: std::collections::BTreeMap<_, _> = book.limits().collect();
-            report["limits"] = serde_json::to_value(limits).unwrap_or_default();
-            report["floors"] = serde_json::to_value(book.floors()).unwrap_or_default();
-        }
-        report
-    });
-    match report.await? {
-        serde_json::Value::Null => Err(no(&BookError::None)),
-        report => Ok(json(&report)),
+fn full_report(replica: &mut Replica, now: Micros) -> Value {
+    let mut report = replica.ledger_report(now);
+    if let Some(ledger) = &replica.state().ledger {
+        let limits: BTreeMap<_, _> = ledger.limits().collect();
+        report["limits"] = serde_json::to_value(limits).unwrap_or_default();
+        report["floors"] = serde_json::to_value(ledger.floors()).unwrap_or_default();
     }
+    report
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use quota_ledger::{Want, What};
-
-    #[test]
-    fn each_no_has_a_code_and_tells_what_to_do() {
-        let key = Key::of(7, What::Rate);
-        let floors = LimitError::Floors {
-            key: key.clone(),
-            senders: 3,
-            floor: 5,
-            total: 2,
-        };
-        for (error, status) in [
-            (BookError::None, 404),
-            (BookError::Begun, 409),
-            (BookError::Ranges, 400),
-            (BookError::Version { now: 2, wanted: 1 }, 412),
-            (floors.into(), 409),
-            (LimitError::Unknown(key.clone()).into(), 404),
-            (LimitError::Unnamed(key).into(), 400),
-        ] {
-            let no = no(&error);
-            assert_eq!(no.status, status, "{}", no.what);
-            assert!(
-                no.what.contains(" [ledger::") && no.what.contains("; "),
-                "{}",
-                no.what
-            );
-        }
-        let want = serde_json::from_str::<Want>(r#"{"key":"rate/x","want":1}"#)
-            .expect_err("no key")
-            .to_string();
-        assert!(want.contains("names nothing that can be limited"), "{want}");
+/// `POST /v1/query`: a query over all ranges. While one is split, both sides are read at the same index of the log.
+pub(super) async fn query(request: &ApiRequest, server: &Server) -> ApiResult {
+    let query: Query = request.json()?;
+    // what dual reads find goes to the log, to which the leader writes
+    if !server
+        .replica
+        .inspect(|replica, _| replica.is_leader())
+        .await?
+    {
+        return server.forward_to_current_leader(request).await;
+    }
+    match server
+        .read(request, move |replica, now| replica.query(now, &query))
+        .await?
+    {
+        Read::Here(Some(rows)) => Ok(json(&value!({ "rows": rows }))),
+        Read::Here(None) => Err(ApiError::Ledger(BookError::None)),
+        Read::Forwarded(response) => Ok(response),
     }
 }
--- a/registry/src/server/watch.rs
+++ b/registry/src/server/watch.rs
@@ -1,8 +1,9 @@
-//! Watches: each has a place in the feed and takes what it lacks when it can.
+//! Watches of the endpoint list: each has a version, and takes the changes since when it can.
 
-use super::{Body, No, Server};
-use crate::core::Asked;
-use crate::locks::lock;
+use super::Server;
+use super::api::{ApiError, ApiResult};
+use crate::commands::ClientRequest;
+use crate::lock::lock;
 use crate::replica::Answer;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -17,97 +18,97 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// How often a watch is told that nothing changes.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
-/// Pieces that wait for one watcher.
-const AHEAD: usize = 1;
+/// The interval of empty lines on a watch without changes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Lines that wait for one watcher.
+const LINE_BUFFER: usize = 1;
 
-/// The whole list, if this replica may know it well enough.
+/// The whole list.
 ///
 /// # Errors
-/// No leader is known: it may be behind by any time.
-pub fn whole(server: &Server) -> Result<Bytes, No> {
-    if server.core.seen.borrow().leader.is_none() {
-        return Err(No::busy("no leader is known: the list may be old"));
+/// No leader is known: this replica may be behind by any time.
+pub(super) fn full_list(server: &Server) -> Result<Bytes, ApiError> {
+    if server.replica.view.borrow().leader.is_none() {
+        return Err(ApiError::ListMayBeOld);
     }
-    Ok(lock(&server.core.feed).whole())
+    Ok(lock(&server.replica.broadcaster).full_list())
 }
 
-/// Begins a watch from a version.
+/// Opens a watch from a version. `stalled` is notified when its watcher takes nothing for too long.
 ///
 /// # Errors
-/// No leader is known, all places are taken, or this replica is behind the version and can't learn why.
-pub async fn begin(
-    server: &Arc<Server>,
-    from: u64,
-    cut: Arc<Notify>,
-) -> Result<Response<Body>, No> {
-    let place = server.watchers.clone().try_acquire_owned();
-    let place = place.map_err(|_| No::busy("all places for watches are taken"))?;
-    if server.core.seen.borrow().leader.is_none() {
-        return Err(No::busy("no leader is known: the list may be old"));
+/// No leader is known, too many watches are open, or this replica is behind the version and can't learn why.
+pub(super) async fn open(server: &Arc<Server>, from: u64, stalled: Arc<Notify>) -> ApiResult {
+    let permit = server.watch_permits.clone().try_acquire_owned();
+    let permit = permit.map_err(|_| ApiError::TooManyWatches)?;
+    if server.replica.view.borrow().leader.is_none() {
+        return Err(ApiError::ListMayBeOld);
     }
     // a watcher that has seen more than this replica must not be shown less, unless nobody has more
-    if from > lock(&server.core.feed).rev() && server.core.ask(Asked::Read).await? != Answer::Fresh
-    {
-        return Err(No::busy("this replica is behind that version"));
+    let ahead = from > lock(&server.replica.broadcaster).rev();
+    if ahead && server.replica.request(ClientRequest::Read).await? != Answer::UpToDate {
+        return Err(ApiError::Behind);
     }
-    let (lines, receiver) = mpsc::channel(AHEAD);
+    let (lines, receiver) = mpsc::channel(LINE_BUFFER);
     let server = server.clone();
     tokio::spawn(async move {
-        server.watching.fetch_add(1, Ordering::Relaxed);
-        if watch(&server, from, lines).await.is_err() {
-            server.cut.fetch_add(1, Ordering::Relaxed);
-            tracing::info!(from, "a watcher that takes nothing is cut");
-            cut.notify_one();
+        let metrics = &server.metrics;
+        metrics.open_watches.fetch_add(1, Ordering::Relaxed);
+        if run(&server, from, lines).await.is_err() {
+            metrics.stalled_watches.fetch_add(1, Ordering::Relaxed);
+            tracing::info!(from, "a stalled watcher's connection is closed");
+            stalled.notify_one();
         }
-        server.watching.fetch_sub(1, Ordering::Relaxed);
-        drop(place);
+        metrics.open_watches.fetch_sub(1, Ordering::Relaxed);
+        drop(permit);
     });
-    Ok(Response::new(Lines(receiver).boxed_unsync()))
+    Ok(Response::new(LineStream(receiver).boxed_unsync()))
 }
 
-/// It took nothing for too long.
+/// The watcher took nothing for too long.
 struct Stalled;
 
-async fn watch(server: &Server, mut at: u64, lines: mpsc::Sender<Bytes>) -> Result<(), Stalled> {
-    let mut seen = server.core.seen.clone();
-    let mut ending = server.ending.clone();
-    let mut empty = interval(EMPTY_LINE);
-    empty.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    empty.reset();
+async fn run(server: &Server, from: u64, lines: mpsc::Sender<Bytes>) -> Result<(), Stalled> {
+    let mut known = from;
+    let mut view = server.replica.view.clone();
+    let mut shutdown = server.shutdown.clone();
+    let mut keep_alive = interval(KEEP_ALIVE_INTERVAL);
+    keep_alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    keep_alive.reset();
     loop {
-        if seen.borrow_and_update().leader.is_none() || *ending.borrow() {
-            return Ok(()); // what it would be told may be old: the watch ends
+        if view.borrow_and_update().leader.is_none() || *shutdown.borrow() {
+            return Ok(()); // what would follow may be old: the watch ends
         }
-        let news = lock(&server.core.feed).since(at);
-        let send = match news {
-            Some((rev, news)) => {
+        let update = lock(&server.replica.broadcaster).changes_since(known);
+        let line = match update {
+            Some(update) => {
+                let backlog = update.rev.saturating_sub(known);
                 server
-                    .backlog
-                    .store(rev.saturating_sub(at), Ordering::Relaxed);
-                at = rev;
-                news
+                    .metrics
+                    .watch_backlog
+                    .store(backlog, Ordering::Relaxed);
+                known = update.rev;
+                update.line
             }
             None => tokio::select! {
-                changed = seen.changed() => if changed.is_err() { return Ok(()) } else { continue },
-                _ = ending.changed() => continue,
+                changed = view.changed() => if changed.is_err() { return Ok(()) } else { continue },
+                _ = shutdown.changed() => continue,
                 () = lines.closed() => return Ok(()),
-                _ = empty.tick() => Bytes::from_static(b"\n"),
+                _ = keep_alive.tick() => Bytes::from_static(b"\n"),
             },
         };
-        match timeout(server.stalled, lines.send(send)).await {
-            Ok(Ok(())) => empty.reset(),
+        match timeout(server.stall_timeout, lines.send(line)).await {
+            Ok(Ok(())) => keep_alive.reset(),
             Ok(Err(_)) => return Ok(()),
             Err(_) => return Err(Stalled),
         }
     }
 }
 
-/// What a watch has to send.
-struct Lines(mpsc::Receiver<Bytes>);
+/// The lines of a watch, as a response's body.
+struct LineStream(mpsc::Receiver<Bytes>);
 
-impl hyper::body::Body for Lines {
+impl hyper::body::Body for LineStream {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -1,266 +1,96 @@
-//! What the log's entries change: the list and the rules, each with its version. Every replica that applies the same entries
-//! has the same state; no clock and no chance is in it.
+//! The replicated state machine: the endpoint list and the agreed rules, each with its version, the quota ledger and the
+//! freeze calendar. Replicas that apply the same commands have the same state: it depends on no clock and no random number.
 
-use crate::target::{BadTarget, Standing, Target};
-use crate::topology::{judge_limit, judge_list, judge_rules};
-use quota_ledger::freeze::{Freeze, FreezeEntry, FreezeError, Matter, Widening};
-use quota_ledger::{Book, BookError, Entry};
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use thiserror::Error;
-use versioned_config::{Proposal, Refusal, Rules, Senseless, Tag, Terms, Versions};
-
-/// Endpoints that a list may have, and changes of one write.
-pub const TARGETS_MOST: usize = 10_000;
-/// Versions of the rules that can be compared and gone back to.
-pub const KEPT: usize = 32;
-
-/// Where a replica is found.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Place {
-    /// By the other replicas.
-    pub peers: SocketAddr,
-    /// By clients.
-    pub clients: SocketAddr,
-}
+mod command;
+mod endpoint_list;
 
-/// One change of the list.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Change {
-    /// It is there, just so.
-    Put {
-        /// Its name.
-        uid: String,
-        /// What it is.
-        target: Target,
-    },
-    /// It wants nothing new.
-    Drain {
-        /// Its name.
-        uid: String,
-    },
-    /// It is gone.
-    Remove {
-        /// Its name.
-        uid: String,
-    },
-}
+pub use command::{
+    Applied, BootProblem, Command, CommandError, EndpointChange, ExpiredEndpoint, ListChange,
+    ReplicaAddresses, TooMany,
+};
+pub use endpoint_list::Endpoints;
 
-/// What is proposed to the log.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Command {
-    /// Changes of the list: one version, or not at all.
-    List {
-        /// Only if the list has this version.
-        if_match: Option<u64>,
-        /// In order.
-        changes: Vec<Change>,
-    },
-    /// These have run out, if they are still as they were.
-    Expire(Vec<(String, Target)>),
-    /// The first rules.
-    Begin {
-        /// What a sender without a lease acts on.
-        floor: Rules,
-        /// The first version.
-        rules: Rules,
-        /// How long leases last, from now on.
-        terms: Terms,
-    },
-    /// Other rules.
-    Rules(Proposal),
-    /// The change to this version goes on from the meet.
-    Advance(u64),
-    /// Of the ledger.
-    Ledger(Entry),
-    /// Of the freeze.
-    Freeze(FreezeEntry),
-    /// As a list's changes, also where a window would rather keep a destination's last endpoint.
-    Forced {
-        /// Only if the list has this version.
-        if_match: Option<u64>,
-        /// In order.
-        changes: Vec<Change>,
-    },
-}
-
-/// An endpoint that has changed, as it is now or was last, and whether it is gone.
-pub type Changed = (String, Target, bool);
-
-/// What a command did.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Applied {
-    /// The list's version.
-    pub rev: u64,
-    /// The rules' version and step, where there are rules.
-    pub tag: Option<Tag>,
-    /// Endpoints that have changed or are gone, as they are now or were last.
-    pub changed: Vec<Changed>,
-    /// It was an entry of the ledger or the freeze.
-    pub ledger: bool,
-}
+use crate::topology::{check_limit_change, check_rules_change};
+use quota_ledger::freeze::{Freeze, Matter, Widening};
+use quota_ledger::{Book, Entry};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use versioned_config::{Proposal, Rules, Tag, Terms, Versions};
 
-/// Why a command did nothing.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refused {
-    /// The list has another version.
-    #[error("the list has version {now}, not {wanted}")]
-    Version {
-        /// What it has.
-        now: u64,
-        /// What was wanted.
-        wanted: u64,
-    },
-    /// No endpoint has this name.
-    #[error("{0}: no such endpoint")]
-    Unknown(String),
-    /// It can't become what is wanted.
-    #[error("{uid}: {problem}")]
-    Senseless {
-        /// The endpoint.
-        uid: String,
-        /// Why not.
-        problem: &'static str,
-    },
-    /// An endpoint is none.
-    #[error(transparent)]
-    Target(#[from] BadTarget),
-    /// Rules are none.
-    #[error(transparent)]
-    Rules(#[from] Senseless),
-    /// Too many.
-    #[error("{0}")]
-    Size(&'static str),
-    /// There are no rules yet.
-    #[error("no rules are agreed here")]
-    NoRules,
-    /// The rules have begun already.
-    #[error("rules are agreed here already")]
-    Begun,
-    /// Other rules can't follow.
-    #[error(transparent)]
-    Proposal(#[from] Refusal),
-    /// The ledger does not take it.
-    #[error(transparent)]
-    Ledger(#[from] BookError),
-    /// A freeze holds it, or does not take it.
-    #[error(transparent)]
-    Freeze(#[from] FreezeError),
-}
+/// The most endpoints of a list, and the most changes of one command.
+pub const MAX_ENDPOINTS: usize = 10_000;
+/// Versions of the rules that are stored, to be compared or gone back to.
+pub const STORED_RULES: usize = 32;
 
-/// The state.
+/// The state. The order of the fields is the form of the snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The list's version.
+    /// The endpoint list's version.
     pub rev: u64,
-    /// The list.
-    pub targets: BTreeMap<String, Target>,
-    /// The rules.
+    /// The endpoint list.
+    pub endpoints: Endpoints,
+    /// The agreed rules.
     pub versions: Option<Versions>,
-    /// How long leases last.
+    /// The duration of leases on the rules.
     pub terms: Option<Terms>,
-    /// Versions of before and now, the last [`KEPT`].
-    pub kept: BTreeMap<u64, Rules>,
-    /// Replicas that came after the start.
-    pub replicas: BTreeMap<u64, Place>,
-    /// The ledger. What came with later versions stands last: a replica of one before reads what lies before it.
+    /// The last [`STORED_RULES`] versions of the rules.
+    pub stored_rules: BTreeMap<u64, Rules>,
+    /// The replicas that joined after the first start.
+    pub replicas: BTreeMap<u64, ReplicaAddresses>,
+    /// The quota ledger. Fields of later versions stand last: an older replica reads what precedes them.
     pub ledger: Option<Book>,
-    /// The freeze.
+    /// The freeze calendar.
     pub freeze: Freeze,
 }
 
-/// Zeros that stand for what a version before did not know: no ledger, no calendar.
-const UNKNOWN: [u8; 8] = [0; 8];
+/// Zeros in place of the fields that an older version did not write: no ledger, no calendar.
+const MISSING_FIELDS: [u8; 8] = [0; 8];
 
 impl State {
-    /// Reads a snapshot of this version or one before, whose store vouches for its bytes.
+    /// Decodes a snapshot of this version or an older one. The store has checked its bytes.
     ///
     /// # Errors
-    /// It is neither.
+    /// The bytes are no snapshot.
     pub fn read(bytes: &[u8]) -> Result<Self, postcard::Error> {
         match postcard::from_bytes(bytes) {
             Err(postcard::Error::DeserializeUnexpectedEnd) => {
-                postcard::from_bytes(&[bytes, &UNKNOWN].concat())
+                postcard::from_bytes(&[bytes, &MISSING_FIELDS].concat())
             }
             read => read,
         }
     }
 
-    /// Applies a command: all of it or nothing.
+    /// Applies a command as a whole.
     ///
     /// # Errors
-    /// Says why nothing was done.
-    pub fn apply(&mut self, command: Command) -> Result<Applied, Refused> {
+    /// The command is rejected, and nothing has changed.
+    pub fn apply(&mut self, command: Command) -> Result<Applied, CommandError> {
         let ledger = matches!(command, Command::Ledger(_) | Command::Freeze(_));
-        let changed = match command {
-            Command::List { if_match, changes } => self.change(if_match, &changes, false)?,
-            Command::Forced { if_match, changes } => self.change(if_match, &changes, true)?,
-            Command::Expire(gone) => {
-                let still =
-                    |(uid, target): &(String, Target)| self.targets.get(uid) == Some(target);
-                let changes: Vec<Change> = gone
-                    .into_iter()
-                    .filter(|gone| still(gone))
-                    .map(|(uid, _)| Change::Remove { uid })
-                    .collect();
-                // what has run out is gone, whatever is frozen
-                self.change(None, &changes, true)?
+        let mut changed = Vec::new();
+        match command {
+            Command::ChangeList { if_match, changes } => {
+                changed = self.change_list(if_match, &changes, false)?;
             }
-            Command::Begin {
+            Command::ForceChangeList { if_match, changes } => {
+                changed = self.change_list(if_match, &changes, true)?;
+            }
+            Command::Expire(expired) => changed = self.expire(expired)?,
+            Command::BeginRules {
                 floor,
                 rules,
                 terms,
-            } => {
-                if self.versions.is_some() {
-                    return Err(Refused::Begun);
-                }
-                floor.validate()?;
-                rules.validate()?;
-                let versions = Versions::new(floor, rules)?;
-                self.keep(&versions);
-                (self.versions, self.terms) = (Some(versions), Some(terms));
-                Vec::new()
-            }
-            Command::Rules(proposal) => {
-                proposal.rules.validate()?;
-                judge_rules(self, &proposal.rules)?;
-                let versions = self.versions.as_mut().ok_or(Refused::NoRules)?;
-                versions.propose(proposal)?;
-                let versions = versions.clone();
-                self.keep(&versions);
-                Vec::new()
-            }
-            Command::Advance(version) => {
-                // a step that has been taken already is no fault: two leaders may have proposed it
+            } => self.begin_rules(floor, rules, terms)?,
+            Command::ProposeRules(proposal) => self.propose_rules(proposal)?,
+            Command::AdvanceRules(version) => {
+                // a step that has been taken is no fault: two leaders may have proposed it
                 self.versions
                     .as_mut()
-                    .ok_or(Refused::NoRules)?
+                    .ok_or(CommandError::NoRules)?
                     .advance(version);
-                Vec::new()
-            }
-            Command::Freeze(entry) => {
-                self.freeze.apply(entry)?;
-                Vec::new()
-            }
-            Command::Ledger(entry) => {
-                if let Entry::Limit { key, limit, .. } = &entry {
-                    judge_limit(self, key, *limit)?;
-                }
-                if let Entry::Split { first, .. } = &entry {
-                    let destinations = vec![*first];
-                    let split = Matter {
-                        destinations,
-                        ..Matter::of_all(Widening::Split)
-                    };
-                    self.freeze.judge(&[split], false)?;
-                }
-                Book::apply(&mut self.ledger, entry)?;
-                Vec::new()
             }
-        };
+            Command::Freeze(entry) => self.freeze.apply(entry)?,
+            Command::Ledger(entry) => self.apply_ledger(entry)?,
+        }
         Ok(Applied {
             rev: self.rev,
             tag: self.tag(),
@@ -274,305 +104,70 @@
         self.versions.as_ref().map(Versions::tag)
     }
 
-    fn keep(&mut self, versions: &Versions) {
-        self.kept
-            .insert(versions.tag().version, versions.new_rules().clone());
-        while self.kept.len() > KEPT {
-            self.kept.pop_first();
-        }
-    }
-
-    fn change(
+    fn expire(
         &mut self,
-        if_match: Option<u64>,
-        changes: &[Change],
-        forced: bool,
-    ) -> Result<Vec<Changed>, Refused> {
-        if let Some(wanted) = if_match.filter(|wanted| *wanted != self.rev) {
-            return Err(Refused::Version {
-                now: self.rev,
-                wanted,
-            });
-        }
-        if changes.len() > TARGETS_MOST {
-            return Err(Refused::Size("more than 10000 changes at once"));
-        }
-        let mut targets = self.targets.clone();
-        changes
-            .iter()
-            .try_for_each(|change| change.apply(&mut targets))?;
-        if targets.len() > TARGETS_MOST {
-            return Err(Refused::Size("more than 10000 endpoints"));
-        }
-        judge_list(self, &self.targets, &targets, forced)?;
-        let before = std::mem::replace(&mut self.targets, targets);
-        let now = self
-            .targets
-            .iter()
-            .filter(|(uid, target)| before.get(*uid) != Some(target));
-        let gone = before
-            .iter()
-            .filter(|(uid, _)| !self.targets.contains_key(*uid));
-        let copy = |(uid, target): (&String, &Target), gone| (uid.clone(), target.clone(), gone);
-        let changed: Vec<_> = now
-            .map(|entry| copy(entry, false))
-            .chain(gone.map(|entry| copy(entry, true)))
+        expired: Vec<ExpiredEndpoint>,
+    ) -> Result<Vec<EndpointChange>, CommandError> {
+        let changes: Vec<ListChange> = expired
+            .into_iter()
+            .filter(|expired| self.endpoints.get(&expired.uid) == Some(&expired.endpoint))
+            .map(|expired| ListChange::Remove { uid: expired.uid })
             .collect();
-        // the same write again makes no version
-        self.rev += u64::from(!changed.is_empty());
-        Ok(changed)
+        // an expired endpoint does not serve any more, whatever is frozen
+        self.change_list(None, &changes, true)
     }
-}
 
-impl Change {
-    fn apply(&self, targets: &mut BTreeMap<String, Target>) -> Result<(), Refused> {
-        match self {
-            Change::Put { uid, target } => {
-                target.validate(uid)?;
-                let before = targets.get(uid);
-                // what drains has told its peers that it ends: only another start brings it back
-                let back = before.is_some_and(|before| {
-                    before.state == Standing::Draining
-                        && target.state == Standing::Up
-                        && target.boot_ms <= before.boot_ms
-                });
-                if back {
-                    let problem = "it drains, and is up again only with a later boot_ms";
-                    return Err(Refused::Senseless {
-                        uid: uid.clone(),
-                        problem,
-                    });
-                }
-                if before.is_some_and(|before| before.boot_ms > target.boot_ms) {
-                    let problem = "it has started later than boot_ms says";
-                    return Err(Refused::Senseless {
-                        uid: uid.clone(),
-                        problem,
-                    });
-                }
-                targets.insert(uid.clone(), target.clone());
-            }
-            Change::Drain { uid } => {
-                let target = targets
-                    .get_mut(uid)
-                    .ok_or_else(|| Refused::Unknown(uid.clone()))?;
-                target.state = Standing::Draining;
-            }
-            Change::Remove { uid } => {
-                targets
-                    .remove(uid)
-                    .ok_or_else(|| Refused::Unknown(uid.clone()))?;
-            }
+    fn begin_rules(
+        &mut self,
+        floor: Rules,
+        rules: Rules,
+        terms: Terms,
+    ) -> Result<(), CommandError> {
+        if self.versions.is_some() {
+            return Err(CommandError::RulesBegun);
         }
+        floor.validate()?;
+        rules.validate()?;
+        let versions = Versions::new(floor, rules)?;
+        self.store_rules(&versions);
+        self.versions = Some(versions);
+        self.terms = Some(terms);
         Ok(())
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    pub fn target(port: u16) -> Target {
-        serde_json::from_value(serde_json::json!({
-            "endpoint": format!("10.1.0.1:{port}"), "pod_group": 3, "boot_ms": 5
-        }))
-        .expect("a target")
-    }
 
-    fn list(changes: Vec<Change>) -> Command {
-        Command::List {
-            if_match: None,
-            changes,
-        }
+    fn propose_rules(&mut self, proposal: Proposal) -> Result<(), CommandError> {
+        proposal.rules.validate()?;
+        check_rules_change(&self.freeze, self.versions.as_ref(), &proposal.rules)?;
+        let versions = self.versions.as_mut().ok_or(CommandError::NoRules)?;
+        versions.propose(proposal)?;
+        let versions = versions.clone();
+        self.store_rules(&versions);
+        Ok(())
     }
 
-    fn put(uid: &str, port: u16) -> Change {
-        Change::Put {
-            uid: uid.to_string(),
-            target: target(port),
+    fn apply_ledger(&mut self, entry: Entry) -> Result<(), CommandError> {
+        if let Entry::Limit { key, limit, .. } = &entry {
+            check_limit_change(&self.freeze, self.ledger.as_ref(), key, *limit)?;
         }
-    }
-
-    #[test]
-    fn a_snapshot_of_the_version_before_is_read_and_it_reads_ours() {
-        let mut state = State::default();
-        state.apply(list(vec![put("a", 1)])).expect("put");
-        let bytes = postcard::to_allocvec(&state).expect("encoded");
-        // no ledger is one byte at the end, an empty freeze six
-        for unknown in [6, 7] {
-            let before = &bytes[..bytes.len() - unknown];
-            assert_eq!(
-                State::read(before).as_ref(),
-                Ok(&state),
-                "without {unknown} bytes"
-            );
+        if let Entry::Split { first, .. } = &entry {
+            let split = Matter {
+                destinations: vec![*first],
+                ..Matter::of_all(Widening::Split)
+            };
+            self.freeze.judge(&[split], false)?;
         }
-        assert_eq!(State::read(&bytes).as_ref(), Ok(&state));
-        // what lies before it is as it was: the version before stops there
-        type Before = (
-            u64,
-            BTreeMap<String, Target>,
-            Option<Versions>,
-            Option<Terms>,
-        );
-        assert_eq!(
-            postcard::from_bytes::<Before>(&bytes).map(|before| before.0),
-            Ok(1)
-        );
+        Book::apply(&mut self.ledger, entry)?;
+        Ok(())
     }
 
-    #[test]
-    fn a_freeze_holds_what_widens_and_lets_relief_pass() {
-        use quota_ledger::freeze::{On, Scope};
-        let mut state = State::default();
-        state
-            .apply(list(vec![put("a", 1), put("b", 2)]))
-            .expect("put");
-        let (reason, owner) = ("term begins".to_string(), "lan".to_string());
-        let on = On {
-            until_ms: 9,
-            scope: Scope::default(),
-            holds: Default::default(),
-            reason,
-            owner,
-        };
-        state
-            .apply(Command::Freeze(FreezeEntry::Begin("w".into(), on)))
-            .expect("begun");
-        let drain = |uid: &str| Change::Drain {
-            uid: uid.to_string(),
-        };
-        let hint = |hint| Change::Put {
-            uid: "a".into(),
-            target: Target {
-                capacity_hint: hint,
-                ..target(1)
-            },
-        };
-        let moved = Change::Put {
-            uid: "a".into(),
-            target: Target {
-                pod_group: 4,
-                ..target(1)
-            },
-        };
-        for held in [put("c", 3), hint(9.0), moved] {
-            let refused = state.apply(list(vec![held.clone()]));
-            assert!(
-                matches!(refused, Err(Refused::Freeze(FreezeError::Held { .. }))),
-                "{held:?}: {refused:?}"
-            );
+    fn store_rules(&mut self, versions: &Versions) {
+        self.stored_rules
+            .insert(versions.tag().version, versions.new_rules().clone());
+        while self.stored_rules.len() > STORED_RULES {
+            self.stored_rules.pop_first();
         }
-        let mixed = state.apply(list(vec![drain("a"), put("c", 3)]));
-        assert_eq!(mixed, Err(Refused::Freeze(FreezeError::Mixed("w".into()))));
-        state.apply(list(vec![drain("a")])).expect("relief passes");
-        // a restart of what serves is neither
-        let started = Change::Put {
-            uid: "b".into(),
-            target: Target {
-                boot_ms: 6,
-                ..target(2)
-            },
-        };
-        state.apply(list(vec![started])).expect("passes");
-        let back = Change::Put {
-            uid: "a".into(),
-            target: Target {
-                boot_ms: 7,
-                ..target(1)
-            },
-        };
-        assert!(matches!(
-            state.apply(list(vec![back])),
-            Err(Refused::Freeze(FreezeError::Held { .. }))
-        ));
-        let last = state.apply(list(vec![drain("b")]));
-        assert!(
-            matches!(
-                last,
-                Err(Refused::Freeze(FreezeError::Last { destination: 3, .. }))
-            ),
-            "{last:?}"
-        );
-        let forced = Command::Forced {
-            if_match: None,
-            changes: vec![drain("b")],
-        };
-        state.apply(forced).expect("forced");
-        state
-            .apply(Command::Freeze(FreezeEntry::End("w".into())))
-            .expect("ended");
-        state
-            .apply(list(vec![put("c", 3)]))
-            .expect("after the thaw");
-    }
-
-    #[test]
-    fn a_batch_is_one_version_or_nothing() {
-        let mut state = State::default();
-        let applied = state
-            .apply(list(vec![put("a", 1), put("b", 2)]))
-            .expect("both");
-        assert_eq!((applied.rev, applied.changed.len()), (1, 2));
-        let before = state.clone();
-        let refused = state.apply(list(vec![
-            put("c", 3),
-            Change::Drain {
-                uid: "d".to_string(),
-            },
-        ]));
-        assert_eq!(refused, Err(Refused::Unknown("d".to_string())));
-        assert_eq!(state, before);
-        // the same write again
-        let applied = state
-            .apply(list(vec![put("b", 2), put("a", 1)]))
-            .expect("the same");
-        assert_eq!((applied.rev, applied.changed), (1, vec![]));
-        let stale = Command::List {
-            if_match: Some(0),
-            changes: vec![put("a", 9)],
-        };
-        assert_eq!(
-            state.apply(stale),
-            Err(Refused::Version { now: 1, wanted: 0 })
-        );
-    }
-
-    #[test]
-    fn what_drains_comes_back_only_by_another_start() {
-        let mut state = State::default();
-        state.apply(list(vec![put("a", 1)])).expect("put");
-        state
-            .apply(list(vec![Change::Drain {
-                uid: "a".to_string(),
-            }]))
-            .expect("drained");
-        let back = state.apply(list(vec![put("a", 1)]));
-        assert!(matches!(back, Err(Refused::Senseless { .. })), "{back:?}");
-        let started = Change::Put {
-            uid: "a".to_string(),
-            target: Target {
-                boot_ms: 6,
-                ..target(1)
-            },
-        };
-        assert_eq!(
-            state.apply(list(vec![started])).map(|applied| applied.rev),
-            Ok(3)
-        );
-        let older = state.apply(list(vec![put("a", 1)]));
-        assert!(matches!(older, Err(Refused::Senseless { .. })), "{older:?}");
-    }
-
-    #[test]
-    fn only_what_is_still_as_it_was_runs_out() {
-        let mut state = State::default();
-        state
-            .apply(list(vec![put("a", 1), put("b", 2)]))
-            .expect("put");
-        let gone = vec![("a".to_string(), target(1)), ("b".to_string(), target(7))];
-        let applied = state.apply(Command::Expire(gone)).expect("one of them");
-        assert_eq!(applied.changed, [("a".to_string(), target(1), true)]);
-        assert_eq!(state.targets.len(), 1);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/registry/src/store.rs
+++ b/registry/src/store.rs
@@ -1,271 +1,153 @@
-//! The log in a file: appended to and synced before anything that rests on it is said. When it grows past its bound, the
-//! state takes the place of the entries that made it, in a new file that then takes the old one's name.
+//! The log of a replica in a file: appended to and synced before anything is said that rests on it. When it grows past its
+//! bound, the state replaces the entries that made it, in a new file that then takes the old one's name.
 
-use crate::frames::{self, Damage};
-use crate::mirror::{Entry, Hard, Snapshot, Voters};
-use raft::eraftpb;
-use raft::{GetEntriesContext, RaftState, Storage, StorageError};
-use serde::{Deserialize, Serialize};
-use std::fs::{File, OpenOptions, TryLockError};
-use std::io::{self, Write};
-use std::path::{Path, PathBuf};
-use thiserror::Error;
+mod error;
+mod log_file;
+mod raft_storage;
 
-/// Raised when an older program could not read the file.
-const FORMAT: u32 = 1;
+pub use error::StoreError;
 
-/// Why a folder can't be used.
-#[derive(Debug, Error)]
-pub enum StoreError {
-    #[error("{path}: {error}", path = path.display())]
-    /// The file system says no.
-    Io {
-        /// What was touched.
-        path: PathBuf,
-        /// What it says.
-        error: io::Error,
-    },
-    /// Another process has it.
-    #[error("{path}: another process uses this folder", path = .0.display())]
-    Taken(PathBuf),
-    /// Not a torn end, but damage.
-    #[error("{path}: {damage}", path = path.display())]
-    Damaged {
-        /// The file.
-        path: PathBuf,
-        /// Where.
-        damage: Damage,
-    },
-    /// A sound record that is none of this program's.
-    #[error("{path}: record {number} can't be read: {error}", path = path.display())]
-    Record {
-        /// The file.
-        path: PathBuf,
-        /// Counted from 0.
-        number: usize,
-        /// Why.
-        error: postcard::Error,
-    },
-    /// It belongs to somebody else.
-    #[error("{path}: it is replica {found}'s of {cluster}", path = path.display())]
-    Other {
-        /// The file.
-        path: PathBuf,
-        /// Whose.
-        found: u64,
-        /// Of which cluster.
-        cluster: String,
-    },
-    /// A record in a place where none can be.
-    #[error("{path}: record {number} does not follow the ones before", path = path.display())]
-    Order {
-        /// The file.
-        path: PathBuf,
-        /// Counted from 0.
-        number: usize,
-    },
-    /// Of a later program.
-    #[error("{path}: it has format {found}, this program reads {FORMAT}", path = path.display())]
-    Format {
-        /// The file.
-        path: PathBuf,
-        /// Its format.
-        found: u32,
-    },
-}
+use crate::record_file::{Records, read_records};
+use crate::wire_types::{HardState, LogEntry, Membership, Snapshot};
+use log_file::{LogFile, Record};
+use std::path::Path;
 
-#[derive(Debug, Serialize, Deserialize)]
-enum Record {
-    Head {
-        format: u32,
-        cluster: String,
-        id: u64,
-    },
-    Snapshot(Snapshot),
-    Hard(Hard),
-    Entry(Entry),
-}
+/// The file's format, raised when an older program could not read it.
+const FORMAT: u32 = 1;
+/// The index of a first start's snapshot: above 0, so that a replica that knows nothing gets a snapshot.
+const FIRST_INDEX: u64 = 1;
+/// The term of a first start's snapshot.
+const FIRST_TERM: u64 = 1;
 
 /// The log of one replica.
 #[derive(Debug)]
 pub struct Store {
-    path: PathBuf,
-    file: File,
-    /// Held for as long as the process has the folder.
-    _lock: File,
+    file: LogFile,
     cluster: String,
     id: u64,
-    size: u64,
     /// The file is compacted above this, bytes.
-    most: u64,
-    sync: bool,
-    hard: Hard,
-    voters: Voters,
+    max_log_bytes: u64,
+    hard_state: HardState,
+    membership: Membership,
     snapshot: Snapshot,
-    entries: Vec<Entry>,
-    unsynced: bool,
-    torn: usize,
+    entries: Vec<LogEntry>,
+    /// Bytes of a torn last record that the start has dropped.
+    torn_bytes: usize,
 }
 
-/// What a store is opened for.
+/// What a store is opened with.
 #[derive(Debug, Clone)]
-pub struct Purpose {
-    /// Replicas of another name are none of it.
+pub struct StoreOptions {
+    /// The cluster's name: a file of another cluster is rejected.
     pub cluster: String,
-    /// Which replica.
+    /// The replica's id: a file of another replica is rejected.
     pub id: u64,
-    /// Who votes at the first start; nobody: it waits to be told by a leader.
+    /// The voters of the first start; none: the replica waits for a leader's snapshot.
     pub voters: Vec<u64>,
     /// Bytes above which the log is compacted.
-    pub most: u64,
+    pub max_log_bytes: u64,
     /// Whether writes are synced. Only tests leave it.
     pub sync: bool,
 }
 
-fn io_at(path: &Path) -> impl FnOnce(io::Error) -> StoreError + use<> {
-    let path = path.to_path_buf();
-    move |error| StoreError::Io { path, error }
+/// Sizes for the status report.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct StoreSizes {
+    /// Bytes of the file.
+    pub log_bytes: u64,
+    /// The index of the snapshot.
+    pub snapshot_index: u64,
+    /// Bytes of the snapshot.
+    pub snapshot_bytes: usize,
 }
 
 impl Store {
-    /// Opens the folder, which is made where there is none; the first start's state is `state`.
+    /// Opens the store in a folder, which is created where there is none. `initial_state` is the state of a first start.
     ///
     /// # Errors
-    /// It can't be used, or what it holds can't be trusted.
-    pub fn open(folder: &Path, purpose: Purpose, state: &[u8]) -> Result<Self, StoreError> {
-        std::fs::create_dir_all(folder).map_err(io_at(folder))?;
-        let lock_path = folder.join("lock");
-        let lock = File::create(&lock_path).map_err(io_at(&lock_path))?;
-        match lock.try_lock() {
-            Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(StoreError::Taken(folder.to_path_buf())),
-            Err(TryLockError::Error(error)) => {
-                return Err(StoreError::Io {
-                    path: lock_path,
-                    error,
-                });
-            }
-        }
-        let path = folder.join("log");
-        let Purpose {
-            cluster,
-            id,
-            voters,
-            most,
-            sync,
-        } = purpose;
-        let bytes = match std::fs::read(&path) {
-            Ok(bytes) => bytes,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => Vec::new(),
-            Err(error) => return Err(StoreError::Io { path, error }),
-        };
-        let open = || {
-            OpenOptions::new()
-                .append(true)
-                .create(true)
-                .open(&path)
-                .map_err(io_at(&path))
-        };
+    /// The folder can't be used, or what it holds can't be trusted.
+    pub fn open(
+        folder: &Path,
+        options: StoreOptions,
+        initial_state: &[u8],
+    ) -> Result<Self, StoreError> {
+        let (file, bytes) = LogFile::open(folder, options.sync)?;
         let mut store = Store {
-            file: open()?,
-            path: path.clone(),
-            _lock: lock,
-            cluster,
-            id,
-            size: 0,
-            most,
-            sync,
-            hard: Hard::default(),
-            voters: Voters::default(),
+            file,
+            cluster: options.cluster,
+            id: options.id,
+            max_log_bytes: options.max_log_bytes,
+            hard_state: HardState::default(),
+            membership: Membership::default(),
             snapshot: Snapshot::default(),
             entries: Vec::new(),
-            unsynced: false,
-            torn: 0,
+            torn_bytes: 0,
         };
-        let (records, sound) = frames::read(&bytes).map_err(|damage| StoreError::Damaged {
-            path: path.clone(),
-            damage,
+        let Records {
+            records,
+            sound_length,
+        } = read_records(&bytes).map_err(|corruption| StoreError::Damaged {
+            path: store.file.path.clone(),
+            corruption,
         })?;
-        for (number, record) in records.iter().enumerate() {
-            let record = postcard::from_bytes(record).map_err(|error| StoreError::Record {
-                path: path.clone(),
+        store.replay(&records)?;
+        store.torn_bytes = bytes.len() - sound_length;
+        if records.is_empty() {
+            store.begin(options.voters, initial_state)?;
+        } else if store.torn_bytes > 0 {
+            store.file.truncate(sound_length as u64)?;
+        }
+        Ok(store)
+    }
+
+    /// Begins the log: at the first start, or after one that a kill has cut short.
+    fn begin(&mut self, voters: Vec<u64>, initial_state: &[u8]) -> Result<(), StoreError> {
+        self.snapshot.data = initial_state.to_vec();
+        if !voters.is_empty() {
+            self.membership = Membership {
+                voters,
+                learners: Vec::new(),
+            };
+            self.snapshot.index = FIRST_INDEX;
+            self.snapshot.term = FIRST_TERM;
+            self.snapshot.membership = self.membership.clone();
+            self.hard_state = HardState {
+                term: FIRST_TERM,
+                vote: 0,
+                commit: FIRST_INDEX,
+            };
+        }
+        self.rewrite()
+    }
+
+    fn replay(&mut self, records: &[&[u8]]) -> Result<(), StoreError> {
+        for (number, bytes) in records.iter().enumerate() {
+            let record = postcard::from_bytes(bytes).map_err(|error| StoreError::Record {
+                path: self.file.path.clone(),
                 number,
                 error,
             })?;
-            store.take(number, record)?;
+            self.replay_record(number, record)?;
         }
-        store.torn = bytes.len() - sound;
-        if records.is_empty() {
-            // the first start, or one that a kill cut short
-            if !voters.is_empty() {
-                // begins at an index above 0, so that one that knows nothing gets a snapshot
-                let voters = Voters {
-                    voters,
-                    learners: Vec::new(),
-                };
-                store.snapshot = Snapshot {
-                    index: 1,
-                    term: 1,
-                    voters: voters.clone(),
-                    data: state.to_vec(),
-                };
-                (store.voters, store.hard) = (
-                    voters,
-                    Hard {
-                        term: 1,
-                        vote: 0,
-                        commit: 1,
-                    },
-                );
-            } else {
-                store.snapshot.data = state.to_vec();
-            }
-            store.rewrite()?;
-        } else if store.torn > 0 {
-            store.file.set_len(sound as u64).map_err(io_at(&path))?;
-        }
-        if store.size == 0 {
-            store.size = sound as u64;
-        }
-        Ok(store)
+        Ok(())
     }
 
-    fn take(&mut self, number: usize, record: Record) -> Result<(), StoreError> {
-        let path = || self.path.clone();
+    fn replay_record(&mut self, number: usize, record: Record) -> Result<(), StoreError> {
         match record {
             Record::Head {
                 format,
                 cluster,
                 id,
-            } if number == 0 => {
-                if format != FORMAT {
-                    return Err(StoreError::Format {
-                        path: path(),
-                        found: format,
-                    });
-                }
-                if cluster != self.cluster || id != self.id {
-                    return Err(StoreError::Other {
-                        path: path(),
-                        found: id,
-                        cluster,
-                    });
-                }
-            }
+            } if number == 0 => self.check_head(format, cluster, id)?,
             Record::Snapshot(snapshot) if number == 1 => {
-                self.voters = snapshot.voters.clone();
+                self.membership = snapshot.membership.clone();
                 self.snapshot = snapshot;
             }
-            Record::Hard(hard) if number > 1 => self.hard = hard,
-            Record::Entry(entry)
-                if number > 1
-                    && (self.snapshot.index + 1..=self.last() + 1).contains(&entry.index) =>
-            {
-                self.put(entry);
-            }
+            Record::HardState(hard_state) if number > 1 => self.hard_state = hard_state,
+            Record::Entry(entry) if number > 1 && self.can_follow(&entry) => self.put(entry),
             _ => {
                 return Err(StoreError::Order {
-                    path: path(),
+                    path: self.file.path.clone(),
                     number,
                 });
             }
@@ -273,92 +155,109 @@
         Ok(())
     }
 
-    /// Takes the entry in, in place of the one that stood there and of all after it.
-    fn put(&mut self, entry: Entry) {
+    fn check_head(&self, format: u32, cluster: String, id: u64) -> Result<(), StoreError> {
+        let path = || self.file.path.clone();
+        if format != FORMAT {
+            return Err(StoreError::Format {
+                path: path(),
+                found: format,
+                known: FORMAT,
+            });
+        }
+        if cluster != self.cluster || id != self.id {
+            return Err(StoreError::OtherReplica {
+                path: path(),
+                id,
+                cluster,
+            });
+        }
+        Ok(())
+    }
+
+    /// Whether the entry stands after the snapshot, and leaves no gap.
+    fn can_follow(&self, entry: &LogEntry) -> bool {
+        (self.snapshot.index + 1..=self.last() + 1).contains(&entry.index)
+    }
+
+    /// Puts the entry in place of the one of its index and of all after it.
+    fn put(&mut self, entry: LogEntry) {
         self.entries
             .truncate((entry.index - self.snapshot.index - 1) as usize);
         self.entries.push(entry);
     }
 
+    /// The last entry's index.
     fn last(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
+    fn term_of(&self, index: u64) -> Option<u64> {
+        if index == self.snapshot.index {
+            return Some(self.snapshot.term);
+        }
+        let position = index.checked_sub(self.snapshot.index + 1)?;
+        self.entries.get(position as usize).map(|entry| entry.term)
+    }
+
     /// Bytes of a torn last record that the start has dropped.
-    pub fn torn(&self) -> usize {
-        self.torn
+    pub fn torn_bytes(&self) -> usize {
+        self.torn_bytes
     }
 
-    /// Bytes of the file, and the index and bytes of the snapshot in it.
-    pub fn sizes(&self) -> (u64, u64, usize) {
-        (self.size, self.snapshot.index, self.snapshot.data.len())
+    /// Sizes for the status report.
+    pub fn sizes(&self) -> StoreSizes {
+        StoreSizes {
+            log_bytes: self.file.size,
+            snapshot_index: self.snapshot.index,
+            snapshot_bytes: self.snapshot.data.len(),
+        }
     }
 
-    /// What the state was at the snapshot.
+    /// The snapshot.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// Who votes.
-    pub fn voters(&self) -> &Voters {
-        &self.voters
+    /// The replicas that take part.
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
-    /// Who votes from now on. It is written with the snapshot; till then the log's entries tell it again.
-    pub fn set_voters(&mut self, voters: Voters) {
-        self.voters = voters;
-    }
-
-    fn write(&mut self, records: &[Record]) -> Result<(), StoreError> {
-        let mut bytes = Vec::new();
-        for record in records {
-            let encoded = postcard::to_allocvec(record).map_err(|error| StoreError::Record {
-                path: self.path.clone(),
-                number: 0,
-                error,
-            })?;
-            frames::write(&encoded, &mut bytes);
-        }
-        self.file.write_all(&bytes).map_err(io_at(&self.path))?;
-        self.size += bytes.len() as u64;
-        self.unsynced = true;
-        Ok(())
+    /// Sets the replicas that take part. They are written with the next snapshot; until then the log's entries name them
+    /// again.
+    pub fn set_membership(&mut self, membership: Membership) {
+        self.membership = membership;
     }
 
-    /// Appends entries and what must outlast the process; `must` sync before anything is said that rests on it.
+    /// Appends entries and hard state. With `must_sync` they are on the disk before this returns.
     ///
     /// # Errors
     /// They can't be written: nothing may be said any more.
     pub fn append(
         &mut self,
-        entries: Vec<Entry>,
-        hard: Option<Hard>,
-        must: bool,
+        entries: Vec<LogEntry>,
+        hard_state: Option<HardState>,
+        must_sync: bool,
     ) -> Result<(), StoreError> {
-        let records: Vec<Record> = entries
-            .iter()
-            .cloned()
-            .map(Record::Entry)
-            .chain(hard.map(Record::Hard))
-            .collect();
+        let mut records: Vec<Record> = entries.iter().cloned().map(Record::Entry).collect();
+        records.extend(hard_state.map(Record::HardState));
         if !records.is_empty() {
-            self.write(&records)?;
+            self.file.append(&records)?;
         }
         entries.into_iter().for_each(|entry| self.put(entry));
-        self.hard = hard.unwrap_or(self.hard);
-        if must && self.sync && self.unsynced {
-            self.file.sync_data().map_err(io_at(&self.path))?;
-            self.unsynced = false;
+        self.hard_state = hard_state.unwrap_or(self.hard_state);
+        if must_sync {
+            self.file.sync()?;
         }
         Ok(())
     }
 
     /// Whether the file is past its bound.
     pub fn is_long(&self) -> bool {
-        self.size > self.most + self.snapshot.data.len() as u64
+        self.file.size > self.max_log_bytes + self.snapshot.data.len() as u64
     }
 
-    /// Puts the state at an index in place of the entries that made it.
+    /// Replaces the entries up to an index by the state that they made.
     ///
     /// # Errors
     /// The new file can't be written; the old one stands.
@@ -366,273 +265,51 @@
         let Some(term) = self.term_of(applied) else {
             return Ok(());
         };
-        let voters = self.voters.clone();
-        let kept = self
+        self.entries = self
             .entries
             .split_off((applied - self.snapshot.index) as usize);
-        self.entries = kept;
         self.snapshot = Snapshot {
             index: applied,
             term,
-            voters,
+            membership: self.membership.clone(),
             data,
         };
         // what is in the state was committed, whether or not the log says so yet
-        self.hard.commit = self.hard.commit.max(applied);
+        self.hard_state.commit = self.hard_state.commit.max(applied);
         self.rewrite()
     }
 
-    /// Takes a leader's snapshot in place of all.
+    /// Replaces everything by a leader's snapshot.
     ///
     /// # Errors
     /// The new file can't be written.
-    pub fn install(&mut self, snapshot: Snapshot, hard: Option<Hard>) -> Result<(), StoreError> {
+    pub fn install(
+        &mut self,
+        snapshot: Snapshot,
+        hard_state: Option<HardState>,
+    ) -> Result<(), StoreError> {
         self.entries.clear();
-        self.voters = snapshot.voters.clone();
-        self.hard = hard.unwrap_or(self.hard);
-        self.hard.commit = self.hard.commit.max(snapshot.index);
-        self.hard.term = self.hard.term.max(snapshot.term);
+        self.membership = snapshot.membership.clone();
+        self.hard_state = hard_state.unwrap_or(self.hard_state);
+        self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
+        self.hard_state.term = self.hard_state.term.max(snapshot.term);
         self.snapshot = snapshot;
         self.rewrite()
     }
 
-    /// Writes all that is known to a new file, which takes the old one's place once it is on the disk.
+    /// Writes all that is known to a new file.
     fn rewrite(&mut self) -> Result<(), StoreError> {
-        let new = self.path.with_extension("new");
-        let file = File::create(&new).map_err(io_at(&new))?;
-        let old = std::mem::replace(&mut self.file, file);
-        let size = std::mem::replace(&mut self.size, 0);
         let head = Record::Head {
             format: FORMAT,
             cluster: self.cluster.clone(),
             id: self.id,
         };
-        let mut records = vec![
-            head,
-            Record::Snapshot(self.snapshot.clone()),
-            Record::Hard(self.hard),
-        ];
+        let snapshot = Record::Snapshot(self.snapshot.clone());
+        let mut records = vec![head, snapshot, Record::HardState(self.hard_state)];
         records.extend(self.entries.iter().cloned().map(Record::Entry));
-        let written = self.write(&records).and_then(|()| {
-            if self.sync {
-                self.file.sync_all().map_err(io_at(&new))?;
-            }
-            std::fs::rename(&new, &self.path).map_err(io_at(&self.path))
-        });
-        if let Err(error) = written {
-            (self.file, self.size) = (old, size);
-            return Err(error);
-        }
-        self.unsynced = false;
-        if self.sync
-            && let Some(folder) = self.path.parent()
-        {
-            // the name too must outlast a power cut
-            File::open(folder)
-                .and_then(|folder| folder.sync_all())
-                .map_err(io_at(folder))?;
-        }
-        Ok(())
-    }
-
-    fn term_of(&self, index: u64) -> Option<u64> {
-        if index == self.snapshot.index {
-            return Some(self.snapshot.term);
-        }
-        let at = index.checked_sub(self.snapshot.index + 1)?;
-        self.entries.get(at as usize).map(|entry| entry.term)
-    }
-}
-
-impl Storage for Store {
-    fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState::new(self.hard.into(), (&self.voters).into()))
-    }
-
-    fn entries(
-        &self,
-        low: u64,
-        high: u64,
-        max_size: impl Into<Option<u64>>,
-        _: GetEntriesContext,
-    ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.snapshot.index {
-            return Err(StorageError::Compacted.into());
-        }
-        let at = |index: u64| (index - self.snapshot.index - 1) as usize;
-        let Some(range) = self.entries.get(at(low)..at(high)) else {
-            return Err(StorageError::Unavailable.into());
-        };
-        let most = max_size.into().unwrap_or(u64::MAX);
-        let mut bytes = 0;
-        let fits = |(number, entry): &(usize, &Entry)| {
-            bytes += (entry.data.len() + entry.context.len() + 24) as u64;
-            *number == 0 || bytes <= most
-        };
-        Ok(range
-            .iter()
-            .enumerate()
-            .take_while(fits)
-            .map(|(_, entry)| entry.clone().into())
-            .collect())
-    }
-
-    fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.snapshot.index {
-            return Err(StorageError::Compacted.into());
-        }
-        self.term_of(index)
-            .ok_or_else(|| StorageError::Unavailable.into())
-    }
-
-    fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.snapshot.index + 1)
-    }
-
-    fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
-    }
-
-    fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        if self.snapshot.index < request_index {
-            return Err(StorageError::SnapshotTemporarilyUnavailable.into());
-        }
-        Ok((&self.snapshot).into())
+        self.file.replace(&records)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::mirror::Kind;
-
-    fn purpose() -> Purpose {
-        Purpose {
-            cluster: "hue".to_string(),
-            id: 1,
-            voters: vec![1],
-            most: 4096,
-            sync: true,
-        }
-    }
-
-    fn entry(index: u64, term: u64) -> Entry {
-        Entry {
-            kind: Kind::Normal,
-            term,
-            index,
-            data: vec![index as u8; 9],
-            context: Vec::new(),
-        }
-    }
-
-    fn hard(commit: u64) -> Option<Hard> {
-        Some(Hard {
-            term: 2,
-            vote: 1,
-            commit,
-        })
-    }
-
-    #[test]
-    fn what_was_appended_is_there_after_a_cut_at_any_byte_of_the_last_records() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
-        let mut sizes = vec![(store.size, 1)];
-        for index in 2..6 {
-            store
-                .append(vec![entry(index, 2)], hard(index - 1), true)
-                .expect("appended");
-            sizes.push((store.size, index));
-        }
-        drop(store);
-        let log = folder.path().join("log");
-        let whole = std::fs::read(&log).expect("the log");
-        for length in sizes[0].0 as usize..=whole.len() {
-            std::fs::write(&log, &whole[..length]).expect("cut");
-            let mut store = Store::open(folder.path(), purpose(), b"other").expect("opened");
-            // an entry stands before the hard state of its append
-            let synced = sizes
-                .iter()
-                .rev()
-                .find(|(size, _)| *size <= length as u64)
-                .expect("the first");
-            assert!(
-                [synced.1, synced.1 + 1].contains(&store.last()),
-                "cut at {length}: {}",
-                store.last()
-            );
-            assert_eq!(store.snapshot().data, b"state");
-            // it goes on from there
-            let next = store.last() + 1;
-            store
-                .append(vec![entry(next, 3)], hard(next), true)
-                .expect("appended");
-            drop(store);
-            let store = Store::open(folder.path(), purpose(), b"other").expect("opened");
-            assert_eq!((store.last(), store.torn()), (next, 0));
-        }
-    }
-
-    #[test]
-    fn damage_and_other_owners_stop_the_start() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
-        let at = store.size as usize;
-        store
-            .append(vec![entry(2, 2), entry(3, 2)], hard(3), true)
-            .expect("appended");
-        assert!(matches!(
-            Store::open(folder.path(), purpose(), b""),
-            Err(StoreError::Taken(_))
-        ));
-        drop(store);
-        let other = Purpose { id: 2, ..purpose() };
-        assert!(matches!(
-            Store::open(folder.path(), other, b""),
-            Err(StoreError::Other { found: 1, .. })
-        ));
-        let log = folder.path().join("log");
-        let mut bytes = std::fs::read(&log).expect("the log");
-        bytes[at + 14] ^= 1;
-        std::fs::write(&log, &bytes).expect("damaged");
-        let error = Store::open(folder.path(), purpose(), b"")
-            .expect_err("damaged")
-            .to_string();
-        assert!(
-            error.contains(&format!("damaged from byte {at} on")),
-            "{error}"
-        );
-    }
-
-    #[test]
-    fn an_overwritten_tail_stays_overwritten_and_compaction_keeps_what_is_after() {
-        let folder = tempfile::tempdir().expect("a folder");
-        let mut store = Store::open(folder.path(), purpose(), b"state").expect("opened");
-        store
-            .append(
-                (2..10).map(|index| entry(index, 2)).collect(),
-                hard(4),
-                true,
-            )
-            .expect("appended");
-        store
-            .append(vec![entry(6, 3)], hard(6), true)
-            .expect("overwritten");
-        assert_eq!(
-            (store.last(), store.term(6).ok(), store.term(7).ok()),
-            (6, Some(3), None)
-        );
-        store.compact(5, b"later".to_vec()).expect("compacted");
-        drop(store);
-        let store = Store::open(folder.path(), purpose(), b"").expect("opened");
-        assert_eq!(
-            (store.first_index().ok(), store.last(), store.term(5).ok()),
-            (Some(6), 6, Some(2))
-        );
-        assert_eq!(
-            (&store.snapshot().data[..], store.hard.commit),
-            (&b"later"[..], 6)
-        );
-    }
-}
+mod tests;
--- a/registry/tests/compatibility/messages.rs
+++ b/registry/tests/compatibility/messages.rs
@@ -1,11 +1,11 @@
 //! What goes between replicas: messages of each kind, and what a link carries before and around them.
 
 use crate::golden;
-use crate::samples::place;
-use fleet_registry::inputs::Input;
-use fleet_registry::mirror::{Entry, Kind, Snapshot, Voters, decode, encode};
-use fleet_registry::peers::Peers;
-use fleet_registry::state::Place;
+use crate::samples::addresses;
+use fleet_registry::commands::ThreadCommand;
+use fleet_registry::state::ReplicaAddresses;
+use fleet_registry::transport::Transport;
+use fleet_registry::wire_types::{EntryKind, LogEntry, Membership, Snapshot, decode, encode};
 use raft::eraftpb::{self, Message, MessageType};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -54,7 +54,7 @@
     message.priority = -(LARGE as i64);
     message.context = vec![9, 8, 7].into();
     let entry = |kind, index| {
-        let entry = Entry {
+        let entry = LogEntry {
             kind,
             term: LARGE + 2,
             index,
@@ -65,13 +65,13 @@
     };
     message.set_entries(
         vec![
-            entry(Kind::Normal, LARGE + 8),
-            entry(Kind::Replicas, LARGE + 9),
+            entry(EntryKind::Normal, LARGE + 8),
+            entry(EntryKind::Replicas, LARGE + 9),
         ]
         .into(),
     );
     if kind == MessageType::MsgSnapshot {
-        let voters = Voters {
+        let membership = Membership {
             voters: vec![1, 2, 3],
             learners: vec![4],
         };
@@ -79,7 +79,7 @@
             (&Snapshot {
                 index: LARGE,
                 term: LARGE + 1,
-                voters,
+                membership,
                 data: vec![8; 20],
             })
                 .into(),
@@ -120,17 +120,17 @@
 #[test]
 fn link_carries_a_greeting_and_then_messages_byte_for_byte() {
     let sent = on_loopback(async |listener: TcpListener| {
-        let peers = Peers::new("golden", 1, Handle::current());
+        let transport = Transport::new("golden", 1, Handle::current());
         let address = listener.local_addr().expect("an address");
-        peers.know(&BTreeMap::from([(
+        transport.set_addresses(&BTreeMap::from([(
             2,
-            Place {
+            ReplicaAddresses {
                 peers: address,
-                ..place()
+                ..addresses()
             },
         )]));
         let (mut link, _) = listener.accept().await.expect("a link");
-        peers.send(vec![
+        transport.send(vec![
             message(MessageType::MsgHeartbeat),
             message(MessageType::MsgAppend),
         ]);
@@ -157,11 +157,11 @@
 #[test]
 fn link_of_the_golden_program_is_read() {
     let received = on_loopback(async |listener: TcpListener| {
-        let peers = Peers::new("golden", 2, Handle::current());
+        let transport = Transport::new("golden", 2, Handle::current());
         let (inputs, received) = sync_channel(8);
-        peers.attach(inputs);
+        transport.attach(inputs);
         let address = listener.local_addr().expect("an address");
-        tokio::spawn(peers.listen(listener));
+        tokio::spawn(transport.listen(listener));
         let mut link = TcpStream::connect(address).await.expect("connected");
         link.write_all(&std::fs::read(golden::path("link.bin")).expect("the file"))
             .await
@@ -169,7 +169,7 @@
         let mut messages = Vec::new();
         while messages.len() < 2 {
             match received.try_recv() {
-                Ok(Input::Peer(message)) => messages.push(message),
+                Ok(ThreadCommand::RaftMessage(message)) => messages.push(message),
                 Ok(_) => panic!("another input"),
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
--- a/registry/tests/compatibility/samples.rs
+++ b/registry/tests/compatibility/samples.rs
@@ -1,30 +1,30 @@
 //! One command of each kind, and a state that holds something of each part.
 
-use fleet_registry::state::{Change, Command, Place, State};
-use fleet_registry::target::{Standing, Target};
+use fleet_registry::endpoint::{Endpoint, EndpointState};
+use fleet_registry::state::{Command, ExpiredEndpoint, ListChange, ReplicaAddresses, State};
 use quota_ledger::freeze::{Calendar, Every, FreezeEntry, Glass, On, Scope, Widening, Window};
 use quota_ledger::splits::{Difference, Flag, Plant, Query, SplitError};
 use quota_ledger::{Entry, Floors, Key, Limit, What};
 use std::collections::BTreeMap;
 use versioned_config::{Class, Effect, Proposal, Rules, Terms};
 
-pub fn target(port: u16) -> Target {
-    Target {
+pub fn endpoint(port: u16) -> Endpoint {
+    Endpoint {
         endpoint: format!("10.1.2.3:{port}").parse().expect("an address"),
         az: "floor-2".to_string(),
         model: "school-library".to_string(),
         pod_group: 300,
-        state: Standing::Up,
+        state: EndpointState::Up,
         capacity_hint: 12.5,
         boot_ms: 1_700_000_000_123,
         ttl_ms: Some(5000),
     }
 }
 
-fn put(uid: &str, target: Target) -> Change {
-    Change::Put {
+fn put(uid: &str, endpoint: Endpoint) -> ListChange {
+    ListChange::Put {
         uid: uid.to_string(),
-        target,
+        endpoint,
     }
 }
 
@@ -126,18 +126,18 @@
         drift: 121_213,
     };
     vec![
-        Command::Begin {
+        Command::BeginRules {
             floor,
             rules: rules(50),
             terms,
         },
-        Command::List {
+        Command::ChangeList {
             if_match: Some(0),
-            changes: vec![put("a", target(1)), put("b", target(2))],
+            changes: vec![put("a", endpoint(1)), put("b", endpoint(2))],
         },
-        Command::List {
+        Command::ChangeList {
             if_match: None,
-            changes: vec![Change::Drain {
+            changes: vec![ListChange::Drain {
                 uid: "b".to_string(),
             }],
         },
@@ -181,19 +181,22 @@
         Query::Sum("rate".to_string()),
     ];
     let changes = vec![
-        put("c", target(3)),
-        Change::Remove {
+        put("c", endpoint(3)),
+        ListChange::Remove {
             uid: "a".to_string(),
         },
     ];
     let mut commands = vec![
-        Command::Expire(vec![("b".to_string(), target(2))]),
-        Command::Rules(Proposal {
+        Command::Expire(vec![ExpiredEndpoint {
+            uid: "b".to_string(),
+            endpoint: endpoint(2),
+        }]),
+        Command::ProposeRules(Proposal {
             from: 1,
             rules: rules(9),
         }),
-        Command::Advance(1 << 40),
-        Command::Forced {
+        Command::AdvanceRules(1 << 40),
+        Command::ForceChangeList {
             if_match: Some(1 << 40),
             changes,
         },
@@ -246,12 +249,12 @@
             .apply(command.clone())
             .unwrap_or_else(|refused| panic!("{command:?}: {refused}"));
     }
-    state.replicas.insert(4, place());
+    state.replicas.insert(4, addresses());
     state
 }
 
-pub fn place() -> Place {
-    Place {
+pub fn addresses() -> ReplicaAddresses {
+    ReplicaAddresses {
         peers: "127.9.9.4:8600".parse().expect("an address"),
         clients: "127.9.9.4:8500".parse().expect("an address"),
     }
--- a/registry/tests/compatibility/settings.rs
+++ b/registry/tests/compatibility/settings.rs
@@ -14,7 +14,7 @@
     write("rules.json", r#"{"limits":{"calls":50}}"#);
     write("registry.toml", text);
     Settings::read(&folder.path().join("registry.toml")).inspect(|settings| {
-        let Ok(Some(Command::Begin { floor, rules, .. })) = settings.begin() else {
+        let Ok(Some(Command::BeginRules { floor, rules, .. })) = settings.begin_rules() else {
             return;
         };
         let calls = |rules: &Rules| rules.limits["calls"];
@@ -39,10 +39,10 @@
         Some("127.0.0.1:8602")
     );
     assert!(settings.folder.ends_with("state"));
-    let places = settings.places();
-    assert_eq!(places.keys().copied().collect::<Vec<u64>>(), [1, 2]);
-    assert_eq!(places[&1].peers.to_string(), "127.0.0.1:8601");
-    assert_eq!(places[&1].clients.to_string(), "127.0.0.1:8501");
+    let addresses = settings.addresses();
+    assert_eq!(addresses.keys().copied().collect::<Vec<u64>>(), [1, 2]);
+    assert_eq!(addresses[&1].peers.to_string(), "127.0.0.1:8601");
+    assert_eq!(addresses[&1].clients.to_string(), "127.0.0.1:8501");
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (7000, 2.5));
     let floors = Floors {
@@ -69,7 +69,7 @@
     let text = "cluster = \"golden\"\nid = 2\nlisten = \"127.0.0.1:8502\"\nfolder = \"state\"\n\
         [agreement]\nfloor = \"floor.json\"\nrules = \"rules.json\"\n[ledger]\nsenders = 4\n";
     let settings = read(text).expect("good settings");
-    assert!(!settings.join && settings.peers.is_none() && settings.places().is_empty());
+    assert!(!settings.join && settings.peers.is_none() && settings.addresses().is_empty());
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (6000, 1.0));
     let floors = Floors {
--- a/registry/tests/compatibility/store.rs
+++ b/registry/tests/compatibility/store.rs
@@ -1,11 +1,11 @@
 //! The store's file: a snapshot, hard state, and an entry with each kind of command.
 
 use crate::golden;
-use crate::samples::{others, place, state, taken};
-use fleet_registry::mirror::{Entry, Hard, Kind};
+use crate::samples::{addresses, others, state, taken};
 use fleet_registry::replica::ReplicaChange;
 use fleet_registry::state::{Command, State};
-use fleet_registry::store::{Purpose, Store};
+use fleet_registry::store::{Store, StoreOptions};
+use fleet_registry::wire_types::{EntryKind, HardState, LogEntry};
 use raft::{GetEntriesContext, Storage};
 use std::path::Path;
 
@@ -13,21 +13,21 @@
 const FIRST: u64 = 2;
 
 fn open(folder: &Path) -> Store {
-    let purpose = Purpose {
+    let purpose = StoreOptions {
         cluster: "golden".to_string(),
         id: 3,
         voters: vec![1, 2, 3],
-        most: 1 << 20,
+        max_log_bytes: 1 << 20,
         sync: false,
     };
     let state = postcard::to_allocvec(&State::default()).expect("encoded");
     Store::open(folder, purpose, &state).expect("opened")
 }
 
-fn entry(index: u64, command: &Command) -> Entry {
+fn entry(index: u64, command: &Command) -> LogEntry {
     let data = postcard::to_allocvec(command).expect("encoded");
-    Entry {
-        kind: Kind::Normal,
+    LogEntry {
+        kind: EntryKind::Normal,
         term: 2,
         index,
         data,
@@ -36,10 +36,10 @@
 }
 
 /// A replica that comes, with the mark of its proposal before it.
-fn replica_entry(index: u64, change: ReplicaChange) -> Entry {
+fn replica_entry(index: u64, change: ReplicaChange) -> LogEntry {
     let context = postcard::to_allocvec(&(vec![7u8; 16], change)).expect("encoded");
-    Entry {
-        kind: Kind::Replicas,
+    LogEntry {
+        kind: EntryKind::Replicas,
         term: 2,
         index,
         data: Vec::new(),
@@ -48,9 +48,9 @@
 }
 
 /// The entries after the snapshot.
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<LogEntry> {
     let first = FIRST + taken().len() as u64;
-    let mut entries: Vec<Entry> = others()
+    let mut entries: Vec<LogEntry> = others()
         .iter()
         .zip(first..)
         .map(|(command, index)| entry(index, command))
@@ -60,7 +60,7 @@
         next,
         ReplicaChange {
             id: 4,
-            place: Some(place()),
+            addresses: Some(addresses()),
             votes: true,
         },
     ));
@@ -68,15 +68,15 @@
         next + 1,
         ReplicaChange {
             id: 4,
-            place: None,
+            addresses: None,
             votes: false,
         },
     ));
     entries
 }
 
-fn hard() -> Hard {
-    Hard {
+fn hard_state() -> HardState {
+    HardState {
         term: 2,
         vote: 1,
         commit: FIRST + taken().len() as u64,
@@ -86,13 +86,15 @@
 /// Writes the log: all entries, compacted up to those that the state takes.
 fn write(folder: &Path) -> Store {
     let mut store = open(folder);
-    let mut all: Vec<Entry> = taken()
+    let mut all: Vec<LogEntry> = taken()
         .iter()
         .zip(FIRST..)
         .map(|(command, index)| entry(index, command))
         .collect();
     all.extend(entries());
-    store.append(all, Some(hard()), true).expect("appended");
+    store
+        .append(all, Some(hard_state()), true)
+        .expect("appended");
     let data = postcard::to_allocvec(&state()).expect("encoded");
     store
         .compact(FIRST + taken().len() as u64 - 1, data)
@@ -108,7 +110,7 @@
     golden::assert_same("store-compacted.log", &read());
     let last = entries().last().expect("entries").index;
     let appended = entry(last + 1, &taken()[2]);
-    let hard = Hard {
+    let hard = HardState {
         term: 3,
         vote: 2,
         commit: last + 1,
@@ -128,7 +130,7 @@
     let snapshot = store.snapshot().clone();
     assert_eq!(State::read(&snapshot.data), Ok(state()));
     assert_eq!(
-        (snapshot.term, snapshot.voters.voters.as_slice()),
+        (snapshot.term, snapshot.membership.voters.as_slice()),
         (2, &[1, 2, 3][..])
     );
     let (first, last) = (
@@ -138,7 +140,7 @@
     let read = store
         .entries(first, last + 1, None, GetEntriesContext::empty(false))
         .expect("entries");
-    let read: Vec<Entry> = read.iter().map(Entry::from).collect();
+    let read: Vec<LogEntry> = read.iter().map(LogEntry::from).collect();
     assert_eq!(read, entries());
     for (entry, command) in read.iter().zip(others()) {
         assert_eq!(postcard::from_bytes(&entry.data), Ok(command));
--- a/registry/tests/processes/main.rs
+++ b/registry/tests/processes/main.rs
@@ -254,7 +254,7 @@
     assert!(ended.status.success(), "{ended:?}");
     let log = std::fs::read_to_string(cluster.folder.path().join(format!("r{first}.log")))
         .expect("its log");
-    assert!(log.contains(r#""handed":true"#), "{log}");
+    assert!(log.contains(r#""transferred":true"#), "{log}");
     // a fourth comes in its place and the first one goes
     cluster.write_settings(3, 3, true, "");
     cluster.replicas.push(None);
--- a/registry/tests/replicas.rs
+++ b/registry/tests/replicas.rs
@@ -2,10 +2,10 @@
 //! that crash and come back, cuts of one direction, senders that stand still or restart, clocks that drift. No two senders
 //! act on rules that contradict each other, no answered write is lost, and reads are never behind what was answered.
 
-use fleet_registry::replica::{Answer, Output, Question, Replica, TICK};
-use fleet_registry::state::{Applied, Change, Command, State};
-use fleet_registry::store::{Purpose, Store};
-use fleet_registry::target::Target;
+use fleet_registry::endpoint::Endpoint;
+use fleet_registry::replica::{Answer, Output, Replica, SenderLeaseRequest, TICK};
+use fleet_registry::state::{Applied, Command, ListChange, State};
+use fleet_registry::store::{Store, StoreOptions};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
 }
 
 fn begin() -> Command {
-    Command::Begin {
+    Command::BeginRules {
         floor: Rules::default(),
         rules: rules(1),
         terms: terms(),
@@ -152,11 +152,11 @@
         self.lives += 1;
         let voters = (1..=self.folders.len() as u64).collect();
         let id = number as u64 + 1;
-        let purpose = Purpose {
+        let purpose = StoreOptions {
             cluster: "sim".to_string(),
             id,
             voters,
-            most: 4096,
+            max_log_bytes: 4096,
             sync: false,
         };
         let state = postcard::to_allocvec(&State::default()).expect("encoded");
@@ -199,14 +199,16 @@
                     let ticket = self.ticket(Ticket::Ask(sender, ask));
                     let name = format!("n{sender}");
                     let Ask { life, acts_on, .. } = ask;
-                    let question = Question {
+                    let question = SenderLeaseRequest {
                         sender: name,
-                        life,
+                        incarnation: life,
                         acts_on,
                         rev: 0,
                         floor: Rules::default(),
                     };
-                    self.with(to, |replica, output| replica.ask(ticket, question, output));
+                    self.with(to, |replica, output| {
+                        replica.request_lease(ticket, question, output)
+                    });
                 }
                 Sent::Grant(sender, ask, grant) => {
                     let sender = &mut self.senders[sender];
@@ -248,7 +250,7 @@
         let mut output = Output::default();
         turn(replica, &mut output);
         replica
-            .settle(self.now, &mut output)
+            .process_ready(self.now, &mut output)
             .expect("the log is kept");
         for message in output.messages {
             let to = message.to as usize - 1;
@@ -258,7 +260,7 @@
                 self.send(Sent::ToReplica(to, message));
             }
             if let Some(replica) = self.replicas[number].as_mut().filter(|_| snapshot) {
-                replica.snapshot_sent(to as u64 + 1, passes);
+                replica.report_snapshot(to as u64 + 1, passes);
             }
         }
         for (ticket, answer) in output.answers {
@@ -284,7 +286,7 @@
                         writes: true,
                     });
                 }
-                (Ticket::Read(asked, at), Answer::Fresh) => {
+                (Ticket::Read(asked, at), Answer::UpToDate) => {
                     let rev = self.replicas[at]
                         .as_ref()
                         .map_or(0, |replica| replica.state().rev);
@@ -325,7 +327,7 @@
             return;
         };
         let Tag { version: from, .. } = version;
-        let proposal = Command::Rules(Proposal {
+        let proposal = Command::ProposeRules(Proposal {
             from,
             rules: rules(from + 1),
         });
@@ -344,14 +346,17 @@
         else {
             return;
         };
-        let target: Target = serde_json::from_value(serde_json::json!({
+        let target: Endpoint = serde_json::from_value(serde_json::json!({
             "endpoint": format!("10.0.0.1:{port}"), "pod_group": 1, "boot_ms": rev
         }))
         .expect("a target");
         let uid = format!("e{}", rev % 5);
-        let command = Command::List {
+        let command = Command::ChangeList {
             if_match: Some(rev),
-            changes: vec![Change::Put { uid, target }],
+            changes: vec![ListChange::Put {
+                uid,
+                endpoint: target,
+            }],
         };
         let ticket = self.ticket(Ticket::Write(now));
         self.with(at, |replica, output| {
@@ -376,11 +381,11 @@
                 self.starts_at[one] = self.now + self.random.random_range(100_000..4_000_000);
             }
             1 => {
-                let leader =
-                    (0..count).find(|at| self.replicas[*at].as_ref().is_some_and(Replica::leads));
+                let leader = (0..count)
+                    .find(|at| self.replicas[*at].as_ref().is_some_and(Replica::is_leader));
                 if let Some(leader) = leader {
                     self.with(leader, |replica, _| {
-                        replica.transfer();
+                        replica.transfer_leadership();
                     });
                 }
             }
