--- a/registry/src/client/compare.rs
+++ b/registry/src/client/compare.rs
@@ -12,7 +12,7 @@
     let Some(second) = replicas.stored_rules(other).await? else {
         return Ok(false);
     };
-    let relation = match (first.within(&second), second.within(&first)) {
+    let relation = match (first.is_within(&second), second.is_within(&first)) {
         (true, true) => "allow the same",
         (true, false) => "the first is the stricter",
         (false, true) => "the second is the stricter",
--- a/registry/src/replica/allocating.rs
+++ b/registry/src/replica/allocating.rs
@@ -3,8 +3,11 @@
 
 use super::interface::{Answer, BusyReason};
 use crate::state::{CommandError, TooMany};
-use quota_ledger::verdicts::{EPOCHS, Tallies, Verdict, Word};
-use quota_ledger::{Book, BookError, Dealt, Floors, Keeper, Key, Micros, Want, What};
+use quota_ledger::verdicts::{EPOCHS_PER_ALLOCATOR, HealthReport, HealthVerdict, ReportCounts};
+use quota_ledger::{
+    Allocation, Allocator, FallbackQuotas, LedgerError, LedgerState, LimitKey, Micros, QuotaDemand,
+    Resource,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,18 +29,20 @@
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// Numbers the requests of an incarnation.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The quotas that the sender may use without an allocation.
-    pub floors: Floors,
+    #[serde(rename = "floors")]
+    pub fallback_quotas: FallbackQuotas,
     /// The quotas that the sender demands.
     #[serde(rename = "wants")]
-    pub demands: Vec<Want>,
+    pub demands: Vec<QuotaDemand>,
     /// The sender's zone.
     #[serde(default)]
     pub zone: String,
     /// The health of destinations, by the sender's own calls.
     #[serde(default, rename = "words")]
-    pub health_reports: Vec<Word>,
+    pub health_reports: Vec<HealthReport>,
 }
 
 /// The response to a request for quotas, of the ranges that could be asked.
@@ -49,13 +54,13 @@
     pub rev: u64,
     /// The quotas.
     #[serde(rename = "dealt")]
-    pub allocations: Vec<Dealt>,
+    pub allocations: Vec<Allocation>,
     /// What enough senders agree on, of the destinations that were demanded.
     #[serde(default)]
-    pub verdicts: Vec<Verdict>,
+    pub verdicts: Vec<HealthVerdict>,
     /// The demands for ranges that other replicas hold, by replica.
     #[serde(skip)]
-    pub elsewhere: BTreeMap<u64, Vec<Want>>,
+    pub elsewhere: BTreeMap<u64, Vec<QuotaDemand>>,
 }
 
 /// A sender's process.
@@ -76,7 +81,7 @@
 /// A range that this replica holds.
 struct HeldRange {
     epoch: u64,
-    allocator: Keeper,
+    allocator: Allocator,
 }
 
 /// The ranges that this replica holds, and who holds quotas of them.
@@ -85,7 +90,7 @@
     /// The ranges by first destination.
     ranges: BTreeMap<u64, HeldRange>,
     /// The health reports of senders, for as long as the range is held.
-    reports: BTreeMap<u64, Tallies>,
+    reports: BTreeMap<u64, ReportCounts>,
     holders: BTreeMap<SenderId, QuotaHolder>,
     last_number: u64,
     cleaned_at: Micros,
@@ -94,7 +99,7 @@
 
 impl RangeAllocations {
     /// Takes and gives up ranges as the ledger says.
-    pub fn follow(&mut self, now: Micros, replica: u64, ledger: Option<&Book>) {
+    pub fn follow(&mut self, now: Micros, replica: u64, ledger: Option<&LedgerState>) {
         let Some(ledger) = ledger else {
             self.ranges.clear();
             return;
@@ -108,11 +113,11 @@
     }
 
     /// Whether the ranges are those that the ledger gives this replica.
-    fn is_current(&self, replica: u64, ledger: &Book) -> bool {
+    fn is_current(&self, replica: u64, ledger: &LedgerState) -> bool {
         let mut own = ledger
             .shards()
             .iter()
-            .filter(|(_, shard)| shard.keeper == Some(replica));
+            .filter(|(_, shard)| shard.allocator == Some(replica));
         self.ranges.len() == own.clone().count()
             && own.all(|(first, shard)| {
                 self.ranges
@@ -121,18 +126,18 @@
             })
     }
 
-    fn take_ranges(&mut self, now: Micros, replica: u64, ledger: &Book) {
+    fn take_ranges(&mut self, now: Micros, replica: u64, ledger: &LedgerState) {
         // the reports were another holder's, or of another range: senders repeat theirs within a lease
         self.reports.clear();
         let mut before = std::mem::take(&mut self.ranges);
         for (first, shard) in ledger
             .shards()
             .iter()
-            .filter(|(_, shard)| shard.keeper == Some(replica))
+            .filter(|(_, shard)| shard.allocator == Some(replica))
         {
-            let mut allocator = Keeper::new(ledger.terms(), now);
+            let mut allocator = Allocator::new(ledger.terms(), now);
             // after a cut-over the parent's holder knows its keys; what one child does not take stays for the other
-            for (from, epoch) in [Some((*first, shard.epoch)), shard.from]
+            for (from, epoch) in [Some((*first, shard.epoch)), shard.split_from]
                 .into_iter()
                 .flatten()
             {
@@ -155,10 +160,10 @@
         self.cleaned_at = now;
         self.ranges
             .values_mut()
-            .for_each(|range| range.allocator.forget(now));
+            .for_each(|range| range.allocator.remove_expired(now));
         self.reports
             .values_mut()
-            .for_each(|reports| reports.forget(now));
+            .for_each(|reports| reports.remove_expired(now));
         self.holders.retain(|_, holder| holder.expires_at > now);
     }
 
@@ -168,12 +173,12 @@
         now: Micros,
         request: QuotaRequest,
         replica: u64,
-        ledger: Option<&Book>,
+        ledger: Option<&LedgerState>,
     ) -> Answer {
         let Some(ledger) = ledger else {
-            return Answer::Rejected(CommandError::Ledger(BookError::None));
+            return Answer::Rejected(CommandError::Ledger(LedgerError::NotCreated));
         };
-        if &request.floors != ledger.floors() {
+        if &request.fallback_quotas != ledger.fallback_quotas() {
             return Answer::OtherFloor;
         }
         if request.demands.len() > MAX_DEMANDS || request.health_reports.len() > MAX_DEMANDS {
@@ -189,12 +194,12 @@
         let destinations: BTreeSet<u64> = request
             .demands
             .iter()
-            .map(|demand| demand.key.place())
+            .map(|demand| demand.key.position())
             .collect();
         self.record_reports(now, &request, ledger);
         let mut response = QuotaResponse {
             lease: ledger.terms().lease,
-            rev: ledger.rev(),
+            rev: ledger.revision(),
             verdicts: self.verdicts(&destinations),
             ..QuotaResponse::default()
         };
@@ -205,8 +210,9 @@
     }
 
     /// Registers a sender that may hold quotas from now on; its number, or none where there are too many.
-    fn register_holder(&mut self, now: Micros, id: SenderId, ledger: &Book) -> Option<u64> {
-        let expires_at = now + 2 * ledger.terms().longest() + ledger.linger_most() * 1000;
+    fn register_holder(&mut self, now: Micros, id: SenderId, ledger: &LedgerState) -> Option<u64> {
+        let expires_at =
+            now + 2 * ledger.terms().longest_validity() + ledger.max_expiry_grace_ms() * 1000;
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.expires_at = expires_at;
             return Some(holder.number);
@@ -226,28 +232,28 @@
     }
 
     /// Records the health reports on destinations of ranges that are held here.
-    fn record_reports(&mut self, now: Micros, request: &QuotaRequest, ledger: &Book) {
+    fn record_reports(&mut self, now: Micros, request: &QuotaRequest, ledger: &LedgerState) {
         for report in &request.health_reports {
-            let (first, _) = ledger.shard_of(&Key::of(report.destination, What::Rate));
+            let (first, _) = ledger.shard_of(&LimitKey::of(report.destination, Resource::Rate));
             if let Some(range) = self.ranges.get(&first) {
                 let reports = self.reports.entry(first).or_default();
-                reports.hear(
+                reports.record(
                     now,
                     &request.sender,
                     &request.zone,
                     *report,
-                    range.epoch * EPOCHS,
+                    range.epoch * EPOCHS_PER_ALLOCATOR,
                 );
             }
         }
     }
 
-    fn verdicts(&self, destinations: &BTreeSet<u64>) -> Vec<Verdict> {
+    fn verdicts(&self, destinations: &BTreeSet<u64>) -> Vec<HealthVerdict> {
         let held = self
             .reports
             .iter()
             .filter(|(first, _)| self.ranges.contains_key(first));
-        held.flat_map(|(_, reports)| reports.on(destinations.iter().copied()))
+        held.flat_map(|(_, reports)| reports.verdicts(destinations.iter().copied()))
             .collect()
     }
 
@@ -255,9 +261,9 @@
         &mut self,
         now: Micros,
         holder: u64,
-        demand: Want,
+        demand: QuotaDemand,
         replica: u64,
-        ledger: &Book,
+        ledger: &LedgerState,
         response: &mut QuotaResponse,
     ) {
         let (first, range_holder) = ledger.shard_of(&demand.key);
@@ -268,23 +274,23 @@
             return;
         };
         response.allocations.push(match ledger.limit(&demand.key) {
-            None => Dealt {
+            None => Allocation {
                 key: demand.key,
-                part: None,
+                quota: None,
                 total: None,
-                linger_ms: 0,
+                expiry_grace_ms: 0,
             },
             Some(limit) => {
                 self.allocated += 1;
                 range
                     .allocator
-                    .deal(now, holder, &demand, limit, ledger.floors())
+                    .allocate(now, holder, &demand, limit, ledger.fallback_quotas())
             }
         });
     }
 
     /// The ranges that are held here, and what of them is allocated, for operators.
-    pub fn report(&self, now: Micros, ledger: &Book) -> Value {
+    pub fn report(&self, now: Micros, ledger: &LedgerState) -> Value {
         let ranges: Vec<Value> = self
             .ranges
             .iter()
@@ -295,18 +301,18 @@
 }
 
 impl HeldRange {
-    fn report(&self, now: Micros, first: u64, ledger: &Book) -> Value {
-        let limit = |(key, allocated, holders): (&Key, u64, usize)| {
+    fn report(&self, now: Micros, first: u64, ledger: &LedgerState) -> Value {
+        let limit = |(key, allocated, holders): (&LimitKey, u64, usize)| {
             let total = ledger.limit(key).map(|limit| limit.total);
             json!({
-                "key": key, "total": total, "floors": ledger.floors().sum(key), "out": allocated,
+                "key": key, "total": total, "floors": ledger.fallback_quotas().total_of(key), "out": allocated,
                 "holders": holders
             })
         };
         json!({
             "first": first, "epoch": self.epoch,
-            "deals_in_ms": self.allocator.deals_from().saturating_sub(now) / 1000,
-            "limits": self.allocator.accounts().map(limit).collect::<Vec<_>>()
+            "deals_in_ms": self.allocator.allocates_from().saturating_sub(now) / 1000,
+            "limits": self.allocator.entries().map(limit).collect::<Vec<_>>()
         })
     }
 }
--- a/registry/src/replica/allocating/tests.rs
+++ b/registry/src/replica/allocating/tests.rs
@@ -1,15 +1,15 @@
 //! Tests of the allocation of quotas over a split.
 
 use super::*;
-use quota_ledger::{Entry, Limit, Terms};
+use quota_ledger::{LeaseTerms, LedgerEntry, Limit};
 
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     lease: 1_500_000,
-    drift: 30_000,
+    max_drift: 30_000,
 };
 
-fn applied(book: &mut Option<Book>, entry: Entry) {
-    Book::apply(book, entry).expect("applied");
+fn applied(book: &mut Option<LedgerState>, entry: LedgerEntry) {
+    LedgerState::apply(book, entry).expect("applied");
 }
 
 /// What a sender gets of destinations 3 and 12.
@@ -17,17 +17,17 @@
     allocations: &mut RangeAllocations,
     now: Micros,
     sender: &str,
-    book: &Option<Book>,
+    book: &Option<LedgerState>,
 ) -> Vec<u64> {
-    let demands = [3, 12].map(|destination| Want {
-        key: Key::of(destination, What::Rate),
-        want: 20_000,
+    let demands = [3, 12].map(|destination| QuotaDemand {
+        key: LimitKey::of(destination, Resource::Rate),
+        amount: 20_000,
     });
     let request = QuotaRequest {
         sender: sender.to_string(),
         incarnation: 1,
-        number: 1,
-        floors: book.as_ref().expect("begun").floors().clone(),
+        sequence: 1,
+        fallback_quotas: book.as_ref().expect("begun").fallback_quotas().clone(),
         demands: demands.to_vec(),
         zone: String::new(),
         health_reports: Vec::new(),
@@ -37,29 +37,29 @@
         Answer::Quotas(answer) => answer
             .allocations
             .iter()
-            .map(|dealt| dealt.part.unwrap_or(u64::MAX))
+            .map(|dealt| dealt.quota.unwrap_or(u64::MAX))
             .collect(),
         other => panic!("{other:?}"),
     }
 }
 
-fn split_ledger() -> Option<Book> {
+fn split_ledger() -> Option<LedgerState> {
     let mut book = None;
-    let floors = Floors {
+    let floors = FallbackQuotas {
         senders: 3,
-        each: [("rate".to_string(), 0)].into(),
+        per_sender: [("rate".to_string(), 0)].into(),
     };
     applied(
         &mut book,
-        Entry::Begin {
-            floors,
+        LedgerEntry::Create {
+            fallback_quotas: floors,
             terms: TERMS,
             split_at: Vec::new(),
         },
     );
     applied(
         &mut book,
-        Entry::Keeper {
+        LedgerEntry::AssignAllocator {
             shard: 0,
             epoch: 0,
             replica: 1,
@@ -68,12 +68,12 @@
     for destination in [3, 12] {
         let limit = Some(Limit {
             total: 10_000,
-            linger_ms: 0,
+            expiry_grace_ms: 0,
         });
         applied(
             &mut book,
-            Entry::Limit {
-                key: Key::of(destination, What::Rate),
+            LedgerEntry::SetLimit {
+                key: LimitKey::of(destination, Resource::Rate),
                 limit,
                 if_match: None,
             },
@@ -90,7 +90,7 @@
         [0, 0],
         "what one before dealt may last"
     );
-    let now = TERMS.longest();
+    let now = TERMS.longest_validity();
     assert_eq!(
         quotas(&mut allocations, now, "a", &book),
         [9990, 9990],
@@ -98,14 +98,14 @@
     );
     applied(
         &mut book,
-        Entry::Split {
+        LedgerEntry::BeginSplit {
             first: 0,
             at: 10,
-            plant: None,
+            planted_fault: None,
         },
     );
-    (0..4).for_each(|_| applied(&mut book, Entry::Step(8)));
-    applied(&mut book, Entry::Cut);
+    (0..4).for_each(|_| applied(&mut book, LedgerEntry::AdvanceSplit(8)));
+    applied(&mut book, LedgerEntry::CutOver);
     assert_eq!(book.as_ref().map(|book| book.shards().len()), Some(2));
     // all of both but the rest of a call is out still, and the one that has it has it on
     assert_eq!(quotas(&mut allocations, now + 1, "b", &book), [10, 10]);
@@ -114,7 +114,7 @@
     // another replica that keeps one of them from now on waits
     applied(
         &mut book,
-        Entry::Keeper {
+        LedgerEntry::AssignAllocator {
             shard: 10,
             epoch: 2,
             replica: 2,
@@ -129,7 +129,7 @@
     other.follow(now + 3, 2, book.as_ref());
     let keeper = &other.ranges[&10].allocator;
     assert_eq!(
-        (other.ranges.len(), keeper.deals_from()),
-        (1, now + 3 + TERMS.longest())
+        (other.ranges.len(), keeper.allocates_from()),
+        (1, now + 3 + TERMS.longest_validity())
     );
 }
--- a/registry/src/replica/applying.rs
+++ b/registry/src/replica/applying.rs
@@ -71,7 +71,7 @@
 
     fn apply_command(&mut self, now: Micros, command: Command, mark: &[u8], output: &mut Output) {
         let advances = matches!(command, Command::AdvanceRules(_));
-        if let Command::Freeze(FreezeEntry::Clock(ms)) = &command {
+        if let Command::Freeze(FreezeEntry::AdvanceClock(ms)) = &command {
             self.apply_clock(now, *ms);
         }
         let applied = self.state.apply(command);
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,7 +1,7 @@
 //! The log's clock: wall time from the log, advanced by the time that has passed here since.
 
 use super::Replica;
-use quota_ledger::calendar::{Clocks, SKEW_MS};
+use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
 use versioned_config::Micros;
 
 /// The log's clock, as it was set here last.
@@ -45,7 +45,7 @@
     /// Applies an entry of the log's clock. An entry that is read again after a start may be old.
     pub(super) fn apply_clock(&mut self, now: Micros, ms: u64) {
         let advanced = self.log_clock_ms(now);
-        if advanced.is_some() || self.wall_ms.abs_diff(ms) <= SKEW_MS {
+        if advanced.is_some() || self.wall_ms.abs_diff(ms) <= MAX_CLOCK_SKEW_MS {
             let ms = advanced.unwrap_or(ms).max(ms);
             self.log_clock = Some(LogClock { ms, set_at: now });
         }
--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -2,8 +2,8 @@
 
 use super::Replica;
 use crate::state::Command;
-use quota_ledger::Entry;
-use quota_ledger::splits::{Flag, Query, Rows, Split};
+use quota_ledger::LedgerEntry;
+use quota_ledger::splits::{Disagreement, Query, Rows, Split};
 use versioned_config::Micros;
 
 /// The pause after a dual read for each of its rows. A row read and compared takes some hundred nanoseconds, so that a tenth
@@ -15,7 +15,7 @@
 /// What dual reads have found since it was last appended to the log.
 #[derive(Debug, Default)]
 pub(super) struct DualReads {
-    flags: Vec<Flag>,
+    flags: Vec<Disagreement>,
     compared: u64,
     not_compared: u64,
     /// The next dual read is made no earlier.
@@ -24,7 +24,7 @@
 
 impl DualReads {
     /// Takes out the entry for the log; none where there was no query during a split.
-    fn take_entry(&mut self) -> Option<Entry> {
+    fn take_entry(&mut self) -> Option<LedgerEntry> {
         let queries = [self.compared, self.not_compared];
         if queries == [0, 0] {
             return None;
@@ -33,7 +33,7 @@
         flags.truncate(MAX_FLAGS);
         self.compared = 0;
         self.not_compared = 0;
-        Some(Entry::Read { queries, flags })
+        Some(LedgerEntry::RecordDualReads { queries, flags })
     }
 }
 
@@ -43,13 +43,13 @@
     pub fn query(&mut self, now: Micros, query: &Query) -> Option<Rows> {
         let ledger = self.state.ledger.as_ref()?;
         if !ledger.split().is_some_and(Split::reads_both) {
-            return Some(ledger.plain(query));
+            return Some(ledger.query(query));
         }
         if now < self.dual_reads.next_at {
             self.dual_reads.not_compared += 1;
-            return Some(ledger.plain(query));
+            return Some(ledger.query(query));
         }
-        let (rows, flag) = ledger.read(query);
+        let (rows, flag) = ledger.dual_read(query);
         self.dual_reads.compared += 1;
         self.dual_reads.flags.extend(flag);
         self.dual_reads.next_at = now + ledger.limits().count() as u64 * PAUSE_PER_ROW;
--- a/registry/src/replica/interface.rs
+++ b/registry/src/replica/interface.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
-use versioned_config::{Grant, Tag};
+use versioned_config::{Grant, VersionTag};
 
 /// The id of a request; its answer has the same.
 pub type RequestId = u64;
@@ -117,7 +117,7 @@
         voters: Vec<u64>,
     },
     /// The rules have another version or step.
-    RulesChanged(Tag),
+    RulesChanged(VersionTag),
     /// Another replica leads, or none.
     LeaderChanged {
         /// The leader's id, where one is known.
@@ -141,13 +141,13 @@
                 write!(f, "installed a snapshot at index {index}")
             }
             ReplicaEvent::VotersChanged { voters } => write!(f, "voters are {voters:?}"),
-            ReplicaEvent::RulesChanged(Tag {
+            ReplicaEvent::RulesChanged(VersionTag {
                 version,
-                whole: true,
+                complete: true,
             }) => {
                 write!(f, "rules: version {version} in force")
             }
-            ReplicaEvent::RulesChanged(Tag { version, .. }) => {
+            ReplicaEvent::RulesChanged(VersionTag { version, .. }) => {
                 write!(
                     f,
                     "rules: version {version} as the intersection with the one before"
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -9,10 +9,10 @@
 use freeze_steps::FreezeSteps;
 use ledger_steps::LedgerSteps;
 use quota_ledger::calendar::Clocks;
-use quota_ledger::freeze::{Freeze, FreezeEntry};
+use quota_ledger::freeze::{FreezeEntry, FreezeState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use versioned_config::{Leases, Micros, Refusal, Rules, Tag, Terms};
+use versioned_config::{LeaseTerms, Leases, Micros, ProposalError, Rules, VersionTag};
 
 /// The most incarnations of senders that may hold a lease at once.
 const MAX_LEASE_HOLDERS: usize = 4096;
@@ -27,7 +27,7 @@
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// The version that the sender acts on; none: the floor.
-    pub acts_on: Option<Tag>,
+    pub acts_on: Option<VersionTag>,
     /// The version of the endpoint list that the sender acts on.
     pub rev: u64,
     /// The rules of the sender without a lease.
@@ -78,7 +78,7 @@
 }
 
 impl Leadership {
-    pub fn new(term: u64, terms: Option<Terms>, now: Micros) -> Self {
+    pub fn new(term: u64, terms: Option<LeaseTerms>, now: Micros) -> Self {
         Leadership {
             term,
             leases: terms.map(|terms| Leases::new(terms, now)),
@@ -105,14 +105,14 @@
         };
         let current = versions.tag().version;
         let is_stale = proposal.from != current;
-        let is_same = &proposal.rules == versions.new_rules();
+        let is_same = &proposal.rules == versions.target_rules();
         let settled = leases.is_settled(now, versions) && self.advancing.is_none();
         if is_stale || is_same || settled {
             return None; // the state decides
         }
-        Some(Answer::Rejected(CommandError::Proposal(Refusal::UnderWay(
-            current,
-        ))))
+        Some(Answer::Rejected(CommandError::Proposal(
+            ProposalError::ChangeInProgress(current),
+        )))
     }
 
     /// Follows an applied command.
@@ -133,7 +133,7 @@
         let (Some(versions), Some(leases)) = (&state.versions, &mut self.leases) else {
             return Answer::Rejected(CommandError::NoRules);
         };
-        if &request.floor != versions.floor() {
+        if &request.floor != versions.fallback() {
             return Answer::OtherFloor;
         }
         let SenderLeaseRequest {
@@ -159,7 +159,7 @@
             }
         };
         self.holders.insert(number, LeaseHolderInfo { id, rev });
-        Answer::Granted(Box::new(leases.ask(now, number, acts_on, versions)))
+        Answer::Granted(Box::new(leases.grant(now, number, acts_on, versions)))
     }
 
     /// Notes which voters there are, and which were heard a short while ago.
@@ -196,7 +196,7 @@
         let Some(leases) = &mut self.leases else {
             return;
         };
-        for number in leases.forget(now) {
+        for number in leases.remove_expired(now) {
             self.lapsed += 1;
             if let Some(holder) = self.holders.remove(&number) {
                 self.numbers.remove(&holder.id);
@@ -208,7 +208,7 @@
     fn advance_step(&mut self, now: Micros, state: &State) -> Option<Command> {
         let leases = self.leases.as_ref()?;
         let tag = state.tag()?;
-        let must_wait = tag.whole || leases.waits_for(now, tag).is_some();
+        let must_wait = tag.complete || leases.blocking_lease(now, tag).is_some();
         if must_wait || self.advancing.is_some() {
             return None;
         }
@@ -241,7 +241,7 @@
     pub fn freeze_steps(
         &mut self,
         now: Micros,
-        freeze: &Freeze,
+        freeze: &FreezeState,
         clocks: Clocks,
     ) -> Vec<FreezeEntry> {
         self.freeze.steps(now, freeze, clocks)
--- a/registry/src/replica/leadership/freeze_steps.rs
+++ b/registry/src/replica/leadership/freeze_steps.rs
@@ -1,7 +1,7 @@
 //! The steps of the freeze calendar that the leader proposes: windows that begin or end, calendars that have settled.
 
 use quota_ledger::calendar::Clocks;
-use quota_ledger::freeze::{Freeze, FreezeEntry};
+use quota_ledger::freeze::{FreezeEntry, FreezeState};
 use versioned_config::Micros;
 
 /// The pause after steps were proposed.
@@ -28,12 +28,12 @@
 
 impl FreezeSteps {
     /// The entries that are due.
-    pub fn steps(&mut self, now: Micros, freeze: &Freeze, clocks: Clocks) -> Vec<FreezeEntry> {
+    pub fn steps(&mut self, now: Micros, freeze: &FreezeState, clocks: Clocks) -> Vec<FreezeEntry> {
         self.compare_clocks(clocks);
         if now < self.proposed_at + PROPOSAL_INTERVAL {
             return Vec::new();
         }
-        let mut due = freeze.due(clocks);
+        let mut due = freeze.due_entries(clocks);
         due.extend(self.settle_step(now, freeze));
         if !due.is_empty() {
             self.proposed_at = now;
@@ -55,12 +55,12 @@
         }
     }
 
-    fn settle_step(&mut self, now: Micros, freeze: &Freeze) -> Option<FreezeEntry> {
-        let rev = freeze.before().map(|_| freeze.rev());
+    fn settle_step(&mut self, now: Micros, freeze: &FreezeState) -> Option<FreezeEntry> {
+        let rev = freeze.previous_calendar().map(|_| freeze.revision());
         if rev != self.settling.map(|settling| settling.rev) {
             self.settling = rev.map(|rev| Settling { rev, since: now });
         }
         let Settling { rev, since } = self.settling?;
-        (now >= since + SETTLE_TIME).then_some(FreezeEntry::Settle(rev))
+        (now >= since + SETTLE_TIME).then_some(FreezeEntry::SettleCalendar(rev))
     }
 }
--- a/registry/src/replica/leadership/ledger_steps.rs
+++ b/registry/src/replica/leadership/ledger_steps.rs
@@ -1,8 +1,8 @@
 //! The entries of the quota ledger that the leader proposes: its beginning, holders of ranges, the steps of a split.
 
 use crate::state::{Command, State};
-use quota_ledger::Entry;
-use quota_ledger::freeze::{Freeze, FreezeError, Matter, Widening};
+use quota_ledger::LedgerEntry;
+use quota_ledger::freeze::{ChangeKind, FreezeError, FreezeState, ResourceChange};
 use quota_ledger::splits::{Split, SplitError};
 use std::collections::BTreeMap;
 use versioned_config::Micros;
@@ -39,7 +39,7 @@
         let Some(ledger) = &state.ledger else {
             return self.begin(initial).into_iter().collect();
         };
-        let mut due: Vec<Entry> = Vec::new();
+        let mut due: Vec<LedgerEntry> = Vec::new();
         match ledger.split() {
             None => self.split_since = None,
             Some(split) => {
@@ -53,7 +53,7 @@
             .filter(is_alive)
             .map(|(id, _)| *id)
             .collect();
-        due.extend(ledger.due(&alive));
+        due.extend(ledger.allocator_assignments(&alive));
         due.retain(|entry| self.is_new(entry));
         due.into_iter().map(Command::Ledger).collect()
     }
@@ -70,9 +70,9 @@
     }
 
     /// Whether an entry has not been proposed yet, or is one that may be proposed again.
-    fn is_new(&mut self, entry: &Entry) -> bool {
+    fn is_new(&mut self, entry: &LedgerEntry) -> bool {
         match entry {
-            Entry::Keeper { shard, epoch, .. } => {
+            LedgerEntry::AssignAllocator { shard, epoch, .. } => {
                 self.holders_proposed.insert(*shard, *epoch) != Some(*epoch)
             }
             _ => true,
@@ -80,9 +80,9 @@
     }
 
     /// The engine did not append an entry.
-    pub fn not_appended(&mut self, entry: &Entry) {
+    pub fn not_appended(&mut self, entry: &LedgerEntry) {
         match entry {
-            Entry::Keeper { shard, .. } => drop(self.holders_proposed.remove(shard)),
+            LedgerEntry::AssignAllocator { shard, .. } => drop(self.holders_proposed.remove(shard)),
             _ => self.begin_proposed = false,
         }
     }
@@ -90,29 +90,36 @@
 
 /// The next entry of a split: what has been compared as a whole is cut over, anything else is undone, so that nothing is left
 /// half done.
-fn split_step(now: Micros, since: Micros, split: &Split, freeze: &Freeze) -> Option<Entry> {
-    if split.flagged > 0 {
-        return Some(Entry::Undo(SplitError::Flags(split.flagged)));
+fn split_step(
+    now: Micros,
+    since: Micros,
+    split: &Split,
+    freeze: &FreezeState,
+) -> Option<LedgerEntry> {
+    if split.disagreement_count > 0 {
+        return Some(LedgerEntry::RollBack(SplitError::Disagreements(
+            split.disagreement_count,
+        )));
     }
     let long_enough = now >= since + MIN_SPLIT_TIME;
-    if split.plant.is_some() && split.compared_all && long_enough {
-        return Some(Entry::Undo(SplitError::Rehearsed));
+    if split.planted_fault.is_some() && split.compared_all && long_enough {
+        return Some(LedgerEntry::RollBack(SplitError::Rehearsed));
     }
     let proven = split.is_proven();
-    let matter = Matter {
+    let matter = ResourceChange {
         destinations: vec![split.first],
-        ..Matter::of_all(Widening::Split)
+        ..ResourceChange::of_all(ChangeKind::Split)
     };
-    if let Err(FreezeError::Held { window, .. }) = freeze.judge(&[matter], false)
+    if let Err(FreezeError::Held { window, .. }) = freeze.check_changes(&[matter], false)
         && !proven
     {
-        return Some(Entry::Undo(SplitError::Frozen(window)));
+        return Some(LedgerEntry::RollBack(SplitError::Frozen(window)));
     }
     if proven && long_enough {
-        return Some(Entry::Cut);
+        return Some(LedgerEntry::CutOver);
     }
     if now >= since + MAX_SPLIT_TIME {
-        return Some(Entry::Undo(SplitError::Late));
+        return Some(LedgerEntry::RollBack(SplitError::TimedOut));
     }
-    (!proven).then_some(Entry::Step(KEYS_PER_STEP))
+    (!proven).then_some(LedgerEntry::AdvanceSplit(KEYS_PER_STEP))
 }
--- a/registry/src/replica/membership.rs
+++ b/registry/src/replica/membership.rs
@@ -3,7 +3,7 @@
 use super::Replica;
 use super::interface::{Answer, BusyReason, Output, ReplicaChange, ReplicaChangeEntry, RequestId};
 use crate::state::CommandError;
-use quota_ledger::freeze::{FreezeError, Matter, Widening};
+use quota_ledger::freeze::{ChangeKind, FreezeError, ResourceChange};
 use raft::eraftpb::{ConfChange, ConfChangeType};
 
 impl Replica {
@@ -37,8 +37,8 @@
 
     fn check_freeze(&self, change: ReplicaChange) -> Result<(), FreezeError> {
         let joins = change.addresses.is_some() && !self.state.replicas.contains_key(&change.id);
-        let matter = joins.then(|| Matter::of_all(Widening::Replica));
-        self.state.freeze.judge(matter.as_slice(), false)
+        let matter = joins.then(|| ResourceChange::of_all(ChangeKind::Replica));
+        self.state.freeze.check_changes(matter.as_slice(), false)
     }
 
     /// Appends a change of replicas, as leader; its number.
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -2,11 +2,11 @@
 
 use super::Replica;
 use super::leadership::Leadership;
-use quota_ledger::calendar::{Clocks, SKEW_MS};
-use quota_ledger::freeze::On;
+use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
+use quota_ledger::freeze::ActiveWindow;
 use raft::Storage;
 use serde_json::{Value, json};
-use versioned_config::{Leases, Micros, Versions};
+use versioned_config::{Leases, Micros, VersionedRules};
 
 /// Windows that begin within this time are reported ahead, ms: a sender that hears nothing more goes by them.
 const UPCOMING_MS: u64 = 7 * 24 * 3600 * 1000;
@@ -40,12 +40,12 @@
         let ranges: Vec<Value> = ledger
             .shards()
             .iter()
-            .map(|(first, shard)| json!({ "first": first, "keeper": shard.keeper, "epoch": shard.epoch }))
+            .map(|(first, shard)| json!({ "first": first, "keeper": shard.allocator, "epoch": shard.epoch }))
             .collect();
         let mut report = self.allocations.report(now, ledger);
-        report["rev"] = ledger.rev().into();
+        report["rev"] = ledger.revision().into();
         report["lease_ms"] = (ledger.terms().lease / 1000).into();
-        report["drift_ms"] = (ledger.terms().drift / 1000).into();
+        report["drift_ms"] = (ledger.terms().max_drift / 1000).into();
         report["ranges"] = ranges.into();
         report
     }
@@ -57,12 +57,12 @@
             return Value::Null;
         };
         let active: Vec<Value> = freeze
-            .on()
+            .active_windows()
             .iter()
             .map(|(name, on)| json!({ "window": name, "ends_in_ms": ends_in_ms(on, clocks), "on": on }))
             .collect();
         let upcoming: Vec<Value> = freeze
-            .soon(clocks, UPCOMING_MS)
+            .upcoming_windows(clocks, UPCOMING_MS)
             .into_iter()
             .map(|(name, begins_in_ms, on)| {
                 json!({
@@ -72,11 +72,11 @@
             })
             .collect();
         let glass_ends_in_ms = freeze
-            .glass()
+            .break_glass_override()
             .map_or(0, |glass| glass.until_ms.saturating_sub(clocks.latest()));
         json!({
-            "rev": freeze.rev(), "settled": freeze.before().is_none(), "on": active, "soon": upcoming,
-            "glass": freeze.glass(), "glass_ends_in_ms": glass_ends_in_ms,
+            "rev": freeze.revision(), "settled": freeze.previous_calendar().is_none(), "on": active, "soon": upcoming,
+            "glass": freeze.break_glass_override(), "glass_ends_in_ms": glass_ends_in_ms,
             "wall_ms": clocks.wall_ms, "log_ms": clocks.log_ms, "clocks_differ": clocks.differ(),
         })
     }
@@ -89,9 +89,9 @@
         let tag = versions.tag();
         let terms = self.state.terms;
         let mut report = json!({
-            "version": tag.version, "whole": tag.whole,
+            "version": tag.version, "whole": tag.complete,
             "lease_ms": terms.map(|terms| terms.lease / 1000),
-            "drift_ms": terms.map(|terms| terms.drift / 1000),
+            "drift_ms": terms.map(|terms| terms.max_drift / 1000),
             "kept": self.state.stored_rules.keys().collect::<Vec<_>>(),
         });
         if let Some(leadership) = &self.leadership
@@ -110,15 +110,15 @@
     }
 }
 
-fn ends_in_ms(on: &On, clocks: Clocks) -> u64 {
-    (on.until_ms + SKEW_MS).saturating_sub(clocks.earliest())
+fn ends_in_ms(on: &ActiveWindow, clocks: Clocks) -> u64 {
+    (on.until_ms + MAX_CLOCK_SKEW_MS).saturating_sub(clocks.earliest())
 }
 
 /// Adds what the leader alone knows: whether the rules are settled, who is waited for, the leases.
 fn add_leases(
     report: &mut Value,
     now: Micros,
-    versions: &Versions,
+    versions: &VersionedRules,
     leadership: &Leadership,
     leases: &Leases,
 ) {
@@ -130,13 +130,13 @@
             .get(&number)
             .map(|holder| holder.id.name.as_str())
     };
-    let waits_for = leases.waits_for(now, tag);
+    let waits_for = leases.blocking_lease(now, tag);
     let behind: Vec<Value> = leases
-        .behind(now, tag)
+        .senders_behind(now, tag)
         .map(|wait| json!({ "sender": wait.sender.and_then(name), "left_ms": left_ms(wait.until) }))
         .collect();
     let held: Vec<Value> = leases
-        .held()
+        .holders()
         .filter_map(|(number, acts_on, until)| {
             let holder = leadership.holders.get(&number)?;
             Some(json!({
--- a/registry/src/replica/role.rs
+++ b/registry/src/replica/role.rs
@@ -89,7 +89,7 @@
             return;
         };
         for entry in leadership.freeze_steps(now, &self.state.freeze, clocks) {
-            if !matches!(entry, FreezeEntry::Clock(_)) {
+            if !matches!(entry, FreezeEntry::AdvanceClock(_)) {
                 output.events.push(ReplicaEvent::FreezeStep(entry.clone()));
             }
             // a step that can't be appended now is due again
--- a/registry/src/server.rs
+++ b/registry/src/server.rs
@@ -62,7 +62,7 @@
 pub struct ServerMetrics {
     /// Watches that were closed because their watcher took nothing.
     pub stalled_watches: AtomicU64,
-    /// Versions that the last watcher to be served was behind.
+    /// VersionedRules that the last watcher to be served was behind.
     pub watch_backlog: AtomicU64,
     /// Watches that are open.
     pub open_watches: AtomicUsize,
--- a/registry/src/server/api.rs
+++ b/registry/src/server/api.rs
@@ -16,14 +16,14 @@
 use quota_ledger::compact::CompactError;
 use quota_ledger::freeze::FreezeError;
 use quota_ledger::splits::SplitError;
-use quota_ledger::{BadKey, BookError, LimitError};
+use quota_ledger::{InvalidKey, LedgerError, LimitError};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::convert::Infallible;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::time::timeout;
-use versioned_config::{Refusal, Senseless};
+use versioned_config::{InvalidRules, ProposalError};
 
 /// The longest time for a request's body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
@@ -122,7 +122,7 @@
     #[error("{}", explain(.0))]
     Compact(#[from] CompactError),
     #[error("{}", explain(.0))]
-    Key(#[from] BadKey),
+    Key(#[from] InvalidKey),
     #[error("the body is malformed")]
     BodyMalformed,
     #[error("the body is over {max} bytes")]
@@ -144,7 +144,7 @@
     #[error("the replica's id is no number")]
     InvalidReplicaId,
     #[error(transparent)]
-    InvalidRules(#[from] Senseless),
+    InvalidRules(#[from] InvalidRules),
     #[error(transparent)]
     Forward(#[from] hyper::http::Error),
     #[error("no such path")]
@@ -156,7 +156,7 @@
     #[error("no rules are agreed here")]
     NoRules,
     #[error("{}", explain(.0))]
-    Ledger(BookError),
+    Ledger(LedgerError),
     #[error("{}", explain(.0))]
     Freeze(FreezeError),
     #[error(transparent)]
@@ -266,7 +266,7 @@
 
 fn rejection_status(error: &CommandError) -> StatusCode {
     match error {
-        CommandError::Version { .. } | CommandError::Proposal(Refusal::Stale { .. }) => {
+        CommandError::Version { .. } | CommandError::Proposal(ProposalError::Stale { .. }) => {
             StatusCode::PRECONDITION_FAILED
         }
         CommandError::UnknownEndpoint(_) | CommandError::NoRules => StatusCode::NOT_FOUND,
@@ -281,30 +281,35 @@
     }
 }
 
-fn ledger_status(error: &BookError) -> StatusCode {
+fn ledger_status(error: &LedgerError) -> StatusCode {
     match error {
-        BookError::None | BookError::Limit(LimitError::Unknown(_)) => StatusCode::NOT_FOUND,
-        BookError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        BookError::Limit(LimitError::Senseless(_) | LimitError::Unnamed(_)) | BookError::Ranges => {
-            StatusCode::BAD_REQUEST
+        LedgerError::NotCreated | LedgerError::Limit(LimitError::Unknown(_)) => {
+            StatusCode::NOT_FOUND
+        }
+        LedgerError::VersionMismatch { .. } => StatusCode::PRECONDITION_FAILED,
+        LedgerError::Limit(LimitError::Invalid(_) | LimitError::NoFallbackQuota(_))
+        | LedgerError::InvalidShards => StatusCode::BAD_REQUEST,
+        LedgerError::Split(SplitError::UnknownShard(_) | SplitError::NoSplit) => {
+            StatusCode::NOT_FOUND
+        }
+        LedgerError::Split(SplitError::OutsideShard { .. }) => StatusCode::BAD_REQUEST,
+        LedgerError::AlreadyCreated | LedgerError::Limit(_) | LedgerError::Split(_) => {
+            StatusCode::CONFLICT
         }
-        BookError::Split(SplitError::Range(_) | SplitError::None) => StatusCode::NOT_FOUND,
-        BookError::Split(SplitError::Place { .. }) => StatusCode::BAD_REQUEST,
-        BookError::Begun | BookError::Limit(_) | BookError::Split(_) => StatusCode::CONFLICT,
     }
 }
 
 fn freeze_status(error: &FreezeError) -> StatusCode {
     match error {
-        FreezeError::Window { .. } | FreezeError::Many | FreezeError::Glass(_) => {
-            StatusCode::BAD_REQUEST
-        }
-        FreezeError::Version { .. } => StatusCode::PRECONDITION_FAILED,
-        FreezeError::Whole => StatusCode::NOT_FOUND,
+        FreezeError::InvalidWindow { .. }
+        | FreezeError::TooManyWindows
+        | FreezeError::InvalidOverride(_) => StatusCode::BAD_REQUEST,
+        FreezeError::VersionMismatch { .. } => StatusCode::PRECONDITION_FAILED,
+        FreezeError::NoOverride => StatusCode::NOT_FOUND,
         FreezeError::Held { .. }
-        | FreezeError::Mixed(_)
-        | FreezeError::Last { .. }
-        | FreezeError::UnderWay(_) => StatusCode::CONFLICT,
+        | FreezeError::MixedBatch(_)
+        | FreezeError::LastEndpoint { .. }
+        | FreezeError::ChangeInProgress(_) => StatusCode::CONFLICT,
     }
 }
 
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -6,7 +6,7 @@
 use crate::replica::{Answer, Replica};
 use crate::state::Command;
 use hyper::Method;
-use quota_ledger::freeze::{Calendar, FreezeEntry, Glass};
+use quota_ledger::freeze::{BreakGlassOverride, FreezeCalendar, FreezeEntry};
 use serde_json::{Value, json as value};
 use versioned_config::Micros;
 
@@ -16,7 +16,7 @@
         ([], &Method::GET) => return report(request, server).await,
         ([], &Method::PUT) => put_calendar(request)?,
         (["glass"], &Method::POST) => break_glass(request, server).await?,
-        (["glass"], &Method::DELETE) => FreezeEntry::Mend,
+        (["glass"], &Method::DELETE) => FreezeEntry::EndOverride,
         ([] | ["glass"], _) => return Err(request.method_not_allowed()),
         _ => return Err(ApiError::NoSuchPath),
     };
@@ -28,7 +28,7 @@
         Answer::Applied(_) => {
             let rev = server
                 .replica
-                .inspect(|replica, _| replica.state().freeze.rev())
+                .inspect(|replica, _| replica.state().freeze.revision())
                 .await?;
             Ok(json(&value!({ "rev": rev })))
         }
@@ -37,22 +37,25 @@
 }
 
 fn put_calendar(request: &ApiRequest) -> Result<FreezeEntry, ApiError> {
-    let calendar: Calendar = request.json()?;
-    calendar.check().map_err(ApiError::Freeze)?;
-    Ok(FreezeEntry::Put {
+    let calendar: FreezeCalendar = request.json()?;
+    calendar.check_times().map_err(ApiError::Freeze)?;
+    Ok(FreezeEntry::PutCalendar {
         calendar,
         if_match: request.expected_version()?,
     })
 }
 
 async fn break_glass(request: &ApiRequest, server: &Server) -> Result<FreezeEntry, ApiError> {
-    let glass: Glass = request.json()?;
+    let break_glass_override: BreakGlassOverride = request.json()?;
     let clocks = server
         .replica
         .inspect(|replica, now| replica.clocks(now))
         .await?;
     let now_ms = clocks.ok_or(ApiError::ClockUnknown)?.earliest();
-    Ok(FreezeEntry::Break { glass, now_ms })
+    Ok(FreezeEntry::BreakGlass {
+        break_glass_override,
+        now_ms,
+    })
 }
 
 async fn report(request: &ApiRequest, server: &Server) -> ApiResult {
@@ -68,7 +71,7 @@
     if let Some(clocks) = replica.clocks(now) {
         let calendar = replica.state().freeze.calendar();
         report["calendar"] = serde_json::to_value(calendar).unwrap_or_default();
-        report["ended"] = value!(calendar.ended(clocks.earliest()));
+        report["ended"] = value!(calendar.ended_windows(clocks.earliest()));
     }
     report
 }
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -7,7 +7,7 @@
 use crate::state::Command;
 use hyper::Method;
 use quota_ledger::splits::Query;
-use quota_ledger::{BookError, Entry, Key, Limit};
+use quota_ledger::{LedgerEntry, LedgerError, Limit, LimitKey};
 use serde_json::{Value, json as value};
 use std::collections::BTreeMap;
 use versioned_config::Micros;
@@ -17,13 +17,13 @@
     if request.method == Method::GET && key.is_empty() {
         return report(request, server).await;
     }
-    let key: Key = key.join("/").parse()?;
+    let key: LimitKey = key.join("/").parse()?;
     let limit: Option<Limit> = match request.method {
         Method::PUT => Some(request.json()?),
         Method::DELETE => None,
         _ => return Err(request.method_not_allowed()),
     };
-    let entry = Entry::Limit {
+    let entry = LedgerEntry::SetLimit {
         key,
         limit,
         if_match: request.expected_version()?,
@@ -35,7 +35,11 @@
     {
         Answer::Applied(_) => {
             let rev = |replica: &mut Replica, _| {
-                replica.state().ledger.as_ref().map(|ledger| ledger.rev())
+                replica
+                    .state()
+                    .ledger
+                    .as_ref()
+                    .map(|ledger| ledger.revision())
             };
             Ok(json(&value!({ "rev": server.replica.inspect(rev).await? })))
         }
@@ -45,7 +49,7 @@
 
 async fn report(request: &ApiRequest, server: &Server) -> ApiResult {
     match server.read(request, full_report).await? {
-        Read::Here(Value::Null) => Err(ApiError::Ledger(BookError::None)),
+        Read::Here(Value::Null) => Err(ApiError::Ledger(LedgerError::NotCreated)),
         Read::Here(report) => Ok(json(&report)),
         Read::Forwarded(response) => Ok(response),
     }
@@ -56,7 +60,7 @@
     if let Some(ledger) = &replica.state().ledger {
         let limits: BTreeMap<_, _> = ledger.limits().collect();
         report["limits"] = serde_json::to_value(limits).unwrap_or_default();
-        report["floors"] = serde_json::to_value(ledger.floors()).unwrap_or_default();
+        report["floors"] = serde_json::to_value(ledger.fallback_quotas()).unwrap_or_default();
     }
     report
 }
@@ -77,7 +81,7 @@
         .await?
     {
         Read::Here(Some(rows)) => Ok(json(&value!({ "rows": rows }))),
-        Read::Here(None) => Err(ApiError::Ledger(BookError::None)),
+        Read::Here(None) => Err(ApiError::Ledger(LedgerError::NotCreated)),
         Read::Forwarded(response) => Ok(response),
     }
 }
--- a/registry/src/server/quotas.rs
+++ b/registry/src/server/quotas.rs
@@ -94,21 +94,21 @@
 /// Decodes a request in the compact form. An older replica takes it for broken JSON and rejects it, and the sender uses JSON
 /// then.
 fn decode_compact(request: &ApiRequest) -> Result<QuotaRequest, ApiError> {
-    let compact::Question {
+    let compact::QuotaRequest {
         sender,
-        life,
-        number,
-        floors,
+        incarnation,
+        sequence,
+        fallback_quotas,
         zone,
-        wants,
+        demands,
         reports,
-    } = compact::Question::read(&request.body)?;
+    } = compact::QuotaRequest::decode(&request.body)?;
     Ok(QuotaRequest {
         sender,
-        incarnation: life,
-        number,
-        floors,
-        demands: wants,
+        incarnation,
+        sequence,
+        fallback_quotas,
+        demands,
         zone,
         health_reports: reports,
     })
@@ -122,13 +122,13 @@
         verdicts,
         ..
     } = response;
-    let bytes = compact::Answer {
+    let bytes = compact::QuotaResponse {
         lease,
-        rev,
-        quotas: allocations,
+        revision: rev,
+        allocations,
         verdicts,
     }
-    .write();
+    .encode();
     let mut response = text(StatusCode::OK, bytes);
     response
         .headers_mut()
--- a/registry/src/server/rules.rs
+++ b/registry/src/server/rules.rs
@@ -41,9 +41,9 @@
 fn full_report(replica: &mut Replica, now: Micros) -> Value {
     let mut report = replica.rules_report(now);
     if let Some(versions) = &replica.state().versions {
-        report["rules"] = serde_json::to_value(versions.new_rules()).unwrap_or_default();
+        report["rules"] = serde_json::to_value(versions.target_rules()).unwrap_or_default();
         report["in_force"] = serde_json::to_value(versions.rules()).unwrap_or_default();
-        report["floor"] = serde_json::to_value(versions.floor()).unwrap_or_default();
+        report["floor"] = serde_json::to_value(versions.fallback()).unwrap_or_default();
     }
     report
 }
--- a/registry/src/server/splits.rs
+++ b/registry/src/server/splits.rs
@@ -6,8 +6,8 @@
 use crate::replica::Replica;
 use crate::state::Command;
 use hyper::Method;
-use quota_ledger::splits::{Plant, SplitError};
-use quota_ledger::{Book, BookError, Entry};
+use quota_ledger::splits::{PlantedFault, SplitError};
+use quota_ledger::{LedgerEntry, LedgerError, LedgerState};
 use serde::Deserialize;
 use serde_json::{Value, json as value};
 
@@ -21,7 +21,7 @@
     at: u64,
     /// A fault to plant, for a rehearsal.
     #[serde(default)]
-    rehearse: Option<Plant>,
+    rehearse: Option<PlantedFault>,
 }
 
 /// `/v1/splits`: reports the splits, begins one, or undoes the one under way.
@@ -34,13 +34,13 @@
                 at,
                 rehearse,
             } = request.json()?;
-            Entry::Split {
+            LedgerEntry::BeginSplit {
                 first,
                 at,
-                plant: rehearse,
+                planted_fault: rehearse,
             }
         }
-        Method::DELETE => Entry::Undo(SplitError::Undone),
+        Method::DELETE => LedgerEntry::RollBack(SplitError::RolledBackByOperator),
         _ => return Err(request.method_not_allowed()),
     };
     let answer = server
@@ -54,22 +54,26 @@
     let read = |replica: &mut Replica, _| replica.state().ledger.as_ref().map(splits_of);
     match server.read(request, read).await? {
         Read::Here(Some(report)) => Ok(json(&report)),
-        Read::Here(None) => Err(ApiError::Ledger(BookError::None)),
+        Read::Here(None) => Err(ApiError::Ledger(LedgerError::NotCreated)),
         Read::Forwarded(response) => Ok(response),
     }
 }
 
-fn splits_of(ledger: &Book) -> Value {
-    let ended = ledger.ended().iter().map(|ended| {
+fn splits_of(ledger: &LedgerState) -> Value {
+    let ended = ledger.finished_splits().iter().map(|ended| {
         let mut row = serde_json::to_value(ended).unwrap_or_default();
-        row["undone"] = ended.undone.as_ref().map(|error| explain(error)).into();
+        row["undone"] = ended
+            .rolled_back_because
+            .as_ref()
+            .map(|error| explain(error))
+            .into();
         row
     });
     let under_way = ledger.split().map(|split| {
         value!({
-            "first": split.first, "at": split.at, "rehearse": split.plant,
+            "first": split.first, "at": split.at, "rehearse": split.planted_fault,
             "copied": split.copied_all, "compared": split.compared_all, "queries": split.queries,
-            "not_compared": split.not_compared, "flagged": split.flagged, "flags": split.flags
+            "not_compared": split.not_compared, "flagged": split.disagreement_count, "flags": split.disagreements
         })
     });
     value!({ "under_way": under_way, "ended": ended.collect::<Vec<_>>() })
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -3,13 +3,13 @@
 mod validation;
 
 use crate::state::{Command, ReplicaAddresses};
-use quota_ledger::{Entry, Floors};
+use quota_ledger::{FallbackQuotas, LedgerEntry};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
-use versioned_config::{Rules, Senseless, Terms, Versions};
+use versioned_config::{InvalidRules, LeaseTerms, Rules, VersionedRules};
 
 /// The settings of one replica.
 #[derive(Debug, Clone, Deserialize)]
@@ -158,7 +158,7 @@
         /// The file.
         path: PathBuf,
         /// Where and why.
-        error: Senseless,
+        error: InvalidRules,
     },
     /// A value is not valid.
     #[error("{key} is not {expected}")]
@@ -231,7 +231,7 @@
         };
         let floor = read_rules(&agreement.floor)?;
         let rules = read_rules(&agreement.rules)?;
-        Versions::new(floor.clone(), rules.clone())
+        VersionedRules::new(floor.clone(), rules.clone())
             .map_err(|_| SettingsError::FloorNotWithinRules)?;
         let terms = lease_terms(agreement.lease_ms, agreement.drift_percent);
         Ok(Some(Command::BeginRules {
@@ -250,13 +250,13 @@
             floors,
             split_at,
         } = self.ledger.clone()?;
-        let floors = Floors {
+        let floors = FallbackQuotas {
             senders,
-            each: floors,
+            per_sender: floors,
         };
         let terms = lease_terms(lease_ms, drift_percent);
-        Some(Command::Ledger(Entry::Begin {
-            floors,
+        Some(Command::Ledger(LedgerEntry::Create {
+            fallback_quotas: floors,
             terms,
             split_at,
         }))
@@ -264,11 +264,14 @@
 }
 
 /// The terms of a lease, with the drift between a sender's clock that is slow by the bound and this one's that is fast by it.
-fn lease_terms(lease_ms: u64, drift_percent: f64) -> Terms {
+fn lease_terms(lease_ms: u64, drift_percent: f64) -> LeaseTerms {
     let lease = lease_ms * 1000;
     let part = drift_percent / 100.0;
     let drift = (lease as f64 * 2.0 * part / (1.0 - part)).ceil() as u64;
-    Terms { lease, drift }
+    LeaseTerms {
+        lease,
+        max_drift: drift,
+    }
 }
 
 fn read_text(path: &Path) -> Result<String, SettingsError> {
--- a/registry/src/settings/tests.rs
+++ b/registry/src/settings/tests.rs
@@ -44,9 +44,9 @@
     };
     assert_eq!(
         terms,
-        Terms {
+        LeaseTerms {
             lease: 6_000_000,
-            drift: 121_213
+            max_drift: 121_213
         }
     );
     for (from, to, told) in [
--- a/registry/src/settings/validation.rs
+++ b/registry/src/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use super::{AgreementSettings, LedgerSettings, Limits, Settings, SettingsError};
 use crate::endpoint::is_name;
-use quota_ledger::{KINDS, Key};
+use quota_ledger::{LIMIT_KINDS, LimitKey};
 
 /// The most replicas of a cluster.
 const MAX_REPLICAS: usize = 7;
@@ -116,7 +116,9 @@
         )?;
         let senders = (1..=100_000).contains(&self.senders);
         check(senders, "ledger.senders", "a number from 1 to 100000")?;
-        let is_key = |name: &String| KINDS.contains(&name.as_str()) || name.parse::<Key>().is_ok();
+        let is_key = |name: &String| {
+            LIMIT_KINDS.contains(&name.as_str()) || name.parse::<LimitKey>().is_ok()
+        };
         let keys = self.floors.keys().all(is_key);
         check(keys, "ledger.floors", "a table of keys, or kinds of them")?;
         let grows = self.split_at.windows(2).all(|pair| pair[0] < pair[1]);
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -11,15 +11,15 @@
 pub use endpoint_list::Endpoints;
 
 use crate::topology::{check_limit_change, check_rules_change};
-use quota_ledger::freeze::{Freeze, Matter, Widening};
-use quota_ledger::{Book, Entry};
+use quota_ledger::freeze::{ChangeKind, FreezeState, ResourceChange};
+use quota_ledger::{LedgerEntry, LedgerState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use versioned_config::{Proposal, Rules, Tag, Terms, Versions};
+use versioned_config::{LeaseTerms, Proposal, Rules, VersionTag, VersionedRules};
 
 /// The most endpoints of a list, and the most changes of one command.
 pub const MAX_ENDPOINTS: usize = 10_000;
-/// Versions of the rules that are stored, to be compared or gone back to.
+/// VersionedRules of the rules that are stored, to be compared or gone back to.
 pub const STORED_RULES: usize = 32;
 
 /// The state. The order of the fields is the form of the snapshot.
@@ -30,17 +30,17 @@
     /// The endpoint list.
     pub endpoints: Endpoints,
     /// The agreed rules.
-    pub versions: Option<Versions>,
+    pub versions: Option<VersionedRules>,
     /// The duration of leases on the rules.
-    pub terms: Option<Terms>,
+    pub terms: Option<LeaseTerms>,
     /// The last [`STORED_RULES`] versions of the rules.
     pub stored_rules: BTreeMap<u64, Rules>,
     /// The replicas that joined after the first start.
     pub replicas: BTreeMap<u64, ReplicaAddresses>,
     /// The quota ledger. Fields of later versions stand last: an older replica reads what precedes them.
-    pub ledger: Option<Book>,
+    pub ledger: Option<LedgerState>,
     /// The freeze calendar.
-    pub freeze: Freeze,
+    pub freeze: FreezeState,
 }
 
 /// Zeros in place of the fields that an older version did not write: no ledger, no calendar.
@@ -100,8 +100,8 @@
     }
 
     /// The rules' version and step.
-    pub fn tag(&self) -> Option<Tag> {
-        self.versions.as_ref().map(Versions::tag)
+    pub fn tag(&self) -> Option<VersionTag> {
+        self.versions.as_ref().map(VersionedRules::tag)
     }
 
     fn expire(
@@ -121,14 +121,14 @@
         &mut self,
         floor: Rules,
         rules: Rules,
-        terms: Terms,
+        terms: LeaseTerms,
     ) -> Result<(), CommandError> {
         if self.versions.is_some() {
             return Err(CommandError::RulesBegun);
         }
         floor.validate()?;
         rules.validate()?;
-        let versions = Versions::new(floor, rules)?;
+        let versions = VersionedRules::new(floor, rules)?;
         self.store_rules(&versions);
         self.versions = Some(versions);
         self.terms = Some(terms);
@@ -145,24 +145,24 @@
         Ok(())
     }
 
-    fn apply_ledger(&mut self, entry: Entry) -> Result<(), CommandError> {
-        if let Entry::Limit { key, limit, .. } = &entry {
+    fn apply_ledger(&mut self, entry: LedgerEntry) -> Result<(), CommandError> {
+        if let LedgerEntry::SetLimit { key, limit, .. } = &entry {
             check_limit_change(&self.freeze, self.ledger.as_ref(), key, *limit)?;
         }
-        if let Entry::Split { first, .. } = &entry {
-            let split = Matter {
+        if let LedgerEntry::BeginSplit { first, .. } = &entry {
+            let split = ResourceChange {
                 destinations: vec![*first],
-                ..Matter::of_all(Widening::Split)
+                ..ResourceChange::of_all(ChangeKind::Split)
             };
-            self.freeze.judge(&[split], false)?;
+            self.freeze.check_changes(&[split], false)?;
         }
-        Book::apply(&mut self.ledger, entry)?;
+        LedgerState::apply(&mut self.ledger, entry)?;
         Ok(())
     }
 
-    fn store_rules(&mut self, versions: &Versions) {
+    fn store_rules(&mut self, versions: &VersionedRules) {
         self.stored_rules
-            .insert(versions.tag().version, versions.new_rules().clone());
+            .insert(versions.tag().version, versions.target_rules().clone());
         while self.stored_rules.len() > STORED_RULES {
             self.stored_rules.pop_first();
         }
--- a/registry/src/state/command.rs
+++ b/registry/src/state/command.rs
@@ -2,11 +2,11 @@
 
 use crate::endpoint::{Endpoint, InvalidEndpoint};
 use quota_ledger::freeze::{FreezeEntry, FreezeError};
-use quota_ledger::{BookError, Entry};
+use quota_ledger::{LedgerEntry, LedgerError};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use thiserror::Error;
-use versioned_config::{Proposal, Refusal, Rules, Senseless, Tag, Terms};
+use versioned_config::{InvalidRules, LeaseTerms, Proposal, ProposalError, Rules, VersionTag};
 
 /// The addresses of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -70,14 +70,14 @@
         /// The first version.
         rules: Rules,
         /// The duration of leases, and the drift of clocks to allow for.
-        terms: Terms,
+        terms: LeaseTerms,
     },
     /// Proposes other rules.
     ProposeRules(Proposal),
     /// Advances the change to this version from the intersection to the new rules alone.
     AdvanceRules(u64),
     /// Changes the quota ledger.
-    Ledger(Entry),
+    Ledger(LedgerEntry),
     /// Changes the freeze calendar.
     Freeze(FreezeEntry),
     /// As `ChangeList`, also where it takes a destination's last endpoint during a freeze.
@@ -106,7 +106,7 @@
     /// The endpoint list's version.
     pub rev: u64,
     /// The rules' version and step, where there are rules.
-    pub tag: Option<Tag>,
+    pub tag: Option<VersionTag>,
     /// The endpoints that were changed.
     pub changed: Vec<EndpointChange>,
     /// Whether the command changed the ledger or the freeze calendar.
@@ -140,7 +140,7 @@
     InvalidEndpoint(#[from] InvalidEndpoint),
     /// Rules are not valid.
     #[error(transparent)]
-    InvalidRules(#[from] Senseless),
+    InvalidRules(#[from] InvalidRules),
     /// A request or the list would exceed a bound.
     #[error(transparent)]
     TooMany(#[from] TooMany),
@@ -152,10 +152,10 @@
     RulesBegun,
     /// The proposed rules can't follow the current ones.
     #[error(transparent)]
-    Proposal(#[from] Refusal),
+    Proposal(#[from] ProposalError),
     /// The ledger rejects the entry.
     #[error(transparent)]
-    Ledger(#[from] BookError),
+    Ledger(#[from] LedgerError),
     /// A freeze window holds the change, or the calendar rejects the entry.
     #[error(transparent)]
     Freeze(#[from] FreezeError),
--- a/registry/src/state/tests.rs
+++ b/registry/src/state/tests.rs
@@ -51,8 +51,8 @@
     type Before = (
         u64,
         BTreeMap<String, Endpoint>,
-        Option<Versions>,
-        Option<Terms>,
+        Option<VersionedRules>,
+        Option<LeaseTerms>,
     );
     assert_eq!(
         postcard::from_bytes::<Before>(&bytes).map(|before| before.0),
@@ -62,21 +62,21 @@
 
 #[test]
 fn freeze_holds_changes_that_widen_and_lets_relief_pass() {
-    use quota_ledger::freeze::{On, Scope};
+    use quota_ledger::freeze::{ActiveWindow, Scope};
     let mut state = State::default();
     state
         .apply(list(vec![put("a", 1), put("b", 2)]))
         .expect("put");
     let (reason, owner) = ("term begins".to_string(), "lan".to_string());
-    let on = On {
+    let on = ActiveWindow {
         until_ms: 9,
         scope: Scope::default(),
-        holds: Default::default(),
+        held_changes: Default::default(),
         reason,
         owner,
     };
     state
-        .apply(Command::Freeze(FreezeEntry::Begin("w".into(), on)))
+        .apply(Command::Freeze(FreezeEntry::BeginWindow("w".into(), on)))
         .expect("begun");
     let drain = |uid: &str| ListChange::Drain {
         uid: uid.to_string(),
@@ -105,7 +105,7 @@
     let mixed = state.apply(list(vec![drain("a"), put("c", 3)]));
     assert_eq!(
         mixed,
-        Err(CommandError::Freeze(FreezeError::Mixed("w".into())))
+        Err(CommandError::Freeze(FreezeError::MixedBatch("w".into())))
     );
     state.apply(list(vec![drain("a")])).expect("relief passes");
     // a restart of what serves is neither
@@ -132,7 +132,7 @@
     assert!(
         matches!(
             last,
-            Err(CommandError::Freeze(FreezeError::Last {
+            Err(CommandError::Freeze(FreezeError::LastEndpoint {
                 destination: 3,
                 ..
             }))
@@ -145,7 +145,7 @@
     };
     state.apply(forced).expect("forced");
     state
-        .apply(Command::Freeze(FreezeEntry::End("w".into())))
+        .apply(Command::Freeze(FreezeEntry::EndWindow("w".into())))
         .expect("ended");
     state
         .apply(list(vec![put("c", 3)]))
--- a/registry/src/topology.rs
+++ b/registry/src/topology.rs
@@ -3,24 +3,24 @@
 
 use crate::endpoint::{Endpoint, EndpointState};
 use crate::state::Endpoints;
-use quota_ledger::freeze::{Freeze, FreezeError, Matter, Widening};
-use quota_ledger::{Book, Key, Limit, What};
+use quota_ledger::freeze::{ChangeKind, FreezeError, FreezeState, ResourceChange};
+use quota_ledger::{LedgerState, Limit, LimitKey, Resource};
 use std::collections::BTreeSet;
-use versioned_config::{Rules, Versions};
+use versioned_config::{Rules, VersionedRules};
 
 /// What the change of one endpoint means to a freeze.
 #[derive(Default)]
 struct Effect {
     /// What it widens.
-    widens: Option<Matter>,
+    widens: Option<ResourceChange>,
     /// Whether it takes load off the destination.
     relieves: bool,
 }
 
 impl Effect {
-    fn widens(widening: Widening, endpoints: &[&Endpoint]) -> Self {
-        let matter = Matter {
-            widening,
+    fn widens(widening: ChangeKind, endpoints: &[&Endpoint]) -> Self {
+        let matter = ResourceChange {
+            kind: widening,
             zones: endpoints
                 .iter()
                 .map(|endpoint| endpoint.az.clone())
@@ -40,7 +40,7 @@
     fn of_change(before: Option<&Endpoint>, after: Option<&Endpoint>) -> Self {
         match (before, after) {
             (None, None) => Effect::default(),
-            (None, Some(after)) if is_up(after) => Effect::widens(Widening::Added, &[after]),
+            (None, Some(after)) if is_up(after) => Effect::widens(ChangeKind::Added, &[after]),
             (None, Some(_)) => Effect::default(),
             (Some(_), None) => Effect {
                 widens: None,
@@ -52,17 +52,17 @@
 
     fn of_update(before: &Endpoint, after: &Endpoint) -> Self {
         if (before.pod_group, &before.az) != (after.pod_group, &after.az) {
-            return Effect::widens(Widening::Moved, &[before, after]);
+            return Effect::widens(ChangeKind::Moved, &[before, after]);
         }
         if !is_up(before) && is_up(after) {
-            return Effect::widens(Widening::Back, &[after]);
+            return Effect::widens(ChangeKind::Restored, &[after]);
         }
         let drains = is_up(before) && !is_up(after);
         let relieves = after.capacity_hint < before.capacity_hint || drains;
         if after.capacity_hint > before.capacity_hint {
             return Effect {
                 relieves,
-                ..Effect::widens(Widening::Raised, &[after])
+                ..Effect::widens(ChangeKind::Raised, &[after])
             };
         }
         Effect {
@@ -87,12 +87,12 @@
 /// # Errors
 /// A window holds a part of it; or it is not `forced`, and takes the last endpoint of a destination while none can be added.
 pub fn check_list_change(
-    freeze: &Freeze,
+    freeze: &FreezeState,
     before: &Endpoints,
     after: &Endpoints,
     forced: bool,
 ) -> Result<(), FreezeError> {
-    if freeze.on().is_empty() {
+    if freeze.active_windows().is_empty() {
         return Ok(());
     }
     let uids: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
@@ -101,11 +101,11 @@
         .map(|uid| Effect::of_change(before.get(uid), after.get(uid)))
         .collect();
     let relieves = effects.iter().any(|effect| effect.relieves);
-    let widened: Vec<Matter> = effects
+    let widened: Vec<ResourceChange> = effects
         .into_iter()
         .filter_map(|effect| effect.widens)
         .collect();
-    freeze.judge(&widened, relieves)?;
+    freeze.check_changes(&widened, relieves)?;
     if forced {
         return Ok(());
     }
@@ -116,13 +116,13 @@
 }
 
 /// Checks that an endpoint could be added to a destination that loses its last one.
-fn check_last_endpoint(freeze: &Freeze, destination: u64) -> Result<(), FreezeError> {
-    let added = Matter {
+fn check_last_endpoint(freeze: &FreezeState, destination: u64) -> Result<(), FreezeError> {
+    let added = ResourceChange {
         destinations: vec![destination],
-        ..Matter::of_all(Widening::Added)
+        ..ResourceChange::of_all(ChangeKind::Added)
     };
-    match freeze.judge(&[added], false) {
-        Err(FreezeError::Held { window, .. }) => Err(FreezeError::Last {
+    match freeze.check_changes(&[added], false) {
+        Err(FreezeError::Held { window, .. }) => Err(FreezeError::LastEndpoint {
             window,
             destination,
         }),
@@ -135,13 +135,13 @@
 /// # Errors
 /// A window holds it.
 pub fn check_rules_change(
-    freeze: &Freeze,
-    versions: Option<&Versions>,
+    freeze: &FreezeState,
+    versions: Option<&VersionedRules>,
     rules: &Rules,
 ) -> Result<(), FreezeError> {
     match versions {
-        Some(versions) if !rules.within(versions.new_rules()) => {
-            freeze.judge(&[Matter::of_all(Widening::Rules)], false)
+        Some(versions) if !rules.is_within(versions.target_rules()) => {
+            freeze.check_changes(&[ResourceChange::of_all(ChangeKind::Rules)], false)
         }
         _ => Ok(()),
     }
@@ -152,28 +152,30 @@
 /// # Errors
 /// A window holds it.
 pub fn check_limit_change(
-    freeze: &Freeze,
-    ledger: Option<&Book>,
-    key: &Key,
+    freeze: &FreezeState,
+    ledger: Option<&LedgerState>,
+    key: &LimitKey,
     limit: Option<Limit>,
 ) -> Result<(), FreezeError> {
     let Some(before) = ledger.and_then(|ledger| ledger.limit(key)) else {
         return Ok(());
     };
-    let lowers = |limit: Limit| limit.total <= before.total && limit.linger_ms <= before.linger_ms;
+    let lowers = |limit: Limit| {
+        limit.total <= before.total && limit.expiry_grace_ms <= before.expiry_grace_ms
+    };
     if limit.is_some_and(lowers) {
         return Ok(());
     }
-    let raised = Matter::of_all(Widening::Raised);
-    let matter = match key.what() {
-        What::Tenant(name) => Matter {
+    let raised = ResourceChange::of_all(ChangeKind::Raised);
+    let matter = match key.resource() {
+        Resource::Tenant(name) => ResourceChange {
             tenants: vec![name.clone()],
             ..raised
         },
-        _ => Matter {
-            destinations: vec![key.place()],
+        _ => ResourceChange {
+            destinations: vec![key.position()],
             ..raised
         },
     };
-    freeze.judge(&[matter], false)
+    freeze.check_changes(&[matter], false)
 }
--- a/registry/tests/compatibility/samples.rs
+++ b/registry/tests/compatibility/samples.rs
@@ -2,11 +2,14 @@
 
 use fleet_registry::endpoint::{Endpoint, EndpointState};
 use fleet_registry::state::{Command, ExpiredEndpoint, ListChange, ReplicaAddresses, State};
-use quota_ledger::freeze::{Calendar, Every, FreezeEntry, Glass, On, Scope, Widening, Window};
-use quota_ledger::splits::{Difference, Flag, Plant, Query, SplitError};
-use quota_ledger::{Entry, Floors, Key, Limit, What};
+use quota_ledger::freeze::{
+    ActiveWindow, BreakGlassOverride, ChangeKind, FreezeCalendar, FreezeEntry, FreezeWindow,
+    Recurrence, Scope,
+};
+use quota_ledger::splits::{Difference, Disagreement, PlantedFault, Query, SplitError};
+use quota_ledger::{FallbackQuotas, LedgerEntry, Limit, LimitKey, Resource};
 use std::collections::BTreeMap;
-use versioned_config::{Class, Effect, Proposal, Rules, Terms};
+use versioned_config::{ClassRules, Effect, LeaseTerms, Proposal, Rules};
 
 pub fn endpoint(port: u16) -> Endpoint {
     Endpoint {
@@ -29,23 +32,23 @@
 }
 
 fn rules(calls: u64) -> Rules {
-    let class = |effect| Class {
+    let class = |effect| ClassRules {
         accepted: true,
         effect,
-        attempts: 3,
+        max_attempts: 3,
         in_order: true,
-        keyed_by: "user".to_string(),
-        gap_ms: 250,
+        key_meaning: "user".to_string(),
+        key_backoff_ms: 250,
     };
     let classes = [
-        ("bell".to_string(), class(Effect::AtMostOnce)),
+        ("bell".to_string(), class(Effect::NonIdempotent)),
         (
             "cook".to_string(),
-            class(Effect::DeduplicatedInZone { window_ms: 400 }),
+            class(Effect::IdempotencyKeyInZone { window_ms: 400 }),
         ),
         (
             "mail".to_string(),
-            class(Effect::Deduplicated { window_ms: 9000 }),
+            class(Effect::IdempotencyKey { window_ms: 9000 }),
         ),
         ("post".to_string(), class(Effect::Idempotent)),
     ];
@@ -55,62 +58,65 @@
     }
 }
 
-fn window() -> On {
-    On {
+fn window() -> ActiveWindow {
+    ActiveWindow {
         until_ms: 1_800_000_000_000,
         scope: Scope {
             zones: ["floor-2".to_string()].into(),
             destinations: [300].into(),
             tenants: ["t".to_string()].into(),
         },
-        holds: [Widening::Added, Widening::Raised].into(),
+        held_changes: [ChangeKind::Added, ChangeKind::Raised].into(),
         reason: "term begins".to_string(),
         owner: "lan".to_string(),
     }
 }
 
-fn calendar() -> Calendar {
-    let window = Window {
+fn calendar() -> FreezeCalendar {
+    let window = FreezeWindow {
         zone: "Asia/Ho_Chi_Minh".to_string(),
         begin: "2026-09-01T07:00".to_string(),
         end: "2026-09-01T17:00".to_string(),
-        every: Some(Every::Week),
+        recurrence: Some(Recurrence::Week),
         scope: Scope::default(),
-        holds: [
-            Widening::Moved,
-            Widening::Back,
-            Widening::Rules,
-            Widening::Split,
-            Widening::Replica,
+        held_changes: [
+            ChangeKind::Moved,
+            ChangeKind::Restored,
+            ChangeKind::Rules,
+            ChangeKind::Split,
+            ChangeKind::Replica,
         ]
         .into(),
         reason: "lessons".to_string(),
         owner: "lan".to_string(),
     };
-    Calendar {
+    FreezeCalendar {
         windows: BTreeMap::from([("lessons".to_string(), window)]),
     }
 }
 
-fn begin_ledger() -> Entry {
-    let floors = Floors {
+fn begin_ledger() -> LedgerEntry {
+    let floors = FallbackQuotas {
         senders: 3,
-        each: [("rate".to_string(), 10)].into(),
+        per_sender: [("rate".to_string(), 10)].into(),
     };
-    Entry::Begin {
-        floors,
-        terms: Terms {
+    LedgerEntry::Create {
+        fallback_quotas: floors,
+        terms: LeaseTerms {
             lease: 1_500_000,
-            drift: 30_304,
+            max_drift: 30_304,
         },
         split_at: vec![20_000],
     }
 }
 
-fn limit(key: Key, total: u64, linger_ms: u64) -> Entry {
-    Entry::Limit {
+fn limit(key: LimitKey, total: u64, expiry_grace_ms: u64) -> LedgerEntry {
+    LedgerEntry::SetLimit {
         key,
-        limit: Some(Limit { total, linger_ms }),
+        limit: Some(Limit {
+            total,
+            expiry_grace_ms,
+        }),
         if_match: Some(0),
     }
 }
@@ -121,9 +127,9 @@
         limits: [("calls".to_string(), 5)].into(),
         ..Rules::default()
     };
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease: 6_000_000,
-        drift: 121_213,
+        max_drift: 121_213,
     };
     vec![
         Command::BeginRules {
@@ -142,42 +148,42 @@
             }],
         },
         Command::Ledger(begin_ledger()),
-        Command::Ledger(Entry::Keeper {
+        Command::Ledger(LedgerEntry::AssignAllocator {
             shard: 0,
             epoch: 0,
             replica: 1,
         }),
-        Command::Ledger(limit(Key::of(300, What::Rate), 1000, 0)),
-        Command::Freeze(FreezeEntry::Put {
+        Command::Ledger(limit(LimitKey::of(300, Resource::Rate), 1000, 0)),
+        Command::Freeze(FreezeEntry::PutCalendar {
             calendar: calendar(),
             if_match: Some(0),
         }),
-        Command::Freeze(FreezeEntry::Clock(1_700_000_000_000)),
+        Command::Freeze(FreezeEntry::AdvanceClock(1_700_000_000_000)),
     ]
 }
 
 /// The commands of the other kinds, whether or not a state takes them now.
 pub fn others() -> Vec<Command> {
-    let glass = Glass {
-        by: vec!["lan".to_string(), "minh".to_string()],
+    let glass = BreakGlassOverride {
+        approvers: vec!["lan".to_string(), "minh".to_string()],
         reason: "a fire".to_string(),
         scope: Scope::default(),
         until_ms: 1_700_000_600_000,
     };
-    let flag = |query| Flag {
+    let flag = |query| Disagreement {
         query: Some(query),
-        key: Some(Key::of(301, What::Out)),
+        key: Some(LimitKey::of(301, Resource::Concurrency)),
         difference: Difference::Twice,
         parent: vec![4],
         children: vec![4, 4],
-        fence: 77,
+        log_revision: 77,
     };
     let queries = [
         Query::Range {
             from: 3,
             to: Some(900),
         },
-        Query::One(Key::of(7, What::Cold)),
+        Query::Key(LimitKey::of(7, Resource::RecoveryRate)),
         Query::Sum("rate".to_string()),
     ];
     let changes = vec![
@@ -203,38 +209,42 @@
     ];
     commands.extend(
         [
-            Entry::Limit {
-                key: Key::tenant("t"),
+            LedgerEntry::SetLimit {
+                key: LimitKey::tenant("t"),
                 limit: None,
                 if_match: None,
             },
-            limit(Key::of(4, What::Connections("n1".to_string())), 3, 70_000),
-            Entry::Split {
+            limit(
+                LimitKey::of(4, Resource::Connections("n1".to_string())),
+                3,
+                70_000,
+            ),
+            LedgerEntry::BeginSplit {
                 first: 0,
                 at: 400,
-                plant: Some(Plant::WrongSide),
+                planted_fault: Some(PlantedFault::WrongSide),
             },
-            Entry::Step(256),
-            Entry::Read {
+            LedgerEntry::AdvanceSplit(256),
+            LedgerEntry::RecordDualReads {
                 queries: [4, 1],
                 flags: queries.map(flag).into(),
             },
-            Entry::Cut,
-            Entry::Undo(SplitError::Frozen("lessons".to_string())),
-            Entry::Undo(SplitError::Flags(3)),
+            LedgerEntry::CutOver,
+            LedgerEntry::RollBack(SplitError::Frozen("lessons".to_string())),
+            LedgerEntry::RollBack(SplitError::Disagreements(3)),
         ]
         .map(Command::Ledger),
     );
     commands.extend(
         [
-            FreezeEntry::Settle(1),
-            FreezeEntry::Begin("lessons".to_string(), window()),
-            FreezeEntry::End("lessons".to_string()),
-            FreezeEntry::Break {
-                glass,
+            FreezeEntry::SettleCalendar(1),
+            FreezeEntry::BeginWindow("lessons".to_string(), window()),
+            FreezeEntry::EndWindow("lessons".to_string()),
+            FreezeEntry::BreakGlass {
+                break_glass_override: glass,
                 now_ms: 1_700_000_000_000,
             },
-            FreezeEntry::Mend,
+            FreezeEntry::EndOverride,
         ]
         .map(Command::Freeze),
     );
--- a/registry/tests/compatibility/settings.rs
+++ b/registry/tests/compatibility/settings.rs
@@ -3,8 +3,8 @@
 use crate::golden;
 use fleet_registry::settings::{Settings, SettingsError};
 use fleet_registry::state::Command;
-use quota_ledger::{Entry, Floors};
-use versioned_config::{Rules, Terms};
+use quota_ledger::{FallbackQuotas, LedgerEntry};
+use versioned_config::{LeaseTerms, Rules};
 
 fn read(text: &str) -> Result<Settings, SettingsError> {
     let folder = tempfile::tempdir().expect("a folder");
@@ -45,16 +45,16 @@
     assert_eq!(addresses[&1].clients.to_string(), "127.0.0.1:8501");
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (7000, 2.5));
-    let floors = Floors {
+    let floors = FallbackQuotas {
         senders: 4,
-        each: [("out/7".to_string(), 3), ("rate".to_string(), 10)].into(),
+        per_sender: [("out/7".to_string(), 3), ("rate".to_string(), 10)].into(),
     };
-    let terms = Terms {
+    let terms = LeaseTerms {
         lease: 1_700_000,
-        drift: 17_086,
+        max_drift: 17_086,
     };
-    let begin = Entry::Begin {
-        floors,
+    let begin = LedgerEntry::Create {
+        fallback_quotas: floors,
         terms,
         split_at: vec![100, 200],
     };
@@ -72,15 +72,15 @@
     assert!(!settings.join && settings.peers.is_none() && settings.addresses().is_empty());
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (6000, 1.0));
-    let floors = Floors {
+    let floors = FallbackQuotas {
         senders: 4,
-        each: [].into(),
+        per_sender: [].into(),
     };
-    let begin = Entry::Begin {
-        floors,
-        terms: Terms {
+    let begin = LedgerEntry::Create {
+        fallback_quotas: floors,
+        terms: LeaseTerms {
             lease: 1_500_000,
-            drift: 30_304,
+            max_drift: 30_304,
         },
         split_at: vec![],
     };
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -562,5 +562,7 @@
         .unwrap_or_default()
 }
 
+#[cfg(test)]
+mod compatibility;
 #[cfg(test)]
 mod tests;
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -78,29 +78,31 @@
             name: "period_ms",
             wanted: "a time from 10 to 60000",
         };
-        settings.period = if time {
+        settings.protocol_period = if time {
             (period * 1e3) as u64
         } else {
             return Err(wrong);
         };
     }
-    settings.helpers = object.helpers.unwrap_or(settings.helpers);
-    settings.suspicion = object.suspicion.unwrap_or(settings.suspicion);
-    settings.suspicion_most = object.suspicion_most.unwrap_or(settings.suspicion_most);
+    settings.indirect_probers = object.helpers.unwrap_or(settings.indirect_probers);
+    settings.suspicion_multiplier = object.suspicion.unwrap_or(settings.suspicion_multiplier);
+    settings.max_suspicion_multiplier = object
+        .suspicion_most
+        .unwrap_or(settings.max_suspicion_multiplier);
     settings.confirmations = object.confirmations.unwrap_or(settings.confirmations);
-    settings.retransmit = object.retransmit.unwrap_or(settings.retransmit);
-    settings.sync = object.sync.unwrap_or(settings.sync);
-    settings.most = object.members_most.unwrap_or(settings.most);
+    settings.retransmit_multiplier = object.retransmit.unwrap_or(settings.retransmit_multiplier);
+    settings.push_pull_periods = object.sync.unwrap_or(settings.push_pull_periods);
+    settings.max_members = object.members_most.unwrap_or(settings.max_members);
     settings.key = object.key_file.map(read_key).transpose()?;
-    settings
-        .validate()
-        .map_err(|SettingsError { name, wanted }| {
-            // the one name that differs
-            MembershipError::Value {
-                name: if name == "most" { "members_most" } else { name },
-                wanted,
-            }
-        })?;
+    settings.validate().map_err(
+        |SettingsError {
+             setting,
+             requirement,
+         }| MembershipError::Value {
+            name: setting,
+            wanted: requirement,
+        },
+    )?;
     Ok(Some(Membership {
         listen: object.listen,
         settings,
@@ -124,51 +126,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
-        let good = json!({ "listen": "10.0.0.4:7946", "fleet": "hue", "seeds": ["10.0.0.5:7946"], "period_ms": 200 });
-        let read_it = |value: &Value| read(value, "n3", 300);
-        let membership = read_it(&good).expect("good").expect("there");
-        let settings = membership.settings;
-        assert_eq!(
-            (settings.period, settings.configured, settings.advertise),
-            (200_000, 300, membership.listen)
-        );
-        assert!(membership.act && settings.key.is_none());
-        assert_eq!(read_it(&Value::Null).expect("none is none"), None);
-        for (key, value, told) in [
-            ("perriod_ms", json!(200), "unknown field `perriod_ms`"),
-            ("fleet", json!(""), "membership.fleet is not"),
-            ("listen", json!("here"), "membership: "),
-            ("period_ms", json!(-1), "membership.period_ms is not"),
-            (
-                "members_most",
-                json!(100_000),
-                "membership.members_most is not",
-            ),
-            (
-                "advertise",
-                json!("0.0.0.0:7946"),
-                "membership.advertise is not",
-            ),
-            (
-                "key_file",
-                json!("/nowhere/key"),
-                "membership.key_file: /nowhere/key",
-            ),
-            ("act", json!("yes"), "membership: "),
-        ] {
-            let mut bad = good.clone();
-            bad[key] = value;
-            let error = read_it(&bad).expect_err(key).to_string();
-            assert!(
-                error.starts_with(told) || error.contains(told),
-                "{key}: {error}"
-            );
-        }
-    }
-}
+mod tests;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -403,3 +403,6 @@
             .with(|pool, out| pool.spoiled(now, self.number, cause, out));
     }
 }
+
+#[cfg(test)]
+mod compatibility;
