--- a/registry/src/replica/allocating.rs
+++ b/registry/src/replica/allocating.rs
@@ -3,7 +3,7 @@
 
 use super::interface::{Answer, BusyReason};
 use crate::state::{CommandError, TooMany};
-use quota_ledger::verdicts::{EPOCHS_PER_ALLOCATOR, HealthReport, HealthVerdict, ReportCounts};
+use quota_ledger::health::{EPOCHS_PER_ALLOCATOR, HealthReport, HealthVerdict, ReportCounts};
 use quota_ledger::{
     Allocation, Allocator, FallbackQuotas, LedgerError, LedgerState, LimitKey, Micros, QuotaDemand,
     Resource,
--- a/registry/src/replica/clock.rs
+++ b/registry/src/replica/clock.rs
@@ -1,7 +1,7 @@
 //! The log's clock: wall time from the log, advanced by the time that has passed here since.
 
 use super::Replica;
-use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
+use quota_ledger::freeze::schedule::{Clocks, MAX_CLOCK_SKEW_MS};
 use versioned_config::Micros;
 
 /// The log's clock, as it was set here last.
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -8,7 +8,7 @@
 use crate::state::{Applied, Command, CommandError, State};
 use freeze_steps::FreezeSteps;
 use ledger_steps::LedgerSteps;
-use quota_ledger::calendar::Clocks;
+use quota_ledger::freeze::schedule::Clocks;
 use quota_ledger::freeze::{FreezeEntry, FreezeState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/registry/src/replica/leadership/freeze_steps.rs
+++ b/registry/src/replica/leadership/freeze_steps.rs
@@ -1,6 +1,6 @@
 //! The steps of the freeze calendar that the leader proposes: windows that begin or end, calendars that have settled.
 
-use quota_ledger::calendar::Clocks;
+use quota_ledger::freeze::schedule::Clocks;
 use quota_ledger::freeze::{FreezeEntry, FreezeState};
 use versioned_config::Micros;
 
--- a/registry/src/replica/report.rs
+++ b/registry/src/replica/report.rs
@@ -2,8 +2,8 @@
 
 use super::Replica;
 use super::leadership::Leadership;
-use quota_ledger::calendar::{Clocks, MAX_CLOCK_SKEW_MS};
 use quota_ledger::freeze::ActiveWindow;
+use quota_ledger::freeze::schedule::{Clocks, MAX_CLOCK_SKEW_MS};
 use raft::Storage;
 use serde_json::{Value, json};
 use versioned_config::{Leases, Micros, VersionedRules};
--- a/registry/src/server/api.rs
+++ b/registry/src/server/api.rs
@@ -13,8 +13,8 @@
 };
 use hyper::{Method, Request, Response, StatusCode};
 use miette::Diagnostic;
-use quota_ledger::compact::CompactError;
 use quota_ledger::freeze::FreezeError;
+use quota_ledger::quotas::compact::CompactError;
 use quota_ledger::splits::SplitError;
 use quota_ledger::{InvalidKey, LedgerError, LimitError};
 use serde::Serialize;
--- a/registry/src/server/quotas.rs
+++ b/registry/src/server/quotas.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use quota_ledger::compact;
+use quota_ledger::quotas::compact;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/registry/tests/replicas.rs
+++ b/registry/tests/replicas.rs
@@ -201,7 +201,11 @@
                 Sent::Ask(to, sender, ask) => {
                     let ticket = self.ticket(Ticket::Ask(sender, ask));
                     let name = format!("n{sender}");
-                    let LeaseRequest { incarnation, acts_on, .. } = ask;
+                    let LeaseRequest {
+                        incarnation,
+                        acts_on,
+                        ..
+                    } = ask;
                     let question = SenderLeaseRequest {
                         sender: name,
                         incarnation,
