--- a/src/main.rs
+++ b/src/main.rs
@@ -4,7 +4,8 @@
 
 use message_sender::Sender;
 use net::RateLimitedLog;
-use net::agreement::settings::Agreement;
+use net::agreement::RulesLease;
+use net::agreement::settings::AgreementSettings;
 use net::calls::Calls;
 use net::clock::Clock;
 use net::config::Config;
@@ -14,14 +15,15 @@
 use net::events::{DriverInput, FreezeChange, SettingsUpdate};
 use net::freeze::settings::FreezeSettings;
 use net::journal::Journal;
-use net::ledger::settings::Ledger;
+use net::ledger::QuotaLease;
+use net::ledger::settings::LedgerSettings;
 use net::local_errors::RETRY_INTERVAL;
-use net::membership::settings::Membership;
+use net::membership::settings::MembershipSettings;
 use net::pool::{Connections, Means, limits};
 use net::server::{Classes, Server, serve};
 use net::startup::{self, until_had};
 use net::upgrade::{self, Frame, Lock, Taken};
-use net::{agreement, control, discovery, freeze, journal, ledger, membership};
+use net::{agreement, control, discovery, freeze, journal, lease_client, ledger, membership};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -43,9 +45,9 @@
 
 /// The ways to parts that other settings may concern.
 type Parts = (
-    watch::Sender<Option<Membership>>,
-    watch::Sender<Option<Agreement>>,
-    watch::Sender<Option<Ledger>>,
+    watch::Sender<Option<MembershipSettings>>,
+    watch::Sender<Option<AgreementSettings>>,
+    watch::Sender<Option<LedgerSettings>>,
     watch::Sender<Option<FreezeSettings>>,
 );
 
@@ -189,8 +191,8 @@
     let floor = agreement
         .borrow()
         .as_ref()
-        .map(|agreement| agreement::bounds(&agreement.floor));
-    let floors = shared_limits.borrow().as_ref().map(ledger::on_floors);
+        .map(|agreement| agreement::bounds(&agreement.fallback));
+    let floors = shared_limits.borrow().as_ref().map(ledger::fallback_only);
     let shared = Shared {
         clock,
         inputs: inputs.clone(),
@@ -246,49 +248,64 @@
         inputs.clone(),
     );
     tokio::task::spawn_local(until_handed(Box::pin(watch) as Task));
-    let holds = agreement::Means {
+    let dependencies = || lease_client::Dependencies {
         clock,
         name: config.name.clone(),
-        inputs: inputs.clone(),
-        agent: agent.clone(),
-        listed,
+        driver: inputs.clone(),
+        registry: agent.clone(),
+    };
+    let rules_lease = RulesLease {
+        dependencies: dependencies(),
+        list_version: listed,
         backoff: Backoff::new(agents, !config.seed),
     };
-    let holds = agreement::hold(holds, agreement, rules_asked, stopping.clone());
-    tokio::task::spawn_local(until_handed(Box::pin(holds)));
-    let holds = ledger::Means {
-        clock,
-        name: config.name.clone(),
+    let channels = lease_client::Channels {
+        settings: agreement,
+        reports: rules_asked,
+        shutdown: stopping.clone(),
+    };
+    let rules_client = lease_client::run(rules_lease, channels);
+    tokio::task::spawn_local(until_handed(Box::pin(rules_client)));
+    let quota_lease = QuotaLease {
+        dependencies: dependencies(),
         seed: config.seed,
         zone,
-        inputs: inputs.clone(),
-        agent: agent.clone(),
     };
-    let holds = ledger::hold(holds, shared_limits, parts_asked, stopping.clone());
-    tokio::task::spawn_local(until_handed(Box::pin(holds)));
-    let means = freeze::Means {
+    let channels = lease_client::Channels {
+        settings: shared_limits,
+        reports: parts_asked,
+        shutdown: stopping.clone(),
+    };
+    let quota_client = lease_client::run(quota_lease, channels);
+    tokio::task::spawn_local(until_handed(Box::pin(quota_client)));
+    let freeze_dependencies = freeze::Dependencies {
         clock,
         seed: config.seed,
-        inputs: inputs.clone(),
-        agent: agent.clone(),
+        driver: inputs.clone(),
+        registry: agent.clone(),
     };
-    let follows = freeze::follow(means, frozen, stopping.clone());
-    tokio::task::spawn_local(until_handed(Box::pin(follows)));
+    let freeze_client = freeze::run(freeze_dependencies, frozen, stopping.clone());
+    tokio::task::spawn_local(until_handed(Box::pin(freeze_client)));
     let post = discovery::post_notices(agent, queue, inputs.clone());
     tokio::task::spawn_local(until_handed(Box::pin(post)));
     tokio::task::spawn_local(until_handed(Box::pin(upgrade::wait_for_successor(
         config.state.clone(),
         asked,
     ))));
-    let means = membership::Means {
+    let membership_dependencies = membership::Dependencies {
         clock,
         seed: config.seed,
-        state: config.state.clone(),
-        inputs: inputs.clone(),
-        counted,
+        state_folder: config.state.clone(),
+        driver: inputs.clone(),
+        fleet_size: counted,
+    };
+    let channels = membership::Channels {
+        settings: membership,
+        reports: queries,
+        shutdown: stopping,
     };
-    let part = membership::take_part(means, membership, queries, stopping);
-    tokio::task::spawn_local(until_handed(Box::pin(part)));
+    let membership_task = membership::run(membership_dependencies, channels);
+    tokio::task::spawn_local(until_handed(Box::pin(membership_task)));
     tokio::task::spawn_local(reread(
         hangup,
         config.text,
--- /dev/null
+++ b/src/net/agreement/bounds.rs
@@ -0,0 +1,52 @@
+//! What agreed rules allow, in the decisions' own terms.
+
+use message_sender::{Bounds, ClassBound, Effect, MILLISECOND, Micros};
+use versioned_config::{Class, Effect as AgreedEffect, Rules};
+
+/// Converts rules to the bounds that the decisions keep to.
+pub fn bounds(rules: &Rules) -> Bounds {
+    let classes = rules
+        .classes
+        .iter()
+        .map(|(name, class)| (name.clone(), class_bound(class)));
+    let limit = |name: &str| {
+        let limit = rules.limits.get(name)?;
+        usize::try_from(*limit).ok()
+    };
+    Bounds {
+        classes: classes.collect(),
+        calls: limit("calls"),
+        messages: limit("messages"),
+    }
+}
+
+fn class_bound(class: &Class) -> ClassBound {
+    ClassBound {
+        accepted: class.accepted,
+        effect: effect(class.effect),
+        attempts: class.attempts as usize,
+        ordered: class.in_order,
+        key_rest: micros(class.gap_ms),
+    }
+}
+
+fn effect(effect: AgreedEffect) -> Effect {
+    match effect {
+        AgreedEffect::AtMostOnce => Effect::Unsafe,
+        AgreedEffect::DeduplicatedInZone { window_ms } => Effect::Keyed {
+            window: micros(window_ms),
+            zone_only: true,
+        },
+        AgreedEffect::Deduplicated { window_ms } => Effect::Keyed {
+            window: micros(window_ms),
+            zone_only: false,
+        },
+        AgreedEffect::Idempotent => Effect::Repeatable,
+    }
+}
+
+fn micros(ms: u64) -> Micros {
+    Micros::try_from(ms)
+        .unwrap_or(Micros::MAX)
+        .saturating_mul(MILLISECOND)
+}
--- a/src/net/agreement/settings.rs
+++ b/src/net/agreement/settings.rs
@@ -1,50 +1,39 @@
-//! The `agreement` object of the configuration, read strictly.
+//! The `agreement` object of the configuration.
 
+use crate::net::settings_object::{self, SettingsObject, SettingsObjectError, validate_replicas};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use thiserror::Error;
-use versioned_config::{Rules, Senseless};
+use versioned_config::Rules;
 
-/// Addresses beside discovery's own.
-const OTHERS_MOST: usize = 16;
-
-/// What is wrong with the object.
-#[derive(Debug, Error)]
-pub enum AgreementError {
-    #[error("agreement: {0}")]
-    Json(#[from] serde_json::Error),
-    #[error("agreement.floor: {0}")]
-    Floor(#[from] Senseless),
-    #[error("agreement.others is not a list of up to {OTHERS_MOST} addresses")]
-    Others,
-}
-
-/// How this sender agrees with the others.
+/// How this sender agrees on rules with the others.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Agreement {
+pub struct AgreementSettings {
     /// What it does without a lease: the same for all senders, and the registry's.
-    pub floor: Rules,
+    #[serde(rename = "floor")]
+    pub fallback: Rules,
     /// Replicas of the registry to be asked where the one at discovery's address does not answer.
-    #[serde(default)]
-    pub others: Vec<SocketAddr>,
+    #[serde(default, rename = "others")]
+    pub replicas: Vec<SocketAddr>,
+}
+
+impl SettingsObject for AgreementSettings {
+    const NAME: &'static str = "agreement";
+    const KEYS: &'static str = "floor and others";
+
+    fn validate(&self) -> Result<(), SettingsObjectError> {
+        self.fallback.validate()?;
+        validate_replicas::<Self>(&self.replicas)
+    }
 }
 
 /// Reads the object; none if there is none.
 ///
 /// # Errors
 /// Names the key that is wrong.
-pub fn read(value: &Value) -> Result<Option<Agreement>, AgreementError> {
-    if value.is_null() {
-        return Ok(None);
-    }
-    let agreement = Agreement::deserialize(value)?;
-    agreement.floor.validate()?;
-    if agreement.others.len() > OTHERS_MOST {
-        return Err(AgreementError::Others);
-    }
-    Ok(Some(agreement))
+pub fn read(value: &Value) -> Result<Option<AgreementSettings>, SettingsObjectError> {
+    settings_object::read(value)
 }
 
 #[cfg(test)]
--- a/src/net/agreement/settings/tests.rs
+++ b/src/net/agreement/settings/tests.rs
@@ -3,9 +3,9 @@
 use serde_json::json;
 
 #[test]
-fn a_faulty_object_names_its_key() {
+fn faulty_object_error_names_its_key() {
     let good = json!({ "floor": { "limits": { "calls": 4 } }, "others": ["10.0.0.4:8500"] });
-    assert_eq!(read(&good).expect("good").expect("there").others.len(), 1);
+    assert_eq!(read(&good).expect("good").expect("there").replicas.len(), 1);
     assert_eq!(read(&Value::Null).expect("none is none"), None);
     for (key, value, told) in [
         ("flor", json!({}), "unknown field `flor`"),
@@ -35,14 +35,14 @@
 #[test]
 fn object_with_every_key_is_read() {
     let object = serde_json::from_slice(&golden("agreement/settings.json")).expect("JSON");
-    let Agreement { floor, others } = read(&object).expect("good").expect("there");
+    let AgreementSettings { fallback, replicas } = read(&object).expect("good").expect("there");
     // the document is written as it was read
     assert_eq!(
-        serde_json::to_value(&floor).expect("encoded"),
+        serde_json::to_value(&fallback).expect("encoded"),
         object["floor"]
     );
     assert_eq!(
-        others,
+        replicas,
         [
             "10.0.0.4:8500".parse().expect("an address"),
             "10.0.0.5:8500".parse().expect("an address")
--- a/src/net/agreement/tests.rs
+++ b/src/net/agreement/tests.rs
@@ -1,26 +1,34 @@
+use super::session::retry_pause;
 use super::*;
 use crate::net::discovery::Shared;
+use crate::net::events::ReportRequest;
+use crate::net::lease_client::{self, Channels};
 use crate::net::stub_registry::{
     StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
 };
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
 
 #[test]
-fn tries_do_not_crowd_towards_the_end_of_a_lease() {
+fn retries_within_a_lease_are_bounded() {
     let lease = Duration::from_secs(6);
-    let (mut left, mut tries) = (lease, 0);
-    while tries < 50
-        && let Some(rest) = left.checked_sub(retry(left, lease))
+    let mut left = lease;
+    let mut retries = 0;
+    while retries < 50
+        && let Some(rest) = left.checked_sub(retry_pause(left, lease))
     {
-        (left, tries) = (rest, tries + 1);
+        left = rest;
+        retries += 1;
     }
-    assert_eq!(tries, 6);
+    assert_eq!(retries, 6);
 }
 
 /// What a sender of these settings tells the decisions, step by step.
 struct Sender {
     inputs: mpsc::UnboundedReceiver<DriverInput>,
     queries: mpsc::Sender<ReportRequest>,
-    _settings: watch::Sender<Option<Agreement>>,
+    _settings: watch::Sender<Option<AgreementSettings>>,
     _stop: watch::Sender<bool>,
     _registry: watch::Sender<SocketAddr>,
 }
@@ -40,15 +48,22 @@
             asked: false,
             ask_every: Duration::from_secs(1),
         };
-        let means = Means {
-            clock: standing_clock(test),
-            name: "n1".to_string(),
-            inputs,
-            agent,
-            listed: Rc::new(Cell::new(42)),
+        let lease = RulesLease {
+            dependencies: Dependencies {
+                clock: standing_clock(test),
+                name: "n1".to_string(),
+                driver: inputs,
+                registry: agent,
+            },
+            list_version: Rc::new(Cell::new(42)),
             backoff: Backoff::new(shared, 1),
         };
-        tokio::task::spawn_local(hold(means, wanted, asked, stopping));
+        let channels = Channels {
+            settings: wanted,
+            reports: asked,
+            shutdown: stopping,
+        };
+        tokio::task::spawn_local(lease_client::run(lease, channels));
         Sender {
             inputs: received,
             queries,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,16 +2,17 @@
 //! their names live in one place.
 
 use super::agreement;
-use super::agreement::settings::{Agreement, AgreementError};
+use super::agreement::settings::AgreementSettings;
 use super::discovery::parse_list;
 use super::events::ListUpdate;
 use super::freeze;
-use super::freeze::settings::{FreezeSettings, FreezeSettingsError};
+use super::freeze::settings::FreezeSettings;
 use super::ledger;
-use super::ledger::settings::{Ledger, LedgerError};
+use super::ledger::settings::LedgerSettings;
 use super::local_errors::{RETRY_INTERVAL, is_permanent};
 use super::membership;
-use super::membership::settings::{Membership, MembershipError};
+use super::membership::settings::MembershipSettings;
+use super::settings_object::SettingsObjectError;
 use message_sender::pool::PoolSettings;
 use message_sender::wire::{Names, Pairs, read_settings};
 use message_sender::{Settings, SettingsError};
@@ -60,13 +61,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
-    Membership(#[from] MembershipError),
-    #[error(transparent)]
-    Agreement(#[from] AgreementError),
-    #[error(transparent)]
-    Ledger(#[from] LedgerError),
-    #[error(transparent)]
-    Freeze(#[from] FreezeSettingsError),
+    SettingsObject(#[from] SettingsObjectError),
 }
 
 /// All that the sender is told at its start.
@@ -92,11 +87,11 @@
     pub names: Names,
     pub pool: PoolSettings,
     /// How this sender takes part in membership, if it does.
-    pub membership: Option<Membership>,
+    pub membership: Option<MembershipSettings>,
     /// How this sender agrees on rules with the others, if it does.
-    pub agreement: Option<Agreement>,
+    pub agreement: Option<AgreementSettings>,
     /// Limits that hold for all senders, if there are any.
-    pub ledger: Option<Ledger>,
+    pub ledger: Option<LedgerSettings>,
     /// The freeze calendar, if it is kept to.
     pub freeze: Option<FreezeSettings>,
 }
@@ -338,7 +333,7 @@
         let ledger = ledger::settings::read(&file.ledger)?;
         let freeze = freeze::settings::read(&file.freeze)?;
         let remembered = if membership.is_some() {
-            membership::DISK
+            membership::MAX_DISK_BYTES
         } else {
             0
         };
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -59,7 +59,7 @@
     );
     assert_eq!(config.passed, None);
     // the last good file, twice, and what members are remembered take their part of the folder
-    let remembered = crate::net::membership::DISK;
+    let remembered = crate::net::membership::MAX_DISK_BYTES;
     assert_eq!(
         config.disk,
         3_500_000 - 2 * EVERY_KEY.len() as u64 - 4096 - remembered
@@ -138,7 +138,7 @@
     let membership = config.membership.expect("there");
     assert_eq!(membership.listen.to_string(), "127.0.0.1:7946");
     assert!(!membership.act);
-    let settings = &membership.settings;
+    let settings = &membership.protocol;
     assert_eq!(
         (
             settings.name.as_str(),
@@ -174,15 +174,18 @@
 
     let agreement = config.agreement.expect("there");
     assert_eq!(
-        serde_json::to_value(&agreement.floor).expect("JSON"),
+        serde_json::to_value(&agreement.fallback).expect("JSON"),
         file["agreement"]["floor"]
     );
-    assert_eq!(json!(agreement.others), file["agreement"]["others"]);
+    assert_eq!(json!(agreement.replicas), file["agreement"]["others"]);
 
     let ledger = config.ledger.expect("there");
-    assert_eq!(ledger.floors().senders, 3);
-    assert_eq!(json!(ledger.floors().each), file["ledger"]["floors"]);
-    assert_eq!(json!(ledger.others), file["ledger"]["others"]);
+    assert_eq!(ledger.fallback_quotas().senders, 3);
+    assert_eq!(
+        json!(ledger.fallback_quotas().each),
+        file["ledger"]["floors"]
+    );
+    assert_eq!(json!(ledger.replicas), file["ledger"]["others"]);
     assert_eq!(ledger.bytes_a_second, 4000);
 
     let freeze = config.freeze.expect("there");
@@ -190,7 +193,7 @@
         (freeze.poll_ms, freeze.unknown_ms, freeze.ramp_ms),
         (900, 9000, 450)
     );
-    assert_eq!(json!(freeze.others), file["freeze"]["others"]);
+    assert_eq!(json!(freeze.replicas), file["freeze"]["others"]);
 }
 
 #[test]
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -84,7 +84,7 @@
 }
 
 /// What a sender could use of the fleet's limits.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub struct DemandReport {
     /// Destinations that are listed.
     pub listed: usize,
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -1,5 +1,5 @@
-//! The freeze calendar: asks the registry for it, and has the driver's gate know. Off unless the configuration has a `freeze`
-//! object. `docs/freeze.md` states what is held and the bound.
+//! The freeze calendar: polls the registry for it and tells the driver. Off unless the configuration has a `freeze`
+//! object. `docs/freeze.md` states what is held back and the bound.
 
 pub mod settings;
 
@@ -17,104 +17,136 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep};
 
-/// One question, its answer read whole, takes no longer.
-const ANSWER: Duration = Duration::from_secs(1);
-/// Longest answer: the largest calendar.
-const ANSWER_MOST: usize = 2 << 20;
-/// A broken glass counts for so many polls without another answer.
-const FRESH: u32 = 3;
+/// One request, its answer read whole, takes no longer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest answer, in bytes: the largest calendar.
+const MAX_ANSWER_BYTES: usize = 2 << 20;
+/// A break-glass override counts for so many polls without another answer.
+const OVERRIDE_POLLS: u32 = 3;
 
-/// What the part shares with the rest of the process.
-pub struct Means {
+/// What the client needs of the rest of the process.
+pub struct Dependencies {
+    /// Module time.
     pub clock: Clock,
+    /// Seed of the jitter between polls.
     pub seed: u64,
-    pub inputs: mpsc::UnboundedSender<DriverInput>,
-    /// Where the registry is.
-    pub agent: watch::Receiver<SocketAddr>,
+    /// The driver, which holds back what the calendar says.
+    pub driver: mpsc::UnboundedSender<DriverInput>,
+    /// The address of the registry, which SIGHUP may change.
+    pub registry: watch::Receiver<SocketAddr>,
 }
 
-/// Follows the calendar for as long as the settings want it, until the process stops or hands over.
-pub async fn follow(
-    mut means: Means,
-    mut wanted: watch::Receiver<Option<FreezeSettings>>,
-    mut stopping: watch::Receiver<bool>,
+/// Follows the calendar for as long as the settings enable it, until the process shuts down or hands over.
+pub async fn run(
+    mut dependencies: Dependencies,
+    mut settings: watch::Receiver<Option<FreezeSettings>>,
+    mut shutdown: watch::Receiver<bool>,
 ) {
-    let mut was_on = false;
+    let mut enabled = false;
     loop {
-        let settings = wanted.borrow_and_update().clone();
-        let Some(settings) = settings else {
-            if std::mem::take(&mut was_on) {
+        let current = settings.borrow_and_update().clone();
+        let Some(current) = current else {
+            if std::mem::take(&mut enabled) {
                 log(format_args!("freeze: off"));
-                let _ = means.inputs.send(DriverInput::Freeze(FreezeChange::Off));
+                dependencies.tell(FreezeChange::Off);
             }
             tokio::select! {
-                changed = wanted.changed() => if changed.is_err() { return },
-                _ = stopping.wait_for(|stopping| *stopping) => return,
+                changed = settings.changed() => if changed.is_err() { return },
+                _ = shutdown.wait_for(|shutdown| *shutdown) => return,
             }
             continue;
         };
-        if !std::mem::replace(&mut was_on, true) {
+        if !std::mem::replace(&mut enabled, true) {
             log(format_args!(
-                "freeze: what widens is held until the calendar is known"
+                "freeze: widening changes are held back until the calendar is known"
             ));
         }
-        let _ = means
-            .inputs
-            .send(DriverInput::Freeze(FreezeChange::On(settings.clone())));
+        dependencies.tell(FreezeChange::On(current.clone()));
+        let poller = Poller::new(&mut dependencies, &current);
         tokio::select! {
-            () = poll(&mut means, &settings) => {}
-            changed = wanted.changed() => if changed.is_err() { return },
-            _ = stopping.wait_for(|stopping| *stopping) => return,
+            () = poller.run() => {}
+            changed = settings.changed() => if changed.is_err() { return },
+            _ = shutdown.wait_for(|shutdown| *shutdown) => return,
         }
     }
 }
 
-async fn poll(means: &mut Means, settings: &FreezeSettings) {
-    let mut random = Pcg32::seed_from_u64(means.seed);
-    let (mut turn, mut told) = (0, None);
-    let every = Duration::from_millis(settings.poll_ms);
-    loop {
-        let address = whose_turn(turn, *means.agent.borrow_and_update(), &settings.others);
-        let asked = means.clock.at(Instant::now());
-        match ask::<News>(
-            address,
+impl Dependencies {
+    /// Tells the driver; false if it is gone.
+    fn tell(&self, change: FreezeChange) -> bool {
+        self.driver.send(DriverInput::Freeze(change)).is_ok()
+    }
+}
+
+/// Polls by one version of the settings.
+struct Poller<'a> {
+    dependencies: &'a mut Dependencies,
+    settings: &'a FreezeSettings,
+    random: Pcg32,
+    /// Polls that failed: each moves on to the next replica.
+    failed: usize,
+    /// The error of the last poll, so that it is logged once.
+    last_error: Option<String>,
+}
+
+impl<'a> Poller<'a> {
+    fn new(dependencies: &'a mut Dependencies, settings: &'a FreezeSettings) -> Self {
+        Poller {
+            random: Pcg32::seed_from_u64(dependencies.seed),
+            dependencies,
+            settings,
+            failed: 0,
+            last_error: None,
+        }
+    }
+
+    /// Polls until the driver is gone.
+    async fn run(mut self) {
+        let interval = Duration::from_millis(self.settings.poll_ms);
+        while self.poll(interval).await {
+            let jitter = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
+            sleep(interval.mul_f64(0.75 + 0.25 * jitter)).await;
+        }
+    }
+
+    /// Polls once and tells the driver; false if it is gone.
+    async fn poll(&mut self, interval: Duration) -> bool {
+        let registry = *self.dependencies.registry.borrow_and_update();
+        let replica = whose_turn(self.failed, registry, &self.settings.replicas);
+        let asked_at = self.dependencies.clock.at(Instant::now());
+        let answer = ask::<News>(
+            replica,
             Method::GET,
             "/v1/freeze",
             None,
-            ANSWER,
-            ANSWER_MOST,
-        )
-        .await
-        {
-            Ok(news) => {
-                if told.take().is_some() {
-                    log(format_args!("freeze: the calendar is known again"));
-                }
-                let asked = u64::try_from(asked).unwrap_or(0);
-                let fresh = u64::try_from((every * FRESH).as_micros()).unwrap_or(u64::MAX);
-                if means
-                    .inputs
-                    .send(DriverInput::Freeze(FreezeChange::Calendar {
-                        asked_at: asked,
-                        fresh_for: fresh,
-                        update: news,
-                    }))
-                    .is_err()
-                {
-                    return;
+            REQUEST_TIMEOUT,
+            MAX_ANSWER_BYTES,
+        );
+        match answer.await {
+            Ok(update) => {
+                if self.last_error.take().is_some() {
+                    log(format_args!("freeze: calendar polls succeed again"));
                 }
+                let fresh_for = (interval * OVERRIDE_POLLS).as_micros();
+                self.dependencies.tell(FreezeChange::Calendar {
+                    asked_at: u64::try_from(asked_at).unwrap_or(0),
+                    fresh_for: u64::try_from(fresh_for).unwrap_or(u64::MAX),
+                    update,
+                })
             }
             Err(error) => {
-                turn += 1;
-                let error = error.to_string();
-                if told.as_ref() != Some(&error) {
-                    log(format_args!("freeze: the calendar is not told: {error}"));
-                    told = Some(error);
-                }
+                self.record_failure(error.to_string());
+                true
             }
         }
-        let part = f64::from(random.next_u32()) / f64::from(u32::MAX);
-        sleep(every.mul_f64(0.75 + 0.25 * part)).await;
+    }
+
+    fn record_failure(&mut self, error: String) {
+        self.failed += 1;
+        if self.last_error.as_ref() != Some(&error) {
+            log(format_args!("freeze: calendar poll failed: {error}"));
+        }
+        self.last_error = Some(error);
     }
 }
 
--- a/src/net/freeze/settings/tests.rs
+++ b/src/net/freeze/settings/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 
 #[test]
-fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
+fn object_is_read_with_defaults_and_faulty_object_error_names_its_key() {
     assert_eq!(
         read(&json!({})).expect("good"),
         Some(FreezeSettings::default())
@@ -30,8 +30,8 @@
         poll_ms,
         unknown_ms,
         ramp_ms,
-        others,
+        replicas,
     } = read(&object).expect("good").expect("there");
     assert_eq!((poll_ms, unknown_ms, ramp_ms), (700, 9_000, 400));
-    assert_eq!(others, ["10.0.0.4:8500".parse().expect("an address")]);
+    assert_eq!(replicas, ["10.0.0.4:8500".parse().expect("an address")]);
 }
--- a/src/net/freeze/tests.rs
+++ b/src/net/freeze/tests.rs
@@ -6,7 +6,7 @@
 
 #[tokio::test]
 async fn calendar_request_and_answer_keep_their_bytes() {
-    let run = async {
+    let test = async {
         let answer = StubAnswer {
             status: "200 OK",
             body: golden("freeze/calendar.json"),
@@ -19,13 +19,13 @@
         let (_settings, wanted) = watch::channel(Some(settings.clone()));
         let (_stop, stopping) = watch::channel(false);
         let (_registry, agent) = watch::channel(registry.address);
-        let means = Means {
+        let dependencies = Dependencies {
             clock: standing_clock("freeze"),
             seed: 5,
-            inputs,
-            agent,
+            driver: inputs,
+            registry: agent,
         };
-        tokio::task::spawn_local(follow(means, wanted, stopping));
+        tokio::task::spawn_local(run(dependencies, wanted, stopping));
         let input = within(received.recv()).await;
         assert!(
             matches!(&input, Some(DriverInput::Freeze(FreezeChange::On(on))) if *on == settings),
@@ -46,7 +46,7 @@
         assert_eq!((asked_at, fresh_for), (0, 3 * 700_000));
         check(&update);
     };
-    tokio::task::LocalSet::new().run_until(run).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
 /// Checks that the golden calendar was read with every key.
--- /dev/null
+++ b/src/net/ledger/round_trip.rs
@@ -0,0 +1,103 @@
+//! Requests for quotas to one replica of the registry, in the form that it reads.
+
+use super::messages::{JsonAnswer, JsonRequest};
+use crate::net::asking::{AskError, exchange};
+use crate::net::lease_client::to_sorted_json;
+use crate::net::log;
+use bytes::Bytes;
+use hyper::{Method, StatusCode};
+use quota_ledger::compact::{self, Answer, Question};
+use quota_ledger::naming::ByteBudget;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// One request, its answer read whole, takes no longer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// Longest answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// A replica that did not read the compact form is asked in it again after this time: it may have been upgraded.
+const COMPACT_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Where replicas take requests for quotas.
+const PATH: &str = "/v1/parts";
+
+/// Which form each replica reads.
+#[derive(Debug, Default)]
+pub(super) struct RequestForms {
+    /// Replicas that do not read the compact form, and until when they are not asked in it.
+    json_until: BTreeMap<SocketAddr, Instant>,
+}
+
+impl RequestForms {
+    /// One request and its answer, in the compact form unless this replica is known not to read it.
+    ///
+    /// # Errors
+    /// There is no answer in time, it is a rejection, or it can't be read.
+    pub(super) async fn round_trip(
+        &mut self,
+        replica: SocketAddr,
+        question: &Question,
+        budget: &mut ByteBudget,
+    ) -> Result<Answer, AskError> {
+        if self.reads_compact(replica) {
+            match send(replica, compact::MEDIA_TYPE, question.write(), budget).await {
+                Ok(answer) => return Ok(Answer::read(&answer)?),
+                Err(error) if is_unread_form(&error) => {
+                    log(format_args!(
+                        "ledger: {replica} is asked in JSON for a while"
+                    ));
+                    let until = Instant::now() + COMPACT_RETRY_AFTER;
+                    self.json_until.insert(replica, until);
+                }
+                Err(error) => return Err(error),
+            }
+        }
+        let body = to_sorted_json(&JsonRequest::from(question)).into_bytes();
+        let answer = send(replica, "application/json", body, budget).await?;
+        let answer: JsonAnswer = serde_json::from_slice(&answer)?;
+        Ok(Answer {
+            lease: answer.lease,
+            rev: 0,
+            quotas: answer.allocations,
+            verdicts: answer.verdicts,
+        })
+    }
+
+    fn reads_compact(&self, replica: SocketAddr) -> bool {
+        let json_until = self.json_until.get(&replica);
+        json_until.is_none_or(|until| *until <= Instant::now())
+    }
+}
+
+/// Whether a replica says that it does not read the form of the request.
+fn is_unread_form(error: &AskError) -> bool {
+    matches!(
+        error,
+        AskError::Refused(
+            StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            _
+        )
+    )
+}
+
+/// Sends one body and books its bytes and those of the answer.
+async fn send(
+    replica: SocketAddr,
+    media_type: &str,
+    body: Vec<u8>,
+    budget: &mut ByteBudget,
+) -> Result<Bytes, AskError> {
+    budget.spend(body.len() as u64);
+    let answer = exchange(
+        replica,
+        Method::POST,
+        PATH,
+        (media_type, body.into()),
+        REQUEST_TIMEOUT,
+        MAX_ANSWER_BYTES,
+    )
+    .await?;
+    budget.spend_more(answer.len() as u64);
+    Ok(answer)
+}
--- a/src/net/ledger/settings/tests.rs
+++ b/src/net/ledger/settings/tests.rs
@@ -3,11 +3,15 @@
 use serde_json::json;
 
 #[test]
-fn a_faulty_object_names_its_key() {
+fn faulty_object_error_names_its_key() {
     let good =
         json!({ "senders": 3, "floors": { "rate": 50, "out/7": 0 }, "others": ["10.0.0.4:8500"] });
     assert_eq!(
-        read(&good).expect("good").expect("there").floors().senders,
+        read(&good)
+            .expect("good")
+            .expect("there")
+            .fallback_quotas()
+            .senders,
         3
     );
     assert_eq!(read(&Value::Null).expect("none is none"), None);
@@ -42,14 +46,14 @@
 fn object_with_every_key_is_read() {
     let object = serde_json::from_slice(&golden("ledger/settings.json")).expect("JSON");
     let ledger = read(&object).expect("good").expect("there");
-    let floors = ledger.floors();
-    assert_eq!(floors.senders, 3);
+    let fallback_quotas = ledger.fallback_quotas();
+    assert_eq!(fallback_quotas.senders, 3);
     assert_eq!(
-        serde_json::to_value(&floors.each).expect("encoded"),
+        serde_json::to_value(&fallback_quotas.each).expect("encoded"),
         object["floors"]
     );
     assert_eq!(
-        ledger.others,
+        ledger.replicas,
         ["10.0.0.4:8500".parse().expect("an address")]
     );
     assert_eq!(ledger.bytes_a_second, 7_000);
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -1,15 +1,22 @@
 use super::*;
 use crate::net::events::DemandReport;
+use crate::net::events::ReportRequest;
+use crate::net::lease_client::{self, Channels};
 use crate::net::stub_registry::{
     StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
 };
+use message_sender::Demand;
+use quota_ledger::compact::Answer;
 use serde_json::Value;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use tokio::sync::{mpsc, watch};
 
 /// What a sender of these settings asks the decisions and tells them.
 struct Sender {
     inputs: mpsc::UnboundedReceiver<DriverInput>,
     queries: mpsc::Sender<ReportRequest>,
-    _settings: watch::Sender<Option<Ledger>>,
+    _settings: watch::Sender<Option<LedgerSettings>>,
     _stop: watch::Sender<bool>,
     _registry: watch::Sender<SocketAddr>,
 }
@@ -68,15 +75,22 @@
         let (settings, wanted) = watch::channel(settings.expect("good"));
         let (stop, stopping) = watch::channel(false);
         let (found, agent) = watch::channel(registry);
-        let means = Means {
-            clock: standing_clock(test),
-            name: "n1".to_string(),
+        let lease = QuotaLease {
+            dependencies: Dependencies {
+                clock: standing_clock(test),
+                name: "n1".to_string(),
+                driver: inputs,
+                registry: agent,
+            },
             seed: 5,
             zone: "a".to_string(),
-            inputs,
-            agent,
         };
-        tokio::task::spawn_local(hold(means, wanted, asked, stopping));
+        let channels = Channels {
+            settings: wanted,
+            reports: asked,
+            shutdown: stopping,
+        };
+        tokio::task::spawn_local(lease_client::run(lease, channels));
         Sender {
             inputs: received,
             queries,
--- a/src/net/membership/mod.rs
+++ b/src/net/membership/mod.rs
@@ -1,389 +1,124 @@
-//! Membership among the senders: the socket, the clock and the file round the protocol. Off unless the configuration
-//! has a `membership` object.
+//! Membership among the senders: the socket, the clock and the file round the protocol. Off unless the configuration has a
+//! `membership` object.
 
+mod change_log;
+mod member;
+mod remembered;
+mod report;
 pub mod settings;
 
 use super::clock::Clock;
 use super::events::{DriverInput, ReportRequest};
-use super::{RateLimitedLog, log};
-use fleet_membership::{Change, LONGEST, Listed, Node, Output, Remembered, State, View};
-use message_sender::FleetView;
-use serde_json::json;
-use settings::Membership;
+use super::log;
+use fleet_membership::Node;
+use member::{Member, Stop};
+use settings::MembershipSettings;
 use std::cell::Cell;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
-use tokio::time::{Instant, sleep_until, timeout_at};
-
-/// What is remembered, in the lasting folder, and the most that it takes there, twice while it is replaced.
-const FILE: &str = "members";
-pub const DISK: u64 = 2 * 4096;
-/// How often it is written, at most.
-const KEEP_EVERY: Duration = Duration::from_secs(5);
-/// Between two tries for the socket: an old process may still have the address, and leaves it within 3.3 s.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Datagrams taken before something else has its turn.
-const AT_ONCE: usize = 64;
-/// Lines of the log for changes in so long; more are counted.
-const LINES: u32 = 400;
-const LINES_IN: Duration = Duration::from_secs(10);
-
-/// What the part shares with the rest of the process.
-pub struct Means {
+use tokio::time::Instant;
+
+/// The most bytes that remembered members take in the state folder: twice the file, while it is replaced.
+pub const MAX_DISK_BYTES: u64 = 2 * 4096;
+/// Between two tries to bind the socket: a predecessor may still have the address, and leaves it within 3.3 s.
+const BIND_INTERVAL: Duration = Duration::from_millis(100);
+/// After this time without the socket, that is logged.
+const BIND_LOGGED_AFTER: Duration = Duration::from_secs(4);
+
+/// What membership needs of the rest of the process.
+pub struct Dependencies {
+    /// Module time.
     pub clock: Clock,
+    /// Seed of the protocol's random choices.
     pub seed: u64,
-    /// The lasting folder.
-    pub state: PathBuf,
-    pub inputs: mpsc::UnboundedSender<DriverInput>,
+    /// The state folder.
+    pub state_folder: PathBuf,
+    /// The driver, which is told of the fleet's view.
+    pub driver: mpsc::UnboundedSender<DriverInput>,
     /// The number of senders that the decisions scale by now.
-    pub counted: Rc<Cell<u32>>,
+    pub fleet_size: Rc<Cell<u32>>,
+}
+
+impl Dependencies {
+    /// Module time, in microseconds.
+    fn now(&self) -> u64 {
+        u64::try_from(self.clock.at(Instant::now())).unwrap_or(0)
+    }
 }
 
-/// Takes part for as long as the settings want it, until the process stops. Ends by being dropped at a hand-over: the
-/// next process is the same member.
-pub async fn take_part(
-    means: Means,
-    mut wanted: watch::Receiver<Option<Membership>>,
-    mut queries: mpsc::Receiver<ReportRequest>,
-    mut stopping: watch::Receiver<bool>,
-) {
-    let instance = u64::try_from(means.clock.at(Instant::now())).unwrap_or(0);
+/// What membership is told while it runs.
+pub struct Channels {
+    /// The settings that enable it; none: it is off.
+    pub settings: watch::Receiver<Option<MembershipSettings>>,
+    /// Operators' requests for its report; one that is dropped says that it is off.
+    pub reports: mpsc::Receiver<ReportRequest>,
+    /// True once the process shuts down.
+    pub shutdown: watch::Receiver<bool>,
+}
+
+/// Takes part for as long as the settings enable it, until the process shuts down. Ends by being dropped at a handover:
+/// the successor is the same member.
+pub async fn run(dependencies: Dependencies, mut channels: Channels) {
+    let instance = dependencies.now();
     loop {
-        let membership = wanted.borrow_and_update().clone();
-        let Some(membership) = membership else {
+        let settings = channels.settings.borrow_and_update().clone();
+        let Some(settings) = settings else {
             tokio::select! {
-                changed = wanted.changed() => if changed.is_err() { return },
-                Some(query) = queries.recv() => drop(query),
-                _ = stopping.wait_for(|stopping| *stopping) => return,
+                changed = channels.settings.changed() => if changed.is_err() { return },
+                Some(request) = channels.reports.recv() => drop(request),
+                _ = channels.shutdown.wait_for(|shutdown| *shutdown) => return,
             }
             continue;
         };
-        let Some(socket) = bind(membership.listen, &mut wanted, &mut stopping).await else {
+        let Some(socket) = bind(settings.listen, &mut channels).await else {
             continue;
         };
-        let remembered = recall(&means.state).await;
-        let seed = means.seed ^ instance;
-        let now = now(&means.clock);
-        let node = match Node::new(membership.settings.clone(), remembered, seed, instance, now) {
+        let remembered = remembered::load(&dependencies.state_folder).await;
+        let seed = dependencies.seed ^ instance;
+        let now = dependencies.now();
+        let node = match Node::new(settings.protocol.clone(), remembered, seed, instance, now) {
             Ok(node) => node,
             // the settings were checked when they were read
             Err(error) => return log(format_args!("members: off, {error}")),
         };
-        log(format_args!(
-            "members: {} at {}",
-            node.name(),
-            membership.settings.advertise
-        ));
-        let told = View::default();
-        let (lines, since, kept) = (0, Instant::now(), Instant::now());
-        let buffer = vec![0; LONGEST + 1];
-        let mut part = Part {
-            means: &means,
-            node,
-            socket,
-            act: membership.act,
-            told,
-            lines,
-            since,
-            kept,
-            buffer,
-        };
-        let stops = part.run(&mut wanted, &mut queries, &mut stopping).await;
-        // others' word binds no more
-        let _ = means.inputs.send(DriverInput::FleetView(None));
-        if stops {
+        let advertised = settings.protocol.advertise;
+        log(format_args!("members: {} at {advertised}", node.name()));
+        let member = Member::new(&dependencies, node, socket, settings.act);
+        let stop = member.run(&mut channels).await;
+        // what the others report binds no more
+        let _ = dependencies.driver.send(DriverInput::FleetView(None));
+        if stop == Stop::Shutdown {
             return;
         }
     }
 }
 
-fn now(clock: &Clock) -> u64 {
-    u64::try_from(clock.at(Instant::now())).unwrap_or(0)
-}
-
-/// The socket, once it is to be had; none if the settings change or the process stops before.
-async fn bind(
-    address: SocketAddr,
-    wanted: &mut watch::Receiver<Option<Membership>>,
-    stopping: &mut watch::Receiver<bool>,
-) -> Option<UdpSocket> {
-    let first = Instant::now();
-    let told = Cell::new(false);
+/// The socket, once it can be bound; none if the settings change or the process shuts down before.
+async fn bind(address: SocketAddr, channels: &mut Channels) -> Option<UdpSocket> {
+    let began = Instant::now();
+    let mut is_logged = false;
     loop {
         match UdpSocket::bind(address).await {
             Ok(socket) => return Some(socket),
-            Err(error) if first.elapsed() > Duration::from_secs(4) && !told.replace(true) => {
+            Err(error) if began.elapsed() > BIND_LOGGED_AFTER && !is_logged => {
+                is_logged = true;
                 log(format_args!(
-                    "members: off until {address} is to be had: {error}"
+                    "members: off until {address} can be bound: {error}"
                 ));
             }
             Err(_) => {}
         }
         tokio::select! {
-            () = tokio::time::sleep(AGAIN) => {}
-            _ = wanted.changed() => return None,
-            _ = stopping.wait_for(|stopping| *stopping) => return None,
+            () = tokio::time::sleep(BIND_INTERVAL) => {}
+            _ = channels.settings.changed() => return None,
+            _ = channels.shutdown.wait_for(|shutdown| *shutdown) => return None,
         }
     }
 }
 
-/// What an earlier process remembered; nothing if that can't be read.
-async fn recall(folder: &Path) -> Remembered {
-    let path = folder.join(FILE);
-    let read = tokio::task::spawn_blocking(move || std::fs::read(path)).await;
-    let Ok(Ok(bytes)) = read else {
-        return Remembered::default();
-    };
-    serde_json::from_slice(&bytes).unwrap_or_else(|error| {
-        log(format_args!(
-            "members: what was remembered can't be read: {error}"
-        ));
-        Remembered::default()
-    })
-}
-
-fn keep(folder: &Path, remembered: &Remembered) -> std::io::Result<()> {
-    let new = folder.join(FILE).with_extension("new");
-    std::fs::write(&new, serde_json::to_vec(remembered)?)?;
-    std::fs::rename(&new, folder.join(FILE))
-}
-
-/// Taking part with one socket and one set of settings.
-struct Part<'a> {
-    means: &'a Means,
-    node: Node,
-    socket: UdpSocket,
-    act: bool,
-    /// The view that the decisions were told last.
-    told: View,
-    /// Lines logged since a time.
-    lines: u32,
-    since: Instant,
-    /// When what is remembered was last written.
-    kept: Instant,
-    buffer: Vec<u8>,
-}
-
-impl Part<'_> {
-    /// Until other settings come (false) or the process stops (true).
-    async fn run(
-        &mut self,
-        wanted: &mut watch::Receiver<Option<Membership>>,
-        queries: &mut mpsc::Receiver<ReportRequest>,
-        stopping: &mut watch::Receiver<bool>,
-    ) -> bool {
-        let fault = RateLimitedLog::default();
-        loop {
-            let wake = self
-                .means
-                .clock
-                .instant(i64::try_from(self.node.wake_at()).unwrap_or(i64::MAX));
-            let mut output = Output::default();
-            tokio::select! {
-                received = self.socket.recv_from(&mut self.buffer) => match received {
-                    Ok((length, from)) => self.take(length, from, &mut output),
-                    // an earlier datagram found nobody, which the protocol sees by itself
-                    Err(error) => fault.log(format_args!("members: {error}")),
-                },
-                () = sleep_until(wake) => {}
-                Some(query) = queries.recv() => {
-                    // an operator that has gone asks again
-                    let _ = query.send(self.report());
-                    continue;
-                }
-                changed = wanted.changed() => {
-                    if changed.is_err() {
-                        return true;
-                    }
-                    if self.takes_over(wanted) {
-                        continue;
-                    }
-                    self.node.leave(&mut output);
-                    self.carry_out(output);
-                    return false;
-                }
-                _ = stopping.wait_for(|stopping| *stopping) => {
-                    self.node.leave(&mut output);
-                    self.carry_out(output);
-                    self.remember().await;
-                    return true;
-                }
-            }
-            self.node.tick(now(&self.means.clock), &mut output);
-            self.carry_out(output);
-            self.tell_view();
-            if self.kept.elapsed() >= KEEP_EVERY {
-                self.remember().await;
-            }
-        }
-    }
-
-    /// Another number of senders alone is taken over as it goes on.
-    fn takes_over(&mut self, wanted: &mut watch::Receiver<Option<Membership>>) -> bool {
-        let wanted = wanted.borrow_and_update();
-        let Some(new) = wanted.as_ref() else {
-            return false;
-        };
-        let mut same = self.node.settings().clone();
-        (same.configured, same.most) = (new.settings.configured, new.settings.most);
-        let listens = self
-            .socket
-            .local_addr()
-            .is_ok_and(|address| new.listen == address);
-        if same != new.settings || self.act != new.act || !listens {
-            return false;
-        }
-        self.node.set_configured(new.settings.configured);
-        true
-    }
-
-    /// Takes a datagram in, and those that wait behind it.
-    fn take(&mut self, length: usize, from: SocketAddr, output: &mut Output) {
-        let mut next = Some((length, from));
-        for _ in 0..AT_ONCE {
-            let Some((length, from)) = next else { return };
-            self.node
-                .handle(now(&self.means.clock), from, &self.buffer[..length], output);
-            next = self.socket.try_recv_from(&mut self.buffer).ok();
-        }
-        if let Some((length, from)) = next {
-            self.node
-                .handle(now(&self.means.clock), from, &self.buffer[..length], output);
-        }
-    }
-
-    fn carry_out(&mut self, output: Output) {
-        for (to, bytes) in output.datagrams {
-            // one that can't be sent is one that was lost
-            let _ = self.socket.try_send_to(&bytes, to);
-        }
-        for change in output.changes {
-            self.log_change(&change);
-        }
-    }
-
-    fn log_change(&mut self, change: &Change) {
-        if self.since.elapsed() > LINES_IN {
-            if let Some(more) = self.lines.checked_sub(LINES).filter(|more| *more > 0) {
-                log(format_args!("members: and {more} changes more"));
-            }
-            (self.lines, self.since) = (0, Instant::now());
-        }
-        self.lines += 1;
-        if self.lines > LINES {
-            return;
-        }
-        match change {
-            Change::State {
-                name,
-                before,
-                now,
-                incarnation,
-                address,
-            } => {
-                let before = before.map_or("unknown", word);
-                let now = word(*now);
-                log(format_args!(
-                    "members: {name} {now} (was {before}), incarnation {incarnation}, {address}"
-                ));
-            }
-            Change::Refuted { held, incarnation } => {
-                log(format_args!(
-                    "members: held for {} by others, refuted with incarnation {incarnation}",
-                    word(*held)
-                ));
-            }
-            Change::Rival { address, yields } => {
-                let what = if *yields {
-                    "it is the elder and the member, this one only listens"
-                } else {
-                    "this one is the elder"
-                };
-                log(format_args!(
-                    "members: another process bears this name at {address}: {what}"
-                ));
-            }
-            Change::Paused { micros } => {
-                log(format_args!(
-                    "members: this process stood still for {} ms",
-                    micros / 1000
-                ));
-            }
-            Change::Doubt { doubts: true } => log(format_args!(
-                "members: nobody answers, this one doubts itself"
-            )),
-            Change::Doubt { doubts: false } => log(format_args!("members: others answer again")),
-        }
-    }
-
-    /// Tells the decisions what has changed.
-    fn tell_view(&mut self) {
-        let view = self.node.view();
-        if view != self.told && self.act {
-            self.told = view;
-            let View {
-                living,
-                suspects,
-                gone,
-                holders,
-                doubt,
-            } = view;
-            // the driver lives as long as the process
-            let _ = self
-                .means
-                .inputs
-                .send(DriverInput::FleetView(Some(FleetView {
-                    living,
-                    suspects,
-                    gone,
-                    holders,
-                    doubt,
-                })));
-        }
-    }
-
-    async fn remember(&mut self) {
-        self.kept = Instant::now();
-        let (folder, remembered) = (self.means.state.clone(), self.node.remember());
-        let write = tokio::task::spawn_blocking(move || keep(&folder, &remembered));
-        // a folder that hangs must not stop the protocol
-        let written = timeout_at(Instant::now() + AGAIN, write).await;
-        if let Ok(Ok(Err(error))) = written {
-            log(format_args!("members: not remembered: {error}"));
-        }
-    }
-
-    fn report(&self) -> String {
-        let View {
-            living,
-            suspects,
-            gone,
-            holders,
-            doubt,
-        } = self.node.view();
-        let members: Vec<Listed> = self.node.members(now(&self.means.clock));
-        json!({
-            "name": self.node.name(), "incarnation": self.node.incarnation(), "health": self.node.health(),
-            "doubt": doubt, "living": living, "suspects": suspects, "gone": gone, "holders": holders,
-            "configured": self.node.settings().configured, "scaled_by": self.means.counted.get(),
-            "counts": self.node.counts(), "members": members,
-        })
-        .to_string()
-    }
-}
-
-fn word(state: State) -> &'static str {
-    match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Dead => "dead",
-        State::Left => "left",
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -1,41 +1,27 @@
-//! The `membership` object of the configuration: read strictly, with a default for all that may be left out.
+//! The `membership` object of the configuration, with a default for all that may be left out.
 
+use crate::net::settings_object::{self, SettingsObject, SettingsObjectError};
 use fleet_membership::{Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use thiserror::Error;
 
 /// Longest key file, bytes: a key, not a document.
-const KEY_MOST: u64 = 4096;
-
-/// What is wrong with the object.
-#[derive(Debug, Error)]
-pub enum MembershipError {
-    #[error("membership: {0}")]
-    Json(#[from] serde_json::Error),
-    #[error("membership.{name} is not {wanted}")]
-    Value {
-        name: &'static str,
-        wanted: &'static str,
-    },
-    #[error("membership.key_file: {path}: {error}", path = path.display())]
-    KeyFile {
-        path: PathBuf,
-        error: std::io::Error,
-    },
-}
+const MAX_KEY_BYTES: u64 = 4096;
 
 /// How this sender takes part.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Membership {
+pub struct MembershipSettings {
+    /// Where it listens for datagrams.
     pub listen: SocketAddr,
-    pub settings: Settings,
-    /// The decisions are told how many live.
+    /// The settings of the protocol.
+    pub protocol: Settings,
+    /// Whether the decisions are told how many senders live.
     pub act: bool,
 }
 
+/// The object as it is written.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Object {
@@ -56,6 +42,59 @@
     act: Option<bool>,
 }
 
+impl SettingsObject for Object {
+    const NAME: &'static str = "membership";
+    const KEYS: &'static str = "listen, advertise, fleet, seeds, key_file, period_ms, helpers, suspicion, \
+        suspicion_most, confirmations, retransmit, sync, members_most and act";
+
+    fn validate(&self) -> Result<(), SettingsObjectError> {
+        let period = self.period_ms.unwrap_or(1000.0);
+        if (10.0..=60_000.0).contains(&period) {
+            return Ok(());
+        }
+        Err(out_of_range("period_ms", "a time from 10 to 60000"))
+    }
+}
+
+fn out_of_range(key: &'static str, expected: &str) -> SettingsObjectError {
+    SettingsObjectError::Value {
+        object: Object::NAME,
+        key,
+        expected: expected.to_string(),
+    }
+}
+
+impl Object {
+    /// The protocol's settings; what is left out has the protocol's default.
+    fn protocol(self, name: &str, senders: u32) -> Result<Settings, SettingsObjectError> {
+        let default = Settings::new(name, self.advertise.unwrap_or(self.listen), senders);
+        let settings = Settings {
+            fleet: self.fleet,
+            seeds: self.seeds,
+            period: self
+                .period_ms
+                .map_or(default.period, |period| (period * 1e3) as u64),
+            helpers: self.helpers.unwrap_or(default.helpers),
+            suspicion: self.suspicion.unwrap_or(default.suspicion),
+            suspicion_most: self.suspicion_most.unwrap_or(default.suspicion_most),
+            confirmations: self.confirmations.unwrap_or(default.confirmations),
+            retransmit: self.retransmit.unwrap_or(default.retransmit),
+            sync: self.sync.unwrap_or(default.sync),
+            most: self.members_most.unwrap_or(default.most),
+            key: self.key_file.map(read_key).transpose()?,
+            ..default
+        };
+        settings
+            .validate()
+            .map_err(|SettingsError { name, wanted }| {
+                // the one name that differs
+                let key = if name == "most" { "members_most" } else { name };
+                out_of_range(key, wanted)
+            })?;
+        Ok(settings)
+    }
+}
+
 /// Reads the object for a sender of this name, one of so many.
 ///
 /// # Errors
@@ -64,58 +103,25 @@
     value: &Value,
     name: &str,
     senders: u32,
-) -> Result<Option<Membership>, MembershipError> {
-    if value.is_null() {
+) -> Result<Option<MembershipSettings>, SettingsObjectError> {
+    let Some(object) = settings_object::read::<Object>(value)? else {
         return Ok(None);
-    }
-    let object = Object::deserialize(value)?;
-    let mut settings = Settings::new(name, object.advertise.unwrap_or(object.listen), senders);
-    settings.fleet = object.fleet;
-    settings.seeds = object.seeds;
-    if let Some(period) = object.period_ms {
-        let time = (10.0..=60_000.0).contains(&period);
-        let wrong = MembershipError::Value {
-            name: "period_ms",
-            wanted: "a time from 10 to 60000",
-        };
-        settings.period = if time {
-            (period * 1e3) as u64
-        } else {
-            return Err(wrong);
-        };
-    }
-    settings.helpers = object.helpers.unwrap_or(settings.helpers);
-    settings.suspicion = object.suspicion.unwrap_or(settings.suspicion);
-    settings.suspicion_most = object.suspicion_most.unwrap_or(settings.suspicion_most);
-    settings.confirmations = object.confirmations.unwrap_or(settings.confirmations);
-    settings.retransmit = object.retransmit.unwrap_or(settings.retransmit);
-    settings.sync = object.sync.unwrap_or(settings.sync);
-    settings.most = object.members_most.unwrap_or(settings.most);
-    settings.key = object.key_file.map(read_key).transpose()?;
-    settings
-        .validate()
-        .map_err(|SettingsError { name, wanted }| {
-            // the one name that differs
-            MembershipError::Value {
-                name: if name == "most" { "members_most" } else { name },
-                wanted,
-            }
-        })?;
-    Ok(Some(Membership {
+    };
+    Ok(Some(MembershipSettings {
         listen: object.listen,
-        settings,
         act: object.act.unwrap_or(true),
+        protocol: object.protocol(name, senders)?,
     }))
 }
 
-fn read_key(path: PathBuf) -> Result<Vec<u8>, MembershipError> {
-    let read = std::fs::metadata(&path).and_then(|about| {
-        if about.len() > KEY_MOST {
+fn read_key(path: PathBuf) -> Result<Vec<u8>, SettingsObjectError> {
+    let read = std::fs::metadata(&path).and_then(|metadata| {
+        if metadata.len() > MAX_KEY_BYTES {
             return Err(std::io::Error::other("longer than 4096 bytes"));
         }
         std::fs::read(&path)
     });
-    let mut key = read.map_err(|error| MembershipError::KeyFile { path, error })?;
+    let mut key = read.map_err(|error| SettingsObjectError::KeyFile { path, error })?;
     // an editor's last line end is no part of it
     while key.last().is_some_and(|byte| matches!(byte, b'\n' | b'\r')) {
         key.pop();
--- a/src/net/membership/settings/tests.rs
+++ b/src/net/membership/settings/tests.rs
@@ -3,11 +3,11 @@
 use serde_json::json;
 
 #[test]
-fn an_object_is_read_with_defaults_and_a_faulty_one_names_its_key() {
+fn object_is_read_with_defaults_and_faulty_object_error_names_its_key() {
     let good = json!({ "listen": "10.0.0.4:7946", "fleet": "hue", "seeds": ["10.0.0.5:7946"], "period_ms": 200 });
     let read_it = |value: &Value| read(value, "n3", 300);
     let membership = read_it(&good).expect("good").expect("there");
-    let settings = membership.settings;
+    let settings = membership.protocol;
     assert_eq!(
         (settings.period, settings.configured, settings.advertise),
         (200_000, 300, membership.listen)
@@ -60,7 +60,7 @@
         (membership.listen, membership.act),
         (address("10.0.0.4:7946"), false)
     );
-    let settings = membership.settings;
+    let settings = membership.protocol;
     assert_eq!(
         (settings.name.as_str(), settings.fleet.as_str()),
         ("n3", "hue")
--- a/src/net/membership/tests.rs
+++ b/src/net/membership/tests.rs
@@ -1,17 +1,20 @@
 use super::*;
 use crate::net::stub_registry::{assert_golden, folder, golden, standing_clock, within};
+use fleet_membership::{Output, Remembered, State};
+use message_sender::FleetView;
+use serde_json::json;
 use std::net::Ipv4Addr;
 use tokio::sync::oneshot;
 
 /// What a member of these settings tells the decisions, and its report.
-struct Member {
+struct TestMember {
     inputs: mpsc::UnboundedReceiver<DriverInput>,
     queries: mpsc::Sender<ReportRequest>,
-    _settings: watch::Sender<Option<Membership>>,
+    _settings: watch::Sender<Option<MembershipSettings>>,
     _stop: watch::Sender<bool>,
 }
 
-fn settings(name: &str, listen: SocketAddr) -> Membership {
+fn settings(name: &str, listen: SocketAddr) -> MembershipSettings {
     let object = json!({ "listen": listen, "fleet": "test" });
     settings::read(&object, name, 3)
         .expect("good")
@@ -26,24 +29,30 @@
     socket.local_addr().expect("bound")
 }
 
-impl Member {
-    fn start(test: &str, membership: Membership) -> Self {
+impl TestMember {
+    fn start(test: &str, settings: MembershipSettings) -> Self {
         let state = folder(test);
-        std::fs::write(state.join(FILE), golden("membership/members")).expect("written");
+        std::fs::write(state.join(remembered::FILE), golden("membership/members"))
+            .expect("written");
         let (inputs, received) = mpsc::unbounded_channel();
         let (queries, asked) = mpsc::channel(1);
-        let (settings, wanted) = watch::channel(Some(membership));
+        let (settings, wanted) = watch::channel(Some(settings));
         let (stop, stopping) = watch::channel(false);
         let clock = standing_clock(&format!("{test}-clock"));
-        let means = Means {
+        let dependencies = Dependencies {
             clock,
             seed: 5,
-            state,
-            inputs,
-            counted: Rc::new(Cell::new(3)),
+            state_folder: state,
+            driver: inputs,
+            fleet_size: Rc::new(Cell::new(3)),
         };
-        tokio::task::spawn_local(take_part(means, wanted, asked, stopping));
-        Member {
+        let channels = Channels {
+            settings: wanted,
+            reports: asked,
+            shutdown: stopping,
+        };
+        tokio::task::spawn_local(run(dependencies, channels));
+        TestMember {
             inputs: received,
             queries,
             _settings: settings,
@@ -60,9 +69,9 @@
 
 #[tokio::test]
 async fn report_keeps_its_bytes_alone_and_with_a_member() {
-    let run = async {
+    let test = async {
         let listen = free().await;
-        let mut member = Member::start("members", settings("a", listen));
+        let mut member = TestMember::start("members", settings("a", listen));
         assert_golden(
             "membership/report-alone.json",
             member.report().await.as_bytes(),
@@ -72,7 +81,7 @@
             .await
             .expect("a port");
         let address = socket.local_addr().expect("bound");
-        let mut other = settings("b", address).settings;
+        let mut other = settings("b", address).protocol;
         other.seeds = vec![listen];
         let mut node = Node::new(other, Remembered::default(), 7, 0, 0).expect("good settings");
         let mut output = Output::default();
@@ -108,29 +117,30 @@
             (2, 0, 0, 1, false)
         );
     };
-    tokio::task::LocalSet::new().run_until(run).await;
+    tokio::task::LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
 async fn remembered_members_are_read_and_written_byte_for_byte() {
     let folder = folder("remembered");
-    std::fs::write(folder.join(FILE), golden("membership/members")).expect("written");
-    let remembered = recall(&folder).await;
+    std::fs::write(folder.join(remembered::FILE), golden("membership/members")).expect("written");
+    let remembered = remembered::load(&folder).await;
     assert_eq!(remembered.incarnation, 3);
     let contacts =
         ["10.0.0.5:7946", "[fd00::6]:7946"].map(|text| text.parse().expect("an address"));
     assert_eq!(remembered.contacts, contacts);
     let again = folder.join("again");
     std::fs::create_dir(&again).expect("a folder");
-    keep(&again, &remembered).expect("written");
+    remembered::store(&again, &remembered).expect("written");
     assert_golden(
         "membership/members",
-        &std::fs::read(again.join(FILE)).expect("written"),
+        &std::fs::read(again.join(remembered::FILE)).expect("written"),
     );
 }
 
 #[test]
-fn states_of_members_keep_their_words() {
-    let words = [State::Alive, State::Suspect, State::Dead, State::Left].map(word);
+fn member_states_keep_their_names() {
+    let words =
+        [State::Alive, State::Suspect, State::Dead, State::Left].map(change_log::state_name);
     assert_eq!(words, ["alive", "suspect", "dead", "left"]);
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,12 +14,14 @@
 #[cfg(test)]
 mod golden;
 pub mod journal;
+pub mod lease_client;
 pub mod leaving;
 pub mod ledger;
 pub mod local_errors;
 pub mod membership;
 pub mod pool;
 pub mod server;
+pub mod settings_object;
 pub mod startup;
 pub mod stream;
 #[cfg(test)]
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -79,7 +79,7 @@
     wait_until("they say so", || {
         senders
             .iter()
-            .all(|node| node.logged("agreement: the lease has run out"))
+            .all(|node| node.logged("agreement: the lease has expired"))
     });
     assert_eq!(
         ["order", "charge"].map(|class| taken(&senders[0], class, &format!("3-{class}"))),
@@ -96,7 +96,7 @@
         acts_on(&next) == whole(2)
     });
     wait_until("it says so", || {
-        next.logged("agreement: on the floor until a lease is had")
+        next.logged("agreement: on the fallback rules until a lease is granted")
     });
 }
 
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -119,7 +119,11 @@
             .iter()
             .any(|node| part(node).is_some_and(|part| part > 0))
     });
-    assert!(nodes.iter().any(|node| node.logged("ledger: no parts")));
+    assert!(
+        nodes
+            .iter()
+            .any(|node| node.logged("ledger: lease request failed"))
+    );
 }
 
 #[test]
@@ -142,7 +146,7 @@
         press(&[&next], &endpoint, Duration::ZERO, LEASE / 4);
         part(&next).is_some_and(|part| part > 12_000)
     });
-    assert!(next.logged("ledger: on the floors until parts are had"));
+    assert!(next.logged("ledger: on the fallback quotas until a lease is granted"));
 }
 
 #[test]
@@ -223,7 +227,7 @@
         fail(&nodes[..2]);
         verdict(&nodes[2]) == Some(json!(true))
     });
-    assert!(nodes[2].logged("ledger: destination 7 is out"));
+    assert!(nodes[2].logged("ledger: destination 7 is unavailable"));
     up.store(true, Ordering::SeqCst);
     wait_until("all know that it is back", || {
         fail(&nodes[..2]);
