--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -143,7 +143,7 @@
         (
             settings.name.as_str(),
             settings.fleet.as_str(),
-            settings.configured
+            settings.expected_members
         ),
         ("n1", "blue", 3)
     );
@@ -158,15 +158,24 @@
     );
     assert_eq!(
         (
-            settings.period,
-            settings.helpers,
-            settings.sync,
-            settings.most
+            settings.protocol_period,
+            settings.indirect_probers,
+            settings.push_pull_periods,
+            settings.max_members
         ),
         (200_000, 4, 31, 900)
     );
-    assert_eq!((settings.suspicion, settings.suspicion_most), (5.5, 6.5));
-    assert_eq!((settings.confirmations, settings.retransmit), (2, 5));
+    assert_eq!(
+        (
+            settings.suspicion_multiplier,
+            settings.max_suspicion_multiplier
+        ),
+        (5.5, 6.5)
+    );
+    assert_eq!(
+        (settings.confirmations, settings.retransmit_multiplier),
+        (2, 5)
+    );
     assert_eq!(
         settings.key.as_deref(),
         Some(&b"a shared key of the fleet"[..])
--- a/src/net/membership/change_log.rs
+++ b/src/net/membership/change_log.rs
@@ -45,22 +45,25 @@
 
 fn line(change: &Change) -> String {
     match change {
-        Change::State {
+        Change::MemberState {
             name,
-            before,
-            now,
+            previous,
+            current,
             incarnation,
             address,
         } => {
-            let before = before.map_or("unknown", state_name);
-            let now = state_name(*now);
-            format!("{name} {now} (was {before}), incarnation {incarnation}, {address}")
+            let previous = previous.map_or("unknown", state_name);
+            let current = state_name(*current);
+            format!("{name} {current} (was {previous}), incarnation {incarnation}, {address}")
         }
-        Change::Refuted { held, incarnation } => {
-            let state = state_name(*held);
+        Change::Refuted {
+            claimed,
+            incarnation,
+        } => {
+            let state = state_name(*claimed);
             format!("reported {state} by others, refuted with incarnation {incarnation}")
         }
-        Change::Rival {
+        Change::NameConflict {
             address,
             yields: true,
         } => {
@@ -68,15 +71,15 @@
                 "another process has this name at {address}: it is the elder and the member, this one only listens"
             )
         }
-        Change::Rival {
+        Change::NameConflict {
             address,
             yields: false,
         } => format!("another process has this name at {address}: this one is the elder"),
         Change::Paused { micros } => format!("this process was paused for {} ms", micros / 1000),
-        Change::Doubt { doubts: true } => {
+        Change::Isolation { isolated: true } => {
             "no probe is answered, this member doubts its own view".to_string()
         }
-        Change::Doubt { doubts: false } => "probes are answered again".to_string(),
+        Change::Isolation { isolated: false } => "probes are answered again".to_string(),
     }
 }
 
--- a/src/net/membership/member.rs
+++ b/src/net/membership/member.rs
@@ -7,7 +7,7 @@
 use crate::net::events::DriverInput;
 use crate::net::lease_client::to_sorted_json;
 use crate::net::{RateLimitedLog, log};
-use fleet_membership::{LONGEST, Node, Output, View};
+use fleet_membership::{MAX_DATAGRAM_BYTES, Node, Output, View};
 use message_sender::FleetView;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -64,14 +64,14 @@
             change_log: ChangeLog::new(),
             receive_errors: RateLimitedLog::default(),
             stored_at: Instant::now(),
-            buffer: vec![0; LONGEST + 1],
+            buffer: vec![0; MAX_DATAGRAM_BYTES + 1],
         }
     }
 
     /// Takes part until other settings come or the process shuts down.
     pub(super) async fn run(mut self, channels: &mut Channels) -> Stop {
         loop {
-            let wake_at = i64::try_from(self.node.wake_at()).unwrap_or(i64::MAX);
+            let wake_at = i64::try_from(self.node.next_deadline()).unwrap_or(i64::MAX);
             let wake_at = self.dependencies.clock.instant(wake_at);
             let mut output = Output::default();
             tokio::select! {
@@ -118,8 +118,8 @@
             return false;
         };
         let mut adopted = self.node.settings().clone();
-        adopted.configured = new.protocol.configured;
-        adopted.most = new.protocol.most;
+        adopted.expected_members = new.protocol.expected_members;
+        adopted.max_members = new.protocol.max_members;
         let is_bound_there = self
             .socket
             .local_addr()
@@ -127,7 +127,8 @@
         if adopted != new.protocol || self.act != new.act || !is_bound_there {
             return false;
         }
-        self.node.set_configured(new.protocol.configured);
+        self.node
+            .set_expected_members(new.protocol.expected_members);
         true
     }
 
@@ -152,13 +153,15 @@
     fn handle(&mut self, length: usize, from: SocketAddr, output: &mut Output) {
         let now = self.dependencies.now();
         let datagram = &self.buffer[..length];
-        self.node.handle(now, from, datagram, output);
+        self.node.handle_datagram(now, from, datagram, output);
     }
 
     fn carry_out(&mut self, output: Output) {
-        for (to, datagram) in output.datagrams {
+        for datagram in output.datagrams {
             // one that can't be sent is one that was lost
-            let _ = self.socket.try_send_to(&datagram, to);
+            let _ = self
+                .socket
+                .try_send_to(&datagram.payload, datagram.destination);
         }
         for change in output.changes {
             self.change_log.log(&change);
@@ -177,18 +180,18 @@
             .dependencies
             .driver
             .send(DriverInput::FleetView(Some(FleetView {
-                living: view.living,
+                living: view.present,
                 suspects: view.suspects,
-                gone: view.gone,
-                holders: view.holders,
-                doubt: view.doubt,
+                gone: view.departed,
+                holders: view.agreeing,
+                doubt: view.isolated,
             })));
     }
 
     async fn store(&mut self) {
         self.stored_at = Instant::now();
         let folder = self.dependencies.state_folder.clone();
-        let remembered = self.node.remember();
+        let remembered = self.node.persisted_state();
         let write = tokio::task::spawn_blocking(move || remembered::store(&folder, &remembered));
         let written = timeout_at(Instant::now() + STORE_TIMEOUT, write).await;
         if let Ok(Ok(Err(error))) = written {
@@ -201,16 +204,16 @@
         to_sorted_json(&MembersReport {
             name: self.node.name(),
             incarnation: self.node.incarnation(),
-            health: self.node.health(),
-            doubt: view.doubt,
-            living: view.living,
+            health_score: self.node.health_score(),
+            isolated: view.isolated,
+            present: view.present,
             suspects: view.suspects,
-            gone: view.gone,
-            same_view: view.holders,
-            configured: self.node.settings().configured,
+            departed: view.departed,
+            agreeing: view.agreeing,
+            expected_members: self.node.settings().expected_members,
             fleet_size: self.dependencies.fleet_size.get(),
-            counts: self.node.counts(),
-            members: self.node.members(self.dependencies.now()),
+            counters: self.node.counters(),
+            members: self.node.member_reports(self.dependencies.now()),
         })
     }
 }
--- a/src/net/membership/report.rs
+++ b/src/net/membership/report.rs
@@ -1,6 +1,6 @@
 //! The report for operators, written with sorted keys.
 
-use fleet_membership::{Counts, Listed};
+use fleet_membership::{DatagramCounters, MemberReport};
 use serde::Serialize;
 
 /// The answer to `GET /members` on the control address.
@@ -11,25 +11,31 @@
     /// Its incarnation.
     pub(super) incarnation: u64,
     /// Its local health by Lifeguard; 0 is healthy.
-    pub(super) health: u32,
+    #[serde(rename = "health")]
+    pub(super) health_score: u32,
     /// It has reason to doubt its view.
-    pub(super) doubt: bool,
+    #[serde(rename = "doubt")]
+    pub(super) isolated: bool,
     /// Members that live, suspects and this one counted.
-    pub(super) living: u32,
+    #[serde(rename = "living")]
+    pub(super) present: u32,
     /// Those of them that are suspect.
     pub(super) suspects: u32,
     /// Members known to have died or left.
-    pub(super) gone: u32,
+    #[serde(rename = "gone")]
+    pub(super) departed: u32,
     /// Members known to have the same view, this one counted.
     #[serde(rename = "holders")]
-    pub(super) same_view: u32,
+    pub(super) agreeing: u32,
     /// Senders that are configured.
-    pub(super) configured: u32,
+    #[serde(rename = "configured")]
+    pub(super) expected_members: u32,
     /// Senders that the decisions scale by.
     #[serde(rename = "scaled_by")]
     pub(super) fleet_size: u32,
     /// Datagrams since the start.
-    pub(super) counts: &'a Counts,
+    #[serde(rename = "counts")]
+    pub(super) counters: &'a DatagramCounters,
     /// All other members.
-    pub(super) members: Vec<Listed>,
+    pub(super) members: Vec<MemberReport>,
 }
--- a/src/net/membership/settings.rs
+++ b/src/net/membership/settings.rs
@@ -1,7 +1,7 @@
 //! The `membership` object of the configuration, with a default for all that may be left out.
 
 use crate::net::settings_object::{self, SettingsObject, SettingsObjectError};
-use fleet_membership::{Settings, SettingsError};
+use fleet_membership::Settings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -71,26 +71,24 @@
         let settings = Settings {
             fleet: self.fleet,
             seeds: self.seeds,
-            period: self
+            protocol_period: self
                 .period_ms
-                .map_or(default.period, |period| (period * 1e3) as u64),
-            helpers: self.helpers.unwrap_or(default.helpers),
-            suspicion: self.suspicion.unwrap_or(default.suspicion),
-            suspicion_most: self.suspicion_most.unwrap_or(default.suspicion_most),
+                .map_or(default.protocol_period, |period| (period * 1e3) as u64),
+            indirect_probers: self.helpers.unwrap_or(default.indirect_probers),
+            suspicion_multiplier: self.suspicion.unwrap_or(default.suspicion_multiplier),
+            max_suspicion_multiplier: self
+                .suspicion_most
+                .unwrap_or(default.max_suspicion_multiplier),
             confirmations: self.confirmations.unwrap_or(default.confirmations),
-            retransmit: self.retransmit.unwrap_or(default.retransmit),
-            sync: self.sync.unwrap_or(default.sync),
-            most: self.members_most.unwrap_or(default.most),
+            retransmit_multiplier: self.retransmit.unwrap_or(default.retransmit_multiplier),
+            push_pull_periods: self.sync.unwrap_or(default.push_pull_periods),
+            max_members: self.members_most.unwrap_or(default.max_members),
             key: self.key_file.map(read_key).transpose()?,
             ..default
         };
         settings
             .validate()
-            .map_err(|SettingsError { name, wanted }| {
-                // the one name that differs
-                let key = if name == "most" { "members_most" } else { name };
-                out_of_range(key, wanted)
-            })?;
+            .map_err(|error| out_of_range(error.setting, error.requirement))?;
         Ok(settings)
     }
 }
--- a/src/net/membership/settings/tests.rs
+++ b/src/net/membership/settings/tests.rs
@@ -9,7 +9,11 @@
     let membership = read_it(&good).expect("good").expect("there");
     let settings = membership.protocol;
     assert_eq!(
-        (settings.period, settings.configured, settings.advertise),
+        (
+            settings.protocol_period,
+            settings.expected_members,
+            settings.advertise
+        ),
         (200_000, 300, membership.listen)
     );
     assert!(membership.act && settings.key.is_none());
@@ -70,19 +74,27 @@
         (address("10.0.0.9:7947"), &[address("10.0.0.5:7946")][..])
     );
     assert_eq!(
-        (settings.configured, settings.period, settings.helpers),
+        (
+            settings.expected_members,
+            settings.protocol_period,
+            settings.indirect_probers
+        ),
         (300, 200_500, 4)
     );
     assert_eq!(
         (
-            settings.suspicion,
-            settings.suspicion_most,
+            settings.suspicion_multiplier,
+            settings.max_suspicion_multiplier,
             settings.confirmations
         ),
         (4.5, 7.5, 2)
     );
     assert_eq!(
-        (settings.retransmit, settings.sync, settings.most),
+        (
+            settings.retransmit_multiplier,
+            settings.push_pull_periods,
+            settings.max_members
+        ),
         (6, 7, 900)
     );
     assert_eq!(settings.key.as_deref(), Some(&b"0123456789abcdef"[..]));
--- a/src/net/membership/tests.rs
+++ b/src/net/membership/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::net::stub_registry::{assert_golden, folder, golden, standing_clock, within};
-use fleet_membership::{Output, Remembered, State};
+use fleet_membership::{Output, PersistedState, State};
 use message_sender::FleetView;
 use serde_json::json;
 use std::net::Ipv4Addr;
@@ -83,13 +83,16 @@
         let address = socket.local_addr().expect("bound");
         let mut other = settings("b", address).protocol;
         other.seeds = vec![listen];
-        let mut node = Node::new(other, Remembered::default(), 7, 0, 0).expect("good settings");
+        let mut node = Node::new(other, PersistedState::default(), 7, 0, 0).expect("good settings");
         let mut output = Output::default();
-        node.tick(node.wake_at(), &mut output);
+        node.tick(node.next_deadline(), &mut output);
         assert!(!output.datagrams.is_empty());
-        for (to, datagram) in output.datagrams {
-            assert_eq!(to, listen);
-            socket.send_to(&datagram, to).await.expect("sent");
+        for datagram in output.datagrams {
+            assert_eq!(datagram.destination, listen);
+            socket
+                .send_to(&datagram.payload, listen)
+                .await
+                .expect("sent");
         }
         socket.send_to(b"junk", listen).await.expect("sent");
         let report = loop {
@@ -128,7 +131,7 @@
     assert_eq!(remembered.incarnation, 3);
     let contacts =
         ["10.0.0.5:7946", "[fd00::6]:7946"].map(|text| text.parse().expect("an address"));
-    assert_eq!(remembered.contacts, contacts);
+    assert_eq!(remembered.known_addresses, contacts);
     let again = folder.join("again");
     std::fs::create_dir(&again).expect("a folder");
     remembered::store(&again, &remembered).expect("written");
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,6 +13,8 @@
 pub mod freeze;
 #[cfg(test)]
 mod golden;
+#[cfg(test)]
+mod http_golden;
 pub mod journal;
 pub mod lease_client;
 pub mod leaving;
