--- a/src/net/agreement/bounds.rs
+++ b/src/net/agreement/bounds.rs
@@ -1,7 +1,7 @@
 //! What agreed rules allow, in the decisions' own terms.
 
 use message_sender::{Bounds, ClassBound, Effect, MILLISECOND, Micros};
-use versioned_config::{Class, Effect as AgreedEffect, Rules};
+use versioned_config::{ClassRules, Effect as AgreedEffect, Rules};
 
 /// Converts rules to the bounds that the decisions keep to.
 pub fn bounds(rules: &Rules) -> Bounds {
@@ -20,24 +20,24 @@
     }
 }
 
-fn class_bound(class: &Class) -> ClassBound {
+fn class_bound(class: &ClassRules) -> ClassBound {
     ClassBound {
         accepted: class.accepted,
         effect: effect(class.effect),
-        attempts: class.attempts as usize,
+        attempts: class.max_attempts as usize,
         ordered: class.in_order,
-        key_rest: micros(class.gap_ms),
+        key_rest: micros(class.key_backoff_ms),
     }
 }
 
 fn effect(effect: AgreedEffect) -> Effect {
     match effect {
-        AgreedEffect::AtMostOnce => Effect::Unsafe,
-        AgreedEffect::DeduplicatedInZone { window_ms } => Effect::Keyed {
+        AgreedEffect::NonIdempotent => Effect::Unsafe,
+        AgreedEffect::IdempotencyKeyInZone { window_ms } => Effect::Keyed {
             window: micros(window_ms),
             zone_only: true,
         },
-        AgreedEffect::Deduplicated { window_ms } => Effect::Keyed {
+        AgreedEffect::IdempotencyKey { window_ms } => Effect::Keyed {
             window: micros(window_ms),
             zone_only: false,
         },
--- a/src/net/agreement/messages.rs
+++ b/src/net/agreement/messages.rs
@@ -1,7 +1,7 @@
 //! The request for a lease of rules, and the report for operators. Both are written with sorted keys.
 
 use serde::Serialize;
-use versioned_config::{Rules, Tag};
+use versioned_config::{Rules, VersionTag};
 
 /// The body of `POST /v1/lease`.
 #[derive(Debug, Serialize)]
@@ -12,7 +12,7 @@
     #[serde(rename = "life")]
     pub(super) incarnation: u64,
     /// What the sender acts on; none: the fallback rules.
-    pub(super) acts_on: Option<Tag>,
+    pub(super) acts_on: Option<VersionTag>,
     /// The version of the endpoint list that the sender goes by.
     #[serde(rename = "rev")]
     pub(super) list_version: u64,
@@ -27,7 +27,7 @@
     /// The sender's name.
     pub(super) sender: &'a str,
     /// What it acts on; none: the fallback rules.
-    pub(super) acts_on: Option<Tag>,
+    pub(super) acts_on: Option<VersionTag>,
     /// How long the lease lasts from now on, in milliseconds.
     pub(super) left_ms: Option<u64>,
     /// When the lease expires, in module time, microseconds.
--- a/src/net/agreement/session.rs
+++ b/src/net/agreement/session.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use thiserror::Error;
 use tokio::time::Instant;
-use versioned_config::{Ask, Grant, Holder, Rules, Tag, Taken};
+use versioned_config::{Grant, GrantResult, LeaseHolder, LeaseRequest, Rules, VersionTag};
 
 /// One request, its answer read whole, takes no longer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -33,7 +33,7 @@
     #[error("its rules forbid what this sender does without a lease")]
     BelowFallback,
     #[error("version {0:?} lies before what was in force here")]
-    OlderVersion(Tag),
+    OlderVersion(VersionTag),
 }
 
 /// How long to pause after a request that failed, while a lease lasts.
@@ -45,7 +45,7 @@
 pub struct RulesSession<'a> {
     lease: &'a mut RulesLease,
     settings: AgreementSettings,
-    holder: Holder,
+    holder: LeaseHolder,
     fallback: Bounds,
     /// How long the last lease was granted for.
     granted_for: Duration,
@@ -64,7 +64,7 @@
     ) -> Self {
         RulesSession {
             lease,
-            holder: Holder::new(settings.fallback.clone(), incarnation),
+            holder: LeaseHolder::new(settings.fallback.clone(), incarnation),
             settings,
             fallback,
             granted_for: Duration::ZERO,
@@ -79,14 +79,14 @@
 
     /// When the lease expires, in module time.
     fn expires_at(&self) -> Option<Micros> {
-        let until = self.holder.until(self.now())?;
+        let until = self.holder.valid_until(self.now())?;
         Micros::try_from(until).ok()
     }
 
     /// How long the lease lasts from now on.
     fn time_left(&self) -> Option<Duration> {
         let now = self.now();
-        let until = self.holder.until(now)?;
+        let until = self.holder.valid_until(now)?;
         Some(Duration::from_micros(until.saturating_sub(now)))
     }
 
@@ -120,7 +120,7 @@
             registry,
             &self.settings.replicas,
         );
-        let request = self.holder.ask(self.now());
+        let request = self.holder.request(self.now());
         self.requests.sent += 1;
         let body = self.request_body(&request)?;
         let grant: Grant = asking::ask(
@@ -135,10 +135,10 @@
         self.take(request, grant).await
     }
 
-    fn request_body(&self, request: &Ask) -> Result<serde_json::Value, serde_json::Error> {
+    fn request_body(&self, request: &LeaseRequest) -> Result<serde_json::Value, serde_json::Error> {
         serde_json::to_value(LeaseRequestBody {
             sender: &self.lease.dependencies.name,
-            incarnation: request.life,
+            incarnation: request.incarnation,
             acts_on: request.acts_on,
             list_version: self.lease.list_version.get(),
             fallback: &self.settings.fallback,
@@ -146,15 +146,17 @@
     }
 
     /// Takes the answer to a request and has the driver apply it; returns how long the lease lasts.
-    async fn take(&mut self, request: Ask, grant: Grant) -> Result<Duration, LeaseError> {
+    async fn take(&mut self, request: LeaseRequest, grant: Grant) -> Result<Duration, LeaseError> {
         let tag = grant.tag;
         let granted_for = Duration::from_micros(grant.lease);
         let leased = bounds(&grant.rules);
-        match self.holder.granted(request, grant, self.now()) {
-            Taken::Late | Taken::Back => return Err(LeaseError::OlderVersion(tag)),
-            Taken::BelowFloor => return Err(LeaseError::BelowFallback),
-            Taken::Renewed => {}
-            Taken::Changed => log_version(tag, granted_for),
+        match self.holder.apply_grant(request, grant, self.now()) {
+            GrantResult::Outdated | GrantResult::VersionRegressed => {
+                return Err(LeaseError::OlderVersion(tag));
+            }
+            GrantResult::BelowFallback => return Err(LeaseError::BelowFallback),
+            GrantResult::Renewed => {}
+            GrantResult::Changed => log_version(tag, granted_for),
         }
         self.expiry_logged = false;
         let rules = Agreed {
@@ -167,8 +169,8 @@
     }
 }
 
-fn log_version(tag: Tag, granted_for: Duration) {
-    let step = if tag.whole {
+fn log_version(tag: VersionTag, granted_for: Duration) {
+    let step = if tag.complete {
         "complete"
     } else {
         "intersection with the version before"
@@ -220,7 +222,7 @@
 
     fn report(&self) -> String {
         let now = self.now();
-        let until = self.holder.until(now);
+        let until = self.holder.valid_until(now);
         let rules: &Rules = self.holder.rules(now);
         to_sorted_json(&AgreementReport {
             sender: &self.lease.dependencies.name,
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -191,7 +191,7 @@
     let ledger = config.ledger.expect("there");
     assert_eq!(ledger.fallback_quotas().senders, 3);
     assert_eq!(
-        json!(ledger.fallback_quotas().each),
+        json!(ledger.fallback_quotas().per_sender),
         file["ledger"]["floors"]
     );
     assert_eq!(json!(ledger.replicas), file["ledger"]["others"]);
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -8,7 +8,7 @@
 use super::events::{DriverInput, FreezeChange};
 use super::log;
 use hyper::Method;
-use quota_ledger::gate::News;
+use quota_ledger::gate::FreezeUpdate;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use settings::FreezeSettings;
@@ -114,7 +114,7 @@
         let registry = *self.dependencies.registry.borrow_and_update();
         let replica = whose_turn(self.failed, registry, &self.settings.replicas);
         let asked_at = self.dependencies.clock.at(Instant::now());
-        let answer = ask::<News>(
+        let answer = ask::<FreezeUpdate>(
             replica,
             Method::GET,
             "/v1/freeze",
--- a/src/net/ledger/demands.rs
+++ b/src/net/ledger/demands.rs
@@ -3,8 +3,8 @@
 
 use message_sender::Demand;
 use quota_ledger::naming::KeyDemand;
-use quota_ledger::verdicts::Word;
-use quota_ledger::{Floors, Key, Wanted, What};
+use quota_ledger::verdicts::HealthReport;
+use quota_ledger::{FallbackQuotas, LimitKey, QuotaDemand, Resource};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,14 +12,19 @@
 const MILLIRATE_PER_MICROSECOND: u64 = 1_000_000_000;
 
 /// The limits of a destination that the decisions keep to: rate, concurrency, rate while it is not healthy.
-pub(super) fn keys(destination: u64) -> [Key; 3] {
-    [What::Rate, What::Out, What::Cold].map(|what| Key::of(destination, what))
+pub(super) fn keys(destination: u64) -> [LimitKey; 3] {
+    [
+        Resource::Rate,
+        Resource::Concurrency,
+        Resource::RecoveryRate,
+    ]
+    .map(|resource| LimitKey::of(destination, resource))
 }
 
 /// What a sender demands of each limit beyond its fallback quotas: what waits and what it sent since that was last
 /// counted. With `complete` of its whole list, else of the destinations that it uses.
 pub(super) fn key_demands(
-    fallback_quotas: &Floors,
+    fallback_quotas: &FallbackQuotas,
     demand: &BTreeMap<u64, Demand>,
     counted_calls: Option<&BTreeMap<u64, u64>>,
     lease: Duration,
@@ -42,7 +47,7 @@
         let rate_unhealthy = if demand.sick { rate } else { 0 };
         let amounts = [rate, concurrency, rate_unhealthy];
         for (key, amount) in keys(*destination).into_iter().zip(amounts) {
-            if fallback_quotas.name(&key) {
+            if fallback_quotas.is_limited(&key) {
                 all.push(key_demand(fallback_quotas, key, amount, demand));
             }
         }
@@ -50,31 +55,39 @@
     all
 }
 
-fn key_demand(fallback_quotas: &Floors, key: Key, amount: u64, demand: &Demand) -> KeyDemand {
-    let want = amount.saturating_sub(fallback_quotas.of(&key));
+fn key_demand(
+    fallback_quotas: &FallbackQuotas,
+    key: LimitKey,
+    amount: u64,
+    demand: &Demand,
+) -> KeyDemand {
+    let beyond_fallback = amount.saturating_sub(fallback_quotas.of(&key));
     KeyDemand {
-        wanted: Wanted { key, want },
+        demand: QuotaDemand {
+            key,
+            amount: beyond_fallback,
+        },
         waiting: demand.waiting > 0,
-        sick: demand.sick,
-        calls: demand.sent,
+        unhealthy: demand.sick,
+        calls_sent: demand.sent,
     }
 }
 
 /// What this sender reports of destinations by its own calls: nothing of those that it knows nothing of now.
-pub(super) fn health_reports(demand: &BTreeMap<u64, Demand>) -> Vec<Word> {
+pub(super) fn health_reports(demand: &BTreeMap<u64, Demand>) -> Vec<HealthReport> {
     demand
         .iter()
         .filter(|(_, demand)| demand.sent > 0 && (demand.failing || demand.alive))
-        .map(|(destination, demand)| Word {
+        .map(|(destination, demand)| HealthReport {
             destination: *destination,
-            out: demand.failing,
+            unavailable: demand.failing,
         })
         .collect()
 }
 
 /// How many kinds of a destination's limits there may be, one at least.
-pub(super) fn limited_kinds(fallback_quotas: &Floors) -> usize {
-    let is_of_kind = |name: &str, key: &Key| {
+pub(super) fn limited_kinds(fallback_quotas: &FallbackQuotas) -> usize {
+    let is_of_kind = |name: &str, key: &LimitKey| {
         name.split('/')
             .next()
             .is_some_and(|kind| kind == key.kind())
@@ -83,7 +96,7 @@
         .iter()
         .filter(|key| {
             fallback_quotas
-                .each
+                .per_sender
                 .keys()
                 .any(|name| is_of_kind(name, key))
         })
--- a/src/net/ledger/messages.rs
+++ b/src/net/ledger/messages.rs
@@ -1,9 +1,9 @@
 //! The request for quotas and its answer in JSON, for replicas that do not read the compact form, and the report for
 //! operators.
 
-use quota_ledger::compact::Question;
-use quota_ledger::verdicts::{Verdict, Word};
-use quota_ledger::{Dealt, Floors, Key, Want};
+use quota_ledger::compact::QuotaRequest;
+use quota_ledger::verdicts::{HealthReport, HealthVerdict};
+use quota_ledger::{Allocation, FallbackQuotas, LimitKey, QuotaDemand};
 use serde::{Deserialize, Serialize};
 
 /// The body of `POST /v1/parts` in JSON.
@@ -12,26 +12,27 @@
     sender: &'a str,
     #[serde(rename = "life")]
     incarnation: u64,
-    number: u64,
+    #[serde(rename = "number")]
+    sequence: u64,
     #[serde(rename = "floors")]
-    fallback_quotas: &'a Floors,
+    fallback_quotas: &'a FallbackQuotas,
     #[serde(rename = "wants")]
-    demands: &'a [Want],
+    demands: &'a [QuotaDemand],
     zone: &'a str,
     #[serde(rename = "words")]
-    health_reports: &'a [Word],
+    health_reports: &'a [HealthReport],
 }
 
-impl<'a> From<&'a Question> for JsonRequest<'a> {
-    fn from(question: &'a Question) -> Self {
+impl<'a> From<&'a QuotaRequest> for JsonRequest<'a> {
+    fn from(request: &'a QuotaRequest) -> Self {
         JsonRequest {
-            sender: &question.sender,
-            incarnation: question.life,
-            number: question.number,
-            fallback_quotas: &question.floors,
-            demands: &question.wants,
-            zone: &question.zone,
-            health_reports: &question.reports,
+            sender: &request.sender,
+            incarnation: request.incarnation,
+            sequence: request.sequence,
+            fallback_quotas: &request.fallback_quotas,
+            demands: &request.demands,
+            zone: &request.zone,
+            health_reports: &request.reports,
         }
     }
 }
@@ -43,17 +44,17 @@
     pub(super) lease: u64,
     /// The quotas.
     #[serde(rename = "dealt")]
-    pub(super) allocations: Vec<Dealt>,
+    pub(super) allocations: Vec<Allocation>,
     /// What a quorum of senders reports of destinations.
     #[serde(default)]
-    pub(super) verdicts: Vec<Verdict>,
+    pub(super) verdicts: Vec<HealthVerdict>,
 }
 
 /// One quota in the report for operators.
 #[derive(Debug, Serialize)]
 pub(super) struct AllocationReport<'a> {
     /// What is limited.
-    pub(super) key: &'a Key,
+    pub(super) key: &'a LimitKey,
     /// What may be used without a lease.
     #[serde(rename = "floor")]
     pub(super) fallback: u64,
@@ -78,9 +79,9 @@
     pub(super) allocations: Vec<AllocationReport<'a>>,
     /// What it may use without a lease.
     #[serde(rename = "floors")]
-    pub(super) fallback_quotas: &'a Floors,
+    pub(super) fallback_quotas: &'a FallbackQuotas,
     /// What a quorum of senders reports of destinations.
-    pub(super) verdicts: Vec<&'a Verdict>,
+    pub(super) verdicts: Vec<&'a HealthVerdict>,
     /// How long the last lease was granted for, in milliseconds.
     pub(super) lease_ms: u64,
     /// Module time, in microseconds.
--- a/src/net/ledger/round_trip.rs
+++ b/src/net/ledger/round_trip.rs
@@ -6,7 +6,7 @@
 use crate::net::log;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
-use quota_ledger::compact::{self, Answer, Question};
+use quota_ledger::compact::{self, QuotaRequest, QuotaResponse};
 use quota_ledger::naming::ByteBudget;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,12 +37,12 @@
     pub(super) async fn round_trip(
         &mut self,
         replica: SocketAddr,
-        question: &Question,
+        request: &QuotaRequest,
         budget: &mut ByteBudget,
-    ) -> Result<Answer, AskError> {
+    ) -> Result<QuotaResponse, AskError> {
         if self.reads_compact(replica) {
-            match send(replica, compact::MEDIA_TYPE, question.write(), budget).await {
-                Ok(answer) => return Ok(Answer::read(&answer)?),
+            match send(replica, compact::MEDIA_TYPE, request.encode(), budget).await {
+                Ok(answer) => return Ok(QuotaResponse::decode(&answer)?),
                 Err(error) if is_unread_form(&error) => {
                     log(format_args!(
                         "ledger: {replica} is asked in JSON for a while"
@@ -53,13 +53,13 @@
                 Err(error) => return Err(error),
             }
         }
-        let body = to_sorted_json(&JsonRequest::from(question)).into_bytes();
+        let body = to_sorted_json(&JsonRequest::from(request)).into_bytes();
         let answer = send(replica, "application/json", body, budget).await?;
         let answer: JsonAnswer = serde_json::from_slice(&answer)?;
-        Ok(Answer {
+        Ok(QuotaResponse {
             lease: answer.lease,
-            rev: 0,
-            quotas: answer.allocations,
+            revision: 0,
+            allocations: answer.allocations,
             verdicts: answer.verdicts,
         })
     }
@@ -88,7 +88,7 @@
     body: Vec<u8>,
     budget: &mut ByteBudget,
 ) -> Result<Bytes, AskError> {
-    budget.spend(body.len() as u64);
+    budget.charge_request(body.len() as u64);
     let answer = exchange(
         replica,
         Method::POST,
@@ -98,6 +98,6 @@
         MAX_ANSWER_BYTES,
     )
     .await?;
-    budget.spend_more(answer.len() as u64);
+    budget.charge_response(answer.len() as u64);
     Ok(answer)
 }
--- a/src/net/ledger/session.rs
+++ b/src/net/ledger/session.rs
@@ -10,10 +10,10 @@
 use crate::net::lease_client::{LeaseSession, RequestStats, to_sorted_json};
 use crate::net::log;
 use message_sender::Demand;
-use quota_ledger::Holder;
-use quota_ledger::compact::{Answer, Question};
-use quota_ledger::naming::{self, ByteBudget, Naming};
-use quota_ledger::verdicts::Verdict;
+use quota_ledger::QuotaHolder;
+use quota_ledger::compact::{QuotaRequest, QuotaResponse};
+use quota_ledger::naming::{self, ByteBudget, DemandSelector};
+use quota_ledger::verdicts::HealthVerdict;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
@@ -51,18 +51,18 @@
     lease: &'a mut QuotaLease,
     settings: LedgerSettings,
     incarnation: u64,
-    holder: Holder,
+    holder: QuotaHolder,
     random: Pcg32,
     /// How long the last lease was granted for.
     granted_for: Duration,
-    naming: Naming,
+    selector: DemandSelector,
     budget: ByteBudget,
     forms: RequestForms,
     /// Calls sent to each destination that had any when that was last counted, once a lease while it is in use.
     counted_calls: Option<BTreeMap<u64, u64>>,
     counted_at: Instant,
     /// The last health verdict on each destination.
-    verdicts: BTreeMap<u64, Verdict>,
+    verdicts: BTreeMap<u64, HealthVerdict>,
     /// When the next request is due.
     next_request: Instant,
     requests: RequestStats,
@@ -78,10 +78,10 @@
         let now = lease.dependencies.now();
         QuotaSession {
             incarnation,
-            holder: Holder::new(settings.fallback_quotas()),
+            holder: QuotaHolder::new(settings.fallback_quotas()),
             random: Pcg32::seed_from_u64(lease.seed ^ incarnation),
             granted_for: INITIAL_LEASE,
-            naming: Naming::default(),
+            selector: DemandSelector::default(),
             budget: ByteBudget::new(settings.bytes_a_second, micros(INITIAL_LEASE), now),
             forms: RequestForms::default(),
             counted_calls: None,
@@ -110,7 +110,8 @@
             .filter(|(_, demand)| demand.waiting > 0)
             .any(|(destination, _)| {
                 let [rate, concurrency, _] = demands::keys(*destination);
-                self.holder.lacks(now, &rate) || self.holder.lacks(now, &concurrency)
+                self.holder.is_at_fallback(now, &rate)
+                    || self.holder.is_at_fallback(now, &concurrency)
             })
     }
 
@@ -135,7 +136,7 @@
                 if self.requests.record_failure(error.to_string()) {
                     log(format_args!("ledger: lease request failed: {error}"));
                 }
-                let senders = self.holder.floors().senders;
+                let senders = self.holder.fallback_quotas().senders;
                 let contention = RETRY_PAUSE_PER_SENDER.saturating_mul(senders);
                 (self.granted_for / RENEWALS_PER_LEASE)
                     .max(contention)
@@ -151,7 +152,7 @@
         scope: &Scope,
         demand: &BTreeMap<u64, Demand>,
     ) -> Result<(), AskError> {
-        let question = self.question(scope, demand);
+        let request = self.build_request(scope, demand);
         let registry = *self.lease.dependencies.registry.borrow_and_update();
         let replica = whose_turn(
             self.requests.replica_turn(),
@@ -161,23 +162,23 @@
         self.requests.sent += 1;
         let answer = self
             .forms
-            .round_trip(replica, &question, &mut self.budget)
+            .round_trip(replica, &request, &mut self.budget)
             .await?;
-        self.take(question.number, answer).await;
+        self.take(request.sequence, answer).await;
         Ok(())
     }
 
-    fn question(&mut self, scope: &Scope, demand: &BTreeMap<u64, Demand>) -> Question {
+    fn build_request(&mut self, scope: &Scope, demand: &BTreeMap<u64, Demand>) -> QuotaRequest {
         let now = self.now();
         let lease = micros(self.granted_for);
         let key_demands = demands::key_demands(
-            self.holder.floors(),
+            self.holder.fallback_quotas(),
             demand,
             self.counted_calls.as_ref(),
             self.granted_for,
             scope.listed_keys <= scope.capacity,
         );
-        let named = self.naming.choose(
+        let named = self.selector.select(
             now,
             &self.holder,
             lease,
@@ -186,17 +187,17 @@
             scope.capacity,
         );
         self.count_calls(demand);
-        let (number, wants) = self.holder.ask(now, named);
-        Question {
+        let sequence = self.holder.request(now);
+        QuotaRequest {
             sender: self.lease.dependencies.name.clone(),
-            life: self.incarnation,
-            number,
-            floors: self.holder.floors().clone(),
+            incarnation: self.incarnation,
+            sequence,
+            fallback_quotas: self.holder.fallback_quotas().clone(),
             zone: self.lease.zone.clone(),
-            wants,
-            reports: naming::choose_reports(
+            demands: named,
+            reports: naming::select_reports(
                 demands::health_reports(demand),
-                |report| report.out,
+                |report| report.unavailable,
                 scope.capacity,
             ),
         }
@@ -216,9 +217,10 @@
     }
 
     /// Takes the answer to a request and has the driver apply it.
-    async fn take(&mut self, number: u64, answer: Answer) {
+    async fn take(&mut self, sequence: u64, answer: QuotaResponse) {
         self.granted_for = Duration::from_micros(answer.lease).max(MIN_LEASE);
-        self.holder.granted(number, answer.lease, answer.quotas);
+        self.holder
+            .apply_allocations(sequence, answer.lease, answer.allocations);
         for verdict in answer.verdicts {
             self.take_verdict(verdict);
         }
@@ -227,14 +229,14 @@
     }
 
     /// Tells the driver of a verdict that is newer than the one known.
-    fn take_verdict(&mut self, verdict: Verdict) {
+    fn take_verdict(&mut self, verdict: HealthVerdict) {
         let known = self.verdicts.get(&verdict.destination).copied();
-        let current = known.map_or(verdict, |known| known.join(verdict));
+        let current = known.map_or(verdict, |known| known.merge(verdict));
         self.verdicts.insert(current.destination, current);
         if known.map(|known| known.epoch) == Some(current.epoch) {
             return;
         }
-        let state = if current.out {
+        let state = if current.unavailable {
             "unavailable"
         } else {
             "available again"
@@ -249,7 +251,7 @@
             .driver
             .send(DriverInput::FleetHealth {
                 destination: current.destination,
-                unavailable: current.out,
+                unavailable: current.unavailable,
             });
     }
 }
@@ -260,8 +262,10 @@
 
 impl LeaseSession for QuotaSession<'_> {
     async fn renew(&mut self) -> Instant {
-        let capacity = self.budget.room(self.now(), micros(self.granted_for));
-        let kinds = demands::limited_kinds(self.holder.floors());
+        let capacity = self
+            .budget
+            .available_keys(self.now(), micros(self.granted_for));
+        let kinds = demands::limited_kinds(self.holder.fallback_quotas());
         let DemandReport {
             listed,
             by_destination,
@@ -285,15 +289,15 @@
 
     fn report(&self) -> String {
         let now = self.now();
-        let fallback_quotas = self.holder.floors();
+        let fallback_quotas = self.holder.fallback_quotas();
         let allocations = self
             .holder
-            .parts(now)
-            .map(|(dealt, part, until)| AllocationReport {
-                key: &dealt.key,
-                fallback: fallback_quotas.of(&dealt.key),
-                allocated: part,
-                total: dealt.total,
+            .allocations(now)
+            .map(|(allocation, amount, until)| AllocationReport {
+                key: &allocation.key,
+                fallback: fallback_quotas.of(&allocation.key),
+                allocated: amount,
+                total: allocation.total,
                 until_us: until,
                 left_ms: (until - now) / 1000,
             });
--- a/src/net/ledger/settings.rs
+++ b/src/net/ledger/settings.rs
@@ -1,7 +1,7 @@
 //! The `ledger` object of the configuration.
 
 use crate::net::settings_object::{self, SettingsObject, SettingsObjectError, validate_replicas};
-use quota_ledger::{Floors, KINDS, Key};
+use quota_ledger::{FallbackQuotas, LIMIT_KINDS, LimitKey};
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -36,10 +36,10 @@
 
 impl LedgerSettings {
     /// The fallback quotas, as the registry's ledger has them.
-    pub fn fallback_quotas(&self) -> Floors {
-        Floors {
+    pub fn fallback_quotas(&self) -> FallbackQuotas {
+        FallbackQuotas {
             senders: self.senders,
-            each: self.fallback_quotas.clone(),
+            per_sender: self.fallback_quotas.clone(),
         }
     }
 }
@@ -58,7 +58,8 @@
                         .to_string(),
             });
         }
-        let is_limited = |name: &str| KINDS.contains(&name) || name.parse::<Key>().is_ok();
+        let is_limited =
+            |name: &str| LIMIT_KINDS.contains(&name) || name.parse::<LimitKey>().is_ok();
         if let Some(name) = self.fallback_quotas.keys().find(|name| !is_limited(name)) {
             return Err(SettingsObjectError::FallbackQuota(name.clone()));
         }
--- a/src/net/ledger/settings/tests.rs
+++ b/src/net/ledger/settings/tests.rs
@@ -49,7 +49,7 @@
     let fallback_quotas = ledger.fallback_quotas();
     assert_eq!(fallback_quotas.senders, 3);
     assert_eq!(
-        serde_json::to_value(&fallback_quotas.each).expect("encoded"),
+        serde_json::to_value(&fallback_quotas.per_sender).expect("encoded"),
         object["floors"]
     );
     assert_eq!(
--- a/src/net/settings_object.rs
+++ b/src/net/settings_object.rs
@@ -1,13 +1,13 @@
 //! Settings objects of the configuration that may be left out: `membership`, `agreement`, `ledger` and `freeze`, each read
 //! strictly.
 
-use quota_ledger::KINDS;
+use quota_ledger::LIMIT_KINDS;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
-use versioned_config::Senseless;
+use versioned_config::InvalidRules;
 
 /// Replicas of the registry that an object may name beside discovery's own address.
 const MAX_REPLICAS: usize = 16;
@@ -37,9 +37,9 @@
     },
     /// The fallback rules make no sense.
     #[error("agreement.floor: {0}")]
-    FallbackRules(#[from] Senseless),
+    FallbackRules(#[from] InvalidRules),
     /// A fallback quota is of something that is not limited.
-    #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = KINDS.join(", "))]
+    #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = LIMIT_KINDS.join(", "))]
     FallbackQuota(String),
     /// Requests for quotas would have no room.
     #[error("ledger.bytes_a_second is {found}; write {min} or more, or leave it out for {default}")]
