--- a/src/net/ledger/demands.rs
+++ b/src/net/ledger/demands.rs
@@ -2,8 +2,8 @@
 //! demand that its decisions report.
 
 use message_sender::Demand;
-use quota_ledger::naming::KeyDemand;
-use quota_ledger::verdicts::HealthReport;
+use quota_ledger::health::HealthReport;
+use quota_ledger::quotas::KeyDemand;
 use quota_ledger::{FallbackQuotas, LimitKey, QuotaDemand, Resource};
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/net/ledger/messages.rs
+++ b/src/net/ledger/messages.rs
@@ -1,8 +1,8 @@
 //! The request for quotas and its answer in JSON, for replicas that do not read the compact form, and the report for
 //! operators.
 
-use quota_ledger::compact::QuotaRequest;
-use quota_ledger::verdicts::{HealthReport, HealthVerdict};
+use quota_ledger::health::{HealthReport, HealthVerdict};
+use quota_ledger::quotas::compact::QuotaRequest;
 use quota_ledger::{Allocation, FallbackQuotas, LimitKey, QuotaDemand};
 use serde::{Deserialize, Serialize};
 
--- a/src/net/ledger/session.rs
+++ b/src/net/ledger/session.rs
@@ -11,9 +11,9 @@
 use crate::net::log;
 use message_sender::Demand;
 use quota_ledger::QuotaHolder;
-use quota_ledger::compact::{QuotaRequest, QuotaResponse};
-use quota_ledger::naming::{self, ByteBudget, DemandSelector};
-use quota_ledger::verdicts::HealthVerdict;
+use quota_ledger::health::HealthVerdict;
+use quota_ledger::quotas::compact::{QuotaRequest, QuotaResponse};
+use quota_ledger::quotas::{self, ByteBudget, DemandSelector};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
@@ -195,7 +195,7 @@
             fallback_quotas: self.holder.fallback_quotas().clone(),
             zone: self.lease.zone.clone(),
             demands: named,
-            reports: naming::select_reports(
+            reports: quotas::select_reports(
                 demands::health_reports(demand),
                 |report| report.unavailable,
                 scope.capacity,
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -6,7 +6,7 @@
     StubAnswer, StubRegistry, assert_golden, golden, standing_clock, within,
 };
 use message_sender::Demand;
-use quota_ledger::compact::QuotaResponse;
+use quota_ledger::quotas::compact::QuotaResponse;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,22 +13,22 @@
 pub mod freeze;
 #[cfg(test)]
 mod golden;
+pub mod handover;
 #[cfg(test)]
 mod http_golden;
 pub mod journal;
 pub mod lease_client;
-pub mod leaving;
 pub mod ledger;
 pub mod local_errors;
 pub mod membership;
 pub mod pool;
+pub mod process;
 pub mod server;
 pub mod settings_object;
 pub mod startup;
 pub mod stream;
 #[cfg(test)]
 mod stub_registry;
-pub mod upgrade;
 
 /// A line for the log. A reader of the log that has gone away must not take the sender with it, as a failed
 /// `eprintln!` would.
