--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -45,7 +45,7 @@
             self.process.senders.inputs.clone(),
         ));
         self.spawn(wait_for_successors(
-            self.process.config.state.clone(),
+            self.process.config.state_folder.clone(),
             self.process.senders.successors.clone(),
         ));
         self.start_membership(receivers.membership_reports);
@@ -147,7 +147,7 @@
         let dependencies = membership::Dependencies {
             clock: self.clock,
             seed: process.config.seed,
-            state_folder: process.config.state.clone(),
+            state_folder: process.config.state_folder.clone(),
             driver: process.senders.inputs.clone(),
             fleet_size: self.fleet_size.clone(),
         };
