--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -189,8 +189,13 @@
                 .agreement
                 .borrow()
                 .as_ref()
-                .map(|agreement| agreement::bounds(&agreement.floor)),
-            fallback_quotas: self.parts.ledger.borrow().as_ref().map(ledger::on_floors),
+                .map(|agreement| agreement::bounds(&agreement.fallback)),
+            fallback_quotas: self
+                .parts
+                .ledger
+                .borrow()
+                .as_ref()
+                .map(ledger::fallback_only),
         };
         let mut driver = Driver::new(dependencies, initial);
         if let Some(link) = link {
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -2,11 +2,13 @@
 
 use super::Process;
 use super::channels::TaskReceivers;
+use crate::net::agreement::RulesLease;
 use crate::net::clock::Clock;
 use crate::net::discovery::{self, Backoff, Freshness};
 use crate::net::events::ReportRequest;
 use crate::net::handover::{until_handed_over, wait_for_successors};
-use crate::net::{agreement, freeze, ledger, membership};
+use crate::net::ledger::QuotaLease;
+use crate::net::{freeze, lease_client, membership};
 use message_sender::Micros;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -85,62 +87,75 @@
         ));
     }
 
-    fn start_agreement(&self, reports: ReportRequests) {
+    fn lease_dependencies(&self) -> lease_client::Dependencies {
         let process = self.process;
-        let means = agreement::Means {
+        lease_client::Dependencies {
             clock: self.clock,
             name: process.config.name.clone(),
-            inputs: process.senders.inputs.clone(),
-            agent: process.parts.discovery.subscribe(),
-            listed: self.list_version.clone(),
+            driver: process.senders.inputs.clone(),
+            registry: process.parts.discovery.subscribe(),
+        }
+    }
+
+    fn start_agreement(&self, reports: ReportRequests) {
+        let process = self.process;
+        let lease = RulesLease {
+            dependencies: self.lease_dependencies(),
+            list_version: self.list_version.clone(),
             backoff: Backoff::new(self.discovery_clients(), !process.config.seed),
         };
-        let settings = process.parts.agreement.subscribe();
-        let stopping = process.flags.stopping.subscribe();
-        self.spawn(agreement::hold(means, settings, reports, stopping));
+        let channels = lease_client::Channels {
+            settings: process.parts.agreement.subscribe(),
+            reports,
+            shutdown: process.flags.stopping.subscribe(),
+        };
+        self.spawn(lease_client::run(lease, channels));
     }
 
     fn start_ledger(&self, reports: ReportRequests) {
         let process = self.process;
         let config = &process.config;
         let zone = config.names.zones.get(usize::from(config.settings.zone));
-        let means = ledger::Means {
-            clock: self.clock,
-            name: config.name.clone(),
+        let lease = QuotaLease {
+            dependencies: self.lease_dependencies(),
             seed: config.seed,
             zone: zone.cloned().unwrap_or_default(),
-            inputs: process.senders.inputs.clone(),
-            agent: process.parts.discovery.subscribe(),
         };
-        let settings = process.parts.ledger.subscribe();
-        let stopping = process.flags.stopping.subscribe();
-        self.spawn(ledger::hold(means, settings, reports, stopping));
+        let channels = lease_client::Channels {
+            settings: process.parts.ledger.subscribe(),
+            reports,
+            shutdown: process.flags.stopping.subscribe(),
+        };
+        self.spawn(lease_client::run(lease, channels));
     }
 
     fn start_freeze(&self) {
         let process = self.process;
-        let means = freeze::Means {
+        let dependencies = freeze::Dependencies {
             clock: self.clock,
             seed: process.config.seed,
-            inputs: process.senders.inputs.clone(),
-            agent: process.parts.discovery.subscribe(),
+            driver: process.senders.inputs.clone(),
+            registry: process.parts.discovery.subscribe(),
         };
         let settings = process.parts.freeze.subscribe();
-        let stopping = process.flags.stopping.subscribe();
-        self.spawn(freeze::follow(means, settings, stopping));
+        let shutdown = process.flags.stopping.subscribe();
+        self.spawn(freeze::run(dependencies, settings, shutdown));
     }
 
     fn start_membership(&self, reports: ReportRequests) {
         let process = self.process;
-        let means = membership::Means {
+        let dependencies = membership::Dependencies {
             clock: self.clock,
             seed: process.config.seed,
-            state: process.config.state_folder.clone(),
-            inputs: process.senders.inputs.clone(),
-            counted: self.fleet_size.clone(),
+            state_folder: process.config.state_folder.clone(),
+            driver: process.senders.inputs.clone(),
+            fleet_size: self.fleet_size.clone(),
+        };
+        let channels = membership::Channels {
+            settings: process.parts.membership.subscribe(),
+            reports,
+            shutdown: process.flags.stopping.subscribe(),
         };
-        let settings = process.parts.membership.subscribe();
-        let stopping = process.flags.stopping.subscribe();
-        self.spawn(membership::take_part(means, settings, reports, stopping));
+        self.spawn(membership::run(dependencies, channels));
     }
 }
