--- a/src/decisions/state.rs
+++ b/src/decisions/state.rs
@@ -2,8 +2,8 @@
 
 use crate::backlog::Standing;
 use crate::interface::{
-    Allocation, DestinationId, EndpointEntry, EndpointId, EndpointStatus, MessageId, Micros,
-    PastAttempt, QuotaShare, SECOND,
+    DestinationId, EndpointEntry, EndpointId, EndpointStatus, MessageId, Micros, PastAttempt,
+    QuotaAllocation, QuotaShare, SECOND,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -323,7 +323,7 @@
         self.refill(now, rate, burst);
         let allocation =
             |share: Option<QuotaShare>| share.and_then(|share| share.allocation_at(now));
-        if let Some(Allocation {
+        if let Some(QuotaAllocation {
             amount: Some(more),
             until,
         }) = allocation(after)
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -7,21 +7,21 @@
 /// The part of a limit that is allocated to this sender for a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Option<u64>, Micros)", into = "(Option<u64>, Micros)")]
-pub struct Allocation {
+pub struct QuotaAllocation {
     /// How much, in the unit of the share; none: there is no limit for so long.
     pub amount: Option<u64>,
     /// When it expires.
     pub until: Micros,
 }
 
-impl From<(Option<u64>, Micros)> for Allocation {
+impl From<(Option<u64>, Micros)> for QuotaAllocation {
     fn from((amount, until): (Option<u64>, Micros)) -> Self {
-        Allocation { amount, until }
+        QuotaAllocation { amount, until }
     }
 }
 
-impl From<Allocation> for (Option<u64>, Micros) {
-    fn from(allocation: Allocation) -> Self {
+impl From<QuotaAllocation> for (Option<u64>, Micros) {
+    fn from(allocation: QuotaAllocation) -> Self {
         (allocation.amount, allocation.until)
     }
 }
@@ -34,12 +34,12 @@
     pub fallback: u64,
     /// Added to the fallback while it lasts.
     #[serde(rename = "part")]
-    pub allocation: Option<Allocation>,
+    pub allocation: Option<QuotaAllocation>,
 }
 
 impl QuotaShare {
     /// The allocation, if it has not expired.
-    pub fn allocation_at(&self, now: Micros) -> Option<Allocation> {
+    pub fn allocation_at(&self, now: Micros) -> Option<QuotaAllocation> {
         self.allocation.filter(|allocation| now < allocation.until)
     }
 
--- a/src/net/process/part_settings.rs
+++ b/src/net/process/part_settings.rs
@@ -1,10 +1,10 @@
 //! Settings that a new configuration changes while the process runs, each for the task that follows it.
 
-use crate::net::agreement::settings::Agreement;
+use crate::net::agreement::settings::AgreementSettings;
 use crate::net::config::Config;
 use crate::net::freeze::settings::FreezeSettings;
-use crate::net::ledger::settings::Ledger;
-use crate::net::membership::settings::Membership;
+use crate::net::ledger::settings::LedgerSettings;
+use crate::net::membership::settings::MembershipSettings;
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
@@ -13,9 +13,9 @@
 pub(super) struct PartSettings {
     /// The address of discovery.
     pub discovery: watch::Sender<SocketAddr>,
-    pub membership: watch::Sender<Option<Membership>>,
-    pub agreement: watch::Sender<Option<Agreement>>,
-    pub ledger: watch::Sender<Option<Ledger>>,
+    pub membership: watch::Sender<Option<MembershipSettings>>,
+    pub agreement: watch::Sender<Option<AgreementSettings>>,
+    pub ledger: watch::Sender<Option<LedgerSettings>>,
     pub freeze: watch::Sender<Option<FreezeSettings>>,
 }
 
--- a/tests/compatibility_interface.rs
+++ b/tests/compatibility_interface.rs
@@ -140,7 +140,7 @@
         fallback,
         allocation,
     };
-    let allocation = |amount, until| Some(Allocation { amount, until });
+    let allocation = |amount, until| Some(QuotaAllocation { amount, until });
     let quota = Quota {
         rate: Some(share(u64::MAX, allocation(Some(u64::MAX - 1), Micros::MAX))),
         in_flight: Some(ConcurrencyQuota {
--- a/tests/decision_record/settings.rs
+++ b/tests/decision_record/settings.rs
@@ -121,11 +121,11 @@
     let until = now + Micros::from(random.next_u32() % 4_000_000);
     let allocation = match random.next_u32() % 4 {
         0 => None,
-        1 => Some(Allocation {
+        1 => Some(QuotaAllocation {
             amount: None,
             until,
         }),
-        _ => Some(Allocation {
+        _ => Some(QuotaAllocation {
             amount: Some(more),
             until,
         }),
@@ -140,7 +140,7 @@
 pub fn quotas(now: Micros, random: &mut Pcg32) -> Quotas {
     let calls = QuotaShare {
         fallback: 1,
-        allocation: Some(Allocation {
+        allocation: Some(QuotaAllocation {
             amount: Some(u64::from(random.next_u32() % 4)),
             until: now + 3 * SECOND,
         }),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -602,7 +602,7 @@
     let quotas = |amount, until| {
         let rate = Some(QuotaShare {
             fallback: 0,
-            allocation: Some(Allocation { amount, until }),
+            allocation: Some(QuotaAllocation { amount, until }),
         });
         let quota = Quota {
             rate,
