--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -1,4 +1,4 @@
-//! A sender that is killed with messages owed: how long until it is ready again, and what they take up.
+//! A sender that is killed with unfinished messages: how long until it is ready again, and what they take up.
 //!
 //! The journal is written here, in the form in which the sender writes it; what the sender says of it at its start is
 //! held against what was written.
@@ -144,10 +144,10 @@
     let log = process.log()?;
     let line = log
         .lines()
-        .find(|line| line.contains(" messages owed"))
+        .find(|line| line.contains(" unfinished messages"))
         .context("nothing is owed")?;
     let number = line
-        .split(" messages owed")
+        .split(" unfinished messages")
         .next()
         .and_then(|head| head.rsplit(' ').next());
     number
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -32,7 +32,7 @@
     Registry(registry::Order),
     /// One sender's decisions in passed-in time: time of a turn and memory.
     Decisions(decisions::Order),
-    /// One sender's process with messages owed: time until it is ready after a kill, memory, disk.
+    /// One sender's process with unfinished messages: time until it is ready after a kill, memory, disk.
     Journal(journal::Order),
     /// One sender's process and a whole list: bytes, processor time, memory.
     List(list::Order),
--- a/src/net/driver/admin.rs
+++ b/src/net/driver/admin.rs
@@ -42,7 +42,7 @@
         reply: oneshot::Sender<AdminResult>,
     ) {
         let result = self.try_set_disabled(&uid, disabled);
-        let change = if disabled { "out" } else { "back" };
+        let change = if disabled { "disabled" } else { "enabled" };
         net::log(format_args!("control: endpoint {uid} {change}: {result:?}"));
         // an operator that has gone sees the log
         let _ = reply.send(result);
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -215,7 +215,7 @@
         };
         let call = attempt.call;
         let item = attempt.item;
-        self.trace(message, format_args!("attempt {number} is called off"));
+        self.trace(message, format_args!("attempt {number} is cancelled"));
         let Some(in_flight) = self.calls_in_flight.get(call) else {
             return self.violations.count(
                 Violation::CancelUnknown,
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -62,7 +62,7 @@
                 Some(command) = commands.recv() => self.forward_command(command).await,
                 _ = done_check.tick() => {
                     if self.is_done() {
-                        net::log(format_args!("upgrade: all is done here, the old process ends"));
+                        net::log(format_args!("handover: calls and clients are done, the predecessor ends"));
                         return;
                     }
                     Ok(())
@@ -72,7 +72,7 @@
             if let Err(error) = sent {
                 // whoever takes the journal next must not meet calls that still run
                 return net::log(format_args!(
-                    "upgrade: the new process is lost, the old one ends: {error}"
+                    "handover: the successor is lost, the predecessor ends: {error}"
                 ));
             }
         }
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -32,7 +32,7 @@
             let found = update.version;
             let known = self.version;
             self.behind_log.log(format_args!(
-                "discovery: version {found} is not taken, {known} is in force"
+                "discovery: version {found} is not accepted, {known} is in force"
             ));
         }
         self.is_behind
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -29,7 +29,7 @@
             SuccessorRequest::SameVersion(link) => link,
             SuccessorRequest::OtherVersion => {
                 net::log(format_args!(
-                    "upgrade: the new process speaks another version, this one ends"
+                    "handover: the successor reads another version, this process ends"
                 ));
                 return AfterRequest::Exit;
             }
@@ -44,7 +44,7 @@
         let state = match self.handover_state() {
             Ok(state) => state,
             Err(error) => {
-                net::log(format_args!("upgrade: not handed over: {error}"));
+                net::log(format_args!("handover: not handed over: {error}"));
                 return AfterRequest::Continue;
             }
         };
@@ -57,7 +57,7 @@
                 let messages = self.messages.open_count();
                 let calls = self.calls_in_flight.len();
                 net::log(format_args!(
-                    "upgrade: handed over {messages} messages, {calls} calls are out"
+                    "handover: handed over {messages} messages, {calls} calls are in flight"
                 ));
                 AfterRequest::Drain(link)
             }
@@ -69,18 +69,18 @@
     async fn resume_after(&mut self, error: LinkError) -> AfterRequest {
         if !self.process.lock.try_acquire().unwrap_or(false) {
             net::log(format_args!(
-                "upgrade: another process owns the journal, this one ends"
+                "handover: another process owns the journal, this process ends"
             ));
             return AfterRequest::Exit;
         }
         net::log(format_args!(
-            "upgrade: not taken over, this process goes on: {error}"
+            "handover: not taken over, this process continues: {error}"
         ));
         match self.journal.reopen().await {
             Ok(()) => AfterRequest::Continue,
             Err(error) => {
                 net::log(format_args!(
-                    "upgrade: the journal is lost, this process ends: {error}"
+                    "handover: the journal is lost, this process ends: {error}"
                 ));
                 AfterRequest::Exit
             }
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -136,10 +136,7 @@
             record: Some(record),
         });
         let attempts = attempts.collect();
-        crate::net::trace(
-            &id,
-            format_args!("taken up again after {} attempts", past.len()),
-        );
+        crate::net::trace(&id, format_args!("recovered after {} attempts", past.len()));
         self.events.push(Event::Resumed {
             message: new,
             attempts: past,
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -200,7 +200,7 @@
             .add(predecessor.client_connections);
         let lost = self.attempts_of_predecessor();
         net::log(format_args!(
-            "upgrade: the old process has ended, {} calls with it",
+            "handover: the predecessor has ended, {} calls with it",
             lost.len()
         ));
         for (call, item) in lost {
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -14,16 +14,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Violation {
     /// The decision module waits for the outcome of an attempt that the driver does not have in flight.
-    #[error("an attempt is waited for that is not out")]
+    #[error("the decision module waits for an attempt that is not in flight")]
     AttemptLost,
     /// The decision module numbers a message's attempts otherwise than the driver.
     #[error("an attempt has another number than expected")]
     AttemptNumber,
     /// A call reported an attempt that is not in flight.
-    #[error("an outcome came for an attempt that is not out")]
+    #[error("an outcome came for an attempt that is not in flight")]
     OutcomeUnknown,
     /// The decision module cancelled an attempt whose call is not known.
-    #[error("an attempt is called off whose call is not known")]
+    #[error("an attempt is cancelled whose call is not known")]
     CancelUnknown,
     /// The decision module decided a call that what has happened forbids.
     #[error("a call must not begin: {0}")]
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -22,10 +22,10 @@
     #[error("can't be read: {0}")]
     Unreadable(#[from] postcard::Error),
     /// Another frame was due, or the link is lost.
-    #[error("another word was due")]
+    #[error("unexpected frame")]
     Unexpected,
     /// No frame came in time.
-    #[error("no word in time")]
+    #[error("no frame in time")]
     Timeout,
 }
 
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -52,7 +52,9 @@
             Ok(listener) => return listener,
             Err(error) => {
                 if !logged {
-                    net::log(format_args!("upgrade: off, no socket to be had: {error}"));
+                    net::log(format_args!(
+                        "handover: off, the socket is not available: {error}"
+                    ));
                 }
                 logged = true;
                 sleep(BIND_RETRY_DELAY).await;
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -39,7 +39,9 @@
             }
             Err(error) => {
                 // where nothing can be locked nobody hands over either, and a start does not wait for it
-                net::log(format_args!("upgrade: off, no lock to be had: {error}"));
+                net::log(format_args!(
+                    "handover: off, the lock is not available: {error}"
+                ));
                 return None;
             }
         }
@@ -62,7 +64,7 @@
     let error = error.to_string();
     if error != *logged {
         net::log(format_args!(
-            "upgrade: the old process does not hand over: {error}"
+            "handover: the predecessor does not hand over: {error}"
         ));
         *logged = error;
     }
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -254,7 +254,7 @@
     async fn follow_predecessor(&self, driver: &mut Driver, mut link: Link, connections: usize) {
         let accepted = link.send(&Frame::Accepted).await;
         net::log(format_args!(
-            "{}: upgrade: taken over ({})",
+            "{}: handover: taken over ({})",
             self.config.name,
             describe_link(&accepted)
         ));
@@ -288,7 +288,7 @@
 /// What became of the link to a predecessor, for the log.
 fn describe_link(accepted: &Result<(), LinkError>) -> String {
     match accepted {
-        Ok(()) => "as it was".into(),
-        Err(error) => format!("the old process is gone: {error}"),
+        Ok(()) => "complete".into(),
+        Err(error) => format!("the predecessor is gone: {error}"),
     }
 }
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -59,9 +59,9 @@
         damaged,
     } = recovery;
     if *records + *torn + *damaged > 0 {
-        let owed = journal.unfinished().len();
+        let unfinished = journal.unfinished().len();
         net::log(format_args!(
-            "{name}: journal has {records} records, {owed} messages owed, {torn} bytes torn off"
+            "{name}: journal has {records} records, {unfinished} unfinished messages, {torn} bytes torn off"
         ));
     }
     if *damaged > 0 {
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -123,7 +123,7 @@
     assert_eq!(node.hand_in("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
     let node = sender.start();
-    wait_until("it is told", || node.logged("1 messages owed"));
+    wait_until("it is told", || node.logged("1 unfinished messages"));
     assert!(!node.logged("damaged"));
 }
 
@@ -435,9 +435,9 @@
         faults.off("journal_write");
         next.join().expect("it takes over")
     });
-    assert!(starts.logged("taken over (as it was)"), "{:?}", starts.log);
+    assert!(starts.logged("taken over (complete)"), "{:?}", starts.log);
     assert!(
-        old.logged("handed over 1 messages, 0 calls are out"),
+        old.logged("handed over 1 messages, 0 calls are in flight"),
         "{:?}",
         old.log
     );
@@ -464,7 +464,7 @@
     faults.on("journal_write", EIO);
     assert_eq!(old.hand_in("webhook", "refused", 7, 20_000, b"x"), 503);
     let new = sender.start();
-    assert!(new.logged("taken over (as it was)"), "{:?}", new.log);
+    assert!(new.logged("taken over (complete)"), "{:?}", new.log);
     faults.off("journal_write");
     assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
     wait_until("it is delivered", || endpoint.times("after") == 1);
@@ -479,9 +479,9 @@
     old.terminate();
     wait_until("draining", || old.logged("draining"));
     let new = sender.start();
-    assert!(new.logged("taken over (as it was)"), "{:?}", new.log);
+    assert!(new.logged("taken over (complete)"), "{:?}", new.log);
     wait_until("the old one has ended", || {
-        new.logged("the old process has ended")
+        new.logged("the predecessor has ended")
     });
     // from here on the old one could not have made a call
     thread::sleep(EXIT_AFTER.saturating_sub(told.elapsed()));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -208,7 +208,7 @@
     });
     assert!(ids.iter().all(|id| endpoint.times(id) == 1), "each once");
     let new = new.restart().ready();
-    wait_until("it is told", || new.logged("0 messages owed"));
+    wait_until("it is told", || new.logged("0 unfinished messages"));
 }
 
 #[test]
@@ -237,7 +237,7 @@
     });
     assert_eq!(endpoint.times("held-once"), 1);
     wait_until("it is told", || {
-        new.logged("the old process has ended, 2 calls with it")
+        new.logged("the predecessor has ended, 2 calls with it")
     });
 }
 
@@ -253,7 +253,7 @@
     let mut length = [0; 4];
     std::io::Read::read_exact(&mut asks, &mut length).expect("it hands over");
     drop(asks);
-    wait_until("it takes all back", || old.logged("this process goes on"));
+    wait_until("it takes all back", || old.logged("this process continues"));
     assert_eq!(old.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.times("m1") == 1);
     assert_eq!(old.operate("GET /ready", ""), 200);
@@ -277,7 +277,7 @@
     });
     *gate.lock().expect("not poisoned") = true;
     let new = old.successor().ready();
-    wait_until("it is told", || new.logged("1 messages owed"));
+    wait_until("it is told", || new.logged("1 unfinished messages"));
     wait_until("it goes again", || endpoint.times("held") == 2);
 }
 
@@ -356,7 +356,7 @@
         records() == before + 4
     });
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("4 messages owed"));
+    wait_until("it is told", || node.logged("4 unfinished messages"));
     uids.iter()
         .for_each(|uid| assert_eq!(node.order("enable", uid), 200));
     wait_until("what may not be repeated fails", || {
@@ -446,7 +446,7 @@
     std::fs::create_dir(&socket).expect("a folder in its place");
     let node = node.restart().ready();
     wait_until("one line tells what is off", || {
-        node.logged("upgrade: off, no socket to be had")
+        node.logged("handover: off, the socket is not available")
     });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.times("m1") == 1);
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -209,7 +209,7 @@
     assert!(node.process.wait().expect("it ends").success());
     let next = node.restart().ready();
     wait_until("it is told", || {
-        !next.logged("messages owed") || next.logged(" 0 messages owed")
+        !next.logged("unfinished messages") || next.logged(" 0 unfinished messages")
     });
     assert_eq!(next.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
     assert!(read_call(&mut gate.accept()).contains("x-request-id: m2"));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -39,7 +39,7 @@
         node.hand_in("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("0 messages owed"));
+    wait_until("it is told", || node.logged("0 unfinished messages"));
     assert_eq!(endpoint.times("m1"), 1);
 }
 
@@ -655,7 +655,7 @@
     ]);
     *agent.lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("4 messages owed"));
+    wait_until("it is told", || node.logged("4 unfinished messages"));
     wait_until("the unsent one goes out", || other.times("unsent") == 1);
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
@@ -697,7 +697,7 @@
     let sound = std::fs::read(node.journal()).expect("the journal");
     std::fs::write(node.journal(), &sound[..sound.len() - 3]).expect("torn");
     let mut node = node.restart().ready();
-    wait_until("it is told", || node.logged("1 messages owed"));
+    wait_until("it is told", || node.logged("1 unfinished messages"));
     assert!(!node.logged("damaged"));
     node.kill();
     let mut damaged = sound.clone();
@@ -707,7 +707,7 @@
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
     wait_until("it is told", || {
-        node.logged("1 messages owed") && node.logged("damaged")
+        node.logged("1 unfinished messages") && node.logged("damaged")
     });
     wait_until("the sound one is delivered", || endpoint.times("m2") == 1);
     assert_eq!(endpoint.times("m1"), 0);
@@ -804,7 +804,7 @@
         began.elapsed()
     );
     let node = node.restart();
-    wait_until("it is told", || node.logged("0 messages owed"));
+    wait_until("it is told", || node.logged("0 unfinished messages"));
 }
 
 #[test]
