--- a/ledger/src/quotas/key_selection.rs
+++ b/ledger/src/quotas/key_selection.rs
@@ -12,11 +12,11 @@
 use std::ops::Bound;
 use versioned_config::Micros;
 
-/// Names that one question may have: the registry refuses more.
+/// Keys that one request may name: the registry rejects more.
 pub const MAX_KEYS_PER_REQUEST: usize = 4_096;
 
-/// A quota is renewed once no more than this part of its lease is left: one lost question is made up for by the next.
-const RENEW_AT: u64 = 2;
+/// A quota is renewed once no more than this part of its lease is left: one lost request is made up for by the next.
+const RENEWAL_DIVISOR: u64 = 2;
 
 /// Calls since a key was named that make it worth a quota ahead of the next call. One call is no sign of another.
 const CALLS_IN_USE: u64 = 2;
@@ -24,106 +24,150 @@
 /// What a sender could use of one limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyDemand {
-    /// What it wants, beyond its fallback share.
+    /// What it demands beyond its fallback quota.
     pub demand: QuotaDemand,
     /// Messages wait for it.
     pub waiting: bool,
-    /// Its destination is not well: its trickle of calls is within the fallback share.
+    /// Its destination is unhealthy: the few calls to it are within the fallback quota.
     pub unhealthy: bool,
     /// Calls sent under it since the process started.
     pub calls_sent: u64,
 }
 
-/// Chooses what questions name.
+/// Chooses what requests name.
 #[derive(Debug, Clone, Default)]
 pub struct DemandSelector {
-    /// Calls that had been sent when each key was named last, for as long as a quota of it may last.
-    named: BTreeMap<LimitKey, Named>,
-    /// Where the next question begins if there was no room: for what waits, is in use, and is sick.
-    turns: [Option<LimitKey>; 3],
+    /// When each key was named last, for as long as a quota of it may last.
+    named: BTreeMap<LimitKey, NamedKey>,
+    next_waiting: RotationStart,
+    next_in_use: RotationStart,
+    next_unhealthy: RotationStart,
 }
 
+/// The key at which the next request begins if the last one had no capacity left.
+type RotationStart = Option<LimitKey>;
+
+/// A key as it was named last.
 #[derive(Debug, Clone, Copy)]
-struct Named {
-    calls: u64,
+struct NamedKey {
+    /// Calls that had been sent under it.
+    calls_sent: u64,
     at: Micros,
 }
 
+/// Demands worth a request, by their priority.
+#[derive(Default)]
+struct Candidates {
+    /// Messages wait, and there is no quota.
+    waiting: BTreeMap<LimitKey, KeyDemand>,
+    /// It is used, and its quota ends soon.
+    in_use: BTreeMap<LimitKey, KeyDemand>,
+    unhealthy: BTreeMap<LimitKey, KeyDemand>,
+}
+
 impl DemandSelector {
-    /// The wants that the next question names, `room` of them at most. `list` is the number of keys that could be named.
+    /// The demands that the next request names, `capacity` of them at most. `list_length` is the number of keys that could
+    /// be named.
     pub fn select(
         &mut self,
         now: Micros,
         holder: &QuotaHolder,
         lease: Micros,
-        demand: Vec<KeyDemand>,
-        list: usize,
-        room: usize,
+        demands: Vec<KeyDemand>,
+        list_length: usize,
+        capacity: usize,
     ) -> Vec<QuotaDemand> {
-        let room = room.min(MAX_KEYS_PER_REQUEST);
+        let capacity = capacity.min(MAX_KEYS_PER_REQUEST);
         self.named.retain(|_, named| now < named.at + 2 * lease);
-        if list <= room {
-            return demand.into_iter().map(|demand| demand.demand).collect();
+        if list_length <= capacity {
+            return demands.into_iter().map(|demand| demand.demand).collect();
+        }
+        let Candidates {
+            waiting,
+            in_use,
+            unhealthy,
+        } = self.candidates(now, holder, lease, demands);
+        let mut chosen = Vec::new();
+        rotate(waiting, &mut self.next_waiting, capacity, &mut chosen);
+        rotate(in_use, &mut self.next_in_use, capacity, &mut chosen);
+        rotate(unhealthy, &mut self.next_unhealthy, capacity, &mut chosen);
+        for demand in &chosen {
+            let named = NamedKey {
+                calls_sent: demand.calls_sent,
+                at: now,
+            };
+            self.named.insert(demand.demand.key.clone(), named);
         }
-        let (mut waiting, mut in_use, mut sick) =
-            (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        for demand in demand {
+        chosen.into_iter().map(|demand| demand.demand).collect()
+    }
+
+    fn candidates(
+        &self,
+        now: Micros,
+        holder: &QuotaHolder,
+        lease: Micros,
+        demands: Vec<KeyDemand>,
+    ) -> Candidates {
+        let mut candidates = Candidates::default();
+        for demand in demands {
             let key = demand.demand.key.clone();
-            let lasts = holder.valid_until(now, &key).saturating_sub(now);
-            let calls = self
-                .named
-                .get(&key)
-                .map_or(0, |named| demand.calls_sent.saturating_sub(named.calls));
             if demand.unhealthy {
-                sick.insert(key, demand);
+                candidates.unhealthy.insert(key, demand);
             } else if demand.waiting && holder.is_at_fallback(now, &key) {
-                waiting.insert(key, demand);
-            } else if lasts <= lease / RENEW_AT && (demand.waiting || calls >= CALLS_IN_USE) {
-                in_use.insert(key, demand);
+                candidates.waiting.insert(key, demand);
+            } else if self.is_due_for_renewal(now, holder, lease, &demand) {
+                candidates.in_use.insert(key, demand);
             }
         }
-        let mut chosen = Vec::new();
-        for (demands, turn) in [waiting, in_use, sick].into_iter().zip(&mut self.turns) {
-            take_turns(demands, turn, room, &mut chosen);
-        }
-        for demand in &chosen {
-            self.named.insert(
-                demand.demand.key.clone(),
-                Named {
-                    calls: demand.calls_sent,
-                    at: now,
-                },
-            );
-        }
-        chosen.into_iter().map(|demand| demand.demand).collect()
+        candidates
+    }
+
+    /// Whether a quota ends soon, and is used.
+    fn is_due_for_renewal(
+        &self,
+        now: Micros,
+        holder: &QuotaHolder,
+        lease: Micros,
+        demand: &KeyDemand,
+    ) -> bool {
+        let key = &demand.demand.key;
+        let remaining = holder.valid_until(now, key).saturating_sub(now);
+        let named = self.named.get(key);
+        let calls = named.map_or(0, |named| {
+            demand.calls_sent.saturating_sub(named.calls_sent)
+        });
+        remaining <= lease / RENEWAL_DIVISOR && (demand.waiting || calls >= CALLS_IN_USE)
     }
 }
 
-/// Adds demands until `room` are chosen, from `turn` on and then from the beginning; the next turn begins behind them.
-fn take_turns(
+/// Adds demands until `capacity` are chosen, from `start` on and then from the beginning; the next rotation starts behind
+/// them.
+fn rotate(
     mut demands: BTreeMap<LimitKey, KeyDemand>,
-    turn: &mut Option<LimitKey>,
-    room: usize,
+    start: &mut RotationStart,
+    capacity: usize,
     chosen: &mut Vec<KeyDemand>,
 ) {
-    let later = match turn.as_ref() {
-        Some(first) => demands
-            .extract_if(
-                (Bound::Included(first.clone()), Bound::Unbounded),
-                |_, _| true,
-            )
-            .collect(),
+    let from_start = match start.as_ref() {
+        Some(first) => {
+            let range = (Bound::Included(first.clone()), Bound::Unbounded);
+            demands.extract_if(range, |_, _| true).collect()
+        }
         None => Vec::new(),
     };
-    let mut in_turn = later.into_iter().chain(demands);
-    let free = room.saturating_sub(chosen.len());
-    chosen.extend(in_turn.by_ref().take(free).map(|(_, demand)| demand));
-    *turn = in_turn.next().map(|(key, _)| key);
+    let mut in_rotation = from_start.into_iter().chain(demands);
+    let free = capacity.saturating_sub(chosen.len());
+    chosen.extend(in_rotation.by_ref().take(free).map(|(_, demand)| demand));
+    *start = in_rotation.next().map(|(key, _)| key);
 }
 
-/// Health reports that a question has room for: those of failing destinations first.
-pub fn select_reports<T>(mut reports: Vec<T>, failing: impl Fn(&T) -> bool, room: usize) -> Vec<T> {
-    reports.sort_by_key(|report| !failing(report));
-    reports.truncate(room);
+/// The health reports that a request has capacity for: those of failing destinations first.
+pub fn select_reports<T>(
+    mut reports: Vec<T>,
+    is_failing: impl Fn(&T) -> bool,
+    capacity: usize,
+) -> Vec<T> {
+    reports.sort_by_key(|report| !is_failing(report));
+    reports.truncate(capacity);
     reports
 }
--- a/ledger/src/quotas/lease_holder.rs
+++ b/ledger/src/quotas/lease_holder.rs
@@ -7,125 +7,138 @@
 use std::collections::BTreeMap;
 use versioned_config::Micros;
 
+/// What was allocated of one limit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Part {
-    /// As it was dealt last, and until when that says that there is a limit or none.
-    dealt: Allocation,
+struct HeldAllocation {
+    /// The last allocation.
+    latest: Allocation,
+    /// Until when that says whether there is a limit.
     until: Micros,
     grants: Grants,
 }
 
-impl Part {
-    /// What may be used beside the floor, and until when; none: it has lapsed. None of a part: there is no limit.
-    fn at(&self, now: Micros) -> Option<(Option<u64>, Micros)> {
-        if self.dealt.quota.is_none() && now < self.until {
-            return Some((None, self.until));
+/// What may be used of a limit beside the fallback quota.
+struct CurrentQuota {
+    /// How much; none where there is no limit.
+    quota: Option<u64>,
+    /// When that ends.
+    until: Micros,
+}
+
+impl HeldAllocation {
+    /// What may be used now; none if all of it has expired.
+    fn current(&self, now: Micros) -> Option<CurrentQuota> {
+        if self.latest.quota.is_none() && now < self.until {
+            return Some(CurrentQuota {
+                quota: None,
+                until: self.until,
+            });
         }
-        self.grants
-            .most(now)
-            .map(|(part, until)| (Some(part), until))
+        self.grants.largest(now).map(|grant| CurrentQuota {
+            quota: Some(grant.quota),
+            until: grant.until,
+        })
     }
 }
 
-/// What a sender holds. It begins on its floors, whatever it knew in an earlier life.
+/// The quotas that a sender holds. It begins on its fallback quotas, whatever it held in an earlier incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QuotaHolder {
-    floors: FallbackQuotas,
-    parts: BTreeMap<LimitKey, Part>,
-    number: u64,
-    asked: Micros,
+    fallback: FallbackQuotas,
+    allocations: BTreeMap<LimitKey, HeldAllocation>,
+    /// Of the last request.
+    sequence: u64,
+    requested_at: Micros,
 }
 
 impl QuotaHolder {
     /// A sender that has just started.
-    pub fn new(floors: FallbackQuotas) -> Self {
+    pub fn new(fallback: FallbackQuotas) -> Self {
         QuotaHolder {
-            floors,
-            parts: BTreeMap::new(),
-            number: 0,
-            asked: 0,
+            fallback,
+            allocations: BTreeMap::new(),
+            sequence: 0,
+            requested_at: 0,
         }
     }
 
-    /// A request is sent now: its sequence number.
+    /// Notes that a request is sent now; its sequence number.
     pub fn request(&mut self, now: Micros) -> u64 {
-        self.number += 1;
-        self.asked = now;
-        self.parts
+        self.sequence += 1;
+        self.requested_at = now;
+        self.allocations
             .values_mut()
-            .for_each(|part| part.grants.lapse(now));
-        self.parts
-            .retain(|_, part| part.until > now || !part.grants.is_empty());
-        self.number
+            .for_each(|held| held.grants.remove_expired(now));
+        self.allocations
+            .retain(|_, held| held.until > now || !held.grants.is_empty());
+        self.sequence
     }
 
-    /// The answer to a question, or as much of it as came; false if it is not to the last one. A lease counts from when the
-    /// question was asked: it may have been answered at once, and the answer long under way.
+    /// Takes the response to a request, or as much of it as came; false if it is not to the last one. A lease counts from
+    /// when the request was sent: it may have been granted at once, and the response long under way.
     pub fn apply_allocations(
         &mut self,
-        number: u64,
+        sequence: u64,
         lease: Micros,
-        dealt: Vec<Allocation>,
+        allocations: Vec<Allocation>,
     ) -> bool {
-        if number != self.number {
+        if sequence != self.sequence {
             return false;
         }
-        let until = self.asked + lease;
-        for dealt in dealt {
-            let mut grants = self
-                .parts
-                .remove(&dealt.key)
-                .map(|part| part.grants)
-                .unwrap_or_default();
-            dealt
-                .quota
-                .into_iter()
-                .for_each(|part| grants.push(part, until));
-            self.parts.insert(
-                dealt.key.clone(),
-                Part {
-                    dealt,
-                    until,
-                    grants,
-                },
-            );
+        let until = self.requested_at + lease;
+        for latest in allocations {
+            let held = self.allocations.remove(&latest.key);
+            let mut grants = held.map(|held| held.grants).unwrap_or_default();
+            if let Some(quota) = latest.quota {
+                grants.push(quota, until);
+            }
+            let held = HeldAllocation {
+                latest,
+                until,
+                grants,
+            };
+            self.allocations.insert(held.latest.key.clone(), held);
         }
         true
     }
 
-    /// What it may use of a limit now: its floor, and its part for as long as that lasts; none: all that it likes.
+    /// What it may use of a limit now: its fallback quota, and what was allocated for as long as that lasts; none where
+    /// there is no limit.
     pub fn usable(&self, now: Micros, key: &LimitKey) -> Option<u64> {
-        match self.parts.get(key).and_then(|part| part.at(now)) {
-            Some((part, _)) => Some(self.floors.of(key) + part?),
-            None => self.floors.is_limited(key).then(|| self.floors.of(key)),
+        match self.current(now, key) {
+            Some(current) => Some(self.fallback.of(key) + current.quota?),
+            None => self.fallback.is_limited(key).then(|| self.fallback.of(key)),
         }
     }
 
-    /// Whether it may use no more of a limit now than its fallback share.
+    /// Whether it may use no more of a limit now than its fallback quota.
     pub fn is_at_fallback(&self, now: Micros, key: &LimitKey) -> bool {
-        self.floors.is_limited(key) && self.usable(now, key) == Some(self.floors.of(key))
+        self.fallback.is_limited(key) && self.usable(now, key) == Some(self.fallback.of(key))
     }
 
     /// Until when what was allocated of a limit lasts; the time that is passed in where nothing does.
     pub fn valid_until(&self, now: Micros, key: &LimitKey) -> Micros {
-        self.parts
-            .get(key)
-            .and_then(|part| part.at(now))
-            .map_or(now, |(_, until)| until)
+        self.current(now, key).map_or(now, |current| current.until)
     }
 
-    /// The floors.
+    /// What each sender may use without asking.
     pub fn fallback_quotas(&self) -> &FallbackQuotas {
-        &self.floors
+        &self.fallback
     }
 
-    /// What was dealt, what of it lasts beside the floor (none: there is no limit), and until when.
+    /// What was allocated and lasts: the last allocation, what of it may be used beside the fallback quota (none where
+    /// there is no limit), and until when.
     pub fn allocations(
         &self,
         now: Micros,
     ) -> impl Iterator<Item = (&Allocation, Option<u64>, Micros)> {
-        self.parts
-            .values()
-            .filter_map(move |part| part.at(now).map(|(most, until)| (&part.dealt, most, until)))
+        self.allocations.values().filter_map(move |held| {
+            let current = held.current(now)?;
+            Some((&held.latest, current.quota, current.until))
+        })
+    }
+
+    fn current(&self, now: Micros, key: &LimitKey) -> Option<CurrentQuota> {
+        self.allocations.get(key)?.current(now)
     }
 }
