--- a/ledger/src/ledger_state/entry.rs
+++ b/ledger/src/ledger_state/entry.rs
@@ -1,60 +1,60 @@
 //! What is proposed to the replicated log.
 
 use crate::quotas::{FallbackQuotas, Limit, LimitKey};
-use crate::splits::{Disagreement, PlantedFault, SplitError};
+use crate::splits::{Disagreement, PlantedFault, QueryCounts, SplitError};
 use serde::{Deserialize, Serialize};
 use versioned_config::LeaseTerms;
 
-/// What is proposed to the log.
+/// A change of the ledger that is proposed to the replicated log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LedgerEntry {
-    /// The ledger begins.
+    /// The ledger is created.
     Create {
         /// What each sender may use without asking.
         fallback_quotas: FallbackQuotas,
-        /// How long parts are leased.
+        /// How long quotas are leased.
         terms: LeaseTerms,
-        /// The first places of the ranges after the first one.
+        /// The first positions of the shards after the first one.
         split_at: Vec<u64>,
     },
     /// A limit is set, or removed.
     SetLimit {
-        /// Which.
+        /// Its key.
         key: LimitKey,
-        /// To what.
+        /// The limit; none: it is removed.
         limit: Option<Limit>,
-        /// Only if the limits have this version.
+        /// Only if the limits have this revision.
         if_match: Option<u64>,
     },
-    /// Another replica keeps a range.
+    /// Another replica allocates the quotas of a shard.
     AssignAllocator {
-        /// The range's first place.
+        /// The first position of the shard.
         shard: u64,
-        /// The epoch that ends; a range that has gone on since is left as it is.
+        /// The epoch that ends; a shard that has gone on since is left as it is.
         epoch: u64,
-        /// Who keeps it from now on.
+        /// The replica that allocates from now on.
         replica: u64,
     },
-    /// A range begins to be split.
+    /// A split of a shard begins.
     BeginSplit {
-        /// Its first place.
+        /// The first position of the shard.
         first: u64,
-        /// The first place of the second child.
+        /// The first position of the second child.
         at: u64,
-        /// For a rehearsal: what is planted.
+        /// For a rehearsal: the fault that is planted.
         planted_fault: Option<PlantedFault>,
     },
-    /// The split under way copies, and then compares, so many keys more.
+    /// The split in progress copies, and then compares, so many keys more.
     AdvanceSplit(u64),
-    /// Queries have been read on both sides, or not; with a flag of one that disagreed.
+    /// Queries have been read on both sides, or not.
     RecordDualReads {
-        /// Queries that were compared, and that were not.
-        queries: [u64; 2],
+        /// How many.
+        queries: QueryCounts,
         /// Where the sides disagreed.
-        flags: Vec<Disagreement>,
+        disagreements: Vec<Disagreement>,
     },
     /// The split is cut over: its children own the keys.
     CutOver,
-    /// The split is undone.
+    /// The split is rolled back.
     RollBack(SplitError),
 }
--- a/ledger/src/ledger_state/error.rs
+++ b/ledger/src/ledger_state/error.rs
@@ -1,6 +1,6 @@
 //! Why an entry does nothing.
 
-use super::SHARDS_MOST;
+use super::MAX_SHARDS;
 use crate::quotas::LimitError;
 use crate::splits::SplitError;
 use miette::Diagnostic;
@@ -9,28 +9,28 @@
 /// Why an entry did nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum LedgerError {
-    /// There is no ledger.
+    /// No ledger was created.
     #[error("no ledger has begun here")]
     #[diagnostic(
         code(ledger::none),
         help("give the replicas a [ledger] table in their settings and restart them one by one")
     )]
     NotCreated,
-    /// It has begun already.
+    /// A ledger exists already.
     #[error("a ledger has begun here already")]
     #[diagnostic(
         code(ledger::begun),
         help("what the log says holds: begin another cluster for other floors or leases")
     )]
     AlreadyCreated,
-    /// Ranges make no sense.
-    #[error("split_at is not a growing list of up to {SHARDS_MOST} places above zero")]
+    /// The first positions of the shards do not grow, or are too many.
+    #[error("split_at is not a growing list of up to {MAX_SHARDS} places above zero")]
     #[diagnostic(
         code(ledger::ranges),
         help("name the first destination of each range after the first one")
     )]
     InvalidShards,
-    /// The limits have another version.
+    /// The limits have another revision.
     #[error("the limits have version {now}, not {wanted}")]
     #[diagnostic(
         code(ledger::version),
@@ -42,11 +42,11 @@
         /// What was wanted.
         wanted: u64,
     },
-    /// A limit can't be so.
+    /// A limit is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Limit(#[from] LimitError),
-    /// A split can't be so.
+    /// A split is not possible, or none is in progress.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Split(#[from] SplitError),
--- a/ledger/src/ledger_state/tests.rs
+++ b/ledger/src/ledger_state/tests.rs
@@ -229,8 +229,8 @@
             LedgerState::apply(
                 &mut book,
                 LedgerEntry::RecordDualReads {
-                    queries: [1, 0],
-                    flags: found,
+                    queries: [1, 0].into(),
+                    disagreements: found,
                 },
             )
             .expect("told");
--- a/ledger/src/quotas/limit.rs
+++ b/ledger/src/quotas/limit.rs
@@ -7,10 +7,10 @@
 use thiserror::Error;
 
 /// Limits that a log may have.
-pub(crate) const LIMITS_MOST: usize = 20_000;
+pub(crate) const MAX_LIMITS: usize = 20_000;
 
 /// Greatest limit: sums of all floors and parts stay far within the integers.
-const TOTAL_MOST: u64 = 1 << 40;
+const MAX_TOTAL: u64 = 1 << 40;
 
 /// What each configured sender may use of a limit without asking: the same on every sender and in the log. It can't be
 /// changed there, for one that hears nothing would not know.
@@ -32,7 +32,7 @@
             .per_sender
             .get(&key.to_string())
             .or_else(|| self.per_sender.get(key.kind()));
-        named.copied().unwrap_or(0).min(TOTAL_MOST)
+        named.copied().unwrap_or(0).min(MAX_TOTAL)
     }
 
     /// Whether a key is limited at all: its text or its kind has a floor, which may be none. Of what is not named a sender
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error, Diagnostic)]
 pub enum InvalidLimit {
     /// It is larger than any that can be dealt out.
-    #[error("a limit of {0} is larger than {TOTAL_MOST}")]
+    #[error("a limit of {0} is larger than {MAX_TOTAL}")]
     #[diagnostic(
         code(ledger::limit::size),
         help("calls a second are counted in thousandths; leave a limit out where there is none")
@@ -118,7 +118,7 @@
     #[diagnostic(transparent)]
     Invalid(#[from] InvalidLimit),
     /// There are too many.
-    #[error("more than {LIMITS_MOST} limits")]
+    #[error("more than {MAX_LIMITS} limits")]
     #[diagnostic(
         code(ledger::limit::many),
         help("remove limits that are not needed (DELETE /v1/limits/KEY)")
@@ -136,7 +136,7 @@
     /// # Errors
     /// Says why it can't.
     pub fn check(self, floors: &FallbackQuotas, key: &LimitKey) -> Result<(), LimitError> {
-        if self.total > TOTAL_MOST {
+        if self.total > MAX_TOTAL {
             return Err(InvalidLimit::TooLarge(self.total).into());
         }
         if key.is_rate() != (self.expiry_grace_ms == 0) || self.expiry_grace_ms > 600_000 {
--- a/ledger/src/quotas/mod.rs
+++ b/ledger/src/quotas/mod.rs
@@ -23,4 +23,4 @@
 pub use lease_holder::QuotaHolder;
 pub use limit::{FallbackQuotas, InvalidLimit, Limit, LimitError};
 
-pub(crate) use limit::LIMITS_MOST;
+pub(crate) use limit::MAX_LIMITS;
--- a/ledger/src/splits/comparison.rs
+++ b/ledger/src/splits/comparison.rs
@@ -18,16 +18,16 @@
     Order,
 }
 
-/// A disagreement.
+/// A disagreement of a shard and its children.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Disagreement {
-    /// The question; none: the walk over all keys found it.
+    /// The query; none: the comparison of all keys found it.
     pub query: Option<Query>,
     /// The first key in which the sides differ, if it is one.
     pub key: Option<LimitKey>,
-    /// How.
+    /// How they differ.
     pub difference: Difference,
-    /// What the parent has of it.
+    /// What the parent has of the key.
     pub parent: Vec<u64>,
     /// What the children have of it, merged.
     pub children: Vec<u64>,
@@ -41,53 +41,52 @@
     query: Option<&Query>,
     parent: &Rows,
     children: &Rows,
-    fence: u64,
+    log_revision: u64,
 ) -> Option<Disagreement> {
     if parent == children {
         return None;
     }
-    let of = |rows: &Rows, key: &Option<LimitKey>| -> Vec<u64> {
-        rows.iter()
-            .filter(|(other, _)| other == key)
-            .map(|(_, total)| *total)
-            .collect()
-    };
-    let keys = parent.iter().chain(children).map(|(key, _)| key);
-    let differing = keys
-        .map(|key| (key, of(parent, key), of(children, key)))
-        .find(|(_, one, other)| one != other);
     let query = query.cloned();
-    Some(match differing {
-        None => {
-            let (key, _) = parent
-                .iter()
-                .zip(children)
-                .find(|(one, other)| one != other)?
-                .0;
-            let (parent, children) = (Vec::new(), Vec::new());
-            Disagreement {
-                query,
-                key: key.clone(),
-                difference: Difference::Order,
-                parent,
-                children,
-                log_revision: fence,
-            }
-        }
-        Some((key, parent, children)) => {
-            let difference = match (parent.len(), children.len()) {
-                (0, _) | (_, 0) => Difference::Missing,
-                (1, 1) => Difference::Value,
-                _ => Difference::Twice,
-            };
-            Disagreement {
+    let keys = parent.iter().chain(children).map(|(key, _)| key);
+    for key in keys {
+        let of_parent = totals_of(parent, key);
+        let of_children = totals_of(children, key);
+        if of_parent != of_children {
+            return Some(Disagreement {
                 query,
                 key: key.clone(),
-                difference,
-                parent,
-                children,
-                log_revision: fence,
-            }
+                difference: difference(&of_parent, &of_children),
+                parent: of_parent,
+                children: of_children,
+                log_revision,
+            });
         }
+    }
+    let (out_of_order, _) = parent
+        .iter()
+        .zip(children)
+        .find(|(one, other)| one != other)?;
+    Some(Disagreement {
+        query,
+        key: out_of_order.0.clone(),
+        difference: Difference::Order,
+        parent: Vec::new(),
+        children: Vec::new(),
+        log_revision,
     })
 }
+
+fn totals_of(rows: &Rows, key: &Option<LimitKey>) -> Vec<u64> {
+    rows.iter()
+        .filter(|(other, _)| other == key)
+        .map(|(_, total)| *total)
+        .collect()
+}
+
+fn difference(parent: &[u64], children: &[u64]) -> Difference {
+    match (parent.len(), children.len()) {
+        (0, _) | (_, 0) => Difference::Missing,
+        (1, 1) => Difference::Value,
+        _ => Difference::Twice,
+    }
+}
--- a/ledger/src/splits/mod.rs
+++ b/ledger/src/splits/mod.rs
@@ -10,6 +10,6 @@
 pub use comparison::{Difference, Disagreement, compare};
 pub use error::SplitError;
 pub use query::{Query, Rows};
-pub use split::{FinishedSplit, PlantedFault, Split};
+pub use split::{FinishedSplit, PlantedFault, QueryCounts, Split};
 
-pub(crate) use split::{ENDED_MOST, Records};
+pub(crate) use split::{MAX_FINISHED_SPLITS, Records};
--- a/ledger/src/splits/split.rs
+++ b/ledger/src/splits/split.rs
@@ -7,24 +7,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Flags that are kept of one split; more are counted.
-const FLAGS_MOST: usize = 32;
+/// Disagreements that are kept of one split; more are counted.
+const MAX_DISAGREEMENTS: usize = 32;
 
-/// Ended splits that are remembered.
-pub(crate) const ENDED_MOST: usize = 16;
+/// Finished splits that are remembered.
+pub(crate) const MAX_FINISHED_SPLITS: usize = 16;
 
-/// What a range holds.
+/// The limits of a shard.
 pub(crate) type Records = BTreeMap<LimitKey, Limit>;
 
-/// A difference that a rehearsal plants into the children, to see it found. Such a split is never cut over.
+/// A fault that a rehearsal plants into the children, to see it found. Such a split is never cut over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlantedFault {
     /// A write is lost.
     Lost,
-    /// It is in both children.
+    /// A write goes to both children.
     Doubled,
-    /// It is in the wrong one.
+    /// A write goes to the wrong child.
     WrongSide,
     /// A child has an older value.
     Stale,
@@ -32,48 +32,73 @@
     Order,
 }
 
-/// A split under way.
+/// A split in progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Split {
-    /// The range's first place.
+    /// The first position of the shard.
     pub first: u64,
-    /// The first place of the second child.
+    /// The first position of the second child.
     pub at: u64,
-    /// What a rehearsal plants.
+    /// The fault that a rehearsal plants.
     pub planted_fault: Option<PlantedFault>,
-    /// The two sides of the children.
+    /// The limits of the two children.
     pub(crate) children: [Records; 2],
-    /// Keys up to here have been copied; none: nothing has.
-    pub(crate) copied: Option<LimitKey>,
-    /// All have been.
+    /// Keys up to this one have been copied; none: nothing has.
+    copied_up_to: Option<LimitKey>,
+    /// All keys have been copied.
     pub copied_all: bool,
-    /// Keys up to here have been compared.
-    pub(crate) compared: Option<LimitKey>,
-    /// All have been, by the walk.
+    /// Keys up to this one have been compared.
+    compared_up_to: Option<LimitKey>,
+    /// All keys have been compared.
     pub compared_all: bool,
     /// Queries that were read on both sides.
     pub queries: u64,
-    /// Queries that were not, since the keeper had other work.
+    /// Queries that were not, since the leader had other work.
     pub not_compared: u64,
-    /// Flags, the first ones of them.
+    /// The first disagreements.
     pub disagreements: Vec<Disagreement>,
     /// How many there were.
     pub disagreement_count: u64,
 }
 
-/// A split that has ended.
+/// Queries while a split was in progress. Written as a pair of numbers.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "[u64; 2]", into = "[u64; 2]")]
+pub struct QueryCounts {
+    /// Queries that were read on both sides.
+    pub compared: u64,
+    /// Queries that were read on one side alone.
+    pub not_compared: u64,
+}
+
+impl From<[u64; 2]> for QueryCounts {
+    fn from([compared, not_compared]: [u64; 2]) -> Self {
+        QueryCounts {
+            compared,
+            not_compared,
+        }
+    }
+}
+
+impl From<QueryCounts> for [u64; 2] {
+    fn from(counts: QueryCounts) -> Self {
+        [counts.compared, counts.not_compared]
+    }
+}
+
+/// A split that was cut over or rolled back.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinishedSplit {
-    /// The range's first place.
+    /// The first position of the shard.
     pub first: u64,
-    /// Where it was to be split.
+    /// The first position of the second child.
     pub at: u64,
-    /// Why it was undone; none: it was cut over.
+    /// Why it was rolled back; none: it was cut over.
     #[serde(rename = "undone")]
     pub rolled_back_because: Option<SplitError>,
-    /// Queries compared, and not compared.
-    pub queries: [u64; 2],
-    /// Flags, the first ones of them.
+    /// Queries that were read on both sides, or not.
+    pub queries: QueryCounts,
+    /// The first disagreements.
     #[serde(rename = "flags")]
     pub disagreements: Vec<Disagreement>,
     /// How many there were.
@@ -82,16 +107,16 @@
 }
 
 impl Split {
-    /// One that begins.
-    pub(crate) fn new(first: u64, at: u64, plant: Option<PlantedFault>) -> Self {
+    /// A split that begins.
+    pub(crate) fn new(first: u64, at: u64, planted_fault: Option<PlantedFault>) -> Self {
         Split {
             first,
             at,
-            planted_fault: plant,
+            planted_fault,
             children: Default::default(),
-            copied: None,
+            copied_up_to: None,
             copied_all: false,
-            compared: None,
+            compared_up_to: None,
             compared_all: false,
             queries: 0,
             not_compared: 0,
@@ -105,13 +130,19 @@
     }
 
     fn is_copied(&self, key: &LimitKey) -> bool {
-        self.copied_all || self.copied.as_ref().is_some_and(|copied| key <= copied)
+        self.copied_all
+            || self
+                .copied_up_to
+                .as_ref()
+                .is_some_and(|copied| key <= copied)
     }
 
-    /// Copies the next keys of the parent.
-    pub(crate) fn copy(&mut self, parent: &Records, count: usize) {
+    /// Copies the next keys of the parent, so many at most.
+    pub(crate) fn copy_next(&mut self, parent: &Records, count: usize) {
         let after = |(key, _): &(&LimitKey, &Limit)| {
-            self.copied.as_ref().is_none_or(|copied| *key > copied)
+            self.copied_up_to
+                .as_ref()
+                .is_none_or(|copied| *key > copied)
         };
         let next: Vec<(LimitKey, Limit)> = parent
             .iter()
@@ -121,7 +152,7 @@
             .collect();
         self.copied_all = next.len() < count;
         for (key, limit) in next {
-            self.copied = Some(key.clone());
+            self.copied_up_to = Some(key.clone());
             let side = self.side(&key);
             self.children[side].insert(key, limit);
         }
@@ -165,18 +196,18 @@
     }
 
     /// The children's answer to a query.
-    pub(crate) fn read(&self, query: &Query) -> Rows {
+    pub(crate) fn answer(&self, query: &Query) -> Rows {
         query.answer(self.merged())
     }
 
     /// Whether queries can be read on both sides.
-    pub fn reads_both(&self) -> bool {
+    pub fn is_readable(&self) -> bool {
         self.copied_all
     }
 
-    /// Compares one key, and on which side it lies: as the walk comes to it, and again with each write after that, so that what
-    /// was compared stays compared.
-    pub(crate) fn look(&mut self, parent: &Records, key: &LimitKey, fence: u64) {
+    /// Compares one key, and on which side it lies: in its turn, and again with each write after that, so that what was
+    /// compared stays compared.
+    pub(crate) fn compare_key(&mut self, parent: &Records, key: &LimitKey, log_revision: u64) {
         if !self.is_copied(key) {
             return;
         }
@@ -195,14 +226,18 @@
         } else {
             [own, other].concat()
         };
-        if let Some(flag) = compare(None, &rows(parent), &children, fence) {
-            self.flag(flag);
+        if let Some(disagreement) = compare(None, &rows(parent), &children, log_revision) {
+            self.record_disagreement(disagreement);
         }
     }
 
-    /// Compares the next keys.
-    pub(crate) fn walk(&mut self, parent: &Records, count: usize, fence: u64) {
-        let after = |key: &LimitKey| self.compared.as_ref().is_none_or(|compared| key > compared);
+    /// Compares the next keys, so many at most.
+    pub(crate) fn compare_next(&mut self, parent: &Records, count: usize, log_revision: u64) {
+        let after = |key: &LimitKey| {
+            self.compared_up_to
+                .as_ref()
+                .is_none_or(|compared| key > compared)
+        };
         let mut keys: Vec<&LimitKey> = parent
             .keys()
             .chain(self.children.iter().flat_map(Records::keys))
@@ -215,16 +250,17 @@
             .take(count)
             .cloned()
             .collect();
-        keys.iter().for_each(|key| self.look(parent, key, fence));
+        keys.iter()
+            .for_each(|key| self.compare_key(parent, key, log_revision));
         self.compared_all = keys.len() < count;
-        self.compared = keys.into_iter().next_back().or(self.compared.take());
+        self.compared_up_to = keys.into_iter().next_back().or(self.compared_up_to.take());
     }
 
-    /// Keeps a flag.
-    pub(crate) fn flag(&mut self, flag: Disagreement) {
+    /// Counts a disagreement, and keeps it if it is one of the first.
+    pub(crate) fn record_disagreement(&mut self, disagreement: Disagreement) {
         self.disagreement_count += 1;
-        if self.disagreements.len() < FLAGS_MOST {
-            self.disagreements.push(flag);
+        if self.disagreements.len() < MAX_DISAGREEMENTS {
+            self.disagreements.push(disagreement);
         }
     }
 
@@ -236,23 +272,18 @@
             && self.planted_fault.is_none()
     }
 
-    /// How it ended.
-    pub(crate) fn ended(self, undone: Option<SplitError>) -> FinishedSplit {
-        let queries = [self.queries, self.not_compared];
-        let Split {
-            first,
-            at,
-            disagreements: flags,
-            disagreement_count: flagged,
-            ..
-        } = self;
+    /// The record of a split that was rolled back for this reason; none: it was cut over.
+    pub(crate) fn finish(self, rolled_back_because: Option<SplitError>) -> FinishedSplit {
         FinishedSplit {
-            first,
-            at,
-            rolled_back_because: undone,
-            queries,
-            disagreements: flags,
-            disagreement_count: flagged,
+            first: self.first,
+            at: self.at,
+            rolled_back_because,
+            queries: QueryCounts {
+                compared: self.queries,
+                not_compared: self.not_compared,
+            },
+            disagreements: self.disagreements,
+            disagreement_count: self.disagreement_count,
         }
     }
 }
--- a/ledger/tests/golden.rs
+++ b/ledger/tests/golden.rs
@@ -166,8 +166,8 @@
         (
             "read",
             LedgerEntry::RecordDualReads {
-                queries: [300, 2],
-                flags: vec![flag()],
+                queries: [300, 2].into(),
+                disagreements: vec![flag()],
             },
         ),
         ("cut", LedgerEntry::CutOver),
@@ -257,8 +257,8 @@
     apply(
         &mut book,
         LedgerEntry::RecordDualReads {
-            queries: [300, 2],
-            flags: found,
+            queries: [300, 2].into(),
+            disagreements: found,
         },
     );
     apply(&mut book, LedgerEntry::AdvanceSplit(4));
@@ -949,8 +949,8 @@
     file.postcard(
         "read",
         &LedgerEntry::RecordDualReads {
-            queries: [most, most],
-            flags: vec![flag.clone()],
+            queries: [most, most].into(),
+            disagreements: vec![flag.clone()],
         },
     );
     file.postcard(
@@ -979,7 +979,7 @@
             ..flag.clone()
         },
     );
-    let queries = [most, most];
+    let queries = [most, most].into();
     let ended = FinishedSplit {
         first: most,
         at: most,
--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -30,7 +30,10 @@
         let mut flags = std::mem::take(&mut self.flags);
         flags.truncate(FLAGS_TOLD);
         (self.compared, self.not_compared) = (0, 0);
-        Some(LedgerEntry::RecordDualReads { queries, flags })
+        Some(LedgerEntry::RecordDualReads {
+            queries: queries.into(),
+            disagreements: flags,
+        })
     }
 }
 
@@ -39,7 +42,7 @@
     /// of the time: what does not fit counts as not compared.
     pub fn query(&mut self, now: Micros, query: &Query) -> Option<Rows> {
         let book = self.state.ledger.as_ref()?;
-        if !book.split().is_some_and(Split::reads_both) {
+        if !book.split().is_some_and(Split::is_readable) {
             return Some(book.query(query));
         }
         let size = book.limits().count() as u64;
