--- a/registry/tests/compatibility/samples.rs
+++ b/registry/tests/compatibility/samples.rs
@@ -226,8 +226,8 @@
             },
             LedgerEntry::AdvanceSplit(256),
             LedgerEntry::RecordDualReads {
-                queries: [4, 1],
-                flags: queries.map(flag).into(),
+                queries: [4, 1].into(),
+                disagreements: queries.map(flag).into(),
             },
             LedgerEntry::CutOver,
             LedgerEntry::RollBack(SplitError::Frozen("lessons".to_string())),
