--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -17,12 +17,14 @@
 #[cfg(test)]
 mod http_golden;
 pub mod journal;
+pub mod lease_client;
 pub mod ledger;
 pub mod local_errors;
 pub mod membership;
 pub mod pool;
 pub mod process;
 pub mod server;
+pub mod settings_object;
 pub mod startup;
 pub mod stream;
 #[cfg(test)]
