--- a/registry/src/replica/dual_reads.rs
+++ b/registry/src/replica/dual_reads.rs
@@ -33,7 +33,10 @@
         flags.truncate(MAX_FLAGS);
         self.compared = 0;
         self.not_compared = 0;
-        Some(LedgerEntry::RecordDualReads { queries, flags })
+        Some(LedgerEntry::RecordDualReads {
+            queries: queries.into(),
+            disagreements: flags,
+        })
     }
 }
 
@@ -42,7 +45,7 @@
     /// compared too, for no more than a share of the time: what does not fit counts as not compared.
     pub fn query(&mut self, now: Micros, query: &Query) -> Option<Rows> {
         let ledger = self.state.ledger.as_ref()?;
-        if !ledger.split().is_some_and(Split::reads_both) {
+        if !ledger.split().is_some_and(Split::is_readable) {
             return Some(ledger.query(query));
         }
         if now < self.dual_reads.next_at {
