--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -6,11 +6,12 @@
 use crate::net;
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
+use crate::net::lease_client::to_sorted_json;
 use message_sender::{MILLISECOND, Micros, Status};
-use quota_ledger::freeze::{EndpointSnapshot, FreezeCheck, resource_change};
+use quota_ledger::freeze::{ActiveWindow, EndpointSnapshot, FreezeCheck, resource_change};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
-use serde_json::json;
+use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
@@ -28,6 +29,26 @@
     admitted_count: u64,
 }
 
+/// The answer to `GET /freeze` on the control address.
+#[derive(Debug, Serialize)]
+struct FreezeReport<'a> {
+    /// The calendar's revision; none: it is not known.
+    #[serde(rename = "calendar")]
+    revision: Option<u64>,
+    /// The windows that are on, by name.
+    #[serde(rename = "on")]
+    active_windows: BTreeMap<String, ActiveWindow>,
+    /// Entries that are held back, by uid.
+    #[serde(rename = "held")]
+    held_back: Vec<&'a str>,
+    /// How often an entry was held back.
+    #[serde(rename = "held_ever")]
+    held_back_count: u64,
+    /// Entries that were admitted afterwards.
+    #[serde(rename = "admitted")]
+    admitted_count: u64,
+}
+
 /// An entry of the list as the freeze compares it.
 fn listed_state(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
@@ -100,6 +121,18 @@
     }
 }
 
+impl FreezeFilter {
+    fn report(&self, now: u64) -> FreezeReport<'_> {
+        FreezeReport {
+            revision: self.check.revision(),
+            active_windows: self.check.active_windows(now),
+            held_back: self.held_back.keys().map(String::as_str).collect(),
+            held_back_count: self.held_back_count,
+            admitted_count: self.admitted_count,
+        }
+    }
+}
+
 impl Driver {
     /// The freeze calendar or its settings changed.
     pub(super) fn change_freeze(&mut self, change: FreezeChange) {
@@ -200,17 +233,10 @@
         filter.is_some_and(|filter| !filter.held_back.is_empty())
     }
 
-    /// How the freeze stands here, as JSON; none while it is off.
+    /// The report for operators, as JSON; none while the freeze is off.
     pub(super) fn freeze_report(&self) -> Option<String> {
         let filter = self.freeze.as_ref()?;
-        let report = json!({
-            "calendar": filter.check.revision(),
-            "on": filter.check.active_windows(self.freeze_time()),
-            "held": filter.held_back.keys().collect::<Vec<_>>(),
-            "held_ever": filter.held_back_count,
-            "admitted": filter.admitted_count,
-        });
-        Some(report.to_string())
+        Some(to_sorted_json(&filter.report(self.freeze_time())))
     }
 }
 
@@ -230,3 +256,6 @@
         (interval as f64 * part) as Micros
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -20,13 +20,13 @@
     json!({ "classes": { "charge": charge, name: other }, "limits": { "calls": 6 } })
 }
 
-fn floor() -> Value {
+fn fallback_rules() -> Value {
     json!({ "classes": { "charge": class(json!("at_most_once"), true) }, "limits": { "calls": 2 } })
 }
 
 fn registry() -> Registry {
     let files = [
-        ("floor.json", floor().to_string()),
+        ("floor.json", fallback_rules().to_string()),
         ("rules.json", rules("webhook").to_string()),
     ];
     Registry::new(
@@ -37,7 +37,10 @@
 
 /// A sender that agrees by it.
 fn sender(registry: &Registry, name: &str) -> Node {
-    registry.sender(name, &format!(r#""agreement":{{"floor":{}}},"#, floor()))
+    registry.sender(
+        name,
+        &format!(r#""agreement":{{"floor":{}}},"#, fallback_rules()),
+    )
 }
 
 fn acts_on(node: &Node) -> Value {
@@ -45,27 +48,27 @@
     report["acts_on"].clone()
 }
 
-fn whole(version: u64) -> Value {
+fn complete(version: u64) -> Value {
     json!({ "version": version, "whole": true })
 }
 
 #[test]
-fn senders_go_by_what_is_agreed_and_serve_on_by_the_floor_while_the_registry_is_gone() {
+fn agreed_rules_apply_and_fallback_rules_hold_without_the_registry() {
     let endpoint = Endpoint::new(|_, _| OK);
     let mut registry = self::registry();
-    registry.list("s-1", &endpoint, 7);
+    registry.add_endpoint("s-1", &endpoint, 7);
     let senders = [sender(&registry, "a"), sender(&registry, "b")];
     wait_until("both act on the first version", || {
-        senders.iter().all(|node| acts_on(node) == whole(1))
+        senders.iter().all(|node| acts_on(node) == complete(1))
     });
     let taken = |node: &Node, class: &str, id: &str| node.hand_in(class, id, 7, 20_000, b"x");
     assert_eq!(
         ["webhook", "order"].map(|class| taken(&senders[0], class, class)),
         [202, 429]
     );
-    registry.until("PUT", "/v1/rules", &rules("order"));
+    registry.request_until_ok("PUT", "/v1/rules", &rules("order"));
     wait_until("both act on the second", || {
-        senders.iter().all(|node| acts_on(node) == whole(2))
+        senders.iter().all(|node| acts_on(node) == complete(2))
     });
     assert_eq!(
         ["webhook", "order"].map(|class| taken(&senders[1], class, &format!("2-{class}"))),
@@ -88,12 +91,12 @@
     wait_until("delivered", || endpoint.times("3-charge") == 1);
     registry.start();
     wait_until("both are back", || {
-        senders.iter().all(|node| acts_on(node) == whole(2))
+        senders.iter().all(|node| acts_on(node) == complete(2))
     });
     // an upgrade begins on the floor and asks for itself
     let next = senders[0].successor_as_configured().ready();
     wait_until("the next process has a lease of its own", || {
-        acts_on(&next) == whole(2)
+        acts_on(&next) == complete(2)
     });
     wait_until("it says so", || {
         next.logged("agreement: on the fallback rules until a lease is granted")
@@ -101,12 +104,12 @@
 }
 
 #[test]
-fn a_sender_with_another_floor_gets_no_lease_and_says_so() {
+fn other_fallback_rules_get_no_lease_and_are_logged() {
     let endpoint = Endpoint::new(|_, _| OK);
     let registry = self::registry();
-    registry.list("s-1", &endpoint, 7);
+    registry.add_endpoint("s-1", &endpoint, 7);
     let node = sender(&registry, "a");
-    wait_until("it agrees", || acts_on(&node) == whole(1));
+    wait_until("it agrees", || acts_on(&node) == complete(1));
     let path = node.folder.join("config.json");
     let text = std::fs::read_to_string(&path).expect("its configuration");
     let other = text.replace(r#""limits":{"calls":2}"#, r#""limits":{"calls":1}"#);
@@ -125,10 +128,10 @@
 }
 
 #[test]
-fn without_the_object_no_lease_is_asked_for() {
+fn no_object_sends_no_lease_request() {
     let endpoint = Endpoint::new(|_, _| OK);
     let registry = self::registry();
-    registry.list("s-1", &endpoint, 7);
+    registry.add_endpoint("s-1", &endpoint, 7);
     let mut agent = Agent::new(Vec::new());
     agent.address = registry.address;
     let node = Node::new(&agent).ready();
@@ -141,9 +144,9 @@
     );
     assert!(!node.logged("agreement"));
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    registry.until("GET", "/v1/rules", &Value::Null);
+    registry.request_until_ok("GET", "/v1/rules", &Value::Null);
     let leases = registry
-        .ask("GET", "/v1/rules", &Value::Null)
+        .request("GET", "/v1/rules", &Value::Null)
         .expect("an answer")
         .1["leases"]
         .clone();
--- a/tests/freeze.rs
+++ b/tests/freeze.rs
@@ -55,7 +55,7 @@
 
 fn status(registry: &Registry, method: &str, path: &str, body: &Value) -> u16 {
     registry
-        .ask(method, path, body)
+        .request(method, path, body)
         .map_or(0, |(status, _)| status)
 }
 
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn the_registry_holds_what_widens_and_each_sender_too_and_what_relieves_passes() {
+fn widening_changes_are_held_by_registry_and_senders_and_relieving_ones_pass() {
     let (one, two) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let registry = registry();
-    registry.list("s-1", &one, 7);
-    registry.list("s-2", &two, 7);
+    registry.add_endpoint("s-1", &one, 7);
+    registry.add_endpoint("s-2", &two, 7);
     // this discovery knows no calendar
     let entry = |uid, endpoint: &Endpoint, state| (uid, endpoint.address, "one", 7, state);
     let agent = Agent::new(vec![list(&[
@@ -88,7 +88,7 @@
     wait_until("both know the calendar", || {
         nodes.iter().all(|node| report(node)["calendar"] == 0)
     });
-    registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
+    registry.request_until_ok("PUT", "/v1/freeze", &calendar(-60, 3600));
     wait_until("the window is on everywhere", || {
         nodes
             .iter()
@@ -185,15 +185,14 @@
 }
 
 #[test]
-fn a_sender_that_hears_no_more_goes_by_the_windows_it_knows_and_one_that_knows_none_holds_for_its_time()
- {
+fn known_windows_hold_without_the_registry_and_unknown_calendar_holds_for_its_time() {
     let one = Endpoint::new(|_, _| OK);
     let mut registry = registry();
     // written while the registry could be asked: on in some seconds, for as long again
     wait_until("it answers", || {
         status(&registry, "GET", "/v1/freeze", &Value::Null) == 200
     });
-    registry.until("PUT", "/v1/freeze", &calendar(14, 3600));
+    registry.request_until_ok("PUT", "/v1/freeze", &calendar(14, 3600));
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
     let node = sender(&agent, &registry);
     wait_until("it knows the calendar", || report(&node)["calendar"] == 1);
@@ -217,13 +216,13 @@
 }
 
 #[test]
-fn without_the_object_nothing_is_held_and_nothing_asked() {
+fn no_object_holds_nothing_and_sends_no_poll() {
     let one = Endpoint::new(|_, _| OK);
     let registry = registry();
     wait_until("it answers", || {
         status(&registry, "GET", "/v1/freeze", &Value::Null) == 200
     });
-    registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
+    registry.request_until_ok("PUT", "/v1/freeze", &calendar(-60, 3600));
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
     assert_eq!(
@@ -251,7 +250,7 @@
     wait_until("it answers", || {
         status(&registry, "GET", "/v1/freeze", &Value::Null) == 200
     });
-    registry.until("PUT", "/v1/freeze", &calendar(-60, 3600));
+    registry.request_until_ok("PUT", "/v1/freeze", &calendar(-60, 3600));
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")])]);
     let node = sender(&agent, &registry);
     wait_until("it knows the window", || {
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -11,27 +11,27 @@
 
 const SENDERS: u32 = 3;
 /// Thousandths of a call a second that each may use without asking.
-const FLOOR: u64 = 500;
+const FALLBACK_RATE: u64 = 500;
 const LEASE: Duration = Duration::from_millis(800);
 
 fn registry() -> Registry {
     let lease = LEASE.as_millis();
-    let floors = format!("floors = {{ rate = {FLOOR} }}");
+    let fallback = format!("floors = {{ rate = {FALLBACK_RATE} }}");
     Registry::new(
         &[],
-        &format!("[ledger]\nlease_ms = {lease}\nsenders = {SENDERS}\n{floors}\n"),
+        &format!("[ledger]\nlease_ms = {lease}\nsenders = {SENDERS}\n{fallback}\n"),
     )
 }
 
 fn sender(registry: &Registry, name: &str) -> Node {
     registry.sender(
         name,
-        &format!(r#""ledger":{{"senders":{SENDERS},"floors":{{"rate":{FLOOR}}}}},"#),
+        &format!(r#""ledger":{{"senders":{SENDERS},"floors":{{"rate":{FALLBACK_RATE}}}}},"#),
     )
 }
 
-fn set(registry: &Registry, total: u64) {
-    registry.until("PUT", "/v1/limits/rate/7", &json!({ "total": total }));
+fn set_limit(registry: &Registry, total: u64) {
+    registry.request_until_ok("PUT", "/v1/limits/rate/7", &json!({ "total": total }));
 }
 
 fn report(node: &Node) -> Value {
@@ -39,7 +39,7 @@
 }
 
 /// The part of destination 7's rate that a sender has.
-fn part(node: &Node) -> Option<u64> {
+fn allocated_rate(node: &Node) -> Option<u64> {
     let report = report(node);
     let parts = report["parts"].as_array()?;
     parts.iter().find(|part| part["key"] == "rate/7")?["part"].as_u64()
@@ -48,7 +48,7 @@
 static MESSAGES: AtomicUsize = AtomicUsize::new(0);
 
 /// Keeps every sender at more than it may send for so long; how many calls came meanwhile, from `after` on, and in what time.
-fn press(nodes: &[&Node], endpoint: &Endpoint, after: Duration, time: Duration) -> (usize, f64) {
+fn overload(nodes: &[&Node], endpoint: &Endpoint, after: Duration, time: Duration) -> (usize, f64) {
     let (begin, mut before) = (Instant::now(), None);
     while begin.elapsed() < after + time {
         for node in nodes {
@@ -66,58 +66,58 @@
 
 /// The most that a limit, calls a second, lets through in a time: what is dealt up to a lease before may be used in it, and
 /// each sender may have saved one.
-fn most(limit: f64, time: f64) -> usize {
+fn max_calls(limit: f64, time: f64) -> usize {
     let lease = LEASE.as_secs_f64() * 1.03;
     (limit * (time + lease)).ceil() as usize + SENDERS as usize
 }
 
 #[test]
-fn three_senders_hold_a_limit_together_and_serve_on_by_their_floors_while_the_keeper_is_gone() {
+fn limit_is_shared_and_fallback_quotas_hold_without_the_registry() {
     let endpoint = Endpoint::new(|_, _| OK);
     let mut registry = registry();
-    registry.list("s-1", &endpoint, 7);
-    set(&registry, 20_000);
+    registry.add_endpoint("s-1", &endpoint, 7);
+    set_limit(&registry, 20_000);
     let nodes = ["a", "b", "c"].map(|name| sender(&registry, name));
     let nodes: Vec<&Node> = nodes.iter().collect();
     // one alone may have nearly all of it
-    press(&nodes[..1], &endpoint, Duration::ZERO, 2 * LEASE);
+    overload(&nodes[..1], &endpoint, Duration::ZERO, 2 * LEASE);
     wait_until("a large part", || {
-        press(&nodes[..1], &endpoint, Duration::ZERO, LEASE / 4);
-        part(nodes[0]).is_some_and(|part| part > 12_000)
+        overload(&nodes[..1], &endpoint, Duration::ZERO, LEASE / 4);
+        allocated_rate(nodes[0]).is_some_and(|part| part > 12_000)
     });
     // all together have no more than the limit, beside one call that each may have saved, and make use of it
     let span = Duration::from_millis(2500);
-    let (calls, time) = press(&nodes, &endpoint, 2 * LEASE, span);
-    assert!(calls <= most(20.0, time), "{calls} calls in {time} s");
+    let (calls, time) = overload(&nodes, &endpoint, 2 * LEASE, span);
+    assert!(calls <= max_calls(20.0, time), "{calls} calls in {time} s");
     assert!(
         calls as f64 > 20.0 * time / 3.0,
         "{calls} calls in {time} s"
     );
-    let parts: u64 = nodes.iter().filter_map(|node| part(node)).sum();
+    let allocated: u64 = nodes.iter().filter_map(|node| allocated_rate(node)).sum();
     assert!(
-        parts + u64::from(SENDERS) * FLOOR <= 20_000,
-        "{parts} dealt"
+        allocated + u64::from(SENDERS) * FALLBACK_RATE <= 20_000,
+        "{allocated} allocated"
     );
     // lowered: within a lease and its drift all go by it
-    set(&registry, 5_000);
-    let (calls, time) = press(&nodes, &endpoint, LEASE + LEASE / 4, span);
-    assert!(calls <= most(5.0, time), "{calls} calls in {time} s");
-    // no keeper: the floors, on which they serve
+    set_limit(&registry, 5_000);
+    let (calls, time) = overload(&nodes, &endpoint, LEASE + LEASE / 4, span);
+    assert!(calls <= max_calls(5.0, time), "{calls} calls in {time} s");
+    // no keeper: the fallback, on which they serve
     registry.kill();
-    let (calls, time) = press(&nodes, &endpoint, LEASE + LEASE / 4, span);
-    let floors = f64::from(SENDERS) * FLOOR as f64 / 1000.0;
+    let (calls, time) = overload(&nodes, &endpoint, LEASE + LEASE / 4, span);
+    let fallback = f64::from(SENDERS) * FALLBACK_RATE as f64 / 1000.0;
     assert!(
-        (1..=most(floors, time)).contains(&calls),
+        (1..=max_calls(fallback, time)).contains(&calls),
         "{calls} calls in {time} s"
     );
-    assert!(nodes.iter().all(|node| part(node).is_none()));
+    assert!(nodes.iter().all(|node| allocated_rate(node).is_none()));
     // it comes back and deals only once all that it may have dealt before has lapsed
     registry.start();
     wait_until("parts are had again", || {
-        press(&nodes, &endpoint, Duration::ZERO, LEASE / 4);
+        overload(&nodes, &endpoint, Duration::ZERO, LEASE / 4);
         nodes
             .iter()
-            .any(|node| part(node).is_some_and(|part| part > 0))
+            .any(|node| allocated_rate(node).is_some_and(|part| part > 0))
     });
     assert!(
         nodes
@@ -127,34 +127,34 @@
 }
 
 #[test]
-fn a_killed_sender_and_an_upgrade_begin_on_the_floor_and_two_processes_have_one_part() {
+fn successor_starts_on_fallback_and_two_processes_share_one_allocation() {
     let endpoint = Endpoint::new(|_, _| OK);
     let registry = registry();
-    registry.list("s-1", &endpoint, 7);
-    set(&registry, 20_000);
+    registry.add_endpoint("s-1", &endpoint, 7);
+    set_limit(&registry, 20_000);
     let node = sender(&registry, "a");
     wait_until("a large part", || {
-        press(&[&node], &endpoint, Duration::ZERO, LEASE / 4);
-        part(&node).is_some_and(|part| part > 12_000)
+        overload(&[&node], &endpoint, Duration::ZERO, LEASE / 4);
+        allocated_rate(&node).is_some_and(|part| part > 12_000)
     });
     let next = node.successor_as_configured().ready();
     // what the old process may still use is not dealt to the new one
     let span = 2 * LEASE;
-    let (calls, time) = press(&[&next], &endpoint, Duration::ZERO, span);
-    assert!(calls <= most(20.0, time), "{calls} calls in {time} s");
+    let (calls, time) = overload(&[&next], &endpoint, Duration::ZERO, span);
+    assert!(calls <= max_calls(20.0, time), "{calls} calls in {time} s");
     wait_until("a part of its own", || {
-        press(&[&next], &endpoint, Duration::ZERO, LEASE / 4);
-        part(&next).is_some_and(|part| part > 12_000)
+        overload(&[&next], &endpoint, Duration::ZERO, LEASE / 4);
+        allocated_rate(&next).is_some_and(|part| part > 12_000)
     });
     assert!(next.logged("ledger: on the fallback quotas until a lease is granted"));
 }
 
 #[test]
-fn a_sender_with_other_floors_gets_no_part_and_one_without_the_object_asks_for_none() {
+fn other_fallback_quotas_get_no_lease_and_no_object_sends_no_request() {
     let endpoint = Endpoint::new(|_, _| OK);
     let registry = registry();
-    registry.list("s-1", &endpoint, 7);
-    set(&registry, 20_000);
+    registry.add_endpoint("s-1", &endpoint, 7);
+    set_limit(&registry, 20_000);
     let other = registry.sender("a", r#""ledger":{"senders":4,"floors":{"rate":500}},"#);
     wait_until("it is told why", || {
         other.logged("the floor is not the one that is agreed here")
@@ -170,7 +170,7 @@
     );
     assert!(!off.logged("ledger"));
     let limits = registry
-        .ask("GET", "/v1/limits", &Value::Null)
+        .request("GET", "/v1/limits", &Value::Null)
         .expect("an answer")
         .1;
     assert_eq!(
@@ -179,12 +179,12 @@
     );
     // a no names its code and what can be done
     let (status, _) = registry
-        .ask("PUT", "/v1/limits/rate/7", &json!({ "total": 1499 }))
+        .request("PUT", "/v1/limits/rate/7", &json!({ "total": 1499 }))
         .expect("an answer");
     assert_eq!(status, 409);
     assert_eq!(
         registry
-            .ask("PUT", "/v1/limits/out/7", &json!({ "total": 9 }))
+            .request("PUT", "/v1/limits/out/7", &json!({ "total": 9 }))
             .expect("an answer")
             .0,
         400
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn senders_that_agree_on_an_outage_tell_one_that_did_not_call() {
+fn quorum_health_verdict_reaches_sender_that_did_not_call() {
     let up = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
     let here = up.clone();
     let endpoint = Endpoint::new(move |_, _| match here.load(Ordering::SeqCst) {
@@ -200,7 +200,7 @@
         false => Reply::Close,
     });
     let registry = registry();
-    registry.list("s-1", &endpoint, 7);
+    registry.add_endpoint("s-1", &endpoint, 7);
     let nodes = ["a", "b", "c"].map(|name| sender(&registry, name));
     let verdict = |node: &Node| {
         let report = report(node);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn without_the_object_nothing_of_it_starts() {
+fn no_object_starts_no_membership() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn two_find_one_another_and_one_that_ends_is_known_to_have_left() {
+fn two_members_find_each_other_and_shutdown_is_seen_as_left() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let (a, b) = (free(), free());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_upgrade_leaves_the_member_as_it_was() {
+fn handover_keeps_the_member_alive() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let (a, b) = (free(), free());
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_faulty_object_stops_a_start_and_changes_nothing_at_a_sighup() {
+fn faulty_object_stops_start_and_is_rejected_at_sighup() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let address = free();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_is_logged_once_and_messages_are_served() {
+fn taken_address_is_logged_once_and_messages_are_served() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let taken = UdpSocket::bind("127.0.0.1:0").expect("an address");
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -54,7 +54,7 @@
             .expect("the registry starts")
     }
 
-    pub fn ask(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
+    pub fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         let body = if body.is_null() {
             String::new()
@@ -75,17 +75,17 @@
         ))
     }
 
-    pub fn until(&self, method: &str, path: &str, body: &Value) {
+    pub fn request_until_ok(&self, method: &str, path: &str, body: &Value) {
         wait_until(path, || {
-            self.ask(method, path, body)
+            self.request(method, path, body)
                 .is_some_and(|(status, _)| status == 200)
         });
     }
 
-    pub fn list(&self, uid: &str, endpoint: &Endpoint, dest: u64) {
+    pub fn add_endpoint(&self, uid: &str, endpoint: &Endpoint, dest: u64) {
         let target =
             json!({ "endpoint": endpoint.address, "pod_group": dest, "az": "a", "model": "one" });
-        self.until("PUT", &format!("/v1/endpoints/{uid}"), &target);
+        self.request_until_ok("PUT", &format!("/v1/endpoints/{uid}"), &target);
     }
 
     pub fn kill(&mut self) {
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -87,8 +87,8 @@
 
 fn registry(endpoint: &Endpoint) -> Registry {
     let registry = Registry::new(&[], LEDGER);
-    registry.list("s-1", endpoint, 7);
-    registry.until("PUT", "/v1/limits/rate/7", &json!({ "total": 20_000 }));
+    registry.add_endpoint("s-1", endpoint, 7);
+    registry.request_until_ok("PUT", "/v1/limits/rate/7", &json!({ "total": 20_000 }));
     registry
 }
 
@@ -187,5 +187,5 @@
         assert!(body.contains(code) && body.contains("; "), "{body}");
     }
     // it goes on
-    registry.until("GET", "/v1/limits", &Value::Null);
+    registry.request_until_ok("GET", "/v1/limits", &Value::Null);
 }
