--- a/src/net/driver/freeze_filter/tests.rs
+++ b/src/net/driver/freeze_filter/tests.rs
@@ -8,7 +8,7 @@
         zone: "a".to_string(),
         kind: "one".to_string(),
         destination: 7,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight: 1.0,
     }
 }
