--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -65,7 +65,7 @@
             };
         }
         let at = if out { held.hedge_at } else { held.retry_at };
-        let at_risk = held.attempts_at_risk().next().is_some();
+        let at_risk = held.is_at_risk();
         // a copy, a key's rest and the window of a key concern one message only
         let alone = out || held.key.is_some() || at_risk && !repeatable;
         let group = Group {
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,163 +1,145 @@
-//! Every decision of the delivery service. The types, events and actions are in `interface.rs`, the records
-//! of messages, attempts, calls and endpoints (plain data) in `state.rs`.
+//! Every decision of the delivery service.
 //!
-//! Here: the state, `handle` (one turn), messages and lists that come in. In the modules below it, one job
-//! each: what `outcomes` tell, `silence`, what rules give `permission` for, the `proposals` of sends and
-//! ends, the `pace` of a destination, and the index of what is `held`.
+//! [`Sender::handle`] is one turn: it applies all events, then appends the actions that follow.
+//! Each module below decides one thing; [`state`] holds the records that they share. There is no
+//! socket and no clock here: the same events always give the same actions.
 
-mod held;
+mod admission;
+mod concurrency_limit;
+mod connection_scarcity;
+mod demand;
+mod dispatch;
+mod endpoint_list;
+mod expiry;
+mod fleet_size;
+mod hedging;
+mod key_ordering;
+mod message_index;
 mod outcomes;
-mod pace;
+mod outlier_detection;
 mod permission;
-mod proposals;
-mod silence;
+mod priority;
+mod quotas;
+mod rate_limit;
+mod retry;
+mod routing;
+mod slow_start;
 pub(crate) mod state;
+mod timer;
 
-use crate::backlog::{Index, Standing};
-use crate::decisions::state::{
-    Attempt, Bucket, Call, Endpoint, Health, KeyLine, PendingMessage, Unit, UnitId, Warmup, seconds,
+pub use demand::InFlightAttempt;
+pub use expiry::DEADLINE_MARGIN;
+
+use crate::backlog::Index;
+use crate::interface::{
+    Action, AgreedRules, DestinationId, EndpointId, Event, FleetView, MessageId, Micros, Quotas,
+    Settings, SettingsError,
 };
-use crate::interface::*;
-pub use held::InFlightAttempt;
+use outcomes::AttemptResult;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
+use state::{Call, Endpoint, KeyQueue, PendingMessage, QuotaBucket, Route, RouteId, TokenBucket};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copy offset before any latency is known. Shorter finds trouble sooner, longer wastes less.
-const FIRST_COPY_DELAY: Micros = SECOND;
-/// Window of calls in flight per destination, as shares of the slots: at start, at most, and when sick.
-const WINDOW_START: f64 = 0.25;
-const WINDOW_MOST: f64 = 0.75;
-const WINDOW_SICK: f64 = 0.5;
-/// Pace that a first refusal leaves at least, calls a second, and that any leaves to all senders together.
-/// Higher retries sooner, lower spares a destination that hundreds of senders share.
-const PACE_FIRST: f64 = 0.35;
-const PACE_LEAST: f64 = 1.5;
-/// Burst of the pace, as a span of it. Longer takes clumps faster, shorter draws fewer refusals.
-const PACE_BURST: f64 = 0.4;
-const BURST: Micros = 400 * MILLISECOND; // the same of what all share, in whole microseconds
-/// Weight of one more outcome in the failure score, and the scores at which a unit turns sick or is trusted.
-const FAIL_WEIGHT: f64 = 0.25;
-const FAIL_SICK: f64 = 0.55;
-const FAIL_TRUST: f64 = 0.25;
-/// A unit is silent when a call is out for this many copy offsets, and no shorter than this.
-const SILENT_OFFSETS: i64 = 2;
-const SILENT_LEAST: Micros = SECOND;
-/// Senders that hear of a limit almost as soon as one alone does. Higher lets a larger fleet act as a few do.
-const FEW_SENDERS: f64 = 4.0;
-/// Part of the fail-back budget that is used. Higher returns sooner, lower leaves room for other senders.
-const BUDGET_SHARE: f64 = 0.7;
-/// Parts of a rough listed rate, half too high or too low, that a destination takes when warm: surely, and at
-/// most. Higher returns and works backlogs off sooner, lower spares one that is listed too high.
-const LISTED_SURE: f64 = 0.75;
-const LISTED_MOST: f64 = 1.5;
-/// Rest before a message is tried resubmitted: first, and at most. Longer spares attempts, shorter saves time.
-const RETRY_FIRST: Micros = 150 * MILLISECOND;
-const RETRY_MOST: Micros = 2 * SECOND;
-/// Time kept before a deadline for a last answer, and before a keyed window or a wait ends.
-pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
-/// Part of the aim up to which a message gets more urgent.
-const AIM_RISES: f64 = 0.9;
-/// Backoff of a failed subscription: first and most.
-const LIST_FIRST: Micros = 300 * MILLISECOND;
-const LIST_MOST: Micros = 4 * SECOND;
-/// Span of a tenant's token bucket, seconds of its share.
-const TENANT_BURST: f64 = 2.0;
-/// Messages beyond that which chance may bring one in a crowd: more sees excess late, fewer where none is.
-const TENANT_CHANCE: f64 = 4.0;
-
-/// The decisions of one sender. All that it knows can be written down and read back by the next process.
+/// The decisions of one sender. It can be serialized, and another process goes on with it: the
+/// order and the kinds of the fields are part of the format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Sender {
     settings: Settings,
     random: Pcg32,
     now: Micros,
-    alarm: Micros,
+    /// When the host's timer expires; `Micros::MAX` where none is set.
+    timer_at: Micros,
     endpoints: BTreeMap<EndpointId, Endpoint>,
-    routes: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
-    units: BTreeMap<UnitId, Unit>,
+    endpoints_by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
+    routes: BTreeMap<RouteId, Route>,
     messages: BTreeMap<MessageId, PendingMessage>,
-    keys: BTreeMap<u64, KeyLine>,
-    /// Until when no key's message starts, since an earlier life may have given up a call of any.
-    keys_rest_until: Micros,
+    key_queues: BTreeMap<u64, KeyQueue>,
+    /// Until when no message of any key starts, because an earlier process may have cancelled a
+    /// call of it.
+    key_backoff_until: Micros,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    copies_out: usize,
-    /// For each kind of destination, how often calls lately found no connection.
-    crowded: BTreeMap<usize, f64>,
-    tenant_tokens: Vec<(f64, Micros)>,
-    list_retry: Option<Micros>,
-    list_rest: Micros,
-    /// When the process will end, once that is known: no next process's affair.
+    /// Calls in flight that carry hedged requests.
+    hedges_in_flight: usize,
+    /// For each kind of destination, how often calls lately found no connection, from 0 to 1.
+    connection_scarcity: BTreeMap<usize, f64>,
+    /// One for each tenant of the settings.
+    tenant_buckets: Vec<TokenBucket>,
+    /// When to subscribe to the endpoint list again.
+    list_retry_at: Option<Micros>,
+    list_backoff: Micros,
+    /// When the process ends, once that is known; the next process must not hear of it.
     #[serde(skip)]
-    ends: Option<Micros>,
-    /// The next time at which something may be due; the alarm is set by it.
-    due: Micros,
-    /// The senders that all is scaled by, and what is known of the others, since when.
-    counted: u32,
-    fleet: Option<FleetView>,
-    fleet_since: Micros,
-    agreed: Option<Box<AgreedRules>>,
-    /// The list may be older than what counts as told.
-    stale: bool,
-    /// This machine can't write down what is sent: the next process finds out for itself.
+    shutdown_at: Option<Micros>,
+    /// The next time at which something may have to be done; the timer is set by it.
+    next_deadline: Micros,
+    /// The number of senders that all rates are scaled by.
+    fleet_size: u32,
+    /// What is known of the other senders, and since when.
+    fleet_view: Option<FleetView>,
+    fleet_view_since: Micros,
+    agreed_rules: Option<Box<AgreedRules>>,
+    /// The endpoint list may be out of date.
+    list_stale: bool,
+    /// This machine can't record what is sent; the next process finds out for itself.
     #[serde(skip)]
     host_failing: bool,
-    /// What limits that all senders share leave to this one, and the calls that they allow now.
+    /// This sender's share of limits that hold for all senders, and what it may send by them now.
     quotas: Option<Box<Quotas>>,
-    buckets: BTreeMap<DestinationId, Bucket>,
-    /// Messages for which an endpoint was looked for in the last turn.
+    quota_buckets: BTreeMap<DestinationId, QuotaBucket>,
+    /// Messages for which the last turn looked for an endpoint.
     #[serde(skip)]
-    weighed: usize,
-    /// Where the held messages stand.
+    candidates_examined: usize,
+    /// Which pending messages have to be looked at.
     #[serde(skip)]
     index: Index,
-    /// Calls in flight of units that lag or are sick, as far as this turn has come.
+    /// Calls in flight on lagging and ejected routes, in this turn.
     #[serde(skip)]
-    burdens: usize,
+    unhealthy_in_flight: usize,
 }
 
 impl Sender {
-    /// A sender that knows nothing yet.
+    /// A sender that knows nothing yet. `seed` determines all that it does at random.
     ///
     /// # Errors
-    /// When the settings make no sense.
+    /// The first setting that is not valid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let list_retry = settings.list_by_subscription.then_some(Micros::MIN);
-        let tenant_tokens = settings.tenants.iter().map(|_| (f64::MAX, 0)).collect();
+        let list_retry_at = settings.list_by_subscription.then_some(Micros::MIN);
+        let tenant_buckets = vec![TokenBucket::FULL; settings.tenants.len()];
         Ok(Sender {
-            counted: settings.senders,
-            fleet: None,
-            fleet_since: 0,
-            agreed: None,
-            stale: false,
-            host_failing: false,
-            quotas: None,
-            buckets: BTreeMap::new(),
+            fleet_size: settings.senders,
             settings,
             random: Pcg32::seed_from_u64(seed),
             now: 0,
-            alarm: Micros::MAX,
+            timer_at: Micros::MAX,
             endpoints: BTreeMap::new(),
+            endpoints_by_destination: BTreeMap::new(),
             routes: BTreeMap::new(),
-            units: BTreeMap::new(),
             messages: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            keys_rest_until: 0,
+            key_queues: BTreeMap::new(),
+            key_backoff_until: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            copies_out: 0,
-            crowded: BTreeMap::new(),
-            tenant_tokens,
-            list_retry,
-            list_rest: LIST_FIRST,
-            ends: None,
-            due: Micros::MAX,
-            weighed: 0,
+            hedges_in_flight: 0,
+            connection_scarcity: BTreeMap::new(),
+            tenant_buckets,
+            list_retry_at,
+            list_backoff: endpoint_list::INITIAL_BACKOFF,
+            shutdown_at: None,
+            next_deadline: Micros::MAX,
+            fleet_view: None,
+            fleet_view_since: 0,
+            agreed_rules: None,
+            list_stale: false,
+            host_failing: false,
+            quotas: None,
+            quota_buckets: BTreeMap::new(),
+            candidates_examined: 0,
             index: Index::default(),
-            burdens: 0,
+            unhealthy_in_flight: 0,
         })
     }
 
@@ -166,122 +148,57 @@
         &self.settings
     }
 
-    /// One turn: takes in all events, then appends what to do. The time never goes backwards.
+    /// One turn: applies all events, then appends the actions that follow. The time never goes
+    /// backwards.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.alarm = if self.alarm <= self.now {
-            Micros::MAX
-        } else {
-            self.alarm
-        };
-        let was_held_back = self.is_held_back();
+        self.forget_expired_timer();
+        let was_suspended = self.is_sending_suspended();
         self.build_index_once();
         for event in events {
-            self.learn(event, actions);
+            self.apply(event, actions);
         }
-        let released = was_held_back && !self.is_held_back();
-        if released
-            || events
-                .iter()
-                .any(|event| matches!(event, Event::MessageRestored { .. }))
-        {
-            self.spread_backlog(released);
+        let resumed = was_suspended && !self.is_sending_suspended();
+        let is_restored = |event: &Event| matches!(event, Event::MessageRestored { .. });
+        if resumed || events.iter().any(is_restored) {
+            self.spread_backlog(resumed);
         }
-        self.due = Micros::MAX;
-        self.count_senders();
-        actions.extend(
-            self.list_retry
-                .take_if(|at| *at <= self.now)
-                .map(|_| Action::Subscribe),
-        );
-        self.look_for_silence(actions);
-        self.end_hopeless(actions);
-        self.send_due(actions);
-        self.set_alarm(actions);
+        self.next_deadline = Micros::MAX;
+        self.update_fleet_size();
+        self.subscribe_when_due(actions);
+        self.detect_unresponsive_routes(actions);
+        self.cancel_lost_attempts(actions);
+        self.end_undeliverable_messages(actions);
+        self.send_ready_messages(actions);
+        self.set_timer(actions);
         #[cfg(debug_assertions)]
         self.check_index();
     }
 
-    fn learn(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    fn apply(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::AgreedRules(agreed) => self.agreed = agreed.clone(),
-            Event::EndpointListStale(stale) => self.stale = *stale,
-            Event::HostFailing(failing) => self.host_failing = *failing,
-            Event::Quotas(quotas) => self.share(quotas.clone()),
+            Event::AgreedRules(rules) => self.agreed_rules = rules.clone(),
+            Event::Quotas(quotas) => self.apply_quotas(quotas.clone()),
             Event::FleetHealth {
                 destination,
                 unavailable,
-            } => self.hear(*destination, *unavailable, actions),
-            Event::FleetView(view) => {
-                // who holds a view may grow; what is seen must stand
-                let seen = |view: FleetView| FleetView {
-                    agreeing: 0,
-                    ..view
-                };
-                if view.map(seen) != self.fleet.map(seen) {
-                    self.fleet_since = self.now;
-                }
-                self.fleet = *view;
-            }
-            Event::EndpointList { scope, entries } => self.learn_list(*scope, entries),
-            Event::EndpointListFailed => {
-                let jitter = Micros::from(self.random.next_u32()) % self.list_rest;
-                self.list_retry = Some(self.now + self.list_rest / 2 + jitter);
-                self.list_rest = (self.list_rest * 2).min(LIST_MOST);
-            }
-            Event::Accepted(message) => {
-                if self.index.open()
-                    < self.most(|bounds| bounds.max_messages, self.settings.max_pending)
-                    && self.bound(message.class).is_none_or(|bound| bound.accepted)
-                {
-                    self.accept(message);
-                } else {
-                    actions.push(Action::Reject {
-                        message: message.id,
-                        retry_after: self.client_wait(),
-                    });
-                }
-            }
-            Event::MessageRestored { message, attempts } => self.resume(message, attempts),
-            Event::Restarted => self.keys_rest_until = self.now + self.settings.safety.key_backoff,
-            Event::NotificationPending(message) => {
-                self.accept(message);
-                let ended = |held: &mut PendingMessage| (held.open, held.unnoticed) = (false, true);
-                self.messages.entry(message.id).and_modify(ended);
-                self.reindex(message.id);
-            }
-            Event::NotificationDelivered(message) => {
-                self.messages
-                    .entry(*message)
-                    .and_modify(|held| held.unnoticed = false);
-                self.forget_if_done(*message);
-            }
-            Event::SettingsChanged(settings) => {
-                let same = settings.senders == self.settings.senders;
-                self.counted = if same { self.counted } else { settings.senders };
-                self.settings = (**settings).clone();
-                self.tenant_tokens
-                    .resize(self.settings.tenants.len(), (f64::MAX, 0));
-                self.rebuild_index(); // other effects end other messages
-            }
-            Event::Disabled(endpoint) => {
-                let known = self.endpoints.entry(*endpoint).or_default();
-                (known.out, known.warmup) = (true, None);
-                actions.push(Action::Disconnect(*endpoint));
-            }
-            Event::Enabled(endpoint) => {
-                let warmup = Warmup::new(self.now);
-                if let Some(known) = self.endpoints.get_mut(endpoint).filter(|known| known.out) {
-                    (known.out, known.warmup) = (false, Some(warmup));
-                    known.classes.clear(); // it may be another process by now
-                }
-                actions.push(Action::Disconnect(*endpoint));
-                self.forget_gone();
-            }
-            Event::ShuttingDown { at } => self.ends = Some(*at),
+            } => self.apply_fleet_health(*destination, *unavailable, actions),
+            Event::FleetView(view) => self.apply_fleet_view(*view),
+            Event::EndpointList { scope, entries } => self.apply_endpoint_list(*scope, entries),
+            Event::EndpointListFailed => self.back_off_subscription(),
+            Event::EndpointListStale(stale) => self.list_stale = *stale,
+            Event::HostFailing(failing) => self.host_failing = *failing,
+            Event::Accepted(message) => self.admit_or_reject(message, actions),
+            Event::MessageRestored { message, attempts } => self.restore(message, attempts),
+            Event::Restarted => self.back_off_all_keys(),
+            Event::NotificationPending(message) => self.restore_ended(message),
+            Event::NotificationDelivered(message) => self.record_notification(*message),
+            Event::SettingsChanged(settings) => self.apply_settings(settings),
+            Event::Disabled(endpoint) => self.disable_endpoint(*endpoint, actions),
+            Event::Enabled(endpoint) => self.enable_endpoint(*endpoint, actions),
+            Event::ShuttingDown { at } => self.shutdown_at = Some(*at),
             Event::RetryAfter { endpoint, wait } => {
-                let id = self.unit_of(*endpoint);
-                self.heed(id, *wait, actions);
+                self.apply_retry_after(self.route_of(*endpoint), *wait, actions);
             }
             Event::AttemptEnded {
                 message,
@@ -292,11 +209,14 @@
                 report,
                 ..
             } => {
-                self.learn_outcome(*message, *attempt, *outcome, *latency, report, actions);
-                if *outcome == Outcome::Success || *complete {
-                    self.close(*message, actions);
-                }
-                self.forget_if_done(*message);
+                let result = AttemptResult {
+                    message: *message,
+                    attempt: *attempt,
+                    outcome: *outcome,
+                    latency: *latency,
+                    report,
+                };
+                self.apply_attempt_ended(&result, *complete, actions);
             }
             Event::MessageAbandoned(message) => {
                 self.close(*message, actions);
@@ -309,296 +229,44 @@
         }
     }
 
-    /// The number of senders that all is scaled by. Guards destinations against senders that hear less and
-    /// grow bolder: it falls below the configured number only once nobody is suspect, a majority of the
-    /// configured is known to hold just this view, and it has stood for the cold time; it rises at once, and
-    /// is the configured one in a minority and in in_doubt. Senders never heard of count as living. Could starve
-    /// a destination for that time after many have gone.
-    fn count_senders(&mut self) {
-        let (configured, before) = (self.settings.senders, self.counted);
-        let target = self.fleet.map_or(configured, |view| {
-            let minority = view.living.saturating_mul(2) <= configured;
-            let gone = if view.in_doubt || minority {
-                0
-            } else {
-                view.gone
-            };
-            view.living.max(configured.saturating_sub(gone)).max(1)
-        });
-        let sure = self
-            .fleet
-            .is_some_and(|view| view.suspects == 0 && view.agreeing.saturating_mul(2) > configured);
-        let stands = self.fleet_since + self.settings.safety.warm_up_time;
-        if target < before && !(sure && stands <= self.now) {
-            self.due = if sure { self.due.min(stands) } else { self.due };
-            return;
-        }
-        if target == before {
-            return;
-        }
-        self.counted = target;
-        let part = f64::from(before) / f64::from(target);
-        for unit in self.units.values_mut() {
-            (unit.share, unit.listed) = (unit.share * part, unit.listed * part);
-            if part < 1.0 {
-                // others are back: what was theirs is given up, and only successes bring it again
-                (unit.pace, unit.best_rate) = (unit.pace * part, unit.best_rate * part);
-            }
-        }
-    }
-
-    fn learn_list(&mut self, scope: ListScope, entries: &[EndpointEntry]) {
-        if scope != ListScope::Stale {
-            self.list_rest = LIST_FIRST;
-        }
-        if scope != ListScope::Changes {
-            self.endpoints
-                .values_mut()
-                .for_each(|known| known.serving = false);
+    fn apply_settings(&mut self, settings: &Settings) {
+        if settings.senders != self.settings.senders {
+            self.fleet_size = settings.senders;
         }
-        for entry in entries {
-            let known = self.endpoints.entry(entry.endpoint).or_default();
-            let moved = (known.destination, known.kind) != (entry.destination, entry.kind);
-            if moved && let Some(routes) = self.routes.get_mut(&known.destination) {
-                routes.remove(&entry.endpoint);
-            }
-            known.update(entry);
-            self.routes
-                .entry(entry.destination)
-                .or_default()
-                .insert(entry.endpoint);
-            let id = self.unit_of(entry.endpoint);
-            let weight = if entry.weight.is_finite() {
-                entry.weight.max(0.0)
-            } else {
-                0.0
-            };
-            let told = self.settings.weight_trust * weight / f64::from(self.counted);
-            let listed = if told > 0.0 {
-                told / self.settings.weight_trust
-            } else {
-                0.0
-            };
-            let unit = self.unit(id);
-            (unit.share, unit.best_rate, unit.listed) = (told, unit.best_rate.max(told), listed);
-        }
-        self.forget_gone();
-    }
-
-    /// Forgets endpoints that no held message tried, units without calls, and idle keys, when they are gone.
-    fn forget_gone(&mut self) {
-        let attempts = self.messages.values().flat_map(|message| &message.attempts);
-        let tried: BTreeSet<EndpointId> = attempts.map(|attempt| attempt.endpoint).collect();
-        self.endpoints
-            .retain(|id, known| known.serving || known.out || tried.contains(id));
-        let known = &self.endpoints;
-        self.routes
-            .values_mut()
-            .for_each(|routes| routes.retain(|id| known.contains_key(id)));
-        self.routes.retain(|_, routes| !routes.is_empty());
-        let (now, routes) = (self.now, &self.routes);
-        self.units.retain(|(destination, route), unit| {
-            let listed = routes
-                .get(destination)
-                .is_some_and(|ids| route.is_none_or(|id| ids.contains(&id)));
-            listed || unit.in_flight > 0 || unit.wait_until > now
-        });
-        self.keys
-            .retain(|_, line| !line.turn.is_empty() || line.rest_until > now);
+        self.settings = settings.clone();
+        let tenants = self.settings.tenants.len();
+        self.tenant_buckets.resize(tenants, TokenBucket::FULL);
+        self.rebuild_index(); // other effects end other messages
     }
 
-    fn accept(&mut self, new: &NewMessage) {
-        let deadline = self.now + new.time_left;
-        let class = self.settings.classes.get(new.class);
-        let (mut priority_weight, ordered) =
-            class.map_or((1.0, false), |class| (class.priority_weight, class.ordered));
-        let born = class.map_or(self.now, |class| deadline - class.deadline);
-        if let Some(tenant) = new
-            .tenant
-            .and_then(|index| self.settings.tenants.get(index))
-        {
-            let senders = f64::from(self.counted);
-            let (rate, crowd) = (tenant.allowance / senders, crowd(senders));
-            let (tokens, at) = &mut self.tenant_tokens[new.tenant.unwrap_or_default()];
-            // a few messages at one of many senders are chance, not a tenant beyond its share
-            let burst = (rate * TENANT_BURST).max(1.0 + TENANT_CHANCE * crowd);
-            *tokens = (*tokens + rate * seconds(self.now - *at)).min(burst);
-            *at = self.now;
-            let within = *tokens >= 1.0;
-            *tokens -= f64::from(u8::from(within));
-            priority_weight *= if within {
-                1.0
-            } else {
-                self.settings.over_share_weight
-            };
-        }
-        let key = new
-            .key
-            .filter(|_| ordered || self.bound(new.class).is_some_and(|bound| bound.ordered));
-        if let Some(key) = key {
-            self.keys.entry(key).or_default().turn.push_back(new.id);
-            if self.keys.len() > 2 * self.settings.max_pending {
-                self.forget_gone();
-            }
-        }
-        let mut held = PendingMessage {
-            key,
-            created_at: born,
-            deadline,
-            priority_weight,
-            open: true,
-            ..PendingMessage::default()
-        };
-        (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
-        held.most_attempts = new.max_attempts.unwrap_or(self.settings.max_attempts);
-        if let Some(mut before) = self.messages.insert(new.id, held) {
-            self.index.set(new.id, &mut before, Standing::default());
-        }
-        self.reindex(new.id);
-    }
-
-    /// Takes a message back after a restart. Its calls ended with the old process; those with no known
-    /// outcome may have run. All count as overlapped: nobody knows the order of their ends, and a window of a
-    /// key must count from the first.
-    fn resume(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
-        self.accept(message);
-        let rest_until = self.now + self.key_backoff(message.class);
-        let Some(held) = self.messages.get_mut(&message.id) else {
-            return;
-        };
-        held.attempts.extend(attempts.iter().map(Attempt::resumed));
-        let unsure = attempts.iter().any(|past| past.may_have_run);
-        let line = held
-            .key
-            .filter(|_| unsure)
-            .and_then(|key| self.keys.get_mut(&key));
-        line.into_iter()
-            .for_each(|line| line.rest_until = line.rest_until.max(rest_until));
-        self.reindex(message.id);
-    }
-
-    /// Paces what has waited while nothing could be sent by the even share of the listed rate. Guards limits
-    /// against backlogs of hundreds of senders at one moment; could slow down one with most of the traffic.
-    /// What is resumed spreads each unit once, `released` messages each time.
-    fn spread_backlog(&mut self, released: bool) {
-        let waiting: BTreeSet<_> = self
-            .messages
-            .values()
-            .map(|held| held.destination)
-            .collect();
-        let contended = self.crowd() > 0.0;
-        for (_, unit) in self
-            .units
-            .iter_mut()
-            .filter(|(id, _)| contended && waiting.contains(&id.0))
-        {
-            if unit.listed > 0.0
-                && unit.health == Health::Well
-                && (released || unit.pace.is_infinite())
-            {
-                unit.pace = unit.pace.min(unit.best_rate.max(unit.listed * LISTED_MOST));
-                unit.tokens = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
-                unit.tokens_at = self.now;
-            }
-        }
-    }
-
-    // ---- small lookups -----------------------------------------------------------------------
-
-    /// What a repeat does, and no more than agreed rules allow.
-    fn effect(&self, class: usize) -> Effect {
-        let own = self.own_effect(class);
-        self.bound(class)
-            .map_or(own, |bound| own.intersection(bound.effect))
-    }
-
-    /// What agreed rules allow a class now, if there are any. Guards against senders that contradict each
-    /// other; could starve a class that the rules do not name.
-    fn bound(&self, class: usize) -> Option<ClassBounds> {
-        let bounds = self.agreed.as_ref()?.at(self.now);
-        let name = self
-            .settings
-            .classes
-            .get(class)
-            .map_or("", |class| &class.name);
-        Some(
-            bounds
-                .classes
-                .get(name)
-                .copied()
-                .unwrap_or(ClassBounds::NOTHING),
-        )
-    }
-
-    /// A limit of the settings, or a lower one of agreed rules.
-    fn most(&self, limit: impl Fn(&RuleBounds) -> Option<usize>, own: usize) -> usize {
-        let agreed = self
-            .agreed
-            .as_ref()
-            .and_then(|agreed| limit(agreed.at(self.now)));
-        agreed.map_or(own, |most| most.min(own))
-    }
-
-    fn key_backoff(&self, class: usize) -> Micros {
-        self.settings
-            .safety
-            .key_backoff
-            .max(self.bound(class).map_or(0, |bound| bound.key_backoff))
-    }
-
-    fn own_effect(&self, class: usize) -> Effect {
-        self.settings
-            .classes
-            .get(class)
-            .map_or(Effect::NonIdempotent, |class| class.effect)
-    }
-
-    fn unit_of(&self, endpoint: EndpointId) -> UnitId {
+    /// The route that calls to an endpoint belong to.
+    fn route_of(&self, endpoint: EndpointId) -> RouteId {
         let Some(known) = self.endpoints.get(&endpoint) else {
-            return (0, Some(endpoint));
+            return RouteId::of_endpoint(0, endpoint);
         };
-        let apart = self
-            .settings
-            .kinds
-            .get(known.kind)
-            .is_some_and(|kind| kind.separate_routes);
-        (known.destination, apart.then_some(endpoint))
+        let kind = self.settings.kinds.get(known.kind);
+        if kind.is_some_and(|kind| kind.separate_routes) {
+            RouteId::of_endpoint(known.destination, endpoint)
+        } else {
+            RouteId::of_destination(known.destination)
+        }
     }
 
-    /// The part of all senders that has not heard yet what this one has; none where they are few.
-    fn crowd(&self) -> f64 {
-        crowd(f64::from(self.counted))
+    /// A route, which is new where it was not known.
+    fn route_mut(&mut self, id: RouteId) -> &mut Route {
+        let initial_limit = concurrency_limit::initial(self.settings.call_slots);
+        let now = self.now;
+        let new = || Route::new(initial_limit, now);
+        self.routes.entry(id).or_insert_with(new)
     }
 
-    /// A random part of one token, so that senders do not all start at once.
-    fn phase(&mut self) -> f64 {
+    /// A random part of a token, from 0 to 1, so that senders do not all start at once.
+    fn random_phase(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
-
-    fn unit(&mut self, id: UnitId) -> &mut Unit {
-        let (window, now) = (
-            share_of(self.settings.call_slots, WINDOW_START) as f64,
-            self.now,
-        );
-        let (pace, tokens, tokens_at, since) = (f64::INFINITY, 1.0, now, now);
-        let new = || Unit {
-            window,
-            pace,
-            tokens,
-            tokens_at,
-            since,
-            succeeded: true,
-            ..Unit::default()
-        };
-        self.units.entry(id).or_insert_with(new)
-    }
-}
-
-/// The part of so many senders that has not heard yet what one has; none where they are few.
-fn crowd(senders: f64) -> f64 {
-    (1.0 - FEW_SENDERS / senders).max(0.0)
 }
 
-fn share_of(slots: usize, share: f64) -> usize {
-    ((slots as f64 * share).floor() as usize).max(1)
+/// The whole number of so many that a share of them makes, at least one.
+fn share_of(count: usize, share: f64) -> usize {
+    ((count as f64 * share).floor() as usize).max(1)
 }
--- /dev/null
+++ b/src/decisions/admission.rs
@@ -0,0 +1,126 @@
+//! Which messages are taken on, with what priority, and what is taken back after a restart.
+
+use super::Sender;
+use super::fleet_size::contention;
+use super::retry::INITIAL_RETRY_BACKOFF;
+use super::state::{Attempt, PendingMessage};
+use crate::backlog::Standing;
+use crate::interface::{Action, MessageId, Micros, NewMessage, PastAttempt};
+
+/// Size of a tenant's token bucket, in seconds of its share.
+/// Larger lets a tenant bring more at once before its messages count less.
+const TENANT_BURST_SECONDS: f64 = 2.0;
+/// Messages beyond that which chance may bring one sender of many.
+/// More sees a tenant beyond its share late, fewer sees one where there is none.
+const TENANT_CHANCE_BURST: f64 = 4.0;
+
+impl Sender {
+    pub(super) fn admit_or_reject(&mut self, message: &NewMessage, actions: &mut Vec<Action>) {
+        if self.has_capacity() && self.may_accept(message.class) {
+            self.admit(message);
+        } else {
+            actions.push(Action::Reject {
+                message: message.id,
+                retry_after: self.client_retry_after(),
+            });
+        }
+    }
+
+    fn has_capacity(&self) -> bool {
+        let max_pending =
+            self.limit_with_rules(|bounds| bounds.max_messages, self.settings.max_pending);
+        self.index.open() < max_pending
+    }
+
+    /// Takes on a message.
+    pub(super) fn admit(&mut self, new: &NewMessage) {
+        let deadline = self.now + new.time_left;
+        let class = self.settings.classes.get(new.class);
+        let class_weight = class.map_or(1.0, |class| class.priority_weight);
+        let created_at = class.map_or(self.now, |class| deadline - class.deadline);
+        let priority_weight = class_weight * self.tenant_factor(new.tenant);
+        let key = new.key.filter(|_| self.is_ordered(new.class));
+        if let Some(key) = key {
+            self.join_key_queue(key, new.id);
+        }
+        let message = PendingMessage {
+            class: new.class,
+            destination: new.destination,
+            key,
+            created_at,
+            deadline,
+            priority_weight,
+            max_attempts: new.max_attempts.unwrap_or(self.settings.max_attempts),
+            open: true,
+            retry_backoff: INITIAL_RETRY_BACKOFF,
+            ..PendingMessage::default()
+        };
+        if let Some(mut before) = self.messages.insert(new.id, message) {
+            self.index.set(new.id, &mut before, Standing::default());
+        }
+        self.reindex(new.id);
+    }
+
+    /// What is left of the priority of a tenant's message: all of it within the tenant's share.
+    fn tenant_factor(&mut self, position: Option<usize>) -> f64 {
+        let Some(position) = position else {
+            return 1.0;
+        };
+        let Some(tenant) = self.settings.tenants.get(position) else {
+            return 1.0;
+        };
+        let senders = f64::from(self.fleet_size);
+        let rate = tenant.allowance / senders;
+        // a few messages at one of many senders are chance, not a tenant beyond its share
+        let chance_burst = 1.0 + TENANT_CHANCE_BURST * contention(senders);
+        let burst = (rate * TENANT_BURST_SECONDS).max(chance_burst);
+        let bucket = &mut self.tenant_buckets[position];
+        bucket.refill(self.now, rate, burst);
+        if bucket.has_token() {
+            bucket.tokens -= 1.0;
+            1.0
+        } else {
+            self.settings.over_share_weight
+        }
+    }
+
+    /// Takes a message back after a restart. Its calls ended with the old process; those with no
+    /// known outcome may have run. All count as overlapped: nobody knows the order of their ends,
+    /// and a window of an idempotency key must count from the first.
+    pub(super) fn restore(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
+        self.admit(message);
+        let backoff = self.key_backoff(message.class);
+        let Some(pending) = self.messages.get_mut(&message.id) else {
+            return;
+        };
+        let restored = attempts.iter().map(Attempt::restored);
+        pending.attempts.extend(restored);
+        let key = pending.key;
+        if attempts.iter().any(|past| past.may_have_run) {
+            self.back_off_key(key, backoff);
+        }
+        self.reindex(message.id);
+    }
+
+    /// Takes back a message that has ended, but whose outcome the client has not been notified of.
+    pub(super) fn restore_ended(&mut self, message: &NewMessage) {
+        self.admit(message);
+        if let Some(pending) = self.messages.get_mut(&message.id) {
+            pending.open = false;
+            pending.notification_pending = true;
+        }
+        self.reindex(message.id);
+    }
+
+    pub(super) fn record_notification(&mut self, message: MessageId) {
+        if let Some(pending) = self.messages.get_mut(&message) {
+            pending.notification_pending = false;
+        }
+        self.forget_if_done(message);
+    }
+
+    /// When a client whose message is rejected should come back, where clients are told.
+    pub(super) fn client_retry_after(&self) -> Option<Micros> {
+        Some(self.settings.max_retry_after / 2).filter(|&wait| wait > 0)
+    }
+}
--- /dev/null
+++ b/src/decisions/connection_scarcity.rs
@@ -0,0 +1,72 @@
+//! Endpoints that take few connections: idle ones are closed, so that other senders get through.
+
+use super::Sender;
+use super::state::{RouteId, seconds};
+use crate::interface::{Action, EndpointId, Outcome};
+
+/// Weight of one call that found no connection in the score of its endpoint and of its kind.
+const SCARCITY_WEIGHT: f64 = 0.2;
+/// The score above which idle connections are closed. Lower frees endpoints sooner, higher saves
+/// handshakes.
+const SCARCE: f64 = 0.1;
+
+impl Sender {
+    pub(super) fn record_connection(
+        &mut self,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        others_succeed: bool,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(&endpoint) else {
+            return;
+        };
+        let of_kind = self.connection_scarcity.entry(endpoint.kind).or_default();
+        for score in [of_kind, &mut endpoint.connection_scarcity] {
+            match outcome {
+                // where nothing else succeeds the endpoint is unavailable, not short of connections
+                Outcome::NoConnection if others_succeed => {
+                    *score += SCARCITY_WEIGHT * (1.0 - *score);
+                }
+                Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCE * *score,
+                _ => {}
+            }
+        }
+    }
+
+    /// A route that recovers: what found no connection before says nothing of how scarce they are
+    /// now.
+    pub(super) fn forget_connection_scarcity(&mut self, route: RouteId) {
+        let ids = self.endpoints_by_destination.get(&route.destination);
+        for id in ids.into_iter().flatten() {
+            if route.endpoint.is_none_or(|endpoint| endpoint == *id)
+                && let Some(endpoint) = self.endpoints.get_mut(id)
+            {
+                endpoint.connection_scarcity = 0.0;
+            }
+        }
+    }
+
+    /// Closes a connection that would sooner close by itself than be used again. Guards endpoints
+    /// that take few connections against hundreds of senders that each keep one idle. Could harm
+    /// where traffic comes in bursts with long pauses: the next call pays a handshake.
+    pub(super) fn close_idle_connection(
+        &mut self,
+        route: RouteId,
+        id: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        let idle_timeout = self.settings.connection_idle_timeout;
+        let now = self.now;
+        let usual_rate = self.route_mut(route).usual_rate(now, idle_timeout);
+        let Some(endpoint) = self.endpoints.get(&id) else {
+            return;
+        };
+        let is_seldom_used = usual_rate * seconds(idle_timeout) < 1.0;
+        let of_kind = self.connection_scarcity.get(&endpoint.kind).copied();
+        let is_scarce = endpoint.connection_scarcity > SCARCE
+            || is_seldom_used && of_kind.unwrap_or(0.0) > SCARCE;
+        if is_scarce && self.calls.values().all(|call| call.endpoint != id) {
+            actions.push(Action::Disconnect(id));
+        }
+    }
+}
--- /dev/null
+++ b/src/decisions/dispatch.rs
@@ -0,0 +1,200 @@
+//! Sends the messages that are ready, the most urgent first.
+
+use super::routing::Destination;
+use super::state::{Attempt, Call, Route};
+use super::{DEADLINE_MARGIN, Sender};
+use crate::backlog::{Candidate, Candidates, Place};
+use crate::interface::{Action, Effect, EndpointId, MILLISECOND, MessageId, Micros};
+use std::collections::BTreeMap;
+
+/// Hedge delays after which an attempt of an idempotent message times out. Lower frees slots
+/// sooner.
+const TIMEOUT_DELAYS: i64 = 10;
+
+/// When an attempt times out, and by when it must have begun.
+struct AttemptTimes {
+    expires: Micros,
+    start_by: Option<Micros>,
+}
+
+impl Sender {
+    pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
+        self.index_messages_come_due();
+        self.wake_for_next_message();
+        self.unhealthy_in_flight = self.count_unhealthy_calls();
+        self.candidates_examined = 0;
+        let may_bundle = self.settings.kinds.iter().any(|kind| kind.bundle_max > 1);
+        let mut candidates = self.first_candidates();
+        let mut open_calls: BTreeMap<EndpointId, u64> = BTreeMap::new();
+        while let Some(candidate) = candidates.pop() {
+            if !may_bundle && self.are_slots_full() {
+                break; // the end of a call brings the next turn
+            }
+            self.candidates_examined += 1;
+            if self.send_candidate(candidate, &mut open_calls, actions) {
+                self.readmit_passed(candidate, &mut candidates);
+            } else if self.holds_back_group(candidate.place) {
+                candidates.pass_over(candidate.place);
+                continue;
+            }
+            let order = self.order(candidate.place.group);
+            candidates.extend(self.index.next(candidate, &order));
+        }
+    }
+
+    fn index_messages_come_due(&mut self) {
+        while let Some(id) = self.index.come_due(self.now) {
+            self.reindex(id);
+        }
+    }
+
+    fn wake_for_next_message(&mut self) {
+        let is_served =
+            |(_, id): &(Micros, MessageId)| self.is_served(self.messages[id].destination);
+        let next = self.index.later().find(is_served);
+        if let Some((at, _)) = next {
+            self.wake_by(at);
+        }
+    }
+
+    fn count_unhealthy_calls(&self) -> usize {
+        let is_unhealthy = |call: &&Call| {
+            self.routes
+                .get(&call.route)
+                .is_some_and(Route::is_unhealthy)
+        };
+        self.calls.values().filter(is_unhealthy).count()
+    }
+
+    /// The most urgent message on both sides of each group that is ready.
+    fn first_candidates(&self) -> Candidates {
+        let mut candidates = Candidates::default();
+        for place in self.index.ready() {
+            if self.is_served(place.destination) {
+                candidates.extend(self.index.first(place, &self.order(place.group)));
+            }
+        }
+        candidates
+    }
+
+    /// Sends a message if an endpoint takes it now; returns whether one does.
+    fn send_candidate(
+        &mut self,
+        candidate: Candidate,
+        open_calls: &mut BTreeMap<EndpointId, u64>,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let id = candidate.rank.id;
+        let is_hedge = self.messages[&id].has_attempt_in_flight();
+        let may_hedge = !self.are_hedges_full();
+        // a hedge skipped for its share comes up again in the next turn: its interval is not
+        // doubled
+        let destination = self.choose_endpoint(id, is_hedge, open_calls);
+        let Some(destination) = destination.filter(|_| !is_hedge || may_hedge) else {
+            return false;
+        };
+        let joined_call = destination.joined_call;
+        let call = joined_call.unwrap_or_else(|| {
+            let call = self.open_call(destination.endpoint, is_hedge);
+            open_calls.insert(destination.endpoint, call);
+            call
+        });
+        self.send(id, destination, call, is_hedge, actions);
+        true
+    }
+
+    /// Something was sent to the destination: its groups that were passed over are looked at again.
+    fn readmit_passed(&mut self, sent: Candidate, candidates: &mut Candidates) {
+        for passed in candidates.take_passed(sent.place.destination) {
+            let order = self.order(passed.group);
+            candidates.extend(self.index.after(passed, &order, sent.rank));
+        }
+    }
+
+    /// True if what holds one message of a group back holds all of them back.
+    fn holds_back_group(&self, place: Place) -> bool {
+        !place.group.at_risk || self.effect(place.group.class) == Effect::Idempotent
+    }
+
+    /// Opens a call that starts now and has no message yet.
+    fn open_call(&mut self, endpoint: EndpointId, is_hedge: bool) -> u64 {
+        let id = self.route_of(endpoint);
+        let call = self.next_call;
+        self.next_call += 1;
+        let opened = Call::new(id, endpoint, self.now, is_hedge);
+        self.calls.insert(call, opened);
+        self.hedges_in_flight += usize::from(is_hedge);
+        let route = self.route_mut(id);
+        route.count_call();
+        let is_unhealthy = route.is_unhealthy();
+        self.unhealthy_in_flight += usize::from(is_unhealthy);
+        self.spend_quota(id.destination);
+        let endpoint = self.endpoints.get_mut(&endpoint);
+        if let Some(warm_up) = endpoint.and_then(|endpoint| endpoint.warm_up.as_mut()) {
+            warm_up.bucket.tokens -= 1.0;
+        }
+        call
+    }
+
+    /// Sends the message in a call.
+    fn send(
+        &mut self,
+        id: MessageId,
+        destination: Destination,
+        call: u64,
+        is_hedge: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = self.now;
+        let endpoint = destination.endpoint;
+        let route = self.route_mut(self.route_of(endpoint));
+        let response_limit = route.response_limit();
+        let hedge_delay = route.hedge_delay();
+        if let Some(call) = self.calls.get_mut(&call) {
+            call.pending += 1;
+            call.size += 1;
+        }
+        let times = self.attempt_times(id, hedge_delay);
+        let effect = self.effect(self.messages[&id].class);
+        let Some(message) = self.messages.get_mut(&id) else {
+            return;
+        };
+        message.schedule_hedge(is_hedge, effect, hedge_delay, now);
+        let hedge_at = message.hedge_at;
+        for earlier in &mut message.attempts {
+            earlier.overlapped |= earlier.in_flight;
+        }
+        let attempt = message.attempts.len();
+        message.attempts.push(Attempt::new(endpoint, now, call));
+        self.wake_by(hedge_at);
+        self.wake_by(now + response_limit + MILLISECOND);
+        self.reindex(id);
+        actions.push(Action::Send {
+            message: id,
+            attempt,
+            endpoint,
+            expires: times.expires,
+            start_by: times.start_by,
+        });
+    }
+
+    /// The times of an attempt that starts now.
+    fn attempt_times(&self, id: MessageId, hedge_delay: Micros) -> AttemptTimes {
+        let message = &self.messages[&id];
+        let deadline = message.deadline;
+        let (by_effect, start_by) = match self.effect(message.class) {
+            Effect::NonIdempotent => (deadline, None),
+            Effect::IdempotencyKey { window, .. } => {
+                let start_by = message.window_end(window - DEADLINE_MARGIN);
+                (deadline.min(self.now + window), start_by)
+            }
+            Effect::Idempotent => {
+                let timeout = hedge_delay * TIMEOUT_DELAYS;
+                (deadline.min(self.now + timeout), None)
+            }
+        };
+        let max_duration = self.max_call_duration(message.destination);
+        let expires = max_duration.map_or(by_effect, |span| by_effect.min(self.now + span));
+        AttemptTimes { expires, start_by }
+    }
+}
--- /dev/null
+++ b/src/decisions/expiry.rs
@@ -0,0 +1,146 @@
+//! Messages that can't be delivered any more end, and load is shed when too many are pending.
+
+use super::state::{Health, PendingMessage, Route};
+use super::{Sender, share_of};
+use crate::interface::{Action, Effect, EndpointId, MILLISECOND, MessageId, Micros};
+use std::collections::BTreeSet;
+
+/// Time kept before a deadline for a last answer, and before the window of an idempotency key or a
+/// wait ends.
+pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
+/// Share of the pending messages above which those that can't go are rejected.
+/// Higher keeps more for a destination that recovers, lower leaves more capacity to the others.
+const SHEDDING_SHARE: f64 = 0.85;
+
+/// A message that could be rejected to make room.
+struct SheddingCandidate {
+    priority_weight: f64,
+    created_at: Micros,
+    id: MessageId,
+}
+
+impl Sender {
+    /// Ends messages that can't be delivered any more, and makes room when too many are pending.
+    pub(super) fn end_undeliverable_messages(&mut self, actions: &mut Vec<Action>) {
+        if let Some(deadline) = self.index.first_deadline() {
+            self.wake_by(deadline - DEADLINE_MARGIN);
+        }
+        let expired = self.index.ended(self.now + DEADLINE_MARGIN, self.now);
+        let shed = self.messages_to_shed(&expired);
+        for id in expired.into_iter().chain(shed) {
+            self.end(id, actions);
+        }
+    }
+
+    /// The messages of least priority that can't go now, as many as there are too many.
+    fn messages_to_shed(&self, expired: &BTreeSet<MessageId>) -> Vec<MessageId> {
+        let capacity = share_of(self.settings.max_pending, SHEDDING_SHARE);
+        let excess = self.index.open().saturating_sub(capacity);
+        if excess == 0 {
+            return Vec::new();
+        }
+        let mut candidates = Vec::new();
+        for (&id, message) in &self.messages {
+            if !expired.contains(&id) && self.may_be_shed(message) {
+                candidates.push(SheddingCandidate {
+                    priority_weight: message.priority_weight,
+                    created_at: message.created_at,
+                    id,
+                });
+            }
+        }
+        // the sort is stable: of equals the one with the lower number goes first
+        candidates.sort_by(|a, b| {
+            let by_weight = a.priority_weight.total_cmp(&b.priority_weight);
+            by_weight.then(a.created_at.cmp(&b.created_at))
+        });
+        candidates
+            .into_iter()
+            .take(excess)
+            .map(|candidate| candidate.id)
+            .collect()
+    }
+
+    fn may_be_shed(&self, message: &PendingMessage) -> bool {
+        message.open
+            && !message.has_attempt_in_flight()
+            && self.may_reject(message)
+            && self.is_stuck(message)
+    }
+
+    /// Ends a message that is not delivered.
+    fn end(&mut self, id: MessageId, actions: &mut Vec<Action>) {
+        let action = if self.may_reject(&self.messages[&id]) {
+            Action::Reject {
+                message: id,
+                retry_after: self.client_retry_after(),
+            }
+        } else {
+            Action::Fail(id)
+        };
+        actions.push(action);
+        self.close(id, actions);
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.notification_pending = self.settings.completion_by_notification;
+        }
+        self.forget_if_done(id);
+    }
+
+    /// Gives a message no further attempt, and cancels those in flight.
+    pub(super) fn close(&mut self, id: MessageId, actions: &mut Vec<Action>) {
+        let message = self.messages.get_mut(&id).filter(|message| message.open);
+        let Some(message) = message else {
+            return;
+        };
+        message.open = false;
+        if self.settings.cancellation_allowed {
+            let attempts = message.attempts.iter().enumerate();
+            let in_flight = attempts.filter(|(_, attempt)| attempt.in_flight);
+            actions.extend(in_flight.map(|(attempt, _)| Action::Cancel {
+                message: id,
+                attempt,
+            }));
+        }
+        self.reindex(id);
+    }
+
+    /// From when on no send can be legal: the message may have run and can't be repeated, or no
+    /// attempt is left.
+    pub(super) fn no_send_after(&self, message: &PendingMessage) -> Micros {
+        if message.attempts.len() >= message.max_attempts {
+            return Micros::MIN;
+        }
+        // what agreed rules forbid for now they may allow again
+        match self.configured_effect(message.class) {
+            Effect::Idempotent => Micros::MAX,
+            Effect::NonIdempotent if message.is_at_risk() => Micros::MIN,
+            Effect::NonIdempotent => Micros::MAX,
+            Effect::IdempotencyKey { window, .. } => {
+                let window_end = message.window_end(window - DEADLINE_MARGIN);
+                window_end.unwrap_or(Micros::MAX)
+            }
+        }
+    }
+
+    /// True if every route of the message's destination is ejected, recovering or has failed of
+    /// late.
+    fn is_stuck(&self, message: &PendingMessage) -> bool {
+        let Some(endpoints) = self.endpoints_by_destination.get(&message.destination) else {
+            return true;
+        };
+        let is_stuck = |id: &EndpointId| {
+            let route = self.routes.get(&self.route_of(*id));
+            route.is_some_and(|route| !route.is_reliable())
+        };
+        endpoints
+            .iter()
+            .filter(|id| self.is_available(**id))
+            .all(is_stuck)
+    }
+}
+
+impl Route {
+    fn is_reliable(&self) -> bool {
+        self.health == Health::Healthy && self.is_trusted()
+    }
+}
--- /dev/null
+++ b/src/decisions/hedging.rs
@@ -0,0 +1,73 @@
+//! Hedged requests: further attempts of a message while an earlier one is in flight.
+
+use super::Sender;
+use super::share_of;
+use super::state::{PendingMessage, Route};
+use crate::interface::{Effect, MILLISECOND, Micros, SECOND};
+
+/// Delay of a hedge before any latency is known. Shorter finds trouble sooner, longer wastes less.
+pub(super) const INITIAL_HEDGE_DELAY: Micros = SECOND;
+/// Share of the call slots that hedges may hold. More rescues more, less leaves slots to first
+/// attempts.
+const MAX_HEDGE_SHARE: f64 = 0.5;
+/// Latencies remembered per route.
+const LATENCY_SAMPLES: usize = 40;
+/// The quantile of them that sets the hedge delay, as a fraction.
+const HEDGE_QUANTILE: (usize, usize) = (19, 20);
+/// Latencies seen before they are believed. Fewer finds trouble sooner, more spares small
+/// destinations.
+const MIN_LATENCY_SAMPLES: usize = 8;
+/// The usual latency follows the last one by one part in so many: slow enough to outlast an
+/// episode.
+const USUAL_LATENCY_SMOOTHING: i64 = 50;
+
+impl Sender {
+    /// True if hedges hold as many slots as they may.
+    pub(super) fn are_hedges_full(&self) -> bool {
+        self.hedges_in_flight >= share_of(self.settings.call_slots, MAX_HEDGE_SHARE)
+    }
+}
+
+impl Route {
+    /// How long an attempt is in flight before it is hedged.
+    pub(super) fn hedge_delay(&self) -> Micros {
+        self.learned_hedge_delay.unwrap_or(INITIAL_HEDGE_DELAY)
+    }
+
+    pub(super) fn record_latency(&mut self, latency: Micros) {
+        let smoothed = |usual| usual + (latency - usual) / USUAL_LATENCY_SMOOTHING;
+        self.usual_latency = Some(self.usual_latency.map_or(latency, smoothed));
+        self.latencies.push(latency, LATENCY_SAMPLES);
+        let min_delay = if self.latencies.len() < MIN_LATENCY_SAMPLES {
+            INITIAL_HEDGE_DELAY
+        } else {
+            MILLISECOND
+        };
+        let (part, whole) = HEDGE_QUANTILE;
+        let quantile = self.latencies.quantile(part, whole).unwrap_or(0);
+        self.learned_hedge_delay = Some(quantile.max(min_delay));
+    }
+}
+
+impl PendingMessage {
+    /// Sets when the message is hedged next, after an attempt that starts now.
+    pub(super) fn schedule_hedge(
+        &mut self,
+        is_hedge: bool,
+        effect: Effect,
+        hedge_delay: Micros,
+        now: Micros,
+    ) {
+        if is_hedge {
+            self.hedge_at = now + self.hedge_interval;
+            self.hedge_interval *= 2;
+            return;
+        }
+        self.hedge_at = if effect == Effect::NonIdempotent {
+            Micros::MAX
+        } else {
+            now + hedge_delay
+        };
+        self.hedge_interval = hedge_delay;
+    }
+}
--- /dev/null
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -0,0 +1,117 @@
+//! Attempts that are taken for lost are cancelled, so that their call slots are free again.
+
+use super::Sender;
+use super::unresponsive::OVERTAKEN_DELAYS;
+use crate::decisions::share_of;
+use crate::decisions::state::{Attempt, PendingMessage, Route};
+use crate::interface::{Action, Effect, MessageId, Micros};
+
+/// Attempts on an ejected route are cancelled after this many response limits.
+/// Lower frees slots sooner, higher waits for late answers.
+const EJECTED_LIMITS: i64 = 2;
+/// So many times longer where only the one class at the one endpoint shows no sign of life.
+const CLASS_LIMIT_FACTOR: i64 = 2;
+/// An attempt is lost after this many limits, even where others are answered. Lower frees slots
+/// sooner.
+const LOST_LIMITS: i64 = 3;
+/// Slots in use above which attempts that can't be repeated are cancelled too. Lower gives up more,
+/// higher frees less.
+const SCARCE_SHARE: f64 = 0.7;
+
+/// How much the call slots are in demand.
+struct SlotPressure {
+    is_scarce: bool,
+    is_full: bool,
+}
+
+impl Sender {
+    /// Cancels attempts that are taken for lost, where that is safe.
+    pub(in crate::decisions) fn cancel_lost_attempts(&mut self, actions: &mut Vec<Action>) {
+        let scarce_calls = share_of(self.settings.call_slots, SCARCE_SHARE);
+        let pressure = SlotPressure {
+            is_scarce: self.calls.len() >= scarce_calls,
+            is_full: self.are_slots_full(),
+        };
+        for (message, attempt) in self.lost_attempts(&pressure) {
+            if let Some(pending) = self.messages.get_mut(&message) {
+                pending.attempts[attempt].cancelled = true;
+            }
+            actions.push(Action::Cancel { message, attempt });
+        }
+    }
+
+    fn lost_attempts(&self, pressure: &SlotPressure) -> Vec<(MessageId, usize)> {
+        let mut lost = Vec::new();
+        for &id in self.index.out() {
+            let Some(message) = self.messages.get(&id) else {
+                continue;
+            };
+            let is_lost = |attempt: &Attempt| self.is_lost(message, attempt, pressure);
+            let attempts = message.attempts.iter().enumerate();
+            let attempts = attempts.filter(|(_, attempt)| is_lost(attempt));
+            lost.extend(attempts.map(|(number, _)| (id, number)));
+        }
+        lost
+    }
+
+    fn is_lost(
+        &self,
+        message: &PendingMessage,
+        attempt: &Attempt,
+        pressure: &SlotPressure,
+    ) -> bool {
+        let class = self.settings.classes.get(message.class);
+        let is_repeatable = class.is_some_and(|class| class.effect != Effect::NonIdempotent);
+        let may_cancel =
+            self.settings.cancellation_allowed && (pressure.is_scarce || is_repeatable);
+        if !may_cancel || !attempt.in_flight || attempt.cancelled {
+            return false;
+        }
+        let call = self.calls.get(&attempt.call);
+        let Some(route) = call.and_then(|call| self.routes.get(&call.route)) else {
+            return false;
+        };
+        let age = self.now - attempt.sent;
+        let may_be_overtaken = pressure.is_full && is_repeatable;
+        age > LOST_LIMITS * route.response_limit()
+            || may_be_overtaken && route.is_overtaken(attempt, age)
+            || self.is_lost_with_others(message, attempt, route, pressure)
+    }
+
+    /// Nothing on the route has been answered since, or nothing of the class at the endpoint.
+    fn is_lost_with_others(
+        &self,
+        message: &PendingMessage,
+        attempt: &Attempt,
+        route: &Route,
+        pressure: &SlotPressure,
+    ) -> bool {
+        let is_route_silent = route.alive_at < attempt.sent && route.is_ejected();
+        let pressure_limits = if pressure.is_scarce {
+            1
+        } else {
+            EJECTED_LIMITS
+        };
+        let limits = if is_route_silent {
+            pressure_limits
+        } else {
+            pressure_limits * CLASS_LIMIT_FACTOR
+        };
+        let is_late = self.now - attempt.sent > limits * route.response_limit();
+        is_late && (is_route_silent || self.class_alive_at(message, attempt) < attempt.sent)
+    }
+
+    /// The last success of the message's class at the endpoint of an attempt.
+    fn class_alive_at(&self, message: &PendingMessage, attempt: &Attempt) -> Micros {
+        let endpoint = self.endpoints.get(&attempt.endpoint);
+        let record = endpoint.and_then(|endpoint| endpoint.classes.get(&message.class));
+        record.map_or(0, |record| record.alive_at)
+    }
+}
+
+impl Route {
+    /// Answers to later calls have come meanwhile.
+    fn is_overtaken(&self, attempt: &Attempt, age: Micros) -> bool {
+        self.alive_at > attempt.sent && age > OVERTAKEN_DELAYS * self.hedge_delay()
+    }
+}
--- /dev/null
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -0,0 +1,100 @@
+//! Routes that leave calls unanswered.
+
+use super::Sender;
+use crate::decisions::hedging::INITIAL_HEDGE_DELAY;
+use crate::decisions::state::{Call, Health, Route, RouteId};
+use crate::interface::{Action, EjectionReason, MILLISECOND, Micros, SECOND};
+use std::collections::BTreeSet;
+
+/// A route is unresponsive when a call is unanswered for this many hedge delays, and no shorter
+/// than this.
+const RESPONSE_LIMIT_DELAYS: i64 = 2;
+const MIN_RESPONSE_LIMIT: Micros = SECOND;
+/// A route lags while a call is in flight for this many usual latencies; all lagging and ejected
+/// routes share a part of the call slots. Lower isolates sooner, higher leaves room to long but
+/// healthy calls.
+const LAGGING_LATENCIES: i64 = 4;
+/// A call is lost after this many hedge delays where no slot is free and others overtook it; the
+/// turn at which that is found has to be asked for.
+pub(super) const OVERTAKEN_DELAYS: i64 = 5;
+/// The response limits after which something changes for a call: its route may be ejected, it may
+/// be cancelled.
+const OBSERVED_LIMITS: [i64; 3] = [1, 2, 4];
+
+impl Sender {
+    /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Guards
+    /// against hung, vanished or crawling destinations that would fill the slots of healthy ones.
+    /// Could harm where one long call is the only traffic of a route, so a lone call gets twice the
+    /// time.
+    pub(in crate::decisions) fn detect_unresponsive_routes(&mut self, actions: &mut Vec<Action>) {
+        self.observe_calls();
+        let called: BTreeSet<RouteId> = self.calls.values().map(|call| call.route).collect();
+        let is_unresponsive =
+            |id: &RouteId| self.routes.get(id).is_some_and(Route::is_unresponsive);
+        let unresponsive: Vec<_> = called.into_iter().filter(is_unresponsive).collect();
+        for id in unresponsive {
+            self.eject(id, EjectionReason::Unresponsive, actions);
+        }
+    }
+
+    fn observe_calls(&mut self) {
+        for call in self.calls.values() {
+            if let Some(route) = self.routes.get_mut(&call.route) {
+                route.reset_observations();
+            }
+        }
+        let is_full = self.are_slots_full();
+        let mut next_observation = Micros::MAX;
+        for call in self.calls.values() {
+            let Some(route) = self.routes.get_mut(&call.route) else {
+                continue;
+            };
+            for at in route.observation_times(call, is_full) {
+                if at > self.now {
+                    next_observation = next_observation.min(at);
+                }
+            }
+            route.observe_call(call, self.now);
+        }
+        self.wake_by(next_observation);
+    }
+
+    /// True if all call slots are in use.
+    pub(in crate::decisions) fn are_slots_full(&self) -> bool {
+        self.calls.len() >= self.settings.call_slots
+    }
+}
+
+impl Route {
+    /// How long an answer may take before its call counts as unanswered.
+    pub(in crate::decisions) fn response_limit(&self) -> Micros {
+        (self.hedge_delay() * RESPONSE_LIMIT_DELAYS).max(MIN_RESPONSE_LIMIT)
+    }
+
+    /// When there is something new to see of a call.
+    fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
+        let response_limit = self.response_limit();
+        let overtaken_at = call.sent + OVERTAKEN_DELAYS * self.hedge_delay();
+        let sent = call.sent;
+        let limits = OBSERVED_LIMITS.map(|limits| sent + limits * response_limit);
+        let times = limits.into_iter().chain(is_full.then_some(overtaken_at));
+        times.map(|at| at + MILLISECOND)
+    }
+
+    fn observe_call(&mut self, call: &Call, now: Micros) {
+        let age = now - call.sent;
+        let usual_latency = self.usual_latency.unwrap_or(INITIAL_HEDGE_DELAY);
+        self.is_lagging |= age > MIN_RESPONSE_LIMIT.max(usual_latency * LAGGING_LATENCIES);
+        if self.alive_at < call.sent {
+            let is_unanswered = age > self.response_limit() && !call.is_hedge;
+            self.unanswered += usize::from(is_unanswered);
+            self.oldest_unanswered = self.oldest_unanswered.max(age);
+        }
+    }
+
+    fn is_unresponsive(&self) -> bool {
+        let is_lone_call_late = self.oldest_unanswered > 2 * self.response_limit();
+        let is_late = self.unanswered > 1 || self.unanswered > 0 && is_lone_call_late;
+        self.health == Health::Healthy && is_late
+    }
+}
--- /dev/null
+++ b/src/decisions/priority.rs
@@ -0,0 +1,53 @@
+//! The order in which messages are sent: the most urgent first.
+
+use super::Sender;
+use crate::backlog::{Group, Order};
+use crate::interface::Micros;
+
+/// Part of the latency objective up to which a message gets more urgent. Higher serves more
+/// messages just in time, lower leaves more time for a retry.
+const RISING_PART: f64 = 0.9;
+/// Urgency after that, as a part of the remaining priority weight: messages that can still meet
+/// their objective go first.
+const LATE_FACTOR: f64 = 0.8;
+
+impl Sender {
+    /// The weight that can still be had by sending a message now; within the latency objective the
+    /// oldest come first. The index relies on this: it rises with age up to a part of the
+    /// objective, and never beyond.
+    fn urgency(&self, class: usize, priority_weight: f64, created_at: Micros) -> f64 {
+        let age = self.now - created_at;
+        let Some(class) = self.settings.classes.get(class) else {
+            return 0.0;
+        };
+        let objectives = age as f64 / class.latency_objective as f64;
+        let factor = if objectives <= RISING_PART {
+            1.0 + objectives
+        } else {
+            LATE_FACTOR * class.remaining_weight(age, self.settings.weight_decay)
+        };
+        priority_weight * factor
+    }
+
+    /// The order in which the messages of a group are sent.
+    pub(super) fn order(&self, group: Group) -> Order<impl Fn(Micros) -> f64> {
+        let priority_weight = f64::from_bits(group.priority_weight);
+        let urgency = move |created_at| self.urgency(group.class, priority_weight, created_at);
+        let class = self.settings.classes.get(group.class);
+        let objective = class.map_or(1, |class| class.latency_objective);
+        Order {
+            urgency,
+            peak: self.now - oldest_rising_age(objective),
+        }
+    }
+}
+
+/// The greatest age that is no more than the rising part of the latency objective, by the same
+/// rounding as the urgency.
+fn oldest_rising_age(objective: Micros) -> Micros {
+    let mut age = (objective as f64 * RISING_PART) as Micros + 1;
+    while age as f64 / objective as f64 > RISING_PART {
+        age -= 1;
+    }
+    age
+}
--- /dev/null
+++ b/src/decisions/routing.rs
@@ -0,0 +1,255 @@
+//! Which endpoint a message goes to, and whether a call there is advisable now.
+
+use super::Sender;
+use super::concurrency_limit::max_unhealthy_calls;
+use super::outlier_detection::TRUSTED_SCORE;
+use super::state::{Health, Route, RouteId};
+use crate::interface::{DestinationId, Effect, EndpointId, MILLISECOND, MessageId};
+use rand_pcg::rand_core::RngCore;
+use std::collections::BTreeMap;
+
+/// Tokens that a call needs, and that one needs which had better be spared: a hedge, or a message
+/// that can't be repeated on an ejected route.
+const TOKENS: f64 = 1.0;
+const TOKENS_OF_RISKY_CALL: f64 = 2.0;
+
+/// Where a message is sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Destination {
+    pub endpoint: EndpointId,
+    /// The call of this turn that it joins; none: it opens a call.
+    pub joined_call: Option<u64>,
+}
+
+/// How well an endpoint suits a message: the least is the best, and the fields count in their
+/// order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Suitability {
+    health: HealthRank,
+    /// Its last messages of the class failed.
+    is_avoided: bool,
+    /// Earlier attempts of the message there.
+    attempts: usize,
+    /// Calls in flight there.
+    load: usize,
+    is_in_other_zone: bool,
+    /// Spreads messages over equals.
+    random: u32,
+    destination: Destination,
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum HealthRank {
+    Healthy,
+    Recovering,
+    Ejected,
+}
+
+impl From<Health> for HealthRank {
+    fn from(health: Health) -> Self {
+        match health {
+            Health::Healthy => HealthRank::Healthy,
+            Health::Recovering { .. } => HealthRank::Recovering,
+            Health::Ejected { .. } => HealthRank::Ejected,
+        }
+    }
+}
+
+/// A message that is to be sent, and what is the same for all endpoints.
+struct Proposal {
+    message: MessageId,
+    is_hedge: bool,
+    is_non_idempotent: bool,
+    quota_allows_call: bool,
+}
+
+/// What a call would be for its route.
+#[derive(Clone, Copy)]
+struct ProposedCall {
+    is_hedge: bool,
+    is_non_idempotent: bool,
+    /// The message joins a call that is open already.
+    joins_call: bool,
+}
+
+impl Sender {
+    /// The best legal endpoint for the message.
+    pub(super) fn choose_endpoint(
+        &mut self,
+        id: MessageId,
+        is_hedge: bool,
+        open_calls: &BTreeMap<EndpointId, u64>,
+    ) -> Option<Destination> {
+        let message = &self.messages[&id];
+        let destination: DestinationId = message.destination;
+        let is_non_idempotent = self.effect(message.class) == Effect::NonIdempotent;
+        let proposal = Proposal {
+            message: id,
+            is_hedge,
+            is_non_idempotent,
+            quota_allows_call: self.quota_allows_call(destination),
+        };
+        let endpoints = self.endpoints_by_destination.get(&destination)?;
+        let endpoints: Vec<EndpointId> = endpoints.iter().copied().collect();
+        let mut options = Vec::new();
+        for endpoint in endpoints {
+            let joined_call = self.joinable_call(endpoint, open_calls);
+            let option = Destination {
+                endpoint,
+                joined_call,
+            };
+            if self.is_option(&proposal, option) {
+                options.push(self.suitability(id, option));
+            }
+        }
+        options.into_iter().min().map(|best| best.destination)
+    }
+
+    /// The call to the endpoint that was opened in this turn and has room for one more message.
+    fn joinable_call(
+        &self,
+        endpoint: EndpointId,
+        open_calls: &BTreeMap<EndpointId, u64>,
+    ) -> Option<u64> {
+        let kind = self.settings.kinds.get(self.endpoints[&endpoint].kind);
+        let bundle_max = kind.map_or(1, |kind| kind.bundle_max);
+        let call = open_calls.get(&endpoint).copied();
+        call.filter(|call| self.calls[call].size < bundle_max)
+    }
+
+    /// True if the message may go there, and that is advisable.
+    fn is_option(&mut self, proposal: &Proposal, option: Destination) -> bool {
+        let Destination {
+            endpoint,
+            joined_call,
+        } = option;
+        let joins_call = joined_call.is_some();
+        let route = self.route_of(endpoint);
+        let attempts = self.messages[&proposal.message].attempts_at(endpoint);
+        let is_repeated_hedge = proposal.is_hedge && attempts > 0;
+        if is_repeated_hedge || !self.may_send(proposal.message, endpoint, joins_call) {
+            self.wake_when_allowed(proposal.message, route);
+            return false;
+        }
+        let call = ProposedCall {
+            is_hedge: proposal.is_hedge,
+            is_non_idempotent: proposal.is_non_idempotent,
+            joins_call,
+        };
+        let has_time = self.has_time_for(proposal, route);
+        if !has_time || !self.is_advisable(route, call) {
+            return false;
+        }
+        joins_call || proposal.quota_allows_call && self.is_warm_enough(endpoint, route)
+    }
+
+    /// Has a turn look again at a message when backoff and Retry-After are over.
+    fn wake_when_allowed(&mut self, id: MessageId, route: RouteId) {
+        let key = self.messages[&id].key;
+        if let Some(backoff_end) = self.key_backoff_end(key) {
+            self.wake_by_future(backoff_end);
+        }
+        let retry_after_until = self.route_mut(route).retry_after_until;
+        self.wake_by_future(retry_after_until);
+    }
+
+    /// True unless the process ends before the answer, or a hedge would come too late.
+    fn has_time_for(&mut self, proposal: &Proposal, route: RouteId) -> bool {
+        let route = self.route_mut(route);
+        let usual_latency = route.usual_latency.unwrap_or(0);
+        let slow_latency = route.hedge_delay();
+        // a call cut off by the end of the process may have run; the next process makes a whole one
+        let is_cut_off = self
+            .shutdown_at
+            .is_some_and(|at| self.now + slow_latency > at);
+        let deadline = self.messages[&proposal.message].deadline;
+        let is_late_hedge = proposal.is_hedge && self.now + usual_latency > deadline;
+        !is_cut_off && !is_late_hedge
+    }
+
+    /// True if limits, tokens and health of the route advise the call.
+    fn is_advisable(&mut self, id: RouteId, call: ProposedCall) -> bool {
+        let now = self.now;
+        let senders = f64::from(self.fleet_size);
+        let max_unhealthy = max_unhealthy_calls(self.settings.call_slots);
+        let are_unhealthy_full = self.unhealthy_in_flight >= max_unhealthy;
+        let safety = self.settings.safety.clone();
+        let route = self.route_mut(id);
+        let rate = route.allowed_rate(&safety, senders, now);
+        route.refill_tokens(now, rate);
+        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.may_risk(call) {
+            return false;
+        }
+        let is_advised = route.has_room_for(call, are_unhealthy_full);
+        if !is_advised && !route.bucket.has_token() {
+            let wait = route.bucket.time_until_token(rate);
+            self.wake_by(now + wait + MILLISECOND);
+        }
+        is_advised
+    }
+
+    fn suitability(&mut self, id: MessageId, option: Destination) -> Suitability {
+        let message = &self.messages[&id];
+        let route = self.route_of(option.endpoint);
+        let endpoint = &self.endpoints[&option.endpoint];
+        let record = endpoint.classes.get(&message.class);
+        let is_avoided = record.is_some_and(|record| {
+            record.avoided_until > self.now && record.consecutive_failures > 0
+        });
+        Suitability {
+            health: self.routes[&route].health.into(),
+            is_avoided,
+            attempts: message.attempts_at(option.endpoint),
+            load: self.load_of(route, option),
+            is_in_other_zone: endpoint.zone != self.settings.zone,
+            random: self.random.next_u32(),
+            destination: option,
+        }
+    }
+
+    /// Filling a call costs nothing; another route has a limit of its own, a shared one has not.
+    fn load_of(&self, route: RouteId, option: Destination) -> usize {
+        if option.joined_call.is_some() {
+            return 0;
+        }
+        let calls = self.calls.values();
+        let here = calls.filter(|call| call.endpoint == option.endpoint);
+        here.count() + usize::from(route.endpoint.is_none())
+    }
+}
+
+impl Route {
+    /// False where a call is not advisable, however many tokens there are.
+    fn may_risk(&self, call: ProposedCall) -> bool {
+        match self.health {
+            Health::Healthy => {
+                // what is sent to a route that may be about to fail can't be sent again
+                let may_be_failing = self.oldest_unanswered > self.hedge_delay();
+                let is_risky = call.is_non_idempotent && may_be_failing;
+                let spares_hedge = call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
+                !is_risky && !spares_hedge
+            }
+            Health::Recovering { .. } => {
+                let is_risky = call.is_non_idempotent && self.failure_score > TRUSTED_SCORE;
+                !call.is_hedge && !is_risky
+            }
+            Health::Ejected { .. } => true,
+        }
+    }
+
+    /// True if limit and tokens leave a call.
+    fn has_room_for(&self, call: ProposedCall, are_unhealthy_full: bool) -> bool {
+        if self.is_ejected() {
+            // a message that can't be repeated is risked only if calls are rejected, or if no other
+            // goes
+            let is_risky = call.is_non_idempotent && self.consecutive_rejections == 0;
+            let needed = if is_risky {
+                TOKENS_OF_RISKY_CALL
+            } else {
+                TOKENS
+            };
+            return !call.is_hedge && self.bucket.tokens >= needed && !are_unhealthy_full;
+        }
+        call.joins_call || self.is_below_concurrency_limit() && self.bucket.has_token()
+    }
+}
--- /dev/null
+++ b/src/decisions/slow_start.rs
@@ -0,0 +1,169 @@
+//! Slow start: the rate of ejected and recovering routes, and of endpoints that operators have
+//! enabled.
+
+use super::Sender;
+use super::fleet_size::contention;
+use super::rate_limit::CERTAIN_LISTED_PART;
+use super::state::{Endpoint, Health, Route, RouteId, seconds};
+use crate::interface::{Action, EndpointId, MILLISECOND, Micros, RouteEvent, Safety};
+
+/// Part of the recovery budget that is used. Higher recovers sooner, lower leaves room for other
+/// senders.
+const BUDGET_SHARE: f64 = 0.7;
+/// Calls in an overload span that all senders together may try at an ejected route, however little
+/// each knows of it. Higher finds the recovery sooner, lower spares a small destination.
+const FLEET_TRIALS: f64 = 3.0;
+/// One sender tries at least this often in a warm-up time, whatever the fleet: no pause is longer
+/// than twice that.
+const MIN_TRIALS: f64 = 0.5;
+/// The least start capacity that trials are scaled by: below it, the division makes no sense.
+const MIN_START_CAPACITY: f64 = 0.01;
+
+impl Sender {
+    /// A call on the route succeeded: an ejected route begins to recover, one that has recovered
+    /// for long is healthy.
+    pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let warm_up_time = self.settings.safety.warm_up_time;
+        let quick_span = 2 * self.settings.safety.overload_span;
+        let contention = self.contention();
+        let route = self.route_mut(id);
+        match route.health {
+            // it answers the first trial after rejections or silence alone: throttled or slow, not
+            // unavailable
+            Health::Ejected {
+                unresponsive,
+                since,
+            } if route.is_trusted() && (unresponsive || now - since < quick_span) => {
+                route.health = Health::Healthy;
+            }
+            Health::Ejected { since, .. } => self.begin_recovery(id, since, actions),
+            Health::Recovering { since } => {
+                let recovery_time = route.recovery_time(since, warm_up_time, contention);
+                if now - since > recovery_time {
+                    route.health = Health::Healthy;
+                }
+            }
+            Health::Healthy => {}
+        }
+    }
+
+    fn begin_recovery(&mut self, id: RouteId, ejected_since: Micros, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let contention = self.contention();
+        let route = self.route_mut(id);
+        route.limit_failure_score();
+        // it came back between the last failure and now; one of many senders seldom looks
+        let unseen = now - route.failed_at.max(ejected_since);
+        let since = now - (unseen as f64 / 2.0 * contention) as Micros;
+        route.health = Health::Recovering { since };
+        self.forget_connection_scarcity(id);
+        actions.push(Action::Log(RouteEvent::Recovering {
+            destination: id.destination,
+        }));
+    }
+
+    /// True unless the endpoint was enabled a short while ago and has had what it can take. Guards
+    /// a restarted endpoint whose siblings are warm: it gets its part of what the destination is
+    /// known to take, at the level of a recovering one. Could hold back one that was never
+    /// restarted for a while.
+    pub(super) fn is_warm_enough(&mut self, id: EndpointId, route: RouteId) -> bool {
+        let now = self.now;
+        let siblings = self.available_endpoints(route);
+        let known_rate = self.route_mut(route).rate_when_warm();
+        let safety = &self.settings.safety;
+        let Some(endpoint) = self.endpoints.get_mut(&id) else {
+            return true;
+        };
+        let Some(warm_up) = &mut endpoint.warm_up else {
+            return true;
+        };
+        let warmth = (now - warm_up.since) as f64 / safety.warm_up_time.max(1) as f64;
+        if warmth >= 1.0 {
+            endpoint.warm_up = None;
+            return true;
+        }
+        let level = capacity_level(safety, warmth);
+        let rate = known_rate / siblings as f64 * safety.overload_multiple * BUDGET_SHARE * level;
+        warm_up.bucket.refill(now, rate, 1.0);
+        if warm_up.bucket.has_token() {
+            return true;
+        }
+        let wait = warm_up.bucket.time_until_token(rate);
+        self.wake_by(now + wait + MILLISECOND);
+        false
+    }
+
+    /// The number of endpoints of a destination that take calls, at least one.
+    fn available_endpoints(&self, route: RouteId) -> usize {
+        let is_available = |id: &&EndpointId| {
+            let endpoint = self.endpoints.get(id);
+            endpoint.is_some_and(Endpoint::is_available)
+        };
+        let ids = self.endpoints_by_destination.get(&route.destination);
+        ids.map_or(1, |ids| ids.iter().filter(is_available).count().max(1))
+    }
+}
+
+/// The part of its capacity that something takes at a warmth from 0 to 1.
+fn capacity_level(safety: &Safety, warmth: f64) -> f64 {
+    safety.start_capacity + (1.0 - safety.start_capacity) * warmth
+}
+
+impl Route {
+    /// Calls a second that may start now. An ejected route gets a trickle and a recovering one slow
+    /// start: this sender's share of the recovery budget, by its usual rate there or by the even
+    /// share of a reported limit. Guards a recovering destination against the sum of hundreds of
+    /// senders; could starve one that was seldom called, so no pause is longer than twice the
+    /// warm-up time.
+    pub(super) fn allowed_rate(&self, safety: &Safety, senders: f64, now: Micros) -> f64 {
+        let since = match self.health {
+            Health::Healthy => return self.rate_limit,
+            Health::Ejected { .. } => now,
+            Health::Recovering { since } => since,
+        };
+        let warm_up_time = safety.warm_up_time.max(1);
+        let warmth = (now - since) as f64 / warm_up_time as f64;
+        let level = capacity_level(safety, warmth.min(1.0));
+        let budget = self.capacity(warm_up_time, senders, now)
+            * safety.overload_multiple
+            * BUDGET_SHARE
+            * level;
+        let span = seconds(safety.overload_span.max(1));
+        let trials = (FLEET_TRIALS / senders / span)
+            .max(MIN_TRIALS / seconds(warm_up_time))
+            .min(1.0 / span);
+        let least = trials * level / safety.start_capacity.max(MIN_START_CAPACITY);
+        let most = if since == now {
+            1.0 / span
+        } else {
+            self.rate_limit
+        };
+        budget.max(least).min(most)
+    }
+
+    /// Calls a second of this sender that the warm destination takes, as far as that is known.
+    fn capacity(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
+        let usual_rate = self.usual_rate(now, warm_up_time);
+        let listed = self.listed_rate * (CERTAIN_LISTED_PART * contention(senders));
+        self.best_rate
+            .clamp(usual_rate, 2.0 * usual_rate)
+            .max(self.fair_share)
+            .max(listed)
+    }
+
+    fn rate_when_warm(&self) -> f64 {
+        if self.best_rate > 0.0 {
+            self.best_rate.max(self.fair_share)
+        } else {
+            1.0
+        }
+    }
+
+    /// How long a recovery lasts. It began between the last failure and the first success:
+    /// certainly warm is later.
+    fn recovery_time(&self, since: Micros, warm_up_time: Micros, contention: f64) -> Micros {
+        let uncertain = (since - self.failed_at).clamp(0, warm_up_time);
+        warm_up_time + (uncertain as f64 * contention) as Micros
+    }
+}
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -1,7 +1,9 @@
-//! What a version of the decisions must have in common with the one before it: the bytes of a serialized sender, which a
-//! handover carries from one to the other, and every action for the same events.
+//! What a version of the decisions must have in common with the one before it: the bytes of a
+//! serialized sender, which a handover carries from one to the other, and every action for the same
+//! events.
 //!
-//! `UPDATE_GOLDEN=1` writes the golden files; only a change of behaviour that is meant may need that.
+//! `UPDATE_GOLDEN=1` writes the golden files; only a change of behaviour that is meant may need
+//! that.
 
 mod decision_record;
 
@@ -11,7 +13,8 @@
 
 const SCENARIOS: u64 = 48;
 const TURNS: u64 = 4000;
-/// Files of serialized senders, with their scenario and turn; together they hold at least one of everything.
+/// Files of serialized senders, with their scenario and turn; together they hold at least one of
+/// everything.
 const GOLDEN_SENDERS: [(&str, u64, u64); 3] = [
     ("sender-1.postcard", 115, 1961),
     ("sender-2.postcard", 103, 2506),
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -1,5 +1,6 @@
-//! The layout of a serialized sender, written a second time: postcard knows no names, so this and the program agree only
-//! while the order and the kinds of all fields and variants are the same in both.
+//! The layout of a serialized sender, written a second time: postcard knows no names, so this and
+//! the program agree only while the order and the kinds of all fields and variants are the same in
+//! both.
 #![allow(dead_code)]
 
 use message_sender::{AgreedRules, FleetView, Micros, Quotas, Settings};
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -1,6 +1,7 @@
-//! A simulated host with a fixed seed that drives one sender through faults, list changes, restarts and commands, and
-//! folds every action and the serialized state into a digest. What it does depends on nothing but the scenario's number
-//! and the actions, so that equal digests of two versions mean equal decisions.
+//! A simulated host with a fixed seed that drives one sender through faults, list changes, restarts
+//! and commands, and folds every action and the serialized state into a digest. What it does
+//! depends on nothing but the scenario's number and the actions, so that equal digests of two
+//! versions mean equal decisions.
 
 pub mod layout;
 pub mod settings;
@@ -578,8 +579,8 @@
         }
     }
 
-    /// Folds one action into the digest: the number of its variant, then its fields. The numbers are given by hand, so
-    /// that no name and no order in the program has a part in them.
+    /// Folds one action into the digest: the number of its variant, then its fields. The numbers
+    /// are given by hand, so that no name and no order in the program has a part in them.
     fn record(&mut self, action: &Action) {
         let none = i64::MIN;
         let fields: Vec<i64> = match action {
