--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -51,13 +51,13 @@
         let Some(view) = self.fleet_view else {
             return configured;
         };
-        let is_minority = view.living.saturating_mul(2) <= configured;
-        let gone = if view.in_doubt || is_minority {
+        let is_minority = view.present.saturating_mul(2) <= configured;
+        let gone = if view.isolated || is_minority {
             0
         } else {
-            view.gone
+            view.departed
         };
-        view.living.max(configured.saturating_sub(gone)).max(1)
+        view.present.max(configured.saturating_sub(gone)).max(1)
     }
 
     fn may_shrink_fleet(&mut self) -> bool {
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -358,11 +358,11 @@
     fn change_fleet(&mut self) {
         if self.below(120) == 0 {
             let view = FleetView {
-                living: 1 + self.below(self.settings.senders * 2),
+                present: 1 + self.below(self.settings.senders * 2),
                 suspects: self.below(3) / 2,
-                gone: self.below(self.settings.senders),
+                departed: self.below(self.settings.senders),
                 agreeing: self.settings.senders,
-                in_doubt: self.below(8) == 0,
+                isolated: self.below(8) == 0,
             };
             let known = self.below(6) > 0;
             self.events.push(Event::FleetView(known.then_some(view)));
