--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -30,11 +30,11 @@
 pub use demand::InFlightAttempt;
 pub use expiry::DEADLINE_MARGIN;
 
-use crate::backlog::Index;
 use crate::interface::{
     Action, AgreedRules, DestinationId, EndpointId, Event, FleetView, MessageId, Micros, Quotas,
     Settings, SettingsError,
 };
+use crate::message_index::MessageIndex;
 use outcomes::AttemptResult;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -94,7 +94,7 @@
     candidates_examined: usize,
     /// Which pending messages have to be looked at.
     #[serde(skip)]
-    index: Index,
+    index: MessageIndex,
     /// Calls in flight on lagging and ejected routes, in this turn.
     #[serde(skip)]
     unhealthy_in_flight: usize,
@@ -138,7 +138,7 @@
             quotas: None,
             quota_buckets: BTreeMap::new(),
             candidates_examined: 0,
-            index: Index::default(),
+            index: MessageIndex::default(),
             unhealthy_in_flight: 0,
         })
     }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -4,8 +4,8 @@
 use super::fleet_size::contention;
 use super::retry::INITIAL_RETRY_BACKOFF;
 use super::state::{Attempt, PendingMessage};
-use crate::backlog::Standing;
 use crate::interface::{Action, MessageId, Micros, NewMessage, PastAttempt};
+use crate::message_index::IndexEntry;
 
 /// Size of a tenant's token bucket, in seconds of its share.
 /// Larger lets a tenant bring more at once before its messages count less.
@@ -55,8 +55,10 @@
             retry_backoff: INITIAL_RETRY_BACKOFF,
             ..PendingMessage::default()
         };
-        if let Some(mut before) = self.messages.insert(new.id, message) {
-            self.index.set(new.id, &mut before, Standing::default());
+        if let Some(replaced) = self.messages.insert(new.id, message) {
+            let indexed = replaced.indexed(new.id);
+            self.index
+                .replace(indexed, replaced.index_entry, IndexEntry::default());
         }
         self.reindex(new.id);
     }
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -67,17 +67,17 @@
             return (listed, self.demand());
         }
         self.build_index_once();
-        let used = self.index.used.take().unwrap_or_else(|| {
+        let changed = self.index.changed_destinations.take().unwrap_or_else(|| {
             let called = self.routes.iter().filter(|(_, route)| route.sent > 0);
             let called = called.map(|(id, _)| id.destination);
             self.index.waiting().keys().copied().chain(called).collect()
         });
-        let demand: BTreeMap<DestinationId, Demand> = used
+        let demand: BTreeMap<DestinationId, Demand> = changed
             .into_iter()
             .map(|id| (id, self.demand_of(id)))
             .collect();
         let current = demand.iter().filter(|(_, demand)| demand.is_current());
-        self.index.used = Some(current.map(|(id, _)| *id).collect());
+        self.index.changed_destinations = Some(current.map(|(id, _)| *id).collect());
         (listed, demand)
     }
 
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -3,8 +3,8 @@
 use super::routing::Destination;
 use super::state::{Attempt, Call, Route};
 use super::{DEADLINE_MARGIN, Sender};
-use crate::backlog::{Candidate, Candidates, Place};
 use crate::interface::{Action, Effect, EndpointId, MILLISECOND, MessageId, Micros};
+use crate::message_index::{Candidate, Candidates, GroupSide};
 use std::collections::BTreeMap;
 
 /// Hedge delays after which an attempt of an idempotent message times out. Lower frees slots
@@ -32,18 +32,18 @@
             }
             self.candidates_examined += 1;
             if self.send_candidate(candidate, &mut open_calls, actions) {
-                self.readmit_passed(candidate, &mut candidates);
-            } else if self.holds_back_group(candidate.place) {
-                candidates.pass_over(candidate.place);
+                self.readmit_skipped(candidate, &mut candidates);
+            } else if self.holds_back_group(candidate.group_side) {
+                candidates.skip(candidate.group_side);
                 continue;
             }
-            let order = self.order(candidate.place.group);
-            candidates.extend(self.index.next(candidate, &order));
+            let order = self.order(candidate.group_side.group);
+            candidates.push(self.index.next(candidate, &order));
         }
     }
 
     fn index_messages_come_due(&mut self) {
-        while let Some(id) = self.index.come_due(self.now) {
+        while let Some(id) = self.index.next_due(self.now) {
             self.reindex(id);
         }
     }
@@ -51,7 +51,7 @@
     fn wake_for_next_message(&mut self) {
         let is_served =
             |(_, id): &(Micros, MessageId)| self.is_served(self.messages[id].destination);
-        let next = self.index.later().find(is_served);
+        let next = self.index.upcoming().find(is_served);
         if let Some((at, _)) = next {
             self.wake_by(at);
         }
@@ -69,9 +69,9 @@
     /// The most urgent message on both sides of each group that is ready.
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
-        for place in self.index.ready() {
-            if self.is_served(place.destination) {
-                candidates.extend(self.index.first(place, &self.order(place.group)));
+        for group_side in self.index.ready() {
+            if self.is_served(group_side.destination) {
+                candidates.push(self.index.first(group_side, &self.order(group_side.group)));
             }
         }
         candidates
@@ -103,17 +103,17 @@
         true
     }
 
-    /// Something was sent to the destination: its groups that were passed over are looked at again.
-    fn readmit_passed(&mut self, sent: Candidate, candidates: &mut Candidates) {
-        for passed in candidates.take_passed(sent.place.destination) {
-            let order = self.order(passed.group);
-            candidates.extend(self.index.after(passed, &order, sent.rank));
+    /// Something was sent to the destination: its groups that were skipped are looked at again.
+    fn readmit_skipped(&mut self, sent: Candidate, candidates: &mut Candidates) {
+        for skipped in candidates.take_skipped(sent.group_side.destination) {
+            let order = self.order(skipped.group);
+            candidates.push(self.index.after(skipped, &order, sent.rank));
         }
     }
 
     /// True if what holds one message of a group back holds all of them back.
-    fn holds_back_group(&self, place: Place) -> bool {
-        !place.group.at_risk || self.effect(place.group.class) == Effect::Idempotent
+    fn holds_back_group(&self, group_side: GroupSide) -> bool {
+        !group_side.group.at_risk || self.effect(group_side.group.class) == Effect::Idempotent
     }
 
     /// Opens a call that starts now and has no message yet.
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -25,7 +25,9 @@
         if let Some(deadline) = self.index.first_deadline() {
             self.wake_by(deadline - DEADLINE_MARGIN);
         }
-        let expired = self.index.ended(self.now + DEADLINE_MARGIN, self.now);
+        let expired = self
+            .index
+            .undeliverable(self.now + DEADLINE_MARGIN, self.now);
         let shed = self.messages_to_shed(&expired);
         for id in expired.into_iter().chain(shed) {
             self.end(id, actions);
--- a/src/decisions/message_index.rs
+++ b/src/decisions/message_index.rs
@@ -2,8 +2,8 @@
 
 use super::Sender;
 use super::state::{Endpoint, PendingMessage};
-use crate::backlog::{Index, Standing};
-use crate::interface::{DestinationId, Effect, EndpointId, MessageId};
+use crate::interface::{DestinationId, Effect, EndpointId, MessageId, Micros};
+use crate::message_index::{Eligibility, Group, IndexEntry, MessageIndex};
 
 impl Sender {
     /// For how many messages the last turn looked for an endpoint: what its CPU time grows with.
@@ -15,7 +15,7 @@
     /// of another: slow, and what tests compare with.
     #[doc(hidden)]
     pub fn examine_each_message(&mut self) {
-        self.index.apart = true;
+        self.index.group_per_message = true;
         self.rebuild_index();
     }
 
@@ -53,28 +53,68 @@
             return;
         };
         let entry = self.index_entry(id, message);
-        match &mut self.index.used {
-            Some(used) if self.quotas.is_some() => drop(used.insert(message.destination)),
-            used => *used = None,
+        match &mut self.index.changed_destinations {
+            Some(changed) if self.quotas.is_some() => drop(changed.insert(message.destination)),
+            changed => *changed = None,
         }
         if let Some(message) = self.messages.get_mut(&id) {
-            self.index.set(id, message, entry);
+            let before = std::mem::replace(&mut message.index_entry, entry);
+            self.index.replace(message.indexed(id), before, entry);
         }
     }
 
-    fn index_entry(&self, id: MessageId, message: &PendingMessage) -> Standing {
-        let is_first = self.is_first_of_key(id, message.key);
-        let is_idempotent = self.configured_effect(message.class) == Effect::Idempotent;
-        let no_send_after = self.no_send_after(message);
-        Standing::of(
-            id,
-            message,
-            self.now,
-            is_first,
-            is_idempotent,
+    fn index_entry(&self, id: MessageId, message: &PendingMessage) -> IndexEntry {
+        let in_flight = message.has_attempt_in_flight();
+        if !message.open {
+            return IndexEntry {
+                in_flight,
+                ..IndexEntry::default()
+            };
+        }
+        // an attempt in flight may end in a way that allows another
+        let no_send_after = if in_flight {
+            Micros::MAX
+        } else {
+            self.no_send_after(message)
+        };
+        IndexEntry {
+            open: true,
+            in_flight,
             no_send_after,
-        )
-        .apart(id, self.index.apart)
+            eligibility: self.eligibility(id, message, in_flight),
+        }
+    }
+
+    fn eligibility(&self, id: MessageId, message: &PendingMessage, in_flight: bool) -> Eligibility {
+        if !self.is_first_of_key(id, message.key) {
+            return Eligibility::Blocked;
+        }
+        let next_send_at = if in_flight {
+            message.hedge_at
+        } else {
+            message.retry_at
+        };
+        if next_send_at > self.now {
+            return Eligibility::At(next_send_at);
+        }
+        Eligibility::Ready(self.group(id, message, in_flight))
+    }
+
+    fn group(&self, id: MessageId, message: &PendingMessage, in_flight: bool) -> Group {
+        let at_risk = message.is_at_risk();
+        let is_idempotent = self.configured_effect(message.class) == Effect::Idempotent;
+        // a hedge, the backoff of a key and the window of an idempotency key concern one message only
+        let is_sole_member = self.index.group_per_message
+            || in_flight
+            || message.key.is_some()
+            || at_risk && !is_idempotent;
+        Group {
+            class: message.class,
+            priority_weight: message.priority_weight.to_bits(),
+            attempts: message.attempts.len(),
+            at_risk,
+            sole_member: is_sole_member.then_some(id),
+        }
     }
 
     /// Builds the index if the messages were read back without it.
@@ -86,22 +126,27 @@
 
     pub(super) fn rebuild_index(&mut self) {
         let messages = self.messages.iter();
-        let entries: Vec<Standing> = messages
+        let entries: Vec<IndexEntry> = messages
             .map(|(&id, message)| self.index_entry(id, message))
             .collect();
-        let used = self.index.used.take();
+        let changed = self.index.changed_destinations.take();
         let messages = self.messages.iter_mut().zip(entries);
-        let indexed = messages.map(|((&id, message), entry)| (id, message, entry));
-        self.index = Index::of(self.index.apart, indexed);
-        self.index.used = used;
+        let indexed = messages.map(|((&id, message), entry)| {
+            message.index_entry = entry;
+            (message.indexed(id), entry)
+        });
+        self.index = MessageIndex::build(self.index.group_per_message, indexed);
+        self.index.changed_destinations = changed;
     }
 
     /// Checks that the index holds each message as it is.
     #[cfg(debug_assertions)]
     pub(super) fn check_index(&mut self) {
         let index = std::mem::take(&mut self.index);
-        self.index.apart = index.apart;
-        self.index.used.clone_from(&index.used);
+        self.index.group_per_message = index.group_per_message;
+        self.index
+            .changed_destinations
+            .clone_from(&index.changed_destinations);
         self.rebuild_index();
         assert_eq!(
             index, self.index,
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -42,7 +42,7 @@
 
     fn lost_attempts(&self, pressure: &SlotPressure) -> Vec<(MessageId, usize)> {
         let mut lost = Vec::new();
-        for &id in self.index.out() {
+        for &id in self.index.in_flight() {
             let Some(message) = self.messages.get(&id) else {
                 continue;
             };
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -1,8 +1,8 @@
 //! The order in which messages are sent: the most urgent first.
 
 use super::Sender;
-use crate::backlog::{Group, Order};
 use crate::interface::Micros;
+use crate::message_index::{Group, GroupOrder};
 
 /// Part of the latency objective up to which a message gets more urgent. Higher serves more
 /// messages just in time, lower leaves more time for a retry.
@@ -30,12 +30,12 @@
     }
 
     /// The order in which the messages of a group are sent.
-    pub(super) fn order(&self, group: Group) -> Order<impl Fn(Micros) -> f64> {
+    pub(super) fn order(&self, group: Group) -> GroupOrder<impl Fn(Micros) -> f64> {
         let priority_weight = f64::from_bits(group.priority_weight);
         let urgency = move |created_at| self.urgency(group.class, priority_weight, created_at);
         let class = self.settings.classes.get(group.class);
         let objective = class.map_or(1, |class| class.latency_objective);
-        Order {
+        GroupOrder {
             urgency,
             peak: self.now - oldest_rising_age(objective),
         }
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -1,7 +1,7 @@
 //! Pending messages and their attempts.
 
-use crate::backlog::Standing;
-use crate::interface::{DestinationId, EndpointId, Micros, PastAttempt};
+use crate::interface::{DestinationId, EndpointId, MessageId, Micros, PastAttempt};
+use crate::message_index::{IndexEntry, IndexedMessage};
 use serde::{Deserialize, Serialize};
 
 /// The number of a call that ended with an earlier process.
@@ -76,10 +76,20 @@
     pub hedge_interval: Micros,
     /// What the index holds of it.
     #[serde(skip)]
-    pub index_entry: Standing,
+    pub index_entry: IndexEntry,
 }
 
 impl PendingMessage {
+    /// What the index is told of it once.
+    pub fn indexed(&self, id: MessageId) -> IndexedMessage {
+        IndexedMessage {
+            id,
+            destination: self.destination,
+            created_at: self.created_at,
+            deadline: self.deadline,
+        }
+    }
+
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,10 +21,10 @@
 //! # Ok::<(), message_sender::SettingsError>(())
 //! ```
 
-mod backlog;
 pub mod decisions;
 pub mod interface;
 pub mod lifecycle;
+mod message_index;
 pub mod pool;
 pub mod wire;
 
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -90,10 +90,10 @@
         now: Micros,
         open: bool,
     ) -> Option<usize> {
-        if let Err(refusal) = self.lifecycle.begin(attempt.message, now) {
+        if let Err(violation) = self.lifecycle.begin_attempt(attempt.message, now) {
             if open {
                 self.violations.count(
-                    Violation::CallForbidden(refusal),
+                    Violation::CallForbidden(violation),
                     format_args!("{attempt:?}"),
                 );
             }
@@ -104,7 +104,8 @@
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
         if record.is_none() {
-            self.lifecycle.ended(attempt.message, NOT_SENT, now, 0);
+            self.lifecycle
+                .end_attempt(attempt.message, NOT_SENT, now, 0);
         }
         record
     }
@@ -158,7 +159,8 @@
         self.end_call_item(end.call);
         let now = self.clock.at(Instant::now());
         let key_backoff = self.settings.safety.key_backoff;
-        self.lifecycle.ended(message, end.outcome, now, key_backoff);
+        self.lifecycle
+            .end_attempt(message, end.outcome, now, key_backoff);
         if let Some(record) = attempt.record
             && end.outcome.never_ran()
             && self.messages.is_open(message)
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -164,7 +164,8 @@
     /// The endpoint has no address: nothing of the bundle is sent.
     fn abandon_bundle(&mut self, bundle: Bundle) {
         for &(message, number) in &bundle.sends {
-            self.lifecycle.ended(message, NOT_SENT, Micros::MIN, 0);
+            self.lifecycle
+                .end_attempt(message, NOT_SENT, Micros::MIN, 0);
             self.attempt_not_sent(InFlightAttempt {
                 message,
                 number,
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -59,7 +59,7 @@
 impl Driver {
     /// Nothing more is to be done for the message.
     pub(super) fn complete(&mut self, message: MessageId) {
-        self.lifecycle.over(message);
+        self.lifecycle.complete(message);
         if self.messages.close(message) {
             self.journal.complete(message);
         }
@@ -102,7 +102,7 @@
     pub(super) fn notifications_delivered(&mut self, numbers: Vec<u64>) {
         for message in numbers.into_iter().map(MessageId) {
             self.journal.complete(message);
-            self.lifecycle.over(message);
+            self.lifecycle.complete(message);
             self.events.push(Event::NotificationDelivered(message));
         }
     }
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -2,12 +2,12 @@
 
 use super::Driver;
 use super::messages::{Attempt, Message, NO_CALL};
-use super::submissions::{key_of, promise_of};
+use super::submissions::{guarantee_of, key_of};
 use crate::net::calls::Item;
 use crate::net::discovery::OutcomeNotification;
 use crate::net::journal::{RecordedAttempt, UnfinishedMessage};
 use hyper::header::HeaderValue;
-use message_sender::lifecycle::Promise;
+use message_sender::lifecycle::DeliveryGuarantee;
 use message_sender::wire::position;
 use message_sender::{Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
 use tokio::time::Instant;
@@ -96,11 +96,11 @@
     }
 
     fn recover_lifecycle(&mut self, number: MessageId, message: &UnfinishedMessage) {
-        let promise = match &message.terms {
-            Some(terms) => promise_of(terms, &message.origin),
-            None => Promise {
+        let guarantee = match &message.terms {
+            Some(terms) => guarantee_of(terms, &message.origin),
+            None => DeliveryGuarantee {
                 key: None,
-                once: false,
+                at_most_once: false,
             },
         };
         let in_flight = self.messages.get(number).map_or(0, |held| {
@@ -110,7 +110,7 @@
         let attempts = message.attempts.iter();
         let may_have_run = attempts.filter(|attempt| !attempt.never_ran).count();
         self.lifecycle
-            .resume(number, promise, in_flight, may_have_run > in_flight);
+            .restore(number, guarantee, in_flight, may_have_run > in_flight);
     }
 
     fn recover_open_message(
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -7,7 +7,7 @@
 use crate::net::handover::text;
 use crate::net::journal::{AcceptedMessage, ClassTerms, MessageOrigin};
 use hyper::header::HeaderValue;
-use message_sender::lifecycle::Promise;
+use message_sender::lifecycle::DeliveryGuarantee;
 use message_sender::wire::position;
 use message_sender::{Action, Event, MessageId, Micros, NewMessage};
 use std::collections::BTreeMap;
@@ -23,9 +23,9 @@
 }
 
 /// What was promised for a message when it was accepted.
-pub(super) fn promise_of(terms: &ClassTerms, origin: &MessageOrigin) -> Promise {
+pub(super) fn guarantee_of(terms: &ClassTerms, origin: &MessageOrigin) -> DeliveryGuarantee {
     let subject = origin.subject.as_deref().filter(|_| terms.ordered);
-    Promise::new(subject.map(key_of), terms.effect)
+    DeliveryGuarantee::new(subject.map(key_of), terms.effect)
 }
 
 /// A message of this turn.
@@ -177,11 +177,11 @@
             subject: submission.subject.clone(),
             tenant: submission.tenant.clone(),
         };
-        let promise = promise_of(&terms, &origin);
+        let guarantee = guarantee_of(&terms, &origin);
         if !self.journal.accept(message, accepted, origin, terms) {
             return SubmissionResult::NotStored;
         }
-        self.lifecycle.take(message, promise);
+        self.lifecycle.accept(message, guarantee);
         SubmissionResult::Accepted
     }
 }
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -1,6 +1,6 @@
 //! What must never happen between the decision module and the driver, checked at run time: counted, logged and put right.
 
-use message_sender::lifecycle::Refusal;
+use message_sender::lifecycle;
 use std::collections::BTreeMap;
 use std::fmt;
 use thiserror::Error;
@@ -27,7 +27,7 @@
     CancelUnknown,
     /// The decision module decided a call that what has happened forbids.
     #[error("a call must not begin: {0}")]
-    CallForbidden(Refusal),
+    CallForbidden(lifecycle::Violation),
 }
 
 /// How often each was seen.
