--- a/ledger/src/freeze/active_window.rs
+++ b/ledger/src/freeze/active_window.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A window that is on, or is to come.
+/// A window that is active, or is to come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ActiveWindow {
     /// When it ends by the calendar, Unix time in ms.
     pub until_ms: u64,
     /// What it concerns.
     pub scope: Scope,
-    /// What it holds; all that widens where empty.
+    /// The changes that it holds; all that expand the topology where empty.
     #[serde(rename = "holds")]
     pub held_changes: BTreeSet<ChangeKind>,
     /// Why.
@@ -23,9 +23,9 @@
 
 impl ActiveWindow {
     /// Whether it holds a change.
-    pub fn is_holding(&self, matter: &ResourceChange) -> bool {
-        let kind = self.held_changes.is_empty() || self.held_changes.contains(&matter.kind);
-        kind && self.scope.touches(matter)
+    pub fn is_holding(&self, change: &ResourceChange) -> bool {
+        let holds_kind = self.held_changes.is_empty() || self.held_changes.contains(&change.kind);
+        holds_kind && self.scope.touches(change)
     }
 }
 
@@ -45,42 +45,36 @@
     pub until_ms: u64,
 }
 
-/// Judges changes by the windows that are on.
+/// Checks changes against the active windows; `has_reductions`: there are others in the batch that reduce the topology.
 ///
 /// # Errors
 /// Names the first window that holds one of them.
 pub fn check_changes(
-    on: &BTreeMap<String, ActiveWindow>,
-    glass: Option<&BreakGlassOverride>,
-    matters: &[ResourceChange],
-    relieves: bool,
+    active_windows: &BTreeMap<String, ActiveWindow>,
+    break_glass_override: Option<&BreakGlassOverride>,
+    changes: &[ResourceChange],
+    has_reductions: bool,
 ) -> Result<(), FreezeError> {
-    for matter in matters {
-        let broken = glass.is_some_and(|glass| glass.scope.covers(matter));
-        let held = on.iter().find(|(_, on)| !broken && on.is_holding(matter));
-        if let Some((
-            window,
-            ActiveWindow {
-                until_ms,
-                reason,
-                owner,
-                ..
-            },
-        )) = held
-        {
-            let window = window.clone();
-            if relieves {
-                return Err(FreezeError::MixedBatch(window));
-            }
-            let (reason, owner) = (reason.clone(), owner.clone());
-            return Err(FreezeError::Held {
-                window,
-                until_ms: *until_ms,
-                kind: matter.kind,
-                reason,
-                owner,
-            });
+    for change in changes {
+        if break_glass_override.is_some_and(|allowed| allowed.scope.covers(change)) {
+            continue;
         }
+        let holding = active_windows
+            .iter()
+            .find(|(_, window)| window.is_holding(change));
+        let Some((name, window)) = holding else {
+            continue;
+        };
+        if has_reductions {
+            return Err(FreezeError::MixedBatch(name.clone()));
+        }
+        return Err(FreezeError::Held {
+            window: name.clone(),
+            until_ms: window.until_ms,
+            kind: change.kind,
+            reason: window.reason.clone(),
+            owner: window.owner.clone(),
+        });
     }
     Ok(())
 }
--- a/ledger/src/freeze/calendar.rs
+++ b/ledger/src/freeze/calendar.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Windows that a calendar may have, and the longest text in it.
-pub(super) const WINDOWS_MOST: usize = 256;
+pub(super) const MAX_WINDOWS: usize = 256;
 
-const TEXT_MOST: usize = 256;
+const MAX_TEXT_BYTES: usize = 256;
 
 /// How a window comes again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -57,13 +57,13 @@
 }
 
 pub(super) fn is_text(text: &str) -> bool {
-    (1..=TEXT_MOST).contains(&text.len())
+    (1..=MAX_TEXT_BYTES).contains(&text.len())
 }
 
 impl FreezeCalendar {
     /// Checks what needs no clock and no table of zones.
     pub(super) fn validate(&self) -> Result<(), FreezeError> {
-        if self.windows.len() > WINDOWS_MOST {
+        if self.windows.len() > MAX_WINDOWS {
             return Err(FreezeError::TooManyWindows);
         }
         for (name, window) in &self.windows {
--- a/ledger/src/freeze/change.rs
+++ b/ledger/src/freeze/change.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A change that widens the topology. What relieves (a drain, a removal, less weight, a lower limit) has no kind: it passes at
-/// any time.
+/// A change that expands the topology. What reduces it (a drain, a removal, less weight, a lower limit) has no kind: it
+/// passes at any time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
@@ -20,7 +20,7 @@
     Raised,
     /// Rules that allow what those before forbid.
     Rules,
-    /// A range of the ledger is split.
+    /// A shard of the ledger is split.
     Split,
     /// A replica is added.
     Replica,
@@ -40,10 +40,10 @@
     }
 }
 
-/// A widening change, and what it concerns.
+/// A change that expands the topology, and what it concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResourceChange {
-    /// What it does.
+    /// What kind of change.
     pub kind: ChangeKind,
     /// Zones that it concerns.
     pub zones: Vec<String>,
@@ -54,10 +54,10 @@
 }
 
 impl ResourceChange {
-    /// One that concerns all.
-    pub fn of_all(widening: ChangeKind) -> Self {
+    /// A change that concerns all.
+    pub fn of_all(kind: ChangeKind) -> Self {
         ResourceChange {
-            kind: widening,
+            kind,
             zones: Vec::new(),
             destinations: Vec::new(),
             tenants: Vec::new(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// What a window or a broken glass concerns; all where nothing is named.
+/// What a window or an override concerns; all where nothing is named.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scope {
@@ -84,27 +84,27 @@
     }
 
     /// Whether a change has anything to do with it.
-    pub(super) fn touches(&self, matter: &ResourceChange) -> bool {
+    pub(super) fn touches(&self, change: &ResourceChange) -> bool {
         self.is_all()
-            || matter.zones.iter().any(|zone| self.zones.contains(zone))
-            || matter
+            || change.zones.iter().any(|zone| self.zones.contains(zone))
+            || change
                 .destinations
                 .iter()
                 .any(|destination| self.destinations.contains(destination))
-            || matter
+            || change
                 .tenants
                 .iter()
                 .any(|tenant| self.tenants.contains(tenant))
     }
 
     /// Whether a change has to do with nothing else.
-    pub(super) fn covers(&self, matter: &ResourceChange) -> bool {
+    pub(super) fn covers(&self, change: &ResourceChange) -> bool {
         let ResourceChange {
             zones,
             destinations,
             tenants,
             ..
-        } = matter;
+        } = change;
         let zones = !zones.is_empty() && zones.iter().all(|zone| self.zones.contains(zone));
         let destinations = !destinations.is_empty()
             && destinations
--- a/ledger/src/freeze/endpoint_change.rs
+++ b/ledger/src/freeze/endpoint_change.rs
@@ -5,7 +5,7 @@
 /// An endpoint as a list has it, as far as a freeze looks at it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointSnapshot {
-    /// It takes calls.
+    /// Whether it takes calls.
     pub up: bool,
     /// Its destination.
     pub destination: u64,
@@ -15,27 +15,27 @@
     pub weight: f64,
 }
 
-/// What a list's entry widens against what is known of the endpoint; none: it widens nothing.
+/// The change that a list's entry is against what is known of the endpoint; none: it does not expand the topology.
 pub fn resource_change(
     before: Option<&EndpointSnapshot>,
     after: &EndpointSnapshot,
 ) -> Option<ResourceChange> {
-    let of = |widening| {
-        let mut matter = ResourceChange::of_all(widening);
-        for seen in before.into_iter().chain([after]) {
-            matter.zones.push(seen.zone.clone());
-            matter.destinations.push(seen.destination);
+    let change = |kind| {
+        let mut change = ResourceChange::of_all(kind);
+        for endpoint in before.into_iter().chain([after]) {
+            change.zones.push(endpoint.zone.clone());
+            change.destinations.push(endpoint.destination);
         }
-        matter
+        change
     };
     match before {
         _ if !after.up => None,
-        None => Some(of(ChangeKind::Added)),
+        None => Some(change(ChangeKind::Added)),
         Some(before) if (before.destination, &before.zone) != (after.destination, &after.zone) => {
-            Some(of(ChangeKind::Moved))
+            Some(change(ChangeKind::Moved))
         }
-        Some(before) if !before.up => Some(of(ChangeKind::Restored)),
-        Some(before) => (after.weight > before.weight).then(|| of(ChangeKind::Raised)),
+        Some(before) if !before.up => Some(change(ChangeKind::Restored)),
+        Some(before) => (after.weight > before.weight).then(|| change(ChangeKind::Raised)),
     }
 }
 
--- a/ledger/src/freeze/error.rs
+++ b/ledger/src/freeze/error.rs
@@ -1,6 +1,6 @@
 //! Why a change of the topology is held, or the freeze does not change.
 
-use super::calendar::WINDOWS_MOST;
+use super::calendar::MAX_WINDOWS;
 use super::change::ChangeKind;
 use miette::Diagnostic;
 use thiserror::Error;
@@ -62,7 +62,7 @@
         problem: String,
     },
     /// There are too many.
-    #[error("more than {WINDOWS_MOST} windows")]
+    #[error("more than {MAX_WINDOWS} windows")]
     #[diagnostic(code(freeze::many), help("take out windows that have ended"))]
     TooManyWindows,
     /// Another calendar holds.
--- a/ledger/src/freeze/state.rs
+++ b/ledger/src/freeze/state.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest time for which the glass may be broken, ms.
-const GLASS_MOST_MS: u64 = 24 * 3600 * 1000;
+/// Longest break-glass override, in ms.
+const MAX_OVERRIDE_MS: u64 = 24 * 3600 * 1000;
 
-/// What is proposed to the log.
+/// A change of the freeze that is proposed to the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FreezeEntry {
     /// Another calendar: from now on its windows and those of the one before are in force.
@@ -26,14 +26,14 @@
     BeginWindow(String, ActiveWindow),
     /// A window ends.
     EndWindow(String),
-    /// The glass is broken.
+    /// A break-glass override begins.
     BreakGlass {
         /// By whom, for what.
         break_glass_override: BreakGlassOverride,
         /// What time the log's clock showed.
         now_ms: u64,
     },
-    /// It is whole again.
+    /// The override ends.
     EndOverride,
     /// The log's clock: it never goes back.
     AdvanceClock(u64),
@@ -42,12 +42,12 @@
 /// The freeze as the log has it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FreezeState {
-    rev: u64,
+    revision: u64,
     calendar: FreezeCalendar,
     /// The calendar before, while its windows are in force too.
-    before: Option<FreezeCalendar>,
-    on: BTreeMap<String, ActiveWindow>,
-    glass: Option<BreakGlassOverride>,
+    previous_calendar: Option<FreezeCalendar>,
+    active_windows: BTreeMap<String, ActiveWindow>,
+    break_glass_override: Option<BreakGlassOverride>,
     clock_ms: u64,
 }
 
@@ -59,77 +59,87 @@
     pub fn apply(&mut self, entry: FreezeEntry) -> Result<(), FreezeError> {
         match entry {
             FreezeEntry::PutCalendar { calendar, if_match } => {
-                if let Some(wanted) = if_match.filter(|wanted| *wanted != self.rev) {
-                    return Err(FreezeError::VersionMismatch {
-                        now: self.rev,
-                        wanted,
-                    });
-                }
-                if calendar == self.calendar {
-                    return Ok(());
-                }
-                if self.before.is_some() {
-                    return Err(FreezeError::ChangeInProgress(self.rev));
-                }
-                calendar.validate()?;
-                self.before = Some(std::mem::replace(&mut self.calendar, calendar));
-                self.rev += 1;
+                self.put_calendar(calendar, if_match)?;
             }
-            FreezeEntry::SettleCalendar(rev) => {
-                if rev == self.rev {
-                    self.before = None;
+            FreezeEntry::SettleCalendar(revision) => {
+                if revision == self.revision {
+                    self.previous_calendar = None;
                 }
             }
-            FreezeEntry::BeginWindow(name, on) => drop(self.on.insert(name, on)),
-            FreezeEntry::EndWindow(name) => drop(self.on.remove(&name)),
+            FreezeEntry::BeginWindow(name, window) => {
+                self.active_windows.insert(name, window);
+            }
+            FreezeEntry::EndWindow(name) => {
+                self.active_windows.remove(&name);
+            }
             FreezeEntry::BreakGlass {
-                break_glass_override: glass,
+                break_glass_override,
                 now_ms,
             } => {
-                let two = glass.approvers.len() == 2 && glass.approvers[0] != glass.approvers[1];
-                let named = glass
-                    .approvers
-                    .iter()
-                    .chain([&glass.reason])
-                    .all(|text| is_text(text));
-                if !two || !named {
-                    return Err(FreezeError::InvalidOverride(
-                        "it takes two names and a reason",
-                    ));
-                }
-                if glass.until_ms <= now_ms || glass.until_ms - now_ms > GLASS_MOST_MS {
-                    return Err(FreezeError::InvalidOverride("it has no end within a day"));
-                }
-                self.glass = Some(glass);
-            }
-            FreezeEntry::EndOverride => {
-                self.glass.take().map(drop).ok_or(FreezeError::NoOverride)?
+                check_override(&break_glass_override, now_ms)?;
+                self.break_glass_override = Some(break_glass_override);
             }
+            FreezeEntry::EndOverride => self
+                .break_glass_override
+                .take()
+                .map(drop)
+                .ok_or(FreezeError::NoOverride)?,
             FreezeEntry::AdvanceClock(ms) => self.clock_ms = self.clock_ms.max(ms),
         }
         Ok(())
     }
 
-    /// Judges changes that widen, beside others that relieve.
+    fn put_calendar(
+        &mut self,
+        calendar: FreezeCalendar,
+        if_match: Option<u64>,
+    ) -> Result<(), FreezeError> {
+        if let Some(wanted) = if_match.filter(|wanted| *wanted != self.revision) {
+            return Err(FreezeError::VersionMismatch {
+                now: self.revision,
+                wanted,
+            });
+        }
+        if calendar == self.calendar {
+            return Ok(());
+        }
+        if self.previous_calendar.is_some() {
+            return Err(FreezeError::ChangeInProgress(self.revision));
+        }
+        calendar.validate()?;
+        self.previous_calendar = Some(std::mem::replace(&mut self.calendar, calendar));
+        self.revision += 1;
+        Ok(())
+    }
+
+    /// Checks changes that expand the topology; `has_reductions`: there are others in the batch that reduce it.
     ///
     /// # Errors
-    /// A window that is on holds one of them, and no broken glass covers it.
+    /// An active window holds one of them, and no override covers it.
     pub fn check_changes(
         &self,
-        matters: &[ResourceChange],
-        relieves: bool,
+        changes: &[ResourceChange],
+        has_reductions: bool,
     ) -> Result<(), FreezeError> {
-        check_changes(&self.on, self.glass.as_ref(), matters, relieves)
+        check_changes(
+            &self.active_windows,
+            self.break_glass_override.as_ref(),
+            changes,
+            has_reductions,
+        )
     }
 
-    /// The first window that is on.
+    /// The first active window, unless there is an override.
     pub fn first_active_window(&self) -> Option<&String> {
-        self.on.keys().next().filter(|_| self.glass.is_none())
+        self.active_windows
+            .keys()
+            .next()
+            .filter(|_| self.break_glass_override.is_none())
     }
 
-    /// The calendar's version.
+    /// The revision of the calendar.
     pub fn revision(&self) -> u64 {
-        self.rev
+        self.revision
     }
 
     /// The calendar.
@@ -139,17 +149,17 @@
 
     /// The calendar before, while its windows are in force too.
     pub fn previous_calendar(&self) -> Option<&FreezeCalendar> {
-        self.before.as_ref()
+        self.previous_calendar.as_ref()
     }
 
-    /// The windows that are on.
+    /// The active windows.
     pub fn active_windows(&self) -> &BTreeMap<String, ActiveWindow> {
-        &self.on
+        &self.active_windows
     }
 
-    /// The glass, if it is broken.
+    /// The break-glass override, if there is one.
     pub fn break_glass_override(&self) -> Option<&BreakGlassOverride> {
-        self.glass.as_ref()
+        self.break_glass_override.as_ref()
     }
 
     /// The log's clock, Unix time in ms.
@@ -158,5 +168,28 @@
     }
 }
 
+fn check_override(
+    break_glass_override: &BreakGlassOverride,
+    now_ms: u64,
+) -> Result<(), FreezeError> {
+    let BreakGlassOverride {
+        approvers,
+        reason,
+        until_ms,
+        ..
+    } = break_glass_override;
+    let has_two_approvers = approvers.len() == 2 && approvers[0] != approvers[1];
+    let has_texts = approvers.iter().chain([reason]).all(|text| is_text(text));
+    if !has_two_approvers || !has_texts {
+        return Err(FreezeError::InvalidOverride(
+            "it takes two names and a reason",
+        ));
+    }
+    if *until_ms <= now_ms || until_ms - now_ms > MAX_OVERRIDE_MS {
+        return Err(FreezeError::InvalidOverride("it has no end within a day"));
+    }
+    Ok(())
+}
+
 #[cfg(test)]
 mod tests;
--- a/ledger/src/health/report.rs
+++ b/ledger/src/health/report.rs
@@ -2,29 +2,29 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a sender says of a destination, of its own calls alone.
+/// What a sender reports of a destination, by its own calls alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthReport {
-    /// Which.
+    /// The destination.
     pub destination: u64,
-    /// It is out; else its last call succeeded a short while ago.
+    /// It is unavailable; else its last call succeeded a short while ago.
     #[serde(rename = "out")]
     pub unavailable: bool,
 }
 
-/// What enough of them agree on.
+/// What a quorum of senders agrees on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthVerdict {
-    /// Which.
+    /// The destination.
     pub destination: u64,
-    /// It is out; else it is back.
+    /// It is unavailable; else it is available again.
     #[serde(rename = "out")]
     pub unavailable: bool,
     /// Higher with each change: of two, the one with the higher epoch holds.
     pub epoch: u64,
-    /// Senders that say so.
+    /// Senders that report it.
     pub observers: usize,
 }
 
