--- a/registry/examples/watchers.rs
+++ b/registry/examples/watchers.rs
@@ -3,31 +3,126 @@
 
 use std::error::Error;
 use std::net::SocketAddr;
+use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use tempfile::TempDir;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use tokio::time::sleep;
+use tokio::time::{sleep, timeout};
 
-type Fault = Box<dyn Error>;
+type AnyError = Box<dyn Error>;
 
 /// Endpoints that the list has from the start.
-const LISTED: usize = 60;
+const ENDPOINTS: usize = 60;
+const CLIENT_PORT: u16 = 8500;
+const PEER_PORT: u16 = 8600;
+/// The longest time for a request to succeed.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest time for a change to reach the next watcher.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+const WATCH_REQUEST: &[u8] = b"GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nhost: r\r\n\r\n";
 
-fn main() -> Result<(), Fault> {
-    tokio::runtime::Builder::new_current_thread()
+fn main() -> Result<(), AnyError> {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [program, replicas, watchers, changes] = arguments.as_slice() else {
+        return Err("PROGRAM REPLICAS WATCHERS CHANGES".into());
+    };
+    let cluster = Cluster::start(program, replicas.parse()?)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build()?
-        .block_on(measure())
+        .build()?;
+    runtime.block_on(measure(&cluster, watchers.parse()?, changes.parse()?))
+}
+
+/// Replicas that are killed when this is dropped.
+struct Cluster {
+    /// The second number of the addresses, 127.N.240.x.
+    network: u32,
+    replicas: Vec<Child>,
+    _folder: TempDir,
+}
+
+impl Cluster {
+    fn start(program: &str, count: usize) -> Result<Self, AnyError> {
+        let folder = tempfile::tempdir()?;
+        let network = 130 + std::process::id() % 100;
+        let mut replicas = Vec::new();
+        for replica in 0..count {
+            let path = folder.path().join(format!("r{replica}.toml"));
+            write_settings(&path, network, replica, count)?;
+            let mut command = Command::new(program);
+            replicas.push(
+                command
+                    .args(["run", "--config"])
+                    .arg(path)
+                    .stderr(Stdio::null())
+                    .spawn()?,
+            );
+        }
+        Ok(Cluster {
+            network,
+            replicas,
+            _folder: folder,
+        })
+    }
+
+    /// The first replica's address for clients.
+    fn address(&self) -> Result<SocketAddr, AnyError> {
+        address(self.network, 0, CLIENT_PORT)
+    }
+
+    /// Resident memory of the first replica, KiB.
+    fn memory(&self) -> u64 {
+        let path = format!("/proc/{}/status", self.replicas[0].id());
+        let status = std::fs::read_to_string(path).unwrap_or_default();
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+        line.and_then(|line| line.split_whitespace().next()?.parse().ok())
+            .unwrap_or(0)
+    }
 }
 
-async fn call(
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        for child in &mut self.replicas {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+}
+
+fn address(network: u32, replica: usize, port: u16) -> Result<SocketAddr, AnyError> {
+    Ok(format!("127.{network}.240.{}:{port}", replica + 1).parse()?)
+}
+
+fn write_settings(path: &Path, network: u32, replica: usize, count: usize) -> Result<(), AnyError> {
+    let mut text = format!(
+        "cluster = \"m\"\nid = {}\nlisten = \"{}\"\npeers = \"{}\"\nfolder = \"r{replica}\"\n",
+        replica + 1,
+        address(network, replica, CLIENT_PORT)?,
+        address(network, replica, PEER_PORT)?
+    );
+    for other in 0..count {
+        let clients = address(network, other, CLIENT_PORT)?;
+        let peers = address(network, other, PEER_PORT)?;
+        let id = other + 1;
+        text += &format!("[[replica]]\nid = {id}\npeers = \"{peers}\"\nclients = \"{clients}\"\n");
+    }
+    Ok(std::fs::write(path, text)?)
+}
+
+/// A response, as far as it matters here.
+struct HttpResponse {
+    status: u16,
+}
+
+async fn request(
     address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
-) -> Result<(u16, String), Fault> {
+) -> Result<HttpResponse, AnyError> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let length = body.len();
@@ -39,25 +134,24 @@
         .await?;
     let mut text = String::new();
     stream.read_to_string(&mut text).await?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or("no answer")?;
-    Ok((
-        head.split(' ').nth(1).ok_or("no status")?.parse()?,
-        body.to_string(),
-    ))
+    let (head, _) = text.split_once("\r\n\r\n").ok_or("no answer")?;
+    Ok(HttpResponse {
+        status: head.split(' ').nth(1).ok_or("no status")?.parse()?,
+    })
 }
 
-async fn until_done(
+async fn request_until_success(
     address: SocketAddr,
     method: &str,
     path: &str,
     body: &str,
-) -> Result<(), Fault> {
-    let begin = Instant::now();
-    while !call(address, method, path, body)
+) -> Result<(), AnyError> {
+    let started = Instant::now();
+    while !request(address, method, path, body)
         .await
-        .is_ok_and(|(status, _)| status == 200)
+        .is_ok_and(|response| response.status == 200)
     {
-        if begin.elapsed() > Duration::from_secs(20) {
+        if started.elapsed() > REQUEST_TIMEOUT {
             return Err(format!("{method} {path} is not answered").into());
         }
         sleep(Duration::from_millis(20)).await;
@@ -65,15 +159,19 @@
     Ok(())
 }
 
-/// Reads a watch: the time and bytes of each line that is not empty.
+/// A line that came to a watcher.
+struct WatchLine {
+    received_at: Instant,
+    bytes: usize,
+}
+
+/// Reads a watch, and passes on each line that is not empty.
 async fn watch(
     address: SocketAddr,
-    lines: mpsc::UnboundedSender<(Instant, usize)>,
-) -> Result<(), Fault> {
+    lines: mpsc::UnboundedSender<WatchLine>,
+) -> Result<(), AnyError> {
     let mut stream = TcpStream::connect(address).await?;
-    stream
-        .write_all(b"GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nhost: r\r\n\r\n")
-        .await?;
+    stream.write_all(WATCH_REQUEST).await?;
     let mut reader = BufReader::new(stream);
     loop {
         let mut line = String::new();
@@ -81,133 +179,106 @@
             return Err("a watch ended".into());
         }
         if line.starts_with('{') {
-            lines.send((Instant::now(), line.len()))?;
+            lines.send(WatchLine {
+                received_at: Instant::now(),
+                bytes: line.len(),
+            })?;
         }
     }
 }
 
-fn target(port: usize) -> String {
+fn endpoint(port: usize) -> String {
     format!(
         r#"{{"endpoint":"10.0.0.1:{port}","pod_group":3,"az":"floor-2","model":"school-library"}}"#
     )
 }
 
-/// Resident memory of a process, KiB.
-fn memory(process: &Child) -> u64 {
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", process.id())).unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().next()?.parse().ok())
-        .unwrap_or(0)
-}
-
-fn told(what: &str, mut values: Vec<f64>) {
+fn print_distribution(name: &str, mut values: Vec<f64>) {
     values.sort_by(f64::total_cmp);
     if let (Some(least), Some(most)) = (values.first(), values.last()) {
         println!(
-            "{what}: median {:.2}, {least:.2} to {most:.2}",
+            "{name}: median {:.2}, {least:.2} to {most:.2}",
             values[values.len() / 2]
         );
     }
 }
 
-struct Replicas(Vec<Child>);
-
-impl Drop for Replicas {
-    fn drop(&mut self) {
-        for child in &mut self.0 {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
-    }
+/// Figures of all changes.
+#[derive(Default)]
+struct Figures {
+    answered_ms: Vec<f64>,
+    first_watcher_ms: Vec<f64>,
+    last_watcher_ms: Vec<f64>,
+    bytes: Vec<f64>,
 }
 
-async fn measure() -> Result<(), Fault> {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let [program, replicas, watchers, changes] = arguments.as_slice() else {
-        return Err("PROGRAM REPLICAS WATCHERS CHANGES".into());
-    };
-    let (replicas, watchers, changes): (usize, usize, usize) =
-        (replicas.parse()?, watchers.parse()?, changes.parse()?);
-    let folder = tempfile::tempdir()?;
-    let b = 130 + std::process::id() % 100;
-    let address = |replica: usize, port: u16| -> Result<SocketAddr, Fault> {
-        Ok(format!("127.{b}.240.{}:{port}", replica + 1).parse()?)
-    };
-    let mut running = Replicas(Vec::new());
-    for replica in 0..replicas {
-        let mut text = format!(
-            "cluster = \"m\"\nid = {}\nlisten = \"{}\"\npeers = \"{}\"\nfolder = \"r{replica}\"\n",
-            replica + 1,
-            address(replica, 8500)?,
-            address(replica, 8600)?
-        );
-        for other in 0..replicas {
-            let (peers, clients) = (address(other, 8600)?, address(other, 8500)?);
-            text += &format!(
-                "[[replica]]\nid = {}\npeers = \"{peers}\"\nclients = \"{clients}\"\n",
-                other + 1
-            );
-        }
-        let path = folder.path().join(format!("r{replica}.toml"));
-        std::fs::write(&path, text)?;
-        let mut command = Command::new(program);
-        running.0.push(
-            command
-                .args(["run", "--config"])
-                .arg(path)
-                .stderr(Stdio::null())
-                .spawn()?,
-        );
-    }
-    let at = address(0, 8500)?;
-    for number in 0..LISTED {
-        until_done(at, "PUT", &format!("/v1/endpoints/s-{number}"), &target(1)).await?;
-    }
-    println!("memory, KiB: {} with no watcher", memory(&running.0[0]));
-    // one that never reads, and the others
-    let mut deaf = TcpStream::connect(at).await?;
-    deaf.write_all(b"GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nhost: r\r\n\r\n")
+async fn measure(cluster: &Cluster, watchers: usize, changes: usize) -> Result<(), AnyError> {
+    let address = cluster.address()?;
+    for number in 0..ENDPOINTS {
+        request_until_success(
+            address,
+            "PUT",
+            &format!("/v1/endpoints/s-{number}"),
+            &endpoint(1),
+        )
         .await?;
-    let (lines, mut heard) = mpsc::unbounded_channel();
+    }
+    println!("memory, KiB: {} with no watcher", cluster.memory());
+    let mut stalled = TcpStream::connect(address).await?;
+    stalled.write_all(WATCH_REQUEST).await?;
+    let (lines, mut received) = mpsc::unbounded_channel();
     for _ in 0..watchers {
         let lines = lines.clone();
         tokio::spawn(async move {
             // a watch that ends shows as a count that is short
-            let _ = watch(at, lines).await;
+            let _ = watch(address, lines).await;
         });
     }
     for _ in 0..watchers {
-        heard.recv().await.ok_or("no watch")?;
+        received.recv().await.ok_or("no watch")?;
     }
     println!(
         "memory, KiB: {} with {watchers} watchers and one that never reads",
-        memory(&running.0[0])
+        cluster.memory()
     );
-    let (mut answered, mut first, mut last, mut bytes) = (vec![], vec![], vec![], vec![]);
+    let mut figures = Figures::default();
     for change in 0..changes {
-        let begin = Instant::now();
-        let path = format!("/v1/endpoints/s-{}", change % LISTED);
-        until_done(at, "PUT", &path, &target(change + 2)).await?;
-        answered.push(begin.elapsed().as_secs_f64() * 1e3);
-        let mut times = Vec::new();
-        for _ in 0..watchers {
-            let (heard_at, length) = tokio::time::timeout(Duration::from_secs(5), heard.recv())
-                .await?
-                .ok_or("no watch")?;
-            times.push((heard_at - begin).as_secs_f64() * 1e3);
-            bytes.push(length as f64);
-        }
-        times.sort_by(f64::total_cmp);
-        first.extend(times.first());
-        last.extend(times.last());
+        measure_change(address, change, watchers, &mut received, &mut figures).await?;
         sleep(Duration::from_millis(10)).await;
     }
-    told("answered after, ms", answered);
-    told("first watcher after, ms", first);
-    told("last watcher after, ms", last);
-    told("bytes for each watcher", bytes);
-    println!("memory, KiB: {} at the end", memory(&running.0[0]));
-    drop(deaf);
+    print_distribution("answered after, ms", figures.answered_ms);
+    print_distribution("first watcher after, ms", figures.first_watcher_ms);
+    print_distribution("last watcher after, ms", figures.last_watcher_ms);
+    print_distribution("bytes for each watcher", figures.bytes);
+    println!("memory, KiB: {} at the end", cluster.memory());
+    drop(stalled);
+    Ok(())
+}
+
+/// Makes one change, and waits until all watchers have it.
+async fn measure_change(
+    address: SocketAddr,
+    change: usize,
+    watchers: usize,
+    received: &mut mpsc::UnboundedReceiver<WatchLine>,
+    figures: &mut Figures,
+) -> Result<(), AnyError> {
+    let started = Instant::now();
+    let path = format!("/v1/endpoints/s-{}", change % ENDPOINTS);
+    request_until_success(address, "PUT", &path, &endpoint(change + 2)).await?;
+    figures
+        .answered_ms
+        .push(started.elapsed().as_secs_f64() * 1e3);
+    let mut times = Vec::new();
+    for _ in 0..watchers {
+        let line = timeout(WATCH_TIMEOUT, received.recv())
+            .await?
+            .ok_or("no watch")?;
+        times.push((line.received_at - started).as_secs_f64() * 1e3);
+        figures.bytes.push(line.bytes as f64);
+    }
+    times.sort_by(f64::total_cmp);
+    figures.first_watcher_ms.extend(times.first());
+    figures.last_watcher_ms.extend(times.last());
     Ok(())
 }
--- a/registry/src/client/arguments.rs
+++ b/registry/src/client/arguments.rs
@@ -55,7 +55,7 @@
         #[command(flatten)]
         replicas: Replicas,
     },
-    /// Puts an endpoint into the list, just as told.
+    /// Puts an endpoint into the list, with exactly these values.
     Put {
         #[command(flatten)]
         replicas: Replicas,
--- a/registry/src/commands.rs
+++ b/registry/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the replica's thread is told to do, by clients and by the transport.
+//! The commands to the replica's thread, from clients and from the transport.
 
 use crate::replica::{Answer, QuotaRequest, Replica, ReplicaChange, SenderLeaseRequest};
 use crate::state::Command;
--- a/registry/src/record_file.rs
+++ b/registry/src/record_file.rs
@@ -1,5 +1,5 @@
 //! Records in a file or on a connection: a magic number, a length, a checksum, the bytes. A record that a kill has cut short
-//! is told from damage by what follows it.
+//! differs from damage by what follows it.
 
 use thiserror::Error;
 
--- a/registry/src/replica/allocating/tests.rs
+++ b/registry/src/replica/allocating/tests.rs
@@ -8,8 +8,8 @@
     max_drift: 30_000,
 };
 
-fn applied(book: &mut Option<LedgerState>, entry: LedgerEntry) {
-    LedgerState::apply(book, entry).expect("applied");
+fn apply(ledger: &mut Option<LedgerState>, entry: LedgerEntry) {
+    LedgerState::apply(ledger, entry).expect("applied");
 }
 
 /// What a sender gets of destinations 3 and 12.
@@ -17,7 +17,7 @@
     allocations: &mut RangeAllocations,
     now: Micros,
     sender: &str,
-    book: &Option<LedgerState>,
+    ledger: &Option<LedgerState>,
 ) -> Vec<u64> {
     let demands = [3, 12].map(|destination| QuotaDemand {
         key: LimitKey::of(destination, Resource::Rate),
@@ -27,38 +27,38 @@
         sender: sender.to_string(),
         incarnation: 1,
         sequence: 1,
-        fallback_quotas: book.as_ref().expect("begun").fallback_quotas().clone(),
+        fallback_quotas: ledger.as_ref().expect("begun").fallback_quotas().clone(),
         demands: demands.to_vec(),
         zone: String::new(),
         health_reports: Vec::new(),
     };
-    allocations.follow(now, 1, book.as_ref());
-    match allocations.allocate(now, request, 1, book.as_ref()) {
+    allocations.follow(now, 1, ledger.as_ref());
+    match allocations.allocate(now, request, 1, ledger.as_ref()) {
         Answer::Quotas(answer) => answer
             .allocations
             .iter()
-            .map(|dealt| dealt.quota.unwrap_or(u64::MAX))
+            .map(|allocation| allocation.quota.unwrap_or(u64::MAX))
             .collect(),
         other => panic!("{other:?}"),
     }
 }
 
 fn split_ledger() -> Option<LedgerState> {
-    let mut book = None;
+    let mut ledger = None;
     let floors = FallbackQuotas {
         senders: 3,
         per_sender: [("rate".to_string(), 0)].into(),
     };
-    applied(
-        &mut book,
+    apply(
+        &mut ledger,
         LedgerEntry::Create {
             fallback_quotas: floors,
             terms: TERMS,
             split_at: Vec::new(),
         },
     );
-    applied(
-        &mut book,
+    apply(
+        &mut ledger,
         LedgerEntry::AssignAllocator {
             shard: 0,
             epoch: 0,
@@ -70,8 +70,8 @@
             total: 10_000,
             expiry_grace_ms: 0,
         });
-        applied(
-            &mut book,
+        apply(
+            &mut ledger,
             LedgerEntry::SetLimit {
                 key: LimitKey::of(destination, Resource::Rate),
                 limit,
@@ -79,41 +79,41 @@
             },
         );
     }
-    book
+    ledger
 }
 
 #[test]
 fn cut_over_allocates_nothing_twice_and_the_parents_holder_goes_on_at_once() {
-    let (mut book, mut allocations) = (split_ledger(), RangeAllocations::default());
+    let (mut ledger, mut allocations) = (split_ledger(), RangeAllocations::default());
     assert_eq!(
-        quotas(&mut allocations, 0, "a", &book),
+        quotas(&mut allocations, 0, "a", &ledger),
         [0, 0],
-        "what one before dealt may last"
+        "what a holder before allocated may last"
     );
     let now = TERMS.longest_validity();
     assert_eq!(
-        quotas(&mut allocations, now, "a", &book),
+        quotas(&mut allocations, now, "a", &ledger),
         [9990, 9990],
         "in whole calls a lease"
     );
-    applied(
-        &mut book,
+    apply(
+        &mut ledger,
         LedgerEntry::BeginSplit {
             first: 0,
             at: 10,
             planted_fault: None,
         },
     );
-    (0..4).for_each(|_| applied(&mut book, LedgerEntry::AdvanceSplit(8)));
-    applied(&mut book, LedgerEntry::CutOver);
-    assert_eq!(book.as_ref().map(|book| book.shards().len()), Some(2));
+    (0..4).for_each(|_| apply(&mut ledger, LedgerEntry::AdvanceSplit(8)));
+    apply(&mut ledger, LedgerEntry::CutOver);
+    assert_eq!(ledger.as_ref().map(|ledger| ledger.shards().len()), Some(2));
     // all of both but the rest of a call is out still, and the one that has it has it on
-    assert_eq!(quotas(&mut allocations, now + 1, "b", &book), [10, 10]);
-    let again = quotas(&mut allocations, now + 2, "a", &book);
+    assert_eq!(quotas(&mut allocations, now + 1, "b", &ledger), [10, 10]);
+    let again = quotas(&mut allocations, now + 2, "a", &ledger);
     assert!(again.iter().all(|part| *part > 0), "{again:?}");
     // another replica that keeps one of them from now on waits
-    applied(
-        &mut book,
+    apply(
+        &mut ledger,
         LedgerEntry::AssignAllocator {
             shard: 10,
             epoch: 2,
@@ -121,15 +121,15 @@
         },
     );
     assert_eq!(
-        quotas(&mut allocations, now + 3, "a", &book).len(),
+        quotas(&mut allocations, now + 3, "a", &ledger).len(),
         1,
         "the other is kept elsewhere"
     );
     let mut other = RangeAllocations::default();
-    other.follow(now + 3, 2, book.as_ref());
-    let keeper = &other.ranges[&10].allocator;
+    other.follow(now + 3, 2, ledger.as_ref());
+    let allocator = &other.ranges[&10].allocator;
     assert_eq!(
-        (other.ranges.len(), keeper.allocates_from()),
+        (other.ranges.len(), allocator.allocates_from()),
         (1, now + 3 + TERMS.longest_validity())
     );
 }
--- a/registry/src/replica/confirmations.rs
+++ b/registry/src/replica/confirmations.rs
@@ -140,7 +140,7 @@
             .extend(batch.reads.into_iter().map(|id| (id, Answer::UpToDate)));
         let ledger = self.state.ledger.as_ref();
         if !batch.quotas.is_empty() {
-            // whoever holds a range now did so when the request came, or is asked with a later confirmation
+            // whoever holds a range now did so when the request came, or gets the request with a later confirmation
             self.allocations.follow(now, self.id, ledger);
         }
         for (id, request) in batch.quotas {
--- a/registry/src/server/api.rs
+++ b/registry/src/server/api.rs
@@ -1,9 +1,8 @@
 //! Requests and responses of the HTTP API, and its errors: each has a status and a line of text.
 
-use crate::commands::ClientRequest;
-use crate::replica::{Answer, BusyReason};
+use crate::replica::BusyReason;
 use crate::replica_thread::Overloaded;
-use crate::state::{Command, CommandError};
+use crate::state::CommandError;
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -104,11 +103,6 @@
     }
 }
 
-/// A request to the replica that appends a command.
-pub(super) fn propose(command: Command) -> ClientRequest {
-    ClientRequest::Propose(command)
-}
-
 /// Why a request is not served.
 #[derive(Debug, Error)]
 pub(super) enum ApiError {
@@ -354,13 +348,5 @@
     ))
 }
 
-/// The response to an answer of which only success matters.
-pub(super) fn success(answer: &Answer) -> bool {
-    matches!(
-        answer,
-        Answer::Applied(_) | Answer::Granted(_) | Answer::Quotas(_) | Answer::UpToDate
-    )
-}
-
 #[cfg(test)]
 mod tests;
--- a/registry/src/server/endpoints.rs
+++ b/registry/src/server/endpoints.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: discovery, watches, changes, heartbeats.
 
-use super::api::{ApiError, ApiRequest, ApiResult, json, propose, text};
+use super::api::{ApiError, ApiRequest, ApiResult, json, text};
 use super::forwarding::Read;
 use super::{Server, watch};
 use crate::commands::ClientRequest;
@@ -99,7 +99,11 @@
         "force=1" => Command::ForceChangeList { if_match, changes },
         _ => return Err(ApiError::InvalidWriteQuery),
     };
-    match server.replica.request(propose(command)).await? {
+    match server
+        .replica
+        .request(ClientRequest::Propose(command))
+        .await?
+    {
         Answer::Applied(applied) => Ok(json(&serde_json::json!({ "rev": applied.rev }))),
         answer => server.respond_to(request, answer).await,
     }
--- a/registry/src/server/forwarding.rs
+++ b/registry/src/server/forwarding.rs
@@ -1,7 +1,7 @@
 //! What a follower can't answer goes on to the leader, one hop.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, Body, HOP, no_content, success, text};
+use super::api::{ApiError, ApiRequest, ApiResult, Body, HOP, no_content, text};
 use crate::commands::ClientRequest;
 use crate::replica::{Answer, Replica};
 use crate::round_trip::round_trip;
@@ -34,8 +34,7 @@
             Answer::Busy(reason) => Err(ApiError::Busy(reason)),
             Answer::OtherFloor => Err(ApiError::OtherFloor),
             Answer::Rejected(error) => Err(error.into()),
-            answer => {
-                debug_assert!(success(&answer));
+            Answer::Applied(_) | Answer::Granted(_) | Answer::Quotas(_) | Answer::UpToDate => {
                 Ok(no_content())
             }
         }
--- a/registry/src/server/freeze.rs
+++ b/registry/src/server/freeze.rs
@@ -1,8 +1,9 @@
 //! The freeze calendar, the windows that are on, and the break-glass override.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, json, propose};
+use super::api::{ApiError, ApiRequest, ApiResult, json};
 use super::forwarding::Read;
+use crate::commands::ClientRequest;
 use crate::replica::{Answer, Replica};
 use crate::state::Command;
 use hyper::Method;
@@ -22,7 +23,7 @@
     };
     match server
         .replica
-        .request(propose(Command::Freeze(entry)))
+        .request(ClientRequest::Propose(Command::Freeze(entry)))
         .await?
     {
         Answer::Applied(_) => {
--- a/registry/src/server/ledger.rs
+++ b/registry/src/server/ledger.rs
@@ -1,8 +1,9 @@
 //! The quota ledger: limits, and queries over them.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, json, propose};
+use super::api::{ApiError, ApiRequest, ApiResult, json};
 use super::forwarding::Read;
+use crate::commands::ClientRequest;
 use crate::replica::{Answer, Replica};
 use crate::state::Command;
 use hyper::Method;
@@ -30,7 +31,7 @@
     };
     match server
         .replica
-        .request(propose(Command::Ledger(entry)))
+        .request(ClientRequest::Propose(Command::Ledger(entry)))
         .await?
     {
         Answer::Applied(_) => {
--- a/registry/src/server/quotas.rs
+++ b/registry/src/server/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas for senders. A replica allocates from the ranges that it holds; other replicas are asked for the rest, one hop.
+//! Quotas for senders. A replica allocates from the ranges that it holds; the other replicas get requests for the others, one hop.
 
 use super::Server;
 use super::api::{ApiError, ApiRequest, ApiResult, Body, HOP, json_of, text};
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// The longest time for another replica to answer. Its quotas last from when the sender asked.
+/// The longest time for another replica to answer. Its quotas last from the sender's request on.
 const OTHER_REPLICA_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// `POST /v1/parts`: quotas from the ranges of this replica and of the others. What another replica does not answer in time
@@ -37,7 +37,7 @@
         .await?
     {
         Answer::Quotas(response) => *response,
-        // any replica allocates from what it holds: no other is asked in its place
+        // any replica allocates from what it holds: the request is not forwarded
         Answer::NotLeader(_) => return Err(ApiError::NoMajority),
         answer => return server.respond_to(request, answer).await,
     };
@@ -50,7 +50,7 @@
     json_of(response)
 }
 
-/// Asks the replicas that hold the other ranges, all at once, and adds their quotas.
+/// Sends requests to the replicas that hold the other ranges, all at once, and adds their quotas.
 async fn add_from_others(server: &Server, request: QuotaRequest, response: &mut QuotaResponse) {
     let mut answers = JoinSet::new();
     for (holder, demands) in std::mem::take(&mut response.elsewhere) {
--- a/registry/src/server/rules.rs
+++ b/registry/src/server/rules.rs
@@ -1,7 +1,7 @@
 //! The agreed rules: reports, proposals, leases.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, json, json_of, propose as propose_command};
+use super::api::{ApiError, ApiRequest, ApiResult, json, json_of};
 use super::forwarding::Read;
 use crate::commands::ClientRequest;
 use crate::replica::{Answer, Replica};
@@ -75,7 +75,11 @@
         None => current_version(server).await?,
     };
     let command = Command::ProposeRules(Proposal { from, rules });
-    match server.replica.request(propose_command(command)).await? {
+    match server
+        .replica
+        .request(ClientRequest::Propose(command))
+        .await?
+    {
         Answer::Applied(applied) => json_of(applied.tag),
         answer => server.respond_to(request, answer).await,
     }
--- a/registry/src/server/splits.rs
+++ b/registry/src/server/splits.rs
@@ -1,8 +1,9 @@
 //! Splits of the ledger's ranges.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, explain, json, propose};
+use super::api::{ApiError, ApiRequest, ApiResult, explain, json};
 use super::forwarding::Read;
+use crate::commands::ClientRequest;
 use crate::replica::Replica;
 use crate::state::Command;
 use hyper::Method;
@@ -45,7 +46,7 @@
     };
     let answer = server
         .replica
-        .request(propose(Command::Ledger(entry)))
+        .request(ClientRequest::Propose(Command::Ledger(entry)))
         .await?;
     server.respond_to(request, answer).await
 }
--- a/registry/src/settings/tests.rs
+++ b/registry/src/settings/tests.rs
@@ -49,7 +49,7 @@
             max_drift: 121_213
         }
     );
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("id = 2\nlisten", "id = 0\nlisten", "id is not above zero"),
         (
             "id = 2\nlisten",
@@ -85,7 +85,7 @@
         ),
     ] {
         let error = read(&GOOD.replacen(from, to, 1)).expect_err(to).to_string();
-        assert!(error.contains(told), "{to}: {error}");
+        assert!(error.contains(expected), "{to}: {error}");
     }
     write("rules.json", r#"{"limits":{"calls":3}}"#);
     assert!(
--- a/registry/src/store/tests.rs
+++ b/registry/src/store/tests.rs
@@ -45,9 +45,9 @@
     }
     drop(store);
     let log = folder.path().join("log");
-    let whole = std::fs::read(&log).expect("the log");
-    for length in sizes[0].0 as usize..=whole.len() {
-        std::fs::write(&log, &whole[..length]).expect("cut");
+    let complete = std::fs::read(&log).expect("the log");
+    for length in sizes[0].0 as usize..=complete.len() {
+        std::fs::write(&log, &complete[..length]).expect("cut");
         let mut store = Store::open(folder.path(), options(), b"other").expect("opened");
         // an entry stands before the hard state of its append
         let synced = sizes
--- a/registry/src/wire_types/tests.rs
+++ b/registry/src/wire_types/tests.rs
@@ -55,14 +55,14 @@
 
 #[test]
 fn bytes_that_are_no_message_are_rejected() {
-    let whole = encode(&message()).expect("goes between replicas");
+    let encoded = encode(&message()).expect("goes between replicas");
     let mut random = rand_pcg::Pcg64::seed_from_u64(5);
     let mut refused = 0;
     for _ in 0..20_000 {
-        let mut bytes = whole.clone();
-        bytes.truncate(random.random_range(0..=whole.len()));
+        let mut bytes = encoded.clone();
+        bytes.truncate(random.random_range(0..=encoded.len()));
         for _ in 0..random.random_range(0..4) {
-            if let Some(byte) = bytes.get_mut(random.random_range(0..whole.len())) {
+            if let Some(byte) = bytes.get_mut(random.random_range(0..encoded.len())) {
                 *byte = random.random();
             }
         }
--- a/registry/tests/processes/cluster.rs
+++ b/registry/tests/processes/cluster.rs
@@ -24,6 +24,7 @@
 }
 
 impl Cluster {
+    /// Starts replicas; `more` is added to the settings of each.
     pub fn new(replicas: usize, more: &str) -> Self {
         let number = CLUSTERS.fetch_add(1, Ordering::SeqCst);
         let (mut b, c) = (130 + (std::process::id() % 100) as u8, number);
@@ -40,11 +41,7 @@
             _claim: claim,
             replicas: Vec::new(),
         };
-        cluster.write("floor.json", "{}");
-        cluster.write(
-            "rules.json",
-            r#"{"limits":{"calls":40}}"#.replace("40", "50").as_str(),
-        );
+        cluster.write("rules.json", r#"{"limits":{"calls":50}}"#);
         cluster.write("floor.json", r#"{"limits":{"calls":5}}"#);
         for number in 0..replicas {
             cluster.write_settings(number, replicas, false, more);
@@ -112,7 +109,7 @@
         child.kill().and_then(|()| child.wait()).expect("killed");
     }
 
-    pub fn ask(
+    pub fn request(
         &self,
         number: usize,
         method: &str,
@@ -123,14 +120,20 @@
     }
 
     /// What a replica answers once it answers with success.
-    pub fn until(&self, number: usize, method: &str, path: &str, body: &str) -> Value {
-        let begin = Instant::now();
+    pub fn request_until_success(
+        &self,
+        number: usize,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Value {
+        let started = Instant::now();
         loop {
-            let answer = self.ask(number, method, path, body);
+            let answer = self.request(number, method, path, body);
             if let Some((200..=299, text)) = &answer {
                 return serde_json::from_str(text).unwrap_or_default();
             }
-            assert!(begin.elapsed() < PATIENCE, "{method} {path}: {answer:?}");
+            assert!(started.elapsed() < PATIENCE, "{method} {path}: {answer:?}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
@@ -141,15 +144,16 @@
             .iter()
             .position(Option::is_some)
             .expect("one runs");
-        let begin = Instant::now();
+        let started = Instant::now();
         loop {
-            let leader = self.until(running, "GET", "/v1/status", "")["leader"].as_u64();
+            let leader =
+                self.request_until_success(running, "GET", "/v1/status", "")["leader"].as_u64();
             if let Some(leader) =
                 leader.filter(|leader| self.replicas[*leader as usize - 1].is_some())
             {
                 return leader as usize - 1;
             }
-            assert!(begin.elapsed() < PATIENCE, "nobody leads");
+            assert!(started.elapsed() < PATIENCE, "nobody leads");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
@@ -207,7 +211,7 @@
     Some((status, text.split_once("\r\n\r\n")?.1.to_string()))
 }
 
-pub fn target(port: u16) -> String {
+pub fn endpoint(port: u16) -> String {
     json!({ "endpoint": format!("10.0.0.1:{port}"), "pod_group": 3 }).to_string()
 }
 
--- a/registry/tests/processes/http_api.rs
+++ b/registry/tests/processes/http_api.rs
@@ -392,8 +392,8 @@
 #[test]
 fn http_requests_and_answers_keep_their_form() {
     let cluster = Cluster::new(1, SETTINGS);
-    cluster.until(0, "GET", "/v1/rules", "");
-    cluster.until(0, "GET", "/v1/limits", "");
+    cluster.request_until_success(0, "GET", "/v1/rules", "");
+    cluster.request_until_success(0, "GET", "/v1/limits", "");
     let mut record = Record {
         address: cluster.clients(0),
         text: String::new(),
