--- a/src/main.rs
+++ b/src/main.rs
@@ -17,7 +17,7 @@
 use net::ledger::settings::Ledger;
 use net::local_errors::RETRY_INTERVAL;
 use net::membership::settings::Membership;
-use net::pool::{Connections, Means, limits};
+use net::pool::{ConnectionPool, PoolResources, limits};
 use net::server::{Classes, Server, serve};
 use net::startup::{self, until_had};
 use net::upgrade::{self, Frame, Lock, Taken};
@@ -150,11 +150,11 @@
     let grace = span(safety.drain_grace).saturating_sub(span(config.names.dial_timeout));
     log_recovery(&config.name, &journal, &recovery);
     let limits = limits(&config.pool, config.sockets, &config.settings);
-    let means = Means {
+    let means = PoolResources {
         descriptors: config.sockets,
         seed: config.seed,
     };
-    let connections = Connections::new(limits, config.names.dial_timeout, means);
+    let connections = ConnectionPool::new(limits, config.names.dial_timeout, means);
     let calls = Calls::new(inputs.clone(), connections);
     let classes = Classes::default();
     let (sender, handover, link) = match taken {
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -5,13 +5,13 @@
 
 use super::RateLimitedLog;
 use super::events::{AttemptEnd, DriverInput, MAX_BODY_BYTES};
-use super::pool::{Connections, Lease, NoLease, Traffic};
+use super::pool::{ConnectionLease, ConnectionPool, LeaseError, Traffic};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use message_sender::pool::{Answered, Cause, Denied, DialFailure, Place};
+use message_sender::pool::{AnswerKind, CloseReason, DialFailure, EndpointAddress, LeaseDenied};
 use message_sender::{MILLISECOND, MessageId, Micros, Outcome};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Call {
     pub number: u64,
-    pub place: Place,
+    pub place: EndpointAddress,
     pub items: Vec<Item>,
     pub expires: Instant,
     /// A repeat whose connection comes up only then would leave the window in which it is dropped.
@@ -62,7 +62,7 @@
 pub struct Calls(Rc<Shared>);
 
 struct Shared {
-    connections: Connections,
+    connections: ConnectionPool,
     report_fields: RefCell<Vec<String>>,
     faults: RateLimitedLog,
     /// Some endpoint has told a wait.
@@ -108,7 +108,7 @@
 
 impl Calls {
     /// Calls that go over these connections.
-    pub fn new(inputs: mpsc::UnboundedSender<DriverInput>, connections: Connections) -> Self {
+    pub fn new(inputs: mpsc::UnboundedSender<DriverInput>, connections: ConnectionPool) -> Self {
         Calls(Rc::new(Shared {
             connections,
             report_fields: RefCell::default(),
@@ -130,7 +130,7 @@
     }
 
     /// What the calls go over.
-    pub fn connections(&self) -> &Connections {
+    pub fn connections(&self) -> &ConnectionPool {
         &self.0.connections
     }
 }
@@ -196,7 +196,7 @@
         call: call.number,
         left: vec![true; call.items.len()],
     };
-    let (end, under) = (Rc::new(Cell::new(Cause::CalledOff)), Under::default());
+    let (end, under) = (Rc::new(Cell::new(CloseReason::Cancelled)), Under::default());
     let exchange = exchange(&shared, &call, &end, &under);
     tokio::pin!(exchange);
     let ended = loop {
@@ -205,7 +205,7 @@
             biased;
             answer = &mut exchange => break Ok(answer),
             () = sleep_until(call.expires) => {
-                end.set(Cause::TimedOut);
+                end.set(CloseReason::TimedOut);
                 break Err(Outcome::TimedOut);
             }
             Some(item) = cancels.recv() => {
@@ -229,19 +229,19 @@
             let useless = outcome == Outcome::Cancelled && !listens;
             let given_up = async {
                 if let Some(traffic) = &traffic {
-                    let _ = timeout(LATE, traffic.give_up()).await;
+                    let _ = timeout(LATE, traffic.abandon_call()).await;
                 }
             };
             tokio::select! {
                 biased;
                 // an answer that had come before the end; any other end is what the call was given up for
                 answer = &mut exchange, if !useless => {
-                    traffic.iter().for_each(|traffic| traffic.keep());
+                    traffic.iter().for_each(|traffic| traffic.keep_connection());
                     (if answer.heard { answer } else { outcome.into() }, None)
                 }
                 () = given_up => match traffic {
                     // a first line is true also where its head never ends
-                    Some(traffic) if !useless && call.items.len() == 1 && traffic.says_ok() => {
+                    Some(traffic) if !useless && call.items.len() == 1 && traffic.has_success_status() => {
                         (Answer::served(), None)
                     }
                     on => (outcome.into(), on.filter(|_| listens)),
@@ -271,7 +271,7 @@
     if let Some(traffic) = given_up {
         let heard = async {
             sleep(LATE).await;
-            let _ = timeout(LATE, traffic.give_up()).await;
+            let _ = timeout(LATE, traffic.abandon_call()).await;
         };
         tokio::select! {
             biased;
@@ -287,30 +287,32 @@
 async fn exchange(
     shared: &Rc<Shared>,
     call: &Call,
-    end: &Rc<Cell<Cause>>,
+    end: &Rc<Cell<CloseReason>>,
     under: &Under,
 ) -> Answer {
     let (address, items) = (call.place.address, &call.items[..]);
     loop {
-        let lease = shared.connections.lease(call.place, end);
+        let lease = shared.connections.acquire(call.place, end);
         let lease = match call.start_by {
-            Some(by) => timeout_at(by, lease).await.unwrap_or(Err(NoLease::Late)),
+            Some(by) => timeout_at(by, lease)
+                .await
+                .unwrap_or(Err(LeaseError::TooLate)),
             None => lease.await,
         };
         let mut lease = match lease {
             Ok(lease) if call.start_by.is_some_and(|by| by <= Instant::now()) => {
-                lease.give_back();
+                lease.release();
                 return Outcome::Unsent { no_slot: false }.into();
             }
             Ok(lease) => lease,
             // this machine and the list say nothing of the endpoint's health
             Err(
-                NoLease::Late
-                | NoLease::Denied(
-                    Denied::Wait
-                    | Denied::Retired
-                    | Denied::Leaving
-                    | Denied::Dial(DialFailure::Local),
+                LeaseError::TooLate
+                | LeaseError::Denied(
+                    LeaseDenied::RetryAfter
+                    | LeaseDenied::Retired
+                    | LeaseDenied::ShuttingDown
+                    | LeaseDenied::Dial(DialFailure::Local),
                 ),
             ) => {
                 return Outcome::Unsent { no_slot: false }.into();
@@ -318,19 +320,19 @@
             Err(_) => return Outcome::NoConnection.into(),
         };
         let Some((request, least)) = request_of(address, items, call.expires) else {
-            lease.give_back();
+            lease.release();
             return Outcome::Unsent { no_slot: false }.into();
         };
         let connection = lease.connection();
         let traffic = connection.traffic.clone();
         under.traffic.replace(Some(traffic.clone()));
         let before = traffic.written();
-        traffic.forget_answer();
+        traffic.reset_answer();
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
             // what makes the rest unreadable takes nothing from a first line that tells the one message's end
-            Err(_) if items.len() == 1 && traffic.says_ok() => {
-                lease.spoil(Cause::Unreadable);
+            Err(_) if items.len() == 1 && traffic.has_success_status() => {
+                lease.discard(CloseReason::Unreadable);
                 return Answer::served();
             }
             Err(_) => {
@@ -338,10 +340,10 @@
                 // an idle connection that had closed before a byte was written carried no call at all
                 if lease.idle_for.is_some() && written == 0 {
                     under.traffic.take();
-                    lease.spoil(Cause::Peer);
+                    lease.discard(CloseReason::ClosedByPeer);
                     continue;
                 }
-                lease.spoil(Cause::Reset);
+                lease.discard(CloseReason::Reset);
                 // `least` is what the call takes up on the wire at the very least
                 let outcome = if written < least {
                     Outcome::NoConnection
@@ -359,17 +361,17 @@
     shared: &Rc<Shared>,
     address: SocketAddr,
     items: &[Item],
-    lease: Lease,
+    lease: ConnectionLease,
     response: Response<Incoming>,
 ) -> Answer {
     let (head, body) = response.into_parts();
-    let no_room = lease.answered(match head.status {
-        StatusCode::OK => Answered::Served,
+    let no_room = lease.record_answer(match head.status {
+        StatusCode::OK => AnswerKind::Served,
         // all slots of this sender taken has nothing to do with its connections
         StatusCode::SERVICE_UNAVAILABLE if !head.headers.contains_key("slots-taken") => {
-            Answered::TurnedAway
+            AnswerKind::Rejected
         }
-        _ => Answered::Other,
+        _ => AnswerKind::Other,
     });
     let report = report_of(&head.headers, &shared.report_fields.borrow());
     let wait = wait_of(&head.headers);
@@ -388,7 +390,7 @@
             let ends = match Limited::new(body, MAX_BODY_BYTES).collect().await {
                 Ok(text) => ends_of(&text.to_bytes(), items, wait),
                 Err(_) => {
-                    lease.spoil(Cause::Unreadable);
+                    lease.discard(CloseReason::Unreadable);
                     return Answer {
                         heard: true,
                         ends: Ends::All(Outcome::Reset, false),
@@ -397,7 +399,7 @@
                     };
                 }
             };
-            lease.give_back();
+            lease.release();
             return Answer {
                 heard: true,
                 ends: Ends::Each(ends),
@@ -442,8 +444,8 @@
     // the outcome is known; the rest of the answer only frees the connection
     tokio::task::spawn_local(async move {
         match timeout(DRAIN, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-            Ok(Ok(_)) => lease.give_back(),
-            _ => lease.spoil(Cause::Unreadable),
+            Ok(Ok(_)) => lease.release(),
+            _ => lease.discard(CloseReason::Unreadable),
         }
     });
     Answer {
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -14,12 +14,12 @@
         ..Settings::new(8, 100)
     };
     let limits = limits(&PoolSettings::default(), 100, &settings);
-    let connections = Connections::ready(streams, limits);
-    let place = Place {
+    let connections = ConnectionPool::ready(streams, limits);
+    let place = EndpointAddress {
         address: ([127, 0, 0, 1], 9).into(),
         endpoint: EndpointId(0),
     };
-    connections.serve(place, true);
+    connections.set_serving(place, true);
     let calls = Calls::new(mpsc::unbounded_channel().0, connections);
     let id = HeaderValue::from_static("m1");
     let items = vec![Item {
@@ -63,7 +63,7 @@
     local.block_on(&runtime.expect("a runtime"), async move {
         let ((here, mut there), (spare, mut beyond)) = (duplex(1), duplex(1));
         let (shared, mut call) = shared(vec![here, spare]);
-        let end = Rc::new(Cell::new(Cause::CalledOff));
+        let end = Rc::new(Cell::new(CloseReason::Cancelled));
         let answer = answer.to_vec();
         let endpoint = tokio::task::spawn_local(async move {
             if reused {
@@ -151,11 +151,11 @@
     local.block_on(&runtime.expect("a runtime"), async move {
         let (here, mut there) = duplex(1);
         let (shared, call) = shared(vec![here]);
-        let end = Rc::new(Cell::new(Cause::CalledOff));
+        let end = Rc::new(Cell::new(CloseReason::Cancelled));
         let under = Under::default();
         let told = async {
             // the call has asked, its dial is under way
-            shared.connections.advertised_wait(call.place, SECOND);
+            shared.connections.apply_retry_after(call.place, SECOND);
             tokio::time::sleep(Duration::from_millis(10)).await;
         };
         let (answer, ()) =
@@ -201,16 +201,16 @@
                 ..Settings::new(8, 100)
             };
             let limits = limits(&PoolSettings::default(), 100, &settings);
-            let means = crate::net::pool::Means {
+            let means = crate::net::pool::PoolResources {
                 descriptors: 100,
                 seed: 1,
             };
-            let connections = Connections::new(limits, SECOND, means);
-            let place = Place {
+            let connections = ConnectionPool::new(limits, SECOND, means);
+            let place = EndpointAddress {
                 address,
                 endpoint: EndpointId(0),
             };
-            connections.serve(place, true);
+            connections.set_serving(place, true);
             let (inputs, mut told) = mpsc::unbounded_channel();
             let calls = Calls::new(inputs, connections);
             let id = HeaderValue::from_static("m1");
--- a/src/net/driver/handing.rs
+++ b/src/net/driver/handing.rs
@@ -264,7 +264,7 @@
     pub(super) fn leave(self, link: Link) -> Leaving {
         self.shared.draining.set(true);
         self.shared.handed.send_replace(true);
-        self.calls.connections().leave();
+        self.calls.connections().shut_down();
         Leaving {
             writer: link.listen(self.shared.inputs),
             clock: self.clock,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -313,7 +313,7 @@
                     Next::End => return,
                 },
                 _ = sweep.tick() => {
-                    self.calls.connections().sweep();
+                    self.calls.connections().run_maintenance();
                     let recovered = self.retry_disk();
                     if !self.thaw() && !recovered && self.untold.is_empty() {
                         continue;
@@ -497,7 +497,7 @@
                 Action::SetAlarm(at) => self.alarm = Some(at),
                 Action::Disconnect(endpoint) => {
                     if let Some(place) = self.place_of(endpoint) {
-                        self.calls.connections().disconnect(place);
+                        self.calls.connections().close_idle(place);
                     }
                 }
                 Action::Log(text) => super::log(format_args!("{text}")),
--- a/src/net/driver/orders.rs
+++ b/src/net/driver/orders.rs
@@ -84,7 +84,7 @@
     pub(super) fn retune(&mut self, mut settings: Settings, names: Names) {
         self.calls
             .connections()
-            .retune(&self.pool, &settings, names.dial_timeout);
+            .apply_settings(&self.pool, &settings, names.dial_timeout);
         self.calls.retune(names.report_fields.clone());
         let before = (self.settings.clone(), self.names.clone());
         let places = keep_places(&mut settings, before.0, &mut self.names, names);
--- a/src/net/driver/routes.rs
+++ b/src/net/driver/routes.rs
@@ -2,7 +2,7 @@
 
 use super::{Driver, FORGET_AFTER, Route};
 use crate::net::events::ListUpdate;
-use message_sender::pool::Place;
+use message_sender::pool::EndpointAddress;
 use message_sender::wire::position;
 use message_sender::{EndpointId, Entry, Event, Listing, Micros, Status};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
                 if let Some(address) = route.address.filter(|&before| before != listed.address) {
                     self.calls
                         .connections()
-                        .serve(Place { address, endpoint }, false);
+                        .set_serving(EndpointAddress { address, endpoint }, false);
                 }
                 route.address = Some(listed.address);
                 route.listed = listed.status != Status::Gone;
@@ -158,7 +158,7 @@
             let serving = route.listed && route.up && !self.journal.is_out(&route.uid);
             self.calls
                 .connections()
-                .serve(Place { address, endpoint }, serving);
+                .set_serving(EndpointAddress { address, endpoint }, serving);
         }
     }
 
@@ -169,13 +169,13 @@
             .values()
             .filter(|call| call.cancels.is_none())
             .count();
-        self.calls.connections().elsewhere(count);
+        self.calls.connections().set_predecessor_connections(count);
     }
 
     /// Where an endpoint is.
-    pub(super) fn place_of(&self, endpoint: EndpointId) -> Option<Place> {
+    pub(super) fn place_of(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let address = self.routes.get(&endpoint)?.address?;
-        Some(Place { address, endpoint })
+        Some(EndpointAddress { address, endpoint })
     }
 
     /// An endpoint has told to wait, which holds for its whole destination where that is one route: a call to any
@@ -192,8 +192,8 @@
         for (&other, route) in &self.routes {
             let concerned = other == endpoint || !apart && route.destination == told.destination;
             if let Some(address) = route.address.filter(|_| concerned) {
-                self.calls.connections().advertised_wait(
-                    Place {
+                self.calls.connections().apply_retry_after(
+                    EndpointAddress {
                         address,
                         endpoint: other,
                     },
--- a/src/net/pool/compatibility.rs
+++ b/src/net/pool/compatibility.rs
@@ -18,21 +18,21 @@
         };
         let limits = limits(&PoolSettings::default(), 100, &settings);
         let (here, _there) = tokio::io::duplex(64);
-        let connections = Connections::ready(vec![here], limits);
-        let place = |port, endpoint| Place {
+        let connections = ConnectionPool::ready(vec![here], limits);
+        let target = |port, endpoint| EndpointAddress {
             address: ([127, 0, 0, 1], port).into(),
             endpoint: EndpointId(endpoint),
         };
-        connections.serve(place(9, 0), true);
-        connections.serve(place(10, 1), true);
-        let end = Rc::new(Cell::new(Cause::CalledOff));
+        connections.set_serving(target(9, 0), true);
+        connections.set_serving(target(10, 1), true);
+        let end = Rc::new(Cell::new(CloseReason::Cancelled));
         let lease = connections
-            .lease(place(9, 0), &end)
+            .acquire(target(9, 0), &end)
             .await
             .expect("it comes up");
-        lease.spoil(Cause::Reset);
+        lease.discard(CloseReason::Reset);
         assert!(
-            connections.lease(place(10, 1), &end).await.is_err(),
+            connections.acquire(target(10, 1), &end).await.is_err(),
             "none is left"
         );
         let report =
@@ -44,19 +44,19 @@
         );
     });
     let causes = [
-        Cause::Age,
-        Cause::Surplus,
-        Cause::Scarce,
-        Cause::Evicted,
-        Cause::Retired,
-        Cause::GivenBack,
-        Cause::Leaving,
-        Cause::Suspect,
-        Cause::Peer,
-        Cause::Reset,
-        Cause::Unreadable,
-        Cause::TimedOut,
-        Cause::CalledOff,
+        CloseReason::IdleTimeout,
+        CloseReason::Surplus,
+        CloseReason::Scarcity,
+        CloseReason::Evicted,
+        CloseReason::Retired,
+        CloseReason::Disconnected,
+        CloseReason::ShuttingDown,
+        CloseReason::Suspect,
+        CloseReason::ClosedByPeer,
+        CloseReason::Reset,
+        CloseReason::Unreadable,
+        CloseReason::TimedOut,
+        CloseReason::Cancelled,
     ];
     let failures = [
         DialFailure::Refused,
--- a/src/net/pool/report.rs
+++ b/src/net/pool/report.rs
@@ -1,21 +1,24 @@
 //! What operators see of the connections.
 
-use super::Connections;
-use message_sender::pool::EndpointView;
+use super::ConnectionPool;
+use message_sender::pool::{EndpointReport, PoolReport};
 use message_sender::{EndpointId, MILLISECOND, SECOND};
 use serde_json::json;
 use std::cmp::Reverse;
 
 /// Endpoints in one report, so that its size is bounded: some 300 bytes each. No list of fewer is cut.
-const LISTED: usize = 1024;
+const MAX_REPORTED_ENDPOINTS: usize = 1024;
 
-impl Connections {
+impl ConnectionPool {
     /// Figures for operators, as JSON: the busiest endpoints and how many are left out, and the sums of all.
     pub fn report(&self, uid_of: impl Fn(EndpointId) -> Option<String>) -> String {
-        let pool = self.0.pool.borrow();
+        let pool = self.0.rules();
         let limits = pool.limits();
-        let (mut endpoints, all) = pool.view(self.0.now());
-        let sum = |count: fn(&EndpointView) -> usize| endpoints.iter().map(count).sum::<usize>();
+        let PoolReport {
+            mut endpoints,
+            totals: counters,
+        } = pool.report(self.0.now());
+        let sum = |count: fn(&EndpointReport) -> usize| endpoints.iter().map(count).sum::<usize>();
         let totals = json!({
             "endpoints": endpoints.len(),
             "open": sum(|endpoint| endpoint.idle + endpoint.leased),
@@ -23,43 +26,43 @@
             "leased": sum(|endpoint| endpoint.leased),
             "dialling": sum(|endpoint| endpoint.dialling),
             "waiting": sum(|endpoint| endpoint.waiting),
-            "counts": all,
+            "counts": counters,
         });
         endpoints.sort_by_key(|endpoint| {
             Reverse((
                 endpoint.leased + endpoint.dialling + endpoint.waiting,
                 endpoint.idle,
-                endpoint.counts.dials,
+                endpoint.counters.dials,
             ))
         });
-        let left_out = endpoints.len().saturating_sub(LISTED);
-        endpoints.truncate(LISTED);
-        let described = |endpoint: EndpointView| {
+        let left_out = endpoints.len().saturating_sub(MAX_REPORTED_ENDPOINTS);
+        endpoints.truncate(MAX_REPORTED_ENDPOINTS);
+        let described = |endpoint: EndpointReport| {
             json!({
-                "uid": uid_of(endpoint.place.endpoint),
-                "address": endpoint.place.address.to_string(),
-                "serving": endpoint.serving,
+                "uid": uid_of(endpoint.target.endpoint),
+                "address": endpoint.target.address.to_string(),
+                "serving": endpoint.is_serving,
                 "open": endpoint.idle + endpoint.leased,
                 "idle": endpoint.idle,
                 "leased": endpoint.leased,
                 "dialling": endpoint.dialling,
                 "waiting": endpoint.waiting,
-                "wanted": endpoint.wanted,
+                "wanted": endpoint.wanted_connections,
                 "learned_cap": endpoint.learned_cap,
-                "counts": endpoint.counts,
+                "counts": endpoint.counters,
             })
         };
         json!({
             "limits": {
-                "all": limits.all,
+                "all": limits.total,
                 "per_endpoint": limits.per_endpoint,
-                "dials": limits.dials,
+                "dials": limits.concurrent_dials,
                 "idle": limits.idle,
                 "idle_per_endpoint": limits.idle_per_endpoint,
-                "keep_ms": limits.keep / MILLISECOND,
-                "decay_s": limits.decay as f64 / SECOND as f64,
+                "keep_ms": limits.idle_timeout / MILLISECOND,
+                "decay_s": limits.demand_half_life as f64 / SECOND as f64,
                 "learn_caps": limits.learn_caps,
-                "warm_share": limits.warm_share,
+                "warm_share": limits.prewarm_share,
             },
             "totals": totals,
             "left_out": left_out,
--- /dev/null
+++ b/src/net/pool/state.rs
@@ -0,0 +1,209 @@
+//! The rules' state beside the sockets, and the carrying out of what the rules say.
+
+use super::connector::{Connection, Connector};
+use super::lease::{ConnectionLease, ConnectionWait, WaitAnswer};
+use super::{PoolResources, duration, micros};
+use crate::net::RateLimitedLog;
+use crate::net::stream::ConnectError;
+use message_sender::Micros;
+use message_sender::pool::{
+    AnswerKind, CloseReason, Command, DialFailure, EndpointAddress, Pool, PoolLimits,
+};
+use std::cell::{Cell, RefCell, RefMut};
+use std::collections::HashMap;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+pub(super) struct PoolState {
+    started_at: Instant,
+    connector: Connector,
+    resources: PoolResources,
+    rules: RefCell<Pool>,
+    /// Connections that are up and not leased.
+    idle: RefCell<HashMap<u64, Connection>>,
+    waiting: RefCell<HashMap<u64, oneshot::Sender<WaitAnswer>>>,
+    next_waiter: Cell<u64>,
+    dial_timeout: Cell<Duration>,
+    /// When this machine last failed a dial.
+    last_local_failure: Cell<Option<Instant>>,
+    failure_log: RateLimitedLog,
+}
+
+impl PoolState {
+    pub(super) fn new(
+        connector: Connector,
+        limits: PoolLimits,
+        dial_timeout: Micros,
+        resources: PoolResources,
+    ) -> Self {
+        PoolState {
+            started_at: Instant::now(),
+            connector,
+            resources,
+            rules: RefCell::new(Pool::new(limits, resources.seed)),
+            idle: RefCell::default(),
+            waiting: RefCell::default(),
+            next_waiter: Cell::default(),
+            dial_timeout: Cell::new(duration(dial_timeout)),
+            last_local_failure: Cell::default(),
+            failure_log: RateLimitedLog::default(),
+        }
+    }
+
+    /// Time as the rules count it.
+    pub(super) fn now(&self) -> Micros {
+        micros(self.started_at.elapsed())
+    }
+
+    pub(super) fn rules(&self) -> RefMut<'_, Pool> {
+        self.rules.borrow_mut()
+    }
+
+    pub(super) fn descriptors(&self) -> usize {
+        self.resources.descriptors
+    }
+
+    pub(super) fn dial_timeout(&self) -> Duration {
+        self.dial_timeout.get()
+    }
+
+    pub(super) fn set_dial_timeout(&self, dial_timeout: Micros) {
+        self.dial_timeout.set(duration(dial_timeout));
+    }
+
+    pub(super) fn set_limits(self: &Rc<Self>, limits: PoolLimits) {
+        let now = self.now();
+        let is_new = limits != *self.rules.borrow().limits();
+        if is_new {
+            self.update(|pool, commands| pool.set_limits(now, limits, commands));
+        }
+    }
+
+    /// Whether this machine has failed a dial since then.
+    pub(super) fn failed_locally_since(&self, since: Instant) -> bool {
+        self.last_local_failure.get().is_some_and(|at| at >= since)
+    }
+
+    /// Tells the rules something and carries out what they say.
+    pub(super) fn update(self: &Rc<Self>, tell: impl FnOnce(&mut Pool, &mut Vec<Command>)) {
+        let mut commands = Vec::new();
+        tell(&mut self.rules.borrow_mut(), &mut commands);
+        for command in commands {
+            self.carry_out(command);
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, command: Command) {
+        match command {
+            Command::Dial { connection, target } => {
+                let pool = self.clone();
+                tokio::task::spawn_local(async move { pool.dial(connection, target).await });
+            }
+            Command::Close { connection } => {
+                let closed = self.idle.borrow_mut().remove(&connection);
+                drop(closed);
+            }
+            Command::Lease {
+                waiter,
+                connection,
+                idle_for,
+            } => {
+                let taken = self.idle.borrow_mut().remove(&connection);
+                let idle_for = idle_for.map(duration);
+                let lease = ConnectionLease::new(self.clone(), connection, taken, idle_for);
+                self.answer(waiter, Ok(lease));
+            }
+            Command::Deny { waiter, reason } => self.answer(waiter, Err(reason)),
+        }
+    }
+
+    fn answer(&self, waiter: u64, answer: WaitAnswer) {
+        let waiting = self.waiting.borrow_mut().remove(&waiter);
+        // a call that waits no more has ended its wait before, and gets nothing
+        if let Some(waiting) = waiting {
+            drop(waiting.send(answer));
+        }
+    }
+
+    /// Asks the rules for a connection; the answer may be there at once.
+    pub(super) fn begin_wait(self: &Rc<Self>, target: EndpointAddress) -> ConnectionWait<'_> {
+        let waiter = self.next_waiter.get();
+        self.next_waiter.set(waiter + 1);
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(waiter, sender);
+        let wait = ConnectionWait {
+            pool: self,
+            waiter,
+            receiver,
+        };
+        let now = self.now();
+        self.update(|pool, commands| pool.acquire(now, target, waiter, commands));
+        wait
+    }
+
+    pub(super) fn end_wait(&self, waiter: u64) {
+        self.waiting.borrow_mut().remove(&waiter);
+        self.rules.borrow_mut().cancel_wait(waiter);
+    }
+
+    pub(super) fn record_answer(&self, connection: u64, answer: AnswerKind) -> bool {
+        let now = self.now();
+        self.rules
+            .borrow_mut()
+            .record_answer(now, connection, answer)
+    }
+
+    /// A lease ends and its connection can carry another call.
+    pub(super) fn take_back(self: &Rc<Self>, number: u64, connection: Connection) {
+        let now = self.now();
+        self.idle.borrow_mut().insert(number, connection);
+        self.update(|pool, commands| pool.release(now, number, commands));
+    }
+
+    /// A lease ends, and its connection with it.
+    pub(super) fn discard(self: &Rc<Self>, number: u64, reason: CloseReason) {
+        let now = self.now();
+        self.update(|pool, commands| pool.discard(now, number, reason, commands));
+    }
+
+    async fn dial(self: &Rc<Self>, connection: u64, target: EndpointAddress) {
+        let timeout = self.dial_timeout.get();
+        let error = match self.connector.connect(target.address, timeout).await {
+            Ok(new) => {
+                let pool = self.clone();
+                tokio::task::spawn_local(async move {
+                    new.driver.await;
+                    pool.update(|pool, commands| pool.peer_closed(connection, commands));
+                });
+                self.idle.borrow_mut().insert(connection, new.connection);
+                let now = self.now();
+                return self
+                    .update(|pool, commands| pool.dial_succeeded(now, connection, commands));
+            }
+            Err(error) => error,
+        };
+        let failure = self.classify(error);
+        let now = self.now();
+        self.update(|pool, commands| pool.dial_failed(now, connection, failure, commands));
+    }
+
+    /// The kind of a failed dial; one that this machine failed is noted and logged.
+    fn classify(&self, error: ConnectError) -> DialFailure {
+        match error {
+            ConnectError::Peer(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                DialFailure::Refused
+            }
+            ConnectError::Peer(_) => DialFailure::Other,
+            ConnectError::Time => DialFailure::TimedOut,
+            ConnectError::Local(error) => {
+                self.failure_log
+                    .log(format_args!("calls: no connection made: {error}"));
+                self.last_local_failure.set(Some(Instant::now()));
+                DialFailure::Local
+            }
+        }
+    }
+}
--- a/src/net/pool/traffic.rs
+++ b/src/net/pool/traffic.rs
@@ -1,4 +1,4 @@
-//! What goes over a connection: bytes written, the first line of an answer, and the last look at a call that is given up.
+//! What goes over a connection: bytes written, the start of an answer, and how a call on it is abandoned.
 
 use crate::net::stream::Stream;
 use std::io;
@@ -10,27 +10,27 @@
 use tokio::sync::Notify;
 
 /// As much of an answer as tells its status.
-const FIRST_LINE: usize = 16;
+const STATUS_LINE_BYTES: usize = 16;
 
 /// What has gone over a connection, beside what hyper tells of it.
 #[derive(Default)]
 pub struct Traffic {
     written: AtomicU64,
     /// The first bytes that came since the last request.
-    first: Mutex<Vec<u8>>,
-    ending: Mutex<Ending>,
-    looked: Notify,
+    answer_start: Mutex<Vec<u8>>,
+    abandonment: Mutex<Abandonment>,
+    read_out: Notify,
 }
 
 /// How far a call is given up. It ends at the one moment at which the system has nothing more to read: an answer that
 /// has come by then counts.
 #[derive(Default)]
-struct Ending {
-    wanted: bool,
-    looked: bool,
-    shut: bool,
+struct Abandonment {
+    is_wanted: bool,
+    is_read_out: bool,
+    is_shut: bool,
     /// The connection is gone: nothing more can be read.
-    ended: bool,
+    has_ended: bool,
     /// Who reads, and waits for more.
     reader: Option<Waker>,
 }
@@ -41,51 +41,60 @@
         self.written.load(Ordering::Relaxed)
     }
 
-    fn ending(&self) -> MutexGuard<'_, Ending> {
-        self.ending.lock().unwrap_or_else(PoisonError::into_inner)
+    fn abandonment(&self) -> MutexGuard<'_, Abandonment> {
+        self.abandonment
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits until all that is there has been read and the sending side is shut, which gives the call up: from then on
     /// the endpoint knows of its end.
-    pub async fn give_up(&self) {
+    pub async fn abandon_call(&self) {
         let reader = {
-            let mut ending = self.ending();
-            (ending.wanted, ending.looked) = (true, ending.ended);
-            ending.reader.take()
+            let mut abandonment = self.abandonment();
+            abandonment.is_wanted = true;
+            abandonment.is_read_out = abandonment.has_ended;
+            abandonment.reader.take()
         };
         reader.into_iter().for_each(Waker::wake);
-        while !self.ending().looked {
-            self.looked.notified().await;
+        while !self.abandonment().is_read_out {
+            self.read_out.notified().await;
         }
     }
 
     /// An answer has come first: the connection goes on.
-    pub fn keep(&self) {
-        self.ending().wanted = false;
+    pub fn keep_connection(&self) {
+        self.abandonment().is_wanted = false;
     }
 
     /// True if nothing can be sent any more.
     pub(super) fn is_shut(&self) -> bool {
-        self.ending().shut
+        self.abandonment().is_shut
     }
 
     /// What comes from now on is another answer.
-    pub fn forget_answer(&self) {
-        self.first
+    pub fn reset_answer(&self) {
+        self.answer_start
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clear();
     }
 
-    fn keep_answer(&self, bytes: &[u8]) {
-        let mut first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
-        let room = FIRST_LINE.saturating_sub(first.len());
+    fn record_answer_bytes(&self, bytes: &[u8]) {
+        let mut first = self
+            .answer_start
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let room = STATUS_LINE_BYTES.saturating_sub(first.len());
         first.extend_from_slice(&bytes[..bytes.len().min(room)]);
     }
 
     /// True if an answer's first line says 200, whatever follows it.
-    pub fn says_ok(&self) -> bool {
-        let first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
+    pub fn has_success_status(&self) -> bool {
+        let first = self
+            .answer_start
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let rest = first
             .strip_prefix(b"HTTP/1.1 200")
             .or_else(|| first.strip_prefix(b"HTTP/1.0 200"));
@@ -95,13 +104,13 @@
 }
 
 /// Counts what has been written: a call whose last byte was not can't have run. Keeps the start of what is read.
-pub(super) struct Counted<S> {
+pub(super) struct TrafficStream<S> {
     pub(super) stream: S,
     pub(super) traffic: Arc<Traffic>,
 }
 
-impl<S> Counted<S> {
-    fn count(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl<S> TrafficStream<S> {
+    fn record_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
             self.traffic
                 .written
@@ -111,18 +120,19 @@
     }
 }
 
-impl<S> Drop for Counted<S> {
+impl<S> Drop for TrafficStream<S> {
     fn drop(&mut self) {
         // what has ended needs no giving up
-        let mut ending = self.traffic.ending();
-        (ending.looked, ending.ended) = (true, true);
-        drop(ending);
-        self.traffic.looked.notify_one();
+        let mut abandonment = self.traffic.abandonment();
+        abandonment.is_read_out = true;
+        abandonment.has_ended = true;
+        drop(abandonment);
+        self.traffic.read_out.notify_one();
     }
 }
 
 /// What the system itself tells of a socket. The runtime asks it only between turns, in which a timer may come first.
-pub(super) trait Now {
+pub(super) trait ImmediateRead {
     /// Reads what is there.
     fn read_now(&self, room: &mut [u8]) -> io::Result<usize>;
 
@@ -130,7 +140,7 @@
     fn end_sending(&self);
 }
 
-impl Now for Stream {
+impl ImmediateRead for Stream {
     fn read_now(&self, room: &mut [u8]) -> io::Result<usize> {
         Stream::read_now(self, room)
     }
@@ -141,7 +151,7 @@
 }
 
 #[cfg(test)]
-impl Now for tokio::io::DuplexStream {
+impl ImmediateRead for tokio::io::DuplexStream {
     fn read_now(&self, _: &mut [u8]) -> io::Result<usize> {
         Err(io::ErrorKind::WouldBlock.into())
     }
@@ -149,7 +159,7 @@
     fn end_sending(&self) {}
 }
 
-impl<S: AsyncRead + Now + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + ImmediateRead + Unpin> AsyncRead for TrafficStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -158,44 +168,44 @@
         let before = buffer.filled().len();
         let mut result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if result.is_pending() {
-            let mut ending = self.traffic.ending();
-            ending.reader = Some(context.waker().clone());
-            if std::mem::take(&mut ending.wanted) {
+            let mut abandonment = self.traffic.abandonment();
+            abandonment.reader = Some(context.waker().clone());
+            if std::mem::take(&mut abandonment.is_wanted) {
                 match self.stream.read_now(buffer.initialize_unfilled()) {
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                         // its end at the endpoint comes before anything that follows from it here
                         self.stream.end_sending();
-                        ending.shut = true;
-                        ending.looked = true;
-                        self.traffic.looked.notify_one();
+                        abandonment.is_shut = true;
+                        abandonment.is_read_out = true;
+                        self.traffic.read_out.notify_one();
                     }
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                        ending.wanted = true;
+                        abandonment.is_wanted = true;
                         context.waker().wake_by_ref();
                     }
                     Err(error) => result = Poll::Ready(Err(error)),
                     Ok(read) => {
                         buffer.advance(read);
                         // there may be more, and the reader comes again
-                        ending.wanted = true;
+                        abandonment.is_wanted = true;
                         result = Poll::Ready(Ok(()));
                     }
                 }
             }
         }
-        self.traffic.keep_answer(&buffer.filled()[before..]);
+        self.traffic.record_answer_bytes(&buffer.filled()[before..]);
         result
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TrafficStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, buffer);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn poll_write_vectored(
@@ -204,7 +214,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -221,45 +231,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::io::Write;
-    use tokio::io::AsyncReadExt;
-
-    /// A call that was given up is looked at once more before its connection closes: what has come by then was told.
-    #[test]
-    fn a_second_look_reads_what_has_come_since_the_first() {
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build();
-        let local = tokio::task::LocalSet::new();
-        local.block_on(&runtime.expect("a runtime"), async {
-            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            let address = listener.local_addr().expect("bound");
-            let stream = tokio::net::TcpStream::connect(address)
-                .await
-                .expect("connected");
-            let (mut peer, _) = listener.accept().expect("accepted");
-            let traffic = Arc::new(Traffic::default());
-            let mut counted = Counted {
-                stream: Stream::from(stream),
-                traffic: traffic.clone(),
-            };
-            tokio::task::spawn_local(async move {
-                let mut room = [0; 64];
-                while counted.read(&mut room).await.is_ok_and(|read| read > 0) {}
-            });
-            traffic.give_up().await;
-            peer.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
-            traffic.give_up().await;
-            assert!(
-                traffic.says_ok(),
-                "the second look ended before what had come was read"
-            );
-            // one that has ended needs no look
-            drop(peer);
-            traffic.give_up().await;
-            traffic.give_up().await;
-        });
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/net/pool/traffic/tests.rs
@@ -0,0 +1,42 @@
+//! A call that is abandoned while its answer comes.
+
+use super::*;
+use std::io::Write;
+use tokio::io::AsyncReadExt;
+
+/// A call that was given up is looked at once more before its connection closes: what has come by then was told.
+#[test]
+fn abandon_call_twice_reads_what_came_in_between() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    let local = tokio::task::LocalSet::new();
+    local.block_on(&runtime.expect("a runtime"), async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("bound");
+        let stream = tokio::net::TcpStream::connect(address)
+            .await
+            .expect("connected");
+        let (mut peer, _) = listener.accept().expect("accepted");
+        let traffic = Arc::new(Traffic::default());
+        let mut stream = TrafficStream {
+            stream: Stream::from(stream),
+            traffic: traffic.clone(),
+        };
+        tokio::task::spawn_local(async move {
+            let mut room = [0; 64];
+            while stream.read(&mut room).await.is_ok_and(|read| read > 0) {}
+        });
+        traffic.abandon_call().await;
+        peer.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
+        traffic.abandon_call().await;
+        assert!(
+            traffic.has_success_status(),
+            "the second look ended before what had come was read"
+        );
+        // one that has ended needs no look
+        drop(peer);
+        traffic.abandon_call().await;
+        traffic.abandon_call().await;
+    });
+}
--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -1,131 +1,150 @@
 //! Accounting: how many connections there are in which state, what has happened so far, and what operators see of it.
 
 use super::Pool;
-use super::endpoint::{Endpoint, State};
-use super::messages::{Cause, Command, DialFailure, Place};
+use super::endpoint::ConnectionState;
+use super::messages::{CloseReason, Command, DialFailure, EndpointAddress};
 use crate::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// What is counted of an endpoint, or of all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
+pub struct PoolCounters {
     /// Calls that got a connection which had carried one before.
     pub reuses: u64,
     /// Dials begun.
     pub dials: u64,
-    /// Dials that failed, by cause.
+    /// Dials that failed, by the kind of failure.
     pub dial_failures: BTreeMap<DialFailure, u64>,
-    /// Connections closed, by cause.
-    pub closes: BTreeMap<Cause, u64>,
+    /// Connections closed, by reason.
+    pub closes: BTreeMap<CloseReason, u64>,
+}
+
+/// The endpoints, and the counters of all that ever were.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PoolReport {
+    /// The endpoints known now.
+    pub endpoints: Vec<EndpointReport>,
+    /// The sums over these and over all that are forgotten.
+    pub totals: PoolCounters,
 }
 
 /// One endpoint as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndpointView {
-    /// Whose figures these are.
-    pub place: Place,
+pub struct EndpointReport {
+    /// The endpoint.
+    pub target: EndpointAddress,
     /// It takes new calls.
-    pub serving: bool,
-    /// Idle, leased and dialled connections, and calls that wait for one.
+    pub is_serving: bool,
+    /// Connections without a call.
     pub idle: usize,
     /// Connections that carry a call.
     pub leased: usize,
-    /// Dials that are out.
+    /// Dials in flight.
     pub dialling: usize,
-    /// Calls that wait.
+    /// Calls that wait for a connection.
     pub waiting: usize,
     /// How many connections its load asks for.
-    pub wanted: usize,
-    /// What it seems to bear from this sender.
+    pub wanted_connections: usize,
+    /// How many it seems to accept from this sender.
     pub learned_cap: Option<usize>,
     /// What has happened so far.
-    pub counts: Counts,
+    pub counters: PoolCounters,
+}
+
+/// How many entries the pool keeps of each kind.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PoolSizes {
+    /// Endpoints, retired ones with something left counted.
+    pub endpoints: usize,
+    /// Connections, those being dialled counted.
+    pub connections: usize,
+    /// Calls that wait.
+    pub waiters: usize,
 }
 
 impl Pool {
-    /// Figures of the endpoints, and those of all that ever were.
-    pub fn view(&self, now: Micros) -> (Vec<EndpointView>, Counts) {
-        let mut all = self.past.clone();
-        let endpoints = self.endpoints.iter().map(|(place, endpoint)| {
-            add(&mut all, &endpoint.counts);
-            EndpointView {
-                place: *place,
-                serving: endpoint.serving,
+    /// Figures for operators.
+    pub fn report(&self, now: Micros) -> PoolReport {
+        let mut totals = self.forgotten_counters.clone();
+        let mut endpoints = Vec::new();
+        for (target, endpoint) in &self.endpoints {
+            add(&mut totals, &endpoint.counters);
+            endpoints.push(EndpointReport {
+                target: *target,
+                is_serving: endpoint.is_serving,
                 idle: endpoint.idle.len(),
                 leased: endpoint.leased,
                 dialling: endpoint.dialling,
                 waiting: endpoint.waiting.len(),
-                wanted: endpoint.wanted(now, &self.limits),
-                learned_cap: endpoint.cap.as_ref().map(|cap| cap.most),
-                counts: endpoint.counts.clone(),
-            }
-        });
-        (endpoints.collect(), all)
+                wanted_connections: endpoint.wanted_connections(now, &self.limits),
+                learned_cap: endpoint.cap.as_ref().map(|cap| cap.connections),
+                counters: endpoint.counters.clone(),
+            });
+        }
+        PoolReport { endpoints, totals }
     }
 
-    /// How many endpoints, connections and waiting calls the pool knows of.
-    pub fn sizes(&self) -> (usize, usize, usize) {
-        (
-            self.endpoints.len(),
-            self.connections.len(),
-            self.waiters.len(),
-        )
+    /// How many entries the pool keeps.
+    pub fn sizes(&self) -> PoolSizes {
+        PoolSizes {
+            endpoints: self.endpoints.len(),
+            connections: self.connections.len(),
+            waiters: self.waiters.len(),
+        }
     }
 
-    /// Connections that count among all, those that another process holds too.
+    /// Connections that count towards the total, those of a predecessor too.
     pub(super) fn total(&self) -> usize {
-        self.connections.len() + self.elsewhere
+        self.connections.len() + self.predecessor_connections
     }
 
     /// Closes a connection.
-    pub(super) fn close(&mut self, connection: u64, cause: Cause, out: &mut Vec<Command>) {
-        self.drop_connection(connection, cause);
-        out.push(Command::Close { connection });
+    pub(super) fn close(
+        &mut self,
+        connection: u64,
+        reason: CloseReason,
+        commands: &mut Vec<Command>,
+    ) {
+        self.remove_connection(connection, reason);
+        commands.push(Command::Close { connection });
     }
 
     /// Takes a connection that is closed off the accounts.
-    pub(super) fn drop_connection(&mut self, connection: u64, cause: Cause) {
+    pub(super) fn remove_connection(&mut self, connection: u64, reason: CloseReason) {
         let Some(known) = self.connections.remove(&connection) else {
             return;
         };
-        let Some(endpoint) = self.endpoints.get_mut(&known.place) else {
+        let Some(endpoint) = self.endpoints.get_mut(&known.target) else {
             return;
         };
         match known.state {
-            State::Idle { since } => {
+            ConnectionState::Idle { since } => {
                 endpoint.idle.retain(|idle| *idle != connection);
                 self.idle.remove(&(since, connection));
             }
-            State::Leased { .. } => {
+            ConnectionState::Leased { .. } => {
                 endpoint.leased -= 1;
-                endpoint.proven -= usize::from(known.served);
+                endpoint.leased_proven -= usize::from(known.is_proven);
             }
-            State::Dialling { .. } => endpoint.dialling -= 1,
-        }
-        if let Some(cap) = endpoint.cap.as_mut().filter(|_| known.trial) {
-            cap.end_trial();
+            ConnectionState::Dialling { .. } => endpoint.dialling -= 1,
         }
-        *endpoint.counts.closes.entry(cause).or_default() += 1;
-    }
-
-    /// Forgets an endpoint of which nothing is left, and keeps its counts.
-    pub(super) fn forget_if_done(&mut self, place: Place) {
-        if self.endpoints.get(&place).is_some_and(Endpoint::done)
-            && let Some(endpoint) = self.endpoints.remove(&place)
+        if known.is_trial
+            && let Some(cap) = &mut endpoint.cap
         {
-            add(&mut self.past, &endpoint.counts);
+            cap.end_trial();
         }
+        *endpoint.counters.closes.entry(reason).or_default() += 1;
     }
 }
 
-fn add(all: &mut Counts, more: &Counts) {
-    all.reuses += more.reuses;
-    all.dials += more.dials;
-    more.dial_failures
-        .iter()
-        .for_each(|(why, count)| *all.dial_failures.entry(*why).or_default() += count);
-    more.closes
-        .iter()
-        .for_each(|(cause, count)| *all.closes.entry(*cause).or_default() += count);
+pub(super) fn add(sum: &mut PoolCounters, more: &PoolCounters) {
+    sum.reuses += more.reuses;
+    sum.dials += more.dials;
+    for (failure, count) in &more.dial_failures {
+        *sum.dial_failures.entry(*failure).or_default() += count;
+    }
+    for (reason, count) in &more.closes {
+        *sum.closes.entry(*reason).or_default() += count;
+    }
 }
--- /dev/null
+++ b/src/pool/dials.rs
@@ -0,0 +1,245 @@
+//! Dials: when one is allowed, and what its end brings.
+
+use super::Pool;
+use super::endpoint::{Connection, ConnectionState, Endpoint};
+use super::learned_caps::RefusedDial;
+use super::messages::{CloseReason, Command, DialFailure, EndpointAddress};
+use crate::Micros;
+
+/// One part in so many of the concurrent dials may be towards one endpoint: a silent one must not hold them all.
+const DIALS_PER_ENDPOINT_DIVISOR: usize = 4;
+
+/// A dial that is allowed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum DialKind {
+    /// Within what the endpoint is known to accept.
+    Ordinary,
+    /// One above its learned cap.
+    Trial,
+}
+
+impl Pool {
+    /// Dials for the calls that wait at an endpoint, one each, as far as the limits allow.
+    pub(super) fn dial_for_waiting(
+        &mut self,
+        now: Micros,
+        target: EndpointAddress,
+        commands: &mut Vec<Command>,
+    ) {
+        while let Some(endpoint) = self.endpoints.get(&target)
+            && endpoint.waiting.len() > endpoint.dialling
+        {
+            let Some(kind) = self.allowed_dial(now, endpoint) else {
+                return self.queue_for_dial(target);
+            };
+            if self.total() >= self.limits.total
+                && let Some(&(_, oldest)) = self.idle.first()
+            {
+                self.close(oldest, CloseReason::Evicted, commands);
+            }
+            self.dial(now, target, kind, commands);
+        }
+    }
+
+    fn queue_for_dial(&mut self, target: EndpointAddress) {
+        let Some(endpoint) = self.endpoints.get_mut(&target) else {
+            return;
+        };
+        if !endpoint.is_in_dial_queue {
+            endpoint.is_in_dial_queue = true;
+            self.dial_queue.push_back(target);
+        }
+    }
+
+    /// The limits may allow more dials now: each endpoint where calls wait without a dial gets its turn.
+    pub(super) fn run_dial_queue(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        for _ in 0..self.dial_queue.len() {
+            let Some(target) = self.dial_queue.pop_front() else {
+                return;
+            };
+            if let Some(endpoint) = self.endpoints.get_mut(&target) {
+                endpoint.is_in_dial_queue = false;
+                self.dial_for_waiting(now, target, commands);
+            }
+        }
+    }
+
+    /// Whether the limits allow one more dial to the endpoint, if need be in place of an idle connection.
+    fn limits_allow_dial(&self, endpoint: &Endpoint) -> bool {
+        let dials_to_one = (self.limits.concurrent_dials / DIALS_PER_ENDPOINT_DIVISOR).max(1);
+        let total = self.total();
+        let can_evict = total == self.limits.total && !self.idle.is_empty();
+        self.dialling < self.limits.concurrent_dials
+            && endpoint.dialling < dials_to_one
+            && endpoint.open() < self.limits.per_endpoint
+            && (total < self.limits.total || can_evict)
+    }
+
+    /// Which dial to the endpoint is allowed now, if any.
+    pub(super) fn allowed_dial(&self, now: Micros, endpoint: &Endpoint) -> Option<DialKind> {
+        if !endpoint.is_serving || !self.limits_allow_dial(endpoint) {
+            return None;
+        }
+        // until it is known whether the open connections work, none is dialled beside them
+        let awaits_proof = endpoint
+            .refused_dial
+            .is_some_and(|refused| endpoint.open() >= refused.established);
+        if awaits_proof {
+            return None;
+        }
+        match &endpoint.cap {
+            Some(cap) if endpoint.open() >= cap.connections => {
+                cap.allows_trial(now).then_some(DialKind::Trial)
+            }
+            _ => Some(DialKind::Ordinary),
+        }
+    }
+
+    pub(super) fn dial(
+        &mut self,
+        now: Micros,
+        target: EndpointAddress,
+        kind: DialKind,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(&target) else {
+            return;
+        };
+        let connection = self.next_connection;
+        self.next_connection += 1;
+        self.dialling += 1;
+        endpoint.dialling += 1;
+        endpoint.counters.dials += 1;
+        let is_trial = kind == DialKind::Trial;
+        if is_trial && let Some(cap) = &mut endpoint.cap {
+            cap.trials += 1;
+        }
+        let new = Connection {
+            target,
+            state: ConnectionState::Dialling { since: now },
+            last_heard: now,
+            connected_at: now,
+            calls: 0,
+            is_proven: false,
+            is_trial,
+        };
+        self.connections.insert(connection, new);
+        commands.push(Command::Dial { connection, target });
+    }
+
+    /// A dial brought its connection.
+    pub fn dial_succeeded(&mut self, now: Micros, connection: u64, commands: &mut Vec<Command>) {
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        let ConnectionState::Dialling { .. } = known.state else {
+            return;
+        };
+        known.last_heard = now;
+        known.connected_at = now;
+        known.state = ConnectionState::Idle { since: now };
+        let target = known.target;
+        self.dialling -= 1;
+        self.idle.insert((now, connection));
+        if let Some(endpoint) = self.endpoints.get_mut(&target) {
+            endpoint.dialling -= 1;
+            endpoint.idle.push(connection);
+        }
+        self.assign_idle(now, target, connection, commands);
+    }
+
+    /// A dial brought none.
+    pub fn dial_failed(
+        &mut self,
+        now: Micros,
+        connection: u64,
+        failure: DialFailure,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(known) = self.connections.get(&connection) else {
+            return;
+        };
+        let ConnectionState::Dialling { since } = known.state else {
+            return;
+        };
+        let target = known.target;
+        let is_trial = known.is_trial;
+        self.connections.remove(&connection);
+        self.dialling -= 1;
+        if is_trial && failure != DialFailure::Local {
+            self.finish_trial(now, target, false);
+        }
+        let dial = FailedDial {
+            target,
+            since,
+            is_trial,
+            failure,
+        };
+        if !self.record_failed_dial(now, &dial) {
+            return;
+        }
+        if self.fails_waiting_call(&dial) {
+            self.deny_oldest(target, failure, commands);
+        }
+        self.deny_beyond_dials(target, commands);
+        self.dial_for_waiting(now, target, commands);
+        self.run_dial_queue(now, commands);
+        self.forget_if_done(target);
+    }
+
+    /// Counts a failed dial at its endpoint, if that is still known.
+    fn record_failed_dial(&mut self, now: Micros, dial: &FailedDial) -> bool {
+        let prewarm_not_before = now + self.limits.prewarm_delay;
+        let learns_caps = self.limits.learn_caps;
+        let Some(endpoint) = self.endpoints.get_mut(&dial.target) else {
+            return false;
+        };
+        endpoint.dialling -= 1;
+        *endpoint
+            .counters
+            .dial_failures
+            .entry(dial.failure)
+            .or_default() += 1;
+        endpoint.delay_prewarm(prewarm_not_before);
+        if learns_caps && dial.was_refused_beside(endpoint) && !dial.is_trial {
+            // an endpoint that is down resets the open connections too, but their resets may come later than this
+            endpoint.refused_dial = Some(RefusedDial {
+                established: endpoint.established(),
+                at: now,
+            });
+        }
+        true
+    }
+
+    /// Whether the call that has waited the longest fails with the dial. A call with a dial of its own in flight goes on
+    /// waiting. So does one that came later than this dial where that says nothing of the next one, and one that may get
+    /// one of the connections beside which the dial was refused.
+    fn fails_waiting_call(&self, dial: &FailedDial) -> bool {
+        let Some(endpoint) = self.endpoints.get(&dial.target) else {
+            return false;
+        };
+        let has_established = endpoint.established() > 0;
+        let may_get_another = endpoint.waiting.len() <= endpoint.dialling
+            || dial.was_refused_beside(endpoint) && self.limits.learn_caps
+            || dial.is_trial && has_established;
+        let oldest = endpoint.waiting.front();
+        let bears_on_oldest = dial.failure != DialFailure::TimedOut
+            || oldest.is_some_and(|waiter| waiter.since <= dial.since);
+        !may_get_another && bears_on_oldest
+    }
+}
+
+/// A dial that has failed.
+struct FailedDial {
+    target: EndpointAddress,
+    since: Micros,
+    is_trial: bool,
+    failure: DialFailure,
+}
+
+impl FailedDial {
+    /// It was refused while other connections to the endpoint were open.
+    fn was_refused_beside(&self, endpoint: &Endpoint) -> bool {
+        self.failure == DialFailure::Refused && endpoint.established() > 0
+    }
+}
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -1,178 +1,171 @@
-//! Idle connections and their age: which one a call gets, how long one is kept, which are closed first.
+//! Idle connections: which call gets one, how long one is kept, and which are closed first.
 
 use super::Pool;
-use super::endpoint::State;
-use super::learned_caps::FEW_SENDERS;
-use super::messages::{Cause, Command, Place};
+use super::endpoint::ConnectionState;
+use super::learned_caps::SMALL_FLEET_SENDERS;
+use super::messages::{CloseReason, Command, EndpointAddress};
 use crate::{EndpointId, MILLISECOND, Micros, SECOND};
 use std::net::SocketAddr;
 
 /// After a reset on a connection that was idle, those to that endpoint are kept half as long, for this time, and
-/// no shorter than the least. A reset after a shorter idle time has another cause.
+/// no shorter than the minimum. A reset after a shorter idle time has another cause.
 const SHORTENED_FOR: Micros = 60 * SECOND;
-const SHORTENED_LEAST: Micros = 100 * MILLISECOND;
+const MIN_SHORTENED_TIMEOUT: Micros = 100 * MILLISECOND;
 
 /// Idle connections to an endpoint are kept for a shorter time than is set.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ShortenedKeep {
-    keep: Micros,
+pub(super) struct ShortenedIdleTimeout {
+    timeout: Micros,
     until: Micros,
 }
 
 impl Pool {
     /// How long idle connections to the endpoint are kept.
-    pub(super) fn keep(&self, now: Micros, place: Place) -> Micros {
+    pub(super) fn idle_timeout(&self, now: Micros, target: EndpointAddress) -> Micros {
         let shortened = self
             .endpoints
-            .get(&place)
-            .and_then(|endpoint| endpoint.shortened_keep);
+            .get(&target)
+            .and_then(|endpoint| endpoint.shortened_idle_timeout);
         match shortened {
-            Some(ShortenedKeep { keep, until }) if now < until => keep.min(self.limits.keep),
-            _ => self.limits.keep,
+            Some(shortened) if now < shortened.until => {
+                shortened.timeout.min(self.limits.idle_timeout)
+            }
+            _ => self.limits.idle_timeout,
         }
     }
 
     /// A connection was reset with a call on it after it had been idle for so long: its endpoint closes idle ones
     /// sooner than is set.
-    pub(super) fn shorten_keep(&mut self, now: Micros, place: Place, idle_for: Micros) {
-        if idle_for < SHORTENED_LEAST {
+    pub(super) fn shorten_idle_timeout(
+        &mut self,
+        now: Micros,
+        target: EndpointAddress,
+        idle_for: Micros,
+    ) {
+        if idle_for < MIN_SHORTENED_TIMEOUT {
             return;
         }
-        let keep = (self.keep(now, place).min(idle_for) / 2).max(SHORTENED_LEAST);
-        if let Some(endpoint) = self.endpoints.get_mut(&place) {
-            endpoint.shortened_keep = Some(ShortenedKeep {
-                keep,
+        let survived = self.idle_timeout(now, target).min(idle_for);
+        let timeout = (survived / 2).max(MIN_SHORTENED_TIMEOUT);
+        if let Some(endpoint) = self.endpoints.get_mut(&target) {
+            endpoint.shortened_idle_timeout = Some(ShortenedIdleTimeout {
+                timeout,
                 until: now + SHORTENED_FOR,
             });
         }
     }
 
-    /// It has been idle for as long as is allowed.
-    pub(super) fn grown_old(&self, now: Micros, connection: u64) -> bool {
-        self.connections
-            .get(&connection)
-            .is_some_and(|known| match known.state {
-                State::Idle { since } => now - since >= self.keep(now, known.place),
-                _ => false,
-            })
-    }
-
-    /// Gives an idle connection to the call that waits longest.
-    pub(super) fn lease(
-        &mut self,
-        now: Micros,
-        place: Place,
-        connection: u64,
-        out: &mut Vec<Command>,
-    ) {
-        let Some(known) = self.connections.get_mut(&connection) else {
-            return;
-        };
-        let State::Idle { since } = known.state else {
-            return;
-        };
-        let Some(endpoint) = self.endpoints.get_mut(&place) else {
-            return;
-        };
-        let Some((waiter, _)) = endpoint.waiting.pop_front() else {
-            return;
-        };
-        endpoint.idle.retain(|idle| *idle != connection);
-        endpoint.leased += 1;
-        endpoint.proven += usize::from(known.served);
-        let idle_for = (known.calls > 0).then_some(now - since);
-        endpoint.counts.reuses += u64::from(idle_for.is_some());
-        known.calls += 1;
-        known.state = State::Leased {
-            at: now,
-            proven: endpoint.proven,
-            idle_for,
+    /// The connection has been idle for as long as is allowed.
+    pub(super) fn is_idle_expired(&self, now: Micros, connection: u64) -> bool {
+        let Some(known) = self.connections.get(&connection) else {
+            return false;
         };
-        self.idle.remove(&(since, connection));
-        self.waiters.remove(&waiter);
-        out.push(Command::Lease {
-            waiter,
-            connection,
-            idle_for,
-        });
+        match known.state {
+            ConnectionState::Idle { since } => now - since >= self.idle_timeout(now, known.target),
+            _ => false,
+        }
     }
 
-    /// A connection has just fallen free: it goes to a call that waits, to the idle ones, or is closed.
-    pub(super) fn settle(
+    /// A connection has just become idle: it goes to a call that waits, is kept, or is closed.
+    pub(super) fn assign_idle(
         &mut self,
         now: Micros,
-        place: Place,
+        target: EndpointAddress,
         connection: u64,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(endpoint) = self.endpoints.get(&place) else {
+        let Some(endpoint) = self.endpoints.get(&target) else {
             return;
         };
         if !endpoint.waiting.is_empty() {
-            self.lease(now, place, connection, out);
-        } else if !endpoint.serving {
-            self.close(connection, Cause::Retired, out);
-            self.forget_if_done(place);
-        } else if self.leaving {
-            self.close(connection, Cause::Leaving, out);
-        } else if self.keeps_none() {
-            self.close(connection, Cause::Scarce, out);
-        } else if endpoint.idle.len() > self.limits.idle_per_endpoint
-            || endpoint.open() > self.limits.per_endpoint
-            || endpoint.established() > endpoint.wanted(now, &self.limits)
+            self.lease(now, target, connection, commands);
+        } else if !endpoint.is_serving {
+            self.close(connection, CloseReason::Retired, commands);
+            self.forget_if_done(target);
+        } else if self.is_shutting_down {
+            self.close(connection, CloseReason::ShuttingDown, commands);
+        } else if self.closes_idle_at_once() {
+            self.close(connection, CloseReason::Scarcity, commands);
+        } else if self.exceeds_endpoint_limits(target)
+            || endpoint.established() > endpoint.wanted_connections(now, &self.limits)
         {
-            // the one that would be taken last
+            // the one that would be leased last
             let oldest = endpoint.idle.first().copied().unwrap_or(connection);
-            self.close(oldest, Cause::Surplus, out);
+            self.close(oldest, CloseReason::Surplus, commands);
         }
-        self.close_surplus(out);
-        self.serve_queue(now, out);
+        self.close_surplus(commands);
+        self.run_dial_queue(now, commands);
+    }
+
+    /// The endpoint has more connections, or more idle ones, than the limits for one endpoint allow.
+    fn exceeds_endpoint_limits(&self, target: EndpointAddress) -> bool {
+        self.endpoints.get(&target).is_some_and(|endpoint| {
+            endpoint.idle.len() > self.limits.idle_per_endpoint
+                || endpoint.open() > self.limits.per_endpoint
+        })
     }
 
-    /// True if idle connections are closed at once: there are too few for all, and others wait for them.
-    pub(super) fn keeps_none(&self) -> bool {
-        self.limits.senders > FEW_SENDERS && self.scarcity.is_scarce()
+    /// The oldest idle connection to an endpoint that exceeds its limits.
+    pub(super) fn idle_beyond_limits(&self, target: EndpointAddress) -> Option<u64> {
+        let oldest = self.endpoints.get(&target)?.idle.first().copied();
+        oldest.filter(|_| self.exceeds_endpoint_limits(target))
     }
 
-    /// Closes idle connections that have grown old or are not wanted any more, oldest first.
-    pub(super) fn close_old(&mut self, now: Micros, out: &mut Vec<Command>) {
+    /// True if idle connections are closed at once: endpoints accept too few from all senders, and others wait for
+    /// them.
+    pub(super) fn closes_idle_at_once(&self) -> bool {
+        self.limits.senders > SMALL_FLEET_SENDERS && self.scarcity.is_scarce()
+    }
+
+    /// Closes idle connections that have expired or are not wanted any more, oldest first.
+    pub(super) fn close_expired(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let idle: Vec<u64> = self
             .idle
             .iter()
             .map(|&(_, connection)| connection)
             .collect();
         for connection in idle {
-            let Some(place) = self.connections.get(&connection).map(|known| known.place) else {
-                continue;
-            };
-            let Some(endpoint) = self.endpoints.get(&place) else {
-                continue;
-            };
-            if self.grown_old(now, connection) {
-                self.close(connection, Cause::Age, out);
-            } else if self.keeps_none() {
-                self.close(connection, Cause::Scarce, out);
-            } else if endpoint.established() > endpoint.wanted(now, &self.limits) {
-                self.close(connection, Cause::Surplus, out);
+            if let Some(reason) = self.reason_to_close_idle(now, connection) {
+                self.close(connection, reason, commands);
             }
         }
     }
 
+    fn reason_to_close_idle(&self, now: Micros, connection: u64) -> Option<CloseReason> {
+        let target = self.connections.get(&connection)?.target;
+        let endpoint = self.endpoints.get(&target)?;
+        if self.is_idle_expired(now, connection) {
+            Some(CloseReason::IdleTimeout)
+        } else if self.closes_idle_at_once() {
+            Some(CloseReason::Scarcity)
+        } else if endpoint.established() > endpoint.wanted_connections(now, &self.limits) {
+            Some(CloseReason::Surplus)
+        } else {
+            None
+        }
+    }
+
     /// Closes the oldest idle connections as long as there are more than may be, whichever endpoint they go to.
-    pub(super) fn close_surplus(&mut self, out: &mut Vec<Command>) {
-        while (self.idle.len() > self.limits.idle || self.total() > self.limits.all)
+    pub(super) fn close_surplus(&mut self, commands: &mut Vec<Command>) {
+        while (self.idle.len() > self.limits.idle || self.total() > self.limits.total)
             && let Some(&(_, oldest)) = self.idle.first()
         {
-            self.close(oldest, Cause::Surplus, out);
+            self.close(oldest, CloseReason::Surplus, commands);
         }
     }
 
-    /// Idle connections to the address that have heard nothing since then may be as dead as the one that timed out.
-    pub(super) fn suspect(&mut self, address: SocketAddr, since: Micros, out: &mut Vec<Command>) {
-        let of_address = Place {
+    /// Closes idle connections to the address that have heard nothing since then: they may be as dead as the one on
+    /// which a call timed out.
+    pub(super) fn close_suspect_idle(
+        &mut self,
+        address: SocketAddr,
+        since: Micros,
+        commands: &mut Vec<Command>,
+    ) {
+        let of_address = EndpointAddress {
             address,
             endpoint: EndpointId(0),
-        }..=Place {
+        }..=EndpointAddress {
             address,
             endpoint: EndpointId(u32::MAX),
         };
@@ -182,12 +175,9 @@
             .flat_map(|(_, endpoint)| endpoint.idle.clone())
             .collect();
         for connection in idle {
-            if self
-                .connections
-                .get(&connection)
-                .is_some_and(|known| known.heard < since)
-            {
-                self.close(connection, Cause::Suspect, out);
+            let known = self.connections.get(&connection);
+            if known.is_some_and(|known| known.last_heard < since) {
+                self.close(connection, CloseReason::Suspect, commands);
             }
         }
     }
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -1,178 +1,219 @@
-//! Learned caps: how many connections an endpoint seems to bear from this sender, learned from connects and first calls
+//! Learned caps: how many connections an endpoint seems to accept from this sender, learned from dials and first calls
 //! that it refuses, and tried above from time to time.
 
 use super::Pool;
-use super::messages::{Answered, Place};
+use super::messages::{AnswerKind, EndpointAddress};
 use crate::{Micros, SECOND};
 
 /// First backoff before a learned cap is tried above, and the longest; each sender of a fleet adds to both, so that
 /// all together try about twice a second at most.
-const RAISE_FIRST: Micros = 2 * SECOND;
-const RAISE_MOST: Micros = 60 * SECOND;
-const RAISE_EACH: Micros = SECOND / 2;
-/// Dials above a learned cap at once, when the ones before came up. Many senders add one at a time.
-const RAISE_STEP: usize = 8;
-pub(super) const FEW_SENDERS: u32 = 4;
-/// So often must a first call be turned away and a later one on an older connection be served.
-const TURNED_AWAY_ENOUGH: u32 = 4;
-
-/// The number of connections that an endpoint seems to bear from this sender.
+const FIRST_TRIAL_BACKOFF: Micros = 2 * SECOND;
+const MAX_TRIAL_BACKOFF: Micros = 60 * SECOND;
+const TRIAL_BACKOFF_PER_SENDER: Micros = SECOND / 2;
+/// Concurrent dials above a learned cap, when the ones before came up. Large fleets add one at a time.
+const MAX_TRIAL_STEP: usize = 8;
+/// Fleets of at most so many senders may take larger steps, and keep idle connections also where these are scarce.
+pub(super) const SMALL_FLEET_SENDERS: u32 = 4;
+/// So often must a first call be rejected while a later one on an older connection is served.
+const REQUIRED_CONFIRMATIONS: u32 = 4;
+
+/// The number of connections that an endpoint seems to accept from this sender.
 #[derive(Debug)]
 pub(super) struct LearnedCap {
-    pub(super) most: usize,
+    pub(super) connections: usize,
     /// When it may be tried above.
-    pub(super) next: Micros,
-    /// How long nothing was tried before that.
+    next_trial_at: Micros,
+    /// The last time without a trial.
     backoff: Micros,
-    /// With how many dials at once, and how many are out.
-    pub(super) step: usize,
+    /// Trials that may be in flight.
+    step: usize,
+    /// Trials in flight.
     pub(super) trials: usize,
 }
 
 impl LearnedCap {
-    /// A dial above the cap has told.
+    pub(super) fn allows_trial(&self, now: Micros) -> bool {
+        now >= self.next_trial_at && self.trials < self.step
+    }
+
+    /// A dial above the cap has ended.
     pub(super) fn end_trial(&mut self) {
         self.trials = self.trials.saturating_sub(1);
     }
 
-    /// A connection above the cap works: how long until the next is tried.
-    fn raise(&mut self, first_backoff: Micros, step_most: usize) -> Micros {
-        self.most += 1;
+    /// A connection above the cap works: how long until the next trial.
+    fn raise(&mut self, first_backoff: Micros, max_step: usize) -> Micros {
+        self.connections += 1;
         self.backoff = first_backoff;
         if self.trials == 0 {
-            self.step = (self.step * 2).min(step_most);
+            self.step = (self.step * 2).min(max_step);
         }
         first_backoff / 2
     }
 
-    /// None does: how long until the next is tried.
+    /// A connection above the cap does not work: how long until the next trial.
     fn back_off(&mut self, first_backoff: Micros) -> Micros {
         self.step = 1;
-        self.backoff = (self.backoff * 2).min(first_backoff.max(RAISE_MOST));
+        self.backoff = (self.backoff * 2).min(first_backoff.max(MAX_TRIAL_BACKOFF));
         self.backoff
     }
 }
 
-/// A connect was refused beside open connections; whether these work is not known yet.
+/// A dial was refused beside open connections; whether these work is not known yet.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct RefusedBeside {
+pub(super) struct RefusedDial {
     /// How many were open, less those that have broken since.
     pub(super) established: usize,
     pub(super) at: Micros,
 }
 
-/// First calls that were turned away, until older connections tell whether that was their being new.
+/// A first call that was rejected.
+#[derive(Debug, Clone, Copy)]
+struct RejectedCall {
+    began_at: Micros,
+    /// Proven connections that were leased then.
+    leased_proven: usize,
+}
+
+/// First calls that were rejected, until older connections tell whether that was for being new.
 #[derive(Debug, Default)]
-pub(super) struct TurnedAway {
-    /// When the last one began, and how many proven connections were leased then.
-    pending: Option<(Micros, usize)>,
-    confirmed: u32,
+pub(super) struct RejectedFirstCalls {
+    unconfirmed: Option<RejectedCall>,
+    confirmations: u32,
 }
 
-impl TurnedAway {
-    /// Notes the answer to a call that began at a time, with so many proven connections leased. An endpoint that turns
-    /// away whatever comes does so on older connections too, as soon as as many are busy.
-    fn note(&mut self, answered: Answered, first_call: bool, at: Micros, proven: usize) {
-        match (answered, first_call) {
-            (Answered::TurnedAway, true) => self.pending = Some((at, proven)),
-            (Answered::TurnedAway, false) | (Answered::Served, true) => {
-                *self = TurnedAway::default()
+impl RejectedFirstCalls {
+    /// Takes in the answer to a call. An endpoint that rejects whatever comes does so on older connections too, as soon
+    /// as as many of them are busy.
+    fn record(&mut self, call: &AnsweredCall) {
+        match (call.answer, call.is_first) {
+            (AnswerKind::Rejected, true) => {
+                self.unconfirmed = Some(RejectedCall {
+                    began_at: call.began_at,
+                    leased_proven: call.leased_proven,
+                });
+            }
+            (AnswerKind::Rejected, false) | (AnswerKind::Served, true) => {
+                *self = RejectedFirstCalls::default();
             }
-            (Answered::Served, false) => {
-                if self
-                    .pending
-                    .take_if(|(began, then)| at >= *began && proven >= *then)
-                    .is_some()
-                {
-                    self.confirmed += 1;
-                }
+            (AnswerKind::Served, false) => {
+                let confirmed = self.unconfirmed.take_if(|rejected| {
+                    call.began_at >= rejected.began_at
+                        && call.leased_proven >= rejected.leased_proven
+                });
+                self.confirmations += u32::from(confirmed.is_some());
             }
-            (Answered::Other, _) => {}
+            (AnswerKind::Other, _) => {}
         }
     }
 
-    /// Connections were refused for being new, often enough to be no chance.
-    fn tells_a_cap(&self) -> bool {
-        self.confirmed >= TURNED_AWAY_ENOUGH
+    /// Connections were rejected for being new, often enough to be no chance.
+    fn shows_a_cap(&self) -> bool {
+        self.confirmations >= REQUIRED_CONFIRMATIONS
     }
 }
 
+/// A call that was answered, and the connection that carried it.
+#[derive(Debug)]
+pub(super) struct AnsweredCall {
+    pub(super) answer: AnswerKind,
+    pub(super) began_at: Micros,
+    /// Proven connections that were leased when it began.
+    pub(super) leased_proven: usize,
+    /// The connection had carried none before.
+    pub(super) is_first: bool,
+    /// When the connection came up.
+    pub(super) connected_at: Micros,
+}
+
 impl Pool {
-    fn first_backoff(&self) -> Micros {
-        RAISE_FIRST.max(RAISE_EACH * Micros::from(self.limits.senders))
+    fn first_trial_backoff(&self) -> Micros {
+        FIRST_TRIAL_BACKOFF.max(TRIAL_BACKOFF_PER_SENDER * Micros::from(self.limits.senders))
     }
 
-    /// A dial above the learned cap brought a connection that works, or none.
-    pub(super) fn tried_above_cap(&mut self, now: Micros, place: Place, works: bool) {
-        let first_backoff = self.first_backoff();
-        let part = self.spread(SECOND) as f64 / SECOND as f64;
-        let step_most = if self.limits.senders <= FEW_SENDERS {
-            RAISE_STEP
+    fn max_trial_step(&self) -> usize {
+        if self.limits.senders <= SMALL_FLEET_SENDERS {
+            MAX_TRIAL_STEP
         } else {
             1
-        };
+        }
+    }
+
+    /// A dial above the learned cap brought a connection that works, or none.
+    pub(super) fn finish_trial(&mut self, now: Micros, target: EndpointAddress, works: bool) {
+        let first_backoff = self.first_trial_backoff();
+        let jitter = self.spread(SECOND) as f64 / SECOND as f64;
+        let max_step = self.max_trial_step();
         let per_endpoint = self.limits.per_endpoint;
-        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+        let Some(endpoint) = self.endpoints.get_mut(&target) else {
+            return;
+        };
+        let Some(cap) = &mut endpoint.cap else {
             return;
         };
-        let Some(cap) = &mut endpoint.cap else { return };
         cap.end_trial();
         let pause = if works {
-            cap.raise(first_backoff, step_most)
+            cap.raise(first_backoff, max_step)
         } else {
             cap.back_off(first_backoff)
         };
-        cap.next = now + (pause as f64 * part) as Micros;
-        endpoint.cap.take_if(|cap| cap.most >= per_endpoint);
+        cap.next_trial_at = now + (pause as f64 * jitter) as Micros;
+        endpoint.cap.take_if(|cap| cap.connections >= per_endpoint);
     }
 
-    /// What an answer on a connection that came up at `up_at` tells of the endpoint's cap; the call began at `at`.
-    pub(super) fn learn_from_answer(&mut self, now: Micros, place: Place, call: &AnsweredCall) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+    /// What an answer tells of the endpoint's cap.
+    pub(super) fn learn_from_answer(
+        &mut self,
+        now: Micros,
+        target: EndpointAddress,
+        call: &AnsweredCall,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(&target) else {
             return;
         };
-        // the connections beside which a connect was refused do work
-        if let Some(refused) = endpoint.refused.take_if(|refused| call.up_at <= refused.at) {
-            self.learn_cap(now, place, refused.established);
+        // the connections beside which a dial was refused do work
+        let refused = endpoint
+            .refused_dial
+            .take_if(|refused| call.connected_at <= refused.at);
+        if let Some(refused) = refused {
+            self.learn_cap(now, target, refused.established);
             return;
         }
-        endpoint
-            .turned_away
-            .note(call.answered, call.first, call.at, call.proven);
-        if self.limits.learn_caps && endpoint.turned_away.tells_a_cap() {
-            endpoint.turned_away = TurnedAway::default();
-            let served = self
+        endpoint.rejected_first_calls.record(call);
+        if self.limits.learn_caps && endpoint.rejected_first_calls.shows_a_cap() {
+            endpoint.rejected_first_calls = RejectedFirstCalls::default();
+            let proven = self
                 .connections
                 .values()
-                .filter(|other| other.place == place && other.served)
+                .filter(|other| other.target == target && other.is_proven)
                 .count();
-            self.learn_cap(now, place, served);
+            self.learn_cap(now, target, proven);
         }
     }
 
-    /// A connection beside which a connect was refused has broken too: with the last one it is an outage.
-    pub(super) fn one_less_works(&mut self, place: Place) {
-        let Some(endpoint) = self.endpoints.get_mut(&place) else {
+    /// A connection beside which a dial was refused has broken too: with the last one it is an outage.
+    pub(super) fn update_refused_dial(&mut self, target: EndpointAddress) {
+        let Some(endpoint) = self.endpoints.get_mut(&target) else {
             return;
         };
         let established = endpoint.established();
-        endpoint.refused = match endpoint.refused {
-            Some(refused) if established > 0 => Some(RefusedBeside {
+        endpoint.refused_dial = endpoint
+            .refused_dial
+            .filter(|_| established > 0)
+            .map(|refused| RefusedDial {
                 established,
                 ..refused
-            }),
-            _ => None,
-        };
+            });
     }
 
-    fn learn_cap(&mut self, now: Micros, place: Place, most: usize) {
-        let backoff = self.first_backoff();
-        let next = now + self.spread(backoff);
-        if let Some(endpoint) = self.endpoints.get_mut(&place) {
+    fn learn_cap(&mut self, now: Micros, target: EndpointAddress, connections: usize) {
+        let backoff = self.first_trial_backoff();
+        let next_trial_at = now + self.spread(backoff);
+        if let Some(endpoint) = self.endpoints.get_mut(&target) {
             let trials = endpoint.cap.as_ref().map_or(0, |cap| cap.trials);
             endpoint.cap = Some(LearnedCap {
-                most: most.max(1),
-                next,
+                connections: connections.max(1),
+                next_trial_at,
                 backoff,
                 step: 1,
                 trials,
@@ -180,16 +221,3 @@
         }
     }
 }
-
-/// A call that was answered, and the connection that carried it.
-#[derive(Debug)]
-pub(super) struct AnsweredCall {
-    pub(super) answered: Answered,
-    /// When it began, and how many proven connections were leased then.
-    pub(super) at: Micros,
-    pub(super) proven: usize,
-    /// The connection had carried none before.
-    pub(super) first: bool,
-    /// When the connection came up.
-    pub(super) up_at: Micros,
-}
--- a/src/pool/messages.rs
+++ b/src/pool/messages.rs
@@ -1,55 +1,61 @@
-//! What the pool is told and what it asks for: places, answers, commands, and the causes in them.
+//! What the pool is told and what it asks for: endpoints, answers, commands, and the reasons in them.
 
 use crate::{EndpointId, Micros};
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Where connections go: an endpoint at an address. Neither alone makes two connections the same.
+/// Where connections go: an endpoint at an address. Neither alone makes two connections interchangeable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
-    /// The address, first, so that all endpoints of one address stand together.
+pub struct EndpointAddress {
+    /// The address, first, so that all endpoints of one address are neighbours in order.
     pub address: SocketAddr,
-    /// Whose it is.
+    /// The endpoint.
     pub endpoint: EndpointId,
 }
 
-/// Why a connection was closed.
+/// Why a connection was closed. The names in JSON are those that operators have always seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
-    /// It stood idle for as long as is allowed.
-    Age,
-    /// The other side closed it.
-    Peer,
+pub enum CloseReason {
+    /// It was idle for as long as is allowed.
+    #[serde(rename = "age")]
+    IdleTimeout,
+    /// The peer closed it.
+    #[serde(rename = "peer")]
+    ClosedByPeer,
     /// There was no room among the idle ones, or fewer are wanted.
     Surplus,
-    /// New connections are turned away for want of room: others wait for this one.
-    Scarce,
-    /// Its place was needed for another endpoint.
+    /// New connections are rejected for want of room: other senders wait for this one.
+    #[serde(rename = "scarce")]
+    Scarcity,
+    /// Its place in the total was needed for another endpoint.
     Evicted,
     /// A call on another connection to the address timed out, and this one had heard nothing since.
     Suspect,
-    /// Its endpoint drains, is gone, out or elsewhere.
+    /// Its endpoint drains, is gone, disabled or moved.
     Retired,
-    /// The decision module gave it back.
-    GivenBack,
-    /// Its call was called off.
-    CalledOff,
+    /// The decisions closed the endpoint's idle connections.
+    #[serde(rename = "given_back")]
+    Disconnected,
+    /// Its call was cancelled.
+    #[serde(rename = "called_off")]
+    Cancelled,
     /// Its call got no answer in time.
     TimedOut,
     /// It broke with a call on it.
     Reset,
     /// Its answer could not be read to the end.
     Unreadable,
-    /// The process ends, or has handed over.
-    Leaving,
+    /// The process shuts down, or has handed over.
+    #[serde(rename = "leaving")]
+    ShuttingDown,
 }
 
 /// Why a dial brought no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DialFailure {
-    /// The other side refused it.
+    /// The peer refused it.
     Refused,
     /// Nothing came in time.
     TimedOut,
@@ -61,29 +67,29 @@
 
 /// Why a call that waits gets no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Denied {
+pub enum LeaseDenied {
     /// A dial failed.
     Dial(DialFailure),
-    /// Its endpoint drains, is gone, out or elsewhere.
+    /// Its endpoint drains, is gone, disabled or moved.
     Retired,
-    /// Its destination has told to wait.
-    Wait,
-    /// The process ends, or has handed over.
-    Leaving,
+    /// Its destination has sent a Retry-After.
+    RetryAfter,
+    /// The process shuts down, or has handed over.
+    ShuttingDown,
 }
 
 /// What an answer tells of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerKind {
     /// The call was served.
     Served,
-    /// It was turned away (503), for whatever reason.
-    TurnedAway,
-    /// Anything else that was an answer.
+    /// It was rejected (503), for whatever reason.
+    Rejected,
+    /// Any other answer.
     Other,
 }
 
-/// What the layer is to do.
+/// What the layer round the rules is to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Dial this connection.
@@ -91,7 +97,7 @@
         /// Its number, never used again.
         connection: u64,
         /// Where to.
-        place: Place,
+        target: EndpointAddress,
     },
     /// Give the connection to the call.
     Lease {
@@ -99,7 +105,7 @@
         waiter: u64,
         /// What it gets.
         connection: u64,
-        /// How long the connection had stood idle; none if it is new.
+        /// How long the connection had been idle; none if it is new.
         idle_for: Option<Micros>,
     },
     /// The call gets none.
@@ -107,7 +113,7 @@
         /// The call that asked.
         waiter: u64,
         /// Why.
-        why: Denied,
+        reason: LeaseDenied,
     },
     /// Close the connection, which carries nothing.
     Close {
--- a/src/pool/settings.rs
+++ b/src/pool/settings.rs
@@ -2,7 +2,8 @@
 
 use crate::Micros;
 
-/// The `pool` object: how connections to endpoints are kept. Caps that are not set follow from the descriptors.
+/// The `pool` object of the configuration, with the names that it has there. Caps that are not set follow from the
+/// number of descriptors.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
     /// Connections to one endpoint.
@@ -40,27 +41,27 @@
 
 /// What the pool may do.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Limits {
-    /// Connections to one endpoint, dialled ones counted.
+pub struct PoolLimits {
+    /// Connections to one endpoint, those being dialled counted.
     pub per_endpoint: usize,
-    /// Dials out at once.
-    pub dials: usize,
-    /// Connections in all, dialled ones counted.
-    pub all: usize,
-    /// Idle connections in all, and to one endpoint.
+    /// Dials in flight at once.
+    pub concurrent_dials: usize,
+    /// Connections to all endpoints, those being dialled counted.
+    pub total: usize,
+    /// Idle connections to all endpoints.
     pub idle: usize,
     /// Idle connections to one endpoint.
     pub idle_per_endpoint: usize,
     /// An idle connection is closed after this time.
-    pub keep: Micros,
-    /// The wanted number falls by half in this time where fewer calls are out.
-    pub decay: Micros,
-    /// Caps of endpoints are learned from connects that they refuse.
+    pub idle_timeout: Micros,
+    /// The wanted number falls by half in this time where fewer calls are in flight.
+    pub demand_half_life: Micros,
+    /// Caps of endpoints are learned from dials that they refuse.
     pub learn_caps: bool,
-    /// The part of `all` that may be dialled ahead of need; 0 dials none.
-    pub warm_share: f64,
+    /// The part of `total` that may be dialled ahead of need; 0 dials none.
+    pub prewarm_share: f64,
     /// An endpoint that has come, come back or failed is not dialled ahead of need for this time.
-    pub cold: Micros,
+    pub prewarm_delay: Micros,
     /// Senders that share the endpoints, this one counted.
     pub senders: u32,
 }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -10,28 +10,35 @@
 
 const T0: Micros = 50 * SECOND;
 
-fn limits() -> Limits {
-    Limits {
+/// The sizes of a pool of which nothing is left.
+const NOTHING: PoolSizes = PoolSizes {
+    endpoints: 0,
+    connections: 0,
+    waiters: 0,
+};
+
+fn limits() -> PoolLimits {
+    PoolLimits {
         per_endpoint: 20,
-        dials: 40,
-        all: 60,
+        concurrent_dials: 40,
+        total: 60,
         idle: 40,
         idle_per_endpoint: 16,
-        keep: 10 * SECOND,
-        decay: 10 * SECOND,
+        idle_timeout: 10 * SECOND,
+        demand_half_life: 10 * SECOND,
         learn_caps: true,
-        warm_share: 0.0,
-        cold: 5 * SECOND,
+        prewarm_share: 0.0,
+        prewarm_delay: 5 * SECOND,
         senders: 1,
     }
 }
 
-fn place(endpoint: u32) -> Place {
+fn target(endpoint: u32) -> EndpointAddress {
     at(endpoint, endpoint as u16)
 }
 
-fn at(endpoint: u32, port: u16) -> Place {
-    Place {
+fn at(endpoint: u32, port: u16) -> EndpointAddress {
+    EndpointAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 1000 + port)),
         endpoint: EndpointId(endpoint),
     }
@@ -65,23 +72,23 @@
 /// The world round the rules: which connections there are, and which calls wait since when.
 struct World {
     pool: Pool,
-    limits: Limits,
+    limits: PoolLimits,
     now: Micros,
-    connections: BTreeMap<u64, (Place, Has)>,
-    waiting: BTreeMap<u64, Place>,
-    serving: BTreeSet<Place>,
+    connections: BTreeMap<u64, (EndpointAddress, Has)>,
+    waiting: BTreeMap<u64, EndpointAddress>,
+    serving: BTreeSet<EndpointAddress>,
     fault: Fault,
     turns: u32,
     wrong: Vec<String>,
 }
 
 impl World {
-    fn new(limits: Limits, seed: u64, fault: Fault) -> Self {
+    fn new(limits: PoolLimits, seed: u64, fault: Fault) -> Self {
         let mut given = limits.clone();
         if fault == Fault::LooseCaps {
             given.per_endpoint += 2;
-            given.dials += 2;
-            given.all += 2;
+            given.concurrent_dials += 2;
+            given.total += 2;
         }
         World {
             pool: Pool::new(given, seed),
@@ -109,14 +116,14 @@
         self.turns += 1;
         let every_ninth = self.turns.is_multiple_of(9);
         match command {
-            Command::Dial { connection, place } => {
-                if !self.serving.contains(&place) {
+            Command::Dial { connection, target } => {
+                if !self.serving.contains(&target) {
                     self.wrong
                         .push(format!("{connection} dialled to one that does not serve"));
                 }
                 if self
                     .connections
-                    .insert(connection, (place, Has::Dial))
+                    .insert(connection, (target, Has::Dial))
                     .is_some()
                 {
                     self.wrong.push(format!("{connection} dialled twice"));
@@ -124,13 +131,13 @@
                 let here = self
                     .connections
                     .values()
-                    .filter(|(there, _)| *there == place)
+                    .filter(|(there, _)| *there == target)
                     .count();
                 let (all, dials) = (self.connections.len(), self.count(Has::Dial));
-                let Limits {
+                let PoolLimits {
                     per_endpoint,
-                    all: all_most,
-                    dials: dials_most,
+                    total: all_most,
+                    concurrent_dials: dials_most,
                     ..
                 } = self.limits;
                 if here > per_endpoint || all > all_most || dials > dials_most {
@@ -150,7 +157,7 @@
                     _ => connection,
                 };
                 match self.connections.get_mut(&connection) {
-                    Some((place, has)) if *has == Has::Idle && Some(*place) == wanted => {
+                    Some((target, has)) if *has == Has::Idle && Some(*target) == wanted => {
                         *has = Has::Lease
                     }
                     other => self
@@ -196,10 +203,14 @@
         over(&mut wrong, "idle", idle, self.limits.idle);
         // a cap that was lowered waits for what carries a call, and for nothing else
         if idle > 0 {
-            over(&mut wrong, "all", self.connections.len(), self.limits.all);
+            over(&mut wrong, "all", self.connections.len(), self.limits.total);
         }
-        let (sites, connections, waiters) = self.pool.sizes();
-        let (views, _) = self.pool.view(self.now);
+        let PoolSizes {
+            endpoints: sites,
+            connections,
+            waiters,
+        } = self.pool.sizes();
+        let views = self.pool.report(self.now).endpoints;
         for view in &views {
             if view.idle > 0 {
                 over(
@@ -218,17 +229,17 @@
             let there = self
                 .connections
                 .values()
-                .filter(|(place, _)| *place == view.place);
+                .filter(|(target, _)| *target == view.target);
             let here = |has| there.clone().filter(|(_, now)| *now == has).count();
             let seen = (here(Has::Idle), here(Has::Lease), here(Has::Dial));
             if seen != (view.idle, view.leased, view.dialling) {
-                wrong.push(format!("{:?} is {seen:?}, told {view:?}", view.place));
+                wrong.push(format!("{:?} is {seen:?}, told {view:?}", view.target));
             }
             // what waits while something lies idle waits in vain
             if view.waiting > 0 && view.idle > 0 {
                 wrong.push(format!(
                     "{:?}: {} wait beside {} idle",
-                    view.place, view.waiting, view.idle
+                    view.target, view.waiting, view.idle
                 ));
             }
         }
@@ -244,7 +255,7 @@
         let idle_retired = self
             .connections
             .values()
-            .any(|(place, has)| *has == Has::Idle && !self.serving.contains(place));
+            .any(|(target, has)| *has == Has::Idle && !self.serving.contains(target));
         if idle_retired {
             wrong.push("idle at one that does not serve".to_string());
         }
@@ -257,16 +268,17 @@
     let mut random = Pcg32::seed_from_u64(seed);
     let mut below = |most: usize| random.next_u32() as usize % most.max(1);
     let mut limits = limits();
-    (limits.per_endpoint, limits.dials, limits.all) = (1 + below(6), 1 + below(8), 6 + below(12));
-    (limits.idle, limits.idle_per_endpoint) = (1 + below(limits.all), 1 + below(5));
-    limits.per_endpoint = limits.per_endpoint.min(limits.all);
-    limits.warm_share = [0.0, 0.3, 1.0][below(3)];
+    (limits.per_endpoint, limits.concurrent_dials, limits.total) =
+        (1 + below(6), 1 + below(8), 6 + below(12));
+    (limits.idle, limits.idle_per_endpoint) = (1 + below(limits.total), 1 + below(5));
+    limits.per_endpoint = limits.per_endpoint.min(limits.total);
+    limits.prewarm_share = [0.0, 0.3, 1.0][below(3)];
     limits.senders = [1, 30][below(2)];
     let mut world = World::new(limits.clone(), seed, fault);
-    let places: Vec<Place> = (0..5).map(|n| at(n, n.min(3) as u16)).collect();
-    for &place in &places {
-        world.serving.insert(place);
-        world.with(|pool, now, _| pool.open(now, place));
+    let places: Vec<EndpointAddress> = (0..5).map(|n| at(n, n.min(3) as u16)).collect();
+    for &target in &places {
+        world.serving.insert(target);
+        world.with(|pool, now, _| pool.enable_endpoint(now, target));
     }
     let mut next = 0;
     for _ in 0..1500 {
@@ -286,10 +298,10 @@
         let (what, at) = (below(24), below(1000));
         match what {
             0..=6 => {
-                let place = places[at % places.len()];
+                let target = places[at % places.len()];
                 next += 1;
-                world.waiting.insert(next, place);
-                world.with(|pool, now, out| pool.ask(now, place, next, out));
+                world.waiting.insert(next, target);
+                world.with(|pool, now, out| pool.acquire(now, target, next, out));
             }
             7..=9 => {
                 if let Some(dial) = pick(&world, Has::Dial, at) {
@@ -297,7 +309,7 @@
                         .connections
                         .entry(dial)
                         .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.up(now, dial, out));
+                    world.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
                 }
             }
             10 | 11 => {
@@ -314,29 +326,29 @@
                 }
             }
             12..=15 => {
-                let answers = [Answered::Served, Answered::TurnedAway, Answered::Other];
+                let answers = [AnswerKind::Served, AnswerKind::Rejected, AnswerKind::Other];
                 if let Some(lease) = pick(&world, Has::Lease, at) {
                     world.with(|pool, now, _| {
-                        pool.answered(now, lease, answers[at % 3]);
+                        pool.record_answer(now, lease, answers[at % 3]);
                     });
                     world
                         .connections
                         .entry(lease)
                         .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.give_back(now, lease, out));
+                    world.with(|pool, now, out| pool.release(now, lease, out));
                 }
             }
             16 | 17 => {
                 let causes = [
-                    Cause::CalledOff,
-                    Cause::TimedOut,
-                    Cause::Reset,
-                    Cause::Unreadable,
-                    Cause::Peer,
+                    CloseReason::Cancelled,
+                    CloseReason::TimedOut,
+                    CloseReason::Reset,
+                    CloseReason::Unreadable,
+                    CloseReason::ClosedByPeer,
                 ];
                 if let Some(lease) = pick(&world, Has::Lease, at) {
                     world.connections.remove(&lease);
-                    world.with(|pool, now, out| pool.spoiled(now, lease, causes[at % 5], out));
+                    world.with(|pool, now, out| pool.discard(now, lease, causes[at % 5], out));
                 }
             }
             18 => {
@@ -348,41 +360,41 @@
                 if let Some(waiter) = waiter {
                     world.waiting.remove(&waiter);
                     if fault != Fault::ForgottenWaiter {
-                        world.with(|pool, _, _| pool.called_off(waiter));
+                        world.with(|pool, _, _| pool.cancel_wait(waiter));
                     }
                 }
             }
             19 => {
                 if let Some(idle) = pick(&world, Has::Idle, at) {
-                    world.with(|pool, _, out| pool.closed(idle, out));
+                    world.with(|pool, _, out| pool.peer_closed(idle, out));
                 }
             }
             20 => {
-                let place = places[at % places.len()];
-                if world.serving.remove(&place) {
+                let target = places[at % places.len()];
+                if world.serving.remove(&target) {
                     if fault != Fault::Unretired {
-                        world.with(|pool, _, out| pool.retire(place, out));
+                        world.with(|pool, _, out| pool.retire_endpoint(target, out));
                     }
                 } else {
-                    world.serving.insert(place);
-                    world.with(|pool, now, _| pool.open(now, place));
+                    world.serving.insert(target);
+                    world.with(|pool, now, _| pool.enable_endpoint(now, target));
                 }
             }
             21 => {
-                let place = places[at % places.len()];
-                world.with(|pool, _, out| pool.disconnect(place, out));
+                let target = places[at % places.len()];
+                world.with(|pool, _, out| pool.close_idle(target, out));
             }
             22 => {
                 let mut less = limits.clone();
-                (less.all, less.idle) = (limits.all - at % 3, limits.idle.min(1 + at % 4));
-                less.per_endpoint = limits.per_endpoint.min(less.all);
+                (less.total, less.idle) = (limits.total - at % 3, limits.idle.min(1 + at % 4));
+                less.per_endpoint = limits.per_endpoint.min(less.total);
                 world.limits = less.clone();
                 if fault == Fault::LooseCaps {
                     less.per_endpoint += 2;
-                    less.dials += 2;
-                    less.all += 2;
+                    less.concurrent_dials += 2;
+                    less.total += 2;
                 }
-                world.with(|pool, now, out| pool.retune(now, less, out));
+                world.with(|pool, now, out| pool.set_limits(now, less, out));
             }
             _ => world.with(|pool, now, out| pool.tick(now, out)),
         }
@@ -402,7 +414,7 @@
                         .connections
                         .entry(number)
                         .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.up(now, number, out));
+                    world.with(|pool, now, out| pool.dial_succeeded(now, number, out));
                 }
                 Has::Dial => {
                     world.connections.remove(&number);
@@ -415,7 +427,7 @@
                         .connections
                         .entry(number)
                         .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.give_back(now, number, out));
+                    world.with(|pool, now, out| pool.release(now, number, out));
                 }
                 Has::Idle => {}
             }
@@ -431,10 +443,10 @@
             .push(format!("{} wait for ever", world.waiting.len()));
     }
     // and all that is idle grows old, the endpoints go, and nothing is left of them
-    for &place in &places {
-        world.serving.remove(&place);
+    for &target in &places {
+        world.serving.remove(&target);
         if fault != Fault::Unretired {
-            world.with(|pool, _, out| pool.retire(place, out));
+            world.with(|pool, _, out| pool.retire_endpoint(target, out));
         }
     }
     for (number, has) in world
@@ -451,9 +463,9 @@
     let left: Vec<u64> = world.connections.keys().copied().collect();
     for number in left {
         world.connections.remove(&number);
-        world.with(|pool, now, out| pool.spoiled(now, number, Cause::CalledOff, out));
+        world.with(|pool, now, out| pool.discard(now, number, CloseReason::Cancelled, out));
     }
-    if world.pool.sizes() != (0, 0, 0) {
+    if world.pool.sizes() != NOTHING {
         world
             .wrong
             .push(format!("{:?} are left", world.pool.sizes()));
@@ -495,18 +507,18 @@
 struct Rig {
     pool: Pool,
     now: Micros,
-    place: Place,
+    target: EndpointAddress,
     next: u64,
 }
 
 impl Rig {
-    fn new(limits: Limits) -> Self {
+    fn new(limits: PoolLimits) -> Self {
         let mut pool = Pool::new(limits, 7);
-        pool.open(T0, place(1));
+        pool.enable_endpoint(T0, target(1));
         Rig {
             pool,
             now: T0,
-            place: place(1),
+            target: target(1),
             next: 0,
         }
     }
@@ -520,10 +532,10 @@
     /// A call asks; its number and what came of it.
     fn ask(&mut self) -> (u64, Vec<Command>) {
         self.next += 1;
-        let (waiter, place) = (self.next, self.place);
+        let (waiter, target) = (self.next, self.target);
         (
             waiter,
-            self.with(|pool, now, out| pool.ask(now, place, waiter, out)),
+            self.with(|pool, now, out| pool.acquire(now, target, waiter, out)),
         )
     }
 
@@ -531,7 +543,7 @@
     fn dialled(&mut self) -> u64 {
         let (waiter, out) = self.ask();
         let connection = dials(&out)[0];
-        let out = self.with(|pool, now, out| pool.up(now, connection, out));
+        let out = self.with(|pool, now, out| pool.dial_succeeded(now, connection, out));
         assert_eq!(
             out,
             [Command::Lease {
@@ -544,19 +556,19 @@
     }
 
     /// The call on it ends well.
-    fn ends(&mut self, connection: u64, answered: Answered) -> Vec<Command> {
+    fn ends(&mut self, connection: u64, answered: AnswerKind) -> Vec<Command> {
         self.with(|pool, now, out| {
-            pool.answered(now, connection, answered);
-            pool.give_back(now, connection, out);
+            pool.record_answer(now, connection, answered);
+            pool.release(now, connection, out);
         })
     }
 
-    fn view(&self) -> EndpointView {
+    fn view(&self) -> EndpointReport {
         self.pool
-            .view(self.now)
-            .0
+            .report(self.now)
+            .endpoints
             .into_iter()
-            .find(|view| view.place == self.place)
+            .find(|view| view.target == self.target)
             .expect("known")
     }
 }
@@ -581,19 +593,19 @@
 
 #[test]
 fn the_newest_idle_one_is_taken_and_the_others_grow_old() {
-    let mut rig = Rig::new(Limits {
-        decay: 100 * SECOND,
+    let mut rig = Rig::new(PoolLimits {
+        demand_half_life: 100 * SECOND,
         ..limits()
     });
     let (old, new) = (rig.dialled(), rig.dialled());
-    rig.ends(old, Answered::Served);
+    rig.ends(old, AnswerKind::Served);
     rig.now += SECOND;
-    rig.ends(new, Answered::Served);
+    rig.ends(new, AnswerKind::Served);
     for _ in 0..9 {
         rig.now += SECOND;
         let (waiter, out) = rig.ask();
         assert_eq!(leased(&out), [(waiter, new)]);
-        rig.ends(new, Answered::Served);
+        rig.ends(new, AnswerKind::Served);
     }
     assert_eq!(
         rig.with(|pool, now, out| pool.tick(now, out)),
@@ -603,9 +615,9 @@
     assert_eq!(
         (
             view.idle,
-            view.counts.reuses,
-            view.counts.dials,
-            view.counts.closes[&Cause::Age]
+            view.counters.reuses,
+            view.counters.dials,
+            view.counters.closes[&CloseReason::IdleTimeout]
         ),
         (1, 9, 2, 1)
     );
@@ -618,14 +630,14 @@
     let (waiter, out) = rig.ask();
     let dial = dials(&out)[0];
     assert_eq!(
-        leased(&rig.ends(first, Answered::Served)),
+        leased(&rig.ends(first, AnswerKind::Served)),
         [(waiter, first)]
     );
     // the dial serves the next call, with no further one
     let (next, out) = rig.ask();
     assert_eq!(out, []);
     assert_eq!(
-        leased(&rig.with(|pool, now, out| pool.up(now, dial, out))),
+        leased(&rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out))),
         [(next, dial)]
     );
 }
@@ -634,9 +646,12 @@
 fn a_dial_whose_call_was_called_off_is_kept() {
     let mut rig = Rig::new(limits());
     let (waiter, out) = rig.ask();
-    rig.with(|pool, _, _| pool.called_off(waiter));
+    rig.with(|pool, _, _| pool.cancel_wait(waiter));
     let dial = dials(&out)[0];
-    assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), []);
+    assert_eq!(
+        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        []
+    );
     assert_eq!(rig.view().idle, 1);
     let (waiter, out) = rig.ask();
     assert_eq!(
@@ -654,7 +669,7 @@
     let mut rig = Rig::new(limits());
     let (first, out) = rig.ask();
     let dial = dials(&out)[0];
-    rig.with(|pool, _, _| pool.called_off(first));
+    rig.with(|pool, _, _| pool.cancel_wait(first));
     rig.now += SECOND / 2;
     let (_, out) = rig.ask();
     assert_eq!(out, [], "the dial that is out serves it");
@@ -668,7 +683,7 @@
         out,
         [Command::Deny {
             waiter: 2,
-            why: Denied::Dial(DialFailure::TimedOut)
+            reason: LeaseDenied::Dial(DialFailure::TimedOut)
         }]
     );
 }
@@ -684,7 +699,7 @@
         (vec![], 1),
         "it may get one of those that are open"
     );
-    rig.with(|pool, _, _| pool.called_off(waiter));
+    rig.with(|pool, _, _| pool.cancel_wait(waiter));
     assert_eq!(
         rig.view().learned_cap,
         None,
@@ -693,7 +708,7 @@
     rig.now += 10 * MILLISECOND;
     let first = held[0];
     rig.with(|pool, now, _| {
-        pool.answered(now, first, Answered::Served);
+        pool.record_answer(now, first, AnswerKind::Served);
     });
     assert_eq!(rig.view().learned_cap, Some(open));
     held
@@ -706,7 +721,7 @@
     let (waiter, out) = rig.ask();
     assert_eq!(out, [], "it waits for one of the three");
     assert_eq!(
-        leased(&rig.ends(held[1], Answered::Served)),
+        leased(&rig.ends(held[1], AnswerKind::Served)),
         [(waiter, held[1])]
     );
 }
@@ -728,7 +743,7 @@
     let mut out = Vec::new();
     for connection in held {
         assert_eq!(out, []);
-        out = rig.with(|pool, now, out| pool.spoiled(now, connection, Cause::Reset, out));
+        out = rig.with(|pool, now, out| pool.discard(now, connection, CloseReason::Reset, out));
     }
     // both calls are dialled for now, and have their end with that
     for (dial, waiter) in dials(&out).into_iter().zip([first, second]) {
@@ -737,7 +752,7 @@
             out,
             [Command::Deny {
                 waiter,
-                why: Denied::Dial(DialFailure::Refused)
+                reason: LeaseDenied::Dial(DialFailure::Refused)
             }]
         );
     }
@@ -745,15 +760,15 @@
     // it is back
     rig.now += SECOND;
     let back = rig.dialled();
-    rig.ends(back, Answered::Served);
+    rig.ends(back, AnswerKind::Served);
     assert_eq!(rig.view().learned_cap, None);
     // and with none open at all nothing can be told
-    rig.with(|pool, _, out| pool.closed(back, out));
+    rig.with(|pool, _, out| pool.peer_closed(back, out));
     let (_, out) = rig.ask();
     let dial = dials(&out)[0];
     rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
     let back = rig.dialled();
-    rig.ends(back, Answered::Served);
+    rig.ends(back, AnswerKind::Served);
     assert_eq!(rig.view().learned_cap, None);
 }
 
@@ -778,13 +793,13 @@
     assert_eq!(rig.with(|pool, now, out| pool.tick(now, out)), []);
     rig.now += 4 * SECOND;
     let dial = dials(&rig.with(|pool, now, out| pool.tick(now, out)))[0];
-    rig.with(|pool, now, out| pool.up(now, dial, out));
+    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
     assert_eq!(
         rig.view().learned_cap,
         Some(3),
         "its first call has not told yet"
     );
-    rig.ends(dial, Answered::Served);
+    rig.ends(dial, AnswerKind::Served);
     assert_eq!(rig.view().learned_cap, Some(4));
     // it bears more: soon tried again, with two at once
     rig.ask();
@@ -800,18 +815,18 @@
 fn tries_above_a_cap_by_a_whole_fleet_are_few_and_spread() {
     let mut tries = Vec::new();
     for sender in 0..300 {
-        let mut rig = Rig::new(Limits {
+        let mut rig = Rig::new(PoolLimits {
             senders: 300,
             ..limits()
         });
         rig.pool = Pool::new(
-            Limits {
+            PoolLimits {
                 senders: 300,
                 ..limits()
             },
             sender,
         );
-        rig.pool.open(T0, place(1));
+        rig.pool.enable_endpoint(T0, target(1));
         learned(&mut rig, 2);
         rig.ask();
         for _ in 0..1200 {
@@ -835,10 +850,10 @@
 }
 
 /// Calls on new and old connections in turns, each answered as told by how many came before in its second.
-fn turned_away(closes: bool, answer: impl Fn(usize, bool) -> Answered) -> Option<usize> {
-    let mut rig = Rig::new(Limits {
-        keep: 1000 * SECOND,
-        decay: 1000 * SECOND,
+fn turned_away(closes: bool, answer: impl Fn(usize, bool) -> AnswerKind) -> Option<usize> {
+    let mut rig = Rig::new(PoolLimits {
+        idle_timeout: 1000 * SECOND,
+        demand_half_life: 1000 * SECOND,
         ..limits()
     });
     let mut seen = 0;
@@ -851,20 +866,20 @@
             match (leased(&out).first(), dials(&out).first()) {
                 (Some(&(_, connection)), _) => held.push((connection, false)),
                 (_, Some(&dial)) => {
-                    rig.with(|pool, now, out| pool.up(now, dial, out));
+                    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
                     held.push((dial, true));
                 }
                 // it has learned a cap and waits
-                _ => rig.with(|pool, _, _| pool.called_off(waiter)).clear(),
+                _ => rig.with(|pool, _, _| pool.cancel_wait(waiter)).clear(),
             }
         }
         for (nth, (connection, new)) in held.into_iter().enumerate() {
             rig.now += MILLISECOND;
             match answer(nth, new) {
-                Answered::TurnedAway if closes => {
+                AnswerKind::Rejected if closes => {
                     rig.with(|pool, now, out| {
-                        pool.answered(now, connection, Answered::TurnedAway);
-                        pool.spoiled(now, connection, Cause::Peer, out);
+                        pool.record_answer(now, connection, AnswerKind::Rejected);
+                        pool.discard(now, connection, CloseReason::ClosedByPeer, out);
                     });
                 }
                 other => drop(rig.ends(connection, other)),
@@ -881,56 +896,56 @@
     // the endpoint serves three connections and turns away the first call on any further one
     assert_eq!(
         turned_away(true, |nth, new| if new && nth >= 3 {
-            Answered::TurnedAway
+            AnswerKind::Rejected
         } else {
-            Answered::Served
+            AnswerKind::Served
         }),
         Some(3)
     );
     // a limit of three calls in a time, and a queue that is full now and then, meet old and new alike
     assert_eq!(
         turned_away(false, |nth, _| if nth >= 3 {
-            Answered::TurnedAway
+            AnswerKind::Rejected
         } else {
-            Answered::Served
+            AnswerKind::Served
         }),
         None
     );
     assert_eq!(
         turned_away(false, |nth, _| if nth % 2 == 1 {
-            Answered::TurnedAway
+            AnswerKind::Rejected
         } else {
-            Answered::Served
+            AnswerKind::Served
         }),
         None
     );
-    assert_eq!(turned_away(false, |_, _| Answered::TurnedAway), None);
+    assert_eq!(turned_away(false, |_, _| AnswerKind::Rejected), None);
 }
 
 #[test]
 fn what_is_idle_since_before_a_call_that_timed_out_leaves_with_it() {
     let mut rig = Rig::new(limits());
     // the same address under another id, and another address
-    let (same, other) = (at(2, 1), place(3));
-    rig.pool.open(rig.now, same);
-    rig.pool.open(rig.now, other);
+    let (same, other) = (at(2, 1), target(3));
+    rig.pool.enable_endpoint(rig.now, same);
+    rig.pool.enable_endpoint(rig.now, other);
     let mut idle = Vec::new();
-    for there in [rig.place, same, other] {
-        rig.place = there;
+    for there in [rig.target, same, other] {
+        rig.target = there;
         let connection = rig.dialled();
-        rig.ends(connection, Answered::Served);
+        rig.ends(connection, AnswerKind::Served);
         idle.push(connection);
     }
-    rig.place = place(1);
+    rig.target = target(1);
     rig.now += SECOND;
     // one that is heard after the call began stays
     let (_, out) = rig.ask();
     let silent = leased(&out)[0].1;
     let heard = rig.dialled();
     rig.now += SECOND;
-    rig.ends(heard, Answered::Served);
+    rig.ends(heard, AnswerKind::Served);
     rig.now += SECOND;
-    let out = rig.with(|pool, now, out| pool.spoiled(now, silent, Cause::TimedOut, out));
+    let out = rig.with(|pool, now, out| pool.discard(now, silent, CloseReason::TimedOut, out));
     assert_eq!(
         out,
         [Command::Close {
@@ -942,31 +957,31 @@
 
 #[test]
 fn an_endpoint_that_drains_has_its_idle_ones_closed_and_is_dialled_no_more() {
-    let mut rig = Rig::new(Limits {
-        dials: 4,
+    let mut rig = Rig::new(PoolLimits {
+        concurrent_dials: 4,
         ..limits()
     });
     let (idle, busy) = (rig.dialled(), rig.dialled());
-    rig.ends(idle, Answered::Served);
+    rig.ends(idle, AnswerKind::Served);
     let (first, _) = rig.ask();
     assert_eq!(first, 3);
     let (_, out) = rig.ask();
     let dial = dials(&out)[0];
     let (late, out) = rig.ask();
     assert_eq!(out, [], "one dial in four may go to one endpoint");
-    let here = rig.place;
-    let out = rig.with(|pool, _, out| pool.retire(here, out));
+    let here = rig.target;
+    let out = rig.with(|pool, _, out| pool.retire_endpoint(here, out));
     assert_eq!(
         out,
         [Command::Deny {
             waiter: late,
-            why: Denied::Retired
+            reason: LeaseDenied::Retired
         }]
     );
     // the call with a dial gets the first that comes; the other ends
-    assert_eq!(leased(&rig.ends(busy, Answered::Served)), [(4, busy)]);
+    assert_eq!(leased(&rig.ends(busy, AnswerKind::Served)), [(4, busy)]);
     assert_eq!(
-        rig.with(|pool, now, out| pool.up(now, dial, out)),
+        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
         [Command::Close { connection: dial }]
     );
     let (waiter, out) = rig.ask();
@@ -974,18 +989,18 @@
         out,
         [Command::Deny {
             waiter,
-            why: Denied::Retired
+            reason: LeaseDenied::Retired
         }]
     );
     assert_eq!(
-        rig.ends(busy, Answered::Served),
+        rig.ends(busy, AnswerKind::Served),
         [Command::Close { connection: busy }]
     );
     assert_eq!(
-        rig.ends(idle, Answered::Served),
+        rig.ends(idle, AnswerKind::Served),
         [Command::Close { connection: idle }]
     );
-    assert_eq!(rig.pool.sizes(), (0, 0, 0));
+    assert_eq!(rig.pool.sizes(), NOTHING);
 }
 
 #[test]
@@ -994,16 +1009,19 @@
     let busy = rig.dialled();
     let ((first, out), (second, _)) = (rig.ask(), rig.ask());
     let dial = dials(&out)[0];
-    let (here, until) = (rig.place, rig.now + SECOND);
-    let out = rig.with(|pool, _, out| pool.advertised_wait(here, until, out));
+    let (here, until) = (rig.target, rig.now + SECOND);
+    let out = rig.with(|pool, _, out| pool.apply_retry_after(here, until, out));
     let denied = |waiter| Command::Deny {
         waiter,
-        why: Denied::Wait,
+        reason: LeaseDenied::RetryAfter,
     };
     assert_eq!(out, [denied(second), denied(first)]);
     // what comes up or falls free is kept for those who ask after it
-    assert_eq!(rig.with(|pool, now, out| pool.up(now, dial, out)), []);
-    assert_eq!(rig.ends(busy, Answered::Served), []);
+    assert_eq!(
+        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        []
+    );
+    assert_eq!(rig.ends(busy, AnswerKind::Served), []);
     let (waiter, out) = rig.ask();
     assert_eq!(leased(&out), [(waiter, busy)]);
 }
@@ -1012,23 +1030,23 @@
 fn a_process_that_has_handed_over_gives_no_connection_to_what_waits() {
     let mut rig = Rig::new(limits());
     let (idle, busy) = (rig.dialled(), rig.dialled());
-    rig.ends(idle, Answered::Served);
+    rig.ends(idle, AnswerKind::Served);
     rig.ask();
     let (waiter, out) = rig.ask();
     let dial = dials(&out)[0];
     assert_eq!(
-        rig.with(|pool, _, out| pool.leave(out)),
+        rig.with(|pool, _, out| pool.shut_down(out)),
         [Command::Deny {
             waiter,
-            why: Denied::Leaving
+            reason: LeaseDenied::ShuttingDown
         }]
     );
     assert_eq!(
-        rig.with(|pool, now, out| pool.up(now, dial, out)),
+        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
         [Command::Close { connection: dial }]
     );
     assert_eq!(
-        rig.ends(busy, Answered::Served),
+        rig.ends(busy, AnswerKind::Served),
         [Command::Close { connection: busy }]
     );
     // nor to a call whose connection closed before its first byte, and which asks again
@@ -1037,7 +1055,7 @@
         out,
         [Command::Deny {
             waiter,
-            why: Denied::Leaving
+            reason: LeaseDenied::ShuttingDown
         }]
     );
 }
@@ -1048,12 +1066,12 @@
     let held: Vec<u64> = (0..6).map(|_| rig.dialled()).collect();
     held[..4]
         .iter()
-        .for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
-    let less = Limits {
+        .for_each(|&connection| drop(rig.ends(connection, AnswerKind::Served)));
+    let less = PoolLimits {
         per_endpoint: 3,
         ..limits()
     };
-    let out = rig.with(|pool, now, out| pool.retune(now, less, out));
+    let out = rig.with(|pool, now, out| pool.set_limits(now, less, out));
     assert_eq!(
         out,
         held[..3]
@@ -1066,14 +1084,14 @@
 
 #[test]
 fn connections_follow_the_load_and_fall_away_after_it() {
-    let mut rig = Rig::new(Limits {
-        keep: 1000 * SECOND,
+    let mut rig = Rig::new(PoolLimits {
+        idle_timeout: 1000 * SECOND,
         ..limits()
     });
     let held: Vec<u64> = (0..8).map(|_| rig.dialled()).collect();
     held.iter()
-        .for_each(|&connection| drop(rig.ends(connection, Answered::Served)));
-    assert_eq!((rig.view().idle, rig.view().wanted), (8, 8));
+        .for_each(|&connection| drop(rig.ends(connection, AnswerKind::Served)));
+    assert_eq!((rig.view().idle, rig.view().wanted_connections), (8, 8));
     let mut seen = Vec::new();
     for _ in 0..4 {
         rig.now += 10 * SECOND;
@@ -1089,20 +1107,20 @@
 
 #[test]
 fn warming_keeps_to_endpoints_that_are_in_use_and_sound() {
-    let warm = Limits {
-        warm_share: 0.5,
+    let warm = PoolLimits {
+        prewarm_share: 0.5,
         ..limits()
     };
     let ticked = |rig: &mut Rig| dials(&rig.with(|pool, now, out| pool.tick(now, out)));
-    let busy = |limits: Limits| {
+    let busy = |limits: PoolLimits| {
         let mut rig = Rig::new(limits);
         let held: Vec<u64> = (0..4).map(|_| rig.dialled()).collect();
         rig.now += 6 * SECOND; // no longer new
         for connection in held {
-            rig.with(|pool, now, out| pool.spoiled(now, connection, Cause::Unreadable, out));
+            rig.with(|pool, now, out| pool.discard(now, connection, CloseReason::Unreadable, out));
         }
         let only = rig.dialled();
-        rig.ends(only, Answered::Served);
+        rig.ends(only, AnswerKind::Served);
         rig
     };
     let mut rig = busy(warm.clone());
@@ -1111,17 +1129,20 @@
     for _ in 0..40 {
         rig.now += 250 * MILLISECOND;
         for dial in ticked(&mut rig) {
-            rig.with(|pool, now, out| pool.up(now, dial, out));
+            rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
         }
     }
     let view = rig.view();
-    assert!(view.idle > 1 && view.idle <= view.wanted.max(2), "{view:?}");
+    assert!(
+        view.idle > 1 && view.idle <= view.wanted_connections.max(2),
+        "{view:?}"
+    );
     // off, told to wait, failed, drained, or not in use: none
     assert_eq!(ticked(&mut busy(limits())), []);
     let mut rig = busy(warm.clone());
-    let (here, until) = (rig.place, rig.now + 2 * SECOND);
+    let (here, until) = (rig.target, rig.now + 2 * SECOND);
     assert_eq!(
-        rig.with(|pool, _, out| pool.advertised_wait(here, until, out)),
+        rig.with(|pool, _, out| pool.apply_retry_after(here, until, out)),
         []
     );
     assert_eq!(ticked(&mut rig), []);
@@ -1130,14 +1151,14 @@
     let mut rig = busy(warm.clone());
     let (_, out) = rig.ask();
     let leased = leased(&out)[0].1;
-    rig.with(|pool, now, out| pool.spoiled(now, leased, Cause::TimedOut, out));
+    rig.with(|pool, now, out| pool.discard(now, leased, CloseReason::TimedOut, out));
     assert_eq!(ticked(&mut rig), [], "it may be down, and comes back cold");
     let mut rig = busy(warm.clone());
-    let here = rig.place;
-    rig.with(|pool, _, out| pool.retire(here, out));
+    let here = rig.target;
+    rig.with(|pool, _, out| pool.retire_endpoint(here, out));
     assert_eq!(ticked(&mut rig), []);
     let now = rig.now;
-    rig.pool.open(now, here);
+    rig.pool.enable_endpoint(now, here);
     assert_eq!(ticked(&mut rig), [], "put back, it is cold");
     let mut rig = busy(warm);
     rig.now += 11 * SECOND;
@@ -1146,50 +1167,50 @@
 
 #[test]
 fn a_silent_endpoint_does_not_hold_all_the_dials() {
-    let mut rig = Rig::new(Limits {
-        dials: 8,
+    let mut rig = Rig::new(PoolLimits {
+        concurrent_dials: 8,
         ..limits()
     });
     for _ in 0..6 {
         rig.ask();
     }
     assert_eq!(rig.view().dialling, 2);
-    rig.place = place(2);
-    rig.pool.open(rig.now, rig.place);
+    rig.target = target(2);
+    rig.pool.enable_endpoint(rig.now, rig.target);
     assert_eq!(dials(&rig.ask().1).len(), 1);
 }
 
 #[test]
 fn a_place_is_found_for_a_busy_endpoint_among_what_lies_idle_elsewhere() {
-    let mut rig = Rig::new(Limits {
-        all: 3,
+    let mut rig = Rig::new(PoolLimits {
+        total: 3,
         per_endpoint: 3,
         ..limits()
     });
     let idle = rig.dialled();
-    rig.ends(idle, Answered::Served);
-    rig.place = place(2);
-    rig.pool.open(rig.now, rig.place);
+    rig.ends(idle, AnswerKind::Served);
+    rig.target = target(2);
+    rig.pool.enable_endpoint(rig.now, rig.target);
     let first = rig.dialled();
     rig.dialled();
     let (_, out) = rig.ask();
     assert_eq!(out[0], Command::Close { connection: idle });
     let dial = dials(&out)[0];
-    rig.with(|pool, now, out| pool.up(now, dial, out));
+    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
     // nothing is idle any more: the next one waits for what falls free, wherever
     let (waiter, out) = rig.ask();
     assert_eq!(out, []);
-    let out = rig.with(|pool, now, out| pool.spoiled(now, first, Cause::Reset, out));
+    let out = rig.with(|pool, now, out| pool.discard(now, first, CloseReason::Reset, out));
     let dial = dials(&out)[0];
     assert_eq!(
-        leased(&rig.with(|pool, now, out| pool.up(now, dial, out))),
+        leased(&rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out))),
         [(waiter, dial)]
     );
     // what an old process still holds counts too
-    rig.with(|pool, now, out| pool.elsewhere(now, 2, out));
+    rig.with(|pool, now, out| pool.set_predecessor_connections(now, 2, out));
     assert_eq!(rig.ask().1, []);
     assert_eq!(
-        dials(&rig.with(|pool, now, out| pool.elsewhere(now, 0, out))).len(),
+        dials(&rig.with(|pool, now, out| pool.set_predecessor_connections(now, 0, out))).len(),
         0,
         "three are open"
     );
@@ -1199,17 +1220,23 @@
 fn ten_thousand_endpoints_that_come_and_go_leave_nothing_behind() {
     let mut rig = Rig::new(limits());
     for n in 0..10_000 {
-        rig.place = at(n + 10, (n % 50) as u16);
-        rig.pool.open(rig.now, rig.place);
+        rig.target = at(n + 10, (n % 50) as u16);
+        rig.pool.enable_endpoint(rig.now, rig.target);
         let connection = rig.dialled();
-        rig.ends(connection, Answered::Served);
-        let here = rig.place;
-        rig.with(|pool, _, out| pool.retire(here, out));
+        rig.ends(connection, AnswerKind::Served);
+        let here = rig.target;
+        rig.with(|pool, _, out| pool.retire_endpoint(here, out));
         rig.now += MILLISECOND;
     }
-    assert_eq!(rig.pool.sizes(), (1, 0, 0));
     assert_eq!(
-        rig.pool.view(rig.now).1.dials,
+        rig.pool.sizes(),
+        PoolSizes {
+            endpoints: 1,
+            ..NOTHING
+        }
+    );
+    assert_eq!(
+        rig.pool.report(rig.now).totals.dials,
         10_000,
         "the sums keep what the endpoints had"
     );
--- a/tests/pool_recorded.rs
+++ b/tests/pool_recorded.rs
@@ -10,18 +10,18 @@
 const GOLDEN: &str = include_str!("golden/pool_runs.txt");
 const STEPS: usize = 6000;
 
-fn limits(random: &mut Random) -> Limits {
-    Limits {
+fn limits(random: &mut Random) -> PoolLimits {
+    PoolLimits {
         per_endpoint: 1 + random.below(12),
-        dials: 1 + random.below(20),
-        all: 5 + random.below(30),
+        concurrent_dials: 1 + random.below(20),
+        total: 5 + random.below(30),
         idle: 1 + random.below(20),
         idle_per_endpoint: 1 + random.below(8),
-        keep: (1 + random.below(10) as Micros) * SECOND,
-        decay: (1 + random.below(10) as Micros) * SECOND,
+        idle_timeout: (1 + random.below(10) as Micros) * SECOND,
+        demand_half_life: (1 + random.below(10) as Micros) * SECOND,
         learn_caps: random.below(4) > 0,
-        warm_share: [0.0, 0.25, 1.0][random.below(3)],
-        cold: random.below(5) as Micros * SECOND,
+        prewarm_share: [0.0, 0.25, 1.0][random.below(3)],
+        prewarm_delay: random.below(5) as Micros * SECOND,
         senders: [1, 3, 50][random.below(3)],
     }
 }
@@ -34,8 +34,8 @@
     }
 }
 
-fn place(number: usize) -> Place {
-    Place {
+fn endpoint(number: usize) -> EndpointAddress {
+    EndpointAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 1000 + (number % 5) as u16)),
         endpoint: EndpointId(number as u32),
     }
@@ -61,19 +61,19 @@
     }
 }
 
-fn denial(why: Denied) -> i64 {
-    match why {
-        Denied::Dial(why) => failure(why),
-        Denied::Retired => 5,
-        Denied::Wait => 6,
-        Denied::Leaving => 7,
+fn denial(reason: LeaseDenied) -> i64 {
+    match reason {
+        LeaseDenied::Dial(cause) => failure(cause),
+        LeaseDenied::Retired => 5,
+        LeaseDenied::RetryAfter => 6,
+        LeaseDenied::ShuttingDown => 7,
     }
 }
 
 fn encoded(command: &Command) -> Vec<i64> {
     match *command {
-        Command::Dial { connection, place } => {
-            vec![1, connection as i64, i64::from(place.endpoint.0)]
+        Command::Dial { connection, target } => {
+            vec![1, connection as i64, i64::from(target.endpoint.0)]
         }
         Command::Lease {
             waiter,
@@ -82,7 +82,7 @@
         } => {
             vec![2, waiter as i64, connection as i64, idle_for.unwrap_or(-1)]
         }
-        Command::Deny { waiter, why } => vec![3, waiter as i64, denial(why)],
+        Command::Deny { waiter, reason } => vec![3, waiter as i64, denial(reason)],
         Command::Close { connection } => vec![4, connection as i64],
     }
 }
@@ -124,13 +124,13 @@
     waiter: u64,
 ) -> Vec<Command> {
     let mut out = Vec::new();
-    let target = place(random.below(7));
+    let target = endpoint(random.below(7));
     match random.below(100) {
         0..=29 => {
             known.waiting.push_back(waiter);
-            pool.ask(now, target, waiter, &mut out);
+            pool.acquire(now, target, waiter, &mut out);
         }
-        30..=44 => pool.up(now, take(&mut known.dialled, random), &mut out),
+        30..=44 => pool.dial_succeeded(now, take(&mut known.dialled, random), &mut out),
         45..=51 => {
             let whys = [
                 DialFailure::Refused,
@@ -144,35 +144,35 @@
         52..=79 => {
             let connection = take(&mut known.leased, random);
             let answers = [
-                Answered::Served,
-                Answered::Served,
-                Answered::TurnedAway,
-                Answered::Other,
+                AnswerKind::Served,
+                AnswerKind::Served,
+                AnswerKind::Rejected,
+                AnswerKind::Other,
             ];
-            pool.answered(now, connection, answers[random.below(4)]);
-            pool.give_back(now, connection, &mut out);
+            pool.record_answer(now, connection, answers[random.below(4)]);
+            pool.release(now, connection, &mut out);
         }
         80..=85 => {
             let causes = [
-                Cause::Reset,
-                Cause::TimedOut,
-                Cause::CalledOff,
-                Cause::Unreadable,
-                Cause::Peer,
+                CloseReason::Reset,
+                CloseReason::TimedOut,
+                CloseReason::Cancelled,
+                CloseReason::Unreadable,
+                CloseReason::ClosedByPeer,
             ];
             let cause = causes[random.below(5)];
-            pool.spoiled(now, take(&mut known.leased, random), cause, &mut out);
+            pool.discard(now, take(&mut known.leased, random), cause, &mut out);
         }
-        86..=88 => pool.called_off(take(&mut known.waiting, random)),
-        89 => pool.closed(random.below(200) as u64, &mut out),
-        90..=91 => pool.open(now, target),
-        92 => pool.retire(target, &mut out),
-        93 => pool.disconnect(target, &mut out),
-        94 => pool.advertised_wait(target, now + SECOND, &mut out),
-        95 => pool.elsewhere(now, random.below(4), &mut out),
+        86..=88 => pool.cancel_wait(take(&mut known.waiting, random)),
+        89 => pool.peer_closed(random.below(200) as u64, &mut out),
+        90..=91 => pool.enable_endpoint(now, target),
+        92 => pool.retire_endpoint(target, &mut out),
+        93 => pool.close_idle(target, &mut out),
+        94 => pool.apply_retry_after(target, now + SECOND, &mut out),
+        95 => pool.set_predecessor_connections(now, random.below(4), &mut out),
         96 => {
             let limits = limits(random);
-            pool.retune(now, limits, &mut out);
+            pool.set_limits(now, limits, &mut out);
         }
         _ => pool.tick(now, &mut out),
     }
@@ -180,20 +180,20 @@
 }
 
 fn reported(pool: &Pool, now: Micros) -> String {
-    let (endpoints, all) = pool.view(now);
-    let mut text = serde_json::to_string(&all).expect("JSON");
+    let PoolReport { endpoints, totals } = pool.report(now);
+    let mut text = serde_json::to_string(&totals).expect("JSON");
     for endpoint in endpoints {
-        let counts = serde_json::to_string(&endpoint.counts).expect("JSON");
+        let counts = serde_json::to_string(&endpoint.counters).expect("JSON");
         text += &format!(
             "\n  {} {} serving {} idle {} leased {} dialling {} waiting {} wanted {} cap {:?} {counts}",
-            endpoint.place.endpoint.0,
-            endpoint.place.address,
-            endpoint.serving,
+            endpoint.target.endpoint.0,
+            endpoint.target.address,
+            endpoint.is_serving,
             endpoint.idle,
             endpoint.leased,
             endpoint.dialling,
             endpoint.waiting,
-            endpoint.wanted,
+            endpoint.wanted_connections,
             endpoint.learned_cap
         );
     }
@@ -207,7 +207,7 @@
     let mut pool = Pool::new(limits, seed);
     let (mut known, mut digest) = (Known::default(), Digest(0xcbf2_9ce4_8422_2325));
     let mut now = 100 * SECOND;
-    (0..7).for_each(|number| pool.open(now, place(number)));
+    (0..7).for_each(|number| pool.enable_endpoint(now, endpoint(number)));
     let mut count = 0;
     for waiter in 0..STEPS {
         now += random.below(100) as Micros * MILLISECOND;
@@ -221,7 +221,7 @@
     let totals = last.lines().next().unwrap_or_default();
     digest.add(&last.bytes().map(i64::from).collect::<Vec<_>>());
     let mut out = Vec::new();
-    pool.leave(&mut out);
+    pool.shut_down(&mut out);
     out.iter().for_each(|command| digest.add(&encoded(command)));
     format!(
         "seed {seed}: {count} commands, {} at the end, {:016x}\n  {totals}\n",
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -1,22 +1,22 @@
 //! Connections that endpoints have too few of: when the pool keeps none idle, and when it does.
 
-use message_sender::pool::{Answered, Cause, Command, Limits, Place, Pool};
+use message_sender::pool::{AnswerKind, CloseReason, Command, EndpointAddress, Pool, PoolLimits};
 use message_sender::{EndpointId, Micros, SECOND};
 
 const T0: Micros = 100 * SECOND;
 
-fn limits() -> Limits {
-    Limits {
+fn limits() -> PoolLimits {
+    PoolLimits {
         per_endpoint: 8,
-        dials: 4,
-        all: 40,
+        concurrent_dials: 4,
+        total: 40,
         idle: 40,
         idle_per_endpoint: 8,
-        keep: 10 * SECOND,
-        decay: 30 * SECOND,
+        idle_timeout: 10 * SECOND,
+        demand_half_life: 30 * SECOND,
         learn_caps: true,
-        warm_share: 0.0,
-        cold: 10 * SECOND,
+        prewarm_share: 0.0,
+        prewarm_delay: 10 * SECOND,
         senders: 300,
     }
 }
@@ -30,8 +30,8 @@
     no_room: bool,
 }
 
-fn place(number: u32) -> Place {
-    Place {
+fn target(number: u32) -> EndpointAddress {
+    EndpointAddress {
         address: ([127, 0, 0, 1], 8_000).into(),
         endpoint: EndpointId(number),
     }
@@ -40,7 +40,7 @@
 impl Rig {
     fn new() -> Self {
         let mut pool = Pool::new(limits(), 7);
-        (0..20).for_each(|number| pool.open(T0, place(number)));
+        (0..20).for_each(|number| pool.enable_endpoint(T0, target(number)));
         Rig {
             pool,
             now: T0,
@@ -51,15 +51,15 @@
 
     /// A call to an endpoint, on an idle connection or a new one; true if its connection is kept afterwards. One that is
     /// turned away on a new connection loses it, as its endpoint closes it.
-    fn call(&mut self, endpoint: u32, answered: Answered) -> bool {
+    fn call(&mut self, endpoint: u32, answered: AnswerKind) -> bool {
         self.now += SECOND / 10;
         self.waiter += 1;
         let mut out = Vec::new();
         self.pool
-            .ask(self.now, place(endpoint), self.waiter, &mut out);
+            .acquire(self.now, target(endpoint), self.waiter, &mut out);
         if let Some(Command::Dial { connection, .. }) = out.first().copied() {
             out.clear();
-            self.pool.up(self.now, connection, &mut out);
+            self.pool.dial_succeeded(self.now, connection, &mut out);
         }
         let Some(&Command::Lease {
             connection,
@@ -69,24 +69,24 @@
         else {
             panic!("no connection: {out:?}")
         };
-        self.no_room = self.pool.answered(self.now, connection, answered);
+        self.no_room = self.pool.record_answer(self.now, connection, answered);
         let mut out = Vec::new();
-        if answered == Answered::TurnedAway && idle_for.is_none() {
+        if answered == AnswerKind::Rejected && idle_for.is_none() {
             self.pool
-                .spoiled(self.now, connection, Cause::Peer, &mut out);
+                .discard(self.now, connection, CloseReason::ClosedByPeer, &mut out);
             return false;
         }
-        self.pool.give_back(self.now, connection, &mut out);
+        self.pool.release(self.now, connection, &mut out);
         out.iter()
             .all(|command| *command != Command::Close { connection })
     }
 
     fn closed_as_scarce(&self) -> u64 {
         self.pool
-            .view(self.now)
-            .1
+            .report(self.now)
+            .totals
             .closes
-            .get(&Cause::Scarce)
+            .get(&CloseReason::Scarcity)
             .copied()
             .unwrap_or(0)
     }
@@ -97,11 +97,11 @@
     let mut rig = Rig::new();
     for number in 1..3 {
         assert!(
-            rig.call(0, Answered::Served),
+            rig.call(0, AnswerKind::Served),
             "kept as long as too little is known: {number}"
         );
-        rig.call(2 * number, Answered::TurnedAway);
-        rig.call(2 * number + 1, Answered::TurnedAway);
+        rig.call(2 * number, AnswerKind::Rejected);
+        rig.call(2 * number + 1, AnswerKind::Rejected);
     }
     rig
 }
@@ -110,26 +110,26 @@
 fn where_new_connections_are_turned_away_and_kept_ones_served_none_is_kept_idle() {
     let mut rig = scarce();
     assert!(!rig.no_room, "it is not known yet");
-    assert!(!rig.call(0, Answered::Served));
+    assert!(!rig.call(0, AnswerKind::Served));
     assert_eq!(rig.closed_as_scarce(), 1);
-    rig.call(11, Answered::TurnedAway);
+    rig.call(11, AnswerKind::Rejected);
     assert!(rig.no_room, "it says nothing of a limit on calls");
     // new ones are served now and then: still scarce
-    assert!(!rig.call(9, Answered::Served));
-    rig.call(10, Answered::TurnedAway);
-    assert!(!rig.call(0, Answered::Served));
+    assert!(!rig.call(9, AnswerKind::Served));
+    rig.call(10, AnswerKind::Rejected);
+    assert!(!rig.call(0, AnswerKind::Served));
 }
 
 #[test]
 fn what_stands_idle_as_connections_turn_scarce_is_closed_at_the_next_tick() {
     let mut rig = Rig::new();
     assert!(
-        rig.call(0, Answered::Served)
-            && rig.call(9, Answered::Served)
-            && rig.call(0, Answered::Served)
+        rig.call(0, AnswerKind::Served)
+            && rig.call(9, AnswerKind::Served)
+            && rig.call(0, AnswerKind::Served)
     );
-    (1..9).for_each(|number| assert!(!rig.call(number, Answered::TurnedAway)));
-    assert!(!rig.call(0, Answered::Served));
+    (1..9).for_each(|number| assert!(!rig.call(number, AnswerKind::Rejected)));
+    assert!(!rig.call(0, AnswerKind::Served));
     let mut out = Vec::new();
     rig.pool.tick(rig.now, &mut out);
     assert_eq!(
@@ -142,17 +142,17 @@
 #[test]
 fn one_sender_alone_keeps_what_it_has() {
     let mut rig = Rig::new();
-    rig.pool.retune(
+    rig.pool.set_limits(
         T0,
-        Limits {
+        PoolLimits {
             senders: 1,
             ..limits()
         },
         &mut Vec::new(),
     );
     for number in 1..9 {
-        assert!(rig.call(0, Answered::Served));
-        rig.call(number, Answered::TurnedAway);
+        assert!(rig.call(0, AnswerKind::Served));
+        rig.call(number, AnswerKind::Rejected);
     }
 }
 
@@ -161,9 +161,9 @@
     let mut rig = Rig::new();
     for round in 0..40 {
         let answered = if round % 2 == 0 {
-            Answered::TurnedAway
+            AnswerKind::Rejected
         } else {
-            Answered::Served
+            AnswerKind::Served
         };
         rig.call(0, answered);
         rig.call(1 + round % 19, answered);
@@ -175,18 +175,18 @@
 #[test]
 fn a_start_at_which_all_is_turned_away_closes_none() {
     let mut rig = Rig::new();
-    (0..20).for_each(|number| assert!(!rig.call(number, Answered::TurnedAway)));
-    assert!(rig.call(3, Answered::Served));
+    (0..20).for_each(|number| assert!(!rig.call(number, AnswerKind::Rejected)));
+    assert!(rig.call(3, AnswerKind::Served));
     assert_eq!(rig.closed_as_scarce(), 0);
 }
 
 #[test]
 fn once_new_connections_are_served_again_they_are_kept() {
     let mut rig = scarce();
-    let kept = (0..40).find(|_| rig.call(0, Answered::Served));
+    let kept = (0..40).find(|_| rig.call(0, AnswerKind::Served));
     assert!(
         kept.is_some_and(|calls| (5..30).contains(&calls)),
         "{kept:?}"
     );
-    assert!(rig.call(0, Answered::Served) && rig.call(1, Answered::Served));
+    assert!(rig.call(0, AnswerKind::Served) && rig.call(1, AnswerKind::Served));
 }
