--- a/registry/tests/replicas.rs
+++ b/registry/tests/replicas.rs
@@ -2,37 +2,40 @@
 //! that crash and come back, cuts of one direction, senders that stand still or restart, clocks that drift. No two senders
 //! act on rules that contradict each other, no answered write is lost, and reads are never behind what was answered.
 
-use fleet_registry::replica::{Answer, Output, Question, Replica, TICK};
-use fleet_registry::state::{Applied, Change, Command, State};
-use fleet_registry::store::{Purpose, Store};
-use fleet_registry::target::Target;
+use fleet_registry::endpoint::Endpoint;
+use fleet_registry::replica::{Answer, Output, Replica, SenderLeaseRequest, TICK};
+use fleet_registry::state::{Applied, Command, ListChange, State};
+use fleet_registry::store::{Store, StoreOptions};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
 use tempfile::TempDir;
-use versioned_config::{Ask, Class, Effect, Grant, Holder, Micros, Proposal, Rules, Tag, Terms};
+use versioned_config::{
+    ClassRules, Effect, Grant, LeaseHolder, LeaseRequest, LeaseTerms, Micros, Proposal, Rules,
+    VersionTag,
+};
 
 const LEASE: Micros = 2_000_000;
 /// Parts of a million by which a sender's clock may be slow or fast.
 const DRIFT_PPM: u64 = 10_000;
 const STEP: Micros = 10_000;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> LeaseTerms {
+    LeaseTerms {
         lease: LEASE,
-        drift: 2 * LEASE * DRIFT_PPM / 1_000_000,
+        max_drift: 2 * LEASE * DRIFT_PPM / 1_000_000,
     }
 }
 
-fn class() -> Class {
+fn class() -> ClassRules {
     let (accepted, effect, attempts) = (true, Effect::Idempotent, 3);
-    Class {
+    ClassRules {
         accepted,
         effect,
-        attempts,
+        max_attempts: attempts,
         in_order: false,
-        keyed_by: String::new(),
-        gap_ms: 0,
+        key_meaning: String::new(),
+        key_backoff_ms: 0,
     }
 }
 
@@ -45,7 +48,7 @@
 }
 
 fn begin() -> Command {
-    Command::Begin {
+    Command::BeginRules {
         floor: Rules::default(),
         rules: rules(1),
         terms: terms(),
@@ -54,12 +57,12 @@
 
 enum Sent {
     ToReplica(usize, raft::eraftpb::Message),
-    Ask(usize, usize, Ask),
-    Grant(usize, Ask, Grant),
+    Ask(usize, usize, LeaseRequest),
+    Grant(usize, LeaseRequest, Grant),
 }
 
 struct Sender {
-    holder: Holder,
+    holder: LeaseHolder,
     life: u64,
     /// Parts of a million that its clock runs.
     rate: u64,
@@ -103,7 +106,7 @@
 }
 
 enum Ticket {
-    Ask(usize, Ask),
+    Ask(usize, LeaseRequest),
     Write(Micros),
     Read(Micros, usize),
     Rules,
@@ -117,7 +120,7 @@
             .collect();
         let senders = (0..senders)
             .map(|number| Sender {
-                holder: Holder::new(Rules::default(), number as u64),
+                holder: LeaseHolder::new(Rules::default(), number as u64),
                 life: number as u64,
                 rate: 1_000_000 - DRIFT_PPM + random.random_range(0..=2) * DRIFT_PPM,
                 stands_until: 0,
@@ -152,11 +155,11 @@
         self.lives += 1;
         let voters = (1..=self.folders.len() as u64).collect();
         let id = number as u64 + 1;
-        let purpose = Purpose {
+        let purpose = StoreOptions {
             cluster: "sim".to_string(),
             id,
             voters,
-            most: 4096,
+            max_log_bytes: 4096,
             sync: false,
         };
         let state = postcard::to_allocvec(&State::default()).expect("encoded");
@@ -198,21 +201,27 @@
                 Sent::Ask(to, sender, ask) => {
                     let ticket = self.ticket(Ticket::Ask(sender, ask));
                     let name = format!("n{sender}");
-                    let Ask { life, acts_on, .. } = ask;
-                    let question = Question {
+                    let LeaseRequest {
+                        incarnation,
+                        acts_on,
+                        ..
+                    } = ask;
+                    let question = SenderLeaseRequest {
                         sender: name,
-                        life,
+                        incarnation,
                         acts_on,
                         rev: 0,
                         floor: Rules::default(),
                     };
-                    self.with(to, |replica, output| replica.ask(ticket, question, output));
+                    self.with(to, |replica, output| {
+                        replica.request_lease(ticket, question, output)
+                    });
                 }
                 Sent::Grant(sender, ask, grant) => {
                     let sender = &mut self.senders[sender];
                     if sender.stands_until <= now {
                         let clock = sender.clock(now);
-                        sender.holder.granted(ask, grant, clock);
+                        sender.holder.apply_grant(ask, grant, clock);
                     }
                 }
             }
@@ -233,7 +242,7 @@
             let one = &mut self.senders[sender];
             if one.stands_until <= now && one.asks_at <= now {
                 one.asks_at = now + LEASE / 4;
-                let ask = one.holder.ask(one.clock(now));
+                let ask = one.holder.request(one.clock(now));
                 self.send(Sent::Ask(to, sender, ask));
             }
         }
@@ -248,7 +257,7 @@
         let mut output = Output::default();
         turn(replica, &mut output);
         replica
-            .settle(self.now, &mut output)
+            .process_ready(self.now, &mut output)
             .expect("the log is kept");
         for message in output.messages {
             let to = message.to as usize - 1;
@@ -258,7 +267,7 @@
                 self.send(Sent::ToReplica(to, message));
             }
             if let Some(replica) = self.replicas[number].as_mut().filter(|_| snapshot) {
-                replica.snapshot_sent(to as u64 + 1, passes);
+                replica.report_snapshot(to as u64 + 1, passes);
             }
         }
         for (ticket, answer) in output.answers {
@@ -284,7 +293,7 @@
                         writes: true,
                     });
                 }
-                (Ticket::Read(asked, at), Answer::Fresh) => {
+                (Ticket::Read(asked, at), Answer::UpToDate) => {
                     let rev = self.replicas[at]
                         .as_ref()
                         .map_or(0, |replica| replica.state().rev);
@@ -324,8 +333,8 @@
         else {
             return;
         };
-        let Tag { version: from, .. } = version;
-        let proposal = Command::Rules(Proposal {
+        let VersionTag { version: from, .. } = version;
+        let proposal = Command::ProposeRules(Proposal {
             from,
             rules: rules(from + 1),
         });
@@ -344,14 +353,17 @@
         else {
             return;
         };
-        let target: Target = serde_json::from_value(serde_json::json!({
+        let target: Endpoint = serde_json::from_value(serde_json::json!({
             "endpoint": format!("10.0.0.1:{port}"), "pod_group": 1, "boot_ms": rev
         }))
         .expect("a target");
         let uid = format!("e{}", rev % 5);
-        let command = Command::List {
+        let command = Command::ChangeList {
             if_match: Some(rev),
-            changes: vec![Change::Put { uid, target }],
+            changes: vec![ListChange::Put {
+                uid,
+                endpoint: target,
+            }],
         };
         let ticket = self.ticket(Ticket::Write(now));
         self.with(at, |replica, output| {
@@ -376,11 +388,11 @@
                 self.starts_at[one] = self.now + self.random.random_range(100_000..4_000_000);
             }
             1 => {
-                let leader =
-                    (0..count).find(|at| self.replicas[*at].as_ref().is_some_and(Replica::leads));
+                let leader = (0..count)
+                    .find(|at| self.replicas[*at].as_ref().is_some_and(Replica::is_leader));
                 if let Some(leader) = leader {
                     self.with(leader, |replica, _| {
-                        replica.transfer();
+                        replica.transfer_leadership();
                     });
                 }
             }
@@ -398,7 +410,7 @@
                 let sender = self.random.random_range(0..self.senders.len());
                 self.lives += 1;
                 let life = self.lives;
-                self.senders[sender].holder = Holder::new(Rules::default(), life);
+                self.senders[sender].holder = LeaseHolder::new(Rules::default(), life);
                 self.senders[sender].life = life;
             }
         }
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::http_golden as golden;
-use crate::net::journal::Ending;
+use crate::net::journal::UndeliveredOutcome;
 use std::io::{Read, Write};
 
 /// One request on a connection to the listener, up to this end, which is answered so.
@@ -69,19 +69,19 @@
         let (listener, watches) = requests.await.expect("three watches");
         watching.abort();
         let (queue, notices) = mpsc::unbounded_channel();
-        let endings = [
-            Ending::Failed,
-            Ending::Returned {
+        let outcomes = [
+            UndeliveredOutcome::Failed,
+            UndeliveredOutcome::Returned {
                 after_ms: Some(1500),
             },
-            Ending::Returned { after_ms: None },
+            UndeliveredOutcome::Returned { after_ms: None },
         ];
-        for (number, ending) in (1..).zip(endings) {
+        for (number, outcome) in (1..).zip(outcomes) {
             queue
-                .send(Notice {
+                .send(OutcomeNotification {
                     number,
                     id: format!("m\"{number}"),
-                    ending,
+                    outcome,
                 })
                 .expect("taken");
         }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -9,7 +9,7 @@
 use message_sender::{
     Agreed, Demand, EndpointId, FleetView, Micros, Outcome, Quotas, Settings, Status,
 };
-use quota_ledger::gate::News;
+use quota_ledger::freeze::FreezeUpdate;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
 }
 
 /// What a sender could use of the fleet's limits.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub struct DemandReport {
     /// Destinations that are listed.
     pub listed: usize,
@@ -117,7 +117,7 @@
         /// How long a break-glass override counts by this answer, in microseconds.
         fresh_for: u64,
         /// What the registry answered.
-        update: News,
+        update: FreezeUpdate,
     },
 }
 
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -1,7 +1,7 @@
 //! The limits of the pool, from settings and descriptors.
 
 use super::{duration, micros};
-use crate::net::config::pool_most;
+use crate::net::config::max_pool_connections;
 use message_sender::pool::{PoolLimits, PoolSettings};
 use message_sender::{Micros, Settings};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     let idle_timeout = (endpoint_timeout * 9 / 10)
         .min(endpoint_timeout.saturating_sub(Duration::from_millis(300)));
     // a file that was read for more descriptors than the process started with allows no more
-    let max_total = pool_most(descriptors);
+    let max_total = max_pool_connections(descriptors);
     let total = pool.all.unwrap_or(max_total).min(max_total);
     let cap = |set: Option<usize>, usual: usize| set.unwrap_or(usual).min(total);
     PoolLimits {
