--- a/src/net/pool/compatibility.rs
+++ b/src/net/pool/compatibility.rs
@@ -13,7 +13,7 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async {
         let settings = Settings {
-            connection_idle: 60 * SECOND,
+            connection_idle_timeout: 60 * SECOND,
             ..Settings::new(8, 100)
         };
         let limits = limits(&PoolSettings::default(), 100, &settings);
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -14,8 +14,8 @@
 
 /// The limits that settings come to. Caps that are not set follow from the descriptors.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> PoolLimits {
-    let endpoint_timeout = if settings.connection_idle > 0 {
-        duration(settings.connection_idle)
+    let endpoint_timeout = if settings.connection_idle_timeout > 0 {
+        duration(settings.connection_idle_timeout)
     } else {
         DEFAULT_ENDPOINT_IDLE_TIMEOUT
     };
@@ -36,7 +36,7 @@
         demand_half_life: (pool.decay_s * 1e6) as Micros,
         learn_caps: pool.learn_caps,
         prewarm_share: pool.warm_share,
-        prewarm_delay: settings.safety.cold_time,
+        prewarm_delay: settings.safety.warm_up_time,
         senders: settings.senders,
     }
 }
