--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -8,16 +8,17 @@
 mod tests;
 
 use super::agreement;
-use super::agreement::settings::{Agreement, AgreementError};
+use super::agreement::settings::AgreementSettings;
 use super::discovery::parse_list;
 use super::events::ListUpdate;
 use super::freeze;
-use super::freeze::settings::{FreezeSettings, FreezeSettingsError};
+use super::freeze::settings::FreezeSettings;
 use super::ledger;
-use super::ledger::settings::{Ledger, LedgerError};
+use super::ledger::settings::LedgerSettings;
 use super::local_errors::{RETRY_INTERVAL, is_permanent};
 use super::membership;
-use super::membership::settings::{Membership, MembershipError};
+use super::membership::settings::MembershipSettings;
+use super::settings_object::SettingsObjectError;
 use completeness::{check_complete, check_numbers};
 use flatten::flatten;
 use message_sender::pool::PoolSettings;
@@ -80,18 +81,9 @@
     /// The `settings` object makes no sense.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The `membership` object makes no sense.
+    /// The `membership`, `agreement`, `ledger` or `freeze` object makes no sense.
     #[error(transparent)]
-    Membership(#[from] MembershipError),
-    /// The `agreement` object makes no sense.
-    #[error(transparent)]
-    Agreement(#[from] AgreementError),
-    /// The `ledger` object makes no sense.
-    #[error(transparent)]
-    Ledger(#[from] LedgerError),
-    /// The `freeze` object makes no sense.
-    #[error(transparent)]
-    Freeze(#[from] FreezeSettingsError),
+    SettingsObject(#[from] SettingsObjectError),
 }
 
 impl ConfigError {
@@ -139,11 +131,11 @@
     /// Settings of the connection pool.
     pub pool: PoolSettings,
     /// How this sender takes part in membership, if it does.
-    pub membership: Option<Membership>,
+    pub membership: Option<MembershipSettings>,
     /// How this sender agrees on rules with the others, if it does.
-    pub agreement: Option<Agreement>,
+    pub agreement: Option<AgreementSettings>,
     /// Limits that hold for all senders, if there are any.
-    pub ledger: Option<Ledger>,
+    pub ledger: Option<LedgerSettings>,
     /// The freeze calendar, if it is kept to.
     pub freeze: Option<FreezeSettings>,
 }
@@ -268,7 +260,7 @@
         let ledger = ledger::settings::read(&file.ledger)?;
         let freeze = freeze::settings::read(&file.freeze)?;
         let members_bytes = if membership.is_some() {
-            membership::DISK
+            membership::MAX_DISK_BYTES
         } else {
             0
         };
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::net::RateLimitedLog;
 use crate::net::events::{ListUpdate, ListedEndpoint};
-use message_sender::pool::Place;
+use message_sender::pool::EndpointAddress;
 use message_sender::wire::position;
 use message_sender::{EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, Micros};
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
             let found = update.version;
             let known = self.version;
             self.behind_log.log(format_args!(
-                "discovery: version {found} is not taken, {known} is in force"
+                "discovery: version {found} is not accepted, {known} is in force"
             ));
         }
         self.is_behind
@@ -105,8 +105,8 @@
         let endpoint = self.endpoints.id_or_new(&listed.uid);
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             if let Some(address) = record.address.filter(|&before| before != listed.address) {
-                let before = Place { address, endpoint };
-                self.calls.connections().serve(before, false);
+                let before = EndpointAddress { address, endpoint };
+                self.calls.connections().set_serving(before, false);
             }
             record.address = Some(listed.address);
             record.listed = listed.status != EndpointStatus::Removed;
@@ -145,8 +145,8 @@
         };
         if let Some(address) = record.address {
             let serving = record.listed && record.serving && !self.journal.is_disabled(&record.uid);
-            let place = Place { address, endpoint };
-            self.calls.connections().serve(place, serving);
+            let place = EndpointAddress { address, endpoint };
+            self.calls.connections().set_serving(place, serving);
         }
     }
 
@@ -168,11 +168,11 @@
             let same_route = !separate_routes && record.destination == origin.destination;
             let concerned = other == endpoint || same_route;
             if let Some(address) = record.address.filter(|_| concerned) {
-                let place = Place {
+                let place = EndpointAddress {
                     address,
                     endpoint: other,
                 };
-                self.calls.connections().advertised_wait(place, wait);
+                self.calls.connections().apply_retry_after(place, wait);
             }
         }
     }
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -102,7 +102,7 @@
             Action::SetTimer(at) => self.timer = Some(at),
             Action::Disconnect(endpoint) => {
                 if let Some(place) = self.endpoints.place_of(endpoint) {
-                    self.calls.connections().disconnect(place);
+                    self.calls.connections().close_idle(place);
                 }
             }
             Action::Log(event) => net::log(format_args!("{event}")),
