--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -69,7 +69,7 @@
     pub(super) fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
         let Some(pending) = self.messages.get(message).filter(|held| held.open) else {
             // its client's own answer told it: no notification is due
-            return self.events.push(Event::Noticed(message));
+            return self.events.push(Event::NotificationDelivered(message));
         };
         let id = pending.item.id.clone();
         let unfinished = self.journal.unfinished().get(&message.0);
@@ -103,7 +103,7 @@
         for message in numbers.into_iter().map(MessageId) {
             self.journal.complete(message);
             self.lifecycle.over(message);
-            self.events.push(Event::Noticed(message));
+            self.events.push(Event::NotificationDelivered(message));
         }
     }
 }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -22,10 +22,10 @@
     };
     let class = Class {
         name: "order".into(),
-        effect: Effect::Unsafe,
-        aim: 1,
+        effect: Effect::NonIdempotent,
+        latency_objective: 1,
         deadline: 1,
-        worth: 1.0,
+        priority_weight: 1.0,
         late_share: 0.0,
         ordered: false,
     };
@@ -68,7 +68,7 @@
     (
         taken,
         MessageOrigin::default(),
-        ClassTerms::of(&Class::new("order", Effect::Unsafe, 1, 1), 12),
+        ClassTerms::of(&Class::new("order", Effect::NonIdempotent, 1, 1), 12),
     )
 }
 
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -34,19 +34,19 @@
     let class = Class {
         name: "order".into(),
         effect,
-        aim: 4_000_003,
+        latency_objective: 4_000_003,
         deadline: 20_000_004,
-        worth: 1.25,
+        priority_weight: 1.25,
         late_share: 0.5,
         ordered: true,
     };
     ClassTerms::of(&class, 12)
 }
 
-fn keyed(zone_only: bool) -> Effect {
-    Effect::Keyed {
+fn keyed(same_zone_only: bool) -> Effect {
+    Effect::IdempotencyKey {
         window: 12_000_005,
-        zone_only,
+        same_zone_only,
     }
 }
 
@@ -67,10 +67,15 @@
             origin(),
         ),
         Record::AcceptedWithoutTerms(3, handed_in("m3"), MessageOrigin::default()),
-        Record::Accepted(4, handed_in("m4"), origin(), terms(Effect::Repeatable)),
+        Record::Accepted(4, handed_in("m4"), origin(), terms(Effect::Idempotent)),
         Record::Accepted(5, handed_in("m5"), origin(), terms(keyed(false))),
         Record::Accepted(6, handed_in("m6"), origin(), terms(keyed(true))),
-        Record::Accepted(300, handed_in("m300"), origin(), terms(Effect::Unsafe)),
+        Record::Accepted(
+            300,
+            handed_in("m300"),
+            origin(),
+            terms(Effect::NonIdempotent),
+        ),
         Record::AttemptStarted(4, sent("s-1", false)),
         Record::AttemptStarted(4, sent("s-2", true)),
         Record::AttemptOutcome {
@@ -170,7 +175,7 @@
     );
     assert_eq!(
         journal.unfinished()[&300].terms,
-        Some(terms(Effect::Unsafe))
+        Some(terms(Effect::NonIdempotent))
     );
     assert_eq!(journal.disabled_endpoints().collect::<Vec<_>>(), ["s-8"]);
     journal.compact().expect("room");
@@ -187,9 +192,9 @@
     journal.set_disabled("s-8", true).expect("room");
     journal.set_disabled("s-7", false).expect("room");
     for (number, effect) in [
-        (4, Effect::Repeatable),
+        (4, Effect::Idempotent),
         (5, keyed(true)),
-        (6, Effect::Unsafe),
+        (6, Effect::NonIdempotent),
     ] {
         journal
             .accept(
--- a/src/net/ledger/tests.rs
+++ b/src/net/ledger/tests.rs
@@ -29,7 +29,7 @@
             3,
             Demand {
                 waiting: 5,
-                out: 2,
+                in_flight: 2,
                 sent: 9,
                 alive: true,
                 ..idle
@@ -38,7 +38,7 @@
         (
             7,
             Demand {
-                out: 1,
+                in_flight: 1,
                 sent: 4,
                 alive: true,
                 ..idle
@@ -49,7 +49,7 @@
             Demand {
                 waiting: 1,
                 sent: 6,
-                sick: true,
+                unhealthy: true,
                 failing: true,
                 ..idle
             },
--- a/src/net/membership/member.rs
+++ b/src/net/membership/member.rs
@@ -180,11 +180,11 @@
             .dependencies
             .driver
             .send(DriverInput::FleetView(Some(FleetView {
-                living: view.present,
+                present: view.present,
                 suspects: view.suspects,
-                gone: view.departed,
-                holders: view.agreeing,
-                doubt: view.isolated,
+                departed: view.departed,
+                agreeing: view.agreeing,
+                isolated: view.isolated,
             })));
     }
 
--- a/src/net/membership/tests.rs
+++ b/src/net/membership/tests.rs
@@ -109,14 +109,14 @@
             panic!("{input:?}")
         };
         let FleetView {
-            living,
+            present,
             suspects,
-            gone,
-            holders,
-            doubt,
+            departed,
+            agreeing,
+            isolated,
         } = view;
         assert_eq!(
-            (living, suspects, gone, holders, doubt),
+            (present, suspects, departed, agreeing, isolated),
             (2, 0, 0, 1, false)
         );
     };
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -62,8 +62,8 @@
         let settings = &self.process.config.settings;
         discovery::Shared {
             senders: settings.senders,
-            asked: settings.list_on_request,
-            ask_every: span(settings.safety.ask_every),
+            asked: settings.list_by_subscription,
+            ask_every: span(settings.safety.poll_interval),
         }
     }
 
@@ -73,7 +73,7 @@
         // a call that is decided may be written once its connection is up
         let drain_grace = span(config.settings.safety.drain_grace);
         let grace = drain_grace.saturating_sub(span(config.names.dial_timeout));
-        let pushed = !config.settings.list_on_request;
+        let pushed = !config.settings.list_by_subscription;
         let (freshness, staleness) = Freshness::new(pushed, grace, inputs.clone());
         self.spawn(staleness);
         let clients = self.discovery_clients();
