--- a/lab/src/scale/journal.rs
+++ b/lab/src/scale/journal.rs
@@ -1,4 +1,4 @@
-//! A sender that is killed with messages owed: how long until it is ready again, and what they take up.
+//! A sender that is killed with unfinished messages: how long until it is ready again, and what they take up.
 //!
 //! The journal is written here, in the form in which the sender writes it; what the sender says of it at its start is
 //! held against what was written.
@@ -144,10 +144,10 @@
     let log = process.log()?;
     let line = log
         .lines()
-        .find(|line| line.contains(" messages owed"))
+        .find(|line| line.contains(" unfinished messages"))
         .context("nothing is owed")?;
     let number = line
-        .split(" messages owed")
+        .split(" unfinished messages")
         .next()
         .and_then(|head| head.rsplit(' ').next());
     number
@@ -170,14 +170,14 @@
 }
 
 fn record(number: u64, now: i64, destination: u64) -> anyhow::Result<Vec<u8>> {
-    let keyed = message_sender::Effect::Keyed {
+    let keyed = message_sender::Effect::IdempotencyKey {
         window: WINDOW,
-        zone_only: false,
+        same_zone_only: false,
     };
     let classes = [
-        ("status", message_sender::Effect::Repeatable),
+        ("status", message_sender::Effect::Idempotent),
         ("report", keyed),
-        ("charge", message_sender::Effect::Unsafe),
+        ("charge", message_sender::Effect::NonIdempotent),
     ];
     let (class, effect) = classes[(number % classes.len() as u64) as usize];
     let taken = Taken {
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -184,6 +184,6 @@
     /// Connections of a predecessor's calls count among this process's.
     pub(super) fn count_calls_of_predecessor(&self) {
         let count = self.calls_in_flight.of_predecessor().count();
-        self.calls.connections().elsewhere(count);
+        self.calls.connections().set_predecessor_connections(count);
     }
 }
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -1,7 +1,7 @@
 //! The endpoints that the driver knows, by the decision module's numbers.
 
 use message_sender::EndpointId;
-use message_sender::pool::Place;
+use message_sender::pool::EndpointAddress;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -106,9 +106,9 @@
     }
 
     /// Where an endpoint takes calls.
-    pub fn place_of(&self, endpoint: EndpointId) -> Option<Place> {
+    pub fn place_of(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let address = self.get(endpoint)?.address?;
-        Some(Place { address, endpoint })
+        Some(EndpointAddress { address, endpoint })
     }
 
     pub fn is_any_listed(&self) -> bool {
--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -32,7 +32,10 @@
     names: Names,
 ) -> Vec<usize> {
     let classes = std::mem::replace(&mut new.classes, old.classes);
-    let positions = classes.into_iter().map(|class| new.place(class)).collect();
+    let positions = classes
+        .into_iter()
+        .map(|class| new.class_position(class))
+        .collect();
     for kind in std::mem::replace(&mut new.kinds, old.kinds) {
         let position = position_or_push(&mut known.kinds, &kind.name);
         replace_or_push(&mut new.kinds, position, kind);
@@ -69,7 +72,7 @@
             pool,
         } = update;
         let connections = self.calls.connections();
-        connections.retune(&pool, &settings, names.dial_timeout);
+        connections.apply_settings(&pool, &settings, names.dial_timeout);
         self.calls.retune(names.report_fields.clone());
         let old = self.settings.clone();
         let positions = keep_positions(&mut settings, old, &mut self.names, names);
@@ -78,14 +81,14 @@
             Named {
                 name: class.name.clone(),
                 index,
-                keyed: matches!(class.effect, Effect::Keyed { .. }),
+                keyed: matches!(class.effect, Effect::IdempotencyKey { .. }),
             }
         };
         let classes = positions.into_iter().map(named).collect();
         self.process.classes.replace(classes);
         if settings != *self.sender.settings() {
             let settings = Box::new(settings.clone());
-            self.events.push(Event::Retuned(settings));
+            self.events.push(Event::SettingsChanged(settings));
         }
         self.settings = settings;
     }
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -16,7 +16,7 @@
 use crate::net::events::{DriverInput, FreezeChange, SettingsUpdate};
 use crate::net::handover::{Frame, Link, LinkError};
 use crate::net::journal::JournalError;
-use crate::net::pool::{Connections, Means, limits};
+use crate::net::pool::{ConnectionPool, PoolResources, limits};
 use crate::net::server::{Classes, Server, serve};
 use crate::net::startup;
 use crate::net::{agreement, ledger};
@@ -225,11 +225,11 @@
     fn calls(&self) -> Calls {
         let config = &self.config;
         let limits = limits(&config.pool, config.max_descriptors, &config.settings);
-        let means = Means {
+        let resources = PoolResources {
             descriptors: config.max_descriptors,
             seed: config.seed,
         };
-        let connections = Connections::new(limits, config.names.dial_timeout, means);
+        let connections = ConnectionPool::new(limits, config.names.dial_timeout, resources);
         Calls::new(self.senders.inputs.clone(), connections)
     }
 
@@ -259,7 +259,7 @@
     async fn follow_predecessor(&self, driver: &mut Driver, mut link: Link, connections: usize) {
         let accepted = link.send(&Frame::Accepted).await;
         net::log(format_args!(
-            "{}: upgrade: taken over ({})",
+            "{}: handover: taken over ({})",
             self.config.name,
             describe_link(&accepted)
         ));
@@ -293,7 +293,7 @@
 /// What became of the link to a predecessor, for the log.
 fn describe_link(accepted: &Result<(), LinkError>) -> String {
     match accepted {
-        Ok(()) => "as it was".into(),
-        Err(error) => format!("the old process is gone: {error}"),
+        Ok(()) => "complete".into(),
+        Err(error) => format!("the predecessor is gone: {error}"),
     }
 }
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -48,7 +48,7 @@
 fn max_records(config: &Config) -> u64 {
     let settings = &config.settings;
     settings
-        .max_held
+        .max_pending
         .saturating_mul(2 * settings.max_attempts + 1) as u64
 }
 
@@ -59,9 +59,9 @@
         damaged,
     } = recovery;
     if *records + *torn + *damaged > 0 {
-        let owed = journal.unfinished().len();
+        let unfinished = journal.unfinished().len();
         net::log(format_args!(
-            "{name}: journal has {records} records, {owed} messages owed, {torn} bytes torn off"
+            "{name}: journal has {records} records, {unfinished} unfinished messages, {torn} bytes torn off"
         ));
     }
     if *damaged > 0 {
