--- a/agreement/src/leases.rs
+++ b/agreement/src/leases.rs
@@ -36,7 +36,7 @@
 
 /// What a sender may act on, by what it was given and what it said.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Held {
+struct HolderEntry {
     /// What it said it acts on.
     acts_on: Option<VersionTag>,
     /// Until when each grant may last that it has not gone beyond.
@@ -58,7 +58,7 @@
     terms: LeaseTerms,
     /// Leases of before that may still last until then, whoever holds them.
     unknown_until: Micros,
-    senders: BTreeMap<u64, Held>,
+    senders: BTreeMap<u64, HolderEntry>,
 }
 
 impl Leases {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// A life of a sender asks for a lease and says what it acts on; none: on the floor. To be called only once a majority
-    /// has confirmed, after the question came in, that this one still leads; else the next leader may be past waiting.
+    /// Grants a lease to an incarnation of a sender, which says what it acts on; none: its fallback rules. To be called only once a majority
+    /// has confirmed, after the request came in, that this one still leads; else the next leader may be past waiting.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -81,13 +81,16 @@
         versions: &VersionedRules,
     ) -> Grant {
         let tag = versions.tag();
-        let held = self.senders.entry(sender).or_default();
-        held.acts_on = held.acts_on.max(acts_on);
+        let holder = self.senders.entry(sender).or_default();
+        holder.acts_on = holder.acts_on.max(acts_on);
         // what it has gone beyond it acts on no more
-        let acts_on = held.acts_on;
-        held.grants
+        let acts_on = holder.acts_on;
+        holder
+            .grants
             .retain(|granted, until| Some(*granted) >= acts_on && *until > now);
-        held.grants.insert(tag, now + self.terms.longest_validity());
+        holder
+            .grants
+            .insert(tag, now + self.terms.longest_validity());
         Grant {
             tag,
             rules: versions.rules().clone(),
@@ -113,9 +116,9 @@
         now: Micros,
         tag: VersionTag,
     ) -> impl Iterator<Item = BlockingLease> {
-        self.senders.iter().filter_map(move |(sender, held)| {
-            let until = held.grants.range(..tag).map(|(_, until)| *until).max()?;
-            let behind = held.acts_on < Some(tag) && until > now;
+        self.senders.iter().filter_map(move |(sender, holder)| {
+            let until = holder.grants.range(..tag).map(|(_, until)| *until).max()?;
+            let behind = holder.acts_on < Some(tag) && until > now;
             behind.then_some(BlockingLease {
                 sender: Some(*sender),
                 until,
@@ -128,26 +131,26 @@
         versions.tag().complete && self.blocking_lease(now, versions.tag()).is_none()
     }
 
-    /// Forgets those whose leases have all run out, and tells them.
+    /// Removes the senders whose leases have all expired, and returns them.
     pub fn remove_expired(&mut self, now: Micros) -> Vec<u64> {
-        let lapsed = |held: &Held| held.grants.values().all(|until| *until <= now);
-        let gone = self
+        let is_expired = |holder: &HolderEntry| holder.grants.values().all(|until| *until <= now);
+        let expired = self
             .senders
             .iter()
-            .filter(|(_, held)| lapsed(held))
+            .filter(|(_, holder)| is_expired(holder))
             .map(|(sender, _)| *sender)
             .collect();
-        self.senders.retain(|_, held| !lapsed(held));
-        gone
+        self.senders.retain(|_, holder| !is_expired(holder));
+        expired
     }
 
     /// Each sender with a lease, what it said it acts on, and until when it may act at all.
     pub fn holders(&self) -> impl Iterator<Item = (u64, Option<VersionTag>, Micros)> {
-        self.senders.iter().map(|(sender, held)| {
+        self.senders.iter().map(|(sender, holder)| {
             (
                 *sender,
-                held.acts_on,
-                held.grants.values().copied().max().unwrap_or_default(),
+                holder.acts_on,
+                holder.grants.values().copied().max().unwrap_or_default(),
             )
         })
     }
--- a/agreement/src/rules.rs
+++ b/agreement/src/rules.rs
@@ -2,7 +2,7 @@
 //!
 //! Every key has an order from strict to free. One document is no freer than another ([`Rules::within`]) if that holds
 //! for each key; two contradict each other where neither is within the other, for then each allows what the other
-//! forbids. The meet takes the stricter of both for each key, so it is within both.
+//! forbids. The intersection takes the stricter of both for each key, so it is within both.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -43,15 +43,17 @@
     }
 
     fn is_within(self, other: Effect) -> bool {
-        let ((place, window), (other_place, other_window)) = (self.freedom(), other.freedom());
-        place <= other_place && window <= other_window
+        let (scope, window) = self.freedom();
+        let (other_scope, other_window) = other.freedom();
+        scope <= other_scope && window <= other_window
     }
 
-    /// The freest that is within both: the narrower place and the shorter window.
+    /// The freest that is within both: the narrower scope and the shorter window.
     fn intersection(self, other: Effect) -> Effect {
-        let ((place, window), (other_place, other_window)) = (self.freedom(), other.freedom());
+        let (scope, window) = self.freedom();
+        let (other_scope, other_window) = other.freedom();
         let window_ms = window.min(other_window);
-        match place.min(other_place) {
+        match scope.min(other_scope) {
             0 => Effect::NonIdempotent,
             1 => Effect::IdempotencyKeyInZone { window_ms },
             2 => Effect::IdempotencyKey { window_ms },
@@ -63,7 +65,7 @@
 /// Attempts that a message may have.
 pub type Attempts = u32;
 
-/// What can be limited for each sender: calls that are out, and messages that are held.
+/// What can be limited for each sender: calls in flight, and pending messages.
 pub const LIMIT_NAMES: [&str; 2] = ["calls", "messages"];
 /// Classes that a document may name.
 const CLASSES_MOST: usize = 256;
@@ -86,7 +88,7 @@
     /// What the keys mean; keys of two meanings can't be kept in one order.
     #[serde(rename = "keyed_by")]
     pub key_meaning: String,
-    /// How long a key rests after an attempt that may still run, ms.
+    /// Pause of a key after an attempt that may still run, in ms.
     #[serde(rename = "gap_ms")]
     pub key_backoff_ms: u64,
 }
@@ -103,7 +105,7 @@
     pub limits: BTreeMap<String, u64>,
 }
 
-/// Why two documents have no meet.
+/// Why two documents have no intersection.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("class {class} is kept in order by {one} in one and by {other} in the other")]
 pub struct NoIntersection {
@@ -137,11 +139,10 @@
 
     fn intersection(&self, other: &ClassRules, name: &str) -> Result<ClassRules, NoIntersection> {
         if self.in_order && other.in_order && self.key_meaning != other.key_meaning {
-            let (one, other) = (self.key_meaning.clone(), other.key_meaning.clone());
             return Err(NoIntersection {
                 class: name.to_string(),
-                one,
-                other,
+                one: self.key_meaning.clone(),
+                other: other.key_meaning.clone(),
             });
         }
         let ordered = if self.in_order { self } else { other };
@@ -160,7 +161,7 @@
     /// Checks that the document makes sense.
     ///
     /// # Errors
-    /// Names the first place that does not.
+    /// Names the first key that does not.
     pub fn validate(&self) -> Result<(), InvalidRules> {
         let holds = |holds: bool, place: &str, problem| {
             if holds {
@@ -242,171 +243,21 @@
     /// # Errors
     /// Names the class whose order has two meanings.
     pub fn intersection(&self, other: &Rules) -> Result<Rules, NoIntersection> {
-        let mut meet = Rules::default();
+        let mut intersection = Rules::default();
         for (name, class) in &self.classes {
             if let Some(other) = other.classes.get(name) {
-                meet.classes
+                intersection
+                    .classes
                     .insert(name.clone(), class.intersection(other, name)?);
             }
         }
         for (name, most) in self.limits.iter().chain(&other.limits) {
-            let least = meet.limits.entry(name.clone()).or_insert(*most);
+            let least = intersection.limits.entry(name.clone()).or_insert(*most);
             *least = (*least).min(*most);
         }
-        Ok(meet)
+        Ok(intersection)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::{Rng, SeedableRng};
-    use rand_pcg::Pcg64;
-
-    fn class(random: &mut Pcg64) -> ClassRules {
-        let window_ms = random.random_range(1..4);
-        let effects = [
-            Effect::NonIdempotent,
-            Effect::IdempotencyKeyInZone { window_ms },
-            Effect::IdempotencyKey { window_ms },
-            Effect::Idempotent,
-        ];
-        ClassRules {
-            accepted: random.random(),
-            effect: effects[random.random_range(0..4)],
-            max_attempts: random.random_range(1..4),
-            in_order: random.random(),
-            key_meaning: "reader".to_string(),
-            key_backoff_ms: random.random_range(0..3),
-        }
-    }
-
-    fn rules(random: &mut Pcg64) -> Rules {
-        let mut rules = Rules::default();
-        for name in ["a", "b"] {
-            if random.random() {
-                rules.classes.insert(name.to_string(), class(random));
-            }
-            if random.random() {
-                rules
-                    .limits
-                    .insert(name.to_string(), random.random_range(1..4));
-            }
-        }
-        rules
-    }
-
-    #[test]
-    fn the_meet_is_the_freest_that_is_within_both() {
-        let mut random = Pcg64::seed_from_u64(3);
-        let mut freer = 0;
-        for _ in 0..20_000 {
-            let (one, other, third) = (rules(&mut random), rules(&mut random), rules(&mut random));
-            let meet = one.intersection(&other).expect("one meaning of keys");
-            assert!(
-                meet.is_within(&one) && meet.is_within(&other),
-                "{one:?} {other:?} {meet:?}"
-            );
-            let back = other.intersection(&one).expect("one meaning of keys");
-            assert!(
-                meet.is_within(&back) && back.is_within(&meet),
-                "the same either way"
-            );
-            assert!(one.is_within(&one) && !one.contradicts(&one));
-            if third.is_within(&one) && third.is_within(&other) {
-                freer += 1;
-                assert!(
-                    third.is_within(&meet),
-                    "{third:?} is within both and not within {meet:?}"
-                );
-            }
-            if one.is_within(&other) && other.is_within(&third) {
-                assert!(one.is_within(&third));
-            }
-        }
-        assert!(freer > 50, "{freer} within both");
-    }
-
-    #[test]
-    fn a_document_that_makes_no_sense_names_its_place() {
-        let good = r#"{"classes":{"c":{"accepted":true,"effect":{"deduplicated":{"window_ms":5}},"attempts":3,
-            "in_order":true,"keyed_by":"reader","gap_ms":0}},"limits":{"calls":4}}"#;
-        let read = |text: &str| serde_json::from_str::<Rules>(text).expect(text).validate();
-        assert_eq!(read(good), Ok(()));
-        for (from, to, place) in [
-            ("\"attempts\":3", "\"attempts\":0", "classes.c.attempts"),
-            ("\"reader\"", "\"\"", "classes.c.keyed_by"),
-            ("\"window_ms\":5", "\"window_ms\":0", "classes.c.effect"),
-            ("\"calls\":4", "\"calls\":0", "limits.calls"),
-            ("\"calls\":4", "\"cals\":4", "limits.cals"),
-        ] {
-            assert_eq!(
-                read(&good.replace(from, to)).map_err(|error| error.location),
-                Err(place.to_string())
-            );
-        }
-    }
-
-    #[test]
-    fn each_key_has_its_strict_side() {
-        let base = ClassRules {
-            accepted: true,
-            effect: Effect::IdempotencyKey { window_ms: 10_000 },
-            max_attempts: 12,
-            in_order: true,
-            key_meaning: "reader".to_string(),
-            key_backoff_ms: 300,
-        };
-        let rules = |class: ClassRules| Rules {
-            classes: [("c".to_string(), class)].into(),
-            ..Rules::default()
-        };
-        for stricter in [
-            ClassRules {
-                accepted: false,
-                ..base.clone()
-            },
-            ClassRules {
-                effect: Effect::NonIdempotent,
-                ..base.clone()
-            },
-            ClassRules {
-                effect: Effect::IdempotencyKey { window_ms: 5_000 },
-                ..base.clone()
-            },
-            ClassRules {
-                effect: Effect::IdempotencyKeyInZone { window_ms: 10_000 },
-                ..base.clone()
-            },
-            ClassRules {
-                max_attempts: 3,
-                ..base.clone()
-            },
-            ClassRules {
-                key_backoff_ms: 400,
-                ..base.clone()
-            },
-        ] {
-            let (strict, free) = (rules(stricter), rules(base.clone()));
-            assert!(
-                strict.is_within(&free) && !free.is_within(&strict),
-                "{strict:?}"
-            );
-            assert_eq!(strict.intersection(&free), Ok(strict));
-        }
-        let free = rules(ClassRules {
-            in_order: false,
-            ..base.clone()
-        });
-        assert!(rules(base.clone()).is_within(&free) && !free.is_within(&rules(base.clone())));
-        let other = rules(ClassRules {
-            key_meaning: "shop".to_string(),
-            ..base.clone()
-        });
-        assert!(
-            other
-                .intersection(&rules(base))
-                .is_err_and(|error| error.class == "c")
-        );
-    }
-}
+mod tests;
--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -12,7 +12,7 @@
 pub struct VersionTag {
     /// The version that holds, or is to hold.
     pub version: u64,
-    /// False while the meet of it and the one before is in force.
+    /// False while the intersection of it and the one before is in force.
     #[serde(rename = "whole")]
     pub complete: bool,
 }
@@ -51,29 +51,29 @@
 /// The versions.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedRules {
-    floor: Rules,
+    fallback: Rules,
     tag: VersionTag,
-    new: Rules,
-    meet: Rules,
+    target: Rules,
+    intersection: Rules,
 }
 
 impl VersionedRules {
     /// Versions of which these rules are the first.
     ///
     /// # Errors
-    /// The floor is not within the rules.
-    pub fn new(floor: Rules, rules: Rules) -> Result<Self, ProposalError> {
-        if !floor.is_within(&rules) {
+    /// The fallback rules are not within the rules.
+    pub fn new(fallback: Rules, rules: Rules) -> Result<Self, ProposalError> {
+        if !fallback.is_within(&rules) {
             return Err(ProposalError::BelowFallback);
         }
         Ok(VersionedRules {
-            floor,
+            fallback,
             tag: VersionTag {
                 version: 1,
                 complete: true,
             },
-            meet: rules.clone(),
-            new: rules,
+            intersection: rules.clone(),
+            target: rules,
         })
     }
 
@@ -85,24 +85,24 @@
     /// The rules that are granted now.
     pub fn rules(&self) -> &Rules {
         if self.tag.complete {
-            &self.new
+            &self.target
         } else {
-            &self.meet
+            &self.intersection
         }
     }
 
     /// The rules that hold once the change under way is through.
     pub fn target_rules(&self) -> &Rules {
-        &self.new
+        &self.target
     }
 
     /// What is within every version.
     pub fn fallback(&self) -> &Rules {
-        &self.floor
+        &self.fallback
     }
 
-    /// Takes a change up: from now on the meet of both is granted. The same rules again make no version. It is for the
-    /// leader to see first that nobody can still act on the meet of the change before ([`crate::Leases::is_settled`]).
+    /// Takes a change up: from now on the intersection of both is granted. The same rules again make no version. It is for the
+    /// leader to see first that nobody can still act on the intersection of the change before ([`crate::Leases::is_settled`]).
     ///
     /// # Errors
     /// Says why it is not taken; nothing has changed then.
@@ -113,18 +113,18 @@
                 from: proposal.from,
             });
         }
-        if proposal.rules == self.new {
+        if proposal.rules == self.target {
             return Ok(self.tag);
         }
         if !self.tag.complete {
             return Err(ProposalError::ChangeInProgress(self.tag.version));
         }
-        if !self.floor.is_within(&proposal.rules) {
+        if !self.fallback.is_within(&proposal.rules) {
             return Err(ProposalError::BelowFallback);
         }
-        let meet = self.new.intersection(&proposal.rules)?;
-        self.new = proposal.rules;
-        self.meet = meet;
+        let intersection = self.target.intersection(&proposal.rules)?;
+        self.target = proposal.rules;
+        self.intersection = intersection;
         self.tag = VersionTag {
             version: self.tag.version + 1,
             complete: false,
@@ -132,15 +132,15 @@
         Ok(self.tag)
     }
 
-    /// Goes on from the meet of this version to its rules; whether it did. It is for the leader to see first that nobody
+    /// Goes on from the intersection of this version to its rules; whether it did. It is for the leader to see first that nobody
     /// can still act on the rules before ([`crate::Leases::waits_for`]).
     pub fn advance(&mut self, version: u64) -> bool {
-        let goes = self.tag
+        let advances = self.tag
             == VersionTag {
                 version,
                 complete: false,
             };
-        self.tag.complete |= goes;
-        goes
+        self.tag.complete |= advances;
+        advances
     }
 }
--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -3,16 +3,17 @@
 //! is deposed and does not know it, clocks at the bound of their drift. Every reachable state of the size given is visited.
 //! With any one guard taken out, a contradiction is found.
 
-use stateright::{Checker, HasDiscoveries, Model, Property};
+#[path = "common/exploration.rs"]
+mod exploration;
+
+use exploration::{DRIFT, LEASE, explore, sender_clock};
+use stateright::{Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use versioned_config::{
     ClassRules, Effect, Grant, LeaseHolder, LeaseRequest, LeaseTerms, Leases, Micros, Proposal,
     Rules, VersionTag, VersionedRules,
 };
 
-/// On a sender's clock; one that runs slow by the bound takes twice as long.
-const LEASE: Micros = 1;
-const DRIFT: Micros = 1;
 /// Ticks of the registry's clock, and changes.
 const TIME: Micros = 3;
 const PROPOSALS: usize = 1;
@@ -160,15 +161,6 @@
         }
     }
 
-    /// A sender's clock: the first one's runs slow by the bound.
-    fn local(&self, sender: usize, now: Micros) -> Micros {
-        if sender == 0 {
-            now * LEASE / (LEASE + DRIFT)
-        } else {
-            now
-        }
-    }
-
     /// The answer that goes back.
     fn grant(&self, sender: usize, ask: LeaseRequest, Grant { tag, rules, .. }: Grant) -> Message {
         let early = self.0 == Without::Meet && !tag.complete;
@@ -190,7 +182,7 @@
         let now = if self.0 == Without::LeaseCheck {
             0
         } else {
-            self.local(sender, state.now)
+            sender_clock(sender, state.now)
         };
         state.holders[sender].rules(now)
     }
@@ -277,7 +269,7 @@
                 state.leases.remove_expired(state.now);
             }
             Action::Ask(sender) => {
-                let ask = state.holders[sender].request(self.local(sender, now));
+                let ask = state.holders[sender].request(sender_clock(sender, now));
                 state.asked[sender] += 1;
                 state.under_way.push(Message::Ask { sender, ask });
             }
@@ -307,7 +299,7 @@
                             },
                             ..ask
                         };
-                        let local = self.local(sender, now);
+                        let local = sender_clock(sender, now);
                         state.holders[sender].apply_grant(
                             ask,
                             Grant {
@@ -412,7 +404,7 @@
                 |model: &Steps, state: &State| {
                     // the bound: from the moment at which a change was taken up
                     (0..model.1.senders).all(|sender| {
-                        let local = model.local(sender, state.now);
+                        let local = sender_clock(sender, state.now);
                         let tag = state.holders[sender]
                             .tag(local)
                             .filter(|_| model.0 == Without::Nothing);
@@ -437,17 +429,7 @@
 }
 
 fn check(without: Without, size: Size) -> (usize, BTreeSet<&'static str>) {
-    let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let steps = Steps(without, size).checker().threads(threads);
-    // one that breaks is found and no more is asked
-    let checker = steps
-        .finish_when(HasDiscoveries::AnyFailures)
-        .spawn_dfs()
-        .join();
-    (
-        checker.unique_state_count(),
-        checker.discoveries().into_keys().collect(),
-    )
+    explore(Steps(without, size))
 }
 
 #[test]
--- a/ledger/tests/model.rs
+++ b/ledger/tests/model.rs
@@ -3,16 +3,17 @@
 //! sender's clock at the bound of its drift. Every reachable state of the size given is visited; with any one guard taken out
 //! more is used than the limit allows.
 
+#[path = "../../agreement/tests/common/exploration.rs"]
+mod exploration;
+
+use exploration::{DRIFT, LEASE, explore, sender_clock};
 use quota_ledger::{
     Allocation, Allocator, FallbackQuotas, LeaseTerms, Limit, LimitKey, Micros, QuotaDemand,
     QuotaHolder, Resource,
 };
-use stateright::{Checker, HasDiscoveries, Model, Property};
+use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-/// On a sender's clock; one that runs slow by the bound takes twice as long.
-const LEASE: Micros = 1;
-const DRIFT: Micros = 1;
 /// Ticks of the keepers' clock.
 const TIME: Micros = 3;
 /// The least that is dealt, the limit, and the limit once it is lowered.
@@ -146,20 +147,11 @@
         }
     }
 
-    /// A sender's clock: the first one's runs slow by the bound.
-    fn local(&self, sender: usize, now: Micros) -> Micros {
-        if sender == 0 {
-            now * LEASE / (LEASE + DRIFT)
-        } else {
-            now
-        }
-    }
-
     fn uses(&self, state: &State, sender: usize) -> u64 {
         let now = if self.0 == Without::End {
             0
         } else {
-            self.local(sender, state.now)
+            sender_clock(sender, state.now)
         };
         state.holders[sender]
             .usable(now, &key())
@@ -309,7 +301,7 @@
                     key: key(),
                     amount: 2 * UNIT,
                 };
-                let number = state.holders[sender].request(self.local(sender, now));
+                let number = state.holders[sender].request(sender_clock(sender, now));
                 state.asked[sender] += 1;
                 let (life, want) = (state.lives[sender], wanted);
                 state.under_way.push(Message::Ask {
@@ -335,7 +327,7 @@
                         if life != state.lives[sender] && self.0 != Without::Life {
                             return None;
                         }
-                        let local = self.local(sender, now);
+                        let local = sender_clock(sender, now);
                         let number = match self.0 {
                             Without::Asked => state.holders[sender].request(local),
                             _ => number,
@@ -406,16 +398,7 @@
 }
 
 fn check(without: Without, size: Size) -> (usize, BTreeSet<&'static str>) {
-    let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    let model = Dealing(without, size).checker().threads(threads);
-    let checker = model
-        .finish_when(HasDiscoveries::AnyFailures)
-        .spawn_dfs()
-        .join();
-    (
-        checker.unique_state_count(),
-        checker.discoveries().into_keys().collect(),
-    )
+    explore(Dealing(without, size))
 }
 
 #[test]
