--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -13,7 +13,7 @@
 /// The outcome of an attempt whose call never began.
 pub(super) const NOT_SENT: Outcome = Outcome::Unsent { no_slot: false };
 
-/// What the decision module is told of an attempt without a call of its own.
+/// The event of an attempt that has no call of its own.
 fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, closed: bool) -> Event {
     Event::Ended {
         message: attempt.message,
@@ -136,7 +136,7 @@
         );
     }
 
-    /// An attempt's call has told how it ended.
+    /// An attempt's call has reported how it ended.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.item) else {
             let AttemptEnd { call, item, .. } = end;
@@ -222,7 +222,7 @@
                 format_args!("{message:?}, attempt {number}"),
             );
         };
-        // a call that has just ended has told how
+        // a call that has just ended has reported its outcome
         match (&in_flight.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(item)),
             (None, Some(predecessor)) => {
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -68,7 +68,7 @@
     /// The decision module has ended the message undelivered.
     pub(super) fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
         let Some(pending) = self.messages.get(message).filter(|held| held.open) else {
-            // its client's own answer told it: no notification is due
+            // its client has had the outcome as its answer: no notification is due
             return self.events.push(Event::Noticed(message));
         };
         let id = pending.item.id.clone();
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -171,7 +171,7 @@
             HandoverMessage::CancelAttempt { call, item } => {
                 let call = self.calls_in_flight.get(call);
                 if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
-                    // a call that has just ended has told how
+                    // a call that has just ended has reported its outcome
                     let _ = cancels.send(item);
                 }
             }
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what it changes in the driver's records, and what the connection pool is told of it.
+//! The endpoint list: what it changes in the driver's records, and what the connection pool learns of it.
 
 use super::Driver;
 use crate::net::RateLimitedLog;
--- a/src/net/driver/messages.rs
+++ b/src/net/driver/messages.rs
@@ -32,7 +32,7 @@
     pub item: Item,
     /// It is neither delivered nor ended undelivered.
     pub open: bool,
-    /// Clients that were told, or are to be told, that it is accepted.
+    /// Clients that have the answer that it is accepted, or will get it.
     pub clients: usize,
     /// All attempts, those of earlier processes included.
     pub attempts: Vec<Attempt>,
--- a/src/net/handover/state.rs
+++ b/src/net/handover/state.rs
@@ -92,7 +92,7 @@
     pub body: Vec<u8>,
     /// It is neither delivered nor ended undelivered.
     pub open: bool,
-    /// Clients that were told, or are to be told, that it is accepted.
+    /// Clients that have the answer that it is accepted, or will get it.
     pub clients: usize,
     /// Its attempts.
     pub attempts: Vec<AttemptState>,
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A record was lost: it may have told of an attempt of any unfinished message.
+    /// A record was lost: it may have been an attempt of any unfinished message.
     ///
     /// # Errors
     /// A message can't be encoded.
--- a/src/net/local_errors.rs
+++ b/src/net/local_errors.rs
@@ -1,11 +1,11 @@
-//! Failures of this machine, told apart from those of a peer: no descriptor, address, buffer or route is to be had, or a
-//! call was interrupted. They say nothing of the peer, and end when their cause does.
+//! Errors of this machine, as opposed to those of a peer: no descriptor, address, buffer or route is available, or a
+//! system call was interrupted. They say nothing of the peer, and end when their cause does.
 
 use nix::errno::Errno;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// How long until a call that this machine failed is made again: many times within any time limit of a peer.
+/// Between two tries of a call that this machine failed: many times within any time limit of a peer.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
 /// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
@@ -39,7 +39,7 @@
     )
 }
 
-/// True if a file is not to be had until an operator changes something: it does not come right by itself.
+/// True if a file stays unavailable until an operator changes something.
 pub fn is_permanent(error: &io::Error) -> bool {
     let kinds = [
         ErrorKind::PermissionDenied,
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -14,7 +14,7 @@
 use crate::net::control::{self, Control};
 use crate::net::driver::{ClientSlots, Dependencies, Driver, InitialState, ProcessState};
 use crate::net::events::{DriverInput, FreezeChange, SettingsUpdate};
-use crate::net::handover::{Frame, Link, LinkError};
+use crate::net::handover::{Frame, HandoverState, Link, LinkError, ReceivedHandover};
 use crate::net::journal::JournalError;
 use crate::net::pool::{Connections, Means, limits};
 use crate::net::server::{Classes, Server, serve};
@@ -133,6 +133,23 @@
     of_predecessor: usize,
 }
 
+/// What the driver publishes of the fleet.
+struct FleetState {
+    /// The number of senders that the decisions scale by.
+    size: Rc<Cell<u32>>,
+    /// The version of the list that they go by.
+    list_version: Rc<Cell<u64>>,
+}
+
+impl FleetState {
+    fn new(size: u32) -> Self {
+        FleetState {
+            size: Rc::new(Cell::new(size)),
+            list_version: Rc::new(Cell::new(0)),
+        }
+    }
+}
+
 impl Process {
     async fn run(
         self,
@@ -142,84 +159,92 @@
         hangup: Signal,
     ) -> Result<(), ProcessError> {
         let clock = folder.clock;
-        let fleet_size = Rc::new(Cell::new(self.config.settings.senders));
-        let list_version = Rc::new(Cell::new(0));
-        let calls = self.calls();
-        let (sender, handover, link) = match folder.received {
-            Some(received) => (*received.sender, Some(received.state), Some(received.link)),
-            None => {
-                let sender = Sender::new(self.config.settings.clone(), self.config.seed)?;
-                (sender, None, None)
-            }
+        let fleet = FleetState::new(self.config.settings.senders);
+        let ClientCapacity {
+            slots,
+            of_predecessor,
+        } = self.client_capacity(folder.received.as_ref());
+        let server = self.server(&slots);
+        let (mut driver, link) = self.driver(folder, slots, server.classes.clone(), &fleet)?;
+        if let Some(link) = link {
+            self.follow_predecessor(&mut driver, link, of_predecessor)
+                .await;
+        }
+        let listener = self.listen().await?;
+        let tasks = Tasks {
+            process: &self,
+            clock,
+            fleet,
         };
-        let held = handover
-            .as_ref()
-            .map_or(0, |state| state.client_connections);
-        let clients = self.client_capacity(held);
-        let server = self.server(&clients.slots);
+        tasks.start(driver.list_version(), receivers.tasks);
+        reload::start(hangup, &self);
+        self.flags.draining.set(false);
+        tokio::task::spawn_local(serve(listener, Rc::new(server)));
+        let driver = tokio::task::spawn_local(driver.run(receivers.driver));
+        tokio::select! {
+            // it ends by itself only once another process has all
+            ended = driver => ended?,
+            () = self.shut_down_on(terminate) => {}
+        }
+        Ok(())
+    }
+
+    /// The driver, and the link to a predecessor that handed over.
+    fn driver(
+        &self,
+        folder: StateFolder,
+        client_slots: ClientSlots,
+        classes: Classes,
+        fleet: &FleetState,
+    ) -> Result<(Driver, Option<Link>), SettingsError> {
         let dependencies = Dependencies {
             process: ProcessState {
-                clock,
+                clock: folder.clock,
                 inputs: self.senders.inputs.clone(),
                 lock: folder.lock,
-                client_slots: clients.slots,
-                classes: server.classes.clone(),
+                client_slots,
+                classes,
                 draining: self.flags.draining.clone(),
                 handed_over: self.flags.handed_over.clone(),
-                fleet_size: fleet_size.clone(),
-                list_version: list_version.clone(),
+                fleet_size: fleet.size.clone(),
+                list_version: fleet.list_version.clone(),
             },
             journal: folder.journal,
-            calls,
+            calls: self.calls(),
             notifications: self.senders.notifications.clone(),
             ready: self.flags.ready.clone(),
             seed: self.config.seed,
         };
-        let initial = InitialState {
+        let (sender, handover, link) = match folder.received {
+            Some(received) => (*received.sender, Some(received.state), Some(received.link)),
+            None => (self.new_sender()?, None, None),
+        };
+        let initial = self.initial_state(sender, handover);
+        Ok((Driver::new(dependencies, initial), link))
+    }
+
+    fn new_sender(&self) -> Result<Sender, SettingsError> {
+        Sender::new(self.config.settings.clone(), self.config.seed)
+    }
+
+    fn initial_state(&self, sender: Sender, handover: Option<HandoverState>) -> InitialState {
+        let config = &self.config;
+        let agreement = self.parts.agreement.borrow();
+        let ledger = self.parts.ledger.borrow();
+        InitialState {
             sender,
             handover,
             settings: SettingsUpdate {
-                settings: self.config.settings.clone(),
-                names: self.config.names.clone(),
-                pool: self.config.pool.clone(),
+                settings: config.settings.clone(),
+                names: config.names.clone(),
+                pool: config.pool.clone(),
             },
-            known_list: self.config.known_list.clone(),
-            fallback_rules: self
-                .parts
-                .agreement
-                .borrow()
+            known_list: config.known_list.clone(),
+            fallback_rules: agreement
                 .as_ref()
                 .map(|agreement| agreement::bounds(&agreement.fallback)),
-            fallback_quotas: self
-                .parts
-                .ledger
-                .borrow()
-                .as_ref()
-                .map(ledger::fallback_only),
-        };
-        let mut driver = Driver::new(dependencies, initial);
-        if let Some(link) = link {
-            self.follow_predecessor(&mut driver, link, clients.of_predecessor)
-                .await;
+            fallback_quotas: ledger.as_ref().map(ledger::fallback_only),
         }
-        let listener = self.listen().await?;
-        Tasks {
-            process: &self,
-            clock,
-            fleet_size,
-            list_version,
-        }
-        .start(driver.list_version(), receivers.tasks);
-        reload::start(hangup, &self);
-        self.flags.draining.set(false);
-        tokio::task::spawn_local(serve(listener, Rc::new(server)));
-        let driver = tokio::task::spawn_local(driver.run(receivers.driver));
-        tokio::select! {
-            // it ends by itself only once another process has all
-            ended = driver => ended?,
-            () = self.shut_down_on(terminate) => {}
-        }
-        Ok(())
     }
 
     fn calls(&self) -> Calls {
@@ -234,9 +259,10 @@
     }
 
     /// The slots of this process, without those that a predecessor's clients hold.
-    fn client_capacity(&self, held_by_predecessor: usize) -> ClientCapacity {
+    fn client_capacity(&self, received: Option<&ReceivedHandover>) -> ClientCapacity {
         let total = (self.config.max_descriptors / CLIENT_DESCRIPTORS).max(1);
-        let of_predecessor = held_by_predecessor.min(total - 1);
+        let held = received.map_or(0, |received| received.state.client_connections);
+        let of_predecessor = held.min(total - 1);
         ClientCapacity {
             slots: ClientSlots::new(total - of_predecessor),
             of_predecessor,
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -1,7 +1,7 @@
 //! The tasks beside the driver. Each ends once a successor has taken over.
 
-use super::Process;
 use super::channels::TaskReceivers;
+use super::{FleetState, Process};
 use crate::net::agreement::RulesLease;
 use crate::net::clock::Clock;
 use crate::net::discovery::{self, Backoff, Freshness};
@@ -10,8 +10,6 @@
 use crate::net::ledger::QuotaLease;
 use crate::net::{freeze, lease_client, membership};
 use message_sender::Micros;
-use std::cell::Cell;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -21,10 +19,7 @@
 pub(super) struct Tasks<'a> {
     pub process: &'a Process,
     pub clock: Clock,
-    /// The number of senders that the decisions scale by.
-    pub fleet_size: Rc<Cell<u32>>,
-    /// The version of the list that they go by.
-    pub list_version: Rc<Cell<u64>>,
+    pub fleet: FleetState,
 }
 
 fn span(micros: Micros) -> Duration {
@@ -101,7 +96,7 @@
         let process = self.process;
         let lease = RulesLease {
             dependencies: self.lease_dependencies(),
-            list_version: self.list_version.clone(),
+            list_version: self.fleet.list_version.clone(),
             backoff: Backoff::new(self.discovery_clients(), !process.config.seed),
         };
         let channels = lease_client::Channels {
@@ -149,7 +144,7 @@
             seed: process.config.seed,
             state_folder: process.config.state_folder.clone(),
             driver: process.senders.inputs.clone(),
-            fleet_size: self.fleet_size.clone(),
+            fleet_size: self.fleet.size.clone(),
         };
         let channels = membership::Channels {
             settings: process.parts.membership.subscribe(),
