--- a/src/net/agreement/session.rs
+++ b/src/net/agreement/session.rs
@@ -6,8 +6,9 @@
 use super::settings::AgreementSettings;
 use crate::net::asking::{self, AskError, whose_turn};
 use crate::net::events::MAX_BODY_BYTES;
-use crate::net::lease_client::{LeaseSession, RequestStats, to_sorted_json};
+use crate::net::lease_client::{LeaseSession, RequestStats};
 use crate::net::log;
+use crate::net::sorted_json::to_sorted_json;
 use hyper::Method;
 use message_sender::{Agreed, Bounds, Micros};
 use std::time::Duration;
@@ -132,7 +133,7 @@
             MAX_BODY_BYTES,
         )
         .await?;
-        self.take(request, grant).await
+        self.apply_grant(request, grant).await
     }
 
     fn request_body(&self, request: &LeaseRequest) -> Result<serde_json::Value, serde_json::Error> {
@@ -145,8 +146,12 @@
         })
     }
 
-    /// Takes the answer to a request and has the driver apply it; returns how long the lease lasts.
-    async fn take(&mut self, request: LeaseRequest, grant: Grant) -> Result<Duration, LeaseError> {
+    /// Applies the answer to a request and has the driver apply it; returns how long the lease lasts.
+    async fn apply_grant(
+        &mut self,
+        request: LeaseRequest,
+        grant: Grant,
+    ) -> Result<Duration, LeaseError> {
         let tag = grant.tag;
         let granted_for = Duration::from_micros(grant.lease);
         let leased = bounds(&grant.rules);
@@ -213,7 +218,7 @@
         }
     }
 
-    async fn registry_moved(&mut self) {
+    async fn registry_address_changed(&mut self) {
         // another registry may answer; one that never moves again is no reason to ask
         if self.lease.dependencies.registry.changed().await.is_err() {
             std::future::pending().await
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -6,7 +6,7 @@
 use crate::net;
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
-use crate::net::lease_client::to_sorted_json;
+use crate::net::sorted_json::to_sorted_json;
 use message_sender::{MILLISECOND, Micros, Status};
 use quota_ledger::freeze::{ActiveWindow, EndpointSnapshot, FreezeCheck, resource_change};
 use rand_pcg::Pcg32;
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -48,7 +48,7 @@
         let Some(current) = current else {
             if std::mem::take(&mut enabled) {
                 log(format_args!("freeze: off"));
-                dependencies.tell(FreezeChange::Off);
+                dependencies.notify(FreezeChange::Off);
             }
             tokio::select! {
                 changed = settings.changed() => if changed.is_err() { return },
@@ -61,7 +61,7 @@
                 "freeze: widening changes are held back until the calendar is known"
             ));
         }
-        dependencies.tell(FreezeChange::On(current.clone()));
+        dependencies.notify(FreezeChange::On(current.clone()));
         let poller = Poller::new(&mut dependencies, &current);
         tokio::select! {
             () = poller.run() => {}
@@ -72,8 +72,8 @@
 }
 
 impl Dependencies {
-    /// Tells the driver; false if it is gone.
-    fn tell(&self, change: FreezeChange) -> bool {
+    /// Notifies the driver; false if it is gone.
+    fn notify(&self, change: FreezeChange) -> bool {
         self.driver.send(DriverInput::Freeze(change)).is_ok()
     }
 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Polls once and tells the driver; false if it is gone.
+    /// Polls once and notifies the driver; false if it is gone.
     async fn poll(&mut self, interval: Duration) -> bool {
         let registry = *self.dependencies.registry.borrow_and_update();
         let replica = whose_turn(self.failed, registry, &self.settings.replicas);
@@ -128,7 +128,7 @@
                     log(format_args!("freeze: calendar polls succeed again"));
                 }
                 let fresh_for = (interval * OVERRIDE_POLLS).as_micros();
-                self.dependencies.tell(FreezeChange::Calendar {
+                self.dependencies.notify(FreezeChange::Calendar {
                     asked_at: u64::try_from(asked_at).unwrap_or(0),
                     fresh_for: u64::try_from(fresh_for).unwrap_or(u64::MAX),
                     update,
--- a/src/net/freeze/tests.rs
+++ b/src/net/freeze/tests.rs
@@ -79,14 +79,14 @@
         ("term", 60_000, 120_000)
     );
     assert!(soon.details.scope.is_all() && soon.details.held_changes.is_empty());
-    let glass = news.break_glass_override.as_ref().expect("a glass");
+    let break_glass = news.break_glass_override.as_ref().expect("an override");
     assert_eq!(
-        (&glass.approvers[..], glass.reason.as_str()),
+        (&break_glass.approvers[..], break_glass.reason.as_str()),
         (&["lan".to_string(), "minh".to_string()][..], "s-2 fails")
     );
     assert_eq!(
-        (glass.until_ms, news.override_ends_in_ms),
+        (break_glass.until_ms, news.override_ends_in_ms),
         (1_790_000_000_500, 30_000)
     );
-    assert_eq!(glass.scope.destinations, [7].into());
+    assert_eq!(break_glass.scope.destinations, [7].into());
 }
--- a/src/net/lease_client/mod.rs
+++ b/src/net/lease_client/mod.rs
@@ -8,7 +8,6 @@
 use super::events::{DriverInput, ReportRequest};
 use super::log;
 pub use request_stats::RequestStats;
-use serde::Serialize;
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
@@ -85,7 +84,7 @@
     fn handle_expiry(&mut self) {}
 
     /// Returns when the registry has moved and a lease shall be asked for at once.
-    async fn registry_moved(&mut self) {
+    async fn registry_address_changed(&mut self) {
         std::future::pending().await
     }
 
@@ -154,15 +153,7 @@
                 // an operator that has gone asks again
                 let _ = request.send(session.report());
             }
-            () = session.registry_moved() => return,
+            () = session.registry_address_changed() => return,
         }
     }
 }
-
-/// A report or request as JSON, its keys in alphabetical order: the form of all versions so far.
-pub fn to_sorted_json(message: &impl Serialize) -> String {
-    // a message without maps of other keys than texts can't fail to be written into memory
-    serde_json::to_value(message)
-        .map(|value| value.to_string())
-        .unwrap_or_default()
-}
--- a/src/net/ledger/demands.rs
+++ b/src/net/ledger/demands.rs
@@ -26,15 +26,15 @@
 pub(super) fn key_demands(
     fallback_quotas: &FallbackQuotas,
     demand: &BTreeMap<u64, Demand>,
-    counted_calls: Option<&BTreeMap<u64, u64>>,
+    last_call_counts: Option<&BTreeMap<u64, u64>>,
     lease: Duration,
     complete: bool,
 ) -> Vec<KeyDemand> {
     let mut all = Vec::new();
     let lease = u64::try_from(lease.as_micros()).unwrap_or(u64::MAX).max(1);
     for (destination, demand) in demand {
-        let counted = counted_calls.map_or(demand.sent, |counted_calls| {
-            counted_calls.get(destination).copied().unwrap_or(0)
+        let counted = last_call_counts.map_or(demand.sent, |last_call_counts| {
+            last_call_counts.get(destination).copied().unwrap_or(0)
         });
         let calls = demand.waiting + demand.sent.saturating_sub(counted);
         if !complete && calls == 0 && demand.out == 0 {
--- a/src/net/ledger/round_trip.rs
+++ b/src/net/ledger/round_trip.rs
@@ -2,8 +2,8 @@
 
 use super::messages::{JsonAnswer, JsonRequest};
 use crate::net::asking::{AskError, exchange};
-use crate::net::lease_client::to_sorted_json;
 use crate::net::log;
+use crate::net::sorted_json::to_sorted_json;
 use bytes::Bytes;
 use hyper::{Method, StatusCode};
 use quota_ledger::quotas::ByteBudget;
--- a/src/net/ledger/session.rs
+++ b/src/net/ledger/session.rs
@@ -7,8 +7,9 @@
 use super::{allocation, demands};
 use crate::net::asking::{AskError, whose_turn};
 use crate::net::events::{DemandReport, DriverInput};
-use crate::net::lease_client::{LeaseSession, RequestStats, to_sorted_json};
+use crate::net::lease_client::{LeaseSession, RequestStats};
 use crate::net::log;
+use crate::net::sorted_json::to_sorted_json;
 use message_sender::Demand;
 use quota_ledger::QuotaHolder;
 use quota_ledger::health::HealthVerdict;
@@ -22,10 +23,10 @@
 
 /// Quotas are renewed after this part of their lease: three requests may be lost.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Demand is looked at so often in a lease, and a quota that is missing asked for no sooner.
-const LOOKS_PER_LEASE: u32 = 12;
-/// Shortest time between two looks at demand.
-const MIN_LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Demand is checked so often in a lease, and a quota that is missing asked for no sooner.
+const CHECKS_PER_LEASE: u32 = 12;
+/// Shortest time between two checks of demand.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The lease until an answer has told it.
 const INITIAL_LEASE: Duration = Duration::from_millis(1500);
 /// Shortest lease that is believed.
@@ -59,8 +60,8 @@
     budget: ByteBudget,
     forms: RequestForms,
     /// Calls sent to each destination that had any when that was last counted, once a lease while it is in use.
-    counted_calls: Option<BTreeMap<u64, u64>>,
-    counted_at: Instant,
+    last_call_counts: Option<BTreeMap<u64, u64>>,
+    last_count_at: Instant,
     /// The last health verdict on each destination.
     verdicts: BTreeMap<u64, HealthVerdict>,
     /// When the next request is due.
@@ -84,8 +85,8 @@
             selector: DemandSelector::default(),
             budget: ByteBudget::new(settings.bytes_a_second, micros(INITIAL_LEASE), now),
             forms: RequestForms::default(),
-            counted_calls: None,
-            counted_at: Instant::now(),
+            last_call_counts: None,
+            last_count_at: Instant::now(),
             verdicts: BTreeMap::new(),
             next_request: Instant::now(),
             requests: RequestStats::default(),
@@ -164,7 +165,7 @@
             .forms
             .round_trip(replica, &request, &mut self.budget)
             .await?;
-        self.take(request.sequence, answer).await;
+        self.apply_answer(request.sequence, answer).await;
         Ok(())
     }
 
@@ -174,7 +175,7 @@
         let key_demands = demands::key_demands(
             self.holder.fallback_quotas(),
             demand,
-            self.counted_calls.as_ref(),
+            self.last_call_counts.as_ref(),
             self.granted_for,
             scope.listed_keys <= scope.capacity,
         );
@@ -205,35 +206,35 @@
 
     /// Remembers the calls sent so far, once a lease.
     fn count_calls(&mut self, demand: &BTreeMap<u64, Demand>) {
-        if self.counted_calls.is_some() && self.counted_at.elapsed() < self.granted_for {
+        if self.last_call_counts.is_some() && self.last_count_at.elapsed() < self.granted_for {
             return;
         }
-        self.counted_at = Instant::now();
+        self.last_count_at = Instant::now();
         let sent = demand
             .iter()
             .filter(|(_, demand)| demand.sent > 0)
             .map(|(destination, demand)| (*destination, demand.sent));
-        self.counted_calls.get_or_insert_default().extend(sent);
+        self.last_call_counts.get_or_insert_default().extend(sent);
     }
 
-    /// Takes the answer to a request and has the driver apply it.
-    async fn take(&mut self, sequence: u64, answer: QuotaResponse) {
+    /// Applies the answer to a request and has the driver apply it.
+    async fn apply_answer(&mut self, sequence: u64, answer: QuotaResponse) {
         self.granted_for = Duration::from_micros(answer.lease).max(MIN_LEASE);
         self.holder
             .apply_allocations(sequence, answer.lease, answer.allocations);
         for verdict in answer.verdicts {
-            self.take_verdict(verdict);
+            self.apply_verdict(verdict);
         }
         let quotas = allocation::quotas(&self.holder, self.now());
         self.lease.apply(Some(quotas)).await;
     }
 
     /// Tells the driver of a verdict that is newer than the one known.
-    fn take_verdict(&mut self, verdict: HealthVerdict) {
-        let known = self.verdicts.get(&verdict.destination).copied();
-        let current = known.map_or(verdict, |known| known.merge(verdict));
+    fn apply_verdict(&mut self, verdict: HealthVerdict) {
+        let previous = self.verdicts.get(&verdict.destination).copied();
+        let current = previous.map_or(verdict, |previous| previous.merge(verdict));
         self.verdicts.insert(current.destination, current);
-        if known.map(|known| known.epoch) == Some(current.epoch) {
+        if previous.map(|previous| previous.epoch) == Some(current.epoch) {
             return;
         }
         let state = if current.unavailable {
@@ -278,12 +279,13 @@
         if self.is_due(&scope, &by_destination) {
             self.request_and_schedule(&scope, &by_destination).await;
         }
-        let look = Instant::now() + (self.granted_for / LOOKS_PER_LEASE).max(MIN_LOOK_INTERVAL);
+        let next_check =
+            Instant::now() + (self.granted_for / CHECKS_PER_LEASE).max(MIN_CHECK_INTERVAL);
         // of a long list nothing is asked for before its time
         if scope.is_complete {
-            look
+            next_check
         } else {
-            look.max(self.next_request)
+            next_check.max(self.next_request)
         }
     }
 
--- a/src/net/membership/member.rs
+++ b/src/net/membership/member.rs
@@ -5,7 +5,7 @@
 use super::settings::MembershipSettings;
 use super::{Channels, Dependencies, remembered};
 use crate::net::events::DriverInput;
-use crate::net::lease_client::to_sorted_json;
+use crate::net::sorted_json::to_sorted_json;
 use crate::net::{RateLimitedLog, log};
 use fleet_membership::{MAX_DATAGRAM_BYTES, Node, Output, View};
 use message_sender::FleetView;
@@ -103,7 +103,7 @@
                 }
             }
             self.node.tick(self.dependencies.now(), &mut output);
-            self.carry_out(output);
+            self.apply_output(output);
             self.report_view();
             if self.stored_at.elapsed() >= STORE_INTERVAL {
                 self.store().await;
@@ -136,7 +136,7 @@
     fn leave(&mut self) {
         let mut output = Output::default();
         self.node.leave(&mut output);
-        self.carry_out(output);
+        self.apply_output(output);
     }
 
     /// Handles a datagram, and those that wait behind it.
@@ -156,7 +156,7 @@
         self.node.handle_datagram(now, from, datagram, output);
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn apply_output(&mut self, output: Output) {
         for datagram in output.datagrams {
             // one that can't be sent is one that was lost
             let _ = self
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,6 +25,7 @@
 pub mod process;
 pub mod server;
 pub mod settings_object;
+pub mod sorted_json;
 pub mod startup;
 pub mod stream;
 #[cfg(test)]
