--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -15,7 +15,7 @@
 pub struct Group {
     pub class: usize,
     /// The bits of the worth of one.
-    pub worth: u64,
+    pub priority_weight: u64,
     /// Attempts so far, and whether any of them may have run.
     pub attempts: usize,
     pub at_risk: bool,
@@ -65,12 +65,12 @@
             };
         }
         let at = if out { held.hedge_at } else { held.retry_at };
-        let at_risk = held.attempts_at_risk().next().is_some();
+        let at_risk = held.is_at_risk();
         // a copy, a key's rest and the window of a key concern one message only
         let alone = out || held.key.is_some() || at_risk && !repeatable;
         let group = Group {
             class: held.class,
-            worth: held.worth.to_bits(),
+            priority_weight: held.priority_weight.to_bits(),
             attempts: held.attempts.len(),
             at_risk,
             alone: alone.then_some(id),
--- a/src/net/agreement/session.rs
+++ b/src/net/agreement/session.rs
@@ -10,7 +10,7 @@
 use crate::net::log;
 use crate::net::sorted_json::to_sorted_json;
 use hyper::Method;
-use message_sender::{Agreed, Bounds, Micros};
+use message_sender::{AgreedRules, LeasedBounds, Micros, RuleBounds};
 use std::time::Duration;
 use thiserror::Error;
 use tokio::time::Instant;
@@ -47,7 +47,7 @@
     lease: &'a mut RulesLease,
     settings: AgreementSettings,
     holder: LeaseHolder,
-    fallback: Bounds,
+    fallback: RuleBounds,
     /// How long the last lease was granted for.
     granted_for: Duration,
     /// It was logged that no lease is held.
@@ -60,7 +60,7 @@
     pub(super) fn new(
         lease: &'a mut RulesLease,
         settings: AgreementSettings,
-        fallback: Bounds,
+        fallback: RuleBounds,
         incarnation: u64,
     ) -> Self {
         RulesSession {
@@ -164,8 +164,11 @@
             GrantResult::Changed => log_version(tag, granted_for),
         }
         self.expiry_logged = false;
-        let rules = Agreed {
-            leased: self.expires_at().map(|until| (leased, until)),
+        let rules = AgreedRules {
+            leased: self.expires_at().map(|until| LeasedBounds {
+                bounds: leased,
+                until,
+            }),
             fallback: self.fallback.clone(),
         };
         // the next request says that the sender acts on this: it must by then
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -7,7 +7,7 @@
 use crate::net::events::{FreezeChange, ListUpdate, ListedEndpoint};
 use crate::net::freeze::settings::FreezeSettings;
 use crate::net::sorted_json::to_sorted_json;
-use message_sender::{MILLISECOND, Micros, Status};
+use message_sender::{EndpointStatus, MILLISECOND, Micros};
 use quota_ledger::freeze::{ActiveWindow, EndpointSnapshot, FreezeCheck, resource_change};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -52,7 +52,7 @@
 /// An entry of the list as the freeze compares it.
 fn listed_state(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
-        up: listed.status == Status::Serving,
+        up: listed.status == EndpointStatus::Serving,
         destination: listed.destination,
         zone: listed.zone.clone(),
         weight: listed.weight,
@@ -108,14 +108,14 @@
             // it stays what it was
             entry.weight = before.weight;
             entry.status = if before.up {
-                Status::Serving
+                EndpointStatus::Serving
             } else {
-                Status::Draining
+                EndpointStatus::Draining
             };
         } else {
             entry.destination = before.destination;
             entry.zone = before.zone;
-            entry.status = Status::Gone;
+            entry.status = EndpointStatus::Removed;
         }
         Some(entry)
     }
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -77,7 +77,7 @@
         self.events.push(Event::Accepted(NewMessage {
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
-            again: submission.again,
+            resubmitted: submission.again,
             orphan: submission.orphan,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
@@ -104,7 +104,7 @@
         };
         pending.clients = pending.clients.saturating_sub(1);
         if pending.clients == 0 {
-            self.events.push(Event::Dropped(message));
+            self.events.push(Event::MessageAbandoned(message));
             self.complete(message);
         }
     }
@@ -124,10 +124,12 @@
             return; // its client has left
         }
         let ended = actions.iter().find_map(|action| match action {
-            Action::Refuse {
-                message: refused,
-                wait,
-            } if *refused == message => Some(SubmissionResult::Rejected { retry_after: *wait }),
+            Action::Reject {
+                message: rejected,
+                retry_after,
+            } if *rejected == message => Some(SubmissionResult::Rejected {
+                retry_after: *retry_after,
+            }),
             Action::Fail(failed) if *failed == message => Some(SubmissionResult::Failed),
             _ => None,
         });
@@ -136,7 +138,7 @@
         if result != SubmissionResult::Accepted {
             self.messages.close(message);
             if result == SubmissionResult::NotStored {
-                self.events.push(Event::Dropped(message));
+                self.events.push(Event::MessageAbandoned(message));
             }
         }
         // a client that is gone has said so by its guard
--- a/src/net/ledger/allocation.rs
+++ b/src/net/ledger/allocation.rs
@@ -2,7 +2,9 @@
 
 use super::demands::keys;
 use super::settings::LedgerSettings;
-use message_sender::{MILLISECOND, Micros, Quota, Quotas, Share};
+use message_sender::{
+    ConcurrencyQuota, MILLISECOND, Micros, Quota, QuotaAllocation, QuotaShare, Quotas,
+};
 use quota_ledger::{Allocation, FallbackQuotas, LimitKey, QuotaHolder};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,9 +72,9 @@
 ) -> Quota {
     let share = |key: &LimitKey| {
         let allocation = allocations.get(key);
-        fallback_quotas.is_limited(key).then(|| Share {
+        fallback_quotas.is_limited(key).then(|| QuotaShare {
             fallback: fallback_quotas.of(key),
-            part: allocation.and_then(CurrentAllocation::amount_until),
+            allocation: allocation.and_then(CurrentAllocation::quota),
         })
     };
     let longest_call = |key: &LimitKey| {
@@ -82,8 +84,11 @@
     let [rate, concurrency, rate_unhealthy] = keys(destination);
     Quota {
         rate: share(&rate),
-        out: share(&concurrency).map(|share| (share, longest_call(&concurrency))),
-        cold: share(&rate_unhealthy),
+        in_flight: share(&concurrency).map(|share| ConcurrencyQuota {
+            share,
+            max_duration: longest_call(&concurrency),
+        }),
+        unhealthy_rate: share(&rate_unhealthy),
     }
 }
 
@@ -91,23 +96,29 @@
 fn other_destinations_quota(fallback_quotas: &FallbackQuotas) -> Quota {
     let share = |kind: &str| {
         let fallback = fallback_quotas.per_sender.get(kind)?;
-        Some(Share {
+        Some(QuotaShare {
             fallback: *fallback,
-            part: None,
+            allocation: None,
         })
     };
     Quota {
         rate: share("rate"),
-        out: share("out").map(|share| (share, UNLIMITED_CALL)),
-        cold: share("cold"),
+        in_flight: share("out").map(|share| ConcurrencyQuota {
+            share,
+            max_duration: UNLIMITED_CALL,
+        }),
+        unhealthy_rate: share("cold"),
     }
 }
 
 impl CurrentAllocation<'_> {
-    /// The amount, and until when it may be used; none: it expires later than module time can say.
-    fn amount_until(&self) -> Option<(Option<u64>, Micros)> {
+    /// In the decisions' own terms; none: it expires later than module time can say.
+    fn quota(&self) -> Option<QuotaAllocation> {
         let until = Micros::try_from(self.until).ok()?;
-        Some((self.amount, until))
+        Some(QuotaAllocation {
+            amount: self.amount,
+            until,
+        })
     }
 
     /// How long a call under it may last.
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -34,7 +34,7 @@
         let mut sum = 0.0;
         for index in self.fleet.running() {
             let view = self.view(index);
-            self.modules[index].handle(now, &[Event::Fleet(Some(view))], &mut Vec::new());
+            self.modules[index].handle(now, &[Event::FleetView(Some(view))], &mut Vec::new());
             sum += 1.0 / f64::from(self.modules[index].fleet_size());
         }
         sum
@@ -43,11 +43,11 @@
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
         FleetView {
-            living: view.present,
+            present: view.present,
             suspects: view.suspects,
-            gone: view.departed,
-            holders: view.agreeing,
-            doubt: view.isolated,
+            departed: view.departed,
+            agreeing: view.agreeing,
+            isolated: view.isolated,
         }
     }
 
@@ -92,7 +92,7 @@
 
 /// What a rule without care would scale by: those that answer.
 fn careless(view: FleetView) -> u32 {
-    view.living - view.suspects
+    view.present - view.suspects
 }
 
 #[test]
@@ -165,16 +165,16 @@
         settings.senders = 200;
         let mut module = Sender::new(settings, u64::from(index)).expect("settings make sense");
         let view = FleetView {
-            living: 101 + index % 90,
+            present: 101 + index % 90,
             suspects: 0,
-            gone: 99 - index % 90,
-            holders: 1 + index % 100,
-            doubt: false,
+            departed: 99 - index % 90,
+            agreeing: 1 + index % 100,
+            isolated: false,
         };
         for step in 1..=30 {
             module.handle(
                 step * PERIOD as Micros,
-                &[Event::Fleet(Some(view))],
+                &[Event::FleetView(Some(view))],
                 &mut Vec::new(),
             );
         }
