--- a/src/net/agreement/bounds.rs
+++ b/src/net/agreement/bounds.rs
@@ -1,10 +1,10 @@
 //! What agreed rules allow, in the decisions' own terms.
 
-use message_sender::{Bounds, ClassBound, Effect, MILLISECOND, Micros};
+use message_sender::{ClassBounds, Effect, MILLISECOND, Micros, RuleBounds};
 use versioned_config::{ClassRules, Effect as AgreedEffect, Rules};
 
 /// Converts rules to the bounds that the decisions keep to.
-pub fn bounds(rules: &Rules) -> Bounds {
+pub fn bounds(rules: &Rules) -> RuleBounds {
     let classes = rules
         .classes
         .iter()
@@ -13,35 +13,35 @@
         let limit = rules.limits.get(name)?;
         usize::try_from(*limit).ok()
     };
-    Bounds {
+    RuleBounds {
         classes: classes.collect(),
-        calls: limit("calls"),
-        messages: limit("messages"),
+        max_calls: limit("calls"),
+        max_messages: limit("messages"),
     }
 }
 
-fn class_bound(class: &ClassRules) -> ClassBound {
-    ClassBound {
+fn class_bound(class: &ClassRules) -> ClassBounds {
+    ClassBounds {
         accepted: class.accepted,
         effect: effect(class.effect),
-        attempts: class.max_attempts as usize,
+        max_attempts: class.max_attempts as usize,
         ordered: class.in_order,
-        key_rest: micros(class.key_backoff_ms),
+        key_backoff: micros(class.key_backoff_ms),
     }
 }
 
 fn effect(effect: AgreedEffect) -> Effect {
     match effect {
-        AgreedEffect::NonIdempotent => Effect::Unsafe,
-        AgreedEffect::IdempotencyKeyInZone { window_ms } => Effect::Keyed {
+        AgreedEffect::NonIdempotent => Effect::NonIdempotent,
+        AgreedEffect::IdempotencyKeyInZone { window_ms } => Effect::IdempotencyKey {
             window: micros(window_ms),
-            zone_only: true,
+            same_zone_only: true,
         },
-        AgreedEffect::IdempotencyKey { window_ms } => Effect::Keyed {
+        AgreedEffect::IdempotencyKey { window_ms } => Effect::IdempotencyKey {
             window: micros(window_ms),
-            zone_only: false,
+            same_zone_only: false,
         },
-        AgreedEffect::Idempotent => Effect::Repeatable,
+        AgreedEffect::Idempotent => Effect::Idempotent,
     }
 }
 
--- a/src/net/agreement/mod.rs
+++ b/src/net/agreement/mod.rs
@@ -11,7 +11,7 @@
 use super::lease_client::{Dependencies, LeaseKind};
 use super::log;
 pub use bounds::bounds;
-use message_sender::Agreed;
+use message_sender::AgreedRules;
 use session::RulesSession;
 use settings::AgreementSettings;
 use std::cell::Cell;
@@ -28,7 +28,7 @@
 }
 
 impl RulesLease {
-    async fn apply(&self, rules: Option<Agreed>) {
+    async fn apply(&self, rules: Option<AgreedRules>) {
         let input = |applied| DriverInput::AgreedRules {
             rules: rules.map(Box::new),
             applied,
@@ -48,7 +48,7 @@
 
     async fn start(&mut self, settings: AgreementSettings, incarnation: u64) -> RulesSession<'_> {
         let fallback = bounds(&settings.fallback);
-        let rules = Agreed {
+        let rules = AgreedRules {
             leased: None,
             fallback: fallback.clone(),
         };
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -330,7 +330,7 @@
         .iter()
         .map(|(path, text)| (path.as_str(), text.as_str()));
     let (mut settings, names) = read_settings(&Pairs(pairs.collect()))?;
-    settings.ends_by_notice = true;
+    settings.completion_by_notification = true;
     settings.validate()?;
     Ok((settings, names))
 }
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -11,17 +11,17 @@
 use tokio::time::Instant;
 
 /// The outcome of an attempt whose call never began.
-pub(super) const NOT_SENT: Outcome = Outcome::Unsent { no_slot: false };
+pub(super) const NOT_SENT: Outcome = Outcome::NotSent { no_slot: false };
 
 /// The event of an attempt that has no call of its own.
-fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, closed: bool) -> Event {
-    Event::Ended {
+fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, complete: bool) -> Event {
+    Event::AttemptEnded {
         message: attempt.message,
         attempt: attempt.number,
         endpoint: attempt.endpoint,
         outcome,
         latency: 0,
-        closed,
+        complete,
         report: Vec::new(),
     }
 }
@@ -157,7 +157,7 @@
         );
         self.end_call_item(end.call);
         let now = self.clock.at(Instant::now());
-        let key_backoff = self.settings.safety.key_rest;
+        let key_backoff = self.settings.safety.key_backoff;
         self.lifecycle.ended(message, end.outcome, now, key_backoff);
         if let Some(record) = attempt.record
             && end.outcome.never_ran()
@@ -165,7 +165,10 @@
         {
             self.journal.attempt_never_ran(message, record);
         }
-        if let Outcome::Refused { wait: Some(wait) } = end.outcome {
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = end.outcome
+        {
             self.delay_connections(attempt.endpoint, wait);
         }
         if let Some(wait) = end.retry_after {
@@ -177,13 +180,13 @@
             }
             self.complete(message);
         }
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             message,
             attempt: number,
             endpoint: attempt.endpoint,
             outcome: end.outcome,
             latency: now - attempt.sent_at,
-            closed: !self.messages.is_open(message),
+            complete: !self.messages.is_open(message),
             report: end.report,
         });
         self.messages.forget_if_done(message);
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -3,9 +3,9 @@
 use super::Driver;
 use crate::net::RateLimitedLog;
 use crate::net::events::{ListUpdate, ListedEndpoint};
-use message_sender::pool::Place;
+use message_sender::pool::EndpointAddress;
 use message_sender::wire::position;
-use message_sender::{EndpointId, Entry, Event, Listing, Micros, Status};
+use message_sender::{EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, Micros};
 use std::collections::BTreeSet;
 
 /// Which list is in force.
@@ -51,13 +51,13 @@
 
     /// Applies a list as discovery has it.
     pub(super) fn apply_list(&mut self, update: ListUpdate) {
-        let listing = if update.full {
-            Listing::Full
+        let scope = if update.full {
+            ListScope::Full
         } else {
-            Listing::Changes
+            ListScope::Changes
         };
         self.set_list_version(update.version);
-        self.apply_entries(update, listing);
+        self.apply_entries(update, scope);
     }
 
     /// Applies the list of the configuration, which may be older than discovery's.
@@ -66,7 +66,7 @@
         if !update.targets.is_empty() {
             self.set_list_version(update.version);
         }
-        self.apply_entries(update, Listing::Old);
+        self.apply_entries(update, ListScope::Stale);
     }
 
     fn set_list_version(&mut self, version: u64) {
@@ -74,7 +74,7 @@
         self.process.list_version.set(version);
     }
 
-    fn apply_entries(&mut self, update: ListUpdate, listing: Listing) {
+    fn apply_entries(&mut self, update: ListUpdate, scope: ListScope) {
         if update.full {
             self.endpoints.unlist_all();
         }
@@ -95,28 +95,28 @@
         if !entries.is_empty() {
             self.ready.send_replace(true);
         }
-        self.events.push(Event::Listed { listing, entries });
+        self.events.push(Event::EndpointList { scope, entries });
     }
 
     /// Takes one entry into the endpoint's record.
-    fn apply_entry(&mut self, listed: ListedEndpoint) -> Entry {
+    fn apply_entry(&mut self, listed: ListedEndpoint) -> EndpointEntry {
         let kind = position(&self.names.kinds, &listed.kind);
         let zone = position(&self.names.zones, &listed.zone) as u16;
         let endpoint = self.endpoints.id_or_new(&listed.uid);
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             if let Some(address) = record.address.filter(|&before| before != listed.address) {
-                let before = Place { address, endpoint };
-                self.calls.connections().serve(before, false);
+                let before = EndpointAddress { address, endpoint };
+                self.calls.connections().set_serving(before, false);
             }
             record.address = Some(listed.address);
-            record.listed = listed.status != Status::Gone;
-            record.serving = listed.status == Status::Serving;
+            record.listed = listed.status != EndpointStatus::Removed;
+            record.serving = listed.status == EndpointStatus::Serving;
             record.kind = kind;
             record.destination = listed.destination;
             record.zone = listed.zone;
             record.weight = listed.weight;
         }
-        Entry {
+        EndpointEntry {
             endpoint,
             destination: listed.destination,
             zone,
@@ -145,15 +145,15 @@
         };
         if let Some(address) = record.address {
             let serving = record.listed && record.serving && !self.journal.is_disabled(&record.uid);
-            let place = Place { address, endpoint };
-            self.calls.connections().serve(place, serving);
+            let place = EndpointAddress { address, endpoint };
+            self.calls.connections().set_serving(place, serving);
         }
     }
 
     /// A late answer carried a Retry-After.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
-        self.events.push(Event::ToldWait { endpoint, wait });
+        self.events.push(Event::RetryAfter { endpoint, wait });
     }
 
     /// A Retry-After holds for the whole destination where that is one route: a call to any endpoint of it that has no
@@ -168,11 +168,11 @@
             let same_route = !separate_routes && record.destination == origin.destination;
             let concerned = other == endpoint || same_route;
             if let Some(address) = record.address.filter(|_| concerned) {
-                let place = Place {
+                let place = EndpointAddress {
                     address,
                     endpoint: other,
                 };
-                self.calls.connections().advertised_wait(place, wait);
+                self.calls.connections().apply_retry_after(place, wait);
             }
         }
     }
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -114,7 +114,7 @@
     pub(super) fn into_draining_predecessor(self, link: Link) -> DrainingPredecessor {
         self.process.draining.set(true);
         self.process.handed_over.send_replace(true);
-        self.calls.connections().leave();
+        self.calls.connections().shut_down();
         let writer = link.listen(self.process.inputs);
         let slots = self.process.client_slots;
         DrainingPredecessor::new(writer, self.clock, self.calls_in_flight, slots)
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -28,7 +28,7 @@
         }
         if self.settings != *self.sender.settings() {
             let settings = Box::new(self.settings.clone());
-            self.events.push(Event::Retuned(settings));
+            self.events.push(Event::SettingsChanged(settings));
         }
         for (number, message) in unfinished {
             let next = self.messages.next_number().max(number + 1);
@@ -40,7 +40,10 @@
     /// The position of the class that a message was accepted with; none where its terms were not written down.
     fn place_recorded_class(&mut self, message: &UnfinishedMessage) -> Option<usize> {
         let terms = message.terms.as_ref()?;
-        Some(self.settings.place(terms.class(&message.accepted.class)))
+        Some(
+            self.settings
+                .class_position(terms.class(&message.accepted.class)),
+        )
     }
 
     fn recover_message(
@@ -55,7 +58,7 @@
         if let Some(outcome) = message.outcome {
             self.lifecycle.close(number);
             if !taken_over {
-                self.events.push(Event::Unnoticed(new));
+                self.events.push(Event::NotificationPending(new));
             }
             return self.notifications.send(OutcomeNotification {
                 number: number.0,
@@ -87,7 +90,7 @@
         NewMessage {
             key: message.origin.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
-            attempts: terms.map(|terms| terms.max_attempts as usize),
+            max_attempts: terms.map(|terms| terms.max_attempts as usize),
             ..NewMessage::new(number, class, message.accepted.destination, time_left)
         }
     }
@@ -137,7 +140,7 @@
         });
         let attempts = attempts.collect();
         crate::net::trace(&id, format_args!("recovered after {} attempts", past.len()));
-        self.events.push(Event::Resumed {
+        self.events.push(Event::MessageRestored {
             message: new,
             attempts: past,
         });
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -22,7 +22,7 @@
     fn take_turn(&mut self) {
         let now = self.clock.at(Instant::now());
         if self.timer.take_if(|at| *at <= now).is_some() {
-            self.events.push(Event::Alarm);
+            self.events.push(Event::TimerExpired);
         }
         self.report_journal_change();
         let events = std::mem::take(&mut self.events);
@@ -61,7 +61,7 @@
     fn publish_fleet_size(&self, events: &[Event]) {
         let size = self.sender.fleet_size();
         let before = self.process.fleet_size.replace(size);
-        let by_fleet = |event: &Event| matches!(event, Event::Fleet(_) | Event::Alarm);
+        let by_fleet = |event: &Event| matches!(event, Event::FleetView(_) | Event::TimerExpired);
         if size != before && events.iter().any(by_fleet) {
             net::log(format_args!(
                 "members: limits are shared by {size} senders, no longer by {before}"
@@ -91,20 +91,23 @@
                 self.send(now, request, bundles);
             }
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
-            Action::Refuse { message, wait } => {
-                let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
+            Action::Reject {
+                message,
+                retry_after,
+            } => {
+                let after_ms = retry_after.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
                 self.end_undelivered(message, UndeliveredOutcome::Returned { after_ms });
             }
             Action::Fail(message) => self.end_undelivered(message, UndeliveredOutcome::Failed),
-            Action::SetAlarm(at) => self.timer = Some(at),
+            Action::SetTimer(at) => self.timer = Some(at),
             Action::Disconnect(endpoint) => {
                 if let Some(place) = self.endpoints.place_of(endpoint) {
-                    self.calls.connections().disconnect(place);
+                    self.calls.connections().close_idle(place);
                 }
             }
-            Action::Log(text) => net::log(format_args!("{text}")),
+            Action::Log(event) => net::log(format_args!("{event}")),
             // the watch is always on; probes and notes are not to be had on sockets
-            Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
+            Action::Subscribe | Action::HealthCheck(_) | Action::SendNote(_) => {}
         }
     }
 }
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -48,7 +48,7 @@
 fn max_records(config: &Config) -> u64 {
     let settings = &config.settings;
     settings
-        .max_held
+        .max_pending
         .saturating_mul(2 * settings.max_attempts + 1) as u64
 }
 
