--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -24,7 +24,7 @@
     /// When each call ends: message, attempt, endpoint, time of the send.
     calls: Vec<(Micros, u64, usize, u32, Micros)>,
     attempts: BTreeMap<u64, usize>,
-    alarms: BTreeSet<Micros>,
+    timers: BTreeSet<Micros>,
     actions: Vec<(Micros, Vec<Action>)>,
 }
 
@@ -90,7 +90,7 @@
             each,
             sender,
             random: Pcg32::seed_from_u64(seed ^ 0x5ca1e),
-            now: T0,
+            now: START,
             next: 0,
             events: vec![Event::EndpointList {
                 scope: ListScope::Full,
@@ -98,7 +98,7 @@
             }],
             calls: Vec::new(),
             attempts: BTreeMap::new(),
-            alarms: BTreeSet::new(),
+            timers: BTreeSet::new(),
             actions: Vec::new(),
         }
     }
@@ -113,8 +113,8 @@
             self.arrive(turn);
             self.disturb();
             self.end_calls(turn);
-            while self.alarms.first().is_some_and(|&at| at <= self.now) {
-                self.alarms.pop_first();
+            while self.timers.first().is_some_and(|&at| at <= self.now) {
+                self.timers.pop_first();
                 self.events.push(Event::TimerExpired);
             }
             if turn == TURNS / 2 {
@@ -236,7 +236,7 @@
             20..=29 => Event::EndpointListStale(false),
             30 => {
                 let mut settings = self.sender.settings().clone();
-                settings.classes.swap(FREE, KEYED);
+                settings.classes.swap(IDEMPOTENT, WITH_IDEMPOTENCY_KEY);
                 Event::SettingsChanged(Box::new(settings))
             }
             31 if self.next > 0 => Event::MessageAbandoned(MessageId(self.next - 1)),
@@ -295,7 +295,7 @@
                         .push((self.now + lasts, message.0, *attempt, endpoint.0, self.now));
                     *attempt += 1;
                 }
-                Action::SetTimer(at) => drop(self.alarms.insert(*at)),
+                Action::SetTimer(at) => drop(self.timers.insert(*at)),
                 _ => {}
             }
         }
@@ -338,19 +338,25 @@
 fn looked_at(waiting: u64) -> usize {
     let mut roomy = settings(8);
     roomy.max_pending = 10 * waiting as usize;
-    let mut rig = Rig::new(roomy, vec![entry(1, 7), entry(2, 8)]);
-    rig.tell(vec![Event::FleetHealth {
+    let mut host = TestHost::new(roomy, vec![entry(1, 7), entry(2, 8)]);
+    host.handle(vec![Event::FleetHealth {
         destination: 7,
         unavailable: true,
     }]);
-    rig.tell(
+    host.handle(
         (0..waiting)
-            .map(|id| message(id, [FREE, KEYED, UNSAFE][id as usize % 3], 7))
+            .map(|id| {
+                message(
+                    id,
+                    [IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT][id as usize % 3],
+                    7,
+                )
+            })
             .collect(),
     );
-    rig.tell(vec![message(waiting, FREE, 8)]);
-    assert_eq!(rig.last_send(waiting).0, 2, "what can go does");
-    rig.sender.candidates_examined()
+    host.handle(vec![message(waiting, IDEMPOTENT, 8)]);
+    assert_eq!(host.last_send(waiting).0, 2, "what can go does");
+    host.sender.candidates_examined()
 }
 
 #[test]
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{FREE, T0, entry, message, settings};
+use common::{IDEMPOTENT, START, entry, message, settings};
 use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -44,7 +44,7 @@
     let mut senders: Vec<Sender> = (0..day.senders as u64)
         .map(|n| start(n + 1000 * day.seed))
         .collect();
-    let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); day.senders];
+    let mut timers: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); day.senders];
     let mut random = Pcg32::seed_from_u64(day.seed);
     let mut out: Vec<(Micros, usize, u64, usize, u32, Outcome)> = Vec::new();
     let mut attempts: BTreeMap<u64, usize> = BTreeMap::new();
@@ -54,11 +54,11 @@
             ..entry(n, 7)
         })
         .collect();
-    let back = T0 + BEFORE + OUT;
-    let (mut now, mut next, mut reached) = (T0, 0, Vec::new());
+    let back = START + BEFORE + OUT;
+    let (mut now, mut next, mut reached) = (START, 0, Vec::new());
     while now < back + day.cold {
         let mut events: Vec<Vec<Event>> = vec![Vec::new(); day.senders];
-        if now == T0 {
+        if now == START {
             let listed = Event::EndpointList {
                 scope: ListScope::Full,
                 entries: entries.clone(),
@@ -68,9 +68,9 @@
                 .for_each(|events| events.push(listed.clone()));
         }
         // as much as it takes when warm comes in, at senders by chance
-        let due = ((now - T0) as f64 / SECOND as f64 * day.rate * 0.9) as u64;
+        let due = ((now - START) as f64 / SECOND as f64 * day.rate * 0.9) as u64;
         while next < due {
-            events[random.next_u32() as usize % day.senders].push(message(next, FREE, 7));
+            events[random.next_u32() as usize % day.senders].push(message(next, IDEMPOTENT, 7));
             next += 1;
         }
         out.retain(|&(at, index, id, attempt, endpoint, outcome)| {
@@ -81,24 +81,24 @@
             !ends
         });
         for index in 0..day.senders {
-            let rings = alarms[index].first().is_some_and(|at| *at <= now);
+            let rings = timers[index].first().is_some_and(|at| *at <= now);
             if !rings && events[index].is_empty() {
                 continue;
             }
             if rings {
-                alarms[index].retain(|at| *at > now);
+                timers[index].retain(|at| *at > now);
                 events[index].push(Event::TimerExpired);
             }
             let mut actions = Vec::new();
             senders[index].handle(now, &events[index], &mut actions);
             for action in actions {
                 match action {
-                    Action::SetTimer(at) => drop(alarms[index].insert(at)),
+                    Action::SetTimer(at) => drop(timers[index].insert(at)),
                     Action::Send {
                         message, endpoint, ..
                     } => {
                         let attempt = attempts.entry(message.0).or_default();
-                        let is_out = (T0 + BEFORE..back).contains(&now);
+                        let is_out = (START + BEFORE..back).contains(&now);
                         let outcome = if is_out { day.outage } else { Outcome::Success };
                         out.push((now + TIME, index, message.0, *attempt, endpoint.0, outcome));
                         *attempt += 1;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn all_senders_together_stay_within_what_a_destination_bears_that_failed_and_is_cold() {
+fn fleet_stays_within_capacity_of_cold_destination_after_failures() {
     let most = worst_of(
         &[1, 3, 20, 30, 300],
         &[Outcome::Error, Outcome::NoConnection],
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn all_senders_together_stay_within_what_a_destination_bears_that_refused_all_and_is_cold() {
+fn fleet_stays_within_capacity_of_cold_destination_after_rejections() {
     let most = worst_of(
         &[1, 3, 20, 30, 300],
         &[Outcome::Rejected { retry_after: None }],
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! A hand-driven host: scripted events in, actions out, alarms rung when due.
+//! A hand-driven host: scripted events in, actions out, timers rung when due.
 #![allow(dead_code)]
 
 use message_sender::*;
 
-pub const T0: Micros = 100 * SECOND;
+pub const START: Micros = 100 * SECOND;
 
-pub struct Rig {
+pub struct TestHost {
     pub sender: Sender,
     pub now: Micros,
-    pub alarms: Vec<Micros>,
+    pub timers: Vec<Micros>,
     /// Every send so far: time, message, endpoint, attempt number.
     pub sends: Vec<(Micros, u64, u32, usize)>,
     pub log: Vec<(Micros, Action)>,
@@ -57,9 +57,9 @@
     settings
 }
 
-pub const FREE: usize = 0;
-pub const KEYED: usize = 1;
-pub const UNSAFE: usize = 2;
+pub const IDEMPOTENT: usize = 0;
+pub const WITH_IDEMPOTENCY_KEY: usize = 1;
+pub const NON_IDEMPOTENT: usize = 2;
 pub const ORDERED: usize = 3;
 
 pub fn entry(endpoint: u32, destination: u64) -> EndpointEntry {
@@ -93,30 +93,30 @@
     }
 }
 
-impl Rig {
+impl TestHost {
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let sender = Sender::new(settings, 11).expect("settings make sense");
-        let mut rig = Rig {
+        let mut host = TestHost {
             sender,
-            now: T0,
-            alarms: Vec::new(),
+            now: START,
+            timers: Vec::new(),
             sends: Vec::new(),
             log: Vec::new(),
         };
-        rig.tell(vec![Event::EndpointList {
+        host.handle(vec![Event::EndpointList {
             scope: ListScope::Full,
             entries,
         }]);
-        rig
+        host
     }
 
-    pub fn tell(&mut self, events: Vec<Event>) -> Vec<Action> {
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
         for action in &actions {
             self.log.push((self.now, action.clone()));
             match action {
-                Action::SetTimer(at) => self.alarms.push(*at),
+                Action::SetTimer(at) => self.timers.push(*at),
                 Action::Send {
                     message, endpoint, ..
                 } => {
@@ -129,15 +129,15 @@
         actions
     }
 
-    /// Rings the alarms up to `until`, then stands there.
+    /// Rings the timers up to `until`, then stands there.
     pub fn run(&mut self, until: Micros) {
         loop {
-            self.alarms.sort_unstable();
-            match self.alarms.first().copied() {
+            self.timers.sort_unstable();
+            match self.timers.first().copied() {
                 Some(at) if at <= until => {
-                    self.alarms.retain(|&other| other > at);
+                    self.timers.retain(|&other| other > at);
                     self.now = self.now.max(at);
-                    self.tell(vec![Event::TimerExpired]);
+                    self.handle(vec![Event::TimerExpired]);
                 }
                 _ => break,
             }
@@ -149,7 +149,7 @@
         self.sends
             .iter()
             .filter(|send| send.1 == message)
-            .map(|send| send.0 - T0)
+            .map(|send| send.0 - START)
             .collect()
     }
 
@@ -166,7 +166,7 @@
     /// Ends the latest attempt of the message.
     pub fn end(&mut self, message: u64, outcome: Outcome, latency: Micros) -> Vec<Action> {
         let (endpoint, attempt) = self.last_send(message);
-        self.tell(vec![ended(message, attempt, endpoint, outcome, latency)])
+        self.handle(vec![ended(message, attempt, endpoint, outcome, latency)])
     }
 
     pub fn count(&self, wanted: impl Fn(&Action) -> bool) -> usize {
@@ -177,7 +177,7 @@
         self.count(|action| *action == Action::Fail(MessageId(message))) == 1
     }
 
-    pub fn refused(&self, message: u64) -> bool {
+    pub fn rejected(&self, message: u64) -> bool {
         self.count(|a| matches!(a, Action::Reject { message: m, .. } if m.0 == message)) == 1
     }
 
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{T0, entry, settings};
+use common::{START, entry, settings};
 use message_sender::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -114,7 +114,7 @@
     scenario: Scenario,
     settings: Settings,
     senders: Vec<Sender>,
-    alarms: Vec<BTreeSet<Micros>>,
+    timers: Vec<BTreeSet<Micros>>,
     messages: BTreeMap<u64, Message>,
     calls: Vec<Call>,
     limit: Limit,
@@ -134,15 +134,15 @@
             scenario,
             settings,
             senders: Vec::new(),
-            alarms: Vec::new(),
+            timers: Vec::new(),
             messages: BTreeMap::new(),
             calls: Vec::new(),
             limit: Limit {
                 tokens: 0.0,
-                at: T0,
+                at: START,
             },
             random: Pcg32::seed_from_u64(scenario.seed),
-            now: T0,
+            now: START,
             due: 0.0,
             served: Served::default(),
         };
@@ -156,7 +156,7 @@
             (0..SENDERS as u64).map(|number| number + 1000 * (self.scenario.seed + 100 * starts));
         let start = |seed| Sender::new(self.settings.clone(), seed).expect("settings");
         self.senders = seeds.map(start).collect();
-        self.alarms = vec![BTreeSet::new(); SENDERS];
+        self.timers = vec![BTreeSet::new(); SENDERS];
     }
 
     fn listed(&self) -> Event {
@@ -240,11 +240,11 @@
 
     /// One sender's turn, if it has an event or its alarm rings.
     fn turn(&mut self, sender: usize, mut events: Vec<Event>) {
-        if self.alarms[sender]
+        if self.timers[sender]
             .first()
             .is_some_and(|at| *at <= self.now)
         {
-            self.alarms[sender].retain(|at| *at > self.now);
+            self.timers[sender].retain(|at| *at > self.now);
             events.push(Event::TimerExpired);
         }
         if events.is_empty() {
@@ -254,7 +254,7 @@
         self.senders[sender].handle(self.now, &events, &mut actions);
         for action in actions {
             match action {
-                Action::SetTimer(at) => drop(self.alarms[sender].insert(at)),
+                Action::SetTimer(at) => drop(self.timers[sender].insert(at)),
                 Action::Send {
                     message, endpoint, ..
                 } => self.call(sender, message.0, endpoint.0),
@@ -292,7 +292,7 @@
     }
 
     fn is_down(&self) -> bool {
-        let passed = self.now - T0;
+        let passed = self.now - START;
         self.scenario
             .restart
             .is_some_and(|back| (back - DOWN..back).contains(&passed))
@@ -303,11 +303,11 @@
     let mut fleet = Fleet::new(scenario);
     let first = vec![vec![fleet.listed()]; SENDERS];
     let (mut waiting, mut was_stale) = (first, false);
-    while fleet.now < T0 + LENGTH {
-        if scenario.restart == Some(fleet.now - T0) {
+    while fleet.now < START + LENGTH {
+        if scenario.restart == Some(fleet.now - START) {
             waiting = fleet.resume();
         }
-        let stale = (T0 + scenario.stale.0..T0 + scenario.stale.1).contains(&fleet.now);
+        let stale = (START + scenario.stale.0..START + scenario.stale.1).contains(&fleet.now);
         if stale != was_stale {
             waiting
                 .iter_mut()
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_limit_with_room_for_all_is_shared_without_refusals() {
+fn limit_with_capacity_for_all_is_shared_without_rejections() {
     for listed in [0.6, 1.0, 1.4] {
         for served in runs(Scenario {
             listed,
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn what_waited_while_lists_were_stale_is_not_sent_all_at_one_moment() {
+fn backlog_of_stale_list_is_not_sent_at_once() {
     let stale = (6 * SECOND, 9 * SECOND);
     for (limit, refusals_count) in [(60.0, false), (60.0, true), (600.0, false), (600.0, true)] {
         for served in runs(Scenario {
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn what_waited_for_a_restart_is_not_sent_all_at_one_moment() {
+fn backlog_of_restart_is_not_sent_at_once() {
     let restart = Some(8 * SECOND);
     for refusals_count in [false, true] {
         for served in runs(Scenario {
--- a/tests/demand.rs
+++ b/tests/demand.rs
@@ -9,23 +9,23 @@
 
 const DESTINATIONS: u32 = 40;
 
-fn rig(senders: u32) -> Rig {
+fn host(senders: u32) -> TestHost {
     let mut settings = settings(12);
     settings.senders = senders;
-    let mut rig = Rig::new(
+    let mut host = TestHost::new(
         settings,
         (0..DESTINATIONS)
             .map(|number| entry(number, number.into()))
             .collect(),
     );
-    rig.tell(vec![Event::Quotas(Some(Box::default()))]);
-    rig
+    host.handle(vec![Event::Quotas(Some(Box::default()))]);
+    host
 }
 
 /// Holds what is told of the demand in use against the whole.
-fn compare(rig: &mut Rig) -> usize {
-    let whole = rig.sender.demand();
-    let (listed, used) = rig.sender.demand_in_use(0);
+fn compare(host: &mut TestHost) -> usize {
+    let whole = host.sender.demand();
+    let (listed, used) = host.sender.demand_in_use(0);
     assert_eq!(listed, DESTINATIONS as usize);
     for (destination, demand) in &used {
         assert_eq!(demand, &whole[destination], "{destination}");
@@ -45,69 +45,69 @@
 
 #[test]
 fn a_list_that_is_short_enough_is_told_whole() {
-    let mut rig = rig(3);
-    let whole = rig.sender.demand();
+    let mut host = host(3);
+    let whole = host.sender.demand();
     assert_eq!(
-        rig.sender.demand_in_use(DESTINATIONS as usize),
+        host.sender.demand_in_use(DESTINATIONS as usize),
         (DESTINATIONS as usize, whole)
     );
 }
 
 #[test]
 fn what_is_in_use_is_told_as_it_is_and_what_has_come_to_rest_no_more() {
-    let mut rig = rig(3);
-    assert_eq!(compare(&mut rig), 0);
-    rig.tell(vec![message(1, FREE, 7)]);
-    let (_, told) = rig.sender.demand_in_use(0);
+    let mut host = host(3);
+    assert_eq!(compare(&mut host), 0);
+    host.handle(vec![message(1, IDEMPOTENT, 7)]);
+    let (_, told) = host.sender.demand_in_use(0);
     assert_eq!((told.len(), told[&7].in_flight, told[&7].sent), (1, 1, 1));
-    rig.end(1, Outcome::Success, 10 * MILLISECOND);
-    assert!(rig.sender.demand_in_use(0).1[&7].alive);
+    host.end(1, Outcome::Success, 10 * MILLISECOND);
+    assert!(host.sender.demand_in_use(0).1[&7].alive);
     // its last success is long ago: told once more, and then not
-    rig.run(rig.now + 60 * SECOND);
-    rig.tell(vec![Event::TimerExpired]);
-    assert_eq!(rig.sender.demand_in_use(0).1.len(), 1);
-    assert_eq!(rig.sender.demand_in_use(0).1.len(), 0);
+    host.run(host.now + 60 * SECOND);
+    host.handle(vec![Event::TimerExpired]);
+    assert_eq!(host.sender.demand_in_use(0).1.len(), 1);
+    assert_eq!(host.sender.demand_in_use(0).1.len(), 0);
 }
 
 #[test]
 fn what_was_there_before_limits_were_shared_is_found_at_the_first_look() {
-    let mut rig = rig(3);
-    rig.tell(vec![
+    let mut host = host(3);
+    host.handle(vec![
         Event::Quotas(None),
-        message(1, FREE, 7),
-        message(2, FREE, 9),
+        message(1, IDEMPOTENT, 7),
+        message(2, IDEMPOTENT, 9),
     ]);
-    rig.tell(vec![Event::Quotas(Some(Box::default()))]);
-    assert_eq!(compare(&mut rig), 2);
+    host.handle(vec![Event::Quotas(Some(Box::default()))]);
+    assert_eq!(compare(&mut host), 2);
 }
 
 #[test]
 fn random_events_never_hide_a_destination_that_is_in_use() {
     for seed in 0..20 {
-        let (mut rig, mut random) = (
-            rig([1, 3, 300][seed as usize % 3]),
+        let (mut host, mut random) = (
+            host([1, 3, 300][seed as usize % 3]),
             Pcg32::seed_from_u64(seed),
         );
         let mut below = |most: u32| random.next_u32() % most;
         let mut looked = 0;
         for id in 0..400_u64 {
-            rig.tell(vec![message(
+            host.handle(vec![message(
                 id,
-                [FREE, KEYED, UNSAFE][below(3) as usize],
+                [IDEMPOTENT, WITH_IDEMPOTENCY_KEY, NON_IDEMPOTENT][below(3) as usize],
                 below(DESTINATIONS).into(),
             )]);
-            rig.run(rig.now + Micros::from(below(80)) * MILLISECOND);
-            if below(2) == 0 && rig.sends.iter().any(|(_, sent, ..)| *sent == id) {
+            host.run(host.now + Micros::from(below(80)) * MILLISECOND);
+            if below(2) == 0 && host.sends.iter().any(|(_, sent, ..)| *sent == id) {
                 let refused = Outcome::Rejected { retry_after: None };
                 let outcome = [Outcome::Success, refused, Outcome::Error, Outcome::TimedOut]
                     [below(4) as usize];
-                rig.end(id, outcome, 10 * MILLISECOND);
+                host.end(id, outcome, 10 * MILLISECOND);
             }
             match below(10) {
-                0 => looked += compare(&mut rig),
+                0 => looked += compare(&mut host),
                 1 if below(20) == 0 => {
                     let unavailable = below(2) == 0;
-                    rig.tell(vec![Event::FleetHealth {
+                    host.handle(vec![Event::FleetHealth {
                         destination: below(DESTINATIONS).into(),
                         unavailable,
                     }]);
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -9,17 +9,22 @@
 /// Cold time of the settings: a view must stand for so long before the number falls.
 const STANDS: Micros = 10 * SECOND;
 
-fn sender(senders: u32) -> (Rig, impl Fn(&mut Rig, Micros, Option<FleetView>) -> u32) {
+fn sender(
+    senders: u32,
+) -> (
+    TestHost,
+    impl Fn(&mut TestHost, Micros, Option<FleetView>) -> u32,
+) {
     let mut settings = settings(8);
     settings.senders = senders;
-    let rig = Rig::new(settings, vec![entry(1, 7)]);
-    let tell = |rig: &mut Rig, after: Micros, view| {
-        rig.now += after;
-        rig.sender
-            .handle(rig.now, &[Event::FleetView(view)], &mut Vec::new());
-        rig.sender.fleet_size()
+    let host = TestHost::new(settings, vec![entry(1, 7)]);
+    let tell = |host: &mut TestHost, after: Micros, view| {
+        host.now += after;
+        host.sender
+            .handle(host.now, &[Event::FleetView(view)], &mut Vec::new());
+        host.sender.fleet_size()
     };
-    (rig, tell)
+    (host, tell)
 }
 
 /// All that live hold this view.
@@ -35,18 +40,18 @@
 
 #[test]
 fn the_number_falls_once_the_view_has_stood_and_rises_at_once() {
-    let (mut rig, tell) = sender(100);
-    assert_eq!(tell(&mut rig, 0, Some(view(60, 40))), 100);
-    assert_eq!(tell(&mut rig, STANDS - 1, Some(view(60, 40))), 100);
+    let (mut host, tell) = sender(100);
+    assert_eq!(tell(&mut host, 0, Some(view(60, 40))), 100);
+    assert_eq!(tell(&mut host, STANDS - 1, Some(view(60, 40))), 100);
     let mut actions = Vec::new();
-    rig.now += 1;
-    rig.sender
-        .handle(rig.now, &[Event::TimerExpired], &mut actions);
-    assert_eq!(rig.sender.fleet_size(), 60, "at its own alarm");
-    assert_eq!(tell(&mut rig, SECOND, Some(view(61, 39))), 61, "at once");
+    host.now += 1;
+    host.sender
+        .handle(host.now, &[Event::TimerExpired], &mut actions);
+    assert_eq!(host.sender.fleet_size(), 60, "at its own alarm");
+    assert_eq!(tell(&mut host, SECOND, Some(view(61, 39))), 61, "at once");
     assert_eq!(
         tell(
-            &mut rig,
+            &mut host,
             SECOND,
             Some(FleetView {
                 isolated: true,
@@ -56,20 +61,20 @@
         100,
         "in doubt"
     );
-    assert_eq!(tell(&mut rig, SECOND, None), 100);
+    assert_eq!(tell(&mut host, SECOND, None), 100);
 }
 
 #[test]
 fn it_rings_when_the_view_will_have_stood() {
-    let (mut rig, _) = sender(100);
+    let (mut host, _) = sender(100);
     let mut actions = Vec::new();
-    rig.sender.handle(
-        rig.now,
+    host.sender.handle(
+        host.now,
         &[Event::FleetView(Some(view(60, 40)))],
         &mut actions,
     );
     assert!(
-        actions.contains(&Action::SetTimer(rig.now + STANDS)),
+        actions.contains(&Action::SetTimer(host.now + STANDS)),
         "{actions:?}"
     );
 }
@@ -102,16 +107,16 @@
         ),
         ("never heard of", view(60, 0)),
     ] {
-        let (mut rig, tell) = sender(100);
-        tell(&mut rig, 0, Some(view));
-        assert_eq!(tell(&mut rig, 100 * STANDS, Some(view)), 100, "{what}");
+        let (mut host, tell) = sender(100);
+        tell(&mut host, 0, Some(view));
+        assert_eq!(tell(&mut host, 100 * STANDS, Some(view)), 100, "{what}");
     }
     // one that is never still
-    let (mut rig, tell) = sender(100);
+    let (mut host, tell) = sender(100);
     for step in 0..100 {
         assert_eq!(
             tell(
-                &mut rig,
+                &mut host,
                 STANDS / 2,
                 Some(view(60 + step % 2, 40 - step % 2))
             ),
@@ -122,30 +127,30 @@
 
 #[test]
 fn new_settings_bind_at_once() {
-    let (mut rig, tell) = sender(100);
-    tell(&mut rig, 0, Some(view(60, 40)));
-    assert_eq!(tell(&mut rig, STANDS, Some(view(60, 40))), 60);
-    let mut settings = rig.sender.settings().clone();
+    let (mut host, tell) = sender(100);
+    tell(&mut host, 0, Some(view(60, 40)));
+    assert_eq!(tell(&mut host, STANDS, Some(view(60, 40))), 60);
+    let mut settings = host.sender.settings().clone();
     settings.senders = 80;
-    rig.sender.handle(
-        rig.now,
+    host.sender.handle(
+        host.now,
         &[Event::SettingsChanged(Box::new(settings))],
         &mut Vec::new(),
     );
     assert_eq!(
-        rig.sender.fleet_size(),
+        host.sender.fleet_size(),
         60,
         "forty of them are known to be gone"
     );
-    let (mut rig, _) = sender(100);
-    let mut settings = rig.sender.settings().clone();
+    let (mut host, _) = sender(100);
+    let mut settings = host.sender.settings().clone();
     settings.senders = 80;
-    rig.sender.handle(
-        rig.now,
+    host.sender.handle(
+        host.now,
         &[Event::SettingsChanged(Box::new(settings))],
         &mut Vec::new(),
     );
-    assert_eq!(rig.sender.fleet_size(), 80);
+    assert_eq!(host.sender.fleet_size(), 80);
 }
 
 #[test]
@@ -154,7 +159,7 @@
     let mut below = |most: u32| random.next_u32() % most;
     for _ in 0..300 {
         let configured = 1 + below(40);
-        let (mut rig, tell) = sender(configured);
+        let (mut host, tell) = sender(configured);
         let (mut before, mut held): (u32, Option<(FleetView, Micros)>) = (configured, None);
         for _ in 0..60 {
             let view = FleetView {
@@ -167,7 +172,7 @@
             // often the same one again, so that views stand
             let view = held.filter(|_| below(4) > 0).map_or(view, |(view, _)| view);
             let after = Micros::from(below(8)) * SECOND;
-            let now = tell(&mut rig, after, Some(view));
+            let now = tell(&mut host, after, Some(view));
             let seen = |view: FleetView| FleetView {
                 agreeing: 0,
                 ..view
@@ -175,9 +180,9 @@
             held = Some((
                 view,
                 held.filter(|(old, _)| seen(*old) == seen(view))
-                    .map_or(rig.now, |(_, at)| at),
+                    .map_or(host.now, |(_, at)| at),
             ));
-            let stood = held.is_some_and(|(_, since)| rig.now - since >= STANDS);
+            let stood = held.is_some_and(|(_, since)| host.now - since >= STANDS);
             assert!(now >= view.present.min(before), "{view:?}: {now}");
             if now < before && now < configured {
                 assert!(
@@ -199,18 +204,18 @@
     let tries = |view: Option<FleetView>| {
         let mut settings = settings(8);
         settings.senders = 20;
-        let mut rig = Rig::new(settings, vec![entry(1, 7)]);
-        rig.tell(vec![Event::FleetView(view)]);
-        let begin = rig.now + 2 * STANDS;
-        rig.run(begin);
+        let mut host = TestHost::new(settings, vec![entry(1, 7)]);
+        host.handle(vec![Event::FleetView(view)]);
+        let begin = host.now + 2 * STANDS;
+        host.run(begin);
         for id in 0..300 {
-            rig.tell(vec![message(id, FREE, 7)]);
+            host.handle(vec![message(id, IDEMPOTENT, 7)]);
             for step in 1..=20 {
-                let before = rig.sends.len();
-                rig.run(begin + id as Micros * SECOND + step * SECOND / 20);
-                let new: Vec<u64> = rig.sends[before..].iter().map(|send| send.1).collect();
+                let before = host.sends.len();
+                host.run(begin + id as Micros * SECOND + step * SECOND / 20);
+                let new: Vec<u64> = host.sends[before..].iter().map(|send| send.1).collect();
                 new.iter().for_each(|&id| {
-                    drop(rig.end(
+                    drop(host.end(
                         id,
                         Outcome::Rejected { retry_after: None },
                         10 * MILLISECOND,
@@ -218,7 +223,7 @@
                 });
             }
         }
-        rig.sends.len() as f64
+        host.sends.len() as f64
     };
     let (all, left) = (tries(None), tries(Some(view(11, 9))));
     let ratio = left / all;
@@ -238,26 +243,26 @@
             weight: 40.0,
             ..entry(1, 7)
         }];
-        let mut rig = Rig::new(settings, entries.clone());
-        rig.tell(vec![Event::FleetView(views[0])]);
-        rig.run(T0 + 2 * STANDS);
-        rig.tell(vec![Event::EndpointList {
+        let mut host = TestHost::new(settings, entries.clone());
+        host.handle(vec![Event::FleetView(views[0])]);
+        host.run(START + 2 * STANDS);
+        host.handle(vec![Event::EndpointList {
             scope: ListScope::Full,
             entries,
         }]);
-        rig.tell(vec![Event::FleetView(views[1])]);
-        rig.tell(vec![message(1, FREE, 7)]);
-        rig.end(1, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
-        let begin = rig.now;
-        (2..60).for_each(|id| drop(rig.tell(vec![message(id, FREE, 7)])));
+        host.handle(vec![Event::FleetView(views[1])]);
+        host.handle(vec![message(1, IDEMPOTENT, 7)]);
+        host.end(1, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
+        let begin = host.now;
+        (2..60).for_each(|id| drop(host.handle(vec![message(id, IDEMPOTENT, 7)])));
         for step in 1..=150 {
-            let before = rig.sends.len();
-            rig.run(begin + step * 20 * MILLISECOND);
-            let new: Vec<u64> = rig.sends[before..].iter().map(|send| send.1).collect();
+            let before = host.sends.len();
+            host.run(begin + step * 20 * MILLISECOND);
+            let new: Vec<u64> = host.sends[before..].iter().map(|send| send.1).collect();
             new.iter()
-                .for_each(|&id| drop(rig.end(id, Outcome::Success, 10 * MILLISECOND)));
+                .for_each(|&id| drop(host.end(id, Outcome::Success, 10 * MILLISECOND)));
         }
-        rig.sends.iter().filter(|send| send.0 > begin).count()
+        host.sends.iter().filter(|send| send.0 > begin).count()
     };
     let few = Some(view(11, 9));
     let (never, gone, back) = (
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,11 +1,11 @@
-//! The size that the decision modules are held to: one that holds more than one job is hard to read.
+//! Limits on the size of the decision modules: a file beyond them holds more than one concern.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 /// Lines of one file that are not blank.
-const MOST_LINES: usize = 600;
-const MOST_CHARACTERS: usize = 110;
+const MAX_LINES: usize = 600;
+const MAX_CHARACTERS: usize = 110;
 
 fn files_of(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder)
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn each_decision_module_keeps_its_size() {
+fn decision_module_files_stay_within_size_limits() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = files_of(&source.join("decisions"));
     files.extend(["decisions.rs", "backlog.rs"].map(|name| source.join(name)));
@@ -32,7 +32,7 @@
         let text = fs::read_to_string(&file).expect("text");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(
-            lines <= MOST_LINES,
+            lines <= MAX_LINES,
             "{}: {lines} lines that are not blank",
             file.display()
         );
@@ -42,13 +42,13 @@
             .max()
             .unwrap_or(0);
         assert!(
-            longest <= MOST_CHARACTERS,
+            longest <= MAX_CHARACTERS,
             "{}: a line of {longest} characters",
             file.display()
         );
         assert!(
             text.starts_with("//! "),
-            "{}: says not what it is for",
+            "{}: no module documentation",
             file.display()
         );
     }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -60,7 +60,7 @@
     }];
     settings.connection_idle_timeout = 5 * SECOND;
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
-    let (mut now, mut next) = (T0, 0u64);
+    let (mut now, mut next) = (START, 0u64);
     let mut books: BTreeMap<u64, Book> = BTreeMap::new();
     let mut out: Vec<Out> = Vec::new();
     let mut stopped: BTreeMap<u32, Micros> = BTreeMap::new();
@@ -68,7 +68,7 @@
     let mut lines: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let mut rests: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all = Vec::new();
-    let mut alarms: BTreeSet<Micros> = BTreeSet::new();
+    let mut timers: BTreeSet<Micros> = BTreeSet::new();
     let mut events = vec![Event::EndpointList {
         scope: ListScope::Stale,
         entries: (0..12).map(listed).collect(),
@@ -183,8 +183,8 @@
             }
             events.push(event);
         }
-        while alarms.first().is_some_and(|&at| at <= now) {
-            alarms.pop_first();
+        while timers.first().is_some_and(|&at| at <= now) {
+            timers.pop_first();
             events.push(Event::TimerExpired);
         }
         let mut actions = Vec::new();
@@ -283,7 +283,7 @@
                 }
                 Action::SetTimer(at) => {
                     assert!(*at > now);
-                    alarms.insert(*at);
+                    timers.insert(*at);
                 }
                 _ => {}
             }
@@ -309,6 +309,6 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     assert_eq!(play(5).0, play(5).0);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -33,14 +33,14 @@
         let senders = (0..count as u64).map(start).collect();
         let mut fleet = Fleet {
             senders,
-            now: T0,
+            now: START,
             out: Vec::new(),
             attempts: Default::default(),
             sends: Vec::new(),
         };
         let entries: Vec<EndpointEntry> = (1..=2).map(|n| entry(n, 7)).collect();
         for index in 0..count {
-            fleet.tell(
+            fleet.handle(
                 index,
                 vec![Event::EndpointList {
                     scope: ListScope::Full,
@@ -51,7 +51,7 @@
         fleet
     }
 
-    fn tell(&mut self, index: usize, events: Vec<Event>) {
+    fn handle(&mut self, index: usize, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.senders[index]
             .0
@@ -76,7 +76,7 @@
     fn hand_in(&mut self) {
         for id in 0..MESSAGES {
             let index = (id as usize) % self.senders.len();
-            self.tell(index, vec![message(id, FREE, 7)]);
+            self.handle(index, vec![message(id, IDEMPOTENT, 7)]);
         }
     }
 
@@ -90,14 +90,14 @@
             self.out = later;
             for (index, id, attempt, endpoint, sent) in ready {
                 let end = ended(id, attempt, endpoint, answer(self.now), self.now - sent);
-                self.tell(index, vec![end]);
+                self.handle(index, vec![end]);
             }
             for index in 0..self.senders.len() {
                 let before = self.senders[index].1.len();
                 let now = self.now;
                 self.senders[index].1.retain(|&at| at > now);
                 if self.senders[index].1.len() < before {
-                    self.tell(index, vec![Event::TimerExpired]);
+                    self.handle(index, vec![Event::TimerExpired]);
                 }
             }
         }
@@ -106,7 +106,7 @@
     fn sent_within(&self, from: Micros, to: Micros) -> usize {
         self.sends
             .iter()
-            .filter(|&&at| at > T0 + from && at <= T0 + to)
+            .filter(|&&at| at > START + from && at <= START + to)
             .count()
     }
 }
@@ -114,12 +114,12 @@
 const SIZES: [usize; 3] = [3, 60, 300];
 
 #[test]
-fn a_throttled_destination_is_not_flooded_however_many_senders_wait_for_it() {
+fn throttled_destination_is_not_flooded_by_any_number_of_senders() {
     // Round 12: half a call a second of each sender was 30 a second of sixty.
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 12 * SECOND, |_| Outcome::Rejected {
+        fleet.play(START + 12 * SECOND, |_| Outcome::Rejected {
             retry_after: None,
         });
         let late = fleet.sent_within(4 * SECOND, 12 * SECOND);
@@ -132,16 +132,16 @@
 }
 
 #[test]
-fn a_first_refusal_is_not_tried_again_on_its_heels() {
+fn first_rejection_is_not_retried_at_once() {
     // Round 17: the bucket of an unlimited pace kept a token, so each refused call went again within 50 ms.
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Rejected {
+        fleet.play(START + 60 * MILLISECOND, |_| Outcome::Rejected {
             retry_after: None,
         });
-        let start = fleet.now - T0;
-        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Rejected {
+        let start = fleet.now - START;
+        fleet.play(START + 400 * MILLISECOND, |_| Outcome::Rejected {
             retry_after: None,
         });
         let again = fleet.sent_within(start, 400 * MILLISECOND);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_crowd_that_was_refused_stays_away_until_the_limit_has_room_again() {
+fn rejected_fleet_stays_away_until_limit_has_capacity() {
     // Refused calls use limits up: a hundred that each came back within a call's time kept one shut for seconds.
     for count in [60, 100, 300] {
         let told = |settings: &mut Settings| settings.weight_trust = 0.5;
@@ -166,7 +166,7 @@
             })
             .collect();
         for index in 0..count {
-            fleet.tell(
+            fleet.handle(
                 index,
                 vec![Event::EndpointList {
                     scope: ListScope::Full,
@@ -175,11 +175,11 @@
             );
         }
         fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Rejected {
+        fleet.play(START + 60 * MILLISECOND, |_| Outcome::Rejected {
             retry_after: None,
         });
-        let start = fleet.now - T0;
-        fleet.play(T0 + 6 * SECOND, |_| Outcome::Success);
+        let start = fleet.now - START;
+        fleet.play(START + 6 * SECOND, |_| Outcome::Success);
         let soon = fleet.sent_within(start, start + SECOND);
         assert!(
             soon <= 6,
@@ -200,7 +200,7 @@
         })
         .collect();
     for index in 0..100 {
-        fleet.tell(
+        fleet.handle(
             index,
             vec![Event::EndpointList {
                 scope: ListScope::Full,
@@ -209,20 +209,20 @@
         );
     }
     (fleet, |fleet, ids| {
-        ids.for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)]))
+        ids.for_each(|id| fleet.handle((id % 100) as usize, vec![message(id, IDEMPOTENT, 7)]))
     })
 }
 
 #[test]
-fn a_crowd_that_is_refused_in_waves_keeps_the_pace_it_had_between_them() {
+fn fleet_rejected_in_waves_keeps_its_rate_between_them() {
     // One debt refuses all that call while it runs off. Each of a hundred cut its pace as if it alone had been
     // refused, and made too few calls up to the next wave to make up for it.
     let (mut fleet, waiting) = crowd_of_a_hundred();
     waiting(&mut fleet, 0..300);
-    fleet.play(T0 + 20 * SECOND, |_| Outcome::Success);
+    fleet.play(START + 20 * SECOND, |_| Outcome::Success);
     waiting(&mut fleet, 300..2000);
     for wave in 0..3 {
-        let begin = T0 + (20 + 4 * wave) * SECOND;
+        let begin = START + (20 + 4 * wave) * SECOND;
         fleet.play(begin + SECOND, |_| Outcome::Rejected { retry_after: None });
         fleet.play(begin + 4 * SECOND, |_| Outcome::Success);
     }
@@ -245,27 +245,27 @@
 }
 
 #[test]
-fn a_crowd_grows_no_faster_than_it_hears() {
+fn fleet_rate_grows_no_faster_than_rejections_are_noticed() {
     // Each of a hundred grew by half with each success: all together were far over before a few had heard so.
     let calls = |senders: u32| {
         let mut settings = settings(8);
         settings.senders = senders;
-        let mut rig = Rig::new(settings, vec![entry(1, 7)]);
-        rig.tell((0..900).map(|id| message(id, FREE, 7)).collect());
+        let mut host = TestHost::new(settings, vec![entry(1, 7)]);
+        host.handle((0..900).map(|id| message(id, IDEMPOTENT, 7)).collect());
         let mut answered = 0;
-        while rig.now < T0 + 24 * SECOND {
-            let out = rig.sends[answered..].to_vec();
-            answered = rig.sends.len();
-            let next = rig.now + 40 * MILLISECOND;
-            rig.run(next);
+        while host.now < START + 24 * SECOND {
+            let out = host.sends[answered..].to_vec();
+            answered = host.sends.len();
+            let next = host.now + 40 * MILLISECOND;
+            host.run(next);
             for send in out {
-                let first = send.0 == T0;
+                let first = send.0 == START;
                 let outcome = if first {
                     Outcome::Rejected { retry_after: None }
                 } else {
                     Outcome::Success
                 };
-                rig.tell(vec![ended(
+                host.handle(vec![ended(
                     send.1,
                     send.3,
                     send.2,
@@ -274,9 +274,9 @@
                 )]);
             }
         }
-        rig.sends
+        host.sends
             .iter()
-            .filter(|send| send.0 > T0 + 19 * SECOND)
+            .filter(|send| send.0 > START + 19 * SECOND)
             .count()
     };
     let (few, many) = (calls(3), calls(100));
@@ -288,19 +288,19 @@
 }
 
 #[test]
-fn a_crowd_takes_two_calls_by_chance_for_no_rate() {
+fn two_chance_calls_of_large_fleet_give_no_rate() {
     // The best second and a half of one with half a call a second is three times its rate: a hundred that each
     // slowed down from there were still over the limit, and grew towards it.
     let (mut fleet, waiting) = crowd_of_a_hundred();
     // each makes three calls within a second, and then none for a while
     waiting(&mut fleet, 0..300);
-    fleet.play(T0 + 20 * SECOND, |_| Outcome::Success);
+    fleet.play(START + 20 * SECOND, |_| Outcome::Success);
     let begin = fleet.now;
     waiting(&mut fleet, 300..400);
     fleet.play(begin + 60 * MILLISECOND, |_| Outcome::Rejected {
         retry_after: None,
     });
-    let refused = fleet.now - T0;
+    let refused = fleet.now - START;
     fleet.play(begin + 6 * SECOND, |_| Outcome::Success);
     let soon = fleet.sent_within(refused, refused + 1_200 * MILLISECOND);
     assert!(
@@ -311,12 +311,12 @@
 }
 
 #[test]
-fn those_who_were_told_a_wait_do_not_start_together_at_its_end() {
+fn senders_with_retry_after_do_not_start_together_at_its_end() {
     // Round 14: a shut destination told all the same end; they came back at once and pushed it over.
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        let opens = T0 + 6 * SECOND;
+        let opens = START + 6 * SECOND;
         let told = |now: Micros| Outcome::Rejected {
             retry_after: Some((opens - now).max(MILLISECOND)),
         };
@@ -338,11 +338,11 @@
 }
 
 #[test]
-fn a_failing_destination_gets_a_trickle_of_all_senders_together() {
+fn failing_destination_gets_trickle_of_all_senders_together() {
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 14 * SECOND, |_| Outcome::Error);
+        fleet.play(START + 14 * SECOND, |_| Outcome::Error);
         let late = fleet.sent_within(8 * SECOND, 14 * SECOND);
         assert!(
             late <= 45,
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_crowd_comes_back_as_fast_as_the_return_allows_and_no_faster() {
+fn fleet_recovers_as_fast_as_budget_allows() {
     // A hundred that each took their own first success for the moment of the return were half as fast as it.
     let mut fleet = Fleet::new(100, 6, |settings| {
         settings.weight_trust = 0.5;
@@ -366,7 +366,7 @@
         })
         .collect();
     for index in 0..100 {
-        fleet.tell(
+        fleet.handle(
             index,
             vec![Event::EndpointList {
                 scope: ListScope::Full,
@@ -377,7 +377,7 @@
     // each makes a call in 2.5 s, then it is out, and messages wait at each
     let hand_in = |fleet: &mut Fleet, first: u64, count: u64| {
         (first..first + count)
-            .for_each(|id| fleet.tell((id % 100) as usize, vec![message(id, FREE, 7)]));
+            .for_each(|id| fleet.handle((id % 100) as usize, vec![message(id, IDEMPOTENT, 7)]));
     };
     for round in 0..4 {
         hand_in(&mut fleet, 100 * round, 100);
@@ -390,7 +390,7 @@
     hand_in(&mut fleet, 2000, 1000);
     fleet.play(back, |_| Outcome::Error);
     fleet.play(back + 8 * SECOND, |_| Outcome::Success);
-    let back = back - T0;
+    let back = back - START;
     let sent = fleet.sent_within(back, back + 6 * SECOND);
     assert!(sent >= 135, "{sent} calls in the first 6 s of its return");
     // a destination that takes two thirds of what is listed, a fifth more for a while, falls at twice its level
@@ -406,17 +406,17 @@
 }
 
 #[test]
-fn two_messages_at_one_in_a_crowd_are_not_yet_a_tenant_beyond_its_share() {
+fn two_messages_at_one_of_many_senders_stay_within_tenant_share() {
     // Two seconds of a hundredth of a share are one message: the next lost nine tenths of its worth by chance.
     let first = |senders: u32| {
         let mut settings = settings(1);
         (settings.senders, settings.over_share_weight) = (senders, 0.1);
-        settings.classes[UNSAFE].priority_weight = 5.0;
+        settings.classes[NON_IDEMPOTENT].priority_weight = 5.0;
         settings.tenants.push(Tenant {
             name: "small".into(),
             allowance: 0.6 * f64::from(senders),
         });
-        let mut rig = Rig::new(settings, vec![entry(1, 7)]);
+        let mut host = TestHost::new(settings, vec![entry(1, 7)]);
         let of_tenant = |id, class| match message(id, class, 7) {
             Event::Accepted(new) => Event::Accepted(NewMessage {
                 tenant: Some(0),
@@ -424,17 +424,17 @@
             }),
             other => other,
         };
-        rig.tell(vec![message(0, FREE, 7)]); // takes the only slot
-        rig.tell(vec![of_tenant(1, FREE), of_tenant(2, UNSAFE)]);
-        rig.end(0, Outcome::Success, 20 * MILLISECOND);
-        if rig.sends_of(2).is_empty() { 1 } else { 2 }
+        host.handle(vec![message(0, IDEMPOTENT, 7)]); // takes the only slot
+        host.handle(vec![of_tenant(1, IDEMPOTENT), of_tenant(2, NON_IDEMPOTENT)]);
+        host.end(0, Outcome::Success, 20 * MILLISECOND);
+        if host.sends_of(2).is_empty() { 1 } else { 2 }
     };
     assert_eq!(first(3), 1, "one of three sees enough to tell");
     assert_eq!(first(100), 2, "the worthier goes first");
 }
 
 #[test]
-fn a_number_of_senders_that_makes_no_sense_starves_no_destination() {
+fn absurd_sender_count_starves_no_destination() {
     for (senders, weight) in [
         (u32::MAX, 60.0),
         (u32::MAX, 1e-300),
@@ -444,7 +444,7 @@
     ] {
         let mut odd = settings(3);
         (odd.senders, odd.weight_trust) = (senders, 0.5);
-        let mut rig = Rig::new(
+        let mut host = TestHost::new(
             odd,
             vec![EndpointEntry {
                 weight,
@@ -453,15 +453,15 @@
         );
         let (mut answered, mut late) = (0, 0);
         for round in 0..60 {
-            rig.tell(vec![message(round, FREE, 7)]);
-            let next = rig.now + 5 * SECOND;
-            rig.run(next);
-            let out = rig.sends[answered..].to_vec();
-            answered = rig.sends.len();
+            host.handle(vec![message(round, IDEMPOTENT, 7)]);
+            let next = host.now + 5 * SECOND;
+            host.run(next);
+            let out = host.sends[answered..].to_vec();
+            answered = host.sends.len();
             late += if round >= 30 { out.len() } else { 0 };
             for send in out {
                 let refused = Outcome::Rejected { retry_after: None };
-                rig.tell(vec![ended(
+                host.handle(vec![ended(
                     send.1,
                     send.3,
                     send.2,
@@ -478,36 +478,36 @@
 }
 
 #[test]
-fn with_three_slots_a_hung_destination_leaves_one_and_copies_still_start() {
-    let mut rig = Rig::new(settings(3), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
-    rig.tell((0..6).map(|id| message(id, UNSAFE, 7)).collect());
-    rig.run(T0 + 100 * MILLISECOND);
-    rig.tell(vec![message(50, FREE, 8)]);
+fn three_slots_with_hung_destination_leave_one_and_hedges_start() {
+    let mut host = TestHost::new(settings(3), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
+    host.handle((0..6).map(|id| message(id, NON_IDEMPOTENT, 7)).collect());
+    host.run(START + 100 * MILLISECOND);
+    host.handle(vec![message(50, IDEMPOTENT, 8)]);
     assert_eq!(
-        rig.sends_of(50).len(),
+        host.sends_of(50).len(),
         1,
         "two slots at most go to one destination"
     );
 
-    let mut rig = Rig::new(settings(3), vec![entry(1, 7), entry(2, 7)]);
-    rig.tell(vec![message(0, FREE, 7)]);
-    rig.end(0, Outcome::Success, 20 * MILLISECOND); // the window starts at one call and grows to two
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.run(T0 + 1_500 * MILLISECOND);
-    assert_eq!(rig.sends_of(1).len(), 2, "a copy after the offset");
+    let mut host = TestHost::new(settings(3), vec![entry(1, 7), entry(2, 7)]);
+    host.handle(vec![message(0, IDEMPOTENT, 7)]);
+    host.end(0, Outcome::Success, 20 * MILLISECOND); // the window starts at one call and grows to two
+    host.handle(vec![message(1, IDEMPOTENT, 7)]);
+    host.run(START + 1_500 * MILLISECOND);
+    assert_eq!(host.sends_of(1).len(), 2, "a copy after the offset");
 }
 
 #[test]
-fn a_sender_that_has_seen_one_call_acts_sensibly() {
-    let fresh = || Rig::new(settings(3), vec![entry(1, 7)]);
+fn sender_with_one_observed_call_keeps_limits() {
+    let fresh = || TestHost::new(settings(3), vec![entry(1, 7)]);
     let again = |outcome: Outcome| {
-        let mut rig = fresh();
-        rig.tell(vec![message(1, FREE, 7)]);
-        assert_eq!(rig.sends_of(1), [0], "nothing is known: it goes at once");
-        rig.now += 50 * MILLISECOND;
-        rig.end(1, outcome, 50 * MILLISECOND);
-        rig.run(T0 + 10 * SECOND);
-        rig.sends_of(1).get(1).copied().expect("is tried again")
+        let mut host = fresh();
+        host.handle(vec![message(1, IDEMPOTENT, 7)]);
+        assert_eq!(host.sends_of(1), [0], "nothing is known: it goes at once");
+        host.now += 50 * MILLISECOND;
+        host.end(1, outcome, 50 * MILLISECOND);
+        host.run(START + 10 * SECOND);
+        host.sends_of(1).get(1).copied().expect("is tried again")
     };
     let failed = again(Outcome::Error);
     assert!(
@@ -527,115 +527,115 @@
         "after a told wait: {told}"
     );
 
-    let mut rig = fresh();
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.run(T0 + 1_500 * MILLISECOND);
-    rig.tell(vec![message(2, FREE, 7)]);
+    let mut host = fresh();
+    host.handle(vec![message(1, IDEMPOTENT, 7)]);
+    host.run(START + 1_500 * MILLISECOND);
+    host.handle(vec![message(2, IDEMPOTENT, 7)]);
     assert_eq!(
-        rig.count(|a| matches!(a, Action::Log(_))),
+        host.count(|a| matches!(a, Action::Log(_))),
         0,
         "one slow call is no outage yet"
     );
 }
 
 #[test]
-fn connections_are_given_back_where_they_are_scarce_and_kept_elsewhere() {
+fn idle_connections_are_closed_only_where_scarce() {
     // Rounds 16 and 21: idle connections of hundreds of senders filled endpoints that take few.
     let mut rich = settings(8);
     rich.connection_idle_timeout = 5 * SECOND;
-    let closes = |rig: &Rig| rig.count(|a| *a == Action::Disconnect(EndpointId(1)));
-    let mut rig = Rig::new(rich, vec![entry(1, 7), entry(2, 8)]);
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.now += 100 * MILLISECOND;
-    rig.end(1, Outcome::Success, 100 * MILLISECOND);
-    assert_eq!(closes(&rig), 0, "no connection was ever refused");
+    let closes = |host: &TestHost| host.count(|a| *a == Action::Disconnect(EndpointId(1)));
+    let mut host = TestHost::new(rich, vec![entry(1, 7), entry(2, 8)]);
+    host.handle(vec![message(1, IDEMPOTENT, 7)]);
+    host.now += 100 * MILLISECOND;
+    host.end(1, Outcome::Success, 100 * MILLISECOND);
+    assert_eq!(closes(&host), 0, "no connection was ever refused");
     for id in 10..13 {
-        rig.now += 2 * SECOND;
-        rig.tell(vec![message(id, FREE, 8)]);
-        rig.end(id, Outcome::NoConnection, MILLISECOND);
+        host.now += 2 * SECOND;
+        host.handle(vec![message(id, IDEMPOTENT, 8)]);
+        host.end(id, Outcome::NoConnection, MILLISECOND);
     }
-    let before = closes(&rig);
-    rig.now += 20 * SECOND;
-    rig.tell(vec![message(2, FREE, 7)]);
-    rig.now += 100 * MILLISECOND;
-    rig.end(2, Outcome::Success, 100 * MILLISECOND);
+    let before = closes(&host);
+    host.now += 20 * SECOND;
+    host.handle(vec![message(2, IDEMPOTENT, 7)]);
+    host.now += 100 * MILLISECOND;
+    host.end(2, Outcome::Success, 100 * MILLISECOND);
     assert_eq!(
-        closes(&rig),
+        closes(&host),
         before + 1,
         "its kind is crowded and its next call is far"
     );
 }
 
 #[test]
-fn an_outage_is_not_taken_for_a_crowd() {
+fn outage_is_not_taken_for_connection_scarcity() {
     // After an outage each call of a hundred senders was a new connection for the rest of the day.
     let mut kept = settings(8);
     (kept.senders, kept.connection_idle_timeout) = (100, 15 * SECOND);
-    let mut rig = Rig::new(kept, vec![entry(1, 7), entry(2, 7)]);
-    let closes = |rig: &Rig| rig.count(|a| matches!(a, Action::Disconnect(_)));
+    let mut host = TestHost::new(kept, vec![entry(1, 7), entry(2, 7)]);
+    let closes = |host: &TestHost| host.count(|a| matches!(a, Action::Disconnect(_)));
     for id in 0..8 {
-        let next = rig.now + 500 * MILLISECOND;
-        rig.run(next);
-        rig.tell(vec![message(id, FREE, 7)]);
-        rig.end(id, Outcome::Success, 20 * MILLISECOND);
+        let next = host.now + 500 * MILLISECOND;
+        host.run(next);
+        host.handle(vec![message(id, IDEMPOTENT, 7)]);
+        host.end(id, Outcome::Success, 20 * MILLISECOND);
     }
-    rig.tell(vec![message(50, FREE, 7)]);
+    host.handle(vec![message(50, IDEMPOTENT, 7)]);
     let mut failed = 0;
     for _ in 0..6 {
-        if rig.sends_of(50).len() > failed {
+        if host.sends_of(50).len() > failed {
             failed += 1;
-            rig.end(50, Outcome::NoConnection, MILLISECOND);
+            host.end(50, Outcome::NoConnection, MILLISECOND);
         }
-        let next = rig.now + 4 * SECOND;
-        rig.run(next);
+        let next = host.now + 4 * SECOND;
+        host.run(next);
     }
     assert!(
-        rig.count(|a| matches!(a, Action::Log(RouteEvent::Ejected { .. }))) == 1,
+        host.count(|a| matches!(a, Action::Log(RouteEvent::Ejected { .. }))) == 1,
         "it was out"
     );
-    rig.end(50, Outcome::Success, 20 * MILLISECOND);
-    let before = closes(&rig);
+    host.end(50, Outcome::Success, 20 * MILLISECOND);
+    let before = closes(&host);
     for id in 100..106 {
-        let next = rig.now + 6 * SECOND;
-        rig.run(next);
-        rig.tell(vec![message(id, FREE, 7)]);
-        let next = rig.now + 4 * SECOND;
-        rig.run(next);
-        if !rig.sends_of(id).is_empty() {
-            rig.end(id, Outcome::Success, 20 * MILLISECOND);
+        let next = host.now + 6 * SECOND;
+        host.run(next);
+        host.handle(vec![message(id, IDEMPOTENT, 7)]);
+        let next = host.now + 4 * SECOND;
+        host.run(next);
+        if !host.sends_of(id).is_empty() {
+            host.end(id, Outcome::Success, 20 * MILLISECOND);
         }
     }
     assert_eq!(
-        closes(&rig),
+        closes(&host),
         before,
         "connections are kept again once it is back"
     );
 }
 
 #[test]
-fn a_used_up_told_limit_holds_a_sender_to_its_even_share() {
+fn exhausted_reported_limit_holds_sender_to_fair_share() {
     // Round 22: each of fifty senders tried a little, all together more than refused calls left of the limit.
     let count = |left: f64| {
         let mut told = settings(3);
         told.senders = 50;
         (told.report_remaining, told.report_limit) = (Some(0), Some(1));
-        let mut rig = Rig::new(told, vec![entry(1, 7)]);
-        rig.tell((0..40).map(|id| message(id, FREE, 7)).collect());
+        let mut host = TestHost::new(told, vec![entry(1, 7)]);
+        host.handle((0..40).map(|id| message(id, IDEMPOTENT, 7)).collect());
         let mut answered = 0;
-        while rig.now < T0 + 10 * SECOND {
-            let out = rig.sends[answered..].to_vec();
-            answered = rig.sends.len();
-            let next = rig.now + 40 * MILLISECOND;
-            rig.run(next);
+        while host.now < START + 10 * SECOND {
+            let out = host.sends[answered..].to_vec();
+            answered = host.sends.len();
+            let next = host.now + 40 * MILLISECOND;
+            host.run(next);
             for send in out {
                 let mut end = ended(send.1, send.3, send.2, Outcome::Success, 40 * MILLISECOND);
                 if let Event::AttemptEnded { report, .. } = &mut end {
                     *report = vec![left, 5.0];
                 }
-                rig.tell(vec![end]);
+                host.handle(vec![end]);
             }
         }
-        rig.sends.len()
+        host.sends.len()
     };
     assert!(
         count(0.0) <= 4,
@@ -646,29 +646,29 @@
 }
 
 #[test]
-fn replaced_fleets_quiet_destinations_and_old_keys_take_no_memory() {
+fn replaced_endpoints_idle_destinations_and_old_keys_are_forgotten() {
     let mut small = settings(8);
     small.max_pending = 10;
-    let mut rig = Rig::new(small, vec![entry(1, 7)]);
+    let mut host = TestHost::new(small, vec![entry(1, 7)]);
     let mut early = 0;
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        rig.tell(vec![Event::EndpointList {
+        host.handle(vec![Event::EndpointList {
             scope: ListScope::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
         new.key = Some(id);
-        rig.tell(vec![Event::Accepted(new)]);
-        rig.now += 50 * MILLISECOND;
-        rig.end(id, Outcome::Success, 50 * MILLISECOND);
-        rig.now += SECOND;
+        host.handle(vec![Event::Accepted(new)]);
+        host.now += 50 * MILLISECOND;
+        host.end(id, Outcome::Success, 50 * MILLISECOND);
+        host.now += SECOND;
         if round == 100 {
-            early = format!("{:?}", rig.sender).len();
+            early = format!("{:?}", host.sender).len();
         }
     }
-    let late = format!("{:?}", rig.sender).len();
+    let late = format!("{:?}", host.sender).len();
     assert!(
         late < early + 2_000,
         "the state grew from {early} to {late} characters"
@@ -676,10 +676,10 @@
 }
 
 #[test]
-fn an_id_that_returns_elsewhere_is_new() {
-    let mut rig = Rig::new(settings(8), vec![entry(1, 7)]);
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.tell(vec![Event::EndpointList {
+fn endpoint_id_listed_for_other_destination_is_new() {
+    let mut host = TestHost::new(settings(8), vec![entry(1, 7)]);
+    host.handle(vec![message(1, IDEMPOTENT, 7)]);
+    host.handle(vec![Event::EndpointList {
         scope: ListScope::Full,
         entries: vec![EndpointEntry {
             kind: 1,
@@ -687,21 +687,21 @@
             ..entry(1, 8)
         }],
     }]);
-    rig.tell(vec![message(2, FREE, 7), message(3, FREE, 8)]);
-    assert_eq!((rig.sends_of(2).len(), rig.sends_of(3).len()), (0, 1));
-    rig.end(1, Outcome::Success, MILLISECOND); // the old call still ends well
-    rig.end(3, Outcome::Success, MILLISECOND);
-    rig.run(T0 + 40 * SECOND);
-    assert!(rig.refused(2) && rig.sends_of(2).is_empty());
+    host.handle(vec![message(2, IDEMPOTENT, 7), message(3, IDEMPOTENT, 8)]);
+    assert_eq!((host.sends_of(2).len(), host.sends_of(3).len()), (0, 1));
+    host.end(1, Outcome::Success, MILLISECOND); // the old call still ends well
+    host.end(3, Outcome::Success, MILLISECOND);
+    host.run(START + 40 * SECOND);
+    assert!(host.rejected(2) && host.sends_of(2).is_empty());
 }
 
 #[test]
-fn odd_reports_weights_notes_and_alarms_neither_panic_nor_stop_the_traffic() {
+fn odd_reports_weights_notes_and_timers_do_not_stop_sending() {
     let mut told = settings(2);
     (told.senders, told.weight_trust, told.notes_allowed) = (300, 0.5, true);
     (told.report_remaining, told.report_limit) = (Some(0), Some(1));
     for odd in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        let mut rig = Rig::new(
+        let mut host = TestHost::new(
             told.clone(),
             vec![EndpointEntry {
                 weight: odd,
@@ -709,20 +709,20 @@
             }],
         );
         for id in 0..5 {
-            rig.tell(vec![
-                message(id, FREE, 7),
+            host.handle(vec![
+                message(id, IDEMPOTENT, 7),
                 Event::PeerNote {
                     from: 999,
                     bytes: vec![0; 300],
                 },
                 Event::TimerExpired,
             ]);
-            rig.run(rig.now + 2 * SECOND);
+            host.run(host.now + 2 * SECOND);
             let mut end = ended(id, 0, 1, Outcome::Success, 20 * MILLISECOND);
             if let Event::AttemptEnded { report, .. } = &mut end {
                 *report = vec![odd, odd];
             }
-            rig.tell(vec![
+            host.handle(vec![
                 end.clone(),
                 end,
                 Event::PeerNote {
@@ -731,19 +731,19 @@
                 },
             ]);
         }
-        rig.run(rig.now + 3_600 * SECOND);
+        host.run(host.now + 3_600 * SECOND);
         let probe = Event::HealthCheckEnded {
             endpoint: EndpointId(1),
             outcome: Outcome::TimedOut,
             report: vec![odd],
         };
-        rig.tell(vec![
+        host.handle(vec![
             probe,
-            message(90, FREE, 7),
+            message(90, IDEMPOTENT, 7),
             Event::TimerExpired,
             Event::TimerExpired,
         ]);
-        rig.run(rig.now + 31 * SECOND);
-        assert!(!rig.sends_of(90).is_empty(), "report and weight {odd}");
+        host.run(host.now + 31 * SECOND);
+        assert!(!host.sends_of(90).is_empty(), "report and weight {odd}");
     }
 }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn where_new_connections_are_turned_away_and_kept_ones_served_none_is_kept_idle() {
+fn idle_connections_are_closed_where_only_new_ones_are_rejected() {
     let mut rig = scarce();
     assert!(!rig.no_room, "it is not known yet");
     assert!(!rig.call(0, AnswerKind::Served));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_stands_idle_as_connections_turn_scarce_is_closed_at_the_next_tick() {
+fn idle_connections_are_closed_at_next_tick_after_scarcity() {
     let mut rig = Rig::new();
     assert!(
         rig.call(0, AnswerKind::Served)
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn one_sender_alone_keeps_what_it_has() {
+fn lone_sender_keeps_idle_connections() {
     let mut rig = Rig::new();
     rig.pool.set_limits(
         T0,
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_limit_of_calls_that_turns_away_on_all_connections_closes_none() {
+fn call_limit_rejections_on_all_connections_close_none() {
     let mut rig = Rig::new();
     for round in 0..40 {
         let answered = if round % 2 == 0 {
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_start_at_which_all_is_turned_away_closes_none() {
+fn start_with_all_connections_rejected_closes_none() {
     let mut rig = Rig::new();
     (0..20).for_each(|number| assert!(!rig.call(number, AnswerKind::Rejected)));
     assert!(rig.call(3, AnswerKind::Served));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn once_new_connections_are_served_again_they_are_kept() {
+fn connections_are_kept_once_new_ones_are_served_again() {
     let mut rig = scarce();
     let kept = (0..40).find(|_| rig.call(0, AnswerKind::Served));
     assert!(
