--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -1,6 +1,6 @@
 //! Sends the messages that are ready, the most urgent first.
 
-use super::routing::Destination;
+use super::routing::SendTarget;
 use super::state::{Attempt, Call, Route};
 use super::{DEADLINE_MARGIN, Sender};
 use crate::backlog::{Candidate, Candidates, Place};
@@ -89,17 +89,17 @@
         let may_hedge = !self.are_hedges_full();
         // a hedge skipped for its share comes up again in the next turn: its interval is not
         // doubled
-        let destination = self.choose_endpoint(id, is_hedge, open_calls);
-        let Some(destination) = destination.filter(|_| !is_hedge || may_hedge) else {
+        let target = self.choose_endpoint(id, is_hedge, open_calls);
+        let Some(target) = target.filter(|_| !is_hedge || may_hedge) else {
             return false;
         };
-        let joined_call = destination.joined_call;
+        let joined_call = target.joined_call;
         let call = joined_call.unwrap_or_else(|| {
-            let call = self.open_call(destination.endpoint, is_hedge);
-            open_calls.insert(destination.endpoint, call);
+            let call = self.open_call(target.endpoint, is_hedge);
+            open_calls.insert(target.endpoint, call);
             call
         });
-        self.send(id, destination, call, is_hedge, actions);
+        self.send(id, target, call, is_hedge, actions);
         true
     }
 
@@ -140,13 +140,13 @@
     fn send(
         &mut self,
         id: MessageId,
-        destination: Destination,
+        target: SendTarget,
         call: u64,
         is_hedge: bool,
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
-        let endpoint = destination.endpoint;
+        let endpoint = target.endpoint;
         let route = self.route_mut(self.route_of(endpoint));
         let response_limit = route.response_limit();
         let hedge_delay = route.hedge_delay();
--- a/src/decisions/message_index.rs
+++ b/src/decisions/message_index.rs
@@ -105,7 +105,7 @@
         self.rebuild_index();
         assert_eq!(
             index, self.index,
-            "a change of a message was not told to the index"
+            "the index was not updated after a change of a message"
         );
     }
 }
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -110,7 +110,7 @@
         let waiting: BTreeSet<_> = self
             .messages
             .values()
-            .map(|held| held.destination)
+            .map(|message| message.destination)
             .collect();
         for (id, route) in &mut self.routes {
             let is_first = was_suspended || route.rate_limit.is_infinite();
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -15,7 +15,7 @@
 
 /// Where a message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Destination {
+pub(super) struct SendTarget {
     pub endpoint: EndpointId,
     /// The call of this turn that it joins; none: it opens a call.
     pub joined_call: Option<u64>,
@@ -35,7 +35,7 @@
     is_in_other_zone: bool,
     /// Spreads messages over equals.
     random: u32,
-    destination: Destination,
+    target: SendTarget,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,7 +79,7 @@
         id: MessageId,
         is_hedge: bool,
         open_calls: &BTreeMap<EndpointId, u64>,
-    ) -> Option<Destination> {
+    ) -> Option<SendTarget> {
         let message = &self.messages[&id];
         let destination: DestinationId = message.destination;
         let is_non_idempotent = self.effect(message.class) == Effect::NonIdempotent;
@@ -94,7 +94,7 @@
         let mut options = Vec::new();
         for endpoint in endpoints {
             let joined_call = self.joinable_call(endpoint, open_calls);
-            let option = Destination {
+            let option = SendTarget {
                 endpoint,
                 joined_call,
             };
@@ -102,7 +102,7 @@
                 options.push(self.suitability(id, option));
             }
         }
-        options.into_iter().min().map(|best| best.destination)
+        options.into_iter().min().map(|best| best.target)
     }
 
     /// The call to the endpoint that was opened in this turn and has room for one more message.
@@ -118,8 +118,8 @@
     }
 
     /// True if the message may go there, and that is advisable.
-    fn is_option(&mut self, proposal: &Proposal, option: Destination) -> bool {
-        let Destination {
+    fn is_option(&mut self, proposal: &Proposal, option: SendTarget) -> bool {
+        let SendTarget {
             endpoint,
             joined_call,
         } = option;
@@ -188,7 +188,7 @@
         is_advised
     }
 
-    fn suitability(&mut self, id: MessageId, option: Destination) -> Suitability {
+    fn suitability(&mut self, id: MessageId, option: SendTarget) -> Suitability {
         let message = &self.messages[&id];
         let route = self.route_of(option.endpoint);
         let endpoint = &self.endpoints[&option.endpoint];
@@ -203,12 +203,12 @@
             load: self.load_of(route, option),
             is_in_other_zone: endpoint.zone != self.settings.zone,
             random: self.random.next_u32(),
-            destination: option,
+            target: option,
         }
     }
 
     /// Filling a call costs nothing; another route has a limit of its own, a shared one has not.
-    fn load_of(&self, route: RouteId, option: Destination) -> usize {
+    fn load_of(&self, route: RouteId, option: SendTarget) -> usize {
         if option.joined_call.is_some() {
             return 0;
         }
