--- a/registry/src/replica/allocating.rs
+++ b/registry/src/replica/allocating.rs
@@ -179,7 +179,7 @@
             return Answer::Rejected(CommandError::Ledger(LedgerError::NotCreated));
         };
         if &request.fallback_quotas != ledger.fallback_quotas() {
-            return Answer::OtherFloor;
+            return Answer::OtherFallback;
         }
         if request.demands.len() > MAX_DEMANDS || request.health_reports.len() > MAX_DEMANDS {
             return Answer::Rejected(TooMany::Demands.into());
--- a/registry/src/replica/allocating/tests.rs
+++ b/registry/src/replica/allocating/tests.rs
@@ -45,14 +45,14 @@
 
 fn split_ledger() -> Option<LedgerState> {
     let mut ledger = None;
-    let floors = FallbackQuotas {
+    let fallback_quotas = FallbackQuotas {
         senders: 3,
         per_sender: [("rate".to_string(), 0)].into(),
     };
     apply(
         &mut ledger,
         LedgerEntry::Create {
-            fallback_quotas: floors,
+            fallback_quotas,
             terms: TERMS,
             split_at: Vec::new(),
         },
--- a/registry/src/replica/interface.rs
+++ b/registry/src/replica/interface.rs
@@ -28,8 +28,8 @@
     Granted(Box<Grant>),
     /// Quotas.
     Quotas(Box<QuotaResponse>),
-    /// The sender's floor is not the one that is agreed.
-    OtherFloor,
+    /// The sender's fallback rules or quotas are not those that are agreed.
+    OtherFallback,
     /// Not now: a bound is reached, or another change is under way.
     Busy(BusyReason),
     /// What is applied here is at least what was answered to anybody before the request.
--- a/registry/src/replica/leadership.rs
+++ b/registry/src/replica/leadership.rs
@@ -26,12 +26,13 @@
     /// The sender's incarnation: it differs between any two processes of one name.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The version that the sender acts on; none: the floor.
+    /// The version that the sender acts on; none: the fallback.
     pub acts_on: Option<VersionTag>,
     /// The version of the endpoint list that the sender acts on.
     pub rev: u64,
     /// The rules of the sender without a lease.
-    pub floor: Rules,
+    #[serde(rename = "floor")]
+    pub fallback: Rules,
 }
 
 /// A sender's process.
@@ -133,8 +134,8 @@
         let (Some(versions), Some(leases)) = (&state.versions, &mut self.leases) else {
             return Answer::Rejected(CommandError::NoRules);
         };
-        if &request.floor != versions.fallback() {
-            return Answer::OtherFloor;
+        if &request.fallback != versions.fallback() {
+            return Answer::OtherFallback;
         }
         let SenderLeaseRequest {
             sender,
--- a/registry/src/server/api.rs
+++ b/registry/src/server/api.rs
@@ -156,7 +156,7 @@
     #[error(transparent)]
     Rejected(CommandError),
     #[error("the floor is not the one that is agreed here")]
-    OtherFloor,
+    OtherFallback,
     #[error(transparent)]
     Overloaded(#[from] Overloaded),
     #[error(transparent)]
@@ -222,7 +222,7 @@
             ApiError::Ledger(error) => ledger_status(error),
             ApiError::Freeze(error) => freeze_status(error),
             ApiError::Rejected(error) => rejection_status(error),
-            ApiError::OtherFloor => StatusCode::CONFLICT,
+            ApiError::OtherFallback => StatusCode::CONFLICT,
             ApiError::LeaderSilentOnWrite | ApiError::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
             ApiError::Overloaded(_)
             | ApiError::Busy(_)
--- a/registry/src/server/api/tests.rs
+++ b/registry/src/server/api/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn ledger_error_has_a_code_and_a_help() {
     let key = LimitKey::of(7, Resource::Rate);
-    let floors = LimitError::BelowFallbackQuotas {
+    let below_fallback = LimitError::BelowFallbackQuotas {
         key: key.clone(),
         senders: 3,
         fallback: 5,
@@ -17,7 +17,7 @@
         (LedgerError::AlreadyCreated, 409),
         (LedgerError::InvalidShards, 400),
         (LedgerError::VersionMismatch { now: 2, wanted: 1 }, 412),
-        (floors.into(), 409),
+        (below_fallback.into(), 409),
         (LimitError::Unknown(key.clone()).into(), 404),
         (LimitError::NoFallbackQuota(key).into(), 400),
     ] {
--- a/registry/src/server/forwarding.rs
+++ b/registry/src/server/forwarding.rs
@@ -32,7 +32,7 @@
             Answer::NotLeader(leader) => self.forward_to_leader(request, leader).await,
             Answer::OutcomeUnknown => Err(ApiError::OutcomeUnknown),
             Answer::Busy(reason) => Err(ApiError::Busy(reason)),
-            Answer::OtherFloor => Err(ApiError::OtherFloor),
+            Answer::OtherFallback => Err(ApiError::OtherFallback),
             Answer::Rejected(error) => Err(error.into()),
             Answer::Applied(_) | Answer::Granted(_) | Answer::Quotas(_) | Answer::UpToDate => {
                 Ok(no_content())
--- a/registry/src/settings.rs
+++ b/registry/src/settings.rs
@@ -63,7 +63,8 @@
     #[serde(default = "default_drift_percent")]
     pub drift_percent: f64,
     /// A JSON file: the rules of a sender without a lease.
-    pub floor: PathBuf,
+    #[serde(rename = "floor")]
+    pub fallback: PathBuf,
     /// A JSON file: the first version of the rules.
     pub rules: PathBuf,
 }
@@ -81,8 +82,8 @@
     /// Senders that are configured.
     pub senders: u32,
     /// The quota of each sender without an allocation, by key or kind.
-    #[serde(default)]
-    pub floors: BTreeMap<String, u64>,
+    #[serde(default, rename = "floors")]
+    pub fallback_quotas: BTreeMap<String, u64>,
     /// The first destinations of the ranges after the first range.
     #[serde(default)]
     pub split_at: Vec<u64>,
@@ -170,7 +171,7 @@
     },
     /// The rules forbid what senders do without a lease.
     #[error("agreement.floor is not within agreement.rules")]
-    FloorNotWithinRules,
+    FallbackNotWithinRules,
 }
 
 impl Settings {
@@ -193,7 +194,7 @@
     fn resolve_paths(&mut self, folder: &Path) {
         self.folder = folder.join(&self.folder);
         if let Some(agreement) = &mut self.agreement {
-            agreement.floor = folder.join(&agreement.floor);
+            agreement.fallback = folder.join(&agreement.fallback);
             agreement.rules = folder.join(&agreement.rules);
         }
     }
@@ -224,18 +225,18 @@
     /// The command that begins the rules, where there are any.
     ///
     /// # Errors
-    /// A file is missing or holds no rules, or the floor is not within the rules.
+    /// A file is missing or holds no rules, or the fallback is not within the rules.
     pub fn begin_rules(&self) -> Result<Option<Command>, SettingsError> {
         let Some(agreement) = &self.agreement else {
             return Ok(None);
         };
-        let floor = read_rules(&agreement.floor)?;
+        let fallback = read_rules(&agreement.fallback)?;
         let rules = read_rules(&agreement.rules)?;
-        VersionedRules::new(floor.clone(), rules.clone())
-            .map_err(|_| SettingsError::FloorNotWithinRules)?;
+        VersionedRules::new(fallback.clone(), rules.clone())
+            .map_err(|_| SettingsError::FallbackNotWithinRules)?;
         let terms = lease_terms(agreement.lease_ms, agreement.drift_percent);
         Ok(Some(Command::BeginRules {
-            floor,
+            fallback,
             rules,
             terms,
         }))
@@ -247,16 +248,16 @@
             lease_ms,
             drift_percent,
             senders,
-            floors,
+            fallback_quotas,
             split_at,
         } = self.ledger.clone()?;
-        let floors = FallbackQuotas {
+        let fallback_quotas = FallbackQuotas {
             senders,
-            per_sender: floors,
+            per_sender: fallback_quotas,
         };
         let terms = lease_terms(lease_ms, drift_percent);
         Some(Command::Ledger(LedgerEntry::Create {
-            fallback_quotas: floors,
+            fallback_quotas,
             terms,
             split_at,
         }))
--- a/registry/src/settings/tests.rs
+++ b/registry/src/settings/tests.rs
@@ -89,7 +89,7 @@
     }
     write("rules.json", r#"{"limits":{"calls":3}}"#);
     assert!(
-        matches!(read(GOOD), Err(SettingsError::FloorNotWithinRules)),
-        "a floor without limit is freer than one of 3"
+        matches!(read(GOOD), Err(SettingsError::FallbackNotWithinRules)),
+        "a fallback without limit is freer than one of 3"
     );
 }
--- a/registry/src/settings/validation.rs
+++ b/registry/src/settings/validation.rs
@@ -119,7 +119,7 @@
         let is_key = |name: &String| {
             LIMIT_KINDS.contains(&name.as_str()) || name.parse::<LimitKey>().is_ok()
         };
-        let keys = self.floors.keys().all(is_key);
+        let keys = self.fallback_quotas.keys().all(is_key);
         check(keys, "ledger.floors", "a table of keys, or kinds of them")?;
         let grows = self.split_at.windows(2).all(|pair| pair[0] < pair[1]);
         check(
--- a/registry/src/state.rs
+++ b/registry/src/state.rs
@@ -76,10 +76,10 @@
             }
             Command::Expire(expired) => changed = self.expire(expired)?,
             Command::BeginRules {
-                floor,
+                fallback,
                 rules,
                 terms,
-            } => self.begin_rules(floor, rules, terms)?,
+            } => self.begin_rules(fallback, rules, terms)?,
             Command::ProposeRules(proposal) => self.propose_rules(proposal)?,
             Command::AdvanceRules(version) => {
                 // a step that has been taken is no fault: two leaders may have proposed it
@@ -119,16 +119,16 @@
 
     fn begin_rules(
         &mut self,
-        floor: Rules,
+        fallback: Rules,
         rules: Rules,
         terms: LeaseTerms,
     ) -> Result<(), CommandError> {
         if self.versions.is_some() {
             return Err(CommandError::RulesBegun);
         }
-        floor.validate()?;
+        fallback.validate()?;
         rules.validate()?;
-        let versions = VersionedRules::new(floor, rules)?;
+        let versions = VersionedRules::new(fallback, rules)?;
         self.store_rules(&versions);
         self.versions = Some(versions);
         self.terms = Some(terms);
--- a/registry/src/state/command.rs
+++ b/registry/src/state/command.rs
@@ -66,7 +66,7 @@
     /// Begins the agreed rules, where there are none.
     BeginRules {
         /// The rules of a sender without a lease.
-        floor: Rules,
+        fallback: Rules,
         /// The first version.
         rules: Rules,
         /// The duration of leases, and the drift of clocks to allow for.
--- a/registry/tests/compatibility/samples.rs
+++ b/registry/tests/compatibility/samples.rs
@@ -96,12 +96,12 @@
 }
 
 fn begin_ledger() -> LedgerEntry {
-    let floors = FallbackQuotas {
+    let fallback_quotas = FallbackQuotas {
         senders: 3,
         per_sender: [("rate".to_string(), 10)].into(),
     };
     LedgerEntry::Create {
-        fallback_quotas: floors,
+        fallback_quotas,
         terms: LeaseTerms {
             lease: 1_500_000,
             max_drift: 30_304,
@@ -123,7 +123,7 @@
 
 /// Commands that a new state takes, in order.
 pub fn taken() -> Vec<Command> {
-    let floor = Rules {
+    let fallback = Rules {
         limits: [("calls".to_string(), 5)].into(),
         ..Rules::default()
     };
@@ -133,7 +133,7 @@
     };
     vec![
         Command::BeginRules {
-            floor,
+            fallback,
             rules: rules(50),
             terms,
         },
--- a/registry/tests/compatibility/settings.rs
+++ b/registry/tests/compatibility/settings.rs
@@ -14,11 +14,14 @@
     write("rules.json", r#"{"limits":{"calls":50}}"#);
     write("registry.toml", text);
     Settings::read(&folder.path().join("registry.toml")).inspect(|settings| {
-        let Ok(Some(Command::BeginRules { floor, rules, .. })) = settings.begin_rules() else {
+        let Ok(Some(Command::BeginRules {
+            fallback, rules, ..
+        })) = settings.begin_rules()
+        else {
             return;
         };
         let calls = |rules: &Rules| rules.limits["calls"];
-        assert_eq!((calls(&floor), calls(&rules)), (5, 50));
+        assert_eq!((calls(&fallback), calls(&rules)), (5, 50));
     })
 }
 
@@ -45,7 +48,7 @@
     assert_eq!(addresses[&1].clients.to_string(), "127.0.0.1:8501");
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (7000, 2.5));
-    let floors = FallbackQuotas {
+    let fallback_quotas = FallbackQuotas {
         senders: 4,
         per_sender: [("out/7".to_string(), 3), ("rate".to_string(), 10)].into(),
     };
@@ -54,7 +57,7 @@
         max_drift: 17_086,
     };
     let begin = LedgerEntry::Create {
-        fallback_quotas: floors,
+        fallback_quotas,
         terms,
         split_at: vec![100, 200],
     };
@@ -72,12 +75,12 @@
     assert!(!settings.join && settings.peers.is_none() && settings.addresses().is_empty());
     let agreement = settings.agreement.as_ref().expect("an agreement");
     assert_eq!((agreement.lease_ms, agreement.drift_percent), (6000, 1.0));
-    let floors = FallbackQuotas {
+    let fallback_quotas = FallbackQuotas {
         senders: 4,
         per_sender: [].into(),
     };
     let begin = LedgerEntry::Create {
-        fallback_quotas: floors,
+        fallback_quotas,
         terms: LeaseTerms {
             lease: 1_500_000,
             max_drift: 30_304,
--- a/registry/tests/replicas/simulation.rs
+++ b/registry/tests/replicas/simulation.rs
@@ -48,7 +48,7 @@
 
 pub fn begin() -> Command {
     Command::BeginRules {
-        floor: Rules::default(),
+        fallback: Rules::default(),
         rules: rules(1),
         terms: terms(),
     }
@@ -201,7 +201,7 @@
                         incarnation,
                         acts_on,
                         rev: 0,
-                        floor: Rules::default(),
+                        fallback: Rules::default(),
                     };
                     self.run_turn(to, |replica, output| {
                         replica.request_lease(ticket, question, output)
