--- a/src/net/calls/compatibility.rs
+++ b/src/net/calls/compatibility.rs
@@ -1,7 +1,13 @@
 //! Requests to endpoints, byte for byte, and what their answers come to.
 
-use super::*;
+use super::Item;
+use super::answer::{AttemptResult, bulk_results, read_load_report, read_retry_after};
+use super::request::{CallRequest, call_request};
 use crate::net::http_golden as golden;
+use bytes::Bytes;
+use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
+use std::time::Duration;
+use tokio::time::Instant;
 
 fn item(id: &'static str, key: Option<&'static str>, body: &'static [u8]) -> Item {
     let key = key.map(HeaderValue::from_static);
@@ -21,7 +27,10 @@
         .build();
     let (least, bytes) = runtime.expect("a runtime").block_on(async move {
         let expires = Instant::now() + Duration::from_millis(1234);
-        let (request, least) = request_of(address, items, expires).expect("it can be written");
+        let CallRequest {
+            request,
+            min_bytes: least,
+        } = call_request(address, items, expires).expect("it can be written");
         let (here, mut there) = tokio::io::duplex(4096);
         let shake = hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(here));
         let (mut sender, connection) = shake.await.expect("a connection");
@@ -41,9 +50,13 @@
     )
 }
 
-fn told(ends: &[(Outcome, bool)]) -> String {
-    let encoded =
-        |end: &(Outcome, bool)| format!("{:?}", postcard::to_allocvec(end).expect("encoded"));
+fn told(ends: &[AttemptResult]) -> String {
+    let encoded = |end: &AttemptResult| {
+        format!(
+            "{:?}",
+            postcard::to_allocvec(&(end.outcome, end.is_complete)).expect("encoded")
+        )
+    };
     ends.iter().map(encoded).collect::<Vec<_>>().join(" ")
 }
 
@@ -67,13 +80,13 @@
 fn answers_of_endpoints_are_read_as_recorded() {
     let items = ["m1", "m2", "m3", "m4", "m5", "m6"].map(|id| item(id, None, b""));
     let text = b"m2 later\r\nm1 ok\nm3 gone\nm4 exhausted \nm6 what\nm9 ok\n";
-    let mut read = told(&ends_of(text, &items, Some(5000)))
+    let mut read = told(&bulk_results(text, &items, Some(5000)))
         + "\n"
-        + &told(&ends_of(text, &items, None))
+        + &told(&bulk_results(text, &items, None))
         + "\n";
     for wait in ["1", "0.0015", " 3 ", "-1", "soon", "99999999", "nan", "0"] {
         let headers = HeaderMap::from_iter([(RETRY_AFTER, HeaderValue::from_static(wait))]);
-        read += &format!("Retry-After {wait}: {:?}\n", wait_of(&headers));
+        read += &format!("Retry-After {wait}: {:?}\n", read_retry_after(&headers));
     }
     let fields = ["x0".to_string(), "x1".to_string()];
     for report in [
@@ -85,7 +98,7 @@
     ] {
         let name = hyper::header::HeaderName::from_static("x-server-load");
         let headers = HeaderMap::from_iter([(name, HeaderValue::from_static(report))]);
-        read += &format!("{report}: {:?}\n", report_of(&headers, &fields));
+        read += &format!("{report}: {:?}\n", read_load_report(&headers, &fields));
     }
     golden::compare("endpoint_answers.txt", &read);
 }
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -1,14 +1,20 @@
 //! A call cut at any byte.
 
 use super::super::pool::limits;
+use super::answer::{AttemptResult, CallResults, REST_OF_ANSWER_TIME};
+use super::exchange::{CallProgress, exchange};
 use super::*;
+use message_sender::Outcome;
+use message_sender::pool::CloseReason;
 use message_sender::pool::PoolSettings;
 use message_sender::{EndpointId, SECOND, Settings};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
+use tokio::time::timeout;
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-fn shared(streams: Vec<DuplexStream>) -> (Rc<Shared>, Call) {
+fn shared(streams: Vec<DuplexStream>) -> (Rc<CallContext>, Call) {
     let settings = Settings {
         connection_idle_timeout: 60 * SECOND,
         ..Settings::new(8, 100)
@@ -32,7 +38,7 @@
         calls.0,
         Call {
             number: 0,
-            place,
+            target: place,
             items,
             expires,
             start_by: None,
@@ -81,14 +87,22 @@
         });
         if reused {
             assert!(matches!(
-                exchange(&shared, &call, &end, &Under::default()).await.ends,
-                Ends::All(Outcome::Success, true)
+                exchange(&shared, &call, &end, &CallProgress::default())
+                    .await
+                    .results,
+                CallResults::Same(AttemptResult {
+                    outcome: Outcome::Success,
+                    is_complete: true
+                })
             ));
             // the rest of that answer is read and its connection given back
             tokio::time::sleep(Duration::from_millis(1)).await;
             call.expires += Duration::from_millis(1); // the request says how long is left
         }
-        let Ends::All(outcome, _) = exchange(&shared, &call, &end, &Under::default()).await.ends
+        let CallResults::Same(AttemptResult { outcome, .. }) =
+            exchange(&shared, &call, &end, &CallProgress::default())
+                .await
+                .results
         else {
             panic!("one message has one end");
         };
@@ -97,7 +111,7 @@
         (
             outcome,
             seen,
-            timeout(DRAIN, other)
+            timeout(REST_OF_ANSWER_TIME, other)
                 .await
                 .map_or(Vec::new(), |seen| seen.expect("it ends")),
         )
@@ -152,21 +166,26 @@
         let (here, mut there) = duplex(1);
         let (shared, call) = shared(vec![here]);
         let end = Rc::new(Cell::new(CloseReason::Cancelled));
-        let under = Under::default();
+        let under = CallProgress::default();
         let told = async {
             // the call has asked, its dial is under way
-            shared.connections.apply_retry_after(call.place, SECOND);
+            shared.connections.apply_retry_after(call.target, SECOND);
             tokio::time::sleep(Duration::from_millis(10)).await;
         };
-        let (answer, ()) =
-            tokio::join!(timeout(DRAIN, exchange(&shared, &call, &end, &under)), told);
+        let (answer, ()) = tokio::join!(
+            timeout(REST_OF_ANSWER_TIME, exchange(&shared, &call, &end, &under)),
+            told
+        );
         let answer = answer.expect("it has its end at once");
         assert!(matches!(
-            answer.ends,
-            Ends::All(Outcome::NotSent { no_slot: false }, false)
+            answer.results,
+            CallResults::Same(AttemptResult {
+                outcome: Outcome::NotSent { no_slot: false },
+                is_complete: false
+            })
         ));
         // the connection came up and stays idle, with nothing written
-        assert!(timeout(DRAIN, there.read_u8()).await.is_err());
+        assert!(timeout(REST_OF_ANSWER_TIME, there.read_u8()).await.is_err());
     });
 }
 
@@ -229,7 +248,7 @@
             calls.start(
                 Call {
                     number: 0,
-                    place,
+                    target: place,
                     items,
                     expires,
                     start_by: None,
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use super::attempts::NOT_SENT;
-use crate::net::calls::{Call, CallOut};
+use crate::net::calls::{Call, InFlightCall};
 use crate::net::events::MAX_BODY_BYTES;
 use message_sender::decisions::InFlightAttempt;
 use message_sender::{EndpointId, MessageId, Micros};
@@ -64,12 +64,12 @@
 /// Calls that have not ended, by number.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
-    calls: BTreeMap<u64, CallOut>,
+    calls: BTreeMap<u64, InFlightCall>,
     next: u64,
 }
 
 impl CallsInFlight {
-    pub fn get(&self, call: u64) -> Option<&CallOut> {
+    pub fn get(&self, call: u64) -> Option<&InFlightCall> {
         self.calls.get(&call)
     }
 
@@ -77,11 +77,11 @@
         self.calls.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &CallOut)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
         self.calls.iter().map(|(&number, call)| (number, call))
     }
 
-    pub fn insert(&mut self, number: u64, call: CallOut) {
+    pub fn insert(&mut self, number: u64, call: InFlightCall) {
         self.calls.insert(number, call);
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// One message of a call has ended. Returns the call if that was the last.
-    pub fn end_item(&mut self, number: u64) -> Option<CallOut> {
+    pub fn end_item(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
         call.left -= 1;
         if call.left > 0 {
@@ -116,7 +116,7 @@
     }
 
     /// Calls that a predecessor has in flight.
-    pub fn of_predecessor(&self) -> impl Iterator<Item = (u64, &CallOut)> {
+    pub fn of_predecessor(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
         self.iter().filter(|(_, call)| call.cancels.is_none())
     }
 
@@ -145,7 +145,7 @@
             }
         }
         let (cancels, cancelled) = mpsc::unbounded_channel();
-        let in_flight = CallOut {
+        let in_flight = InFlightCall {
             cancels: Some(cancels),
             left: bundle.sends.len(),
             items: bundle.sends,
@@ -153,7 +153,7 @@
         self.calls_in_flight.insert(number, in_flight);
         let call = Call {
             number,
-            place,
+            target: place,
             items,
             expires: self.clock.instant(bundle.expires),
             start_by: bundle.start_by.map(|by| self.clock.instant(by)),
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -5,7 +5,7 @@
 use super::endpoints::EndpointRecord;
 use super::messages::{Attempt, Message};
 use crate::net;
-use crate::net::calls::CallOut;
+use crate::net::calls::InFlightCall;
 use crate::net::handover::{
     AttemptState, CallItemState, CallState, EndpointState, HandoverState, Link, LinkError,
     MessageState, SuccessorRequest, text,
@@ -158,7 +158,7 @@
     }
 }
 
-fn call_state((number, call): (u64, &CallOut)) -> CallState {
+fn call_state((number, call): (u64, &InFlightCall)) -> CallState {
     let item = |&(message, attempt): &(MessageId, usize)| CallItemState {
         message: message.0,
         attempt,
--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -73,7 +73,7 @@
         } = update;
         let connections = self.calls.connections();
         connections.apply_settings(&pool, &settings, names.dial_timeout);
-        self.calls.retune(names.report_fields.clone());
+        self.calls.set_report_fields(names.report_fields.clone());
         let old = self.settings.clone();
         let positions = keep_positions(&mut settings, old, &mut self.names, names);
         let named = |index: usize| {
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -4,7 +4,7 @@
 use super::endpoints::EndpointRecord;
 use super::messages::{Attempt, Message};
 use crate::net;
-use crate::net::calls::CallOut;
+use crate::net::calls::InFlightCall;
 use crate::net::events::{
     AdminResult, AttemptEnd, ForwardedSubmission, HandoverMessage, Submission, SubmissionResult,
 };
@@ -89,7 +89,7 @@
 
     fn take_over_call(&mut self, state: CallState) {
         let items = state.items.into_iter();
-        let call = CallOut {
+        let call = InFlightCall {
             cancels: None,
             items: items
                 .map(|item| (MessageId(item.message), item.attempt))
