--- a/ledger/tests/golden.rs
+++ b/ledger/tests/golden.rs
@@ -549,7 +549,7 @@
 
 #[test]
 fn questions_and_answers_in_the_compact_form_stay_byte_for_byte() {
-    assert_eq!(MEDIA_TYPE, "application/vnd.message_sender.quotas.v1");
+    assert_eq!(MEDIA_TYPE, "application/vnd.milletturn.quotas.v1");
     let mut file = GoldenFile::open("compact.txt");
     let no_names = QuotaRequest {
         demands: vec![],
