--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,6 +3,8 @@
 mod agreement;
 mod check;
 mod clients;
+#[cfg(test)]
+mod compatibility_tests;
 mod figures;
 mod fleet;
 mod history;
