--- /dev/null
+++ b/lab/src/check/tests.rs
@@ -0,0 +1,272 @@
+use super::*;
+
+fn handed(id: &str, class: usize) -> Event {
+    let (id, key, deadline_us) = (id.to_string(), None, 6_000_000);
+    Event::Handed {
+        id,
+        arrival: 0,
+        sender: 1,
+        class,
+        key,
+        dest: 0,
+        deadline_us,
+    }
+}
+
+fn answered(id: &str, status: u16) -> Event {
+    Event::Answered {
+        id: id.to_string(),
+        status,
+    }
+}
+
+fn called(id: &str) -> Event {
+    Event::Called {
+        id: id.to_string(),
+        endpoint: 0,
+        sender: 1,
+        run: true,
+    }
+}
+
+fn replied(id: &str, status: u16) -> Event {
+    Event::Replied {
+        id: id.to_string(),
+        endpoint: 0,
+        sender: 1,
+        status,
+    }
+}
+
+fn notice(id: &str, state: &str) -> Event {
+    Event::Notice {
+        id: id.to_string(),
+        state: state.to_string(),
+    }
+}
+
+fn told(up: bool) -> Event {
+    Event::Told {
+        sender: 1,
+        endpoint: 0,
+        up,
+    }
+}
+
+fn end() -> Event {
+    Event::Over {}
+}
+
+/// The rules that a history with these events, at these seconds, breaks.
+fn broken(events: Vec<(f64, Event)>) -> Vec<&'static str> {
+    let record = |(at, event): (f64, Event)| Record {
+        at_us: (at * 1e6) as u64,
+        event,
+    };
+    let records: Vec<Record> = events.into_iter().map(record).collect();
+    let scenario = "s".to_string();
+    let head = Head {
+        version: 1,
+        scenario,
+        seed: 1,
+        senders: 2,
+        ends_us: 0,
+        period_us: None,
+    };
+    check(&head, &records)
+        .iter()
+        .map(|violation| violation.rule)
+        .collect()
+}
+
+#[test]
+fn what_keeps_the_rules_breaks_none() {
+    let down = Event::Ended {
+        sender: 1,
+        pid: 9,
+        meant: true,
+        status: String::new(),
+    };
+    let up = Event::Ready { sender: 1 };
+    for events in [
+        // delivered, ended by a notice, refused, given up on by its client
+        vec![
+            (0.0, handed("a", 2)),
+            (0.1, answered("a", 202)),
+            (0.2, called("a")),
+            (0.3, replied("a", 200)),
+            (9.0, end()),
+        ],
+        vec![
+            (0.0, handed("a", 1)),
+            (0.1, answered("a", 202)),
+            (6.2, notice("a", "failed")),
+            (9.0, end()),
+        ],
+        vec![
+            (0.0, handed("a", 1)),
+            (0.1, answered("a", 503)),
+            (9.0, end()),
+        ],
+        vec![(0.0, handed("a", 1)), (0.4, answered("a", 0)), (9.0, end())],
+        // its sender was down over its deadline
+        vec![
+            (0.0, handed("a", 1)),
+            (0.1, answered("a", 202)),
+            (1.0, down.clone()),
+            (8.0, up),
+            (9.0, notice("a", "failed")),
+            (12.0, end()),
+        ],
+        // told to drain, within the grace; up again
+        vec![
+            (0.0, handed("a", 1)),
+            (0.0, told(false)),
+            (1.9, called("a")),
+            (2.0, told(true)),
+            (3.0, called("a")),
+            (3.1, replied("a", 200)),
+        ],
+        // the run ended before it was due
+        vec![
+            (0.0, handed("a", 1)),
+            (0.1, answered("a", 202)),
+            (2.0, end()),
+        ],
+    ] {
+        assert_eq!(broken(events.clone()), [""; 0], "{events:?}");
+    }
+}
+
+#[test]
+fn each_way_to_break_a_rule_is_found() {
+    let crash = Event::Ended {
+        sender: 1,
+        pid: 9,
+        meant: false,
+        status: "signal 6".to_string(),
+    };
+    let violated = Event::Violated {
+        sender: 1,
+        line: "violation: one".to_string(),
+    };
+    let taken = || vec![(0.0, handed("a", 2)), (0.1, answered("a", 202))];
+    for (more, rule) in [
+        (vec![(9.0, end())], "ends once"),
+        (
+            vec![(7.0, notice("a", "failed")), (9.0, end())],
+            "ends once",
+        ),
+        (
+            vec![(2.0, notice("a", "failed")), (3.0, notice("a", "returned"))],
+            "ends once",
+        ),
+        (
+            vec![
+                (1.0, called("a")),
+                (2.0, called("a")),
+                (2.5, replied("a", 200)),
+            ],
+            "effects",
+        ),
+        (vec![(1.0, called("b")), (1.5, replied("a", 200))], "calls"),
+        (
+            vec![
+                (1.0, told(false)),
+                (3.2, called("a")),
+                (3.5, replied("a", 200)),
+            ],
+            "drains",
+        ),
+        (vec![(1.0, replied("a", 200)), (2.0, crash)], "processes"),
+        (
+            vec![(1.0, replied("a", 200)), (2.0, violated)],
+            "invariants",
+        ),
+    ] {
+        assert_eq!(broken([taken(), more.clone()].concat()), [rule], "{more:?}");
+    }
+}
+
+fn handed_and_ended(end: u64) -> Vec<Record> {
+    let step = |what: &Act| Event::Step {
+        what: serde_json::to_string(what).unwrap_or_default(),
+    };
+    let id = "m1".to_string();
+    let deadline_us = 5_000_000;
+    let handed = Event::Handed {
+        id: id.clone(),
+        arrival: 0,
+        sender: 3,
+        class: 0,
+        key: None,
+        dest: 0,
+        deadline_us,
+    };
+    let events = [
+        (1, handed),
+        (
+            2,
+            Event::Answered {
+                id: id.clone(),
+                status: 202,
+            },
+        ),
+        (3_000_000, step(&Act::Stop { sender: 3 })),
+        (7_000_000, step(&Act::Continue { sender: 3 })),
+        (
+            end,
+            Event::Notice {
+                id,
+                state: "returned".to_string(),
+            },
+        ),
+        (20_000_000, Event::Over {}),
+    ];
+    events
+        .into_iter()
+        .map(|(at_us, event)| Record { at_us, event })
+        .collect()
+}
+
+#[test]
+fn the_slack_of_one_that_stood_still_counts_from_when_it_went_on() {
+    assert_eq!(ends(&handed_and_ended(7_000_000 + END_SLACK_US)), []);
+    let late = ends(&handed_and_ended(7_100_000 + END_SLACK_US));
+    assert!(
+        late.len() == 1 && late[0].what.contains("too late"),
+        "{late:?}"
+    );
+    // nor can one whose every send fails tell an end; one whose sends fail now and then can
+    for (percent, late) in [(100, 0), (30, 1)] {
+        let mut failing = handed_and_ended(7_000_000 + END_SLACK_US);
+        let call = || "send".to_string();
+        let begin = Act::FailCalls {
+            sender: 3,
+            call: call(),
+            number: 110,
+            percent,
+        };
+        let steps = [
+            (2, begin),
+            (
+                3,
+                Act::RestoreCalls {
+                    sender: 3,
+                    call: call(),
+                },
+            ),
+        ];
+        for (at, step) in steps {
+            let what = serde_json::to_string(&step).unwrap_or_default();
+            failing[at].event = Event::Step { what };
+        }
+        assert_eq!(ends(&failing).len(), late, "{percent}");
+    }
+    // another's standing still is no excuse
+    let mut others = handed_and_ended(7_000_000);
+    others[2].event = Event::Step {
+        what: r#"{"stop":{"sender":4}}"#.to_string(),
+    };
+    assert_eq!(ends(&others).len(), 1);
+}
--- /dev/null
+++ b/lab/src/plan/tests.rs
@@ -0,0 +1,73 @@
+use super::*;
+
+const TEXT: &str = r#"
+name = "two"
+seed = 1
+senders = 10
+seconds = 20
+[traffic]
+per_s = 50
+[destinations]
+count = 3
+endpoints = 2
+latency_ms = 40
+capacity = 80
+[[fault]]
+at = 2
+seconds = 3
+kind = "kill"
+who = "share:0.3"
+[[fault]]
+at = 1
+seconds = 5
+kind = "loss"
+from = "senders"
+to = "senders"
+share = 0.1
+"#;
+
+#[test]
+fn one_seed_gives_one_plan_and_another_another() {
+    let scenario = Scenario::read(TEXT).expect("good");
+    let text =
+        |seed| serde_json::to_string(&Plan::draw(&scenario, seed).expect("drawn")).expect("JSON");
+    assert_eq!(text(5), text(5));
+    assert_ne!(text(5), text(6));
+}
+
+#[test]
+fn a_plan_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
+    let scenario = Scenario::read(TEXT).expect("good");
+    let plan = Plan::draw(&scenario, 3).expect("drawn");
+    assert!(
+        (900..1100).contains(&plan.arrivals.len()),
+        "{}",
+        plan.arrivals.len()
+    );
+    let charges = plan
+        .arrivals
+        .iter()
+        .filter(|arrival| arrival.key.is_some())
+        .count() as f64;
+    assert!((0.2..0.3).contains(&(charges / plan.arrivals.len() as f64)));
+    assert!(plan.steps.is_sorted_by_key(|step| step.at_us));
+    let kills = plan
+        .steps
+        .iter()
+        .filter(|step| matches!(step.what, Act::Kill { .. }))
+        .count();
+    let starts = plan
+        .steps
+        .iter()
+        .filter(|step| matches!(step.what, Act::Start { .. }))
+        .count();
+    assert_eq!((kills, starts), (3, 3));
+}
+
+#[test]
+fn a_further_fault_moves_no_arrival() {
+    let less = Scenario::read(TEXT.split("[[fault]]").next().expect("text")).expect("good");
+    let more = Scenario::read(TEXT).expect("good");
+    let arrivals = |scenario| Plan::draw(scenario, 4).expect("drawn").arrivals;
+    assert_eq!(arrivals(&less), arrivals(&more));
+}
