--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -40,7 +40,7 @@
 use journal_state::JournalState;
 use message_sender::lifecycle::Lifecycle;
 use message_sender::wire::Names;
-use message_sender::{Agreed, Bounds, Event, MessageId, Micros, Quotas, Sender, Settings};
+use message_sender::{AgreedRules, Event, MessageId, Micros, Quotas, RuleBounds, Sender, Settings};
 use messages::Messages;
 pub use process_state::{ClientSlots, ProcessState};
 use std::time::Duration;
@@ -80,7 +80,7 @@
     /// The endpoint list of the configuration file.
     pub known_list: Option<ListUpdate>,
     /// Rules that hold until some are leased; none while agreement is off.
-    pub fallback_rules: Option<Bounds>,
+    pub fallback_rules: Option<RuleBounds>,
     /// Quotas that hold until some are leased; none while the ledger is off.
     pub fallback_quotas: Option<Quotas>,
     /// What a predecessor handed over, but for the decision module.
@@ -148,7 +148,7 @@
         if let Some(state) = handover {
             driver.take_over(state);
             // what the predecessor saw of the fleet is its own
-            driver.events.push(Event::Fleet(None));
+            driver.events.push(Event::FleetView(None));
         }
         driver.push_fallbacks(fallback_rules, fallback_quotas, taken_over);
         driver.apply_settings(settings);
@@ -196,18 +196,23 @@
     }
 
     /// A start begins with the fallbacks: what a predecessor was granted is its own.
-    fn push_fallbacks(&mut self, rules: Option<Bounds>, quotas: Option<Quotas>, taken_over: bool) {
+    fn push_fallbacks(
+        &mut self,
+        rules: Option<RuleBounds>,
+        quotas: Option<Quotas>,
+        taken_over: bool,
+    ) {
         if taken_over || rules.is_some() {
             let rules = rules.map(|fallback| {
-                Box::new(Agreed {
+                Box::new(AgreedRules {
                     leased: None,
                     fallback,
                 })
             });
-            self.events.push(Event::Agreed(rules));
+            self.events.push(Event::AgreedRules(rules));
         }
         if taken_over || quotas.is_some() {
-            self.events.push(Event::Shared(quotas.map(Box::new)));
+            self.events.push(Event::Quotas(quotas.map(Box::new)));
         }
     }
 
@@ -287,7 +292,7 @@
 
     /// Regular work; true if a turn is due.
     fn sweep(&mut self) -> bool {
-        self.calls.connections().sweep();
+        self.calls.connections().run_maintenance();
         let journal_recovered = self.journal.retry();
         self.admit_unfrozen() || journal_recovered || self.notifications.has_pending()
     }
@@ -305,30 +310,30 @@
         match input {
             DriverInput::Submitted(submission) => self.receive_submission(submission),
             DriverInput::ClientDisconnected(id) => self.client_disconnected(&id),
-            DriverInput::ShuttingDown(at) => self.events.push(Event::Stopping {
-                ends: self.clock.at(at),
+            DriverInput::ShuttingDown(at) => self.events.push(Event::ShuttingDown {
+                at: self.clock.at(at),
             }),
             DriverInput::AttemptEnded(end) => self.attempt_ended(end),
             DriverInput::RetryAfter { endpoint, wait } => self.retry_after(endpoint, wait),
             DriverInput::EndpointList(update) => self.receive_list(update),
-            DriverInput::ListStale(stale) => self.events.push(Event::Stale(stale)),
+            DriverInput::ListStale(stale) => self.events.push(Event::EndpointListStale(stale)),
             DriverInput::NotificationsDelivered(numbers) => self.notifications_delivered(numbers),
             DriverInput::AgreedRules { rules, applied } => {
                 self.list.rules_agreed = rules.is_some();
-                self.events.push(Event::Agreed(rules));
+                self.events.push(Event::AgreedRules(rules));
                 self.waiting_for_turn.push(applied);
             }
             DriverInput::Quotas { quotas, applied } => {
-                self.events.push(Event::Shared(quotas));
+                self.events.push(Event::Quotas(quotas));
                 self.waiting_for_turn.push(applied);
             }
             DriverInput::Freeze(change) => self.change_freeze(change),
             DriverInput::FleetHealth {
                 destination,
                 unavailable,
-            } => self.events.push(Event::Word {
+            } => self.events.push(Event::FleetHealth {
                 destination,
-                out: unavailable,
+                unavailable,
             }),
             DriverInput::Demand {
                 complete_up_to,
@@ -341,7 +346,7 @@
                     by_destination,
                 });
             }
-            DriverInput::FleetView(view) => self.events.push(Event::Fleet(view)),
+            DriverInput::FleetView(view) => self.events.push(Event::FleetView(view)),
             DriverInput::SettingsChanged(update) => self.apply_settings(*update),
             DriverInput::Handover(message) => self.receive_from_predecessor(message),
             DriverInput::HandoverLinkLost => self.predecessor_lost(),
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -74,9 +74,9 @@
     pub fn of(class: &Class, max_attempts: usize) -> Self {
         ClassTerms {
             effect: class.effect,
-            latency_objective: class.aim,
+            latency_objective: class.latency_objective,
             deadline: class.deadline,
-            priority_weight: class.worth,
+            priority_weight: class.priority_weight,
             late_share: class.late_share,
             ordered: class.ordered,
             max_attempts: max_attempts as u32,
@@ -88,9 +88,9 @@
         Class {
             name: name.to_string(),
             effect: self.effect,
-            aim: self.latency_objective,
+            latency_objective: self.latency_objective,
             deadline: self.deadline,
-            worth: self.priority_weight,
+            priority_weight: self.priority_weight,
             late_share: self.late_share,
             ordered: self.ordered,
         }
--- a/src/net/ledger/demands.rs
+++ b/src/net/ledger/demands.rs
@@ -37,14 +37,14 @@
             counted_calls.get(destination).copied().unwrap_or(0)
         });
         let calls = demand.waiting + demand.sent.saturating_sub(counted);
-        if !complete && calls == 0 && demand.out == 0 {
+        if !complete && calls == 0 && demand.in_flight == 0 {
             continue;
         }
         let rate = calls
             .saturating_mul(MILLIRATE_PER_MICROSECOND)
             .div_ceil(lease);
-        let concurrency = demand.waiting + demand.out;
-        let rate_unhealthy = if demand.sick { rate } else { 0 };
+        let concurrency = demand.waiting + demand.in_flight;
+        let rate_unhealthy = if demand.unhealthy { rate } else { 0 };
         let amounts = [rate, concurrency, rate_unhealthy];
         for (key, amount) in keys(*destination).into_iter().zip(amounts) {
             if fallback_quotas.is_limited(&key) {
@@ -68,7 +68,7 @@
             amount: beyond_fallback,
         },
         waiting: demand.waiting > 0,
-        unhealthy: demand.sick,
+        unhealthy: demand.unhealthy,
         calls_sent: demand.sent,
     }
 }
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -16,7 +16,7 @@
 use crate::net::events::{DriverInput, FreezeChange, SettingsUpdate};
 use crate::net::handover::{Frame, Link, LinkError};
 use crate::net::journal::JournalError;
-use crate::net::pool::{Connections, Means, limits};
+use crate::net::pool::{ConnectionPool, PoolResources, limits};
 use crate::net::server::{Classes, Server, serve};
 use crate::net::startup;
 use crate::net::{agreement, ledger};
@@ -225,11 +225,11 @@
     fn calls(&self) -> Calls {
         let config = &self.config;
         let limits = limits(&config.pool, config.max_descriptors, &config.settings);
-        let means = Means {
+        let resources = PoolResources {
             descriptors: config.max_descriptors,
             seed: config.seed,
         };
-        let connections = Connections::new(limits, config.names.dial_timeout, means);
+        let connections = ConnectionPool::new(limits, config.names.dial_timeout, resources);
         Calls::new(self.senders.inputs.clone(), connections)
     }
 
