--- a/lab/src/agreement.rs
+++ b/lab/src/check/agreement.rs
@@ -25,7 +25,7 @@
 
 /// What was counted.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Agreed {
+pub struct AgreementFigures {
     /// Changes that were answered, and the median and the longest time until all acted on one, s.
     pub changes: usize,
     pub median_s: Option<f64>,
@@ -45,7 +45,7 @@
 
 fn reports(records: &[Record]) -> impl Iterator<Item = (u64, usize, Report)> {
     records.iter().filter_map(|record| match &record.event {
-        Event::Rules { sender, report } => Some((
+        Event::RulesReported { sender, report } => Some((
             record.at_us,
             *sender,
             serde_json::from_value(report.clone()).ok()?,
@@ -113,17 +113,17 @@
 /// or a version was made twice.
 fn not_linear(records: &[Record]) -> Option<(Operation, Operation)> {
     let operation = |record: &Record| match record.event {
-        Event::Revised {
-            asked_us,
-            rev,
-            wrote,
-        } => Some((asked_us, record.at_us, rev, wrote)),
+        Event::ListRevision {
+            requested_at_us,
+            revision: rev,
+            is_write,
+        } => Some((requested_at_us, record.at_us, rev, is_write)),
         _ => None,
     };
     let mut all: Vec<Operation> = records.iter().filter_map(operation).collect();
     all.sort_by_key(|(_, answered, ..)| *answered);
     let mut made: BTreeMap<u64, Operation> = BTreeMap::new();
-    for one in all.iter().filter(|(.., wrote)| *wrote) {
+    for one in all.iter().filter(|(.., is_write)| *is_write) {
         if let Some(other) = made.insert(one.2, *one) {
             return Some((other, *one));
         }
@@ -135,10 +135,10 @@
         greatest.push(before.unwrap_or(*one));
     }
     all.iter().find_map(|one| {
-        let (asked, _, rev, wrote) = *one;
+        let (asked, _, rev, is_write) = *one;
         let earlier = all.partition_point(|(_, answered, ..)| *answered < asked);
         let before = *greatest.get(earlier.checked_sub(1)?)?;
-        (rev < before.2 || wrote && rev == before.2).then_some((before, *one))
+        (rev < before.2 || is_write && rev == before.2).then_some((before, *one))
     })
 }
 
@@ -147,7 +147,7 @@
     let violation = |at_us, what| Violation {
         rule: "agreement",
         at_us,
-        what,
+        description: what,
     };
     let mut violations: Vec<Violation> = longest_contradiction(records)
         .into_iter()
@@ -172,15 +172,17 @@
     let mut seen = 0;
     for record in records {
         match &record.event {
-            Event::Ended { sender, .. } | Event::Ready { sender } => drop(highest.remove(sender)),
-            Event::Proposed { version } if *version <= answered => {
+            Event::ProcessEnded { sender, .. } | Event::ProcessReady { sender } => {
+                highest.remove(sender);
+            }
+            Event::RulesProposed { version } if *version <= answered => {
                 violations.push(violation(
                     record.at_us,
                     format!("version {version} was answered after {answered}"),
                 ));
             }
-            Event::Proposed { version } => answered = *version,
-            Event::Rules { sender, report } => {
+            Event::RulesProposed { version } => answered = *version,
+            Event::RulesReported { sender, report } => {
                 let Ok(Report {
                     acts_on: Some(tag), ..
                 }) = serde_json::from_value(report.clone())
@@ -208,21 +210,23 @@
 }
 
 /// How soon each change was in force with all, and the rest.
-pub fn figures(records: &[Record]) -> Agreed {
-    let mut agreed = Agreed::default();
+pub fn figures(records: &[Record]) -> AgreementFigures {
+    let mut agreed = AgreementFigures::default();
     let mut times = Vec::new();
     let mut waiting: Option<(u64, u64)> = None;
     let mut acts: BTreeMap<usize, Option<VersionTag>> = BTreeMap::new();
     let mut told: BTreeSet<usize> = BTreeSet::new();
     for record in records {
         match &record.event {
-            Event::Proposed { version } => {
+            Event::RulesProposed { version } => {
                 agreed.changes += 1;
                 waiting = Some((record.at_us, *version));
                 told.clear();
             }
-            Event::Ended { sender, .. } => drop(acts.remove(sender)),
-            Event::Rules { sender, report } => {
+            Event::ProcessEnded { sender, .. } => {
+                acts.remove(sender);
+            }
+            Event::RulesReported { sender, report } => {
                 let Ok(report) = serde_json::from_value::<Report>(report.clone()) else {
                     continue;
                 };
@@ -253,7 +257,7 @@
     agreed.longest_s = times.last().copied();
     let dialled = records
         .iter()
-        .filter(|record| matches!(record.event, Event::Dialled { .. }));
+        .filter(|record| matches!(record.event, Event::RegistryDialled { .. }));
     let mut bins: BTreeMap<u64, usize> = BTreeMap::new();
     dialled.for_each(|record| *bins.entry(record.at_us / 100_000).or_default() += 1);
     agreed.most_asked_100ms = bins.values().copied().max().unwrap_or_default();
@@ -261,8 +265,8 @@
         agreed.mean_asked_100ms = bins.values().sum::<usize>() as f64 / (last - first + 1) as f64;
     }
     for record in records {
-        if let Event::Revised { wrote, .. } = record.event {
-            *(if wrote {
+        if let Event::ListRevision { is_write, .. } = record.event {
+            *(if is_write {
                 &mut agreed.writes
             } else {
                 &mut agreed.reads
--- a/lab/src/agreement/tests.rs
+++ b/lab/src/check/agreement/tests.rs
@@ -6,7 +6,7 @@
             "rules": { "limits": { "calls": limits[0], "messages": limits[1] } }, "left_ms": 5 });
     Record {
         at_us: at_ms * 1000,
-        event: Event::Rules { sender, report },
+        event: Event::RulesReported { sender, report },
     }
 }
 
@@ -17,7 +17,7 @@
 fn proposed(at_ms: u64, version: u64) -> Record {
     Record {
         at_us: at_ms * 1000,
-        event: Event::Proposed { version },
+        event: Event::RulesProposed { version },
     }
 }
 
@@ -44,12 +44,12 @@
 
 #[test]
 fn versions_that_no_order_explains_are_found() {
-    let done = |asked_us: u64, at_us: u64, rev: u64, wrote: bool| Record {
+    let done = |requested_at_us: u64, at_us: u64, rev: u64, is_write: bool| Record {
         at_us,
-        event: Event::Revised {
-            asked_us,
-            rev,
-            wrote,
+        event: Event::ListRevision {
+            requested_at_us,
+            revision: rev,
+            is_write,
         },
     };
     let good = vec![
@@ -72,7 +72,7 @@
         assert!(
             broken
                 .iter()
-                .any(|violation| violation.what.contains("no order")),
+                .any(|violation| violation.description.contains("no order")),
             "{bad:?}"
         );
     }
@@ -88,28 +88,28 @@
         said(90, 1, 2, true, NEW),
     ];
     assert_eq!(
-        check(&beside)[0].what,
+        check(&beside)[0].description,
         "n1 and n0 contradicted each other for 50 ms".replace("n1 and n0", "n0 and n1")
     );
     let back = [said(0, 0, 2, true, NEW), said(50, 0, 2, false, MEET)];
-    assert!(check(&back)[0].what.contains("went back"));
+    assert!(check(&back)[0].description.contains("went back"));
     let restarted = [
         said(0, 0, 2, true, NEW),
         Record {
             at_us: 10_000,
-            event: Event::Ready { sender: 0 },
+            event: Event::ProcessReady { sender: 0 },
         },
         said(50, 0, 2, false, MEET),
     ];
     assert_eq!(check(&restarted), []);
     assert!(
         check(&[proposed(0, 5), said(9, 0, 2, true, NEW)])[0]
-            .what
+            .description
             .contains("none acts on more than 2")
     );
     assert!(
         check(&[proposed(0, 5), proposed(9, 5), said(9, 0, 5, true, NEW)])[0]
-            .what
+            .description
             .contains("answered after")
     );
 }
--- a/lab/src/limits.rs
+++ b/lab/src/check/limits.rs
@@ -42,7 +42,7 @@
 
 /// What was counted.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Limited {
+pub struct LimitFigures {
     /// Reports of senders, and those of them that hold no part.
     pub reports: usize,
     pub on_floors: usize,
@@ -66,9 +66,9 @@
     let mut ends: HashMap<usize, Vec<u64>> = HashMap::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Limited { total } => limits.push((*at_us, *total)),
-            Event::Ended { sender, .. } => ends.entry(*sender).or_default().push(*at_us),
-            Event::Parts { sender, report } => {
+            Event::LimitSet { total } => limits.push((*at_us, *total)),
+            Event::ProcessEnded { sender, .. } => ends.entry(*sender).or_default().push(*at_us),
+            Event::QuotasReported { sender, report } => {
                 let Ok(report) = Report::deserialize(report) else {
                     continue;
                 };
@@ -164,16 +164,18 @@
          }| Violation {
             rule: "limits",
             at_us,
-            what: format!("{key}: {sum} may be used together, {allowed} is the limit"),
+            description: format!("{key}: {sum} may be used together, {allowed} is the limit"),
         },
     );
     told.into_iter().collect()
 }
 
 /// How the senders held their limits.
-pub fn figures(records: &[Record]) -> Limited {
+pub fn figures(records: &[Record]) -> LimitFigures {
     let report = |record: &Record| match &record.event {
-        Event::Parts { report, .. } => Some(report["parts"].as_array().is_none_or(Vec::is_empty)),
+        Event::QuotasReported { report, .. } => {
+            Some(report["parts"].as_array().is_none_or(Vec::is_empty))
+        }
         _ => None,
     };
     let reports: Vec<bool> = records.iter().filter_map(report).collect();
@@ -182,7 +184,7 @@
         .map(|moment| moment.sum as f64 / moment.allowed.max(1) as f64)
         .collect();
     used.sort_by(f64::total_cmp);
-    Limited {
+    LimitFigures {
         reports: reports.len(),
         on_floors: reports.iter().filter(|on_floors| **on_floors).count(),
         most: used.last().copied().unwrap_or(0.0),
--- a/lab/src/limits/tests.rs
+++ b/lab/src/check/limits/tests.rs
@@ -7,7 +7,7 @@
             "parts": [{ "key": "rate/0", "part": part, "until_us": 5_000_000 + at_us + left_us }] });
     Record {
         at_us,
-        event: Event::Parts { sender, report },
+        event: Event::QuotasReported { sender, report },
     }
 }
 
@@ -15,7 +15,7 @@
 fn a_sum_over_the_limit_is_found_and_one_after_an_end_is_none() {
     let limited = |at_us, total| Record {
         at_us,
-        event: Event::Limited { total },
+        event: Event::LimitSet { total },
     };
     let held =
         |last: Record| check(&[limited(0, 1000), said(10, 0, 500, 1_000_000), last]).is_empty();
@@ -35,10 +35,10 @@
         .is_empty()
     };
     assert!(lowered(1_600_000) && !lowered(1_700_000));
-    let ended = Event::Ended {
+    let ended = Event::ProcessEnded {
         sender: 0,
         pid: 1,
-        meant: true,
+        intended: true,
         status: String::new(),
     };
     let records = [
--- a/lab/src/members.rs
+++ b/lab/src/check/membership.rs
@@ -1,14 +1,14 @@
 //! What the senders said of one another, held against what the lab knows to be true.
 
 use crate::history::{Event, Head, Record};
-use crate::plan::{Act, Impairment, Party};
+use crate::schedule::{FaultAction, Impairment, Party};
 use crate::violation::Violation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Periods after a disturbance of a member in which others may hold anything of it, and all must agree again. The
 /// protocol's own bounds are 40 periods for one member and 90 for a part of the fleet.
-pub const SETTLES: u64 = 90;
+pub const SETTLING_PERIODS: u64 = 90;
 
 /// A view as a sender told it.
 #[derive(Debug, Deserialize)]
@@ -48,48 +48,47 @@
 }
 
 impl Truth {
-    fn learn(&mut self, senders: usize, record: &Record) {
+    fn apply(&mut self, senders: usize, record: &Record) {
         let at = record.at_us;
         match &record.event {
-            Event::Ready { sender } => {
+            Event::ProcessReady { sender } => {
                 self.running.insert(*sender);
                 self.disturbed.insert(*sender, at);
             }
-            Event::Ended { sender, .. } => {
+            Event::ProcessEnded { sender, .. } => {
                 // of two processes of an upgrade the first ends while the second runs, which its start told
                 self.disturbed.insert(*sender, at);
             }
-            Event::Step { what } => {
-                if let Ok(act) = serde_json::from_str::<Act>(what) {
-                    self.act(senders, at, &act);
+            event => {
+                if let Some(action) = event.fault_action() {
+                    self.apply_fault(senders, at, &action);
                 }
             }
-            _ => {}
         }
     }
 
-    fn act(&mut self, senders: usize, at: u64, act: &Act) {
+    fn apply_fault(&mut self, senders: usize, at: u64, act: &FaultAction) {
         match act {
-            Act::Kill { sender } | Act::Term { sender } => {
+            FaultAction::Kill { sender } | FaultAction::Term { sender } => {
                 self.running.remove(sender);
                 self.disturbed.insert(*sender, at);
             }
-            Act::Stop { sender } => {
+            FaultAction::Stop { sender } => {
                 self.stopped.insert(*sender);
                 self.disturbed.insert(*sender, at);
             }
-            Act::Continue { sender } => {
+            FaultAction::Continue { sender } => {
                 self.stopped.remove(sender);
                 self.disturbed.insert(*sender, at);
             }
-            Act::Upgrade { sender } => {
+            FaultAction::Upgrade { sender } => {
                 self.disturbed.insert(*sender, at);
             }
-            Act::Impair {
+            FaultAction::Impair {
                 fault,
                 from,
                 to,
-                how: Impairment::Cut { .. },
+                impairment: Impairment::Cut { .. },
             } => {
                 let only = |parties: &[Party]| -> BTreeSet<usize> {
                     let sender = |party: &Party| match party {
@@ -115,7 +114,7 @@
                 });
                 self.cut.insert(*fault, cut);
             }
-            Act::Heal { fault } => {
+            FaultAction::Heal { fault } => {
                 for sender in self.cut.remove(fault).unwrap_or_default() {
                     self.disturbed.insert(sender, at);
                 }
@@ -151,13 +150,13 @@
     let Some(period_us) = head.period_us else {
         return Vec::new();
     };
-    let settles = SETTLES * period_us;
+    let settles = SETTLING_PERIODS * period_us;
     let mut truth = Truth::default();
     let mut violations = Vec::new();
     let mut told = BTreeSet::new();
     for record in records {
-        truth.learn(head.senders, record);
-        let Event::Members { sender, view } = &record.event else {
+        truth.apply(head.senders, record);
+        let Event::MembershipReported { sender, view } = &record.event else {
             continue;
         };
         let Ok(view) = serde_json::from_value::<View>(view.clone()) else {
@@ -165,7 +164,7 @@
             violations.push(Violation {
                 rule: "members",
                 at_us: record.at_us,
-                what,
+                description: what,
             });
             continue;
         };
@@ -183,7 +182,7 @@
                 violations.push(Violation {
                     rule: "members",
                     at_us,
-                    what,
+                    description: what,
                 });
             }
         }
@@ -197,7 +196,7 @@
             violations.push(Violation {
                 rule: "members",
                 at_us,
-                what,
+                description: what,
             });
         }
     }
@@ -207,12 +206,9 @@
 /// How soon each death was seen, and how soon all agreed after each end of a disturbance.
 pub fn figures(head: &Head, records: &[Record]) -> Vec<Seen> {
     let mut seen = Vec::new();
-    let acts: Vec<(u64, Act)> = records
+    let acts: Vec<(u64, FaultAction)> = records
         .iter()
-        .filter_map(|record| match &record.event {
-            Event::Step { what } => Some((record.at_us, serde_json::from_str(what).ok()?)),
-            _ => None,
-        })
+        .filter_map(|record| Some((record.at_us, record.event.fault_action()?)))
         .collect();
     for (at, act) in &acts {
         let until = acts
@@ -221,9 +217,9 @@
             .find(|other| *other > *at + 100_000);
         let until = until.unwrap_or(u64::MAX);
         let what = match act {
-            Act::Kill { sender } => Some((format!("n{sender} killed"), *sender)),
-            Act::Term { sender } => Some((format!("n{sender} leaves"), *sender)),
-            Act::Stop { sender } => Some((format!("n{sender} stopped"), *sender)),
+            FaultAction::Kill { sender } => Some((format!("n{sender} killed"), *sender)),
+            FaultAction::Term { sender } => Some((format!("n{sender} leaves"), *sender)),
+            FaultAction::Stop { sender } => Some((format!("n{sender} stopped"), *sender)),
             _ => None,
         };
         let seconds = |then: u64| (then - at) as f64 / 1e6;
@@ -247,14 +243,14 @@
             });
         } else if matches!(
             act,
-            Act::Heal { .. } | Act::Continue { .. } | Act::Start { .. }
+            FaultAction::Heal { .. } | FaultAction::Continue { .. } | FaultAction::Start { .. }
         ) {
             let mut truth = Truth::default();
             records
                 .iter()
                 .take_while(|record| record.at_us <= *at)
-                .for_each(|record| truth.learn(head.senders, record));
-            if let Act::Start { sender, .. } = act {
+                .for_each(|record| truth.apply(head.senders, record));
+            if let FaultAction::Start { sender, .. } = act {
                 truth.running.insert(*sender);
             }
             let runs = truth.running.len();
@@ -279,7 +275,7 @@
         .iter()
         .filter(within)
         .filter_map(|record| match &record.event {
-            Event::Members { sender, view } => Some((
+            Event::MembershipReported { sender, view } => Some((
                 record.at_us,
                 *sender,
                 serde_json::from_value(view.clone()).ok()?,
--- a/lab/src/members/tests.rs
+++ b/lab/src/check/membership/tests.rs
@@ -22,21 +22,21 @@
         .filter(|state| matches!(**state, "alive" | "suspect"))
         .count();
     let suspects = states.iter().filter(|state| **state == "suspect").count();
-    Event::Members {
+    Event::MembershipReported {
         sender,
         view: json!({ "living": living, "suspects": suspects, "members": members }),
     }
 }
 
-fn step(act: Act) -> Event {
-    Event::Step {
-        what: serde_json::to_string(&act).expect("JSON"),
+fn step(act: FaultAction) -> Event {
+    Event::FaultStep {
+        action: serde_json::to_string(&act).expect("JSON"),
     }
 }
 
 /// Violationes of a history at these periods, of 1 s each, after three senders have run for long.
 fn broken(events: Vec<(u64, Event)>) -> Vec<String> {
-    let ready = (0..3).map(|sender| (0, Event::Ready { sender }));
+    let ready = (0..3).map(|sender| (0, Event::ProcessReady { sender }));
     let records: Vec<Record> = ready
         .chain(events)
         .map(|(at, event)| Record {
@@ -46,7 +46,7 @@
         .collect();
     check(&head(), &records)
         .into_iter()
-        .map(|violation| violation.what)
+        .map(|violation| violation.description)
         .collect()
 }
 
@@ -55,15 +55,15 @@
     for events in [
         vec![(200, view(0, ["alive", "alive", "alive"]))],
         vec![
-            (200, step(Act::Kill { sender: 1 })),
+            (200, step(FaultAction::Kill { sender: 1 })),
             (210, view(0, ["alive", "suspect", "alive"])),
             (400, view(0, ["alive", "dead", "alive"])),
         ],
         // a suspicion is no verdict while something is amiss, and one that just came back may be held for dead
         vec![
-            (200, step(Act::Stop { sender: 1 })),
+            (200, step(FaultAction::Stop { sender: 1 })),
             (230, view(0, ["alive", "dead", "alive"])),
-            (240, step(Act::Continue { sender: 1 })),
+            (240, step(FaultAction::Continue { sender: 1 })),
             (250, view(0, ["alive", "dead", "alive"])),
             (400, view(0, ["alive", "alive", "alive"])),
         ],
@@ -78,7 +78,7 @@
         broken(vec![(200, view(0, ["alive", "dead", "alive"]))])[0],
         "n0 holds n1 for dead, which runs"
     );
-    let kill = || (200, step(Act::Kill { sender: 1 }));
+    let kill = || (200, step(FaultAction::Kill { sender: 1 }));
     assert_eq!(
         broken(vec![kill(), (400, view(0, ["alive", "alive", "alive"]))]),
         ["n0 sees 3 living and 0 suspect, 2 run"]
@@ -88,13 +88,13 @@
         ["n0 holds n2 for left, which runs"]
     );
     // a cut between two is no excuse for a death
-    let cut = Act::Impair {
+    let cut = FaultAction::Impair {
         fault: 0,
         from: vec![Party::Sender(0)],
         to: vec![Party::Sender(1)],
-        how: Impairment::Cut {
-            there: true,
-            back: true,
+        impairment: Impairment::Cut {
+            forward: true,
+            reverse: true,
         },
     };
     let dead = broken(vec![
@@ -107,15 +107,15 @@
 #[test]
 fn one_that_hears_nobody_may_be_held_for_dead() {
     let all = vec![Party::Sender(0), Party::Sender(1), Party::Sender(2)];
-    let how = Impairment::Cut {
-        there: true,
-        back: false,
+    let impairment = Impairment::Cut {
+        forward: true,
+        reverse: false,
     };
-    let deaf = Act::Impair {
+    let deaf = FaultAction::Impair {
         fault: 0,
         from: all,
         to: vec![Party::Sender(1)],
-        how,
+        impairment,
     };
     assert_eq!(
         broken(vec![
--- a/lab/src/check/order.rs
+++ b/lab/src/check/order.rs
@@ -1,8 +1,8 @@
 //! Order of a key: its messages go one at a time, in the order in which they were handed in to a sender, over its restarts.
 
-use super::SLACK_US;
+use super::SOCKET_SLACK_US;
 use crate::history::{Event, Record};
-use crate::plan::Act;
+use crate::schedule::FaultAction;
 use crate::violation::Violation;
 use std::collections::{BTreeMap, HashMap};
 
@@ -27,9 +27,11 @@
     let mut keys: BTreeMap<(usize, u32), Vec<Message>> = BTreeMap::new();
     let mut key_of: HashMap<&str, (usize, u32)> = HashMap::new();
     // an endpoint learns late of the end of a call where something holds up the way to it
-    let impaired = records.iter().any(|record| match &record.event {
-        Event::Step { what } => matches!(serde_json::from_str(what), Ok(Act::Impair { .. })),
-        _ => false,
+    let impaired = records.iter().any(|record| {
+        matches!(
+            record.event.fault_action(),
+            Some(FaultAction::Impair { .. })
+        )
     });
     let mut violations = Vec::new();
     for Record { at_us, event } in records {
@@ -41,7 +43,7 @@
                 .for_each(|message| change(message, *at_us));
         };
         match event {
-            Event::Handed {
+            Event::Submitted {
                 id,
                 sender,
                 key: Some(key),
@@ -58,12 +60,12 @@
                 };
                 keys.entry((*sender, *key)).or_default().push(message);
             }
-            Event::Answered {
+            Event::SubmissionAnswered {
                 id,
                 status: 200 | 202,
             } => change(id, |message, _| message.taken = true),
-            Event::Notice { id, .. } => change(id, |message, _| message.over = true),
-            Event::Replied { id, status, .. } => {
+            Event::OutcomeNotified { id, .. } => change(id, |message, _| message.over = true),
+            Event::CallAnswered { id, status, .. } => {
                 change(id, |message, _| {
                     message.calls = message.calls.saturating_sub(1)
                 });
@@ -71,12 +73,12 @@
                     change(id, |message, _| message.over = true);
                 }
             }
-            Event::Abandoned { id, .. } => change(id, |message, at_us| {
+            Event::CallAbandoned { id, .. } => change(id, |message, at_us| {
                 message.calls = message.calls.saturating_sub(1);
                 message.abandoned_us = Some(at_us);
             }),
-            Event::FolderLost { sender } => keys.retain(|(of, _), _| of != sender),
-            Event::Called { id, sender, .. } => {
+            Event::StateLost { sender } => keys.retain(|(of, _), _| of != sender),
+            Event::CallReceived { id, sender, .. } => {
                 let Some(key) = key_of.get(id.as_str()) else {
                     continue;
                 };
@@ -91,7 +93,10 @@
                     violations.extend(why.map(|why| Violation {
                         rule: "order",
                         at_us: *at_us,
-                        what: format!("{id} came from n{sender} {why} {} of its key", before.id),
+                        description: format!(
+                            "{id} came from n{sender} {why} {} of its key",
+                            before.id
+                        ),
                     }));
                 }
                 let after = messages[at + 1..]
@@ -100,7 +105,7 @@
                 violations.extend(after.map(|later| Violation {
                     rule: "order",
                     at_us: *at_us,
-                    what: format!("{id} came from n{sender} after {} of its key", later.id),
+                    description: format!("{id} came from n{sender} after {} of its key", later.id),
                 }));
                 (messages[at].called, messages[at].calls) = (true, messages[at].calls + 1);
             }
@@ -118,7 +123,7 @@
     if impaired {
         return None;
     }
-    let rests = |since: u64| at_us + SLACK_US < since + KEY_REST_US;
+    let rests = |since: u64| at_us + SOCKET_SLACK_US < since + KEY_REST_US;
     match (before.calls, before.abandoned_us) {
         (1.., _) => Some("during a call of"),
         (0, Some(since)) if rests(since) => Some("in the rest after a given-up call of"),
--- a/lab/src/check/order/tests.rs
+++ b/lab/src/check/order/tests.rs
@@ -2,35 +2,35 @@
 
 fn handed(id: &str) -> Event {
     let (id, key, deadline_us) = (id.to_string(), Some(7), 6_000_000);
-    Event::Handed {
+    Event::Submitted {
         id,
         arrival: 0,
         sender: 1,
         class: 2,
         key,
-        dest: 0,
+        destination: 0,
         deadline_us,
     }
 }
 
 fn answered(id: &str) -> Event {
-    Event::Answered {
+    Event::SubmissionAnswered {
         id: id.to_string(),
         status: 202,
     }
 }
 
 fn called(id: &str) -> Event {
-    Event::Called {
+    Event::CallReceived {
         id: id.to_string(),
         endpoint: 0,
         sender: 1,
-        run: true,
+        executed: true,
     }
 }
 
 fn replied(id: &str, status: u16) -> Event {
-    Event::Replied {
+    Event::CallAnswered {
         id: id.to_string(),
         endpoint: 0,
         sender: 1,
@@ -39,7 +39,7 @@
 }
 
 fn abandoned(id: &str) -> Event {
-    Event::Abandoned {
+    Event::CallAbandoned {
         id: id.to_string(),
         endpoint: 0,
         sender: 1,
@@ -47,7 +47,7 @@
 }
 
 fn notice(id: &str) -> Event {
-    Event::Notice {
+    Event::OutcomeNotified {
         id: id.to_string(),
         state: "failed".to_string(),
     }
--- a/lab/src/check/recovery.rs
+++ b/lab/src/check/recovery.rs
@@ -16,7 +16,7 @@
     let disturbed = |record: &&Record| {
         matches!(
             record.event,
-            Event::Step { .. } | Event::Ready { .. } | Event::Started { .. }
+            Event::FaultStep { .. } | Event::ProcessReady { .. } | Event::ProcessStarted { .. }
         )
     };
     let last = records
@@ -32,18 +32,18 @@
     let mut asked: BTreeMap<usize, (u64, Vec<&str>)> = BTreeMap::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Handed { id, arrival, .. } => {
+            Event::Submitted { id, arrival, .. } => {
                 asked
                     .entry(*arrival)
                     .or_insert((*at_us, Vec::new()))
                     .1
                     .push(id);
             }
-            Event::Answered {
+            Event::SubmissionAnswered {
                 id,
                 status: 200 | 202,
             } => drop(taken.insert(id)),
-            Event::Replied {
+            Event::CallAnswered {
                 id, status: 200, ..
             } => drop(delivered.insert(id)),
             _ => {}
@@ -66,7 +66,7 @@
     vec![Violation {
         rule: "recovery",
         at_us: from,
-        what,
+        description: what,
     }]
 }
 
--- a/lab/src/check/recovery/tests.rs
+++ b/lab/src/check/recovery/tests.rs
@@ -2,8 +2,8 @@
 
 /// A fault until the second 10, and a message every tenth of a second until 25, some of them delivered.
 fn history(delivers: impl Fn(u64) -> bool) -> Vec<Record> {
-    let step = Event::Step {
-        what: String::new(),
+    let step = Event::FaultStep {
+        action: String::new(),
     };
     let mut records = vec![Record {
         at_us: 10_000_000,
@@ -12,24 +12,24 @@
     for number in 0..250 {
         let (at_us, id) = (number * 100_000, format!("m{number}"));
         let (arrival, deadline_us) = (number as usize, at_us + 6_000_000);
-        let handed = Event::Handed {
+        let handed = Event::Submitted {
             id: id.clone(),
             arrival,
             sender: 0,
             class: 0,
             key: None,
-            dest: 0,
+            destination: 0,
             deadline_us,
         };
         let mut events = vec![
             handed,
-            Event::Answered {
+            Event::SubmissionAnswered {
                 id: id.clone(),
                 status: 202,
             },
         ];
         if delivers(at_us) {
-            events.push(Event::Replied {
+            events.push(Event::CallAnswered {
                 id,
                 endpoint: 0,
                 sender: 0,
@@ -58,7 +58,7 @@
     let mut records = history(|_| false);
     records.push(Record {
         at_us: 15_000_000,
-        event: Event::Ready { sender: 0 },
+        event: Event::ProcessReady { sender: 0 },
     });
     assert_eq!(check(&records, 25_000_000), []);
 }
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -1,36 +1,38 @@
+use super::outcomes::{self, DEADLINE_SLACK_US};
 use super::*;
+use crate::schedule::FaultAction;
 
 fn handed(id: &str, class: usize) -> Event {
     let (id, key, deadline_us) = (id.to_string(), None, 6_000_000);
-    Event::Handed {
+    Event::Submitted {
         id,
         arrival: 0,
         sender: 1,
         class,
         key,
-        dest: 0,
+        destination: 0,
         deadline_us,
     }
 }
 
 fn answered(id: &str, status: u16) -> Event {
-    Event::Answered {
+    Event::SubmissionAnswered {
         id: id.to_string(),
         status,
     }
 }
 
 fn called(id: &str) -> Event {
-    Event::Called {
+    Event::CallReceived {
         id: id.to_string(),
         endpoint: 0,
         sender: 1,
-        run: true,
+        executed: true,
     }
 }
 
 fn replied(id: &str, status: u16) -> Event {
-    Event::Replied {
+    Event::CallAnswered {
         id: id.to_string(),
         endpoint: 0,
         sender: 1,
@@ -39,14 +41,14 @@
 }
 
 fn notice(id: &str, state: &str) -> Event {
-    Event::Notice {
+    Event::OutcomeNotified {
         id: id.to_string(),
         state: state.to_string(),
     }
 }
 
 fn told(up: bool) -> Event {
-    Event::Told {
+    Event::EndpointListed {
         sender: 1,
         endpoint: 0,
         up,
@@ -54,7 +56,7 @@
 }
 
 fn end() -> Event {
-    Event::Over {}
+    Event::RunEnded {}
 }
 
 /// The rules that a history with these events, at these seconds, breaks.
@@ -81,13 +83,13 @@
 
 #[test]
 fn what_keeps_the_rules_breaks_none() {
-    let down = Event::Ended {
+    let down = Event::ProcessEnded {
         sender: 1,
         pid: 9,
-        meant: true,
+        intended: true,
         status: String::new(),
     };
-    let up = Event::Ready { sender: 1 };
+    let up = Event::ProcessReady { sender: 1 };
     for events in [
         // delivered, ended by a notice, refused, given up on by its client
         vec![
@@ -140,13 +142,13 @@
 
 #[test]
 fn each_way_to_break_a_rule_is_found() {
-    let crash = Event::Ended {
+    let crash = Event::ProcessEnded {
         sender: 1,
         pid: 9,
-        meant: false,
+        intended: false,
         status: "signal 6".to_string(),
     };
-    let violated = Event::Violated {
+    let violated = Event::InvariantViolated {
         sender: 1,
         line: "violation: one".to_string(),
     };
@@ -189,39 +191,39 @@
 }
 
 fn handed_and_ended(end: u64) -> Vec<Record> {
-    let step = |what: &Act| Event::Step {
-        what: serde_json::to_string(what).unwrap_or_default(),
+    let step = |action: &FaultAction| Event::FaultStep {
+        action: serde_json::to_string(action).unwrap_or_default(),
     };
     let id = "m1".to_string();
     let deadline_us = 5_000_000;
-    let handed = Event::Handed {
+    let handed = Event::Submitted {
         id: id.clone(),
         arrival: 0,
         sender: 3,
         class: 0,
         key: None,
-        dest: 0,
+        destination: 0,
         deadline_us,
     };
     let events = [
         (1, handed),
         (
             2,
-            Event::Answered {
+            Event::SubmissionAnswered {
                 id: id.clone(),
                 status: 202,
             },
         ),
-        (3_000_000, step(&Act::Stop { sender: 3 })),
-        (7_000_000, step(&Act::Continue { sender: 3 })),
+        (3_000_000, step(&FaultAction::Stop { sender: 3 })),
+        (7_000_000, step(&FaultAction::Continue { sender: 3 })),
         (
             end,
-            Event::Notice {
+            Event::OutcomeNotified {
                 id,
                 state: "returned".to_string(),
             },
         ),
-        (20_000_000, Event::Over {}),
+        (20_000_000, Event::RunEnded {}),
     ];
     events
         .into_iter()
@@ -231,17 +233,20 @@
 
 #[test]
 fn the_slack_of_one_that_stood_still_counts_from_when_it_went_on() {
-    assert_eq!(ends(&handed_and_ended(7_000_000 + END_SLACK_US)), []);
-    let late = ends(&handed_and_ended(7_100_000 + END_SLACK_US));
+    assert_eq!(
+        outcomes::check(&handed_and_ended(7_000_000 + DEADLINE_SLACK_US)),
+        []
+    );
+    let late = outcomes::check(&handed_and_ended(7_100_000 + DEADLINE_SLACK_US));
     assert!(
-        late.len() == 1 && late[0].what.contains("too late"),
+        late.len() == 1 && late[0].description.contains("too late"),
         "{late:?}"
     );
     // nor can one whose every send fails tell an end; one whose sends fail now and then can
     for (percent, late) in [(100, 0), (30, 1)] {
-        let mut failing = handed_and_ended(7_000_000 + END_SLACK_US);
+        let mut failing = handed_and_ended(7_000_000 + DEADLINE_SLACK_US);
         let call = || "send".to_string();
-        let begin = Act::FailCalls {
+        let begin = FaultAction::FailCalls {
             sender: 3,
             call: call(),
             number: 110,
@@ -251,22 +256,22 @@
             (2, begin),
             (
                 3,
-                Act::RestoreCalls {
+                FaultAction::RestoreCalls {
                     sender: 3,
                     call: call(),
                 },
             ),
         ];
         for (at, step) in steps {
-            let what = serde_json::to_string(&step).unwrap_or_default();
-            failing[at].event = Event::Step { what };
+            let action = serde_json::to_string(&step).unwrap_or_default();
+            failing[at].event = Event::FaultStep { action };
         }
-        assert_eq!(ends(&failing).len(), late, "{percent}");
+        assert_eq!(outcomes::check(&failing).len(), late, "{percent}");
     }
     // another's standing still is no excuse
     let mut others = handed_and_ended(7_000_000);
-    others[2].event = Event::Step {
-        what: r#"{"stop":{"sender":4}}"#.to_string(),
+    others[2].event = Event::FaultStep {
+        action: r#"{"stop":{"sender":4}}"#.to_string(),
     };
-    assert_eq!(ends(&others).len(), 1);
+    assert_eq!(outcomes::check(&others).len(), 1);
 }
--- a/lab/src/clients.rs
+++ b/lab/src/clients.rs
@@ -1,8 +1,11 @@
-//! The front and the clients: messages are handed in when the plan says, whether or not others were answered.
+//! The clients and the front end that chooses a sender for them: messages are submitted when the schedule says, whether
+//! or not others were answered (open loop).
 
 use crate::history::Event;
-use crate::plan::{Arrival, CLASSES, Party, SHOPS, micros};
-use crate::relay::{Net, lock};
+use crate::locking::lock;
+use crate::relay::Net;
+use crate::schedule::Party;
+use crate::workload::{Arrival, CLASSES, TENANTS, micros};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -16,51 +19,51 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// What a client waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// How often a client comes again, and its rest before that where none is told.
-const AGAIN: u32 = 2;
-const REST: Duration = Duration::from_millis(500);
-/// Length of a message.
-const BODY: usize = 200;
+/// How long a client waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// How often a client retries, and its backoff before that where no Retry-After was given.
+const RETRIES: u32 = 2;
+const RETRY_BACKOFF: Duration = Duration::from_millis(500);
+/// Length of a message, bytes.
+const BODY_BYTES: usize = 200;
 
-type Link = SendRequest<Full<Bytes>>;
+type Connection = SendRequest<Full<Bytes>>;
 
-/// What the front knows of the senders.
+/// What the front end knows of the senders.
 #[derive(Debug)]
-pub struct Front {
+pub struct Frontend {
     net: Arc<Net>,
     senders: Vec<SocketAddr>,
-    /// Those that take messages, as far as the front knows.
-    used: Mutex<Vec<bool>>,
-    idle: Vec<Mutex<Vec<Link>>>,
-    /// The last message of each key: the next is handed in once it has its answer.
+    /// Those that take messages, as far as the front end knows.
+    in_use: Mutex<Vec<bool>>,
+    idle: Vec<Mutex<Vec<Connection>>>,
+    /// The last message of each key: the next is submitted once it has its answer.
     keys: Mutex<HashMap<u32, Arc<tokio::sync::Mutex<()>>>>,
 }
 
-impl Front {
+impl Frontend {
     pub fn new(net: Arc<Net>, senders: Vec<SocketAddr>) -> Arc<Self> {
-        let used = Mutex::new(vec![false; senders.len()]);
+        let in_use = Mutex::new(vec![false; senders.len()]);
         let idle = senders.iter().map(|_| Mutex::default()).collect();
-        Arc::new(Front {
+        Arc::new(Frontend {
             net,
             senders,
-            used,
+            in_use,
             idle,
             keys: Mutex::default(),
         })
     }
 
-    /// Tells the front that a sender can be used, or no more.
-    pub fn set_used(&self, sender: usize, used: bool) {
-        lock(&self.used)[sender] = used;
-        if !used {
+    /// Notes that a sender can be used, or no more.
+    pub fn set_in_use(&self, sender: usize, in_use: bool) {
+        lock(&self.in_use)[sender] = in_use;
+        if !in_use {
             lock(&self.idle[sender]).clear();
         }
     }
 
-    /// Hands in all arrivals, each at its time after `begin_us`; ends when the last has its answer.
-    pub async fn play(self: Arc<Self>, arrivals: Vec<Arrival>, begin_us: u64) {
+    /// Submits all arrivals, each at its time after `begin_us`; ends when the last has its answer.
+    pub async fn run(self: Arc<Self>, arrivals: Vec<Arrival>, begin_us: u64) {
         let mut clients = tokio::task::JoinSet::new();
         for arrival in arrivals {
             sleep_until(self.net.history.instant(begin_us + arrival.at_us)).await;
@@ -80,55 +83,58 @@
         };
         let class = &CLASSES[arrival.class];
         let deadline_us = self.net.history.now_us() + micros(class.deadline_s);
-        for again in 0..=AGAIN {
+        for retry in 0..=RETRIES {
             let left_us = deadline_us.saturating_sub(self.net.history.now_us());
-            let Some(sender) = self.choose(&arrival, again).filter(|_| left_us > 0) else {
+            let Some(sender) = self.choose(&arrival, retry).filter(|_| left_us > 0) else {
                 return;
             };
-            let id = format!("{:012x}{again:04x}", arrival.number);
-            self.net.history.tell(Event::Handed {
+            let id = format!("{:012x}{retry:04x}", arrival.number);
+            self.net.history.record(Event::Submitted {
                 id: id.clone(),
                 arrival: arrival.number,
                 sender,
                 class: arrival.class,
                 key: arrival.key,
-                dest: arrival.destination,
+                destination: arrival.destination,
                 deadline_us,
             });
             let answer = timeout(
-                PATIENCE,
-                self.hand_in(&arrival, &id, sender, left_us, again),
+                ANSWER_TIMEOUT,
+                self.submit(&arrival, &id, sender, left_us, retry),
             )
             .await;
             let (status, wait) = answer.ok().flatten().unwrap_or((0, None));
-            self.net.history.tell(Event::Answered { id, status });
+            self.net
+                .history
+                .record(Event::SubmissionAnswered { id, status });
             match status {
-                0 | 429 | 503 => sleep(wait.unwrap_or(REST)).await,
+                0 | 429 | 503 => sleep(wait.unwrap_or(RETRY_BACKOFF)).await,
                 _ => return,
             }
         }
     }
 
     /// Messages of one key go to one sender while it runs.
-    fn choose(&self, arrival: &Arrival, again: u32) -> Option<usize> {
-        let used = lock(&self.used);
-        let used: Vec<usize> = (0..used.len()).filter(|&sender| used[sender]).collect();
+    fn choose(&self, arrival: &Arrival, retry: u32) -> Option<usize> {
+        let in_use = lock(&self.in_use);
+        let usable: Vec<usize> = (0..in_use.len()).filter(|&sender| in_use[sender]).collect();
         let draw = match arrival.key {
             Some(key) => u64::from(key).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32,
-            None => arrival.draw.rotate_left(again),
+            None => arrival.sender_choice.rotate_left(retry),
         };
-        used.get((draw % used.len().max(1) as u64) as usize)
+        usable
+            .get((draw % usable.len().max(1) as u64) as usize)
             .copied()
     }
 
-    /// The status and the wait that is told; none if no answer came.
-    async fn hand_in(
+    /// The status and the Retry-After; none if no answer came.
+    async fn submit(
         &self,
         arrival: &Arrival,
         id: &str,
         sender: usize,
         left_us: u64,
-        again: u32,
+        retry: u32,
     ) -> Option<(u16, Option<Duration>)> {
         let class = CLASSES[arrival.class].name;
         let query = arrival
@@ -140,18 +146,18 @@
                 .header("host", "app.svc")
                 .header("x-request-id", id)
                 .header("x-priority-class", class)
-                .header("x-tenant-id", SHOPS[arrival.shop].0)
+                .header("x-tenant-id", TENANTS[arrival.tenant].name)
                 .header("x-timeout", format!("{left_us}u"))
                 .header("idempotency-key", format!("key-{:016x}", arrival.number))
                 .header("envelope", format!("dest={}", arrival.destination));
-            let builder = if again > 0 {
+            let builder = if retry > 0 {
                 builder.header("x-retried", "1")
             } else {
                 builder
             };
-            builder.body(Full::from(vec![b'x'; BODY])).ok()
+            builder.body(Full::from(vec![b'x'; BODY_BYTES])).ok()
         };
-        // an idle connection that was closed meanwhile is no refusal: once more on a new one
+        // an idle connection that was closed meanwhile is no rejection: once more on a new one
         let idle = lock(&self.idle[sender]).pop();
         if let Some(mut link) = idle
             && link.ready().await.is_ok()
@@ -167,7 +173,7 @@
     async fn answered(
         &self,
         response: hyper::Response<hyper::body::Incoming>,
-        link: Link,
+        link: Connection,
         sender: usize,
     ) -> Option<(u16, Option<Duration>)> {
         let status = response.status();
@@ -183,7 +189,7 @@
         ))
     }
 
-    async fn dial(&self, sender: usize) -> Option<Link> {
+    async fn dial(&self, sender: usize) -> Option<Connection> {
         let stream = TcpStream::connect(self.senders[sender]).await.ok()?;
         let io = self
             .net
@@ -198,13 +204,21 @@
 pub async fn get(
     address: SocketAddr,
     path: &str,
-    patience: Duration,
+    answer_timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    ask(address, Method::GET, path, None, String::new(), patience).await
+    request(
+        address,
+        Method::GET,
+        path,
+        None,
+        String::new(),
+        answer_timeout,
+    )
+    .await
 }
 
 /// A connection of its own, past the links.
-pub async fn link(address: SocketAddr) -> Option<Link> {
+pub async fn connect(address: SocketAddr) -> Option<Connection> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (link, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
@@ -212,16 +226,16 @@
 }
 
 /// One request on a connection of its own, on a version if one is named; the status and body.
-pub async fn ask(
+pub async fn request(
     address: SocketAddr,
     method: Method,
     path: &str,
     version: Option<u64>,
     body: String,
-    patience: Duration,
+    answer_timeout: Duration,
 ) -> Option<(StatusCode, Bytes)> {
-    let ask = async {
-        let mut link = link(address).await?;
+    let round_trip = async {
+        let mut link = connect(address).await?;
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -239,7 +253,7 @@
             response.into_body().collect().await.ok()?.to_bytes(),
         ))
     };
-    timeout(patience, ask).await.ok().flatten()
+    timeout(answer_timeout, round_trip).await.ok().flatten()
 }
 
 /// Until the sender says that it is ready; false if it does not in time or ends.
--- a/lab/src/compatibility_tests.rs
+++ b/lab/src/compatibility_tests.rs
@@ -2,14 +2,14 @@
 //!
 //! The golden files under `tests/golden` were written by the program as it was before any of its names changed.
 
-use crate::agreement::Agreed;
+use crate::check::agreement::AgreementFigures;
+use crate::check::limits::LimitFigures;
+use crate::check::membership::Seen;
+use crate::deployment::{AXES, Choice, derive, draw_choices};
 use crate::history::{Head, Record};
-use crate::limits::Limited;
-use crate::members::Seen;
-use crate::plan::Plan;
 use crate::run::Figures;
 use crate::scenario::Scenario;
-use crate::site::{AXES, Choice, derive, drawn};
+use crate::schedule::Schedule;
 use std::path::{Path, PathBuf};
 
 /// Seed of the schedules whose digests are in `schedules.txt`.
@@ -42,13 +42,13 @@
 fn digest(path: &Path) -> String {
     let scenario =
         Scenario::read(&read(path)).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    let schedule = Plan::draw(&scenario, SEED).expect("a schedule");
+    let schedule = Schedule::draw(&scenario, SEED).expect("a schedule");
     let text = serde_json::to_string(&schedule).expect("JSON");
     format!(
         "{} {} {} {:08x}",
         scenario.name,
         schedule.arrivals.len(),
-        schedule.steps.len(),
+        schedule.actions.len(),
         crc32fast::hash(text.as_bytes())
     )
 }
@@ -84,8 +84,8 @@
     };
     let figures = Figures {
         members: vec![fault_seen],
-        agreement: Some(Agreed::default()),
-        limits: Some(Limited::default()),
+        agreement: Some(AgreementFigures::default()),
+        limits: Some(LimitFigures::default()),
         ..Figures::default()
     };
     let text = serde_json::to_string(&figures).expect("JSON");
@@ -107,7 +107,7 @@
         }
     }
     for seed in 0..5 {
-        let choices = drawn(seed, 6, &[]);
+        let choices = draw_choices(seed, 6, &[]);
         let names: Vec<String> = choices.iter().map(ToString::to_string).collect();
         digests.push(format!("{} {}", names.join(" "), digest(&choices)));
     }
--- a/lab/src/site.rs
+++ b/lab/src/deployment.rs
@@ -2,10 +2,11 @@
 
 mod axes;
 mod classes;
-mod draw;
 mod edit;
-mod parties;
+mod random_choices;
 mod tables;
+mod tenants_and_zones;
+mod values;
 
 use anyhow::Context;
 use std::fs;
@@ -14,12 +15,12 @@
 use toml_edit::{DocumentMut, value};
 
 pub use axes::{AXES, Axis};
-pub use draw::drawn;
+pub use random_choices::draw_choices;
 
-/// Files beside a site file that the bench reads; the folder's copy serves the new site as it stands.
-const COMPANIONS: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
+/// Files beside a site file that the bench reads; they are copied unchanged.
+const COMPANION_FILES: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
 
-/// A value of an axis, by their names.
+/// One value of one axis.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
     /// The axis.
@@ -28,18 +29,18 @@
     pub value: usize,
 }
 
-/// Why a text names no choice.
+/// Why a text does not name a choice.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ChoiceError {
     /// The text has no `=`.
     #[error("`{0}` is not of the form axis=value")]
-    Form(String),
+    NoEqualsSign(String),
     /// No axis has this name.
     #[error("no axis `{0}`; `fault-lab axes` lists them")]
-    Axis(String),
+    UnknownAxis(String),
     /// The axis has no such value.
     #[error("axis `{axis}` has no value `{value}`; it has {known}")]
-    Value {
+    UnknownValue {
         /// Name of the axis.
         axis: &'static str,
         /// What was asked for.
@@ -55,11 +56,11 @@
     fn from_str(text: &str) -> Result<Choice, ChoiceError> {
         let (name, wanted) = text
             .split_once('=')
-            .ok_or_else(|| ChoiceError::Form(text.to_string()))?;
+            .ok_or_else(|| ChoiceError::NoEqualsSign(text.to_string()))?;
         let axis = AXES.iter().find(|axis| axis.name == name);
-        let axis = axis.ok_or_else(|| ChoiceError::Axis(name.to_string()))?;
+        let axis = axis.ok_or_else(|| ChoiceError::UnknownAxis(name.to_string()))?;
         let value = axis.values.iter().position(|value| value.name == wanted);
-        let value = value.ok_or_else(|| ChoiceError::Value {
+        let value = value.ok_or_else(|| ChoiceError::UnknownValue {
             axis: axis.name,
             value: wanted.to_string(),
             known: axis
@@ -83,7 +84,10 @@
     }
 }
 
-/// The base site's text with all choices applied, the later over the earlier, under another name.
+/// The base site's text under another name, with the choices applied in their order.
+///
+/// # Errors
+/// The base is no site file, or lacks what a choice changes.
 pub fn derive(base: &str, name: &str, choices: &[Choice]) -> anyhow::Result<String> {
     let mut site: DocumentMut = base.parse().context("the base is no site file")?;
     site["name"] = value(name);
@@ -96,6 +100,9 @@
 }
 
 /// Writes the folder of a site derived from `base`, named after the folder, and returns the site file's path.
+///
+/// # Errors
+/// A file can't be read or written, or a choice can't be applied.
 pub fn write(base: &Path, out: &Path, choices: &[Choice]) -> anyhow::Result<PathBuf> {
     let name = out
         .file_name()
@@ -104,7 +111,7 @@
     let text = fs::read_to_string(base).with_context(|| base.display().to_string())?;
     let site = derive(&text, name, choices)?;
     fs::create_dir_all(out)?;
-    for companion in COMPANIONS {
+    for companion in COMPANION_FILES {
         let from = base.with_file_name(companion);
         // the content alone: a base that may not be written to must not make its copies so
         let content = fs::read(&from).with_context(|| from.display().to_string())?;
--- a/lab/src/site/axes.rs
+++ b/lab/src/deployment/axes.rs
@@ -1,6 +1,7 @@
 //! The properties in which deployments differ, one axis each, with the values to try.
 
-use super::edit::{Edit, Effect, Place, Setting};
+use super::edit::Edit;
+use super::values::{Effect, Setting, Tables};
 
 /// A property of a deployment.
 #[derive(Debug, PartialEq)]
@@ -24,12 +25,15 @@
     pub edits: &'static [Edit],
 }
 
-const ALLOW: Place = Place::One("allow");
-const FAM: Place = Place::One("fam");
-const LOAD: Place = Place::One("load");
-const PRICES: Place = Place::One("prices");
-const DISCOVERY: Place = Place::One("discovery");
-const KIND: Place = Place::EachIn("fam", "kind");
+const ALLOW: Tables = Tables::Single("allow");
+const FAM: Tables = Tables::Single("fam");
+const LOAD: Tables = Tables::Single("load");
+const PRICES: Tables = Tables::Single("prices");
+const DISCOVERY: Tables = Tables::Single("discovery");
+const KIND: Tables = Tables::NestedArray {
+    outer: "fam",
+    inner: "kind",
+};
 
 const fn axis(name: &'static str, about: &'static str, values: &'static [AxisValue]) -> Axis {
     Axis {
@@ -43,23 +47,23 @@
     AxisValue { name, edits }
 }
 
-const fn whole(place: Place, key: &'static str, to: i64) -> Edit {
-    Edit::Set(place, key, Setting::Whole(to))
+const fn integer(tables: Tables, key: &'static str, to: i64) -> Edit {
+    Edit::Set(tables, key, Setting::Integer(to))
 }
 
-const fn range(place: Place, key: &'static str, least: f64, most: f64) -> Edit {
-    Edit::Set(place, key, Setting::Range(least, most))
+const fn range(tables: Tables, key: &'static str, min: f64, max: f64) -> Edit {
+    Edit::Set(tables, key, Setting::Range(min, max))
 }
 
-const fn flag(place: Place, key: &'static str, to: bool) -> Edit {
-    Edit::Set(place, key, Setting::Flag(to))
+const fn flag(tables: Tables, key: &'static str, to: bool) -> Edit {
+    Edit::Set(tables, key, Setting::Flag(to))
 }
 
-const fn text(place: Place, key: &'static str, to: &'static str) -> Edit {
-    Edit::Set(place, key, Setting::Text(to))
+const fn text(tables: Tables, key: &'static str, to: &'static str) -> Edit {
+    Edit::Set(tables, key, Setting::Text(to))
 }
 
-/// All of them.
+/// All axes, in the order in which `fault-lab axes` lists them.
 pub static AXES: &[Axis] = &[
     axis(
         "deadline",
@@ -75,17 +79,17 @@
         "aim",
         "share of the deadline within which a message has its full worth",
         &[
-            value("tenth", &[Edit::Aim(0.1)]),
-            value("all", &[Edit::Aim(1.0)]),
+            value("tenth", &[Edit::LatencyObjective(0.1)]),
+            value("all", &[Edit::LatencyObjective(1.0)]),
         ],
     ),
     axis(
         "work",
         "time of a call as a share of the deadline",
         &[
-            value("hundredth", &[Edit::Work(0.01)]),
-            value("thirtieth", &[Edit::Work(1.0 / 30.0)]),
-            value("tenth", &[Edit::Work(0.1)]),
+            value("hundredth", &[Edit::CallTime(0.01)]),
+            value("thirtieth", &[Edit::CallTime(1.0 / 30.0)]),
+            value("tenth", &[Edit::CallTime(0.1)]),
         ],
     ),
     axis(
@@ -101,9 +105,9 @@
         "window",
         "span in which a destination counts calls",
         &[
-            value("200ms", &[whole(KIND, "window_ms", 200)]),
-            value("2s", &[whole(KIND, "window_ms", 2_000)]),
-            value("10s", &[whole(KIND, "window_ms", 10_000)]),
+            value("200ms", &[integer(KIND, "window_ms", 200)]),
+            value("2s", &[integer(KIND, "window_ms", 2_000)]),
+            value("10s", &[integer(KIND, "window_ms", 10_000)]),
         ],
     ),
     axis(
@@ -127,8 +131,8 @@
         "tells-wait",
         "share of refusals that say for how long",
         &[
-            value("never", &[whole(KIND, "tells_wait", 0)]),
-            value("always", &[whole(KIND, "tells_wait", 1)]),
+            value("never", &[integer(KIND, "tells_wait", 0)]),
+            value("always", &[integer(KIND, "tells_wait", 1)]),
         ],
     ),
     axis(
@@ -158,7 +162,7 @@
                     range(KIND, "least_conns", 4.0, 8.0),
                 ],
             ),
-            value("any", &[whole(KIND, "conns", 0)]),
+            value("any", &[integer(KIND, "conns", 0)]),
         ],
     ),
     axis(
@@ -177,14 +181,14 @@
                 "one",
                 &[
                     range(FAM, "slots_room", 1.0, 1.0),
-                    whole(FAM, "least_slots", 1),
+                    integer(FAM, "least_slots", 1),
                 ],
             ),
             value(
                 "many",
                 &[
                     range(FAM, "slots_room", 8.0, 10.0),
-                    whole(FAM, "least_slots", 200),
+                    integer(FAM, "least_slots", 200),
                 ],
             ),
         ],
@@ -195,7 +199,10 @@
         &[
             value(
                 "short",
-                &[range(FAM, "hold_s", 0.5, 1.0), whole(FAM, "least_open", 4)],
+                &[
+                    range(FAM, "hold_s", 0.5, 1.0),
+                    integer(FAM, "least_open", 4),
+                ],
             ),
             value("long", &[range(FAM, "hold_s", 30.0, 40.0)]),
         ],
@@ -204,9 +211,9 @@
         "attempts",
         "attempts that a message may take",
         &[
-            value("one", &[whole(ALLOW, "max_attempts", 1)]),
-            value("two", &[whole(ALLOW, "max_attempts", 2)]),
-            value("thirty", &[whole(ALLOW, "max_attempts", 30)]),
+            value("one", &[integer(ALLOW, "max_attempts", 1)]),
+            value("two", &[integer(ALLOW, "max_attempts", 2)]),
+            value("thirty", &[integer(ALLOW, "max_attempts", 30)]),
         ],
     ),
     axis(
@@ -226,9 +233,9 @@
         "effect",
         "what a repeated delivery does, the same for all classes",
         &[
-            value("safe", &[Edit::Effect(Effect::Safe)]),
-            value("keyed", &[Edit::Effect(Effect::Keyed)]),
-            value("unsafe", &[Edit::Effect(Effect::Unsafe)]),
+            value("safe", &[Edit::Effect(Effect::Idempotent)]),
+            value("keyed", &[Edit::Effect(Effect::IdempotencyKey)]),
+            value("unsafe", &[Edit::Effect(Effect::NonIdempotent)]),
             value("in-order", &[Edit::Effect(Effect::InOrder)]),
         ],
     ),
@@ -252,7 +259,7 @@
     axis(
         "worth",
         "spread of worth over the classes",
-        &[value("hundredfold", &[Edit::WorthSpread(100.0)])],
+        &[value("hundredfold", &[Edit::PriorityWeightSpread(100.0)])],
     ),
     axis(
         "zones",
--- a/lab/src/site/draw.rs
+++ b/lab/src/deployment/random_choices.rs
@@ -1,4 +1,4 @@
-//! Choices drawn by a seed, for deployments in which several axes differ at once.
+//! Choices drawn from a seed, for deployments in which several axes differ at once.
 
 use super::{AXES, Choice};
 use rand::seq::SliceRandom;
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64;
 
 /// One value each of `count` axes that `fixed` does not name; the same for the same arguments.
-pub fn drawn(seed: u64, count: usize, fixed: &[Choice]) -> Vec<Choice> {
+pub fn draw_choices(seed: u64, count: usize, fixed: &[Choice]) -> Vec<Choice> {
     let mut random = Pcg64::seed_from_u64(seed);
     let is_fixed = |name: &str| fixed.iter().any(|choice| choice.axis.name == name);
     let mut free: Vec<_> = AXES.iter().filter(|axis| !is_fixed(axis.name)).collect();
--- a/lab/src/site/tables.rs
+++ b/lab/src/deployment/tables.rs
@@ -1,32 +1,41 @@
-//! The tables and numbers of a site file, for those that change them.
+//! Access to the tables and numbers of a site file.
 
-use super::edit::Place;
+use super::values::Tables;
 use anyhow::{Context, bail};
 use toml_edit::{ArrayOfTables, DocumentMut, Item, Table, Value};
 
-/// Does something to each table of a place; a place that is missing is an error.
-pub fn each(
+/// Changes each of the selected tables.
+///
+/// # Errors
+/// The site has no such table, or a change fails.
+pub fn for_each_table(
     site: &mut DocumentMut,
-    place: Place,
+    selected: Tables,
     mut change: impl FnMut(&mut Table) -> anyhow::Result<()>,
 ) -> anyhow::Result<()> {
-    match place {
-        Place::One(name) => change(
+    match selected {
+        Tables::Single(name) => change(
             site[name]
                 .as_table_mut()
                 .with_context(|| format!("the base has no [{name}]"))?,
         ),
-        Place::Each(name) => array(site, name)?.iter_mut().try_for_each(change),
-        Place::EachIn(outer, name) => {
-            let tables = site[outer][name].as_array_of_tables_mut();
-            let tables = tables.with_context(|| format!("the base has no [[{outer}.{name}]]"))?;
+        Tables::Array(name) => array_of_tables(site, name)?.iter_mut().try_for_each(change),
+        Tables::NestedArray { outer, inner } => {
+            let tables = site[outer][inner].as_array_of_tables_mut();
+            let tables = tables.with_context(|| format!("the base has no [[{outer}.{inner}]]"))?;
             tables.iter_mut().try_for_each(change)
         }
     }
 }
 
-/// An array of tables at the top.
-pub fn array<'a>(site: &'a mut DocumentMut, name: &str) -> anyhow::Result<&'a mut ArrayOfTables> {
+/// An array of tables at the top level.
+///
+/// # Errors
+/// The site has no such array.
+pub fn array_of_tables<'a>(
+    site: &'a mut DocumentMut,
+    name: &str,
+) -> anyhow::Result<&'a mut ArrayOfTables> {
     site[name]
         .as_array_of_tables_mut()
         .with_context(|| format!("the base has no [[{name}]]"))
@@ -35,10 +44,13 @@
 fn as_number(value: &Value) -> Option<f64> {
     value
         .as_float()
-        .or_else(|| value.as_integer().map(|whole| whole as f64))
+        .or_else(|| value.as_integer().map(|integer| integer as f64))
 }
 
-/// A number that stands in a table.
+/// The number under a key of a table.
+///
+/// # Errors
+/// The key is missing or is no number.
 pub fn number(table: &Table, key: &str) -> anyhow::Result<f64> {
     let value = table.get(key).and_then(Item::as_value);
     value
@@ -46,7 +58,10 @@
         .with_context(|| format!("{key} is no number"))
 }
 
-/// Multiplies a number, or each of a list.
+/// Multiplies a number, or each number of a list.
+///
+/// # Errors
+/// Something else stands there.
 pub fn scale(value: &mut Value, factor: f64) -> anyhow::Result<()> {
     if let Value::Array(list) = value {
         return list
--- a/lab/src/world.rs
+++ b/lab/src/destination.rs
@@ -8,11 +8,11 @@
 
 /// What becomes of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It runs, and its answer is due after this time, us.
-    Runs { after_us: u64 },
-    /// It is turned away unheard.
-    Full,
+pub enum CallOutcome {
+    /// It is executed, and its answer is written after this time, us.
+    Accepted { after_us: u64 },
+    /// It is rejected.
+    Rejected,
 }
 
 /// One destination with its endpoints.
@@ -46,19 +46,19 @@
         }
     }
 
-    /// A call comes in. Calls beyond the capacity and calls to what is shut are turned away.
-    pub fn call(&mut self, now_us: u64, endpoint: usize) -> Fate {
+    /// A call comes in. Calls beyond the capacity and calls to what is shut are rejected.
+    pub fn call(&mut self, now_us: u64, endpoint: usize) -> CallOutcome {
         let passed = now_us.saturating_sub(self.seen_us) as f64;
         self.seen_us = now_us.max(self.seen_us);
         let most = (self.capacity * BURST_US / 1e6).max(1.0);
         self.tokens = (self.tokens + passed * self.capacity / 1e6).min(most);
         if self.shut.get(endpoint).copied().unwrap_or(true) || self.tokens < 1.0 {
-            return Fate::Full;
+            return CallOutcome::Rejected;
         }
         self.tokens -= 1.0;
         // half to twice the median, even in its logarithm
         let factor = 2f64.powf(self.random.random_range(-1.0..1.0));
-        Fate::Runs {
+        CallOutcome::Accepted {
             after_us: (self.latency_us * factor) as u64,
         }
     }
--- a/lab/src/world/tests.rs
+++ b/lab/src/destination/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn it_takes_its_capacity_and_refuses_the_rest() {
     let mut destination = Destination::new(100.0, 40.0, 2, 1);
-    let mut call = |n: u64| destination.call(n * 5_000, 0) != Fate::Full;
+    let mut call = |n: u64| destination.call(n * 5_000, 0) != CallOutcome::Rejected;
     let taken = (0..2000).filter(|&n| call(n)).count();
     assert!(
         (1000..=1030).contains(&taken),
@@ -15,13 +15,13 @@
 fn what_is_shut_refuses_and_its_fellow_does_not() {
     let mut destination = Destination::new(100.0, 40.0, 2, 1);
     destination.shut(0, true);
-    assert_eq!(destination.call(0, 0), Fate::Full);
+    assert_eq!(destination.call(0, 0), CallOutcome::Rejected);
     assert!(matches!(
         destination.call(0, 1),
-        Fate::Runs {
+        CallOutcome::Accepted {
             after_us: 20_000..=80_000
         }
     ));
     destination.shut(0, false);
-    assert_ne!(destination.call(0, 0), Fate::Full);
+    assert_ne!(destination.call(0, 0), CallOutcome::Rejected);
 }
--- a/lab/src/figures.rs
+++ b/lab/src/figures.rs
@@ -1,7 +1,7 @@
 //! What a history says in figures: worth served, attempts and refusals, and how even the endpoints' arrivals were.
 
 use crate::history::{Event, Record};
-use crate::plan::{CLASSES, micros};
+use crate::workload::{CLASSES, micros};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 
 /// Worth served, as a share of what was asked for.
 #[derive(Debug, Default, Clone, PartialEq, Serialize)]
-pub struct Worth {
+pub struct DeliveredWeight {
     pub all: f64,
     /// Of what was handed in within the worst ten seconds.
     pub worst_10s: f64,
@@ -33,7 +33,7 @@
 }
 
 /// The worth of a message of this class that is delivered so long after it was handed in.
-fn worth_at(class: usize, after_us: u64) -> f64 {
+fn weight_at(class: usize, after_us: u64) -> f64 {
     let Some(class) = CLASSES.get(class) else {
         return 0.0;
     };
@@ -41,12 +41,14 @@
     if after > class.deadline_s {
         return 0.0;
     }
-    let late = ((after - class.aim_s) / (class.deadline_s - class.aim_s)).max(0.0);
-    class.worth * (1.0 - late * (1.0 - class.late_share))
+    let late = ((after - class.latency_objective_s)
+        / (class.deadline_s - class.latency_objective_s))
+        .max(0.0);
+    class.priority_weight * (1.0 - late * (1.0 - class.late_share))
 }
 
 /// Worth by when messages were first handed in. A client's later tries belong to its first.
-pub fn worth(records: &[Record]) -> Worth {
+pub fn delivered_weight(records: &[Record]) -> DeliveredWeight {
     struct Asked {
         at: u64,
         class: usize,
@@ -57,7 +59,7 @@
     let mut asked: BTreeMap<usize, Asked> = BTreeMap::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Handed {
+            Event::Submitted {
                 id, arrival, class, ..
             } => {
                 by_id.insert(id, *arrival);
@@ -68,7 +70,7 @@
                     served: 0.0,
                 });
             }
-            Event::Answered {
+            Event::SubmissionAnswered {
                 id,
                 status: 200 | 202,
             } => {
@@ -79,14 +81,14 @@
                     asked.taken = true;
                 }
             }
-            Event::Replied {
+            Event::CallAnswered {
                 id, status: 200, ..
             } => {
                 if let Some(asked) = by_id
                     .get(id.as_str())
                     .and_then(|arrival| asked.get_mut(arrival))
                 {
-                    asked.served = asked.served.max(worth_at(asked.class, at_us - asked.at));
+                    asked.served = asked.served.max(weight_at(asked.class, at_us - asked.at));
                 }
             }
             _ => {}
@@ -95,7 +97,7 @@
     let share = |of: &dyn Fn(&Asked) -> bool| {
         let (mut served, mut wanted) = (0.0, 0.0);
         for one in asked.values().filter(|one| of(one)) {
-            wanted += worth_at(one.class, 0);
+            wanted += weight_at(one.class, 0);
             served += if one.taken { one.served } else { 0.0 };
         }
         if wanted > 0.0 { served / wanted } else { 1.0 }
@@ -109,10 +111,10 @@
     let worst = spans
         .map(|from| share(&|one| (from..from + WORST_US).contains(&one.at)))
         .fold(1.0, f64::min);
-    let class = |(at, class): (usize, &crate::plan::Class)| {
+    let class = |(at, class): (usize, &crate::workload::Class)| {
         (class.name.to_string(), share(&|one| one.class == at))
     };
-    Worth {
+    DeliveredWeight {
         all: share(&|_| true),
         worst_10s: worst,
         by_class: CLASSES.iter().enumerate().map(class).collect(),
@@ -124,7 +126,7 @@
     let handed = || {
         records
             .iter()
-            .filter(|record| matches!(record.event, Event::Handed { .. }))
+            .filter(|record| matches!(record.event, Event::Submitted { .. }))
     };
     let (Some(first), Some(last)) = (handed().next(), handed().next_back()) else {
         return Evenness::default();
@@ -133,7 +135,7 @@
     let (from, to) = (first.at_us + micros(1.0), last.at_us);
     let mut arrivals: Vec<Vec<u64>> = vec![Vec::new(); endpoints];
     for Record { at_us, event } in records {
-        if let Event::Called { endpoint, .. } = event
+        if let Event::CallReceived { endpoint, .. } = event
             && (from..to).contains(at_us)
             && let Some(arrivals) = arrivals.get_mut(*endpoint)
         {
--- a/lab/src/figures/tests.rs
+++ b/lab/src/figures/tests.rs
@@ -9,26 +9,26 @@
 
 fn handed(arrival: usize, class: usize, again: u32) -> Event {
     let id = format!("{arrival}-{again}");
-    Event::Handed {
+    Event::Submitted {
         id,
         arrival,
         sender: 0,
         class,
         key: None,
-        dest: 0,
+        destination: 0,
         deadline_us: 0,
     }
 }
 
 fn answered(id: &str, status: u16) -> Event {
-    Event::Answered {
+    Event::SubmissionAnswered {
         id: id.to_string(),
         status,
     }
 }
 
 fn replied(id: &str) -> Event {
-    Event::Replied {
+    Event::CallAnswered {
         id: id.to_string(),
         endpoint: 0,
         sender: 0,
@@ -39,9 +39,10 @@
 #[test]
 fn worth_falls_after_the_aim_and_a_second_try_belongs_to_the_first() {
     // a title-status, worth 2 within 1 s, a tenth of it at 6 s
-    assert_eq!((worth_at(1, 900_000), worth_at(1, 6_000_001)), (2.0, 0.0));
+    assert_eq!((weight_at(1, 900_000), weight_at(1, 6_000_001)), (2.0, 0.0));
     assert!(
-        (worth_at(1, 6_000_000) - 0.2).abs() < 1e-9 && (worth_at(1, 3_500_000) - 1.1).abs() < 1e-9
+        (weight_at(1, 6_000_000) - 0.2).abs() < 1e-9
+            && (weight_at(1, 3_500_000) - 1.1).abs() < 1e-9
     );
     let records = [
         at(0.0, handed(0, 1, 0)),
@@ -52,10 +53,10 @@
         at(4.0, handed(1, 1, 0)),
         at(4.1, answered("1-0", 503)),
     ];
-    let worth = worth(&records);
-    assert!((worth.all - 1.1 / 4.0).abs() < 1e-9, "{worth:?}");
+    let weight = delivered_weight(&records);
+    assert!((weight.all - 1.1 / 4.0).abs() < 1e-9, "{weight:?}");
     assert_eq!(
-        worth.by_class["reader-charge"], 1.0,
+        weight.by_class["reader-charge"], 1.0,
         "nothing was asked for"
     );
 }
@@ -66,11 +67,11 @@
         let call = |at_s| {
             at(
                 at_s,
-                Event::Called {
+                Event::CallReceived {
                     id: String::new(),
                     endpoint: 0,
                     sender: 0,
-                    run: true,
+                    executed: true,
                 },
             )
         };
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -1,9 +1,14 @@
-//! What happened, one JSON object a line, in the order in which the lab saw it. The first line names the run.
+//! The history of a run: what happened, one JSON object a line, in the order in which the lab saw it. The first line
+//! names the run.
 
-use crate::plan::{Act, ReplicaAct};
-use crate::relay::lock;
-use serde::{Deserialize, Serialize};
-use std::collections::HashMap;
+mod event;
+mod pending;
+
+pub use event::{Event, Head, Record, VERSION};
+
+use crate::locking::lock;
+use crate::schedule::FaultAction;
+use pending::PendingMessages;
 use std::fs::File;
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
@@ -11,204 +16,33 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Raised when a reader of old histories would err.
-pub const VERSION: u32 = 1;
-
-/// The first line.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Head {
-    pub version: u32,
-    pub scenario: String,
-    pub seed: u64,
-    pub senders: usize,
-    /// When clients stopped handing in, us.
-    pub ends_us: u64,
-    /// The members' protocol period, us; none: membership is off.
-    pub period_us: Option<u64>,
-}
-
-/// One line.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Record {
-    pub at_us: u64,
-    #[serde(flatten)]
-    pub event: Event,
-}
-
-/// What is recorded. Ids are the messages'; senders and endpoints go by number.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "event", rename_all = "snake_case")]
-pub enum Event {
-    /// A client hands a message in.
-    Handed {
-        id: String,
-        arrival: usize,
-        sender: usize,
-        class: usize,
-        key: Option<u32>,
-        dest: usize,
-        deadline_us: u64,
-    },
-    /// The answer that the client read in time; 0: none.
-    Answered {
-        id: String,
-        status: u16,
-    },
-    /// An endpoint has read a call's last byte.
-    Called {
-        id: String,
-        endpoint: usize,
-        sender: usize,
-        run: bool,
-    },
-    /// The answer to a call was written.
-    Replied {
-        id: String,
-        endpoint: usize,
-        sender: usize,
-        status: u16,
-    },
-    /// A call ended at the endpoint before its answer was written.
-    Abandoned {
-        id: String,
-        endpoint: usize,
-        sender: usize,
-    },
-    /// A sender's log tells of an invariant that did not hold.
-    Violated {
-        sender: usize,
-        line: String,
-    },
-    /// A notice came in.
-    Notice {
-        id: String,
-        state: String,
-    },
-    /// A process was started or has ended; `meant`: the lab ended it.
-    Started {
-        sender: usize,
-        pid: u32,
-    },
-    Ready {
-        sender: usize,
-    },
-    Ended {
-        sender: usize,
-        pid: u32,
-        meant: bool,
-        status: String,
-    },
-    FolderLost {
-        sender: usize,
-    },
-    /// A fault begins or ends.
-    Step {
-        what: String,
-    },
-    /// What one sender said of the members.
-    Members {
-        sender: usize,
-        view: serde_json::Value,
-    },
-    /// What one sender said that it acts on.
-    Rules {
-        sender: usize,
-        report: serde_json::Value,
-    },
-    /// What one sender said of the parts that it holds.
-    Parts {
-        sender: usize,
-        report: serde_json::Value,
-    },
-    /// All limits were answered as set to this, in thousandths of a call a second.
-    Limited {
-        total: u64,
-    },
-    /// A version of the rules was answered as taken up.
-    Proposed {
-        version: u64,
-    },
-    /// A list that names an endpoint was passed on to a sender.
-    Told {
-        sender: usize,
-        endpoint: usize,
-        up: bool,
-    },
-    /// A client of the registry has read the list's version, or written conditionally upon one and made this one.
-    Revised {
-        asked_us: u64,
-        rev: u64,
-        wrote: bool,
-    },
-    /// A sender has dialled a replica, for a lease.
-    Dialled {
-        sender: usize,
-    },
-    /// Something is done to a replica of the registry.
-    Replica {
-        replica: usize,
-        what: ReplicaAct,
-    },
-    ReplicaEnded {
-        replica: usize,
-        pid: u32,
-        meant: bool,
-        status: String,
-    },
-    /// The run is over: what comes after is the lab's own ending of the processes.
-    Over {},
-    /// The lab itself ran late.
-    LabLate {
-        ms: u64,
-    },
-}
-
-/// Writes a history.
+/// The writer of a history.
 #[derive(Debug)]
 pub struct History {
     begin: Instant,
     file: Mutex<BufWriter<File>>,
-    worst_late_us: AtomicU64,
+    max_lateness_us: AtomicU64,
     datagrams: AtomicU64,
     datagram_bytes: AtomicU64,
     datagrams_lost: AtomicU64,
-    open: Mutex<Open>,
+    pending: Mutex<PendingMessages>,
 }
 
-/// Which messages still want their end, as far as seen.
-#[derive(Debug, Default)]
-struct Open {
-    /// Whether each was taken on and has ended; once each.
-    states: HashMap<String, (bool, bool)>,
-    owed: usize,
-}
-
-impl Open {
-    fn learn(&mut self, event: &Event) {
-        let (id, taken, ended) = match event {
-            Event::Answered {
-                id,
-                status: 200 | 202,
-            } => (id, true, false),
-            Event::Replied {
-                id, status: 200, ..
-            }
-            | Event::Notice { id, .. } => (id, false, true),
-            _ => return,
-        };
-        let state = self.states.entry(id.clone()).or_default();
-        let before = state.0 && !state.1;
-        *state = (state.0 || taken, state.1 || ended);
-        match (before, state.0 && !state.1) {
-            (false, true) => self.owed += 1,
-            (true, false) => self.owed -= 1,
-            _ => {}
-        }
-    }
+/// What a history counts beside its events.
+#[derive(Debug, Clone, Copy)]
+pub struct Counts {
+    /// How late the lab was at most.
+    pub max_lateness: Duration,
+    /// Datagrams that senders sent.
+    pub datagrams: u64,
+    /// Their bytes.
+    pub datagram_bytes: u64,
+    /// Those of them that were lost.
+    pub datagrams_lost: u64,
 }
 
 impl History {
-    /// A new one; time counts from now.
+    /// Creates the file and writes its first line; time counts from now.
     ///
     /// # Errors
     /// The file can't be written.
@@ -219,11 +53,11 @@
         Ok(History {
             begin: Instant::now(),
             file: Mutex::new(file),
-            worst_late_us: AtomicU64::new(0),
+            max_lateness_us: AtomicU64::new(0),
             datagrams: AtomicU64::new(0),
             datagram_bytes: AtomicU64::new(0),
             datagrams_lost: AtomicU64::new(0),
-            open: Mutex::default(),
+            pending: Mutex::default(),
         })
     }
 
@@ -238,8 +72,8 @@
     }
 
     /// Records what happens now.
-    pub fn tell(&self, event: Event) {
-        lock(&self.open).learn(&event);
+    pub fn record(&self, event: Event) {
+        lock(&self.pending).apply(&event);
         let mut file = lock(&self.file);
         let record = Record {
             at_us: self.now_us(),
@@ -251,23 +85,25 @@
         }
     }
 
-    /// Messages that were taken on and have not ended.
-    pub fn owed(&self) -> usize {
-        lock(&self.open).owed
+    /// The number of messages that were accepted and are not complete.
+    pub fn pending_messages(&self) -> usize {
+        lock(&self.pending).count()
     }
 
-    pub fn step(&self, what: &Act) {
-        self.tell(Event::Step {
-            what: serde_json::to_string(what).unwrap_or_default(),
+    /// Records that a fault begins or ends now.
+    pub fn record_step(&self, action: &FaultAction) {
+        self.record(Event::FaultStep {
+            action: serde_json::to_string(action).unwrap_or_default(),
         });
     }
 
-    /// The lab was so late once.
-    pub fn late(&self, late: Duration) {
-        self.worst_late_us
-            .fetch_max(late.as_micros() as u64, Ordering::Relaxed);
+    /// Notes how late the lab was.
+    pub fn note_lateness(&self, lateness: Duration) {
+        self.max_lateness_us
+            .fetch_max(lateness.as_micros() as u64, Ordering::Relaxed);
     }
 
+    /// Counts a datagram of so many bytes, of which so many copies are passed on.
     pub fn count_datagram(&self, bytes: usize, copies: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
         self.datagram_bytes
@@ -277,14 +113,15 @@
         }
     }
 
-    /// The worst lateness, and datagrams, their bytes, and those that were lost.
-    pub fn counts(&self) -> (Duration, [u64; 3]) {
+    /// What was counted beside the events.
+    pub fn counts(&self) -> Counts {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let late = Duration::from_micros(read(&self.worst_late_us));
-        (
-            late,
-            [&self.datagrams, &self.datagram_bytes, &self.datagrams_lost].map(read),
-        )
+        Counts {
+            max_lateness: Duration::from_micros(read(&self.max_lateness_us)),
+            datagrams: read(&self.datagrams),
+            datagram_bytes: read(&self.datagram_bytes),
+            datagrams_lost: read(&self.datagrams_lost),
+        }
     }
 
     /// Writes out what is buffered.
--- a/lab/src/links.rs
+++ b/lab/src/links.rs
@@ -1,6 +1,6 @@
 //! What every link suffers, without sockets or clock: who may reach whom, how late, how often.
 
-use crate::plan::{Impairment, Party};
+use crate::schedule::{Impairment, Party};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::BTreeSet;
@@ -57,8 +57,8 @@
     /// Whether nothing passes from one to the other.
     pub fn cut(&self, from: Party, to: Party) -> bool {
         self.rules.iter().any(|rule| match rule.how {
-            Impairment::Cut { there, back } => {
-                there && rule.names(from, to) || back && rule.names(to, from)
+            Impairment::Cut { forward, reverse } => {
+                forward && rule.names(from, to) || reverse && rule.names(to, from)
             }
             _ => false,
         })
--- a/lab/src/links/tests.rs
+++ b/lab/src/links/tests.rs
@@ -11,8 +11,8 @@
         &[A],
         &[B],
         Impairment::Cut {
-            there: true,
-            back: false,
+            forward: true,
+            reverse: false,
         },
     );
     assert!(links.cut(A, B) && !links.cut(B, A));
@@ -21,8 +21,8 @@
         &[A],
         &[B],
         Impairment::Cut {
-            there: false,
-            back: true,
+            forward: false,
+            reverse: true,
         },
     );
     assert!(links.cut(A, B) && links.cut(B, A));
--- a/lab/src/listing.rs
+++ b/lab/src/listing.rs
@@ -2,8 +2,8 @@
 
 use crate::clients;
 use crate::history::Event;
-use crate::plan::Party;
 use crate::relay::Net;
+use crate::schedule::Party;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Frame;
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 /// How long a replica may take to begin its answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Lines under way to one sender.
 const AHEAD: usize = 4;
 
@@ -29,7 +29,7 @@
     pub sender: usize,
     /// The replica that it asks, and where that is.
     pub replica: usize,
-    pub place: SocketAddr,
+    pub address: SocketAddr,
     pub endpoints: Vec<SocketAddr>,
 }
 
@@ -57,7 +57,7 @@
     /// Asks the replica, and passes its lines on as they come; none: it does not answer with a list.
     pub async fn ask(self: Arc<Self>, query: String, net: Arc<Net>) -> Option<Lines> {
         let begin = async {
-            let mut link = clients::link(self.place).await?;
+            let mut link = clients::connect(self.address).await?;
             let path = format!("/v1/endpoints?{query}");
             let request = Request::get(path)
                 .header("host", "lab")
@@ -68,7 +68,7 @@
                 .ok()
                 .filter(|response| response.status() == StatusCode::OK)
         };
-        let mut body = timeout(PATIENCE, begin).await.ok()??.into_body();
+        let mut body = timeout(ANSWER_TIMEOUT, begin).await.ok()??.into_body();
         let (lines, passed) = mpsc::channel(AHEAD);
         tokio::spawn(async move {
             let mut rest = Vec::new();
@@ -88,7 +88,7 @@
                         return;
                     }
                     for (endpoint, up) in told {
-                        net.history.tell(Event::Told {
+                        net.history.record(Event::EndpointListed {
                             sender: self.sender,
                             endpoint,
                             up,
--- a/lab/src/listing/tests.rs
+++ b/lab/src/listing/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn a_line_has_the_addresses_of_its_sender_and_tells_who_is_up() {
-    let place = SocketAddr::from(([127, 0, 0, 1], 9));
-    let endpoints = vec![place, SocketAddr::from(([127, 0, 0, 2], 80))];
+    let address = SocketAddr::from(([127, 0, 0, 1], 9));
+    let endpoints = vec![address, SocketAddr::from(([127, 0, 0, 2], 80))];
     let listing = Listing {
         sender: 0,
         replica: 0,
-        place,
+        address,
         endpoints,
     };
     let line =
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,29 +1,32 @@
 //! `fault-lab`: plays fleets of real senders on loopback, puts faults between them, and checks the rules.
 
-mod agreement;
+mod addresses;
 mod check;
 mod clients;
 #[cfg(test)]
 mod compatibility_tests;
+mod deployment;
+mod destination;
 mod figures;
 mod fleet;
 mod history;
-mod limits;
 mod links;
 mod listing;
-mod members;
-mod plan;
+mod locking;
+mod process;
 mod registry;
 mod relay;
+mod rules;
 mod run;
 mod scale;
 mod scenario;
+mod schedule;
+mod sender_config;
 mod serve;
-mod site;
 mod soak;
 mod usage;
 mod violation;
-mod world;
+mod workload;
 
 use clap::{Parser, Subcommand};
 use std::ffi::OsString;
@@ -104,7 +107,7 @@
         base: PathBuf,
         /// A property to change; `axes` lists them. Later ones are made upon earlier ones.
         #[arg(long = "set", value_name = "AXIS=VALUE")]
-        set: Vec<site::Choice>,
+        set: Vec<deployment::Choice>,
         /// So many further properties are drawn.
         #[arg(long, default_value_t = 0)]
         draw: usize,
@@ -162,17 +165,17 @@
             let mut scenario = run::read_scenario(&scenario)?;
             scenario.senders = senders.unwrap_or(scenario.senders);
             let seed = seed.unwrap_or(scenario.seed);
-            let order = run::Order {
+            let options = run::RunOptions {
                 scenario,
                 seed,
                 program,
                 registry,
                 out,
             };
-            let outcome = runtime()?.block_on(run::bounded(&order))?;
+            let outcome = runtime()?.block_on(run::run_with_timeout(&options))?;
             println!("{}", serde_json::to_string(&outcome.figures)?);
             let code = verdict(&outcome.violations, outcome.void.as_deref());
-            println!("history: {}", order.out.join("history.jsonl").display());
+            println!("history: {}", options.out.join("history.jsonl").display());
             Ok(code)
         }
         Command::Soak {
@@ -220,7 +223,7 @@
             parent,
             program,
             arguments,
-        } => fleet::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS),
+        } => process::exec(parent, &program, &arguments).map(|()| ExitCode::SUCCESS),
     }
 }
 
@@ -233,20 +236,20 @@
 
 fn write_site(
     base: &Path,
-    mut choices: Vec<site::Choice>,
+    mut choices: Vec<deployment::Choice>,
     draw: usize,
     seed: u64,
     out: &Path,
 ) -> anyhow::Result<ExitCode> {
-    choices.extend(site::drawn(seed, draw, &choices));
-    let path = site::write(base, out, &choices)?;
+    choices.extend(deployment::draw_choices(seed, draw, &choices));
+    let path = deployment::write(base, out, &choices)?;
     let names: Vec<String> = choices.iter().map(ToString::to_string).collect();
     println!("{}: {}", path.display(), names.join(" "));
     Ok(ExitCode::SUCCESS)
 }
 
 fn list_axes() {
-    for axis in site::AXES {
+    for axis in deployment::AXES {
         let values: Vec<&str> = axis.values.iter().map(|value| value.name).collect();
         println!("{} ({}): {}", axis.name, values.join(", "), axis.about);
     }
@@ -254,8 +257,16 @@
 
 fn verdict(violations: &[violation::Violation], void: Option<&str>) -> ExitCode {
     const SHOWN: usize = 20;
-    for violation::Violation { rule, at_us, what } in violations.iter().take(SHOWN) {
-        println!("broken: {rule} at {:.3} s: {what}", *at_us as f64 / 1e6);
+    for violation::Violation {
+        rule,
+        at_us,
+        description,
+    } in violations.iter().take(SHOWN)
+    {
+        println!(
+            "broken: {rule} at {:.3} s: {description}",
+            *at_us as f64 / 1e6
+        );
     }
     if let Some(more) = violations.len().checked_sub(SHOWN).filter(|more| *more > 0) {
         println!("and {more} more");
--- a/lab/src/registry.rs
+++ b/lab/src/registry.rs
@@ -1,156 +1,76 @@
-//! The registry's replicas, of its own program, and what the lab has them agree on: rules that contradict one another in
-//! turn, every so often.
+//! The registry's replicas, of its own program, and what the lab's clients write to them: the list, the limits, and rules
+//! that contradict one another in turn.
 
+use crate::addresses::{Addresses, ReplicaPort};
 use crate::clients;
-use crate::fleet::{Addresses, Process, spawn};
 use crate::history::{Event, History};
-use crate::plan::{CLASSES, Party, ReplicaAct, WINDOW_S};
+use crate::process::{LabProcess, ProcessExit, ProcessSpec, spawn};
 use crate::relay::Net;
-use crate::scenario::{Ledger, Registry as Settings, Scenario};
-use anyhow::Context;
+use crate::rules::{fallback_rules, rules_of_version};
+use crate::scenario::{Ledger, Registry as Settings};
+use crate::schedule::{Party, ReplicaAction};
 use hyper::{Method, StatusCode};
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 /// How long the replicas may take until one leads.
 const LEADS_WITHIN: Duration = Duration::from_secs(20);
-/// Between two tries to have other rules taken up.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Between two attempts to write.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a replica may take for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// What the replicas are started with.
+#[derive(Debug)]
+pub struct RegistryOptions {
+    /// The registry's program.
+    pub program: PathBuf,
+    /// Gets the settings, logs and folders of the replicas.
+    pub folder: PathBuf,
+    /// The scenario's settings of the registry.
+    pub settings: Settings,
+    /// Number of senders.
+    pub senders: usize,
+    /// The addresses of the run.
+    pub addresses: Arc<Addresses>,
+}
 
 /// The replicas of a run.
 #[derive(Debug)]
 pub struct Replicas {
-    program: PathBuf,
-    folder: PathBuf,
-    addresses: Arc<Addresses>,
+    options: RegistryOptions,
     history: Arc<History>,
-    processes: Vec<Option<Process>>,
+    processes: Vec<Option<LabProcess>>,
     /// Leaders that were stopped or ended, the last one last.
-    led: Vec<usize>,
-}
-
-/// Rules: none is freer in `calls` and in `messages` than the other.
-fn rules(version: u64) -> Value {
-    let (calls, messages) = if version % 2 == 1 {
-        (400, 300)
-    } else {
-        (300, 400)
-    };
-    document(calls, messages)
-}
-
-/// What a sender does without a lease.
-pub fn floor() -> Value {
-    document(200, 200)
-}
-
-fn document(calls: u64, messages: u64) -> Value {
-    let classes = CLASSES.iter().map(|class| {
-        let effect = match class.effect {
-            "deduplicated" => json!({ "deduplicated": { "window_ms": (WINDOW_S * 1e3) as u64 } }),
-            other => json!(other),
-        };
-        let class_rules = json!({ "accepted": true, "effect": effect, "attempts": 12, "in_order": class.in_order,
-            "keyed_by": "reader", "gap_ms": 0 });
-        (class.name.to_string(), class_rules)
-    });
-    let classes: serde_json::Map<String, Value> = classes.collect();
-    json!({ "classes": classes, "limits": { "calls": calls, "messages": messages } })
+    former_leaders: Vec<usize>,
 }
 
 impl Replicas {
     /// Writes the settings, carries what goes between replicas and from senders to them, and starts all.
     ///
     /// # Errors
-    /// Something is not to be had.
-    pub async fn start_all(
-        scenario: &Scenario,
-        settings: &Settings,
-        program: PathBuf,
-        folder: &Path,
-        addresses: Arc<Addresses>,
-        net: &Arc<Net>,
-    ) -> anyhow::Result<Self> {
-        let program = program
-            .canonicalize()
-            .with_context(|| program.display().to_string())?;
-        let folder = folder.join("registry");
-        std::fs::create_dir_all(&folder)?;
-        std::fs::write(folder.join("floor.json"), floor().to_string())?;
-        std::fs::write(folder.join("rules.json"), rules(1).to_string())?;
-        let count = settings.replicas;
-        for from in 0..count {
-            let mut text = format!(
-                "cluster = \"lab\"\nid = {}\nlisten = \"{}\"\npeers = \"{}\"\nfolder = \"r{from}\"\n",
-                from + 1,
-                addresses.replica(from, false),
-                addresses.replica(from, true)
-            );
-            for to in 0..count {
-                let place = |peers| {
-                    if from == to {
-                        addresses.replica(to, peers)
-                    } else {
-                        addresses.between(from, to, peers)
-                    }
-                };
-                text += &format!(
-                    "[[replica]]\nid = {}\npeers = \"{}\"\nclients = \"{}\"\n",
-                    to + 1,
-                    place(true),
-                    place(false)
-                );
-                for peers in [true, false].into_iter().filter(|_| from != to) {
-                    let (one, other) = (Party::Registry(from), Party::Registry(to));
-                    net.forward(
-                        addresses.between(from, to, peers),
-                        one,
-                        other,
-                        addresses.replica(to, peers),
-                    )
-                    .await?;
-                }
-            }
-            text += &format!(
-                "[agreement]\nlease_ms = {}\nfloor = \"floor.json\"\nrules = \"rules.json\"\n",
-                settings.lease_ms
-            );
-            if let Some(ledger) = &settings.ledger {
-                text += &format!(
-                    "[ledger]\nlease_ms = {}\nsenders = {}\nfloors = {{ rate = {} }}\nsplit_at = {:?}\n",
-                    ledger.lease_ms,
-                    scenario.senders,
-                    ledger.floor(),
-                    ledger.split_at
-                );
-            }
-            std::fs::write(folder.join(format!("r{from}.toml")), text)?;
-            for sender in 0..scenario.senders {
-                let (one, other) = (Party::Sender(sender), Party::Registry(from));
-                net.forward(
-                    addresses.registry_of(sender, from),
-                    one,
-                    other,
-                    addresses.replica(from, false),
-                )
-                .await?;
-            }
+    /// A file can't be written, an address is taken, the program can't be started, or no replica leads in time.
+    pub async fn start_all(options: RegistryOptions, net: &Arc<Net>) -> anyhow::Result<Self> {
+        std::fs::create_dir_all(&options.folder)?;
+        let fallback = fallback_rules().to_string();
+        std::fs::write(options.folder.join("floor.json"), fallback)?;
+        let rules = rules_of_version(1).to_string();
+        std::fs::write(options.folder.join("rules.json"), rules)?;
+        let count = options.settings.replicas;
+        for replica in 0..count {
+            let file = options.folder.join(format!("r{replica}.toml"));
+            std::fs::write(file, options.settings_file(replica))?;
+            options.forward_links(replica, net).await?;
         }
-        let processes = (0..count).map(|_| None).collect();
-        let history = net.history.clone();
         let mut replicas = Replicas {
-            program,
-            folder,
-            addresses,
-            history,
-            processes,
-            led: Vec::new(),
+            options,
+            history: net.history.clone(),
+            processes: (0..count).map(|_| None).collect(),
+            former_leaders: Vec::new(),
         };
         (0..count).try_for_each(|replica| replicas.start(replica))?;
         let begin = Instant::now();
@@ -159,7 +79,7 @@
                 begin.elapsed() < LEADS_WITHIN,
                 "no replica of the registry leads: see its log"
             );
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
         Ok(replicas)
     }
@@ -167,26 +87,27 @@
     fn start(&mut self, replica: usize) -> anyhow::Result<()> {
         let mut arguments = vec!["run".into(), "--config".into()];
         arguments.push(
-            self.folder
+            self.options
+                .folder
                 .join(format!("r{replica}.toml"))
                 .into_os_string(),
         );
-        let log = self.folder.join(format!("r{replica}.log"));
+        let log = self.options.folder.join(format!("r{replica}.log"));
         let history = self.history.clone();
-        let process = spawn(
-            &self.program,
-            &arguments,
-            &[],
-            &log,
-            move |pid, meant, status| {
-                history.tell(Event::ReplicaEnded {
-                    replica,
-                    pid,
-                    meant,
-                    status,
-                });
-            },
-        )?;
+        let spec = ProcessSpec {
+            program: &self.options.program,
+            arguments: &arguments,
+            variables: &[],
+            log: &log,
+        };
+        let process = spawn(&spec, move |exit: ProcessExit| {
+            history.record(Event::ReplicaEnded {
+                replica,
+                pid: exit.pid,
+                intended: exit.intended,
+                status: exit.status,
+            });
+        })?;
         self.processes[replica] = Some(process);
         Ok(())
     }
@@ -195,7 +116,10 @@
         for replica in
             (0..self.processes.len()).filter(|replica| self.processes[*replica].is_some())
         {
-            let address = self.addresses.replica(replica, false);
+            let address = self
+                .options
+                .addresses
+                .replica_address(replica, ReplicaPort::Clients);
             let answer = clients::get(address, "/v1/status", Duration::from_millis(300)).await;
             let report: Option<Value> =
                 answer.and_then(|(_, body)| serde_json::from_slice(&body).ok());
@@ -210,63 +134,131 @@
     ///
     /// # Errors
     /// It can't be started.
-    pub async fn act(&mut self, replica: Option<usize>, what: ReplicaAct) -> anyhow::Result<()> {
-        let begins = !matches!(what, ReplicaAct::Start | ReplicaAct::Continue);
+    pub async fn apply(
+        &mut self,
+        replica: Option<usize>,
+        action: ReplicaAction,
+    ) -> anyhow::Result<()> {
+        let begins_fault = !matches!(action, ReplicaAction::Start | ReplicaAction::Continue);
         let replica = match replica {
             Some(replica) => replica,
-            None if begins => {
+            None if begins_fault => {
                 let leader = self.leader().await.unwrap_or(0);
-                self.led.push(leader);
+                self.former_leaders.push(leader);
                 leader
             }
-            None => self.led.pop().unwrap_or(0),
-        };
-        self.history.tell(Event::Replica { replica, what });
-        let signal = match what {
-            ReplicaAct::Start => return self.start(replica),
-            ReplicaAct::Kill => Signal::KILL,
-            ReplicaAct::Term => Signal::TERM,
-            ReplicaAct::Stop => Signal::STOP,
-            ReplicaAct::Continue => Signal::CONT,
+            None => self.former_leaders.pop().unwrap_or(0),
         };
-        let ends = matches!(what, ReplicaAct::Kill | ReplicaAct::Term);
-        let process = if ends {
-            self.processes[replica].take()
-        } else {
-            self.processes[replica].clone()
+        self.history
+            .record(Event::ReplicaSignalled { replica, action });
+        let signal = match action {
+            ReplicaAction::Start => return self.start(replica),
+            ReplicaAction::Kill => Signal::KILL,
+            ReplicaAction::Term => Signal::TERM,
+            ReplicaAction::Stop => Signal::STOP,
+            ReplicaAction::Continue => Signal::CONT,
         };
-        if let Some(process) = process {
-            process.signal(signal, ends);
+        let ends = matches!(action, ReplicaAction::Kill | ReplicaAction::Term);
+        if ends {
+            if let Some(process) = self.processes[replica].take() {
+                process.end(signal);
+            }
+        } else if let Some(process) = &self.processes[replica] {
+            process.signal(signal);
         }
         Ok(())
     }
 
-    /// The way to ask them.
-    pub fn asker(&self) -> Asker {
-        Asker {
-            addresses: self.addresses.clone(),
+    /// A client of the replicas.
+    pub fn client(&self) -> RegistryClient {
+        RegistryClient {
+            addresses: self.options.addresses.clone(),
             replicas: self.processes.len(),
         }
     }
 
-    /// Ends all, outright.
+    /// Kills all replicas.
     pub fn kill_all(&mut self) {
         for process in self.processes.iter_mut().filter_map(Option::take) {
-            process.signal(Signal::KILL, true);
+            process.end(Signal::KILL);
+        }
+    }
+}
+
+impl RegistryOptions {
+    /// The settings file of a replica.
+    fn settings_file(&self, replica: usize) -> String {
+        let own = |port| self.addresses.replica_address(replica, port);
+        let mut text = format!(
+            "cluster = \"lab\"\nid = {}\nlisten = \"{}\"\npeers = \"{}\"\nfolder = \"r{replica}\"\n",
+            replica + 1,
+            own(ReplicaPort::Clients),
+            own(ReplicaPort::Peers)
+        );
+        for to in 0..self.settings.replicas {
+            let address = |port| {
+                if to == replica {
+                    own(port)
+                } else {
+                    self.addresses.replica_link_address(replica, to, port)
+                }
+            };
+            text += &format!(
+                "[[replica]]\nid = {}\npeers = \"{}\"\nclients = \"{}\"\n",
+                to + 1,
+                address(ReplicaPort::Peers),
+                address(ReplicaPort::Clients)
+            );
         }
+        text += &format!(
+            "[agreement]\nlease_ms = {}\nfloor = \"floor.json\"\nrules = \"rules.json\"\n",
+            self.settings.lease_ms
+        );
+        if let Some(ledger) = &self.settings.ledger {
+            text += &format!(
+                "[ledger]\nlease_ms = {}\nsenders = {}\nfloors = {{ rate = {} }}\nsplit_at = {:?}\n",
+                ledger.lease_ms,
+                self.senders,
+                ledger.fallback_quota(),
+                ledger.split_at
+            );
+        }
+        text
+    }
+
+    /// Carries what goes from a replica to the others, and from senders to it.
+    async fn forward_links(&self, replica: usize, net: &Arc<Net>) -> std::io::Result<()> {
+        let party = Party::Registry(replica);
+        for to in (0..self.settings.replicas).filter(|to| *to != replica) {
+            for port in [ReplicaPort::Peers, ReplicaPort::Clients] {
+                let listen = self.addresses.replica_link_address(replica, to, port);
+                let target = self.addresses.replica_address(to, port);
+                net.forward(listen, party, Party::Registry(to), target)
+                    .await?;
+            }
+        }
+        let target = self
+            .addresses
+            .replica_address(replica, ReplicaPort::Clients);
+        for sender in 0..self.senders {
+            let listen = self.addresses.registry_link_address(sender, replica);
+            net.forward(listen, Party::Sender(sender), party, target)
+                .await?;
+        }
+        Ok(())
     }
 }
 
 /// The replicas as their clients see them: asked in turn.
 #[derive(Debug, Clone)]
-pub struct Asker {
+pub struct RegistryClient {
     addresses: Arc<Addresses>,
     replicas: usize,
 }
 
-impl Asker {
-    /// What the replica whose turn it is answers, if it answers with success.
-    async fn ask(
+impl RegistryClient {
+    /// The answer of the replica whose turn it is, if it is a success.
+    async fn request(
         &self,
         turn: usize,
         method: Method,
@@ -274,8 +266,10 @@
         version: Option<u64>,
         body: String,
     ) -> Option<Value> {
-        let address = self.addresses.replica(turn % self.replicas, false);
-        let answer = clients::ask(address, method, path, version, body, PATIENCE).await;
+        let address = self
+            .addresses
+            .replica_address(turn % self.replicas, ReplicaPort::Clients);
+        let answer = clients::request(address, method, path, version, body, ANSWER_TIMEOUT).await;
         let (_, body) = answer.filter(|(status, _)| *status == StatusCode::OK)?;
         serde_json::from_slice(&body).ok()
     }
@@ -284,23 +278,23 @@
     pub async fn write(&self, method: Method, path: &str, body: String) {
         let mut turn = 0;
         while self
-            .ask(turn, method.clone(), path, None, body.clone())
+            .request(turn, method.clone(), path, None, body.clone())
             .await
             .is_none()
         {
             turn += 1;
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
     /// One of many clients that read the list's version and write conditionally upon it, until the run ends.
     pub async fn write_conditionally(self, client: usize, history: Arc<History>) {
-        let rev = |answer: Option<Value>| answer?["rev"].as_u64();
+        let revision_of = |answer: Option<Value>| answer?["rev"].as_u64();
         for turn in client.. {
-            sleep(AGAIN * 4).await;
-            let asked_us = history.now_us();
+            sleep(RETRY_INTERVAL * 4).await;
+            let requested_at_us = history.now_us();
             let read = self
-                .ask(
+                .request(
                     turn,
                     Method::GET,
                     "/v1/endpoints?fresh=1",
@@ -308,19 +302,21 @@
                     String::new(),
                 )
                 .await;
-            let Some(known) = rev(read) else { continue };
-            history.tell(Event::Revised {
-                asked_us,
-                rev: known,
-                wrote: false,
+            let Some(known) = revision_of(read) else {
+                continue;
+            };
+            history.record(Event::ListRevision {
+                requested_at_us,
+                revision: known,
+                is_write: false,
             });
             // a destination that no message has
             let target =
                 json!({ "endpoint": "127.0.0.1:1", "pod_group": 60_000, "capacity_hint": turn });
-            let asked_us = history.now_us();
+            let requested_at_us = history.now_us();
             let path = format!("/v1/endpoints/w{client}");
-            let wrote = self
-                .ask(
+            let written = self
+                .request(
                     turn + 1,
                     Method::PUT,
                     &path,
@@ -328,56 +324,56 @@
                     target.to_string(),
                 )
                 .await;
-            if let Some(rev) = rev(wrote) {
-                history.tell(Event::Revised {
-                    asked_us,
-                    rev,
-                    wrote: true,
+            if let Some(revision) = revision_of(written) {
+                history.record(Event::ListRevision {
+                    requested_at_us,
+                    revision,
+                    is_write: true,
                 });
             }
         }
     }
 
     /// Limits the rate of all destinations.
-    pub async fn limit(&self, destinations: usize, per_s: f64, history: &History) {
+    pub async fn set_limits(&self, destinations: usize, per_s: f64, history: &History) {
         let total = Ledger::thousandths(per_s);
         for destination in 0..destinations {
             let body = json!({ "total": total }).to_string();
             self.write(Method::PUT, &format!("/v1/limits/rate/{destination}"), body)
                 .await;
         }
-        history.tell(Event::Limited { total });
+        history.record(Event::LimitSet { total });
     }
 
-    /// Has other rules taken up so often, by whichever replica answers, until the run ends.
-    pub async fn change_rules(self, every: Duration, history: Arc<History>) {
+    /// Writes the next rules after each interval, by whichever replica answers, until the run ends.
+    pub async fn change_rules(self, interval: Duration, history: Arc<History>) {
         let mut turn = 0;
         loop {
-            sleep(every).await;
+            sleep(interval).await;
             while !self.change_once(&mut turn, &history).await {
-                sleep(AGAIN).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 
-    /// Has other rules taken up once the last ones are in force; false if they are not, or nobody answers.
+    /// Writes the next rules if the last ones are in force; false if they are not, or no replica answers.
     async fn change_once(&self, turn: &mut usize, history: &History) -> bool {
         *turn += 2;
         let report = self
-            .ask(*turn, Method::GET, "/v1/rules", None, String::new())
+            .request(*turn, Method::GET, "/v1/rules", None, String::new())
             .await;
         let settled = report.filter(|report| report["settled"] == true);
         let Some(version) = settled.and_then(|report| report["version"].as_u64()) else {
             return false;
         };
-        let next = rules(version + 1).to_string();
+        let next = rules_of_version(version + 1).to_string();
         let tag = self
-            .ask(*turn + 1, Method::PUT, "/v1/rules", Some(version), next)
+            .request(*turn + 1, Method::PUT, "/v1/rules", Some(version), next)
             .await;
         let Some(version) = tag.and_then(|tag| tag["version"].as_u64()) else {
             return false;
         };
-        history.tell(Event::Proposed { version });
+        history.record(Event::RulesProposed { version });
         true
     }
 }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -3,11 +3,12 @@
 
 use crate::history::{Event, History};
 use crate::links::Links;
-use crate::plan::Party;
+use crate::locking::lock;
+use crate::schedule::Party;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -92,7 +93,7 @@
                 };
                 let net = net.clone();
                 if let Party::Sender(sender) = from {
-                    net.history.tell(Event::Dialled { sender });
+                    net.history.record(Event::RegistryDialled { sender });
                 }
                 tokio::spawn(async move {
                     // one that is not there refuses, as far as the dialler can tell
@@ -203,33 +204,49 @@
     }
 }
 
+/// The membership socket of one sender.
+#[derive(Debug, Clone, Copy)]
+pub struct MembershipSocket {
+    /// The lab's address, by which the others know it.
+    pub advertised: SocketAddr,
+    /// Where it listens.
+    pub own: SocketAddr,
+}
+
+/// The lab's socket that stands for one sender's, and where that listens.
+#[derive(Debug)]
+struct RelaySocket {
+    socket: Arc<UdpSocket>,
+    target: SocketAddr,
+}
+
 /// Where the senders' datagrams go: each is known to the others by an address that the lab holds.
 #[derive(Debug)]
-pub struct Datagrams {
+pub struct DatagramRelay {
     net: Arc<Net>,
-    /// By sender: the socket that stands for it, and where it listens itself.
-    sockets: Vec<(Arc<UdpSocket>, SocketAddr)>,
+    /// By sender.
+    sockets: Vec<RelaySocket>,
     by_address: HashMap<SocketAddr, usize>,
     on_the_way: Arc<tokio::sync::Semaphore>,
 }
 
-impl Datagrams {
+impl DatagramRelay {
     /// Carries for senders that listen at these addresses.
     ///
     /// # Errors
     /// A socket could not be had.
-    pub async fn start(net: Arc<Net>, stands: &[SocketAddr], own: &[SocketAddr]) -> io::Result<()> {
+    pub async fn start(net: Arc<Net>, membership: &[MembershipSocket]) -> io::Result<()> {
         let mut sockets = Vec::new();
-        for (stand, own) in stands.iter().zip(own) {
-            sockets.push((Arc::new(UdpSocket::bind(stand).await?), *own));
+        let mut by_address = HashMap::new();
+        for (sender, socket) in membership.iter().enumerate() {
+            sockets.push(RelaySocket {
+                socket: Arc::new(UdpSocket::bind(socket.advertised).await?),
+                target: socket.own,
+            });
+            by_address.insert(socket.own, sender);
         }
-        let by_address = own
-            .iter()
-            .enumerate()
-            .map(|(index, address)| (*address, index))
-            .collect();
         let on_the_way = Arc::new(tokio::sync::Semaphore::new(ON_THE_WAY));
-        let all = Arc::new(Datagrams {
+        let all = Arc::new(DatagramRelay {
             net,
             sockets,
             by_address,
@@ -245,7 +262,8 @@
         let mut datagram = vec![0; DATAGRAM];
         loop {
             // a peer that is gone shows as an error of the next call, which is no reason to stop
-            let Ok((length, source)) = self.sockets[to].0.recv_from(&mut datagram).await else {
+            let Ok((length, source)) = self.sockets[to].socket.recv_from(&mut datagram).await
+            else {
                 sleep(Duration::from_millis(1)).await;
                 continue;
             };
@@ -258,7 +276,8 @@
                 .history
                 .count_datagram(length, passage.copies.len());
             for delay in passage.copies {
-                let (socket, address) = (self.sockets[from].0.clone(), self.sockets[to].1);
+                let socket = self.sockets[from].socket.clone();
+                let address = self.sockets[to].target;
                 if delay == 0 {
                     let _ = socket.try_send_to(&datagram[..length], address);
                     continue;
@@ -277,11 +296,6 @@
     }
 }
 
-/// The lock; what a thread that panicked left is taken as it is.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 /// Watches its own lateness: how much later than asked a short sleep ends.
 pub async fn watch_lateness(history: Arc<History>) {
     const EVERY: Duration = Duration::from_millis(20);
@@ -289,9 +303,9 @@
         let due = Instant::now() + EVERY;
         sleep_until(due).await;
         let late = due.elapsed();
-        history.late(late);
+        history.note_lateness(late);
         if late > Duration::from_millis(100) {
-            history.tell(Event::LabLate {
+            history.record(Event::LabLate {
                 ms: late.as_millis() as u64,
             });
         }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,31 +1,38 @@
 //! Scenarios: what a run's TOML file may say, read strictly. A mistake is named with its line.
 
+mod validation;
+
 use serde::{Deserialize, Serialize};
-use std::ops::Range;
 use thiserror::Error;
 use toml::Spanned;
 
 /// Most senders of a run: the addresses and descriptors of one machine bear no more.
-pub const MOST_SENDERS: usize = 1000;
+pub const MAX_SENDERS: usize = 1000;
 
 /// A run, before anything is drawn.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Its name.
     pub name: String,
     /// Seed of all that is drawn; the command line may give another.
     pub seed: u64,
+    /// Number of senders.
     pub senders: usize,
-    /// Time in which clients hand in, s. Faults may last longer than it, the run waits for the last deadline.
+    /// Time in which clients submit messages, s. Faults may last longer than it, the run waits for the last deadline.
     pub seconds: f64,
     #[serde(default = "one_zone")]
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// What clients submit.
     pub traffic: Traffic,
+    /// Where messages go.
     pub destinations: Destinations,
     /// Handed to each sender's configuration as it stands, but for addresses and seeds.
     pub membership: Option<toml::Table>,
     /// Replicas of the registry, by which the senders agree on rules.
     pub registry: Option<Registry>,
+    /// What goes wrong.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<Fault>>,
 }
@@ -38,7 +45,9 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Registry {
+    /// Number of replicas.
     pub replicas: usize,
+    /// Length of a lease, ms.
     pub lease_ms: u64,
     /// Other rules are taken up so long after the last were, s.
     pub change_s: f64,
@@ -52,8 +61,10 @@
 pub struct Ledger {
     /// Calls a second that all senders together may make to a destination.
     pub limit_per_s: f64,
-    /// Calls a second that each may make without asking.
-    pub floor_per_s: f64,
+    /// Calls a second that each sender may make without an allocation.
+    #[serde(rename = "floor_per_s")]
+    pub fallback_per_s: f64,
+    /// Length of a lease, ms.
     pub lease_ms: u64,
     /// First destinations of the ranges after the first.
     #[serde(default)]
@@ -69,13 +80,13 @@
         (per_s * 1000.0).round() as u64
     }
 
-    /// What each sender may use without asking.
-    pub fn floor(&self) -> u64 {
-        Ledger::thousandths(self.floor_per_s)
+    /// What each sender may use without an allocation, in the ledger's units.
+    pub fn fallback_quota(&self) -> u64 {
+        Ledger::thousandths(self.fallback_per_s)
     }
 }
 
-/// What clients hand in.
+/// What clients submit.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
@@ -97,11 +108,11 @@
     pub endpoints: usize,
     /// Median time of a call, ms.
     pub latency_ms: f64,
-    /// Calls a second that a destination takes from all senders together; more are refused.
+    /// Calls a second that a destination takes from all senders together; more are rejected.
     pub capacity: f64,
 }
 
-/// Something that goes wrong, at a time. Keys that are not its own go to `what`, which knows no others.
+/// Something that goes wrong, at a time. Keys that are not its own go to `kind`, which knows no others.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Fault {
     /// Seconds after clients begin.
@@ -110,15 +121,20 @@
     #[serde(default)]
     pub seconds: f64,
     #[serde(flatten)]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
-/// What goes wrong. Groups are names of parties, see [`Group`].
+/// What goes wrong. Groups are names of parties, see [`PartyGroup`].
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// Nothing passes; what was sent over a connection comes late, datagrams are lost.
-    Cut { from: String, to: String, way: Way },
+    Cut {
+        from: String,
+        to: String,
+        #[serde(rename = "way")]
+        direction: CutDirection,
+    },
     /// Datagrams are lost with this chance.
     Loss {
         from: String,
@@ -152,7 +168,7 @@
     Stop { who: String },
     /// A second process of the same name takes over, then SIGTERM to the first.
     Upgrade { who: String },
-    /// Endpoints refuse all connections' calls with 503.
+    /// Endpoints reject all calls with 503.
     Shut { who: String },
     /// Endpoints drain by the registry's list; after `seconds` they are up again, as after a start.
     Drain { who: String },
@@ -173,8 +189,8 @@
     100
 }
 
-/// What [`What::Calls`] may name.
-pub const CALLS: [&str; 19] = [
+/// What [`FaultKind::Calls`] may name.
+pub const FAILING_CALLS: [&str; 19] = [
     "journal_open",
     "journal_read",
     "journal_write",
@@ -199,18 +215,21 @@
 /// In which direction a link is cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum CutDirection {
+    /// Both ways.
     Both,
     /// Only what goes from `from` to `to`.
-    There,
-    /// Only what comes back.
-    Back,
+    #[serde(rename = "there")]
+    Forward,
+    /// Only what goes from `to` to `from`.
+    #[serde(rename = "back")]
+    Reverse,
 }
 
 /// Parties by name: `n3`, `senders`, `zone:NAME` (the senders of a zone), `share:0.2` (drawn senders), `e2`,
 /// `endpoints`, `r0` (a replica), `registry`, `leader`, `discovery`, `clients`.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Group {
+pub enum PartyGroup {
     Sender(usize),
     Senders,
     Zone(usize),
@@ -225,13 +244,63 @@
     Clients,
 }
 
-/// Why a scenario is no scenario.
+/// Why a text is no scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
+    /// The text is no TOML, or has a key or value that no scenario has.
     #[error("{0}")]
     Toml(#[from] toml::de::Error),
-    #[error("line {line}: {what}")]
-    Line { line: usize, what: String },
+    /// A setting is out of its range.
+    #[error("line {line}: {key} is not {expected}")]
+    OutOfRange {
+        /// The line, from 1.
+        line: usize,
+        /// The setting.
+        key: &'static str,
+        /// What it has to be.
+        expected: &'static str,
+    },
+    /// A fault makes no sense.
+    #[error("line {line}: {error}")]
+    Fault {
+        /// The line of its table, from 1.
+        line: usize,
+        /// What is wrong with it.
+        #[source]
+        error: FaultError,
+    },
+}
+
+/// Why a fault makes no sense in its scenario.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum FaultError {
+    /// No party has this name.
+    #[error("{0} names nobody of this scenario")]
+    UnknownGroup(String),
+    /// The fault is one of senders.
+    #[error("{0} names no senders")]
+    NotSenders(String),
+    /// The fault is one of endpoints.
+    #[error("{0} names no endpoints")]
+    NotEndpoints(String),
+    /// Links are named before it is known which replica leads.
+    #[error("leader names nobody before the run")]
+    UnknownLeader,
+    /// Endpoints drain by the registry's list.
+    #[error("nothing drains without a registry")]
+    NoRegistry,
+    /// A time is out of range.
+    #[error("{0} is not a time from 0 to 3600")]
+    TimeOutOfRange(&'static str),
+    /// A share is out of range.
+    #[error("share is not from 0 to 1")]
+    ShareOutOfRange,
+    /// A percentage is out of range.
+    #[error("percent is not from 1 to 100")]
+    PercentOutOfRange,
+    /// No such system call can be made to fail.
+    #[error("{0} is no call that can fail")]
+    UnknownCall(String),
 }
 
 impl Scenario {
@@ -246,207 +315,26 @@
     /// Names the line of the first mistake.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
-        scenario.validate(text)?;
+        validation::validate(&scenario, text)?;
         Ok(scenario)
     }
 
-    fn validate(&self, text: &str) -> Result<(), ScenarioError> {
-        let key = |key: &str, holds: bool, wanted: &str| {
-            if holds {
-                return Ok(());
-            }
-            let named = |line: &str| line.trim_start().starts_with(key);
-            let line = text.lines().position(named).map_or(1, |line| line + 1);
-            Err(ScenarioError::Line {
-                line,
-                what: format!("{key} is not {wanted}"),
-            })
-        };
-        let above = |number: f64| number.is_finite() && number > 0.0;
-        key(
-            "senders",
-            (1..=MOST_SENDERS).contains(&self.senders),
-            "a number from 1 to 1000",
-        )?;
-        key(
-            "seconds",
-            above(self.seconds) && self.seconds <= 3600.0,
-            "a time above 0 and up to 3600",
-        )?;
-        key(
-            "zones",
-            (1..=16).contains(&self.zones.len()),
-            "a list of 1 to 16 names",
-        )?;
-        key(
-            "per_s",
-            above(self.traffic.per_s) && self.traffic.per_s <= 5000.0,
-            "a rate up to 5000",
-        )?;
-        let Destinations {
-            count,
-            endpoints,
-            latency_ms,
-            capacity,
-        } = self.destinations;
-        key(
-            "count",
-            (1..=100).contains(&count),
-            "a number from 1 to 100",
-        )?;
-        key(
-            "endpoints",
-            (1..=4).contains(&endpoints),
-            "a number from 1 to 4",
-        )?;
-        key("latency_ms", above(latency_ms), "a time above 0")?;
-        key("capacity", above(capacity), "a rate above 0")?;
-        if let Some(Registry {
-            replicas,
-            lease_ms,
-            change_s,
-            ref ledger,
-        }) = self.registry
-        {
-            if let Some(ledger) = ledger {
-                let floors = ledger.floor_per_s * self.senders as f64;
-                let least = ledger.limit_per_s.min(ledger.lower_to_per_s);
-                key(
-                    "ledger",
-                    floors <= least,
-                    "a limit that is not below all floors together",
-                )?;
-            }
-            key(
-                "replicas",
-                (1..=7).contains(&replicas),
-                "a number from 1 to 7",
-            )?;
-            key(
-                "lease_ms",
-                (300..=600_000).contains(&lease_ms),
-                "a time from 300 to 600000",
-            )?;
-            key("change_s", above(change_s), "a time above 0")?;
-        }
-        self.faults.iter().try_for_each(|fault| {
-            self.check_fault(fault.get_ref())
-                .map_err(|what| ScenarioError::Line {
-                    line: line_of(text, fault.span()),
-                    what,
-                })
-        })
-    }
-
-    fn check_fault(&self, fault: &Fault) -> Result<(), String> {
-        let time = |name: &str, time: f64| {
-            let holds = time.is_finite() && (0.0..=3600.0).contains(&time);
-            if holds {
-                Ok(())
-            } else {
-                Err(format!("{name} is not a time from 0 to 3600"))
-            }
-        };
-        let share = |share: f64| {
-            if (0.0..=1.0).contains(&share) {
-                Ok(())
-            } else {
-                Err("share is not from 0 to 1".to_string())
-            }
-        };
-        time("at", fault.at)?;
-        time("seconds", fault.seconds)?;
-        let who = |name: &str| match self.group(name)? {
-            Group::Sender(_) | Group::Senders | Group::Zone(_) | Group::Share(_) => Ok(()),
-            _ => Err(format!("{name} names no senders")),
-        };
-        match &fault.what {
-            What::Cut { from, to, .. } | What::Reset { from, to } => {
-                let (from, to) = (self.group(from)?, self.group(to)?);
-                let leader = from == Group::Leader || to == Group::Leader;
-                if leader {
-                    Err("leader names nobody before the run".to_string())
-                } else {
-                    Ok(())
-                }
-            }
-            What::Loss {
-                from,
-                to,
-                share: part,
-            }
-            | What::Duplicate {
-                from,
-                to,
-                share: part,
-            } => {
-                self.group(from).and(self.group(to))?;
-                share(*part)
-            }
-            What::Delay {
-                from,
-                to,
-                ms,
-                jitter_ms,
-            } => {
-                self.group(from).and(self.group(to))?;
-                time("ms", ms / 1e3).and(time("jitter_ms", jitter_ms / 1e3))
-            }
-            What::Kill { who: name, .. } | What::Term { who: name } | What::Stop { who: name }
-                if matches!(
-                    self.group(name),
-                    Ok(Group::Replica(_) | Group::Registry | Group::Leader)
-                ) =>
-            {
-                Ok(())
-            }
-            What::Kill { who: name, .. }
-            | What::Term { who: name }
-            | What::Stop { who: name }
-            | What::Upgrade { who: name } => who(name),
-            What::Drain { .. } if self.registry.is_none() => {
-                Err("nothing drains without a registry".to_string())
-            }
-            What::Shut { who: name } | What::Drain { who: name } => match self.group(name)? {
-                Group::Endpoint(_) | Group::Endpoints => Ok(()),
-                _ => Err(format!("{name} names no endpoints")),
-            },
-            What::DiscoveryDown {} => Ok(()),
-            What::Calls {
-                who: name,
-                call,
-                percent,
-                ..
-            } => {
-                who(name)?;
-                if !CALLS.contains(&call.as_str()) {
-                    return Err(format!("{call} is no call that can fail"));
-                }
-                if (1..=100).contains(percent) {
-                    Ok(())
-                } else {
-                    Err("percent is not from 1 to 100".to_string())
-                }
-            }
-        }
-    }
-
     /// True if system calls of senders are to fail.
     pub fn fails_calls(&self) -> bool {
         self.faults
             .iter()
-            .any(|fault| matches!(fault.get_ref().what, What::Calls { .. }))
+            .any(|fault| matches!(fault.get_ref().kind, FaultKind::Calls { .. }))
     }
 
     /// The members' protocol period, us, if there is membership.
     pub fn period_us(&self) -> Option<u64> {
-        let told = self.membership.as_ref()?.get("period_ms");
-        let told = told.and_then(|period| {
+        let period = self.membership.as_ref()?.get("period_ms");
+        let period_ms = period.and_then(|period| {
             period
                 .as_float()
-                .or(period.as_integer().map(|whole| whole as f64))
+                .or(period.as_integer().map(|integer| integer as f64))
         });
-        Some((told.unwrap_or(1000.0) * 1e3) as u64)
+        Some((period_ms.unwrap_or(1000.0) * 1e3) as u64)
     }
 
     /// All endpoints.
@@ -470,47 +358,42 @@
     ///
     /// # Errors
     /// Says what the name lacks.
-    pub fn group(&self, name: &str) -> Result<Group, String> {
-        let numbered = |prefix: char, most: usize| {
+    pub fn group(&self, name: &str) -> Result<PartyGroup, FaultError> {
+        let numbered = |prefix: char, count: usize| {
             name.strip_prefix(prefix)?
                 .parse::<usize>()
                 .ok()
-                .filter(|number| *number < most)
+                .filter(|number| *number < count)
         };
         let fixed = match name {
-            "senders" => Some(Group::Senders),
-            "endpoints" => Some(Group::Endpoints),
-            "registry" if self.registry.is_some() => Some(Group::Registry),
-            "leader" if self.registry.is_some() => Some(Group::Leader),
-            "discovery" => Some(Group::Discovery),
-            "clients" => Some(Group::Clients),
+            "senders" => Some(PartyGroup::Senders),
+            "endpoints" => Some(PartyGroup::Endpoints),
+            "registry" if self.registry.is_some() => Some(PartyGroup::Registry),
+            "leader" if self.registry.is_some() => Some(PartyGroup::Leader),
+            "discovery" => Some(PartyGroup::Discovery),
+            "clients" => Some(PartyGroup::Clients),
             _ => None,
         };
         fixed
-            .or_else(|| numbered('n', self.senders).map(Group::Sender))
-            .or_else(|| numbered('e', self.endpoints()).map(Group::Endpoint))
-            .or_else(|| numbered('r', self.replicas()).map(Group::Replica))
+            .or_else(|| numbered('n', self.senders).map(PartyGroup::Sender))
+            .or_else(|| numbered('e', self.endpoints()).map(PartyGroup::Endpoint))
+            .or_else(|| numbered('r', self.replicas()).map(PartyGroup::Replica))
             .or_else(|| {
                 let zone = name.strip_prefix("zone:")?;
                 self.zones
                     .iter()
                     .position(|known| known == zone)
-                    .map(Group::Zone)
+                    .map(PartyGroup::Zone)
             })
             .or_else(|| {
                 let share = name.strip_prefix("share:")?.parse::<f64>().ok();
                 share
                     .filter(|share| (0.0..=1.0).contains(share))
-                    .map(Group::Share)
+                    .map(PartyGroup::Share)
             })
-            .ok_or_else(|| format!("{name} names nobody of this scenario"))
+            .ok_or_else(|| FaultError::UnknownGroup(name.to_string()))
     }
 }
 
-fn line_of(text: &str, span: Range<usize>) -> usize {
-    text.get(..span.start)
-        .map_or(1, |before| before.matches('\n').count() + 1)
-}
-
 #[cfg(test)]
 mod tests;
--- a/lab/src/scenario/tests.rs
+++ b/lab/src/scenario/tests.rs
@@ -33,7 +33,7 @@
         ),
         (5, 1, 4)
     );
-    assert_eq!(scenario.group("zone:b"), Ok(Group::Zone(1)));
+    assert_eq!(scenario.group("zone:b"), Ok(PartyGroup::Zone(1)));
 }
 
 #[test]
--- a/lab/src/plan/tests.rs
+++ b/lab/src/schedule/tests.rs
@@ -27,39 +27,40 @@
 "#;
 
 #[test]
-fn one_seed_gives_one_plan_and_another_another() {
+fn one_seed_gives_one_schedule_and_another_another() {
     let scenario = Scenario::read(TEXT).expect("good");
-    let text =
-        |seed| serde_json::to_string(&Plan::draw(&scenario, seed).expect("drawn")).expect("JSON");
+    let text = |seed| {
+        serde_json::to_string(&Schedule::draw(&scenario, seed).expect("drawn")).expect("JSON")
+    };
     assert_eq!(text(5), text(5));
     assert_ne!(text(5), text(6));
 }
 
 #[test]
-fn a_plan_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
+fn a_schedule_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
     let scenario = Scenario::read(TEXT).expect("good");
-    let plan = Plan::draw(&scenario, 3).expect("drawn");
+    let schedule = Schedule::draw(&scenario, 3).expect("drawn");
     assert!(
-        (900..1100).contains(&plan.arrivals.len()),
+        (900..1100).contains(&schedule.arrivals.len()),
         "{}",
-        plan.arrivals.len()
+        schedule.arrivals.len()
     );
-    let charges = plan
+    let charges = schedule
         .arrivals
         .iter()
         .filter(|arrival| arrival.key.is_some())
         .count() as f64;
-    assert!((0.2..0.3).contains(&(charges / plan.arrivals.len() as f64)));
-    assert!(plan.steps.is_sorted_by_key(|step| step.at_us));
-    let kills = plan
-        .steps
+    assert!((0.2..0.3).contains(&(charges / schedule.arrivals.len() as f64)));
+    assert!(schedule.actions.is_sorted_by_key(|step| step.at_us));
+    let kills = schedule
+        .actions
         .iter()
-        .filter(|step| matches!(step.what, Act::Kill { .. }))
+        .filter(|step| matches!(step.action, FaultAction::Kill { .. }))
         .count();
-    let starts = plan
-        .steps
+    let starts = schedule
+        .actions
         .iter()
-        .filter(|step| matches!(step.what, Act::Start { .. }))
+        .filter(|step| matches!(step.action, FaultAction::Start { .. }))
         .count();
     assert_eq!((kills, starts), (3, 3));
 }
@@ -68,6 +69,6 @@
 fn a_further_fault_moves_no_arrival() {
     let less = Scenario::read(TEXT.split("[[fault]]").next().expect("text")).expect("good");
     let more = Scenario::read(TEXT).expect("good");
-    let arrivals = |scenario| Plan::draw(scenario, 4).expect("drawn").arrivals;
+    let arrivals = |scenario| Schedule::draw(scenario, 4).expect("drawn").arrivals;
     assert_eq!(arrivals(&less), arrivals(&more));
 }
--- a/lab/src/serve.rs
+++ b/lab/src/serve.rs
@@ -1,11 +1,12 @@
 //! Endpoints and discovery as the senders meet them: HTTP over connections that pass the links.
 
+use crate::destination::{CallOutcome, Destination};
 use crate::history::{Event, History};
 use crate::listing::Listing;
-use crate::plan::Party;
-use crate::relay::{Net, lock};
+use crate::locking::lock;
+use crate::relay::Net;
 use crate::scenario::Scenario;
-use crate::world::{Destination, Fate};
+use crate::schedule::Party;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited, combinators::UnsyncBoxBody};
 use hyper::body::{Frame, Incoming};
@@ -26,8 +27,8 @@
 use tokio::time::{Interval, interval, sleep};
 
 /// Longest body of a message, of a batch of notices.
-const BODY_MOST: usize = 64 * 1024;
-const NOTICES_MOST: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 64 * 1024;
+const MAX_NOTIFICATIONS_BYTES: usize = 1 << 20;
 /// While discovery is down, how often a connection is looked at that may come to watch it.
 const WATCH_LOOK: Duration = Duration::from_millis(10);
 /// How often a watch is told that nothing changes.
@@ -37,11 +38,11 @@
 
 /// The endpoints and discovery of a run.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     net: Arc<Net>,
     destinations: Vec<Mutex<Destination>>,
     /// Endpoints of each destination.
-    each: usize,
+    endpoints_of_each: usize,
     zones: Vec<String>,
     capacity: f64,
     discovery_up: watch::Sender<bool>,
@@ -49,7 +50,7 @@
     replicas: Vec<SocketAddr>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         scenario: &Scenario,
         seed: u64,
@@ -67,10 +68,10 @@
                 seed,
             ))
         };
-        Arc::new(World {
+        Arc::new(Simulation {
             net,
             destinations: (0..scenario.destinations.count).map(destination).collect(),
-            each,
+            endpoints_of_each: each,
             zones: scenario.zones.clone(),
             capacity: scenario.destinations.capacity,
             discovery_up: watch::channel(true).0,
@@ -80,8 +81,8 @@
 
     /// Shuts an endpoint or opens it.
     pub fn shut(&self, endpoint: usize, shut: bool) {
-        if let Some(destination) = self.destinations.get(endpoint / self.each) {
-            lock(destination).shut(endpoint % self.each, shut);
+        if let Some(destination) = self.destinations.get(endpoint / self.endpoints_of_each) {
+            lock(destination).shut(endpoint % self.endpoints_of_each, shut);
         }
     }
 
@@ -95,7 +96,7 @@
     /// An address could not be had.
     pub async fn listen_for(self: &Arc<Self>, sender: usize, ip: IpAddr) -> io::Result<SocketAddr> {
         let mut endpoints = Vec::new();
-        for endpoint in 0..self.destinations.len() * self.each {
+        for endpoint in 0..self.destinations.len() * self.endpoints_of_each {
             let listener = TcpListener::bind((ip, 0)).await?;
             endpoints.push(listener.local_addr()?);
             let source = Source::Lab(String::new());
@@ -110,11 +111,11 @@
             0 => (Party::Discovery, Source::Lab(self.list(&endpoints))),
             count => {
                 let replica = sender % count;
-                let place = self.replicas[replica];
+                let address = self.replicas[replica];
                 let listing = Listing {
                     sender,
                     replica,
-                    place,
+                    address,
                     endpoints,
                 };
                 (
@@ -128,9 +129,11 @@
     }
 
     /// All endpoints as the registry is to list them; where they are is told to each sender apart.
-    pub fn batch(&self) -> String {
-        let endpoints =
-            vec![SocketAddr::from(([127, 0, 0, 1], 1)); self.destinations.len() * self.each];
+    pub fn list_changes(&self) -> String {
+        let endpoints = vec![
+            SocketAddr::from(([127, 0, 0, 1], 1));
+            self.destinations.len() * self.endpoints_of_each
+        ];
         let entry = |(number, address)| {
             let mut target = self.entry(number, address);
             let uid = target
@@ -143,7 +146,7 @@
     }
 
     /// An endpoint as it is listed after another start of its, later than any before.
-    pub fn target(&self, number: usize) -> String {
+    pub fn listed_endpoint(&self, number: usize) -> String {
         let mut target = self.entry(number, &SocketAddr::from(([127, 0, 0, 1], 1)));
         target["boot_ms"] = (1 + self.net.history.now_us() / 1000).into();
         target.as_object_mut().map(|target| target.remove("uid"));
@@ -153,7 +156,7 @@
     fn entry(&self, number: usize, address: &SocketAddr) -> serde_json::Value {
         serde_json::json!({
             "uid": format!("e{number}"), "endpoint": address, "az": self.zones[number % self.zones.len()],
-            "model": "school-library", "pod_group": number / self.each, "state": "up",
+            "model": "school-library", "pod_group": number / self.endpoints_of_each, "state": "up",
             "capacity_hint": self.capacity, "boot_ms": 0
         })
     }
@@ -178,21 +181,21 @@
                 sleep(Duration::from_millis(10)).await; // no descriptor is free just now
                 continue;
             };
-            let (world, list) = (self.clone(), list.clone());
+            let (simulation, list) = (self.clone(), list.clone());
             let io = self.net.connect(stream, Party::Sender(sender), party);
             tokio::spawn(async move {
                 let watches = AtomicBool::new(false);
                 let service = service_fn(|request: Request<Incoming>| {
-                    let (world, list) = (world.clone(), list.clone());
+                    let (simulation, list) = (simulation.clone(), list.clone());
                     // notices are answered even while discovery is down
                     let watch = party == Party::Discovery && request.method() == Method::GET;
                     watches.fetch_or(watch, Ordering::Relaxed);
                     async move {
                         match party {
                             Party::Endpoint(endpoint) => {
-                                world.call(request, endpoint, sender).await
+                                simulation.call(request, endpoint, sender).await
                             }
-                            _ => world.discover(request, &list).await,
+                            _ => simulation.discover(request, &list).await,
                         }
                     }
                 });
@@ -200,7 +203,7 @@
                 tokio::select! {
                     // how a connection ends is the faults' affair
                     _ = connection => {}
-                    () = world.ends_watch(&watches) => {}
+                    () = simulation.ends_watch(&watches) => {}
                 }
             });
         }
@@ -230,23 +233,27 @@
             .unwrap_or_default();
         let id = id.to_string();
         let proper = request.method() == Method::POST && request.uri().path() == "/inbox";
-        let body = Limited::new(request.into_body(), BODY_MOST).collect().await;
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await;
         body.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))?;
         let history = &self.net.history;
-        let fate = match self
+        let outcome = match self
             .destinations
-            .get(endpoint / self.each)
+            .get(endpoint / self.endpoints_of_each)
             .filter(|_| proper)
         {
-            Some(destination) => lock(destination).call(history.now_us(), endpoint % self.each),
-            None => Fate::Full,
+            Some(destination) => {
+                lock(destination).call(history.now_us(), endpoint % self.endpoints_of_each)
+            }
+            None => CallOutcome::Rejected,
         };
-        let run = fate != Fate::Full;
-        history.tell(Event::Called {
+        let executed = outcome != CallOutcome::Rejected;
+        history.record(Event::CallReceived {
             id: id.clone(),
             endpoint,
             sender,
-            run,
+            executed,
         });
         let mut call = OpenCall {
             history: history.clone(),
@@ -255,15 +262,15 @@
             sender,
             answered: false,
         };
-        let status = match fate {
-            Fate::Runs { after_us } => {
+        let status = match outcome {
+            CallOutcome::Accepted { after_us } => {
                 sleep(Duration::from_micros(after_us)).await;
                 StatusCode::OK
             }
-            Fate::Full => StatusCode::SERVICE_UNAVAILABLE,
+            CallOutcome::Rejected => StatusCode::SERVICE_UNAVAILABLE,
         };
         call.answered = true;
-        history.tell(Event::Replied {
+        history.record(Event::CallAnswered {
             id,
             endpoint,
             sender,
@@ -281,7 +288,7 @@
         match (request.method(), request.uri().path()) {
             // notices are answered even while discovery is down
             (&Method::POST, "/v1/outcomes") => {
-                let body = Limited::new(request.into_body(), NOTICES_MOST)
+                let body = Limited::new(request.into_body(), MAX_NOTIFICATIONS_BYTES)
                     .collect()
                     .await;
                 let body = body
@@ -319,7 +326,9 @@
             return plain(StatusCode::BAD_REQUEST, "");
         };
         for Notice { id, state } in notices {
-            self.net.history.tell(Event::Notice { id, state });
+            self.net
+                .history
+                .record(Event::OutcomeNotified { id, state });
         }
         plain(StatusCode::NO_CONTENT, "")
     }
@@ -338,7 +347,7 @@
     fn drop(&mut self) {
         if !self.answered {
             let (id, endpoint, sender) = (std::mem::take(&mut self.id), self.endpoint, self.sender);
-            self.history.tell(Event::Abandoned {
+            self.history.record(Event::CallAbandoned {
                 id,
                 endpoint,
                 sender,
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,7 +1,7 @@
 //! A randomized fault soak: scenarios drawn from seeds, with faults of many kinds that overlap in time, each checked like
 //! any other run. The drawn scenario is written beside the history, so that a failure can be played again by itself.
 
-use crate::run::{self, Order};
+use crate::run::{self, RunOptions};
 use crate::scenario::Scenario;
 use anyhow::Context;
 use rand::seq::IndexedRandom;
@@ -66,7 +66,7 @@
         let scenario = Scenario::read(&text).context("the drawn scenario")?;
         let (senders, faults) = (scenario.senders, scenario.faults.len());
         let program = soak.program.clone();
-        let order = Order {
+        let options = RunOptions {
             scenario,
             seed,
             registry: program.clone(),
@@ -76,7 +76,7 @@
         // what a run leaves behind ends with its runtime
         let runtime = crate::runtime()?;
         let outcome = runtime
-            .block_on(run::bounded(&order))
+            .block_on(run::run_with_timeout(&options))
             .with_context(|| format!("seed {seed}"))?;
         drop(runtime);
         let verdict = match (&outcome.violations[..], &outcome.void) {
@@ -89,12 +89,12 @@
                     "BROKEN: {count}, first {} at {:.3} s: {}",
                     first.rule,
                     first.at_us as f64 / 1e6,
-                    first.what
+                    first.description
                 )
             }
         };
-        let worth = outcome.figures.worth.all;
-        println!("seed {seed}: {senders} senders, {faults} faults, worth {worth:.3}: {verdict}");
+        let weight = outcome.figures.delivered_weight.all;
+        println!("seed {seed}: {senders} senders, {faults} faults, worth {weight:.3}: {verdict}");
     }
     Ok(broken)
 }
