--- a/lab/src/limits.rs
+++ b/lab/src/check/limits.rs
@@ -42,7 +42,7 @@
 
 /// What was counted.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Limited {
+pub struct LimitFigures {
     /// Reports of senders, and those of them that hold no part.
     pub reports: usize,
     pub on_floors: usize,
@@ -66,9 +66,9 @@
     let mut ends: HashMap<usize, Vec<u64>> = HashMap::new();
     for Record { at_us, event } in records {
         match event {
-            Event::Limited { total } => limits.push((*at_us, *total)),
-            Event::Ended { sender, .. } => ends.entry(*sender).or_default().push(*at_us),
-            Event::Parts { sender, report } => {
+            Event::LimitSet { total } => limits.push((*at_us, *total)),
+            Event::ProcessEnded { sender, .. } => ends.entry(*sender).or_default().push(*at_us),
+            Event::QuotasReported { sender, report } => {
                 let Ok(report) = Report::deserialize(report) else {
                     continue;
                 };
@@ -164,16 +164,18 @@
          }| Violation {
             rule: "limits",
             at_us,
-            what: format!("{key}: {sum} may be used together, {allowed} is the limit"),
+            description: format!("{key}: {sum} may be used together, {allowed} is the limit"),
         },
     );
     told.into_iter().collect()
 }
 
 /// How the senders held their limits.
-pub fn figures(records: &[Record]) -> Limited {
+pub fn figures(records: &[Record]) -> LimitFigures {
     let report = |record: &Record| match &record.event {
-        Event::Parts { report, .. } => Some(report["parts"].as_array().is_none_or(Vec::is_empty)),
+        Event::QuotasReported { report, .. } => {
+            Some(report["parts"].as_array().is_none_or(Vec::is_empty))
+        }
         _ => None,
     };
     let reports: Vec<bool> = records.iter().filter_map(report).collect();
@@ -182,7 +184,7 @@
         .map(|moment| moment.sum as f64 / moment.allowed.max(1) as f64)
         .collect();
     used.sort_by(f64::total_cmp);
-    Limited {
+    LimitFigures {
         reports: reports.len(),
         on_floors: reports.iter().filter(|on_floors| **on_floors).count(),
         most: used.last().copied().unwrap_or(0.0),
@@ -191,63 +193,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::{Value, json};
-
-    fn said(at_us: u64, sender: usize, part: u64, left_us: u64) -> Record {
-        let report: Value = json!({ "lease_ms": 1500, "now_us": 5_000_000 + at_us,
-            "floors": { "senders": 2, "each": { "rate": 100 } },
-            "parts": [{ "key": "rate/0", "part": part, "until_us": 5_000_000 + at_us + left_us }] });
-        Record {
-            at_us,
-            event: Event::Parts { sender, report },
-        }
-    }
-
-    #[test]
-    fn a_sum_over_the_limit_is_found_and_one_after_an_end_is_none() {
-        let limited = |at_us, total| Record {
-            at_us,
-            event: Event::Limited { total },
-        };
-        let held =
-            |last: Record| check(&[limited(0, 1000), said(10, 0, 500, 1_000_000), last]).is_empty();
-        assert!(held(said(20, 1, 300, 900_000)));
-        assert!(!held(said(20, 1, 301, 900_000)));
-        assert!(
-            held(said(1_100_000, 1, 800, 900_000)),
-            "the first part has ended"
-        );
-        // lowered: the one before counts for a lease
-        let lowered = |at_us| {
-            check(&[
-                limited(0, 1000),
-                limited(100, 600),
-                said(at_us, 0, 500, 1_000_000),
-            ])
-            .is_empty()
-        };
-        assert!(lowered(1_600_000) && !lowered(1_700_000));
-        let ended = Event::Ended {
-            sender: 0,
-            pid: 1,
-            meant: true,
-            status: String::new(),
-        };
-        let records = [
-            limited(0, 1000),
-            said(10, 0, 700, 9_000_000),
-            Record {
-                at_us: 15,
-                event: ended,
-            },
-            said(20, 1, 800, 9),
-        ];
-        assert!(check(&records).is_empty());
-        assert_eq!(
-            (figures(&records).reports, figures(&records).most),
-            (2, 1.0)
-        );
-    }
-}
+mod tests;
