--- a/registry/src/server/forwarding.rs
+++ b/registry/src/server/forwarding.rs
@@ -1,7 +1,7 @@
 //! What a follower can't answer goes on to the leader, one hop.
 
 use super::Server;
-use super::api::{ApiError, ApiRequest, ApiResult, Body, HOP, no_content, success, text};
+use super::api::{ApiError, ApiRequest, ApiResult, Body, HOP, no_content, text};
 use crate::commands::ClientRequest;
 use crate::replica::{Answer, Replica};
 use crate::round_trip::round_trip;
@@ -32,10 +32,9 @@
             Answer::NotLeader(leader) => self.forward_to_leader(request, leader).await,
             Answer::OutcomeUnknown => Err(ApiError::OutcomeUnknown),
             Answer::Busy(reason) => Err(ApiError::Busy(reason)),
-            Answer::OtherFloor => Err(ApiError::OtherFloor),
+            Answer::OtherFallback => Err(ApiError::OtherFallback),
             Answer::Rejected(error) => Err(error.into()),
-            answer => {
-                debug_assert!(success(&answer));
+            Answer::Applied(_) | Answer::Granted(_) | Answer::Quotas(_) | Answer::UpToDate => {
                 Ok(no_content())
             }
         }
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -5,7 +5,7 @@
 use super::endpoints::EndpointRecord;
 use super::messages::{Attempt, Message};
 use crate::net;
-use crate::net::calls::CallOut;
+use crate::net::calls::InFlightCall;
 use crate::net::handover::{
     AttemptState, CallItemState, CallState, EndpointState, HandoverState, Link, LinkError,
     MessageState, SuccessorRequest, text,
@@ -114,7 +114,7 @@
     pub(super) fn into_draining_predecessor(self, link: Link) -> DrainingPredecessor {
         self.process.draining.set(true);
         self.process.handed_over.send_replace(true);
-        self.calls.connections().leave();
+        self.calls.connections().shut_down();
         let writer = link.listen(self.process.inputs);
         let slots = self.process.client_slots;
         DrainingPredecessor::new(writer, self.clock, self.calls_in_flight, slots)
@@ -158,7 +158,7 @@
     }
 }
 
-fn call_state((number, call): (u64, &CallOut)) -> CallState {
+fn call_state((number, call): (u64, &InFlightCall)) -> CallState {
     let item = |&(message, attempt): &(MessageId, usize)| CallItemState {
         message: message.0,
         attempt,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -292,7 +292,7 @@
 
     /// Regular work; true if a turn is due.
     fn sweep(&mut self) -> bool {
-        self.calls.connections().sweep();
+        self.calls.connections().run_maintenance();
         let journal_recovered = self.journal.retry();
         self.admit_unfrozen() || journal_recovered || self.notifications.has_pending()
     }
