--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -1,6 +1,6 @@
 //! What the replicated log keeps: the versions, and the step of the change under way. No lease and no time is in it.
 
-use crate::rules::{NoMeet, Rules};
+use crate::rules::{NoIntersection, Rules};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -9,11 +9,12 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
-pub struct Tag {
+pub struct VersionTag {
     /// The version that holds, or is to hold.
     pub version: u64,
-    /// False while the meet of it and the one before is in force.
-    pub whole: bool,
+    /// False while the intersection of it and the one before is in force.
+    #[serde(rename = "whole")]
+    pub complete: bool,
 }
 
 /// What is to be in force next.
@@ -27,7 +28,7 @@
 
 /// Why a proposal is not taken.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum ProposalError {
     /// It was made from a version that is not the last.
     #[error("version {now} holds, the proposal was made from {from}")]
     Stale {
@@ -38,108 +39,108 @@
     },
     /// Another change is under way.
     #[error("version {0} may not be in force everywhere yet")]
-    UnderWay(u64),
+    ChangeInProgress(u64),
     /// A sender without a lease would act more freely than these rules allow.
     #[error("the floor is not within the rules")]
-    BelowFloor,
+    BelowFallback,
     /// No sender can keep both while the change goes through.
     #[error(transparent)]
-    NoMeet(#[from] NoMeet),
+    NoIntersection(#[from] NoIntersection),
 }
 
 /// The versions.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Versions {
-    floor: Rules,
-    tag: Tag,
-    new: Rules,
-    meet: Rules,
+pub struct VersionedRules {
+    fallback: Rules,
+    tag: VersionTag,
+    target: Rules,
+    intersection: Rules,
 }
 
-impl Versions {
+impl VersionedRules {
     /// Versions of which these rules are the first.
     ///
     /// # Errors
-    /// The floor is not within the rules.
-    pub fn new(floor: Rules, rules: Rules) -> Result<Self, Refusal> {
-        if !floor.within(&rules) {
-            return Err(Refusal::BelowFloor);
+    /// The fallback rules are not within the rules.
+    pub fn new(fallback: Rules, rules: Rules) -> Result<Self, ProposalError> {
+        if !fallback.is_within(&rules) {
+            return Err(ProposalError::BelowFallback);
         }
-        Ok(Versions {
-            floor,
-            tag: Tag {
+        Ok(VersionedRules {
+            fallback,
+            tag: VersionTag {
                 version: 1,
-                whole: true,
+                complete: true,
             },
-            meet: rules.clone(),
-            new: rules,
+            intersection: rules.clone(),
+            target: rules,
         })
     }
 
     /// The version and step in force.
-    pub fn tag(&self) -> Tag {
+    pub fn tag(&self) -> VersionTag {
         self.tag
     }
 
     /// The rules that are granted now.
     pub fn rules(&self) -> &Rules {
-        if self.tag.whole {
-            &self.new
+        if self.tag.complete {
+            &self.target
         } else {
-            &self.meet
+            &self.intersection
         }
     }
 
     /// The rules that hold once the change under way is through.
-    pub fn new_rules(&self) -> &Rules {
-        &self.new
+    pub fn target_rules(&self) -> &Rules {
+        &self.target
     }
 
     /// What is within every version.
-    pub fn floor(&self) -> &Rules {
-        &self.floor
+    pub fn fallback(&self) -> &Rules {
+        &self.fallback
     }
 
-    /// Takes a change up: from now on the meet of both is granted. The same rules again make no version. It is for the
-    /// leader to see first that nobody can still act on the meet of the change before ([`crate::Leases::is_settled`]).
+    /// Takes a change up: from now on the intersection of both is granted. The same rules again make no version. It is for the
+    /// leader to see first that nobody can still act on the intersection of the change before ([`crate::Leases::is_settled`]).
     ///
     /// # Errors
     /// Says why it is not taken; nothing has changed then.
-    pub fn propose(&mut self, proposal: Proposal) -> Result<Tag, Refusal> {
+    pub fn propose(&mut self, proposal: Proposal) -> Result<VersionTag, ProposalError> {
         if proposal.from != self.tag.version {
-            return Err(Refusal::Stale {
+            return Err(ProposalError::Stale {
                 now: self.tag.version,
                 from: proposal.from,
             });
         }
-        if proposal.rules == self.new {
+        if proposal.rules == self.target {
             return Ok(self.tag);
         }
-        if !self.tag.whole {
-            return Err(Refusal::UnderWay(self.tag.version));
+        if !self.tag.complete {
+            return Err(ProposalError::ChangeInProgress(self.tag.version));
         }
-        if !self.floor.within(&proposal.rules) {
-            return Err(Refusal::BelowFloor);
+        if !self.fallback.is_within(&proposal.rules) {
+            return Err(ProposalError::BelowFallback);
         }
-        let meet = self.new.meet(&proposal.rules)?;
-        self.new = proposal.rules;
-        self.meet = meet;
-        self.tag = Tag {
+        let intersection = self.target.intersection(&proposal.rules)?;
+        self.target = proposal.rules;
+        self.intersection = intersection;
+        self.tag = VersionTag {
             version: self.tag.version + 1,
-            whole: false,
+            complete: false,
         };
         Ok(self.tag)
     }
 
-    /// Goes on from the meet of this version to its rules; whether it did. It is for the leader to see first that nobody
+    /// Goes on from the intersection of this version to its rules; whether it did. It is for the leader to see first that nobody
     /// can still act on the rules before ([`crate::Leases::waits_for`]).
     pub fn advance(&mut self, version: u64) -> bool {
-        let goes = self.tag
-            == Tag {
+        let advances = self.tag
+            == VersionTag {
                 version,
-                whole: false,
+                complete: false,
             };
-        self.tag.whole |= goes;
-        goes
+        self.tag.complete |= advances;
+        advances
     }
 }
--- /dev/null
+++ b/src/decisions/outcomes.rs
@@ -0,0 +1,239 @@
+//! What the outcome of an attempt shows of its message, its endpoint and its route.
+
+use super::Sender;
+use super::key_ordering::may_still_run;
+use super::rate_limit::RateDecrease;
+use super::state::{Attempt, RouteId};
+use crate::interface::{Action, EndpointId, MessageId, Micros, Outcome};
+
+/// How an attempt ended, as the host reports it.
+pub(super) struct AttemptResult<'a> {
+    pub message: MessageId,
+    /// Its number among the attempts of the message.
+    pub attempt: usize,
+    pub outcome: Outcome,
+    /// Time since the send.
+    pub latency: Micros,
+    /// The load report of the destination, if any.
+    pub report: &'a [f64],
+}
+
+/// An attempt that has just ended.
+struct EndedAttempt {
+    class: usize,
+    call: u64,
+    endpoint: EndpointId,
+    sent: Micros,
+}
+
+/// A call of which a message has just ended.
+struct EndedCall {
+    route: RouteId,
+    /// No other message of the call had ended before: only the first tells something of the route.
+    is_first_outcome: bool,
+}
+
+/// What the first outcome of a call shows.
+pub(super) struct Observation {
+    pub route: RouteId,
+    pub endpoint: EndpointId,
+    pub class: usize,
+    pub sent: Micros,
+    pub outcome: Outcome,
+    pub latency: Micros,
+    /// Drawn once for each observation.
+    pub random_phase: f64,
+}
+
+impl Sender {
+    pub(super) fn apply_attempt_ended(
+        &mut self,
+        result: &AttemptResult,
+        complete: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_outcome(result, actions);
+        if result.outcome == Outcome::Success || complete {
+            self.close(result.message, actions);
+        }
+        self.forget_if_done(result.message);
+    }
+
+    fn record_outcome(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(attempt) = self.end_attempt(result) else {
+            return;
+        };
+        let Some(call) = self.end_call_of(&attempt, actions) else {
+            return;
+        };
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = result.outcome
+        {
+            self.apply_retry_after(call.route, wait, actions);
+        }
+        self.apply_load_report(call.route, result.report);
+        if !call.is_first_outcome {
+            return;
+        }
+        let observation = Observation {
+            route: call.route,
+            endpoint: attempt.endpoint,
+            class: attempt.class,
+            sent: attempt.sent,
+            outcome: result.outcome,
+            latency: result.latency,
+            random_phase: self.random_phase(),
+        };
+        self.observe_endpoint(&observation);
+        self.observe_route(&observation, actions);
+    }
+
+    /// Ends the attempt of its message; none where it was not in flight.
+    fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
+        let message = self.messages.get_mut(&result.message)?;
+        let in_flight = |attempt: &&mut Attempt| attempt.in_flight;
+        let attempt = message.attempts.get_mut(result.attempt).filter(in_flight)?;
+        attempt.in_flight = false;
+        attempt.may_have_run = !result.outcome.never_ran();
+        let ended = EndedAttempt {
+            class: message.class,
+            call: attempt.call,
+            endpoint: attempt.endpoint,
+            sent: attempt.sent,
+        };
+        message.back_off(result.outcome, self.now);
+        let key = message.key;
+        if may_still_run(result.outcome) {
+            self.back_off_key(key, self.key_backoff(ended.class));
+        }
+        self.reindex(result.message);
+        Some(ended)
+    }
+
+    /// Ends one message of a call, and the call with the last of them.
+    fn end_call_of(
+        &mut self,
+        attempt: &EndedAttempt,
+        actions: &mut Vec<Action>,
+    ) -> Option<EndedCall> {
+        let call = self.calls.get_mut(&attempt.call)?;
+        let ended = EndedCall {
+            route: call.route,
+            is_first_outcome: call.pending == call.size,
+        };
+        let is_hedge = call.is_hedge;
+        call.pending -= 1;
+        if call.pending == 0 {
+            self.calls.remove(&attempt.call);
+            self.hedges_in_flight -= usize::from(is_hedge);
+            let route = self.route_mut(ended.route);
+            route.in_flight -= 1;
+            route.reset_observations();
+            self.close_idle_connection(ended.route, attempt.endpoint, actions);
+        }
+        Some(ended)
+    }
+
+    fn observe_endpoint(&mut self, observation: &Observation) {
+        let route = self.route_mut(observation.route);
+        let response_limit = route.response_limit();
+        let others_succeed = route.succeeded;
+        self.record_connection(observation.endpoint, observation.outcome, others_succeed);
+        self.record_class_outcome(observation, response_limit);
+    }
+
+    fn observe_route(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let route = self.route_mut(observation.route);
+        route.record_signs_of_life(observation.outcome, now);
+        match observation.outcome {
+            Outcome::Success => self.observe_success(observation, actions),
+            Outcome::Rejected { retry_after } => {
+                self.observe_rejection(observation, retry_after, actions);
+            }
+            Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset => {
+                self.observe_failure(observation, actions);
+            }
+            Outcome::Cancelled | Outcome::NotSent { .. } => {}
+        }
+    }
+
+    fn observe_success(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let call_slots = self.settings.call_slots;
+        let overload_span = self.settings.safety.overload_span;
+        let contention = self.contention();
+        let route = self.route_mut(observation.route);
+        route.record_latency(observation.latency);
+        route.consecutive_rejections = 0;
+        route.succeeded = true;
+        route.increase_rate_limit(contention);
+        route.decrease_failure_score();
+        route.record_best_rate(now, overload_span, contention);
+        route.increase_concurrency_limit(call_slots);
+        self.advance_recovery(observation.route, actions);
+    }
+
+    fn observe_rejection(
+        &mut self,
+        observation: &Observation,
+        retry_after: Option<Micros>,
+        actions: &mut Vec<Action>,
+    ) {
+        let now = self.now;
+        let overload_span = self.settings.safety.overload_span;
+        let contention = self.contention();
+        let senders = f64::from(self.fleet_size);
+        let route = self.route_mut(observation.route);
+        let is_closed = route.record_rejection(now);
+        let success_rate = route.success_rate(now, overload_span);
+        if route.decrease_concurrency_limit(observation.sent, now) {
+            let decrease = RateDecrease {
+                known_rate: route.known_rate(now, contention),
+                success_rate: success_rate * (1.0 - contention),
+                senders,
+                // a wait that was asked for keeps all away until there is room
+                contention: if retry_after.is_some() {
+                    0.0
+                } else {
+                    contention
+                },
+                random_phase: observation.random_phase,
+            };
+            route.decrease_rate_limit(&decrease);
+        }
+        if is_closed {
+            self.eject_closed(observation.route, actions);
+        }
+    }
+
+    fn observe_failure(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let safety = &self.settings.safety;
+        let overload_span = safety.overload_span;
+        let warm_up_time = safety.warm_up_time;
+        let contention = self.contention();
+        let senders = f64::from(self.fleet_size);
+        let route = self.route_mut(observation.route);
+        route.increase_failure_score();
+        let success_rate = route.success_rate(now, overload_span);
+        let nothing_succeeds = !route.succeeded;
+        let shows_congestion = nothing_succeeds || observation.outcome != Outcome::Error;
+        let is_new = shows_congestion && route.decrease_concurrency_limit(observation.sent, now);
+        // with a call or more in a span the failure score is soon certain
+        let is_seldom_called = route.calls_in(overload_span, now, warm_up_time) < 1.0;
+        if is_new && nothing_succeeds && is_seldom_called {
+            let decrease = RateDecrease {
+                known_rate: route.best_rate,
+                success_rate: success_rate * (1.0 - contention),
+                senders,
+                contention,
+                random_phase: observation.random_phase,
+            };
+            route.decrease_rate_limit(&decrease);
+        }
+        route.succeeded = false;
+        self.eject_if_failing(observation.route, actions);
+    }
+}
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,7 +1,7 @@
 //! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
 
-use crate::net::events::{ListUpdate, Listed};
-use message_sender::Status;
+use crate::net::events::{ListUpdate, ListedEndpoint};
+use message_sender::EndpointStatus;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
 
@@ -38,16 +38,16 @@
     let read = |value: &Value| {
         let target = Target::deserialize(value).map_err(|error| error.to_string())?;
         let status = match target.state.as_str() {
-            "up" => Status::Serving,
-            "draining" => Status::Draining,
-            "removed" => Status::Gone,
+            "up" => EndpointStatus::Serving,
+            "draining" => EndpointStatus::Draining,
+            "removed" => EndpointStatus::Removed,
             other => return Err(format!("unknown state '{other}'")),
         };
         let address = target
             .endpoint
             .parse()
             .map_err(|_| format!("bad address '{}'", target.endpoint))?;
-        Ok(Listed {
+        Ok(ListedEndpoint {
             uid: target.uid,
             address,
             zone: target.az,
--- /dev/null
+++ b/src/net/handover/tests.rs
@@ -0,0 +1,320 @@
+//! The handover between processes: what an earlier program sends is read, and sent again byte for byte.
+
+use super::lock::LOCK;
+use super::*;
+use crate::net::events::{AdminResult, AttemptEnd, ForwardedSubmission, SubmissionResult};
+use crate::net::golden::assert_same_bytes;
+use message_sender::wire::Names;
+use message_sender::{Outcome, Sender};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::UnixStream;
+
+/// Every frame in the order of [`every_frame`], with its length before it as on the link.
+const LINK: &[u8] = include_bytes!("../../../tests/golden/handover/link");
+/// The decision module of a sender that has just started.
+const SENDER: &[u8] = include_bytes!("../../../tests/golden/handover/sender-at-start");
+
+fn names() -> Names {
+    Names {
+        zones: vec!["a".into(), "b".into()],
+        classes: vec!["webhook".into(), "order".into()],
+        kinds: vec!["one".into(), "bulk".into()],
+        tenants: vec!["acme".into()],
+        report_fields: vec!["x0".into(), "x1".into()],
+        dial_timeout: 500_001,
+    }
+}
+
+fn handover() -> HandoverState {
+    HandoverState {
+        sender: vec![1, 2, 3, 255],
+        names: names(),
+        endpoints: vec![
+            EndpointState {
+                endpoint: 3,
+                uid: "s-3".into(),
+                address: Some("127.0.0.1:8003".parse().expect("an address")),
+                kind: 1,
+                destination: 70_000,
+                listed: true,
+                serving: false,
+                zone: "a".into(),
+                weight: 2.5,
+            },
+            EndpointState {
+                endpoint: 4,
+                uid: "s-4".into(),
+                address: Some("[::1]:8004".parse().expect("an address")),
+                kind: usize::MAX,
+                destination: 8,
+                listed: false,
+                serving: true,
+                zone: String::new(),
+                weight: 0.0,
+            },
+            EndpointState {
+                endpoint: 5,
+                uid: "s-5".into(),
+                address: None,
+                kind: 0,
+                destination: 9,
+                listed: true,
+                serving: true,
+                zone: "b".into(),
+                weight: 1.0,
+            },
+        ],
+        next_endpoint: 6,
+        messages: vec![
+            MessageState {
+                number: 11,
+                id: "m11".into(),
+                key: Some("key-11".into()),
+                body: b"body \0\xff".to_vec(),
+                open: true,
+                clients: 2,
+                attempts: vec![
+                    AttemptState {
+                        endpoint: 3,
+                        sent_at: 1_700_000_000_000_001,
+                        call: 41,
+                        item: 1,
+                        in_flight: true,
+                        record: Some(7),
+                    },
+                    AttemptState {
+                        endpoint: 4,
+                        sent_at: -1,
+                        call: u64::MAX,
+                        item: 0,
+                        in_flight: false,
+                        record: None,
+                    },
+                ],
+            },
+            MessageState {
+                number: 12,
+                id: "m12".into(),
+                key: None,
+                body: Vec::new(),
+                open: false,
+                clients: 0,
+                attempts: Vec::new(),
+            },
+        ],
+        next_message: 13,
+        calls: vec![CallState {
+            number: 41,
+            items: vec![
+                CallItemState {
+                    message: 10,
+                    attempt: 2,
+                },
+                CallItemState {
+                    message: 11,
+                    attempt: 0,
+                },
+            ],
+            left: 1,
+        }],
+        next_call: 42,
+        delivered: vec!["d1".into(), "d2".into()],
+        list_version: 90,
+        timer: Some(1_700_000_000_000_002),
+        client_connections: 17,
+    }
+}
+
+fn ended(outcome: Outcome) -> Frame {
+    Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
+        call: 41,
+        item: 2,
+        outcome,
+        closed: true,
+        report: vec![0.25, 1e9],
+        retry_after: Some(3_000_003),
+    }))
+}
+
+fn forwarded() -> ForwardedSubmission {
+    ForwardedSubmission {
+        id: "m21".into(),
+        key: Some("key-21".into()),
+        subject: Some("account-9".into()),
+        tenant: Some("acme".into()),
+        class: 1,
+        destination: 70_000,
+        time_limit: 20_000_004,
+        received_at: 1_700_000_000_000_005,
+        again: true,
+        orphan: false,
+        body: b"passed on".to_vec(),
+    }
+}
+
+fn answered(result: SubmissionResult) -> Frame {
+    Frame::Message(HandoverMessage::Answered {
+        number: 51,
+        result: result,
+    })
+}
+
+fn executed(result: AdminResult) -> Frame {
+    Frame::Message(HandoverMessage::AdminResult { number: 61, result })
+}
+
+fn every_frame() -> Vec<Frame> {
+    let without = ForwardedSubmission {
+        key: None,
+        subject: None,
+        tenant: None,
+        again: false,
+        orphan: true,
+        ..forwarded()
+    };
+    vec![
+        Frame::Request { version: VERSION },
+        Frame::Request {
+            version: JOURNAL_ONLY,
+        },
+        Frame::State(Box::new(handover())),
+        Frame::State(Box::new(HandoverState {
+            timer: None,
+            ..handover()
+        })),
+        Frame::Accepted,
+        Frame::Message(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
+        ended(Outcome::Success),
+        ended(Outcome::Error),
+        ended(Outcome::Rejected { retry_after: None }),
+        ended(Outcome::Rejected {
+            retry_after: Some(2_000_002),
+        }),
+        ended(Outcome::TimedOut),
+        ended(Outcome::NoConnection),
+        ended(Outcome::Reset),
+        ended(Outcome::Cancelled),
+        ended(Outcome::NotSent { no_slot: true }),
+        Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
+            call: 1,
+            item: 0,
+            outcome: Outcome::NotSent { no_slot: false },
+            closed: false,
+            report: Vec::new(),
+            retry_after: None,
+        })),
+        Frame::Message(HandoverMessage::Submitted {
+            number: 51,
+            submission: Box::new(forwarded()),
+        }),
+        Frame::Message(HandoverMessage::Submitted {
+            number: 52,
+            submission: Box::new(without),
+        }),
+        answered(SubmissionResult::Accepted),
+        answered(SubmissionResult::AlreadyDelivered),
+        answered(SubmissionResult::Rejected { retry_after: None }),
+        answered(SubmissionResult::Rejected {
+            retry_after: Some(1_500_006),
+        }),
+        answered(SubmissionResult::NotStored),
+        answered(SubmissionResult::Failed),
+        Frame::Message(HandoverMessage::ClientDisconnected("m21".into())),
+        Frame::Message(HandoverMessage::AdminCommand {
+            number: 61,
+            uid: "s-3".into(),
+            disabled: true,
+        }),
+        Frame::Message(HandoverMessage::AdminCommand {
+            number: 62,
+            uid: "s-4".into(),
+            disabled: false,
+        }),
+        executed(AdminResult::Done),
+        executed(AdminResult::UnknownEndpoint),
+        executed(AdminResult::NotWritten),
+    ]
+}
+
+/// What the other end of the link gets when these frames are sent.
+async fn sent(frames: &[Frame]) -> Vec<u8> {
+    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(here);
+    let send = async {
+        for frame in frames {
+            link.writer.send(frame).await.expect("sent");
+        }
+        drop(link);
+    };
+    let mut bytes = Vec::new();
+    let (_, read) = tokio::join!(send, there.read_to_end(&mut bytes));
+    read.expect("read");
+    bytes
+}
+
+#[tokio::test]
+async fn every_frame_kind_is_sent_as_recorded() {
+    let mut at = 0;
+    for frame in every_frame() {
+        let bytes = sent(std::slice::from_ref(&frame)).await;
+        let end = (at + bytes.len()).min(LINK.len());
+        assert_same_bytes(&format!("{frame:?}"), &bytes, &LINK[at..end]);
+        at = end;
+    }
+    assert_eq!(at, LINK.len());
+}
+
+#[tokio::test]
+async fn every_recorded_frame_is_received_and_sent_again() {
+    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(here);
+    let write = async {
+        there.write_all(LINK).await.expect("written");
+        drop(there);
+    };
+    let read = async {
+        let mut frames = Vec::new();
+        while frames.len() < every_frame().len() {
+            frames.push(link.receive().await.expect("a frame"));
+        }
+        assert!(
+            matches!(link.receive().await, Err(LinkError::Io(_))),
+            "nothing more"
+        );
+        frames
+    };
+    let (_, frames) = tokio::join!(write, read);
+    for (frame, expected) in frames.iter().zip(every_frame()) {
+        assert_eq!(format!("{frame:?}"), format!("{expected:?}"));
+    }
+    assert_same_bytes("all frames", &sent(&frames).await, LINK);
+}
+
+#[test]
+fn version_and_file_names_are_the_recorded_ones() {
+    assert_eq!((VERSION, JOURNAL_ONLY), (10, 0));
+    assert_eq!((LOCK, SOCKET), ("lock", "upgrade.sock"));
+}
+
+#[test]
+fn sender_at_start_is_decoded_and_encoded_as_recorded() {
+    let mut settings = message_sender::Settings::new(8, 50);
+    settings.classes.push(message_sender::Class::new(
+        "order",
+        message_sender::Effect::NonIdempotent,
+        1,
+        2,
+    ));
+    let sender = Sender::new(settings, 0x8c1f).expect("sound settings");
+    assert_same_bytes(
+        "module",
+        &postcard::to_allocvec(&sender).expect("encoded"),
+        SENDER,
+    );
+    let read: Sender = postcard::from_bytes(SENDER).expect("decoded");
+    assert_same_bytes(
+        "module read",
+        &postcard::to_allocvec(&read).expect("encoded"),
+        SENDER,
+    );
+}
--- a/src/net/machine.rs
+++ b/src/net/local_errors.rs
@@ -1,12 +1,12 @@
-//! Failures of this machine, told apart from those of a peer: no descriptor, address, buffer or route is to be had, or a
-//! call was interrupted. They say nothing of the peer, and end when their cause does.
+//! Errors of this machine, as opposed to those of a peer: no descriptor, address, buffer or route is available, or a
+//! system call was interrupted. They say nothing of the peer, and end when their cause does.
 
 use nix::errno::Errno;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// How long until a call that this machine failed is made again: many times within any time limit of a peer.
-pub const RETRY: Duration = Duration::from_millis(25);
+/// Between two tries of a call that this machine failed: many times within any time limit of a peer.
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
 /// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
 pub fn is_local(error: &io::Error) -> bool {
@@ -29,7 +29,7 @@
 }
 
 /// True if `accept(2)` failed for the one connection that it would have given: the next one may be had at once.
-pub fn is_of_one_connection(error: &io::Error) -> bool {
+pub fn concerns_one_connection(error: &io::Error) -> bool {
     let Some(number) = error.raw_os_error() else {
         return false;
     };
@@ -39,8 +39,8 @@
     )
 }
 
-/// True if a file is not to be had until an operator changes something: it does not come right by itself.
-pub fn is_lasting(error: &io::Error) -> bool {
+/// True if a file stays unavailable until an operator changes something.
+pub fn is_permanent(error: &io::Error) -> bool {
     let kinds = [
         ErrorKind::PermissionDenied,
         ErrorKind::NotADirectory,
--- /dev/null
+++ b/src/net/process.rs
@@ -0,0 +1,325 @@
+//! One process of the sender, from its configuration to its end: the channels between its tasks, the state folder, the
+//! driver, the tasks, and a graceful shutdown.
+
+mod channels;
+mod part_settings;
+mod reload;
+mod state_folder;
+mod tasks;
+
+use crate::net;
+use crate::net::calls::Calls;
+use crate::net::clock::ClockError;
+use crate::net::config::Config;
+use crate::net::control::{self, Control};
+use crate::net::driver::{ClientSlots, Dependencies, Driver, InitialState, ProcessState};
+use crate::net::events::{DriverInput, FreezeChange, SettingsUpdate};
+use crate::net::handover::{Frame, HandoverState, Link, LinkError, ReceivedHandover};
+use crate::net::journal::JournalError;
+use crate::net::pool::{ConnectionPool, PoolResources, limits};
+use crate::net::server::{Classes, Server, serve};
+use crate::net::startup;
+use crate::net::{agreement, ledger};
+use channels::{Channels, Flags, Receivers, Senders};
+use message_sender::{Sender, SettingsError};
+use part_settings::PartSettings;
+use state_folder::{StateFolder, open_state_folder};
+use std::cell::Cell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tasks::Tasks;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::task::JoinError;
+use tokio::time::{Instant, sleep};
+
+/// From SIGTERM to the end of idle client connections.
+const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2500);
+/// From SIGTERM to the end of the process. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+const EXIT_AFTER: Duration = Duration::from_millis(3300);
+/// The part of all descriptors that clients may hold; calls, idle connections and files share the rest.
+const CLIENT_DESCRIPTORS: usize = 3;
+
+/// Why the process could not start, or ended.
+#[derive(Debug, Error)]
+pub enum ProcessError {
+    /// A signal handler, the lock or the listening socket is not to be had.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The clock's anchor can't be used.
+    #[error(transparent)]
+    Clock(#[from] ClockError),
+    /// The journal can't be used.
+    #[error(transparent)]
+    Journal(#[from] JournalError),
+    /// The settings make no sense.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The driver panicked.
+    #[error(transparent)]
+    Driver(#[from] JoinError),
+}
+
+/// Runs the sender until SIGTERM, or until a successor has taken over and nothing is left to do.
+///
+/// # Errors
+/// What the process needs is not to be had, or the driver panicked.
+pub async fn run(config: Config) -> Result<(), ProcessError> {
+    let mut terminate = signal(SignalKind::terminate())?;
+    let hangup = signal(SignalKind::hangup())?;
+    let Channels { senders, receivers } = Channels::new();
+    if let Some(settings) = &config.freeze {
+        // the first list is filtered by it
+        let change = FreezeChange::On(settings.clone());
+        let _ = senders.inputs.send(DriverInput::Freeze(change));
+    }
+    let parts = PartSettings::new(&config);
+    let flags = Flags::new();
+    start_control(&config, &senders, &flags).await;
+    let folder = tokio::select! {
+        opened = open_state_folder(&config) => opened?,
+        _ = terminate.recv() => return Ok(()),
+    };
+    let process = Process {
+        config,
+        senders,
+        flags,
+        parts,
+    };
+    process.run(folder, receivers, terminate, hangup).await
+}
+
+/// Serves operators, as soon as their address is to be had.
+async fn start_control(config: &Config, senders: &Senders, flags: &Flags) {
+    let Some(address) = config.control else {
+        return;
+    };
+    let control = Control {
+        orders: senders.commands.clone(),
+        members: senders.membership_reports.clone(),
+        agreement: senders.agreement_reports.clone(),
+        ledger: senders.ledger_reports.clone(),
+        ready: flags.ready.subscribe(),
+        draining: flags.draining.clone(),
+    };
+    let name = config.name.clone();
+    let listener = startup::listen_for_operators(&name, address).await;
+    tokio::task::spawn_local(async move {
+        let listener = match listener {
+            Some(listener) => listener,
+            None => startup::wait_for_operators_address(address).await,
+        };
+        let address = listener.local_addr().unwrap_or(address);
+        net::log(format_args!("{name}: operators at {address}"));
+        control::serve(listener, Rc::new(control)).await;
+    });
+}
+
+/// What the parts of the process are made from.
+struct Process {
+    config: Config,
+    senders: Senders,
+    flags: Flags,
+    parts: PartSettings,
+}
+
+/// The connections that clients may hold.
+struct ClientCapacity {
+    /// Those of this process.
+    slots: ClientSlots,
+    /// Those that a predecessor still holds.
+    of_predecessor: usize,
+}
+
+/// What the driver publishes of the fleet.
+struct FleetState {
+    /// The number of senders that the decisions scale by.
+    size: Rc<Cell<u32>>,
+    /// The version of the list that they go by.
+    list_version: Rc<Cell<u64>>,
+}
+
+impl FleetState {
+    fn new(size: u32) -> Self {
+        FleetState {
+            size: Rc::new(Cell::new(size)),
+            list_version: Rc::new(Cell::new(0)),
+        }
+    }
+}
+
+impl Process {
+    async fn run(
+        self,
+        folder: StateFolder,
+        receivers: Receivers,
+        terminate: Signal,
+        hangup: Signal,
+    ) -> Result<(), ProcessError> {
+        let clock = folder.clock;
+        let fleet = FleetState::new(self.config.settings.senders);
+        let ClientCapacity {
+            slots,
+            of_predecessor,
+        } = self.client_capacity(folder.received.as_ref());
+        let server = self.server(&slots);
+        let (mut driver, link) = self.driver(folder, slots, server.classes.clone(), &fleet)?;
+        if let Some(link) = link {
+            self.follow_predecessor(&mut driver, link, of_predecessor)
+                .await;
+        }
+        let listener = self.listen().await?;
+        let tasks = Tasks {
+            process: &self,
+            clock,
+            fleet,
+        };
+        tasks.start(driver.list_version(), receivers.tasks);
+        reload::start(hangup, &self);
+        self.flags.draining.set(false);
+        tokio::task::spawn_local(serve(listener, Rc::new(server)));
+        let driver = tokio::task::spawn_local(driver.run(receivers.driver));
+        tokio::select! {
+            // it ends by itself only once another process has all
+            ended = driver => ended?,
+            () = self.shut_down_on(terminate) => {}
+        }
+        Ok(())
+    }
+
+    /// The driver, and the link to a predecessor that handed over.
+    fn driver(
+        &self,
+        folder: StateFolder,
+        client_slots: ClientSlots,
+        classes: Classes,
+        fleet: &FleetState,
+    ) -> Result<(Driver, Option<Link>), SettingsError> {
+        let dependencies = Dependencies {
+            process: ProcessState {
+                clock: folder.clock,
+                inputs: self.senders.inputs.clone(),
+                lock: folder.lock,
+                client_slots,
+                classes,
+                draining: self.flags.draining.clone(),
+                handed_over: self.flags.handed_over.clone(),
+                fleet_size: fleet.size.clone(),
+                list_version: fleet.list_version.clone(),
+            },
+            journal: folder.journal,
+            calls: self.calls(),
+            notifications: self.senders.notifications.clone(),
+            ready: self.flags.ready.clone(),
+            seed: self.config.seed,
+        };
+        let (sender, handover, link) = match folder.received {
+            Some(received) => (*received.sender, Some(received.state), Some(received.link)),
+            None => (self.new_sender()?, None, None),
+        };
+        let initial = self.initial_state(sender, handover);
+        Ok((Driver::new(dependencies, initial), link))
+    }
+
+    fn new_sender(&self) -> Result<Sender, SettingsError> {
+        Sender::new(self.config.settings.clone(), self.config.seed)
+    }
+
+    fn initial_state(&self, sender: Sender, handover: Option<HandoverState>) -> InitialState {
+        let config = &self.config;
+        let agreement = self.parts.agreement.borrow();
+        let ledger = self.parts.ledger.borrow();
+        InitialState {
+            sender,
+            handover,
+            settings: SettingsUpdate {
+                settings: config.settings.clone(),
+                names: config.names.clone(),
+                pool: config.pool.clone(),
+            },
+            known_list: config.known_list.clone(),
+            fallback_rules: agreement
+                .as_ref()
+                .map(|agreement| agreement::bounds(&agreement.fallback)),
+            fallback_quotas: ledger.as_ref().map(ledger::fallback_only),
+        }
+    }
+
+    fn calls(&self) -> Calls {
+        let config = &self.config;
+        let limits = limits(&config.pool, config.max_descriptors, &config.settings);
+        let resources = PoolResources {
+            descriptors: config.max_descriptors,
+            seed: config.seed,
+        };
+        let connections = ConnectionPool::new(limits, config.names.dial_timeout, resources);
+        Calls::new(self.senders.inputs.clone(), connections)
+    }
+
+    /// The slots of this process, without those that a predecessor's clients hold.
+    fn client_capacity(&self, received: Option<&ReceivedHandover>) -> ClientCapacity {
+        let total = (self.config.max_descriptors / CLIENT_DESCRIPTORS).max(1);
+        let held = received.map_or(0, |received| received.state.client_connections);
+        let of_predecessor = held.min(total - 1);
+        ClientCapacity {
+            slots: ClientSlots::new(total - of_predecessor),
+            of_predecessor,
+        }
+    }
+
+    fn server(&self, slots: &ClientSlots) -> Server {
+        Server {
+            classes: Classes::default(),
+            inputs: self.senders.inputs.clone(),
+            ready: self.flags.ready.subscribe(),
+            draining: self.flags.draining.clone(),
+            places: slots.free.clone(),
+            handed: self.flags.handed_over.subscribe(),
+            closing: self.flags.close_clients.subscribe(),
+        }
+    }
+
+    /// Tells the predecessor that this process owns the messages; one that is gone leaves all to it just the same.
+    async fn follow_predecessor(&self, driver: &mut Driver, mut link: Link, connections: usize) {
+        let accepted = link.send(&Frame::Accepted).await;
+        net::log(format_args!(
+            "{}: handover: taken over ({})",
+            self.config.name,
+            describe_link(&accepted)
+        ));
+        driver.set_predecessor(link.listen(self.senders.inputs.clone()), connections);
+    }
+
+    async fn listen(&self) -> Result<TcpListener, io::Error> {
+        let config = &self.config;
+        let listener = startup::client_listener(config.passed_socket, config.listen).await?;
+        let address = listener.local_addr().unwrap_or(config.listen);
+        net::log(format_args!("{}: listening on {address}", config.name));
+        Ok(listener)
+    }
+
+    /// Waits for SIGTERM and shuts down gracefully.
+    async fn shut_down_on(&self, mut terminate: Signal) {
+        terminate.recv().await;
+        let name = &self.config.name;
+        net::log(format_args!("{name}: SIGTERM, draining"));
+        self.flags.draining.set(true);
+        let _ = self.flags.stopping.send(true);
+        let exit_at = Instant::now() + EXIT_AFTER;
+        let _ = self.senders.inputs.send(DriverInput::ShuttingDown(exit_at));
+        sleep(CLOSE_IDLE_AFTER).await;
+        let _ = self.flags.close_clients.send(true);
+        sleep(EXIT_AFTER - CLOSE_IDLE_AFTER).await;
+        net::log(format_args!("{name}: ends"));
+    }
+}
+
+/// What became of the link to a predecessor, for the log.
+fn describe_link(accepted: &Result<(), LinkError>) -> String {
+    match accepted {
+        Ok(()) => "complete".into(),
+        Err(error) => format!("the predecessor is gone: {error}"),
+    }
+}
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -34,32 +34,25 @@
         let mut sum = 0.0;
         for index in self.fleet.running() {
             let view = self.view(index);
-            self.modules[index].handle(now, &[Event::Fleet(Some(view))], &mut Vec::new());
-            sum += 1.0 / f64::from(self.modules[index].senders());
+            self.modules[index].handle(now, &[Event::FleetView(Some(view))], &mut Vec::new());
+            sum += 1.0 / f64::from(self.modules[index].fleet_size());
         }
         sum
     }
 
     fn view(&self, index: usize) -> FleetView {
         let view = self.fleet.node(index).view();
-        let fleet_membership::View {
-            living,
-            suspects,
-            gone,
-            holders,
-            doubt,
-        } = view;
         FleetView {
-            living,
-            suspects,
-            gone,
-            holders,
-            doubt,
+            present: view.present,
+            suspects: view.suspects,
+            departed: view.departed,
+            agreeing: view.agreeing,
+            isolated: view.isolated,
         }
     }
 
     fn number(&self, index: usize) -> u32 {
-        self.modules[index].senders()
+        self.modules[index].fleet_size()
     }
 
     fn start(&mut self, index: usize) {
@@ -99,7 +92,7 @@
 
 /// What a rule without care would scale by: those that answer.
 fn careless(view: FleetView) -> u32 {
-    view.living - view.suspects
+    view.present - view.suspects
 }
 
 #[test]
@@ -172,20 +165,20 @@
         settings.senders = 200;
         let mut module = Sender::new(settings, u64::from(index)).expect("settings make sense");
         let view = FleetView {
-            living: 101 + index % 90,
+            present: 101 + index % 90,
             suspects: 0,
-            gone: 99 - index % 90,
-            holders: 1 + index % 100,
-            doubt: false,
+            departed: 99 - index % 90,
+            agreeing: 1 + index % 100,
+            isolated: false,
         };
         for step in 1..=30 {
             module.handle(
                 step * PERIOD as Micros,
-                &[Event::Fleet(Some(view))],
+                &[Event::FleetView(Some(view))],
                 &mut Vec::new(),
             );
         }
-        sum += 1.0 / f64::from(module.senders());
+        sum += 1.0 / f64::from(module.fleet_size());
     }
     assert!(sum <= 1.0001, "{sum}");
 }
