--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -71,16 +71,45 @@
     }
 }
 
-#[test]
-fn deploy_file_policy_and_node_paths_exist() {
+/// The paths that the deploy file lists under a key.
+fn deployed_paths(key: &str) -> BTreeSet<String> {
     let text = fs::read_to_string(repository().join("deploy/balancer.toml")).expect("the file");
-    let paths: Vec<&str> = text
-        .lines()
-        .filter(|line| line.starts_with("policy") || line.starts_with("node"))
+    text.lines()
+        .filter(|line| line.starts_with(key))
         .flat_map(|line| line.split('"').skip(1).step_by(2))
-        .collect();
-    assert!(paths.len() >= 2, "{paths:?}");
+        .map(str::to_string)
+        .collect()
+}
+
+/// The source files of a folder and its folders, but for their tests.
+fn source_files(folder: &str) -> Vec<String> {
+    let mut found = Vec::new();
+    for entry in fs::read_dir(repository().join(folder)).expect("a folder") {
+        let name = entry.expect("an entry").file_name();
+        let path = format!("{folder}/{}", name.to_str().expect("a name"));
+        if repository().join(&path).is_dir() {
+            found.extend(source_files(&path));
+        } else if path.ends_with(".rs") && !path.ends_with("tests.rs") {
+            found.push(path);
+        }
+    }
+    found
+}
+
+#[test]
+fn deploy_file_node_paths_exist() {
+    let paths = deployed_paths("node");
+    assert!(!paths.is_empty());
     for path in paths {
-        assert!(repository().join(path).exists(), "no {path}");
+        assert!(repository().join(&path).exists(), "no {path}");
     }
 }
+
+#[test]
+fn deploy_file_policy_names_each_file_of_the_decisions() {
+    let roots = ["src/decisions", "src/interface", "src/message_index"];
+    let mut files: BTreeSet<String> = roots.iter().copied().flat_map(source_files).collect();
+    files.extend(roots.map(|root| format!("{root}.rs")));
+    files.insert("src/lifecycle.rs".to_string());
+    assert_eq!(deployed_paths("policy"), files);
+}
