--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -286,13 +286,13 @@
     }
     // long enough for several dials of each
     wait_until("dials have failed", || {
-        node.logged("sick") || dial_failures(&node) >= 8
+        node.logged("ejected") || dial_failures(&node) >= 8
     });
     faults.off(fault);
     wait_until("all are delivered", || {
         ids.iter().all(|id| endpoint.times(id) == 1)
     });
-    assert!(!node.logged("sick"), "{fault} {number}: {:?}", node.log);
+    assert!(!node.logged("ejected"), "{fault} {number}: {:?}", node.log);
 }
 
 /// Dials that failed, for whatever reason.
