--- a/lab/src/check/agreement/tests.rs
+++ b/lab/src/check/agreement/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_change_by_way_of_the_meet_breaks_nothing_and_is_timed() {
+fn change_through_the_intersection_has_no_violation_and_is_timed() {
     let records = [
         said(0, 0, 1, true, OLD),
         said(0, 1, 1, true, OLD),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn versions_that_no_order_explains_are_found() {
+fn revisions_that_are_not_linearizable_are_a_violation() {
     let done = |requested_at_us: u64, at_us: u64, rev: u64, is_write: bool| Record {
         at_us,
         event: Event::ListRevision {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn contradictions_steps_back_and_lost_versions_are_found() {
+fn contradictions_earlier_versions_and_lost_versions_are_violations() {
     let beside = [
         said(0, 0, 1, true, OLD),
         said(10, 1, 2, true, NEW),
--- a/lab/src/check/limits/tests.rs
+++ b/lab/src/check/limits/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_sum_over_the_limit_is_found_and_one_after_an_end_is_none() {
+fn sum_over_limit_is_a_violation_and_quota_of_ended_process_is_not() {
     let limited = |at_us, total| Record {
         at_us,
         event: Event::LimitSet { total },
--- a/lab/src/check/membership/tests.rs
+++ b/lab/src/check/membership/tests.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_is_true_breaks_nothing() {
+fn true_views_have_no_violation() {
     for events in [
         vec![(200, view(0, ["alive", "alive", "alive"]))],
         vec![
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn false_deaths_and_lasting_disagreement_are_found() {
+fn false_deaths_and_lasting_disagreement_are_violations() {
     assert_eq!(
         broken(vec![(200, view(0, ["alive", "dead", "alive"]))])[0],
         "n0 holds n1 for dead, which runs"
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn one_that_hears_nobody_may_be_held_for_dead() {
+fn isolated_member_may_be_reported_dead() {
     let all = vec![Party::Sender(0), Party::Sender(1), Party::Sender(2)];
     let impairment = Impairment::Cut {
         forward: true,
--- a/lab/src/check/order.rs
+++ b/lab/src/check/order.rs
@@ -1,4 +1,4 @@
-//! Order of a key: its messages go one at a time, in the order in which they were handed in to a sender, over its restarts.
+//! Order of a key: its messages go one at a time, in the order in which they were submitted to a sender, over its restarts.
 
 use super::SOCKET_SLACK_US;
 use crate::history::{Event, Record};
@@ -6,19 +6,19 @@
 use crate::violation::Violation;
 use std::collections::{BTreeMap, HashMap};
 
-/// How long a key rests after a call that may run on, as the senders are told.
-const KEY_REST_US: u64 = 300_000;
+/// Backoff of a key after a call that may still run, as the senders are configured.
+const KEY_BACKOFF_US: u64 = 300_000;
 
 /// A message of a key, as far as seen.
 #[derive(Debug)]
 struct Message<'a> {
     id: &'a str,
-    taken: bool,
-    over: bool,
+    accepted: bool,
+    completed: bool,
     called: bool,
     /// Calls that endpoints have read and not ended.
     calls: usize,
-    /// When one of them was last given up.
+    /// When one of them was last abandoned.
     abandoned_us: Option<u64>,
 }
 
@@ -52,8 +52,8 @@
                 key_of.insert(id, (*sender, *key));
                 let message = Message {
                     id,
-                    taken: false,
-                    over: false,
+                    accepted: false,
+                    completed: false,
                     called: false,
                     calls: 0,
                     abandoned_us: None,
@@ -63,14 +63,14 @@
             Event::SubmissionAnswered {
                 id,
                 status: 200 | 202,
-            } => change(id, |message, _| message.taken = true),
-            Event::OutcomeNotified { id, .. } => change(id, |message, _| message.over = true),
+            } => change(id, |message, _| message.accepted = true),
+            Event::OutcomeNotified { id, .. } => change(id, |message, _| message.completed = true),
             Event::CallAnswered { id, status, .. } => {
                 change(id, |message, _| {
                     message.calls = message.calls.saturating_sub(1)
                 });
                 if *status == 200 {
-                    change(id, |message, _| message.over = true);
+                    change(id, |message, _| message.completed = true);
                 }
             }
             Event::CallAbandoned { id, .. } => change(id, |message, at_us| {
@@ -101,7 +101,7 @@
                 }
                 let after = messages[at + 1..]
                     .iter()
-                    .find(|later| messages[at].taken && later.called);
+                    .find(|later| messages[at].accepted && later.called);
                 violations.extend(after.map(|later| Violation {
                     rule: "order",
                     at_us: *at_us,
@@ -117,16 +117,16 @@
 
 /// Why a call of a later message comes too early, if it does.
 fn overtaken(before: &Message, at_us: u64, impaired: bool) -> Option<&'static str> {
-    if before.taken && !before.over {
+    if before.accepted && !before.completed {
         return Some("before the end of");
     }
     if impaired {
         return None;
     }
-    let rests = |since: u64| at_us + SOCKET_SLACK_US < since + KEY_REST_US;
+    let in_backoff = |since: u64| at_us + SOCKET_SLACK_US < since + KEY_BACKOFF_US;
     match (before.calls, before.abandoned_us) {
         (1.., _) => Some("during a call of"),
-        (0, Some(since)) if rests(since) => Some("in the rest after a given-up call of"),
+        (0, Some(since)) if in_backoff(since) => Some("in the backoff after an abandoned call of"),
         _ => None,
     }
 }
--- a/lab/src/check/order/tests.rs
+++ b/lab/src/check/order/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_goes_in_turn_breaks_nothing() {
+fn messages_in_order_have_no_violation() {
     for events in [
         vec![
             (1.0, called("a")),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn each_way_to_overtake_is_found() {
+fn each_way_to_overtake_is_a_violation() {
     for events in [
         // the first has no end, is called, is given up and may run on
         vec![(1.0, called("b"))],
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_repeat_of_the_first_after_the_second_is_found() {
+fn repeat_of_the_first_after_the_second_is_a_violation() {
     let first = [
         (1.0, called("a")),
         (1.1, replied("a", 200)),
--- a/lab/src/check/recovery.rs
+++ b/lab/src/check/recovery.rs
@@ -7,9 +7,9 @@
 /// After the last fault has ended or the last process got ready, time for backoffs and slow starts to end.
 const RECOVERED_AFTER_US: u64 = 6_000_000;
 /// Fewer messages than these tell nothing.
-const LEAST_MESSAGES: usize = 60;
+const MIN_MESSAGES: usize = 60;
 /// Least part of the messages that is delivered then.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_SHARE: f64 = 0.5;
 
 /// At most one violation: the fleet serves too little after its faults.
 pub fn check(records: &[Record], ends_us: u64) -> Vec<Violation> {
@@ -27,13 +27,13 @@
         .unwrap_or(0);
     let from = last + RECOVERED_AFTER_US;
     let mut delivered: HashSet<&str> = HashSet::new();
-    let mut taken: HashSet<&str> = HashSet::new();
-    // a client's later tries belong to its first
-    let mut asked: BTreeMap<usize, (u64, Vec<&str>)> = BTreeMap::new();
+    let mut accepted: HashSet<&str> = HashSet::new();
+    // a client's retries belong to its first attempt
+    let mut submitted: BTreeMap<usize, (u64, Vec<&str>)> = BTreeMap::new();
     for Record { at_us, event } in records {
         match event {
             Event::Submitted { id, arrival, .. } => {
-                asked
+                submitted
                     .entry(*arrival)
                     .or_insert((*at_us, Vec::new()))
                     .1
@@ -42,20 +42,20 @@
             Event::SubmissionAnswered {
                 id,
                 status: 200 | 202,
-            } => drop(taken.insert(id)),
+            } => drop(accepted.insert(id)),
             Event::CallAnswered {
                 id, status: 200, ..
             } => drop(delivered.insert(id)),
             _ => {}
         }
     }
-    let late: Vec<_> = asked.values().filter(|(at, _)| *at >= from).collect();
+    let late: Vec<_> = submitted.values().filter(|(at, _)| *at >= from).collect();
     let is_served = |ids: &[&str]| {
         ids.iter()
-            .any(|id| taken.contains(id) && delivered.contains(id))
+            .any(|id| accepted.contains(id) && delivered.contains(id))
     };
     let served = late.iter().filter(|(_, ids)| is_served(ids)).count();
-    if late.len() < LEAST_MESSAGES || served as f64 >= LEAST_SHARE * late.len() as f64 {
+    if late.len() < MIN_MESSAGES || served as f64 >= MIN_SHARE * late.len() as f64 {
         return Vec::new();
     }
     let seconds = ends_us.saturating_sub(from) as f64 / 1e6;
--- a/lab/src/check/recovery/tests.rs
+++ b/lab/src/check/recovery/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_fleet_that_serves_again_keeps_the_rule_and_one_that_does_not_breaks_it() {
+fn fleet_that_does_not_recover_is_a_violation() {
     assert_eq!(check(&history(|_| true), 25_000_000), []);
     assert_eq!(
         check(&history(|at_us| at_us >= 12_000_000), 25_000_000),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn too_few_messages_tell_nothing() {
+fn too_few_messages_have_no_violation() {
     let mut records = history(|_| false);
     records.push(Record {
         at_us: 15_000_000,
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_keeps_the_rules_breaks_none() {
+fn valid_histories_have_no_violation() {
     let down = Event::ProcessEnded {
         sender: 1,
         pid: 9,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn each_way_to_break_a_rule_is_found() {
+fn each_broken_rule_is_a_violation() {
     let crash = Event::ProcessEnded {
         sender: 1,
         pid: 9,
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn the_slack_of_one_that_stood_still_counts_from_when_it_went_on() {
+fn deadline_slack_of_a_stopped_sender_counts_from_its_continuation() {
     assert_eq!(
         outcomes::check(&handed_and_ended(7_000_000 + DEADLINE_SLACK_US)),
         []
--- a/lab/src/deployment/axes.rs
+++ b/lab/src/deployment/axes.rs
@@ -67,7 +67,7 @@
 pub static AXES: &[Axis] = &[
     axis(
         "deadline",
-        "time until which a message may be delivered; the aim keeps its share of it",
+        "time until which a message may be delivered; the latency objective keeps its share of it",
         &[
             value("500ms", &[Edit::Deadline(500)]),
             value("2500ms", &[Edit::Deadline(2_500)]),
@@ -77,7 +77,7 @@
     ),
     axis(
         "aim",
-        "share of the deadline within which a message has its full worth",
+        "share of the deadline within which a message has its full priority weight",
         &[
             value("tenth", &[Edit::LatencyObjective(0.1)]),
             value("all", &[Edit::LatencyObjective(1.0)]),
@@ -121,7 +121,7 @@
     ),
     axis(
         "refused-count",
-        "whether refused calls use the limit up",
+        "whether rejected calls use the limit up",
         &[
             value("no", &[flag(KIND, "refused_count", false)]),
             value("yes", &[flag(KIND, "refused_count", true)]),
@@ -129,7 +129,7 @@
     ),
     axis(
         "tells-wait",
-        "share of refusals that say for how long",
+        "share of rejections with a Retry-After",
         &[
             value("never", &[integer(KIND, "tells_wait", 0)]),
             value("always", &[integer(KIND, "tells_wait", 1)]),
@@ -137,7 +137,7 @@
     ),
     axis(
         "wait",
-        "waits that refusals name",
+        "Retry-After of rejections",
         &[
             value("short", &[range(KIND, "wait_ms", 50.0, 200.0)]),
             value("long", &[range(KIND, "wait_ms", 20_000.0, 70_000.0)]),
@@ -167,7 +167,7 @@
     ),
     axis(
         "routes",
-        "whether a destination's endpoints have limits and paces of their own",
+        "whether a destination's endpoints have rate and concurrency limits of their own",
         &[
             value("apart", &[text(KIND, "routes", "apart")]),
             value("shared", &[text(KIND, "routes", "shared")]),
@@ -175,7 +175,7 @@
     ),
     axis(
         "slots",
-        "calls that a sender may have out at once",
+        "calls that a sender may have in flight at once",
         &[
             value(
                 "one",
@@ -223,7 +223,7 @@
     ),
     axis(
         "copies",
-        "whether a second copy of a message may be out",
+        "whether a hedged request may be in flight",
         &[
             value("no", &[flag(ALLOW, "second_copies", false)]),
             value("yes", &[flag(ALLOW, "second_copies", true)]),
@@ -258,7 +258,7 @@
     ),
     axis(
         "worth",
-        "spread of worth over the classes",
+        "spread of priority weights over the classes",
         &[value("hundredfold", &[Edit::PriorityWeightSpread(100.0)])],
     ),
     axis(
--- a/lab/src/destination/tests.rs
+++ b/lab/src/destination/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_takes_its_capacity_and_refuses_the_rest() {
+fn destination_accepts_its_capacity_and_rejects_the_rest() {
     let mut destination = Destination::new(100.0, 40.0, 2, 1);
     let mut call = |n: u64| destination.call(n * 5_000, 0) != CallOutcome::Rejected;
     let taken = (0..2000).filter(|&n| call(n)).count();
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_is_shut_refuses_and_its_fellow_does_not() {
+fn shut_endpoint_rejects_and_the_other_endpoint_accepts() {
     let mut destination = Destination::new(100.0, 40.0, 2, 1);
     destination.shut(0, true);
     assert_eq!(destination.call(0, 0), CallOutcome::Rejected);
--- a/lab/src/figures/tests.rs
+++ b/lab/src/figures/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn worth_falls_after_the_aim_and_a_second_try_belongs_to_the_first() {
+fn weight_falls_after_the_latency_objective_and_a_retry_counts_with_its_first_attempt() {
     // a title-status, worth 2 within 1 s, a tenth of it at 6 s
     assert_eq!((weight_at(1, 900_000), weight_at(1, 6_000_001)), (2.0, 0.0));
     assert!(
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn turns_chance_and_herds_are_told_apart() {
+fn evenness_distinguishes_regular_and_bursty_arrivals() {
     let played = |times: Vec<f64>| {
         let call = |at_s| {
             at(
--- a/lab/src/links/tests.rs
+++ b/lab/src/links/tests.rs
@@ -4,7 +4,7 @@
 const B: Party = Party::Sender(1);
 
 #[test]
-fn a_one_sided_cut_cuts_one_side() {
+fn one_way_cut_blocks_one_direction() {
     let mut links = Links::new(1);
     links.impair(
         0,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn two_faults_on_one_link_are_both_suffered() {
+fn two_faults_on_one_link_both_apply() {
     let mut links = Links::new(1);
     links.impair(0, &[A], &[B], Impairment::Loss { share: 0.5 });
     links.impair(
--- a/lab/src/listing/tests.rs
+++ b/lab/src/listing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_line_has_the_addresses_of_its_sender_and_tells_who_is_up() {
+fn rewritten_line_has_the_senders_addresses_and_reports_endpoint_states() {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let endpoints = vec![address, SocketAddr::from(([127, 0, 0, 2], 80))];
     let listing = Listing {
--- a/lab/src/scenario/tests.rs
+++ b/lab/src/scenario/tests.rs
@@ -23,7 +23,7 @@
 "#;
 
 #[test]
-fn a_scenario_is_read() {
+fn valid_scenario_is_read() {
     let scenario = Scenario::read(GOOD).expect("good");
     assert_eq!(
         (
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_mistake_is_refused_with_its_line() {
+fn invalid_scenario_is_refused_with_the_line() {
     for (from, to, line, what) in [
         (
             "per_s = 20",
--- a/lab/src/schedule/tests.rs
+++ b/lab/src/schedule/tests.rs
@@ -27,7 +27,7 @@
 "#;
 
 #[test]
-fn one_seed_gives_one_schedule_and_another_another() {
+fn schedule_is_determined_by_the_seed() {
     let scenario = Scenario::read(TEXT).expect("good");
     let text = |seed| {
         serde_json::to_string(&Schedule::draw(&scenario, seed).expect("drawn")).expect("JSON")
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_schedule_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
+fn schedule_has_the_rate_the_shares_and_the_faults_in_order_of_time() {
     let scenario = Scenario::read(TEXT).expect("good");
     let schedule = Schedule::draw(&scenario, 3).expect("drawn");
     assert!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_further_fault_moves_no_arrival() {
+fn further_fault_leaves_arrivals_unchanged() {
     let less = Scenario::read(TEXT.split("[[fault]]").next().expect("text")).expect("good");
     let more = Scenario::read(TEXT).expect("good");
     let arrivals = |scenario| Schedule::draw(scenario, 4).expect("drawn").arrivals;
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -40,19 +40,22 @@
     ("short_receive", &[64]),
 ];
 
-/// What is soaked.
+/// What to run.
 #[derive(Debug, Clone)]
 pub struct Soak {
+    /// One run for each.
     pub seeds: RangeInclusive<u64>,
     /// Senders of a run: drawn from these.
     pub senders: RangeInclusive<usize>,
-    /// Time in which clients hand in, s.
+    /// Time in which clients submit messages, s.
     pub seconds: f64,
+    /// The sender's program.
     pub program: PathBuf,
+    /// Gets a folder for each seed.
     pub out: PathBuf,
 }
 
-/// Plays all seeds; the number of those that broke a rule.
+/// Runs all seeds; the number of those that broke a rule.
 ///
 /// # Errors
 /// A run could not be made.
--- a/lab/src/soak/tests.rs
+++ b/lab/src/soak/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_drawn_is_a_scenario_and_follows_from_the_seed() {
+fn drawn_text_is_a_valid_scenario_determined_by_the_seed() {
     for seed in 0..50 {
         let text = draw(seed, 10..=40, 26.0);
         assert_eq!(text, draw(seed, 10..=40, 26.0));
--- a/lab/src/usage/tests.rs
+++ b/lab/src/usage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn this_process_uses_something_and_one_that_is_gone_nothing() {
+fn usage_of_this_process_is_positive_and_of_an_ended_process_zero() {
     let own = measure([rustix::process::getpid()].into_iter());
     assert!(own.memory_kib.0 > 500 && own.descriptors.0 >= 3, "{own:?}");
     // beyond the greatest id that the kernel gives
