--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -219,7 +219,7 @@
     };
     wait_until("the first knows by itself", || {
         fail(&nodes[..1]);
-        nodes[0].logged("destination 7 sick")
+        nodes[0].logged("destination 7 ejected")
     });
     std::thread::sleep(2 * LEASE);
     assert_eq!(nodes.iter().filter_map(verdict).count(), 0);
