--- a/registry/tests/processes/http_api.rs
+++ b/registry/tests/processes/http_api.rs
@@ -280,7 +280,7 @@
         "PUT",
         "/v1/limits/out/7",
         "if-match: 1\r\n",
-        r#"{"total":100,"expiry_grace_ms":700}"#,
+        r#"{"total":100,"linger_ms":700}"#,
     );
     record.exact(
         "PUT",
