--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -13,7 +13,7 @@
 /// The outcome of an attempt whose call never began.
 pub(super) const NOT_SENT: Outcome = Outcome::NotSent { no_slot: false };
 
-/// What the decision module is told of an attempt without a call of its own.
+/// The event of an attempt that has no call of its own.
 fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, complete: bool) -> Event {
     Event::AttemptEnded {
         message: attempt.message,
@@ -90,10 +90,10 @@
         now: Micros,
         open: bool,
     ) -> Option<usize> {
-        if let Err(refusal) = self.lifecycle.begin(attempt.message, now) {
+        if let Err(violation) = self.lifecycle.begin_attempt(attempt.message, now) {
             if open {
                 self.violations.count(
-                    Violation::CallForbidden(refusal),
+                    Violation::CallForbidden(violation),
                     format_args!("{attempt:?}"),
                 );
             }
@@ -104,7 +104,8 @@
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
         if record.is_none() {
-            self.lifecycle.ended(attempt.message, NOT_SENT, now, 0);
+            self.lifecycle
+                .end_attempt(attempt.message, NOT_SENT, now, 0);
         }
         record
     }
@@ -136,7 +137,7 @@
         );
     }
 
-    /// An attempt's call has told how it ended.
+    /// An attempt's call has reported how it ended.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.item) else {
             let AttemptEnd { call, item, .. } = end;
@@ -158,7 +159,8 @@
         self.end_call_item(end.call);
         let now = self.clock.at(Instant::now());
         let key_backoff = self.settings.safety.key_backoff;
-        self.lifecycle.ended(message, end.outcome, now, key_backoff);
+        self.lifecycle
+            .end_attempt(message, end.outcome, now, key_backoff);
         if let Some(record) = attempt.record
             && end.outcome.never_ran()
             && self.messages.is_open(message)
@@ -225,7 +227,7 @@
                 format_args!("{message:?}, attempt {number}"),
             );
         };
-        // a call that has just ended has told how
+        // a call that has just ended has reported its outcome
         match (&in_flight.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(item)),
             (None, Some(predecessor)) => {
