--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -155,7 +155,7 @@
 fn answered(result: SubmissionResult) -> Frame {
     Frame::Message(HandoverMessage::Answered {
         number: 51,
-        result: result,
+        result,
     })
 }
 
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -150,7 +150,7 @@
         self.turn += 1;
         let step = Micros::from(5_000 * (1 + self.below(6)));
         let pause = if self.below(400) == 0 { 2 * SECOND } else { 0 };
-        self.now += if self.turn % 50 == 0 { 0 } else { step + pause };
+        self.now += if self.turn.is_multiple_of(50) { 0 } else { step + pause };
         self.restart_or_hand_over();
         self.hand_in();
         self.end_attempts();
@@ -180,11 +180,11 @@
     }
 
     fn restart_or_hand_over(&mut self) {
-        if self.turn % HANDOVER_EVERY == 0 {
+        if self.turn.is_multiple_of(HANDOVER_EVERY) {
             self.sender = postcard::from_bytes(&self.state()).expect("its own bytes");
             self.events.push(Event::HostFailing(self.local_fault));
         }
-        if self.turn % RESTART_EVERY != 0 || self.number % 2 == 0 {
+        if !self.turn.is_multiple_of(RESTART_EVERY) || self.number.is_multiple_of(2) {
             return;
         }
         self.sender =
@@ -494,7 +494,7 @@
             Fault::Unresponsive => (Micros::MAX / 4, Outcome::TimedOut),
             Fault::Unreachable => (1_000, Outcome::NoConnection),
             Fault::Slow => (1_500_000 + quick * 10, Outcome::Success),
-            Fault::OneClassAtOneEndpoint if class == 0 && endpoint % 3 == 0 => {
+            Fault::OneClassAtOneEndpoint if class == 0 && endpoint.is_multiple_of(3) => {
                 (Micros::MAX / 4, Outcome::TimedOut)
             }
             _ => match self.below(150) {
@@ -633,7 +633,7 @@
         numbers
             .into_iter()
             .for_each(|number| self.digest.number(number));
-        if self.turn % STATE_EVERY != 0 {
+        if !self.turn.is_multiple_of(STATE_EVERY) {
             return;
         }
         let state = self.state();
--- a/tests/decision_record/settings.rs
+++ b/tests/decision_record/settings.rs
@@ -183,7 +183,7 @@
     };
     for (index, class) in classes().into_iter().enumerate() {
         let max_attempts = 2 + (random.next_u32() % 4) as usize;
-        let accepted = random.next_u32() % 8 > 0;
+        let accepted = !random.next_u32().is_multiple_of(8);
         let key_backoff = Micros::from(random.next_u32() % 300_000);
         let ordered = index == 0 || class.ordered;
         let bound = ClassBounds {
