--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -153,10 +153,7 @@
 }
 
 fn answered(result: SubmissionResult) -> Frame {
-    Frame::Message(HandoverMessage::Answered {
-        number: 51,
-        result,
-    })
+    Frame::Message(HandoverMessage::Answered { number: 51, result })
 }
 
 fn executed(result: AdminResult) -> Frame {
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -150,7 +150,11 @@
         self.turn += 1;
         let step = Micros::from(5_000 * (1 + self.below(6)));
         let pause = if self.below(400) == 0 { 2 * SECOND } else { 0 };
-        self.now += if self.turn.is_multiple_of(50) { 0 } else { step + pause };
+        self.now += if self.turn.is_multiple_of(50) {
+            0
+        } else {
+            step + pause
+        };
         self.restart_or_hand_over();
         self.hand_in();
         self.end_attempts();
