--- a/src/net/agreement/session.rs
+++ b/src/net/agreement/session.rs
@@ -4,8 +4,8 @@
 use super::bounds::bounds;
 use super::messages::{AgreementReport, LeaseRequestBody};
 use super::settings::AgreementSettings;
-use crate::net::asking::{self, AskError, whose_turn};
 use crate::net::events::MAX_BODY_BYTES;
+use crate::net::http_client::{RequestError, RequestLimits, replica_for_turn, round_trip_json};
 use crate::net::lease_client::{LeaseSession, RequestStats};
 use crate::net::log;
 use crate::net::sorted_json::to_sorted_json;
@@ -28,7 +28,7 @@
 #[derive(Debug, Error)]
 enum LeaseError {
     #[error(transparent)]
-    Request(#[from] AskError),
+    Request(#[from] RequestError),
     #[error("the request can't be written: {0}")]
     Encode(#[from] serde_json::Error),
     #[error("its rules forbid what this sender does without a lease")]
@@ -116,7 +116,7 @@
     /// Asks one replica for a lease and has the driver apply it; returns how long it lasts.
     async fn request(&mut self) -> Result<Duration, LeaseError> {
         let registry = *self.lease.dependencies.registry.borrow_and_update();
-        let replica = whose_turn(
+        let replica = replica_for_turn(
             self.requests.replica_turn(),
             registry,
             &self.settings.replicas,
@@ -124,13 +124,15 @@
         let request = self.holder.request(self.now());
         self.requests.sent += 1;
         let body = self.request_body(&request)?;
-        let grant: Grant = asking::ask(
+        let grant: Grant = round_trip_json(
             replica,
             Method::POST,
             "/v1/lease",
             Some(body),
-            REQUEST_TIMEOUT,
-            MAX_BODY_BYTES,
+            RequestLimits {
+                timeout: REQUEST_TIMEOUT,
+                max_answer_bytes: MAX_BODY_BYTES,
+            },
         )
         .await?;
         self.apply_grant(request, grant).await
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -7,29 +7,24 @@
 mod reading;
 
 use super::events::DriverInput;
+use super::http_client::{CallError, call};
 use super::local_errors::RETRY_INTERVAL;
-use super::stream::{ConnectError, Stream};
 use backoff::SILENCE;
 pub use backoff::{Backoff, Shared};
 use bytes::Bytes;
 pub use freshness::Freshness;
 use http_body_util::{BodyExt, Empty};
-use hyper::body::Body;
-use hyper::client::conn::http1;
 use hyper::header::HOST;
-use hyper::{Request, Response, StatusCode};
-use hyper_util::rt::TokioIo;
+use hyper::{Request, StatusCode};
 pub use notices::{OutcomeNotification, post_notices};
 use reading::Reading;
 pub use reading::parse_list;
-use std::error::Error;
-use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::sync::mpsc;
 use tokio::sync::watch::Receiver;
-use tokio::time::{Instant, sleep, timeout, timeout_at};
+use tokio::time::{Instant, sleep, timeout_at};
 
 /// An agent of one's own is on this machine and answers at once; a call that is owed gets at least as long.
 const ANSWER: Duration = Duration::from_secs(1);
@@ -52,40 +47,6 @@
     Http(#[from] hyper::Error),
 }
 
-#[derive(Debug, Error)]
-pub enum CallError {
-    #[error("no connection: {0}")]
-    Connect(#[from] ConnectError),
-    #[error("{0}")]
-    Http(#[from] hyper::Error),
-    #[error("bad request: {0}")]
-    Request(#[from] hyper::http::Error),
-    #[error("no answer in time")]
-    Time,
-}
-
-impl CallError {
-    /// Discovery itself said no, or nobody is there: so a call ends while it is down. One that had no answer may
-    /// have met a discovery that others reach, and one that never left says nothing of it.
-    fn is_refusal(&self) -> bool {
-        match self {
-            CallError::Connect(ConnectError::Peer(error)) => {
-                matches!(
-                    error.kind(),
-                    ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset
-                )
-            }
-            CallError::Http(error) => !error.is_parse(),
-            CallError::Connect(_) | CallError::Request(_) | CallError::Time => false,
-        }
-    }
-
-    /// This machine failed it.
-    fn is_local(&self) -> bool {
-        matches!(self, CallError::Connect(ConnectError::Local(_)))
-    }
-}
-
 /// Watches the list for ever, wherever the agent is, and hands each change on.
 pub async fn watch(
     agent: Receiver<SocketAddr>,
@@ -183,10 +144,10 @@
         let response = call(agent, request.map_err(CallError::from)?, self.patience()).await;
         let response = response.inspect_err(|error| match error {
             // an agent of one's own that refuses is down, and learns nothing
-            CallError::Connect(_) if !self.shared.asked && error.is_refusal() => {
+            CallError::Connect(_) if !self.shared.asked && error.is_rejection() => {
                 self.freshness.told()
             }
-            error if error.is_refusal() => self.freshness.refused(began),
+            error if error.is_rejection() => self.freshness.refused(began),
             _ => self.freshness.silent(began),
         })?;
         match response.status() {
@@ -279,26 +240,5 @@
     }
 }
 
-/// One request on a connection of its own: the agent is near, and its connections may have gone silent.
-pub async fn call<B>(
-    agent: SocketAddr,
-    request: Request<B>,
-    within: Duration,
-) -> Result<Response<hyper::body::Incoming>, CallError>
-where
-    B: Body<Data = Bytes> + Send + 'static,
-    B::Error: Into<Box<dyn Error + Send + Sync>>,
-{
-    let exchange = async {
-        let stream = Stream::connect(agent, within).await?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-        tokio::spawn(connection);
-        Ok(sender.send_request(request).await?)
-    };
-    timeout(within, exchange)
-        .await
-        .map_err(|_| CallError::Time)?
-}
-
 #[cfg(test)]
 mod compatibility;
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -1,8 +1,9 @@
 //! The notices that end undelivered messages.
 
+use super::back_off_or_move;
 use super::backoff::RETRY_FIRST;
-use super::{CallError, back_off_or_move, call};
 use crate::net::events::DriverInput;
+use crate::net::http_client::{CallError, call};
 use crate::net::journal::UndeliveredOutcome;
 use bytes::Bytes;
 use http_body_util::Full;
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod settings;
 
-use super::asking::{ask, whose_turn};
 use super::clock::Clock;
 use super::events::{DriverInput, FreezeChange};
+use super::http_client::{RequestLimits, replica_for_turn, round_trip_json};
 use super::log;
 use hyper::Method;
 use quota_ledger::freeze::FreezeUpdate;
@@ -112,15 +112,17 @@
     /// Polls once and notifies the driver; false if it is gone.
     async fn poll(&mut self, interval: Duration) -> bool {
         let registry = *self.dependencies.registry.borrow_and_update();
-        let replica = whose_turn(self.failed, registry, &self.settings.replicas);
+        let replica = replica_for_turn(self.failed, registry, &self.settings.replicas);
         let asked_at = self.dependencies.clock.at(Instant::now());
-        let answer = ask::<FreezeUpdate>(
+        let answer = round_trip_json::<FreezeUpdate>(
             replica,
             Method::GET,
             "/v1/freeze",
             None,
-            REQUEST_TIMEOUT,
-            MAX_ANSWER_BYTES,
+            RequestLimits {
+                timeout: REQUEST_TIMEOUT,
+                max_answer_bytes: MAX_ANSWER_BYTES,
+            },
         );
         match answer.await {
             Ok(update) => {
--- a/src/net/ledger/round_trip.rs
+++ b/src/net/ledger/round_trip.rs
@@ -1,7 +1,7 @@
 //! Requests for quotas to one replica of the registry, in the form that it reads.
 
 use super::messages::{JsonAnswer, JsonRequest};
-use crate::net::asking::{AskError, exchange};
+use crate::net::http_client::{self, RegistryRequest, RequestError, RequestLimits};
 use crate::net::log;
 use crate::net::sorted_json::to_sorted_json;
 use bytes::Bytes;
@@ -39,7 +39,7 @@
         replica: SocketAddr,
         request: &QuotaRequest,
         budget: &mut ByteBudget,
-    ) -> Result<QuotaResponse, AskError> {
+    ) -> Result<QuotaResponse, RequestError> {
         if self.reads_compact(replica) {
             match send(replica, compact::MEDIA_TYPE, request.encode(), budget).await {
                 Ok(answer) => return Ok(QuotaResponse::decode(&answer)?),
@@ -71,13 +71,13 @@
 }
 
 /// Whether a replica says that it does not read the form of the request.
-fn is_unread_form(error: &AskError) -> bool {
+fn is_unread_form(error: &RequestError) -> bool {
     matches!(
         error,
-        AskError::Refused(
-            StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE,
-            _
-        )
+        RequestError::Rejected {
+            status: StatusCode::BAD_REQUEST | StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            ..
+        }
     )
 }
 
@@ -87,17 +87,19 @@
     media_type: &str,
     body: Vec<u8>,
     budget: &mut ByteBudget,
-) -> Result<Bytes, AskError> {
+) -> Result<Bytes, RequestError> {
     budget.charge_request(body.len() as u64);
-    let answer = exchange(
-        replica,
-        Method::POST,
-        PATH,
-        (media_type, body.into()),
-        REQUEST_TIMEOUT,
-        MAX_ANSWER_BYTES,
-    )
-    .await?;
+    let request = RegistryRequest {
+        method: Method::POST,
+        path: PATH,
+        media_type,
+        body: body.into(),
+        limits: RequestLimits {
+            timeout: REQUEST_TIMEOUT,
+            max_answer_bytes: MAX_ANSWER_BYTES,
+        },
+    };
+    let answer = http_client::round_trip(replica, request).await?;
     budget.charge_response(answer.len() as u64);
     Ok(answer)
 }
--- a/src/net/ledger/session.rs
+++ b/src/net/ledger/session.rs
@@ -5,8 +5,8 @@
 use super::round_trip::RequestForms;
 use super::settings::LedgerSettings;
 use super::{allocation, demands};
-use crate::net::asking::{AskError, whose_turn};
 use crate::net::events::{DemandReport, DriverInput};
+use crate::net::http_client::{RequestError, replica_for_turn};
 use crate::net::lease_client::{LeaseSession, RequestStats};
 use crate::net::log;
 use crate::net::sorted_json::to_sorted_json;
@@ -152,10 +152,10 @@
         &mut self,
         scope: &Scope,
         demand: &BTreeMap<u64, Demand>,
-    ) -> Result<(), AskError> {
+    ) -> Result<(), RequestError> {
         let request = self.build_request(scope, demand);
         let registry = *self.lease.dependencies.registry.borrow_and_update();
-        let replica = whose_turn(
+        let replica = replica_for_turn(
             self.requests.replica_turn(),
             registry,
             &self.settings.replicas,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,6 @@
 //! The sender as a process round the decision module: sockets in, calls out, one subsystem a module.
 
 pub mod agreement;
-pub mod asking;
 pub mod calls;
 pub mod clock;
 pub mod config;
@@ -14,6 +13,7 @@
 #[cfg(test)]
 mod golden;
 pub mod handover;
+pub mod http_client;
 #[cfg(test)]
 mod http_golden;
 pub mod journal;
