--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,62 +1,173 @@
-//! The operators' address: one call a connection, answered beside whatever else goes on.
+//! The HTTP API for operators on the control address: one call a connection.
 
 use super::connection::{self, Slot};
-use super::events::ReportRequest;
-use super::events::{AdminCommand, AdminResult};
+use super::events::{AdminCommand, AdminResult, ReportRequest};
 use super::server::accept;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use hyper::header::ALLOW;
+use hyper::header::{ALLOW, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::Deserialize;
-use std::borrow::Cow;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// Callers at once. Beyond them, those that have sent no whole call yet leave first.
-const CALLERS: usize = 32;
-/// Longest time for a call's head, for its body, and for the end of its answer.
+/// Connections at once. Beyond them, those that have sent no complete call yet are closed first.
+const MAX_CONNECTIONS: usize = 32;
+/// Longest time for a call's head.
 const HEAD_TIME: Duration = Duration::from_millis(2000);
+/// Longest time for a call's body.
 const BODY_TIME: Duration = Duration::from_millis(1000);
-const ALL_TIME: Duration = Duration::from_secs(5);
+/// Longest time from the accepted connection to the end of the answer.
+const CONNECTION_TIME: Duration = Duration::from_secs(5);
 /// Longest body: an id and its name.
 const MAX_BODY_BYTES: usize = 4096;
+/// Longest head of a call.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// What the calls need.
 pub struct Control {
-    pub orders: mpsc::Sender<AdminCommand>,
+    /// Commands to the driver.
+    pub commands: mpsc::Sender<AdminCommand>,
+    /// Requests for the report of the membership.
     pub members: mpsc::Sender<ReportRequest>,
+    /// Requests for the report of the agreed rules.
     pub agreement: mpsc::Sender<ReportRequest>,
+    /// Requests for the report of the quota ledger.
     pub ledger: mpsc::Sender<ReportRequest>,
+    /// True once the process can accept messages.
     pub ready: watch::Receiver<bool>,
-    /// Set once the process takes nothing new.
+    /// Set once the process shuts down and accepts nothing new.
     pub draining: Rc<Cell<bool>>,
 }
 
-/// The body of an order.
+/// The body of a command about an endpoint.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Target {
+struct EndpointBody {
     target: String,
 }
 
-/// A no, and why.
-type No = (StatusCode, &'static str);
+/// What an operator may call.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Operation {
+    Readiness,
+    Report(ReportSubject),
+    /// Disables the endpoint that the body names, or enables it.
+    SetDisabled(bool),
+}
+
+/// What a report is about.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ReportSubject {
+    Pools,
+    Freeze,
+    Members,
+    Agreement,
+    Ledger,
+}
+
+impl Operation {
+    fn of(method: &Method, path: &str) -> Result<Self, ControlError> {
+        let operation = match path {
+            "/ready" => Operation::Readiness,
+            "/pools" => Operation::Report(ReportSubject::Pools),
+            "/freeze" => Operation::Report(ReportSubject::Freeze),
+            "/members" => Operation::Report(ReportSubject::Members),
+            "/agreement" => Operation::Report(ReportSubject::Agreement),
+            "/ledger" => Operation::Report(ReportSubject::Ledger),
+            "/endpoints/disable" => Operation::SetDisabled(true),
+            "/endpoints/enable" => Operation::SetDisabled(false),
+            _ => return Err(ControlError::UnknownPath),
+        };
+        match operation {
+            Operation::SetDisabled(_) if method != Method::POST => Err(ControlError::OnlyPost),
+            Operation::Readiness | Operation::Report(_) if method != Method::GET => {
+                Err(ControlError::OnlyGet)
+            }
+            _ => Ok(operation),
+        }
+    }
+}
+
+/// Why a call fails; its text is the body of the answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+enum ControlError {
+    #[error("not ready")]
+    NotReady,
+    #[error("ending")]
+    ShuttingDown,
+    #[error("no order is taken now")]
+    Busy,
+    #[error("the freeze is off")]
+    FreezeOff,
+    #[error("membership is off")]
+    MembershipOff,
+    #[error("agreement is off")]
+    AgreementOff,
+    #[error("the ledger is off")]
+    LedgerOff,
+    #[error("no such endpoint")]
+    UnknownEndpoint,
+    #[error("no such path")]
+    UnknownPath,
+    #[error("only GET")]
+    OnlyGet,
+    #[error("only POST")]
+    OnlyPost,
+    #[error("the body did not come in time")]
+    BodyTimeout,
+    #[error("the body is malformed or too long")]
+    MalformedBody,
+    #[error("the body is not {{\"target\":\"ID\"}}")]
+    InvalidBody,
+    #[error("it could not be written down")]
+    NotWritten,
+}
+
+impl ControlError {
+    fn status(self) -> StatusCode {
+        match self {
+            ControlError::NotReady | ControlError::ShuttingDown | ControlError::Busy => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+            ControlError::FreezeOff
+            | ControlError::MembershipOff
+            | ControlError::AgreementOff
+            | ControlError::LedgerOff
+            | ControlError::UnknownEndpoint
+            | ControlError::UnknownPath => StatusCode::NOT_FOUND,
+            ControlError::OnlyGet | ControlError::OnlyPost => StatusCode::METHOD_NOT_ALLOWED,
+            ControlError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            ControlError::MalformedBody | ControlError::InvalidBody => StatusCode::BAD_REQUEST,
+            ControlError::NotWritten => StatusCode::INSUFFICIENT_STORAGE,
+        }
+    }
+
+    /// The method that the path allows, where another one was used.
+    fn allowed_method(self) -> Option<&'static str> {
+        match self {
+            ControlError::OnlyGet => Some("GET"),
+            ControlError::OnlyPost => Some("POST"),
+            _ => None,
+        }
+    }
+}
 
 /// Answers operators for ever.
 pub async fn serve(listener: TcpListener, control: Rc<Control>) {
-    let places = Arc::new(Semaphore::new(CALLERS));
-    let (_lasts, end) = watch::channel(false);
-    accept("control", listener, places, end, move |stream, slot| {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let (_never_ends, end) = watch::channel(false);
+    accept("control", listener, permits, end, move |stream, slot| {
         let control = control.clone();
         async move { serve_one(stream, control, &slot).await }
     })
@@ -69,7 +180,7 @@
         async move { Ok::<_, Infallible>(answer(request, &control, slot).await) }
     });
     let mut http = http1::Builder::new();
-    http.keep_alive(false).max_buf_size(16 * 1024);
+    http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
     let served = connection::serve(
         stream,
         slot,
@@ -78,8 +189,8 @@
         service,
         std::future::pending::<()>(),
     );
-    // how a caller leaves is its own affair
-    let _ = timeout(ALL_TIME, served).await;
+    // a caller may disconnect as it likes
+    let _ = timeout(CONNECTION_TIME, served).await;
 }
 
 async fn answer(
@@ -87,143 +198,101 @@
     control: &Control,
     slot: &Rc<Slot>,
 ) -> Response<Full<Bytes>> {
-    let (status, what) = match handle(request, control, slot).await {
-        Ok(what) => (StatusCode::OK, what),
-        Err((status, why)) => (status, why.into()),
-    };
-    let mut response = Response::new(Full::from(format!("{what}\n")));
-    *response.status_mut() = status;
-    if status == StatusCode::METHOD_NOT_ALLOWED {
-        let allowed = if what == ONLY_GET { "GET" } else { "POST" };
-        response
-            .headers_mut()
-            .insert(ALLOW, hyper::header::HeaderValue::from_static(allowed));
+    match handle(request, control, slot).await {
+        Ok(text) => Response::new(text_body(&text)),
+        Err(error) => error_response(&error),
     }
-    response
 }
 
-const ONLY_GET: &str = "only GET";
+fn text_body(text: &str) -> Full<Bytes> {
+    Full::from(format!("{text}\n"))
+}
+
+fn error_response(error: &ControlError) -> Response<Full<Bytes>> {
+    let mut response = Response::new(text_body(&error.to_string()));
+    *response.status_mut() = error.status();
+    if let Some(method) = error.allowed_method() {
+        let method = HeaderValue::from_static(method);
+        response.headers_mut().insert(ALLOW, method);
+    }
+    response
+}
 
 async fn handle(
     request: Request<Incoming>,
     control: &Control,
     slot: &Slot,
-) -> Result<Cow<'static, str>, No> {
-    let out = match (request.uri().path(), request.method()) {
-        ("/ready", &Method::GET) => {
-            return if *control.ready.borrow() && !control.draining.get() {
-                Ok("ready".into())
-            } else {
-                Err((StatusCode::SERVICE_UNAVAILABLE, "not ready"))
-            };
-        }
-        ("/pools", &Method::GET) => {
-            slot.set_idle(false);
-            let ending = (StatusCode::SERVICE_UNAVAILABLE, "ending");
-            return report(
-                &control.orders,
-                |reply| AdminCommand::PoolReport { reply },
-                ending,
-            )
-            .await;
-        }
-        ("/freeze", &Method::GET) => {
-            slot.set_idle(false);
-            let off = (StatusCode::NOT_FOUND, "the freeze is off");
-            return report(
-                &control.orders,
-                |reply| AdminCommand::FreezeReport { reply },
-                off,
-            )
-            .await;
-        }
-        ("/members", &Method::GET) => {
-            slot.set_idle(false);
-            return report(
-                &control.members,
-                |reply| reply,
-                (StatusCode::NOT_FOUND, "membership is off"),
-            )
-            .await;
+) -> Result<String, ControlError> {
+    match Operation::of(request.method(), request.uri().path())? {
+        Operation::Readiness if *control.ready.borrow() && !control.draining.get() => {
+            Ok("ready".to_string())
         }
-        ("/agreement", &Method::GET) => {
+        Operation::Readiness => Err(ControlError::NotReady),
+        Operation::Report(subject) => {
             slot.set_idle(false);
-            return report(
-                &control.agreement,
-                |reply| reply,
-                (StatusCode::NOT_FOUND, "agreement is off"),
-            )
-            .await;
+            control.report(subject).await
         }
-        ("/ledger", &Method::GET) => {
+        Operation::SetDisabled(disabled) => {
+            let uid = read_target(request).await?;
             slot.set_idle(false);
-            return report(
-                &control.ledger,
-                |reply| reply,
-                (StatusCode::NOT_FOUND, "the ledger is off"),
-            )
-            .await;
+            control.set_disabled(uid, disabled).await
         }
-        ("/ready" | "/pools" | "/members" | "/agreement" | "/ledger" | "/freeze", _) => {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, ONLY_GET));
-        }
-        ("/endpoints/disable", &Method::POST) => true,
-        ("/endpoints/enable", &Method::POST) => false,
-        ("/endpoints/disable" | "/endpoints/enable", _) => {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "only POST"));
+    }
+}
+
+/// Reads which endpoint a command is about.
+async fn read_target(request: Request<Incoming>) -> Result<String, ControlError> {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+    let body = timeout(BODY_TIME, body)
+        .await
+        .map_err(|_| ControlError::BodyTimeout)?
+        .map_err(|_| ControlError::MalformedBody)?;
+    let body: EndpointBody =
+        serde_json::from_slice(&body.to_bytes()).map_err(|_| ControlError::InvalidBody)?;
+    Ok(body.target)
+}
+
+impl Control {
+    async fn report(&self, subject: ReportSubject) -> Result<String, ControlError> {
+        let (reply, report) = oneshot::channel();
+        match subject {
+            ReportSubject::Pools => enqueue(&self.commands, AdminCommand::PoolReport { reply })?,
+            ReportSubject::Freeze => {
+                enqueue(&self.commands, AdminCommand::FreezeReport { reply })?;
+            }
+            ReportSubject::Members => enqueue(&self.members, reply)?,
+            ReportSubject::Agreement => enqueue(&self.agreement, reply)?,
+            ReportSubject::Ledger => enqueue(&self.ledger, reply)?,
         }
-        _ => return Err((StatusCode::NOT_FOUND, "no such path")),
-    };
-    let body = timeout(
-        BODY_TIME,
-        Limited::new(request.into_body(), MAX_BODY_BYTES).collect(),
-    )
-    .await;
-    let body = body
-        .map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))?
-        .map_err(|_| (StatusCode::BAD_REQUEST, "the body is malformed or too long"))?;
-    let Target { target: uid } = serde_json::from_slice(&body.to_bytes()).map_err(|_| {
-        (
-            StatusCode::BAD_REQUEST,
-            "the body is not {\"target\":\"ID\"}",
-        )
-    })?;
-    slot.set_idle(false);
-    let (reply, verdict) = oneshot::channel();
-    ask(
-        &control.orders,
-        AdminCommand::SetDisabled {
+        report.await.map_err(|_| match subject {
+            ReportSubject::Pools => ControlError::ShuttingDown,
+            ReportSubject::Freeze => ControlError::FreezeOff,
+            ReportSubject::Members => ControlError::MembershipOff,
+            ReportSubject::Agreement => ControlError::AgreementOff,
+            ReportSubject::Ledger => ControlError::LedgerOff,
+        })
+    }
+
+    async fn set_disabled(&self, uid: String, disabled: bool) -> Result<String, ControlError> {
+        let (reply, result) = oneshot::channel();
+        let command = AdminCommand::SetDisabled {
             uid,
-            disabled: out,
+            disabled,
             reply,
-        },
-    )?;
-    match verdict.await {
-        Ok(AdminResult::Done) => Ok("done".into()),
-        Ok(AdminResult::UnknownEndpoint) => Err((StatusCode::NOT_FOUND, "no such endpoint")),
-        Ok(AdminResult::NotWritten) => Err((
-            StatusCode::INSUFFICIENT_STORAGE,
-            "it could not be written down",
-        )),
-        Err(_) => Err((StatusCode::SERVICE_UNAVAILABLE, "ending")),
+        };
+        enqueue(&self.commands, command)?;
+        match result.await {
+            Ok(AdminResult::Done) => Ok("done".to_string()),
+            Ok(AdminResult::UnknownEndpoint) => Err(ControlError::UnknownEndpoint),
+            Ok(AdminResult::NotWritten) => Err(ControlError::NotWritten),
+            Err(_) => Err(ControlError::ShuttingDown),
+        }
     }
 }
 
-/// Hands an order to a part, if it has room for one.
-fn ask<T>(part: &mpsc::Sender<T>, order: T) -> Result<(), No> {
-    let busy = (StatusCode::SERVICE_UNAVAILABLE, "no order is taken now");
-    part.try_send(order).map_err(|_| busy)
-}
-
-/// A part's report; `none` is the answer where the part drops the question.
-async fn report<T>(
-    part: &mpsc::Sender<T>,
-    order: impl FnOnce(ReportRequest) -> T,
-    none: No,
-) -> Result<Cow<'static, str>, No> {
-    let (reply, report) = oneshot::channel();
-    ask(part, order(reply))?;
-    report.await.map(Cow::from).map_err(|_| none)
+/// Hands a command to a subsystem, if its queue has room.
+fn enqueue<T>(queue: &mpsc::Sender<T>, command: T) -> Result<(), ControlError> {
+    queue.try_send(command).map_err(|_| ControlError::Busy)
 }
 
 #[cfg(test)]
--- a/src/net/control/compatibility.rs
+++ b/src/net/control/compatibility.rs
@@ -89,13 +89,13 @@
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (orders, taken) = mpsc::channel(4);
+        let (commands, taken) = mpsc::channel(4);
         let (members, mut asked) = mpsc::channel::<ReportRequest>(4);
         let ((agreement, gone), (ledger, _full)) = (mpsc::channel(4), mpsc::channel(1));
         drop(gone);
         let (set_ready, ready) = watch::channel(false);
         let control = Control {
-            orders,
+            commands,
             members,
             agreement,
             ledger,
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -97,7 +97,7 @@
         return;
     };
     let control = Control {
-        orders: senders.commands.clone(),
+        commands: senders.commands.clone(),
         members: senders.membership_reports.clone(),
         agreement: senders.agreement_reports.clone(),
         ledger: senders.ledger_reports.clone(),
