--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Driver;
 use crate::net::events::SettingsUpdate;
-use crate::net::server::Named;
+use crate::net::server::ClassEntry;
 use message_sender::wire::Names;
 use message_sender::{Class, Effect, Event, Settings};
 
@@ -78,10 +78,10 @@
         let positions = keep_positions(&mut settings, old, &mut self.names, names);
         let named = |index: usize| {
             let class: &Class = &settings.classes[index];
-            Named {
+            ClassEntry {
                 name: class.name.clone(),
                 index,
-                keyed: matches!(class.effect, Effect::IdempotencyKey { .. }),
+                key_required: matches!(class.effect, Effect::IdempotencyKey { .. }),
             }
         };
         let classes = positions.into_iter().map(named).collect();
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -275,8 +275,8 @@
             inputs: self.senders.inputs.clone(),
             ready: self.flags.ready.subscribe(),
             draining: self.flags.draining.clone(),
-            places: slots.free.clone(),
-            handed: self.flags.handed_over.subscribe(),
+            connection_permits: slots.free.clone(),
+            handed_over: self.flags.handed_over.subscribe(),
             closing: self.flags.close_clients.subscribe(),
         }
     }
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -157,12 +157,12 @@
         let address = listener.local_addr().expect("bound");
         let (inputs, mut taken) = mpsc::unbounded_channel();
         let (set_ready, ready) = watch::channel(false);
-        let (_hand, handed) = watch::channel(false);
+        let (_hand, handed_over) = watch::channel(false);
         let (_close, closing) = watch::channel(false);
-        let named = |name: &str, index, keyed| Named {
+        let named = |name: &str, index, key_required| ClassEntry {
             name: name.to_string(),
             index,
-            keyed,
+            key_required,
         };
         let draining = Rc::new(Cell::new(false));
         let server = Server {
@@ -173,8 +173,8 @@
             inputs,
             ready,
             draining: draining.clone(),
-            places: Arc::new(Semaphore::new(8)),
-            handed,
+            connection_permits: Arc::new(Semaphore::new(8)),
+            handed_over,
             closing,
         };
         tokio::task::spawn_local(serve(listener, Rc::new(server)));
