--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One accepted connection from its first byte to its close: requests are served until it is asked to leave, and a
+//! One accepted connection from its first byte to its close: requests are served until it is asked to close, and a
 //! close never meets bytes that nobody read, since those would reset the connection and take answers with them.
 //!
 //! Whether a connection may end is decided at the one moment at which the system has nothing more to read: what came
@@ -24,49 +24,57 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A connection without a request for this long may be closed to make room: what its client last got has
-/// arrived by then, and a new connection's first request too. A head that takes longer is no client's. After the
-/// sending side is shut, what crosses that is read for as long.
-pub const SPARE: Duration = Duration::from_millis(250);
-/// So much of it at most.
-const CROSSING_MOST: usize = 4 * MAX_BODY_BYTES;
+/// A connection without a request for this long may be closed to make room: the last answer has arrived at its client
+/// by then, and a new connection's first request here too. A head that takes longer is no client's. After the sending
+/// side is shut, late bytes are read for as long.
+pub const CLOSE_GRACE: Duration = Duration::from_millis(250);
+/// So many late bytes are read at most.
+const MAX_LATE_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// How far a connection is.
+/// How far the life of a connection is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// It takes requests.
     Open,
-    /// It ends as soon as no request is on it.
-    Leaving,
-    /// Its sending side is shut; what crosses that is read and not looked at.
-    Crossing,
-    /// Its place is wanted at once.
-    Gone,
+    /// It closes as soon as no request is open on it.
+    Closing,
+    /// Its sending side is shut; late bytes are read and discarded.
+    HalfClosed,
+    /// It is closed at once, since its permit is needed.
+    Evicted,
 }
 
-/// One connection that was accepted, as others see it.
+/// The order in which connections are closed to make room: the least first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ClosePriority {
+    /// It still takes requests.
+    pub is_open: bool,
+    pub idle_since: Instant,
+}
+
+/// The state of one accepted connection, shared with those that may close it.
 #[derive(Debug)]
-pub struct Slot {
+pub struct ConnectionState {
     /// Since when no request is open on it.
     idle_since: Cell<Option<Instant>>,
-    /// When the first byte of a request came that is not whole.
-    begun: Cell<Option<Instant>>,
+    /// When the first byte of a request came that is not complete.
+    request_began: Cell<Option<Instant>>,
     phase: Cell<Phase>,
-    leave: Notify,
+    close_requested: Notify,
 }
 
-impl Slot {
+impl ConnectionState {
     /// That of a connection that was accepted now.
     pub fn new(now: Instant) -> Self {
-        Slot {
+        ConnectionState {
             idle_since: Cell::new(Some(now)),
-            begun: Cell::default(),
+            request_began: Cell::default(),
             phase: Cell::new(Phase::Open),
-            leave: Notify::new(),
+            close_requested: Notify::new(),
         }
     }
 
-    /// A whole request has come, or its answer is out.
+    /// A request is open from now on, or its answer is sent.
     pub fn set_idle(&self, idle: bool) {
         self.set_idle_since(idle.then(Instant::now));
     }
@@ -74,55 +82,74 @@
     /// No request has been open on it since then; none: there is one.
     pub fn set_idle_since(&self, since: Option<Instant>) {
         self.idle_since.set(since);
-        self.begun.set(None);
+        self.request_began.set(None);
     }
 
-    /// Whether it is still open, and since when it has been idle, if it may be closed to make room: the least first.
-    pub fn spare(&self, now: Instant) -> Option<(bool, Instant)> {
-        let (open, spare) = match self.phase.get() {
-            Phase::Open => (true, self.may_end(now)),
-            Phase::Crossing => (false, true),
-            Phase::Leaving | Phase::Gone => (false, false),
+    /// In which order it is closed to make room; none if it can't be.
+    pub fn close_priority(&self, now: Instant) -> Option<ClosePriority> {
+        let (is_open, is_closable) = match self.phase.get() {
+            Phase::Open => (true, self.may_close(now)),
+            Phase::HalfClosed => (false, true),
+            Phase::Closing | Phase::Evicted => (false, false),
         };
-        self.idle_since
-            .get()
-            .filter(|_| spare)
-            .map(|since| (open, since))
+        let idle_since = self.idle_since.get().filter(|_| is_closable)?;
+        Some(ClosePriority {
+            is_open,
+            idle_since,
+        })
     }
 
-    /// It is to be closed once no request is on it.
-    pub fn leave(&self) {
+    /// Closes it once no request is open on it, or at once if its sending side is shut.
+    pub fn request_close(&self) {
         self.phase.set(match self.phase.get() {
-            Phase::Open | Phase::Leaving => Phase::Leaving,
-            Phase::Crossing | Phase::Gone => Phase::Gone,
+            Phase::Open | Phase::Closing => Phase::Closing,
+            Phase::HalfClosed | Phase::Evicted => Phase::Evicted,
         });
-        self.leave.notify_one();
+        self.close_requested.notify_one();
     }
 
-    fn is_leaving(&self) -> bool {
+    fn is_closing(&self) -> bool {
         self.phase.get() != Phase::Open
     }
 
-    /// Until its place is wanted at once.
-    async fn gone(&self) {
-        while self.phase.get() != Phase::Gone {
-            self.leave.notified().await;
+    /// Waits until it is to be closed at once.
+    async fn evicted(&self) {
+        while self.phase.get() != Phase::Evicted {
+            self.close_requested.notified().await;
         }
     }
 
-    /// From when it may end as far as time goes; none while a request is open.
-    fn ends_from(&self) -> Option<Instant> {
+    /// From when it may be closed as far as time goes; none while a request is open.
+    fn closable_from(&self) -> Option<Instant> {
         let idle = self.idle_since.get()?;
-        Some(self.begun.get().unwrap_or(idle).max(idle) + SPARE)
+        Some(self.request_began.get().unwrap_or(idle).max(idle) + CLOSE_GRACE)
+    }
+
+    /// When the connection is to be looked at again; one that has been idle for too long is asked to close.
+    fn next_check(&self, now: Instant, idle_timeout: Duration) -> Instant {
+        match self.idle_since.get() {
+            // a request that is open takes no less than this
+            None if self.is_closing() => now + CLOSE_GRACE,
+            None => now + idle_timeout,
+            Some(_) if self.is_closing() => self
+                .closable_from()
+                .filter(|from| *from > now)
+                .unwrap_or(now + CLOSE_GRACE),
+            Some(since) if since + idle_timeout <= now => {
+                self.request_close();
+                now
+            }
+            Some(since) => since + idle_timeout,
+        }
     }
 
-    fn may_end(&self, now: Instant) -> bool {
-        self.ends_from().is_some_and(|from| from <= now)
+    fn may_close(&self, now: Instant) -> bool {
+        self.closable_from().is_some_and(|from| from <= now)
     }
 
-    fn has_read(&self) {
-        if self.idle_since.get().is_some() && self.begun.get().is_none() {
-            self.begun.set(Some(Instant::now()));
+    fn record_read(&self) {
+        if self.idle_since.get().is_some() && self.request_began.get().is_none() {
+            self.request_began.set(Some(Instant::now()));
         }
     }
 }
@@ -131,15 +158,43 @@
 #[derive(Clone)]
 struct Socket {
     stream: Rc<RefCell<Stream>>,
-    slot: Rc<Slot>,
-    /// The system takes no more for now of what was answered.
-    full: Rc<Cell<bool>>,
+    state: Rc<ConnectionState>,
+    /// The system takes no more of the answers for now.
+    write_blocked: Rc<Cell<bool>>,
 }
 
 impl Socket {
     fn with<T>(&self, poll: impl FnOnce(Pin<&mut Stream>) -> T) -> T {
         poll(Pin::new(&mut *self.stream.borrow_mut()))
     }
+
+    /// Whether the input may end here, if the system has nothing more to read.
+    fn may_end_input(&self) -> bool {
+        self.state.is_closing() && !self.write_blocked.get() && self.state.may_close(Instant::now())
+    }
+
+    /// Reads past the runtime, which looks at the system only between turns, in which a timer may come first. Where
+    /// nothing is there to read, this is an end between requests.
+    fn read_before_end(
+        &self,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let read = self.stream.borrow().read_now(buffer.initialize_unfilled());
+        match read {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Ready(Ok(())),
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {
+                context.waker().wake_by_ref();
+                Poll::Pending
+            }
+            Err(error) => Poll::Ready(Err(error)),
+            Ok(read) => {
+                buffer.advance(read);
+                self.state.record_read();
+                Poll::Ready(Ok(()))
+            }
+        }
+    }
 }
 
 impl AsyncRead for Socket {
@@ -150,33 +205,11 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         match self.with(|stream| stream.poll_read(context, buffer)) {
-            Poll::Pending
-                if self.slot.is_leaving()
-                    && !self.full.get()
-                    && self.slot.may_end(Instant::now()) =>
-            {
-                // the runtime looks at the system only between turns, in which a timer may come first
-                let room = buffer.initialize_unfilled();
-                let read = self.stream.borrow().read_now(room);
-                match read {
-                    // nothing is there to read, so this is an end between requests
-                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Ready(Ok(())),
-                    Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                        context.waker().wake_by_ref();
-                        Poll::Pending
-                    }
-                    Err(error) => Poll::Ready(Err(error)),
-                    Ok(read) => {
-                        buffer.advance(read);
-                        self.slot.has_read();
-                        Poll::Ready(Ok(()))
-                    }
-                }
-            }
+            Poll::Pending if self.may_end_input() => self.read_before_end(context, buffer),
             Poll::Pending => Poll::Pending,
             Poll::Ready(result) => {
                 if buffer.filled().len() > before {
-                    self.slot.has_read();
+                    self.state.record_read();
                 }
                 Poll::Ready(result)
             }
@@ -191,7 +224,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = self.with(|stream| stream.poll_write(context, bytes));
-        self.full.set(written.is_pending());
+        self.write_blocked.set(written.is_pending());
         written
     }
 
@@ -204,73 +237,71 @@
     }
 }
 
-/// Serves the connection until it ends: by its peer, by a request that is none, once it has been idle for so long or
-/// asked to leave, or once `closing` has come.
+/// How a kind of connection is served.
+pub struct HttpSettings {
+    /// The settings of HTTP; [`serve`] adds the time for a head.
+    pub http: http1::Builder,
+    /// Longest time without a request.
+    pub idle_timeout: Duration,
+}
+
+/// Serves the connection until it ends: by its peer, by an invalid request, by `idle_timeout`, when it is asked to
+/// close, or once `closing` is ready.
 pub async fn serve<S>(
     stream: TcpStream,
-    slot: &Rc<Slot>,
-    mut http: http1::Builder,
-    idle: Duration,
+    state: &Rc<ConnectionState>,
+    settings: HttpSettings,
     service: S,
     closing: impl Future,
 ) where
     S: HttpService<Incoming, ResBody = Full<Bytes>, Error = Infallible>,
 {
+    let HttpSettings {
+        mut http,
+        idle_timeout,
+    } = settings;
     let stream = Stream::from(stream);
     stream.set_nodelay();
     let socket = Socket {
         stream: Rc::new(RefCell::new(stream)),
-        slot: slot.clone(),
-        full: Rc::default(),
+        state: state.clone(),
+        write_blocked: Rc::default(),
     };
-    // the time of a head that comes slowly; a connection without one ends before that, by `idle`
+    // the time of a head that comes slowly; a connection without one ends before that, by `idle_timeout`
     http.timer(TokioTimer::new())
-        .header_read_timeout(idle + SPARE);
+        .header_read_timeout(idle_timeout + CLOSE_GRACE);
     {
         let connection = http.serve_connection(TokioIo::new(socket.clone()), service);
         tokio::pin!(connection, closing);
         loop {
-            let now = Instant::now();
-            let look = match slot.idle_since.get() {
-                // a request that is open leaves no less than this
-                None => now + if slot.is_leaving() { SPARE } else { idle },
-                Some(_) if slot.is_leaving() => slot
-                    .ends_from()
-                    .filter(|from| *from > now)
-                    .unwrap_or(now + SPARE),
-                Some(since) if since + idle <= now => {
-                    slot.leave();
-                    now
-                }
-                Some(since) => since + idle,
-            };
+            let next_check = state.next_check(Instant::now(), idle_timeout);
             tokio::select! {
                 // what has come goes before an end; and it is the connection that finds whether it may end
                 biased;
-                // how a client leaves is its own affair; a message it left behind is withdrawn by its guard
+                // a client may disconnect as it likes; a message it left behind is withdrawn by its guard
                 _ = &mut connection => break,
-                () = slot.leave.notified(), if !slot.is_leaving() => {}
-                _ = &mut closing, if !slot.is_leaving() => slot.leave(),
-                () = sleep_until(look) => {}
+                () = state.close_requested.notified(), if !state.is_closing() => {}
+                _ = &mut closing, if !state.is_closing() => state.request_close(),
+                () = sleep_until(next_check) => {}
             }
         }
     }
-    slot.set_idle(true);
-    slot.phase.set(Phase::Crossing);
+    state.set_idle(true);
+    state.phase.set(Phase::HalfClosed);
     let Socket { stream, .. } = socket;
     if let Some(stream) = Rc::into_inner(stream) {
-        // whoever asks for room gets it at once
+        // whoever needs this connection's permit gets it at once
         tokio::select! {
-            _ = timeout(SPARE, read_crossing(stream.into_inner())) => {}
-            () = slot.gone() => {}
+            _ = timeout(CLOSE_GRACE, discard_late_bytes(stream.into_inner())) => {}
+            () = state.evicted() => {}
         }
     }
 }
 
 /// Shuts the sending side and reads on until the peer has done so too, or has sent too much.
-async fn read_crossing(mut stream: Stream) -> io::Result<()> {
+async fn discard_late_bytes(mut stream: Stream) -> io::Result<()> {
     stream.shutdown().await?;
-    let mut left = CROSSING_MOST;
+    let mut left = MAX_LATE_BYTES;
     while left > 0 {
         let mut bytes = Discarded {
             stream: &mut stream,
@@ -284,15 +315,15 @@
     Ok(())
 }
 
-/// Reads into nothing, with room on the stack alone.
+/// Reads and discards, with a buffer on the stack alone.
 struct Discarded<'a> {
     stream: &'a mut Stream,
 }
 
 impl Discarded<'_> {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let mut room = [0; 8 * 1024];
-        let mut buffer = ReadBuf::new(&mut room);
+        let mut bytes = [0; 8 * 1024];
+        let mut buffer = ReadBuf::new(&mut bytes);
         ready!(Pin::new(&mut *self.stream).poll_read(context, &mut buffer))?;
         Poll::Ready(Ok(buffer.filled().len()))
     }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,6 +1,6 @@
 //! The HTTP API for operators on the control address: one call a connection.
 
-use super::connection::{self, Slot};
+use super::connection::{self, ConnectionState, HttpSettings};
 use super::events::{AdminCommand, AdminResult, ReportRequest};
 use super::server::accept;
 use bytes::Bytes;
@@ -167,25 +167,27 @@
 pub async fn serve(listener: TcpListener, control: Rc<Control>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let (_never_ends, end) = watch::channel(false);
-    accept("control", listener, permits, end, move |stream, slot| {
+    accept("control", listener, permits, end, move |stream, state| {
         let control = control.clone();
-        async move { serve_one(stream, control, &slot).await }
+        async move { serve_one(stream, control, &state).await }
     })
     .await;
 }
 
-async fn serve_one(stream: TcpStream, control: Rc<Control>, slot: &Rc<Slot>) {
+async fn serve_one(stream: TcpStream, control: Rc<Control>, state: &Rc<ConnectionState>) {
     let service = service_fn(move |request| {
         let control = control.clone();
-        async move { Ok::<_, Infallible>(answer(request, &control, slot).await) }
+        async move { Ok::<_, Infallible>(answer(request, &control, state).await) }
     });
     let mut http = http1::Builder::new();
     http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
     let served = connection::serve(
         stream,
-        slot,
-        http,
-        HEAD_TIME,
+        state,
+        HttpSettings {
+            http,
+            idle_timeout: HEAD_TIME,
+        },
         service,
         std::future::pending::<()>(),
     );
@@ -196,9 +198,9 @@
 async fn answer(
     request: Request<Incoming>,
     control: &Control,
-    slot: &Rc<Slot>,
+    state: &Rc<ConnectionState>,
 ) -> Response<Full<Bytes>> {
-    match handle(request, control, slot).await {
+    match handle(request, control, state).await {
         Ok(text) => Response::new(text_body(&text)),
         Err(error) => error_response(&error),
     }
@@ -221,7 +223,7 @@
 async fn handle(
     request: Request<Incoming>,
     control: &Control,
-    slot: &Slot,
+    state: &ConnectionState,
 ) -> Result<String, ControlError> {
     match Operation::of(request.method(), request.uri().path())? {
         Operation::Readiness if *control.ready.borrow() && !control.draining.get() => {
@@ -229,12 +231,12 @@
         }
         Operation::Readiness => Err(ControlError::NotReady),
         Operation::Report(subject) => {
-            slot.set_idle(false);
+            state.set_idle(false);
             control.report(subject).await
         }
         Operation::SetDisabled(disabled) => {
             let uid = read_target(request).await?;
-            slot.set_idle(false);
+            state.set_idle(false);
             control.set_disabled(uid, disabled).await
         }
     }
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -197,7 +197,7 @@
                 DialFailure::Refused
             }
             ConnectError::Peer(_) => DialFailure::Other,
-            ConnectError::Time => DialFailure::TimedOut,
+            ConnectError::Timeout => DialFailure::TimedOut,
             ConnectError::Local(error) => {
                 self.failure_log
                     .log(format_args!("calls: no connection made: {error}"));
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -4,7 +4,7 @@
 mod error;
 mod headers;
 
-use super::connection::{self, Slot};
+use super::connection::{self, ConnectionState, HttpSettings};
 use super::events::{DriverInput, MAX_BODY_BYTES, Submission, SubmissionResult};
 pub use accept::accept;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 use tokio::time::{Instant, timeout};
 
 /// Longest time without a request: such a connection may be closed after 2 s. A head that has begun by then gets
-/// [`connection::SPARE`] more, and with what a body may take after it, a peer that sends no proper request must have
+/// [`connection::CLOSE_GRACE`] more, and with what a body may take after it, a peer that sends no proper request must have
 /// its end within 3 s.
 const IDLE_TIME: Duration = Duration::from_millis(2100);
 /// Longest time for a body: clients wait 400 ms for their answer.
@@ -76,23 +76,23 @@
         listener,
         permits,
         handed_over,
-        move |stream, slot| {
+        move |stream, state| {
             let server = server.clone();
-            async move { serve_one(stream, server, &slot).await }
+            async move { serve_one(stream, server, &state).await }
         },
     )
     .await;
 }
 
-async fn serve_one(stream: TcpStream, server: Rc<Server>, slot: &Rc<Slot>) {
+async fn serve_one(stream: TcpStream, server: Rc<Server>, state: &Rc<ConnectionState>) {
     let mut closing = server.closing.clone();
     let service = service_fn(move |request| {
         let server = server.clone();
         // at once: no end may come between a head and its handling
-        slot.set_idle(false);
+        state.set_idle(false);
         async move {
             let answer = answer(request, server).await;
-            slot.set_idle(true);
+            state.set_idle(true);
             answer
         }
     });
@@ -100,9 +100,11 @@
     http.max_buf_size(MAX_HEAD_BYTES);
     connection::serve(
         stream,
-        slot,
-        http,
-        IDLE_TIME,
+        state,
+        HttpSettings {
+            http,
+            idle_timeout: IDLE_TIME,
+        },
         service,
         closing.wait_for(|closing| *closing),
     )
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,7 +1,7 @@
 //! Accepts connections, no more at once than there are permits, and closes idle ones to make room.
 
 use crate::net::RateLimitedLog;
-use crate::net::connection::Slot;
+use crate::net::connection::ConnectionState;
 use crate::net::local_errors::{RETRY_INTERVAL, concerns_one_connection};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     listener: TcpListener,
     permits: Arc<Semaphore>,
     mut end: watch::Receiver<bool>,
-    handle: impl Fn(TcpStream, Rc<Slot>) -> F,
+    handle: impl Fn(TcpStream, Rc<ConnectionState>) -> F,
 ) where
     F: Future<Output = ()> + 'static,
 {
@@ -41,8 +41,8 @@
                     return;
                 };
                 let connections = connections.clone();
-                let (number, slot) = connections.insert(Instant::now());
-                let handled = handle(stream, slot.clone());
+                let (number, state) = connections.insert(Instant::now());
+                let handled = handle(stream, state.clone());
                 tokio::task::spawn_local(async move {
                     handled.await;
                     connections.remove(number);
@@ -76,9 +76,11 @@
         if let Ok(permit) = permits.clone().try_acquire_owned() {
             return Some(permit);
         }
-        if let Some(slot) = connections.longest_idle(Instant::now()) {
-            faults.log(format_args!("{who}: all places taken, idle ones leave"));
-            slot.leave();
+        if let Some(state) = connections.longest_idle(Instant::now()) {
+            faults.log(format_args!(
+                "{who}: connection limit reached, idle connections are closed"
+            ));
+            state.request_close();
         }
         if let Ok(permit) = timeout(IDLE_CHECK_INTERVAL, permits.clone().acquire_owned()).await {
             return permit.ok();
@@ -89,17 +91,17 @@
 /// The connections that are open, in the order in which they came.
 #[derive(Default)]
 struct OpenConnections {
-    by_number: RefCell<BTreeMap<u64, Rc<Slot>>>,
+    by_number: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     next_number: Cell<u64>,
 }
 
 impl OpenConnections {
-    fn insert(&self, now: Instant) -> (u64, Rc<Slot>) {
+    fn insert(&self, now: Instant) -> (u64, Rc<ConnectionState>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let slot = Rc::new(Slot::new(now));
-        self.by_number.borrow_mut().insert(number, slot.clone());
-        (number, slot)
+        let state = Rc::new(ConnectionState::new(now));
+        self.by_number.borrow_mut().insert(number, state.clone());
+        (number, state)
     }
 
     fn remove(&self, number: u64) {
@@ -107,13 +109,13 @@
     }
 
     /// The connection that may be closed soonest: one that is closing already, or has been idle the longest.
-    fn longest_idle(&self, now: Instant) -> Option<Rc<Slot>> {
+    fn longest_idle(&self, now: Instant) -> Option<Rc<ConnectionState>> {
         let by_number = self.by_number.borrow();
-        let spare = by_number
+        let closable = by_number
             .values()
-            .filter_map(|slot| Some((slot.spare(now)?, slot)));
-        let (_, slot) = spare.min_by_key(|(spare, _)| *spare)?;
-        Some(slot.clone())
+            .filter_map(|state| Some((state.close_priority(now)?, state)));
+        let (_, state) = closable.min_by_key(|(priority, _)| *priority)?;
+        Some(state.clone())
     }
 }
 
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -18,15 +18,15 @@
 /// Why no connection came up.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine failed it as long as there was time; operators see to descriptors, local ports and routes.
+    /// A fault of this machine that lasted as long as there was time; operators see to descriptors, local ports and routes.
     #[error("this machine: {0}")]
     Local(io::Error),
-    /// The other side, or the way to it, did.
+    /// A fault of the peer or of the network.
     #[error("{0}")]
     Peer(io::Error),
-    /// Nothing came in time.
+    /// No connection came up in time.
     #[error("no answer in time")]
-    Time,
+    Timeout,
 }
 
 /// A connected TCP stream.
@@ -40,27 +40,29 @@
 }
 
 impl Stream {
-    /// A connection to the address, made again as often as this machine fails it, within so long.
+    /// A connection to the address, made again as often as this machine fails it, within `time_limit`.
     ///
     /// # Errors
     /// See [`ConnectError`].
-    pub async fn connect(address: SocketAddr, within: Duration) -> Result<Self, ConnectError> {
-        let until = Instant::now() + within;
-        let mut failed = None;
+    pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<Self, ConnectError> {
+        let deadline = Instant::now() + time_limit;
+        let mut local_error = None;
         loop {
-            match timeout_at(until, TcpStream::connect(address)).await {
+            match timeout_at(deadline, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => {
                     let stream = Stream(stream);
                     stream.set_nodelay();
                     return Ok(stream);
                 }
                 Ok(Err(error)) if !is_local(&error) => return Err(ConnectError::Peer(error)),
-                Ok(Err(error)) if Instant::now() + RETRY_INTERVAL >= until => {
+                Ok(Err(error)) if Instant::now() + RETRY_INTERVAL >= deadline => {
                     return Err(ConnectError::Local(error));
                 }
-                Ok(Err(error)) => failed = Some(error),
+                Ok(Err(error)) => local_error = Some(error),
                 // how long the peer would have taken is not known where this machine used up the time
-                Err(_) => return Err(failed.map_or(ConnectError::Time, ConnectError::Local)),
+                Err(_) => {
+                    return Err(local_error.map_or(ConnectError::Timeout, ConnectError::Local));
+                }
             }
             sleep(RETRY_INTERVAL).await;
         }
@@ -75,8 +77,8 @@
     ///
     /// # Errors
     /// [`ErrorKind::WouldBlock`] if there is nothing, [`ErrorKind::Interrupted`] if that is not known.
-    pub fn read_now(&self, room: &mut [u8]) -> io::Result<usize> {
-        (&mut &*SockRef::from(&self.0)).read(room)
+    pub fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        (&mut &*SockRef::from(&self.0)).read(buffer)
     }
 
     /// Nothing more is sent; what comes can still be read.
@@ -85,9 +87,9 @@
         let _ = SockRef::from(&self.0).shutdown(Shutdown::Write);
     }
 
-    /// What to do about the result of a try: none if it is to be made again.
-    fn settle<T>(context: &mut Context<'_>, tried: io::Result<T>) -> Option<Poll<io::Result<T>>> {
-        match tried {
+    /// What a poll returns for the result of one system call: none if it would block, so that the poll waits.
+    fn poll_of<T>(context: &mut Context<'_>, result: io::Result<T>) -> Option<Poll<io::Result<T>>> {
+        match result {
             Err(error) if error.kind() == ErrorKind::WouldBlock => None,
             Err(error) if error.kind() == ErrorKind::Interrupted => {
                 // others have their turn first, however often it comes
@@ -111,8 +113,8 @@
         loop {
             ready!(self.0.poll_read_ready(context))?;
             let read = self.0.try_read_buf(buffer);
-            if let Some(settled) = Stream::settle(context, read) {
-                return settled.map_ok(|_| ());
+            if let Some(poll) = Stream::poll_of(context, read) {
+                return poll.map_ok(|_| ());
             }
         }
     }
@@ -126,8 +128,8 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
-            if let Some(settled) = Stream::settle(context, self.0.try_write(bytes)) {
-                return settled;
+            if let Some(poll) = Stream::poll_of(context, self.0.try_write(bytes)) {
+                return poll;
             }
         }
     }
@@ -139,8 +141,8 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
-            if let Some(settled) = Stream::settle(context, self.0.try_write_vectored(buffers)) {
-                return settled;
+            if let Some(poll) = Stream::poll_of(context, self.0.try_write_vectored(buffers)) {
+                return poll;
             }
         }
     }
