--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -97,7 +97,7 @@
         return;
     };
     let control = Control {
-        orders: senders.commands.clone(),
+        commands: senders.commands.clone(),
         members: senders.membership_reports.clone(),
         agreement: senders.agreement_reports.clone(),
         ledger: senders.ledger_reports.clone(),
@@ -275,8 +275,8 @@
             inputs: self.senders.inputs.clone(),
             ready: self.flags.ready.subscribe(),
             draining: self.flags.draining.clone(),
-            places: slots.free.clone(),
-            handed: self.flags.handed_over.subscribe(),
+            connection_permits: slots.free.clone(),
+            handed_over: self.flags.handed_over.subscribe(),
             closing: self.flags.close_clients.subscribe(),
         }
     }
