--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -128,7 +128,7 @@
     let proxy = Proxy::new(registry.address, GARBAGE);
     let node = sender(&proxy);
     wait_until("it says so", || {
-        node.logged("ledger: no parts: the answer can't be read")
+        node.logged("ledger: lease request failed: the answer can't be read")
     });
     assert_eq!(
         (quota(&node), report(&node)["granted"].as_u64()),
