--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -133,7 +133,7 @@
     }
 
     /// Goes on from the intersection of this version to its rules; whether it did. It is for the leader to see first that nobody
-    /// can still act on the rules before ([`crate::Leases::waits_for`]).
+    /// can still act on the rules before ([`crate::Leases::blocking_lease`]).
     pub fn advance(&mut self, version: u64) -> bool {
         let advances = self.tag
             == VersionTag {
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,7 +1,7 @@
 //! Every decision of the delivery service.
 //!
 //! [`Sender::handle`] is one turn: it applies all events, then appends the actions that follow.
-//! Each module below decides one thing; [`state`] holds the records that they share. There is no
+//! Each module below decides one thing; `state` holds the records that they share. There is no
 //! socket and no clock here: the same events always give the same actions.
 
 mod admission;
