--- a/src/message_index/group_order.rs
+++ b/src/message_index/group_order.rs
@@ -47,8 +47,8 @@
     Falling,
 }
 
-/// The order inside a group: urgency by the time of creation, which rises with age up to those created at `peak`, and
-/// never rises again beyond.
+/// The order inside a group: urgency by the time of creation, which rises with age up to those created at
+/// `peak`, and never rises again beyond.
 pub struct GroupOrder<F> {
     pub urgency: F,
     pub peak: Micros,
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Whether members created at another time are just as urgent: then the order of creation is not that of rank.
+    /// Whether members created at another time are just as urgent: then the order of creation is not that
+    /// of rank.
     fn is_tied(&self, members: &Members, side: Side, rank: Rank) -> bool {
         let neighbours = [
             self.following(members, side, rank.created_at),
--- a/src/message_index/index.rs
+++ b/src/message_index/index.rs
@@ -74,7 +74,8 @@
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Open messages whose deadline is `deadline` at the latest, or for which no send can be legal from `now` on.
+    /// Open messages whose deadline is `deadline` at the latest, or for which no send can be legal from
+    /// `now` on.
     pub fn undeliverable(&self, deadline: Micros, now: Micros) -> BTreeSet<MessageId> {
         let last = MessageId(u64::MAX);
         let late = self.by_deadline.range(..=(deadline, last));
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -26,7 +26,8 @@
 fn decision_module_files_stay_within_size_limits() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = files_of(&source.join("decisions"));
-    files.extend(["decisions.rs", "backlog.rs"].map(|name| source.join(name)));
+    files.extend(files_of(&source.join("message_index")));
+    files.extend(["decisions.rs", "message_index.rs"].map(|name| source.join(name)));
     assert!(files.len() > 8, "{files:?}");
     for file in files {
         let text = fs::read_to_string(&file).expect("text");
