--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -9,7 +9,7 @@
 use thiserror::Error;
 
 /// Keys in backoff that are kept before those whose backoff is over are forgotten.
-const KEY_BACKOFFS_KEPT: usize = 1024;
+const KEY_BACKOFFS_BEFORE_CLEANUP: usize = 1024;
 
 /// Why a call may not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
@@ -162,7 +162,7 @@
     }
 
     fn back_off_key(&mut self, key: u64, now: Micros, backoff: Micros) {
-        if self.key_backoffs.len() >= KEY_BACKOFFS_KEPT {
+        if self.key_backoffs.len() >= KEY_BACKOFFS_BEFORE_CLEANUP {
             self.key_backoffs.retain(|_, until| now < *until);
         }
         let until = self.key_backoffs.entry(key).or_default();
--- a/src/pool/dials.rs
+++ b/src/pool/dials.rs
@@ -117,7 +117,7 @@
         let new = Connection {
             target,
             state: ConnectionState::Dialling { since: now },
-            last_heard: now,
+            last_received_at: now,
             connected_at: now,
             calls: 0,
             is_proven: false,
@@ -135,7 +135,7 @@
         let ConnectionState::Dialling { .. } = known.state else {
             return;
         };
-        known.last_heard = now;
+        known.last_received_at = now;
         known.connected_at = now;
         known.state = ConnectionState::Idle { since: now };
         let target = known.target;
@@ -201,7 +201,7 @@
             .entry(dial.failure)
             .or_default() += 1;
         endpoint.delay_prewarm(prewarm_not_before);
-        if learns_caps && dial.was_refused_beside(endpoint) && !dial.is_trial {
+        if learns_caps && dial.was_refused_with_open_connections(endpoint) && !dial.is_trial {
             // an endpoint that is down resets the open connections too, but their resets may come later than this
             endpoint.refused_dial = Some(RefusedDial {
                 established: endpoint.established(),
@@ -220,12 +220,12 @@
         };
         let has_established = endpoint.established() > 0;
         let may_get_another = endpoint.waiting.len() <= endpoint.dialling
-            || dial.was_refused_beside(endpoint) && self.limits.learn_caps
+            || dial.was_refused_with_open_connections(endpoint) && self.limits.learn_caps
             || dial.is_trial && has_established;
         let oldest = endpoint.waiting.front();
-        let bears_on_oldest = dial.failure != DialFailure::TimedOut
+        let affects_oldest = dial.failure != DialFailure::TimedOut
             || oldest.is_some_and(|waiter| waiter.since <= dial.since);
-        !may_get_another && bears_on_oldest
+        !may_get_another && affects_oldest
     }
 }
 
@@ -239,7 +239,7 @@
 
 impl FailedDial {
     /// It was refused while other connections to the endpoint were open.
-    fn was_refused_beside(&self, endpoint: &Endpoint) -> bool {
+    fn was_refused_with_open_connections(&self, endpoint: &Endpoint) -> bool {
         self.failure == DialFailure::Refused && endpoint.established() > 0
     }
 }
--- a/src/pool/endpoint.rs
+++ b/src/pool/endpoint.rs
@@ -34,7 +34,7 @@
     pub(super) target: EndpointAddress,
     pub(super) state: ConnectionState,
     /// When it came up, or last brought an answer.
-    pub(super) last_heard: Micros,
+    pub(super) last_received_at: Micros,
     pub(super) connected_at: Micros,
     /// Calls that it has carried.
     pub(super) calls: u64,
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -176,7 +176,7 @@
             .collect();
         for connection in idle {
             let known = self.connections.get(&connection);
-            if known.is_some_and(|known| known.last_heard < since) {
+            if known.is_some_and(|known| known.last_received_at < since) {
                 self.close(connection, CloseReason::Suspect, commands);
             }
         }
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -11,7 +11,7 @@
 const MAX_TRIAL_BACKOFF: Micros = 60 * SECOND;
 const TRIAL_BACKOFF_PER_SENDER: Micros = SECOND / 2;
 /// Concurrent dials above a learned cap, when the ones before came up. Large fleets add one at a time.
-const MAX_TRIAL_STEP: usize = 8;
+const MAX_CONCURRENT_TRIALS: usize = 8;
 /// Fleets of at most so many senders may take larger steps, and keep idle connections also where these are scarce.
 pub(super) const SMALL_FLEET_SENDERS: u32 = 4;
 /// So often must a first call be rejected while a later one on an older connection is served.
@@ -26,14 +26,14 @@
     /// The last time without a trial.
     backoff: Micros,
     /// Trials that may be in flight.
-    step: usize,
+    allowed_trials: usize,
     /// Trials in flight.
     pub(super) trials: usize,
 }
 
 impl LearnedCap {
     pub(super) fn allows_trial(&self, now: Micros) -> bool {
-        now >= self.next_trial_at && self.trials < self.step
+        now >= self.next_trial_at && self.trials < self.allowed_trials
     }
 
     /// A dial above the cap has ended.
@@ -42,18 +42,18 @@
     }
 
     /// A connection above the cap works: how long until the next trial.
-    fn raise(&mut self, first_backoff: Micros, max_step: usize) -> Micros {
+    fn raise(&mut self, first_backoff: Micros, max_trials: usize) -> Micros {
         self.connections += 1;
         self.backoff = first_backoff;
         if self.trials == 0 {
-            self.step = (self.step * 2).min(max_step);
+            self.allowed_trials = (self.allowed_trials * 2).min(max_trials);
         }
         first_backoff / 2
     }
 
     /// A connection above the cap does not work: how long until the next trial.
     fn back_off(&mut self, first_backoff: Micros) -> Micros {
-        self.step = 1;
+        self.allowed_trials = 1;
         self.backoff = (self.backoff * 2).min(first_backoff.max(MAX_TRIAL_BACKOFF));
         self.backoff
     }
@@ -131,9 +131,9 @@
         FIRST_TRIAL_BACKOFF.max(TRIAL_BACKOFF_PER_SENDER * Micros::from(self.limits.senders))
     }
 
-    fn max_trial_step(&self) -> usize {
+    fn max_concurrent_trials(&self) -> usize {
         if self.limits.senders <= SMALL_FLEET_SENDERS {
-            MAX_TRIAL_STEP
+            MAX_CONCURRENT_TRIALS
         } else {
             1
         }
@@ -142,8 +142,8 @@
     /// A dial above the learned cap brought a connection that works, or none.
     pub(super) fn finish_trial(&mut self, now: Micros, target: EndpointAddress, works: bool) {
         let first_backoff = self.first_trial_backoff();
-        let jitter = self.spread(SECOND) as f64 / SECOND as f64;
-        let max_step = self.max_trial_step();
+        let jitter = self.with_jitter(SECOND) as f64 / SECOND as f64;
+        let max_trials = self.max_concurrent_trials();
         let per_endpoint = self.limits.per_endpoint;
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
             return;
@@ -152,12 +152,12 @@
             return;
         };
         cap.end_trial();
-        let pause = if works {
-            cap.raise(first_backoff, max_step)
+        let backoff = if works {
+            cap.raise(first_backoff, max_trials)
         } else {
             cap.back_off(first_backoff)
         };
-        cap.next_trial_at = now + (pause as f64 * jitter) as Micros;
+        cap.next_trial_at = now + (backoff as f64 * jitter) as Micros;
         endpoint.cap.take_if(|cap| cap.connections >= per_endpoint);
     }
 
@@ -208,14 +208,14 @@
 
     fn learn_cap(&mut self, now: Micros, target: EndpointAddress, connections: usize) {
         let backoff = self.first_trial_backoff();
-        let next_trial_at = now + self.spread(backoff);
+        let next_trial_at = now + self.with_jitter(backoff);
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
             let trials = endpoint.cap.as_ref().map_or(0, |cap| cap.trials);
             endpoint.cap = Some(LearnedCap {
                 connections: connections.max(1),
                 next_trial_at,
                 backoff,
-                step: 1,
+                allowed_trials: 1,
                 trials,
             });
         }
--- a/src/pool/leases.rs
+++ b/src/pool/leases.rs
@@ -110,7 +110,7 @@
             return;
         };
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
-            endpoint.waiting.retain(|waits| waits.number != waiter);
+            endpoint.waiting.retain(|queued| queued.number != waiter);
         }
         self.forget_if_done(target);
     }
@@ -136,7 +136,7 @@
             is_first: known.calls == 1,
             connected_at: known.connected_at,
         };
-        known.last_heard = now;
+        known.last_received_at = now;
         self.scarcity.record(answer, call.is_first);
         let newly_proven = answer == AnswerKind::Served && !known.is_proven;
         known.is_proven |= newly_proven;
@@ -162,7 +162,7 @@
         let ConnectionState::Leased { .. } = known.state else {
             return;
         };
-        known.last_heard = now;
+        known.last_received_at = now;
         known.state = ConnectionState::Idle { since: now };
         let target = known.target;
         let is_proven = known.is_proven;
--- a/src/pool/mod.rs
+++ b/src/pool/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// A span from half to one and a half times as long.
-    fn spread(&mut self, span: Micros) -> Micros {
+    fn with_jitter(&mut self, span: Micros) -> Micros {
         let fraction = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         (span as f64 * (0.5 + fraction)) as Micros
     }
--- a/src/pool/prewarm.rs
+++ b/src/pool/prewarm.rs
@@ -8,8 +8,8 @@
 
 /// Pause between two dials ahead of need to one endpoint, times the number of senders, so that the fleet makes
 /// about four a second; never shorter than the minimum.
-const PREWARM_PAUSE_PER_SENDER: Micros = SECOND / 4;
-const MIN_PREWARM_PAUSE: Micros = SECOND;
+const PREWARM_INTERVAL_PER_SENDER: Micros = SECOND / 4;
+const MIN_PREWARM_INTERVAL: Micros = SECOND;
 
 impl Pool {
     /// Dials ahead of need, one an endpoint at a time, at moments of this sender's own.
@@ -17,8 +17,8 @@
         let max_unused = (self.limits.prewarm_share * self.limits.total as f64) as usize;
         let is_unused = |known: &&Connection| known.calls == 0;
         let mut unused = self.connections.values().filter(is_unused).count();
-        let fleet_pause = PREWARM_PAUSE_PER_SENDER * Micros::from(self.limits.senders);
-        let pause = MIN_PREWARM_PAUSE.max(fleet_pause);
+        let fleet_interval = PREWARM_INTERVAL_PER_SENDER * Micros::from(self.limits.senders);
+        let interval = MIN_PREWARM_INTERVAL.max(fleet_interval);
         for target in self.targets() {
             let has_room = unused < max_unused && self.total() < self.limits.total;
             if !has_room || !self.may_prewarm(now, target) {
@@ -26,7 +26,7 @@
             }
             self.dial(now, target, DialKind::Ordinary, commands);
             unused += 1;
-            let next_at = now + self.spread(pause);
+            let next_at = now + self.with_jitter(interval);
             if let Some(endpoint) = self.endpoints.get_mut(&target) {
                 endpoint.next_prewarm_at = next_at;
             }
--- a/src/pool/scarcity.rs
+++ b/src/pool/scarcity.rs
@@ -54,12 +54,13 @@
             &mut self.reused
         };
         share.record(is_rejected);
-        let known = self.new.calls >= MIN_NEW_CALLS && self.reused.calls >= MIN_REUSED_CALLS;
-        let differs = self.new.share >= REJECTION_RATIO * self.reused.share;
+        let has_enough_calls =
+            self.new.calls >= MIN_NEW_CALLS && self.reused.calls >= MIN_REUSED_CALLS;
+        let is_specific_to_new = self.new.share >= REJECTION_RATIO * self.reused.share;
         self.scarce = if self.scarce {
-            self.new.share > AMPLE_SHARE && differs
+            self.new.share > AMPLE_SHARE && is_specific_to_new
         } else {
-            known && self.new.share >= SCARCE_SHARE && differs
+            has_enough_calls && self.new.share >= SCARCE_SHARE && is_specific_to_new
         };
     }
 
