--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -1,4 +1,5 @@
-//! Accounting: how many connections there are in which state, what has happened so far, and what operators see of it.
+//! Accounting: the number of connections in each state, counters of what has happened, and the
+//! report of both for operators.
 
 use super::Pool;
 use super::endpoint::ConnectionState;
@@ -7,64 +8,67 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What is counted of an endpoint, or of all.
+/// Counters of one endpoint, or their sums over all endpoints, since the pool was created.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct PoolCounters {
-    /// Calls that got a connection which had carried one before.
+    /// Number of calls that got a connection which had carried a call before.
     pub reuses: u64,
-    /// Dials begun.
+    /// Number of dials that were begun.
     pub dials: u64,
-    /// Dials that failed, by the kind of failure.
+    /// Number of dials that failed, by kind of failure.
     pub dial_failures: BTreeMap<DialFailure, u64>,
-    /// Connections closed, by reason.
+    /// Number of connections that were closed, by reason.
     pub closes: BTreeMap<CloseReason, u64>,
 }
 
-/// The endpoints, and the counters of all that ever were.
+/// State of all endpoints, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolReport {
-    /// The endpoints known now.
+    /// Reports of the endpoints that the pool has a record of.
     pub endpoints: Vec<EndpointReport>,
-    /// The sums over these and over all that are forgotten.
+    /// Sums of the counters over these endpoints and all whose records were removed.
     pub totals: PoolCounters,
 }
 
-/// One endpoint as operators see it.
+/// State of one endpoint, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointReport {
-    /// The endpoint.
+    /// The endpoint and its address.
     pub target: EndpointAddress,
-    /// It takes new calls.
+    /// True if the endpoint takes new calls; false if it is retired.
     pub is_serving: bool,
-    /// Connections without a call.
+    /// Number of connections without a call.
     pub idle: usize,
-    /// Connections that carry a call.
+    /// Number of connections that carry a call.
     pub leased: usize,
-    /// Dials in flight.
+    /// Number of dials in flight.
     pub dialling: usize,
-    /// Calls that wait for a connection.
+    /// Number of calls that wait for a connection.
     pub waiting: usize,
-    /// How many connections its load asks for.
+    /// Number of connections that the load of the endpoint needs.
     pub wanted_connections: usize,
-    /// How many it seems to accept from this sender.
+    /// Number of connections that the endpoint seems to accept from this sender; `None` if no such
+    /// cap has shown.
     pub learned_cap: Option<usize>,
-    /// What has happened so far.
+    /// Counters of what has happened at the endpoint since its record was created.
     pub counters: PoolCounters,
 }
 
-/// How many entries the pool keeps of each kind.
+/// Number of records that the pool holds of each kind; tests check with it that none is left
+/// behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolSizes {
-    /// Endpoints, retired ones with something left counted.
+    /// Number of endpoints, including retired ones that still have connections or waiting calls.
     pub endpoints: usize,
-    /// Connections, those being dialled counted.
+    /// Number of connections, including those being dialled.
     pub connections: usize,
-    /// Calls that wait.
+    /// Number of waiting calls.
     pub waiters: usize,
 }
 
 impl Pool {
-    /// Figures for operators.
+    /// Returns the state and the counters of all endpoints, for operators. `now` is in
+    /// microseconds.
     pub fn report(&self, now: Micros) -> PoolReport {
         let mut totals = self.forgotten_counters.clone();
         let mut endpoints = Vec::new();
@@ -85,7 +89,7 @@
         PoolReport { endpoints, totals }
     }
 
-    /// How many entries the pool keeps.
+    /// Returns the number of records that the pool holds.
     pub fn sizes(&self) -> PoolSizes {
         PoolSizes {
             endpoints: self.endpoints.len(),
@@ -94,12 +98,13 @@
         }
     }
 
-    /// Connections that count towards the total, those of a predecessor too.
+    /// Returns the number of connections that count towards the limit on all connections, including
+    /// those of a predecessor.
     pub(super) fn total(&self) -> usize {
         self.connections.len() + self.predecessor_connections
     }
 
-    /// Closes a connection.
+    /// Removes the record of a connection and asks the host to close the connection.
     pub(super) fn close(
         &mut self,
         connection: u64,
@@ -110,7 +115,8 @@
         commands.push(Command::Close { connection });
     }
 
-    /// Takes a connection that is closed off the accounts.
+    /// Removes the record of a closed connection and counts the reason of its end at the
+    /// endpoint.
     pub(super) fn remove_connection(&mut self, connection: u64, reason: CloseReason) {
         let Some(known) = self.connections.remove(&connection) else {
             return;
@@ -138,6 +144,7 @@
     }
 }
 
+/// Adds the counters in `more` to `sum`.
 pub(super) fn add(sum: &mut PoolCounters, more: &PoolCounters) {
     sum.reuses += more.reuses;
     sum.dials += more.dials;
--- a/src/pool/dials.rs
+++ b/src/pool/dials.rs
@@ -1,4 +1,4 @@
-//! Dials: when one is allowed, and what its end brings.
+//! Dials: when a dial is allowed, and what follows from its success or failure.
 
 use super::Pool;
 use super::endpoint::{Connection, ConnectionState, Endpoint};
@@ -6,20 +6,23 @@
 use super::messages::{CloseReason, Command, DialFailure, EndpointAddress};
 use crate::Micros;
 
-/// One part in so many of the concurrent dials may be towards one endpoint: a silent one must not hold them all.
+/// Divisor of the limit on concurrent dials that gives the limit for one endpoint. An endpoint that
+/// doesn't answer dials must not use up all concurrent dials.
 const DIALS_PER_ENDPOINT_DIVISOR: usize = 4;
 
-/// A dial that is allowed.
+/// Whether an allowed dial stays within the endpoint's learned cap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DialKind {
-    /// Within what the endpoint is known to accept.
+    /// The dial stays within the learned cap, or no cap has been learned.
     Ordinary,
-    /// One above its learned cap.
+    /// The dial would exceed the learned cap, and tests whether the endpoint accepts one more
+    /// connection.
     Trial,
 }
 
 impl Pool {
-    /// Dials for the calls that wait at an endpoint, one each, as far as the limits allow.
+    /// Dials one connection for each call that waits at an endpoint without a dial in flight, as
+    /// far as the limits allow. Queues the endpoint for the rest.
     pub(super) fn dial_for_waiting(
         &mut self,
         now: Micros,
@@ -51,7 +54,8 @@
         }
     }
 
-    /// The limits may allow more dials now: each endpoint where calls wait without a dial gets its turn.
+    /// Dials for the endpoints in the dial queue, in order. Called whenever the limits may allow
+    /// more dials than before.
     pub(super) fn run_dial_queue(&mut self, now: Micros, commands: &mut Vec<Command>) {
         for _ in 0..self.dial_queue.len() {
             let Some(target) = self.dial_queue.pop_front() else {
@@ -64,7 +68,8 @@
         }
     }
 
-    /// Whether the limits allow one more dial to the endpoint, if need be in place of an idle connection.
+    /// Returns true if the limits allow one more dial to the endpoint. If the limit on all
+    /// connections is reached, an idle connection may be closed to make room.
     fn limits_allow_dial(&self, endpoint: &Endpoint) -> bool {
         let dials_to_one = (self.limits.concurrent_dials / DIALS_PER_ENDPOINT_DIVISOR).max(1);
         let total = self.total();
@@ -75,12 +80,13 @@
             && (total < self.limits.total || can_evict)
     }
 
-    /// Which dial to the endpoint is allowed now, if any.
+    /// Returns the kind of dial to the endpoint that is allowed now; `None` if no dial is.
     pub(super) fn allowed_dial(&self, now: Micros, endpoint: &Endpoint) -> Option<DialKind> {
         if !endpoint.is_serving || !self.limits_allow_dial(endpoint) {
             return None;
         }
-        // until it is known whether the open connections work, none is dialled beside them
+        // a dial was refused while connections were open: until an answer shows whether these work
+        // (a cap) or they break (an outage), no further connection is dialled
         let awaits_proof = endpoint
             .refused_dial
             .is_some_and(|refused| endpoint.open() >= refused.established);
@@ -127,7 +133,7 @@
         commands.push(Command::Dial { connection, target });
     }
 
-    /// A dial brought its connection.
+    /// Records that a dial succeeded: the new connection becomes idle and goes to a waiting call.
     pub fn dial_succeeded(&mut self, now: Micros, connection: u64, commands: &mut Vec<Command>) {
         let Some(known) = self.connections.get_mut(&connection) else {
             return;
@@ -148,7 +154,8 @@
         self.assign_idle(now, target, connection, commands);
     }
 
-    /// A dial brought none.
+    /// Records that a dial failed. A call that waited for the connection may be denied, or another
+    /// dial begun.
     pub fn dial_failed(
         &mut self,
         now: Micros,
@@ -187,7 +194,8 @@
         self.forget_if_done(target);
     }
 
-    /// Counts a failed dial at its endpoint, if that is still known.
+    /// Counts a failed dial at its endpoint. Returns false if the pool has no record of the
+    /// endpoint any more.
     fn record_failed_dial(&mut self, now: Micros, dial: &FailedDial) -> bool {
         let prewarm_not_before = now + self.limits.prewarm_delay;
         let learns_caps = self.limits.learn_caps;
@@ -202,7 +210,8 @@
             .or_default() += 1;
         endpoint.delay_prewarm(prewarm_not_before);
         if learns_caps && dial.was_refused_with_open_connections(endpoint) && !dial.is_trial {
-            // an endpoint that is down resets the open connections too, but their resets may come later than this
+            // this may be a cap or an outage; an endpoint that is down resets the open connections
+            // too, but their resets may arrive later than the refusal
             endpoint.refused_dial = Some(RefusedDial {
                 established: endpoint.established(),
                 at: now,
@@ -211,9 +220,14 @@
         true
     }
 
-    /// Whether the call that has waited the longest fails with the dial. A call with a dial of its own in flight goes on
-    /// waiting. So does one that came later than this dial where that says nothing of the next one, and one that may get
-    /// one of the connections beside which the dial was refused.
+    /// Returns true if the call that has waited the longest fails together with the dial. It goes
+    /// on waiting in three cases:
+    ///
+    /// - There are as many dials in flight as waiting calls, so one of them is for this call.
+    /// - The dial timed out but had begun before the call came: its timeout says nothing about the
+    ///   outcome of the next dial.
+    /// - Connections to the endpoint are open and the dial was refused, or was a trial above the
+    ///   learned cap: the call may get one of the open connections.
     fn fails_waiting_call(&self, dial: &FailedDial) -> bool {
         let Some(endpoint) = self.endpoints.get(&dial.target) else {
             return false;
@@ -229,16 +243,18 @@
     }
 }
 
-/// A dial that has failed.
+/// A failed dial.
 struct FailedDial {
     target: EndpointAddress,
+    /// Time in microseconds at which the dial began.
     since: Micros,
+    /// The dial was a trial above the endpoint's learned cap.
     is_trial: bool,
     failure: DialFailure,
 }
 
 impl FailedDial {
-    /// It was refused while other connections to the endpoint were open.
+    /// Returns true if the peer refused the dial while other connections to the endpoint were open.
     fn was_refused_with_open_connections(&self, endpoint: &Endpoint) -> bool {
         self.failure == DialFailure::Refused && endpoint.established() > 0
     }
--- a/src/pool/endpoint.rs
+++ b/src/pool/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint, and of one connection to it.
+//! The pool's records of an endpoint and of a connection.
 
 use super::accounting::PoolCounters;
 use super::idle::ShortenedIdleTimeout;
@@ -9,72 +9,92 @@
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// What a connection does.
+/// Whether a connection is being dialled, idle or leased to a call.
 #[derive(Debug)]
 pub(super) enum ConnectionState {
     Dialling {
+        /// Time in microseconds at which the dial began.
         since: Micros,
     },
     Idle {
+        /// Time in microseconds since which the connection has carried no call.
         since: Micros,
     },
-    /// It carries a call.
+    /// The connection carries a call.
     Leased {
+        /// Time in microseconds at which the call got the connection.
         since: Micros,
-        /// Proven connections to the endpoint that were leased then, this one counted if it is.
+        /// Number of connections to the endpoint that were leased at that time and had served a
+        /// call before, including this one if it had.
         leased_proven: usize,
-        /// How long it had been idle before; none if it had carried no call.
+        /// Time in microseconds for which the connection had been idle before; `None` if this is
+        /// its first call.
         idle_for: Option<Micros>,
     },
 }
 
-/// One connection, from dial to close.
+/// A connection, from the start of the dial until it is closed.
 #[derive(Debug)]
 pub(super) struct Connection {
+    /// Endpoint and address that the connection goes to.
     pub(super) target: EndpointAddress,
     pub(super) state: ConnectionState,
-    /// When it came up, or last brought an answer.
+    /// Time in microseconds at which the dial succeeded or the last answer was received.
     pub(super) last_received_at: Micros,
+    /// Time in microseconds at which the dial succeeded.
     pub(super) connected_at: Micros,
-    /// Calls that it has carried.
+    /// Number of calls that the connection has carried, including a present one.
     pub(super) calls: u64,
-    /// One of its calls was served.
+    /// At least one call on the connection was served, so the endpoint accepts the connection.
     pub(super) is_proven: bool,
-    /// It tries the endpoint's learned cap, until its first call is answered.
+    /// The connection was dialled as a trial above the endpoint's learned cap, and its first call
+    /// has not been answered yet.
     pub(super) is_trial: bool,
 }
 
 /// A call that waits for a connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiter {
+    /// Number of the call.
     pub(super) number: u64,
+    /// Time in microseconds since which the call waits.
     pub(super) since: Micros,
 }
 
-/// One endpoint at one address.
+/// An endpoint at one address.
 #[derive(Debug)]
 pub(super) struct Endpoint {
+    /// The endpoint takes new calls; false once it is retired.
     pub(super) is_serving: bool,
-    /// Calls that wait, oldest first.
+    /// Calls that wait for a connection, oldest first.
     pub(super) waiting: VecDeque<Waiter>,
-    /// It is in the queue for a dial.
+    /// The endpoint is in the pool's dial queue.
     pub(super) is_in_dial_queue: bool,
-    /// Idle connections, newest last.
+    /// Numbers of the idle connections; the one that became idle last is at the end.
     pub(super) idle: Vec<u64>,
+    /// Number of leased connections.
     pub(super) leased: usize,
-    /// Leased connections that have been served a call.
+    /// Number of leased connections on which a call has been served.
     pub(super) leased_proven: usize,
+    /// Number of dials in flight.
     pub(super) dialling: usize,
+    /// Recent peak of concurrent calls.
     pub(super) demand_peak: DemandPeak,
+    /// Number of connections that the endpoint seems to accept from this sender; `None` while no
+    /// cap has shown.
     pub(super) cap: Option<LearnedCap>,
+    /// A dial that was refused while connections were open, until it is known whether these work.
     pub(super) refused_dial: Option<RefusedDial>,
+    /// Rejections of first calls on new connections, which may show a cap.
     pub(super) rejected_first_calls: RejectedFirstCalls,
+    /// Shorter idle timeout than the one set, if the endpoint has closed idle connections early.
     pub(super) shortened_idle_timeout: Option<ShortenedIdleTimeout>,
-    /// Nothing is dialled ahead of need before this, as the endpoint may be warming up.
+    /// Time in microseconds before which the endpoint is not prewarmed, because it may be cold or
+    /// down or has sent a Retry-After.
     pub(super) prewarm_not_before: Micros,
-    /// Nor before this, when its turn comes again.
+    /// Time in microseconds of the next prewarming dial, which keeps the rate of such dials low.
     pub(super) next_prewarm_at: Micros,
-    /// When a call last asked for a connection.
+    /// Time in microseconds at which a call last asked for a connection.
     pub(super) last_acquire_at: Micros,
     pub(super) counters: PoolCounters,
 }
@@ -104,22 +124,23 @@
         }
     }
 
-    /// Connections that are up.
+    /// Returns the number of established connections, idle or leased.
     pub(super) fn established(&self) -> usize {
         self.idle.len() + self.leased
     }
 
-    /// Connections that are up or being dialled.
+    /// Returns the number of connections that are established or being dialled.
     pub(super) fn open(&self) -> usize {
         self.established() + self.dialling
     }
 
-    /// Nothing is left of it but its counters.
+    /// Returns true if the endpoint is retired and has neither connections nor waiting calls, so
+    /// that only its counters have to be kept.
     pub(super) fn is_done(&self) -> bool {
         !self.is_serving && self.open() == 0 && self.waiting.is_empty()
     }
 
-    /// Nothing is dialled ahead of need before this time.
+    /// Delays prewarming until `until` at least, a time in microseconds.
     pub(super) fn delay_prewarm(&mut self, until: Micros) {
         self.prewarm_not_before = self.prewarm_not_before.max(until);
     }
--- a/src/pool/endpoints.rs
+++ b/src/pool/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints come, go and ask to be left alone.
+//! Endpoints: enabling, retirement, and the effect of a Retry-After.
 
 use super::endpoint::Endpoint;
 use super::messages::{CloseReason, Command, EndpointAddress, LeaseDenied};
@@ -6,7 +6,8 @@
 use crate::Micros;
 
 impl Pool {
-    /// The endpoint takes calls from now on.
+    /// Lets calls acquire connections to the endpoint from now on. An endpoint that was retired
+    /// starts without a learned cap and without prewarming, as it may have been restarted.
     pub fn enable_endpoint(&mut self, now: Micros, target: EndpointAddress) {
         let new = Endpoint::new(now, &self.limits);
         let endpoint = self.endpoints.entry(target).or_insert(new);
@@ -17,8 +18,9 @@
         }
     }
 
-    /// The endpoint drains, is gone, disabled or moved: nothing is dialled any more, and idle connections are closed.
-    /// Calls whose dial is in flight may still get it.
+    /// Stops dials to an endpoint that drains, was removed or disabled, or has another address now,
+    /// and closes its idle connections. As many calls as there are dials in flight may go on
+    /// waiting.
     pub fn retire_endpoint(&mut self, target: EndpointAddress, commands: &mut Vec<Command>) {
         let Some(endpoint) = self.serving_endpoint_mut(target) else {
             return;
@@ -33,7 +35,8 @@
         self.forget_if_done(target);
     }
 
-    /// Closes the idle connections to an endpoint, as the decisions ask for where connections are few.
+    /// Closes the idle connections to an endpoint. The decision module asks for this where
+    /// connections are scarce, so that other senders can get them.
     pub fn close_idle(&mut self, target: EndpointAddress, commands: &mut Vec<Command>) {
         let Some(endpoint) = self.endpoints.get(&target) else {
             return;
@@ -43,8 +46,9 @@
         }
     }
 
-    /// The endpoint's destination has sent a Retry-After that holds until then: calls that still wait for a connection
-    /// must not be written once it comes up, and nothing is dialled ahead of need.
+    /// Applies a Retry-After of the endpoint's destination that lasts until `until`, a time in
+    /// microseconds. Waiting calls are denied a connection, because they must not be written when
+    /// one comes up; the endpoint is not prewarmed until then.
     pub fn apply_retry_after(
         &mut self,
         target: EndpointAddress,
@@ -67,7 +71,8 @@
             .filter(|endpoint| endpoint.is_serving)
     }
 
-    /// Forgets an endpoint of which nothing is left, and keeps its counters.
+    /// Removes the record of a retired endpoint without connections and waiting calls. Its counters
+    /// are added to the pool's totals.
     pub(super) fn forget_if_done(&mut self, target: EndpointAddress) {
         if self.endpoints.get(&target).is_some_and(Endpoint::is_done)
             && let Some(endpoint) = self.endpoints.remove(&target)
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -1,4 +1,5 @@
-//! Idle connections: which call gets one, how long one is kept, and which are closed first.
+//! Idle connections: which call gets an idle connection, how long idle connections are kept, and
+//! which are closed first.
 
 use super::Pool;
 use super::endpoint::ConnectionState;
@@ -7,20 +8,25 @@
 use crate::{EndpointId, MILLISECOND, Micros, SECOND};
 use std::net::SocketAddr;
 
-/// After a reset on a connection that was idle, those to that endpoint are kept half as long, for this time, and
-/// no shorter than the minimum. A reset after a shorter idle time has another cause.
+/// Time in microseconds for which the idle timeout of an endpoint stays shortened, after a reset on
+/// a connection that had been idle.
 const SHORTENED_FOR: Micros = 60 * SECOND;
+/// Lower bound of a shortened idle timeout, in microseconds. A reset on a connection that had been
+/// idle for a shorter time has another cause than the endpoint's idle timeout.
 const MIN_SHORTENED_TIMEOUT: Micros = 100 * MILLISECOND;
 
-/// Idle connections to an endpoint are kept for a shorter time than is set.
+/// Idle timeout of an endpoint that has closed an idle connection earlier than the timeout set for
+/// all endpoints.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ShortenedIdleTimeout {
+    /// Time in microseconds after which an idle connection is closed.
     timeout: Micros,
+    /// Time in microseconds until which the shortened timeout holds.
     until: Micros,
 }
 
 impl Pool {
-    /// How long idle connections to the endpoint are kept.
+    /// Returns the time in microseconds for which idle connections to the endpoint are kept.
     pub(super) fn idle_timeout(&self, now: Micros, target: EndpointAddress) -> Micros {
         let shortened = self
             .endpoints
@@ -34,8 +40,9 @@
         }
     }
 
-    /// A connection was reset with a call on it after it had been idle for so long: its endpoint closes idle ones
-    /// sooner than is set.
+    /// Halves the time for which idle connections to the endpoint are kept. Called when a
+    /// connection was reset under a call that got it after it had been idle for `idle_for`
+    /// microseconds: the endpoint seems to close idle connections earlier than assumed.
     pub(super) fn shorten_idle_timeout(
         &mut self,
         now: Micros,
@@ -55,7 +62,7 @@
         }
     }
 
-    /// The connection has been idle for as long as is allowed.
+    /// Returns true if the connection is idle and has reached its idle timeout.
     pub(super) fn is_idle_expired(&self, now: Micros, connection: u64) -> bool {
         let Some(known) = self.connections.get(&connection) else {
             return false;
@@ -66,7 +73,8 @@
         }
     }
 
-    /// A connection has just become idle: it goes to a call that waits, is kept, or is closed.
+    /// Decides about a connection that has just become idle: it is leased to a waiting call, kept,
+    /// or closed.
     pub(super) fn assign_idle(
         &mut self,
         now: Micros,
@@ -89,7 +97,7 @@
         } else if self.exceeds_endpoint_limits(target)
             || endpoint.established() > endpoint.wanted_connections(now, &self.limits)
         {
-            // the one that would be leased last
+            // calls lease the newest idle connection first, so the oldest is needed least
             let oldest = endpoint.idle.first().copied().unwrap_or(connection);
             self.close(oldest, CloseReason::Surplus, commands);
         }
@@ -97,7 +105,8 @@
         self.run_dial_queue(now, commands);
     }
 
-    /// The endpoint has more connections, or more idle ones, than the limits for one endpoint allow.
+    /// Returns true if the endpoint has more connections, or more idle connections, than one
+    /// endpoint may have.
     fn exceeds_endpoint_limits(&self, target: EndpointAddress) -> bool {
         self.endpoints.get(&target).is_some_and(|endpoint| {
             endpoint.idle.len() > self.limits.idle_per_endpoint
@@ -105,19 +114,22 @@
         })
     }
 
-    /// The oldest idle connection to an endpoint that exceeds its limits.
+    /// Returns the oldest idle connection to the endpoint if the endpoint has more connections than
+    /// it may have.
     pub(super) fn idle_beyond_limits(&self, target: EndpointAddress) -> Option<u64> {
         let oldest = self.endpoints.get(&target)?.idle.first().copied();
         oldest.filter(|_| self.exceeds_endpoint_limits(target))
     }
 
-    /// True if idle connections are closed at once: endpoints accept too few from all senders, and others wait for
-    /// them.
+    /// Returns true if idle connections are closed at once, because endpoints accept fewer
+    /// connections than all senders want and each idle one keeps another sender waiting. Small
+    /// fleets keep their idle connections.
     pub(super) fn closes_idle_at_once(&self) -> bool {
         self.limits.senders > SMALL_FLEET_SENDERS && self.scarcity.is_scarce()
     }
 
-    /// Closes idle connections that have expired or are not wanted any more, oldest first.
+    /// Closes idle connections that have expired, that other senders need, or that exceed the
+    /// wanted number, oldest first.
     pub(super) fn close_expired(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let idle: Vec<u64> = self
             .idle
@@ -145,7 +157,8 @@
         }
     }
 
-    /// Closes the oldest idle connections as long as there are more than may be, whichever endpoint they go to.
+    /// Closes the oldest idle connections of all endpoints until the limits on idle connections and
+    /// on all connections are met.
     pub(super) fn close_surplus(&mut self, commands: &mut Vec<Command>) {
         while (self.idle.len() > self.limits.idle || self.total() > self.limits.total)
             && let Some(&(_, oldest)) = self.idle.first()
@@ -154,8 +167,9 @@
         }
     }
 
-    /// Closes idle connections to the address that have heard nothing since then: they may be as dead as the one on
-    /// which a call timed out.
+    /// Closes idle connections to the address that have received nothing since `since`, a time in
+    /// microseconds. Called after a call timed out: these connections may be as dead as the one
+    /// that carried the call.
     pub(super) fn close_suspect_idle(
         &mut self,
         address: SocketAddr,
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -1,33 +1,44 @@
-//! Learned caps: how many connections an endpoint seems to accept from this sender, learned from dials and first calls
-//! that it refuses, and tried above from time to time.
+//! Learned caps: the number of connections that an endpoint seems to accept from this sender.
+//!
+//! A cap is learned in two ways. An endpoint may refuse a dial while established connections to it
+//! work. Or the endpoint may accept the connection and reject the first call on it, while calls on
+//! older connections are served. From time to time a trial, a dial above the cap, tests whether the
+//! endpoint accepts more connections by now.
 
 use super::Pool;
 use super::messages::{AnswerKind, EndpointAddress};
 use crate::{Micros, SECOND};
 
-/// First backoff before a learned cap is tried above, and the longest; each sender of a fleet adds to both, so that
-/// all together try about twice a second at most.
+/// Backoff in microseconds before the first trial above a learned cap, in a small fleet.
 const FIRST_TRIAL_BACKOFF: Micros = 2 * SECOND;
+/// Maximum backoff in microseconds between trials above a learned cap, unless the first backoff is
+/// longer because the fleet is large.
 const MAX_TRIAL_BACKOFF: Micros = 60 * SECOND;
+/// Backoff in microseconds for each sender of the fleet; the first backoff is at least this value
+/// times the number of senders. So all senders together make about two trials a second at most.
 const TRIAL_BACKOFF_PER_SENDER: Micros = SECOND / 2;
-/// Concurrent dials above a learned cap, when the ones before came up. Large fleets add one at a time.
+/// Maximum number of concurrent trials above a learned cap, reached by doubling while trials
+/// succeed. Large fleets make one trial at a time.
 const MAX_CONCURRENT_TRIALS: usize = 8;
-/// Fleets of at most so many senders may take larger steps, and keep idle connections also where these are scarce.
+/// Maximum number of senders of a small fleet. Its senders may make several trials at once, and
+/// keep idle connections even when connections are scarce.
 pub(super) const SMALL_FLEET_SENDERS: u32 = 4;
-/// So often must a first call be rejected while a later one on an older connection is served.
+/// Number of times that a first call must be rejected while a later call on an older connection is
+/// served, before a cap is learned. Fewer rejections may be a coincidence.
 const REQUIRED_CONFIRMATIONS: u32 = 4;
 
 /// The number of connections that an endpoint seems to accept from this sender.
 #[derive(Debug)]
 pub(super) struct LearnedCap {
+    /// Number of connections, including those being dialled, that the endpoint seems to accept.
     pub(super) connections: usize,
-    /// When it may be tried above.
+    /// Time in microseconds from which on a trial above the cap is allowed.
     next_trial_at: Micros,
-    /// The last time without a trial.
+    /// Backoff in microseconds that was last used; it doubles with each trial that fails.
     backoff: Micros,
-    /// Trials that may be in flight.
+    /// Number of trials, dials above the cap, that may be in flight at the same time.
     allowed_trials: usize,
-    /// Trials in flight.
+    /// Number of trials, dials above the cap, that are in flight.
     pub(super) trials: usize,
 }
 
@@ -36,12 +47,14 @@
         now >= self.next_trial_at && self.trials < self.allowed_trials
     }
 
-    /// A dial above the cap has ended.
+    /// Records that a trial, a dial above the cap, has ended.
     pub(super) fn end_trial(&mut self) {
         self.trials = self.trials.saturating_sub(1);
     }
 
-    /// A connection above the cap works: how long until the next trial.
+    /// Raises the cap by one after a trial that succeeded. Once no trial is in flight, twice as
+    /// many are allowed at once. Returns the time in microseconds until the next trial, before
+    /// jitter.
     fn raise(&mut self, first_backoff: Micros, max_trials: usize) -> Micros {
         self.connections += 1;
         self.backoff = first_backoff;
@@ -51,7 +64,8 @@
         first_backoff / 2
     }
 
-    /// A connection above the cap does not work: how long until the next trial.
+    /// Doubles the backoff after a trial that failed, and allows one trial at a time. Returns the
+    /// time in microseconds until the next trial, before jitter.
     fn back_off(&mut self, first_backoff: Micros) -> Micros {
         self.allowed_trials = 1;
         self.backoff = (self.backoff * 2).min(first_backoff.max(MAX_TRIAL_BACKOFF));
@@ -59,32 +73,47 @@
     }
 }
 
-/// A dial was refused beside open connections; whether these work is not known yet.
+/// A dial that was refused while connections to the endpoint were open. If these connections work,
+/// the endpoint has a cap; if they break too, there is an outage. This record is kept until either
+/// is known.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RefusedDial {
-    /// How many were open, less those that have broken since.
+    /// Number of connections established when the dial was refused, without those that have broken
+    /// since.
     pub(super) established: usize,
+    /// Time in microseconds at which the dial was refused.
     pub(super) at: Micros,
 }
 
-/// A first call that was rejected.
+/// A rejected call that was the first on its connection.
 #[derive(Debug, Clone, Copy)]
 struct RejectedCall {
+    /// Time in microseconds at which the call got its connection.
     began_at: Micros,
-    /// Proven connections that were leased then.
+    /// Number of connections to the endpoint that were leased at that time and had served a call
+    /// before.
     leased_proven: usize,
 }
 
-/// First calls that were rejected, until older connections tell whether that was for being new.
+/// Rejections of first calls on new connections. Such a rejection shows a cap on connections only
+/// if calls on older connections are served at the same load; otherwise the endpoint rejects calls
+/// on any connection.
 #[derive(Debug, Default)]
 pub(super) struct RejectedFirstCalls {
+    /// The last rejected first call, until a later call on an older connection is served.
     unconfirmed: Option<RejectedCall>,
+    /// Number of rejected first calls that were followed by a served call on an older connection.
     confirmations: u32,
 }
 
 impl RejectedFirstCalls {
-    /// Takes in the answer to a call. An endpoint that rejects whatever comes does so on older connections too, as soon
-    /// as as many of them are busy.
+    /// Records the answer to a call.
+    ///
+    /// A rejected first call is confirmed by a call that began later on an older connection and was
+    /// served while at least as many connections that had served a call before were leased. An
+    /// endpoint that limits calls instead of connections would have rejected that call too. A
+    /// rejection on an older connection, or a served first call, contradicts a cap and resets the
+    /// record.
     fn record(&mut self, call: &AnsweredCall) {
         match (call.answer, call.is_first) {
             (AnswerKind::Rejected, true) => {
@@ -107,26 +136,30 @@
         }
     }
 
-    /// Connections were rejected for being new, often enough to be no chance.
+    /// Returns true if first calls were rejected often enough, while older connections were served,
+    /// to rule out a coincidence.
     fn shows_a_cap(&self) -> bool {
         self.confirmations >= REQUIRED_CONFIRMATIONS
     }
 }
 
-/// A call that was answered, and the connection that carried it.
+/// An answered call and the connection that carried it, as needed to learn a cap.
 #[derive(Debug)]
 pub(super) struct AnsweredCall {
     pub(super) answer: AnswerKind,
+    /// Time in microseconds at which the call got its connection.
     pub(super) began_at: Micros,
-    /// Proven connections that were leased when it began.
+    /// Number of connections to the endpoint that were leased when the call began and had served a
+    /// call before.
     pub(super) leased_proven: usize,
-    /// The connection had carried none before.
+    /// The call was the first one on its connection.
     pub(super) is_first: bool,
-    /// When the connection came up.
+    /// Time in microseconds at which the connection was established.
     pub(super) connected_at: Micros,
 }
 
 impl Pool {
+    /// Returns the backoff in microseconds before the first trial above a learned cap.
     fn first_trial_backoff(&self) -> Micros {
         FIRST_TRIAL_BACKOFF.max(TRIAL_BACKOFF_PER_SENDER * Micros::from(self.limits.senders))
     }
@@ -139,7 +172,9 @@
         }
     }
 
-    /// A dial above the learned cap brought a connection that works, or none.
+    /// Ends a trial above the learned cap. `works` says whether the first call on the new
+    /// connection was answered without a rejection. The cap is dropped once it reaches the
+    /// configured limit.
     pub(super) fn finish_trial(&mut self, now: Micros, target: EndpointAddress, works: bool) {
         let first_backoff = self.first_trial_backoff();
         let jitter = self.with_jitter(SECOND) as f64 / SECOND as f64;
@@ -161,7 +196,8 @@
         endpoint.cap.take_if(|cap| cap.connections >= per_endpoint);
     }
 
-    /// What an answer tells of the endpoint's cap.
+    /// Learns the endpoint's cap from an answer, if a dial was refused before or enough first calls
+    /// were rejected.
     pub(super) fn learn_from_answer(
         &mut self,
         now: Micros,
@@ -171,7 +207,8 @@
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
             return;
         };
-        // the connections beside which a dial was refused do work
+        // a connection that was established when the dial was refused works: it is a cap, not an
+        // outage
         let refused = endpoint
             .refused_dial
             .take_if(|refused| call.connected_at <= refused.at);
@@ -191,7 +228,8 @@
         }
     }
 
-    /// A connection beside which a dial was refused has broken too: with the last one it is an outage.
+    /// Updates the record of a refused dial after a connection broke. If no connection is left, the
+    /// endpoint has an outage and not a cap, and the record is dropped.
     pub(super) fn update_refused_dial(&mut self, target: EndpointAddress) {
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
             return;
@@ -206,6 +244,7 @@
             });
     }
 
+    /// Sets the learned cap to `connections`, at least 1, and schedules the first trial above it.
     fn learn_cap(&mut self, now: Micros, target: EndpointAddress, connections: usize) {
         let backoff = self.first_trial_backoff();
         let next_trial_at = now + self.with_jitter(backoff);
--- a/src/pool/leases.rs
+++ b/src/pool/leases.rs
@@ -1,4 +1,5 @@
-//! Leases: a call acquires a connection, waits for one if need be, and releases or discards it at its end.
+//! Leases: a call acquires a connection, waiting if none is idle, and releases or discards the
+//! connection when the call ends.
 
 use super::Pool;
 use super::endpoint::{Connection, ConnectionState, Waiter};
@@ -9,7 +10,8 @@
 use crate::Micros;
 
 impl Pool {
-    /// A call asks for a connection; `waiter` is its number, never used again.
+    /// Acquires a connection for a call. `waiter` is the call's number, which is never reused. The
+    /// call waits until a [`Command::Lease`] or [`Command::Deny`] with this number.
     pub fn acquire(
         &mut self,
         now: Micros,
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Leases the newest idle connection, so that those beyond need expire; whether there was one.
+    /// Leases the newest idle connection and returns true, or returns false if there is none. Using
+    /// the newest one lets connections that are not needed reach their idle timeout.
     fn lease_newest_idle(
         &mut self,
         now: Micros,
@@ -64,7 +67,7 @@
         self.endpoints.get(&target)?.idle.last().copied()
     }
 
-    /// Gives an idle connection to the call that has waited the longest.
+    /// Leases an idle connection to the call that has waited the longest.
     pub(super) fn lease(
         &mut self,
         now: Micros,
@@ -104,7 +107,8 @@
         });
     }
 
-    /// The call no longer waits. Its dial goes on, for the next one.
+    /// Removes a call that no longer waits. The dial that was begun for it goes on, for the next
+    /// call.
     pub fn cancel_wait(&mut self, waiter: u64) {
         let Some(target) = self.waiters.remove(&waiter) else {
             return;
@@ -115,8 +119,9 @@
         self.forget_if_done(target);
     }
 
-    /// An answer came on a leased connection; true if it was rejected because there was no room for the connection, so
-    /// that it says nothing of how many calls the endpoint accepts.
+    /// Records the answer to a call on a leased connection. Returns true if the call was rejected
+    /// because the endpoint has no room for the connection; such a rejection says nothing about
+    /// how many calls the endpoint accepts.
     pub fn record_answer(&mut self, now: Micros, connection: u64, answer: AnswerKind) -> bool {
         let Some(known) = self.connections.get_mut(&connection) else {
             return false;
@@ -154,7 +159,7 @@
         is_rejected && call.is_first && self.closes_idle_at_once()
     }
 
-    /// The call is over and its connection can carry another.
+    /// Ends the lease of a connection that can carry another call.
     pub fn release(&mut self, now: Micros, connection: u64, commands: &mut Vec<Command>) {
         let Some(known) = self.connections.get_mut(&connection) else {
             return;
@@ -178,7 +183,8 @@
         self.assign_idle(now, target, connection, commands);
     }
 
-    /// The call is over, and its connection with it.
+    /// Ends the lease of a connection that is closed because of `reason` and can carry no further
+    /// call.
     pub fn discard(
         &mut self,
         now: Micros,
@@ -229,7 +235,8 @@
         }
     }
 
-    /// The peer closed a connection. For one that carries a call, the end of the call tells.
+    /// Records that the peer closed an idle connection. For a leased connection nothing happens
+    /// here: the end of its call is reported with [`Pool::discard`].
     pub fn peer_closed(&mut self, connection: u64, commands: &mut Vec<Command>) {
         if let Some(&Connection {
             state: ConnectionState::Idle { .. },
@@ -242,7 +249,7 @@
         }
     }
 
-    /// The call that has waited the longest ends with a dial that failed.
+    /// Denies the call that has waited the longest, because its dial failed.
     pub(super) fn deny_oldest(
         &mut self,
         target: EndpointAddress,
@@ -262,7 +269,8 @@
         });
     }
 
-    /// At a retired endpoint, only calls whose dial is in flight may wait.
+    /// At a retired endpoint, denies waiting calls for which no dial is in flight: no further dial
+    /// will be made.
     pub(super) fn deny_beyond_dials(
         &mut self,
         target: EndpointAddress,
@@ -277,7 +285,8 @@
         }
     }
 
-    /// Lets no more than so many calls wait at an endpoint, those that have waited the longest.
+    /// Denies the calls that have waited the shortest at an endpoint, until at most `max_waiting`
+    /// calls wait.
     pub(super) fn deny_newest_beyond(
         &mut self,
         target: EndpointAddress,
--- a/src/pool/messages.rs
+++ b/src/pool/messages.rs
@@ -1,123 +1,133 @@
-//! What the pool is told and what it asks for: endpoints, answers, commands, and the reasons in them.
+//! Types of the pool's inputs and outputs: endpoint addresses, answers, commands, and reasons for
+//! closing, denying or failing.
 
 use crate::{EndpointId, Micros};
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Where connections go: an endpoint at an address. Neither alone makes two connections interchangeable.
+/// Target of connections: an endpoint at an address. Two connections are interchangeable only if
+/// both the endpoint and the address are the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointAddress {
-    /// The address, first, so that all endpoints of one address are neighbours in order.
+    /// Address to dial. It is the first field so that all endpoints of one address are adjacent in
+    /// sorted order.
     pub address: SocketAddr,
-    /// The endpoint.
+    /// Number of the endpoint at that address.
     pub endpoint: EndpointId,
 }
 
-/// Why a connection was closed. The names in JSON are those that operators have always seen.
+/// Why a connection was closed. The names in JSON are part of the operators' interface and must not
+/// change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloseReason {
-    /// It was idle for as long as is allowed.
+    /// The connection reached its idle timeout.
     #[serde(rename = "age")]
     IdleTimeout,
-    /// The peer closed it.
+    /// The peer closed the connection.
     #[serde(rename = "peer")]
     ClosedByPeer,
-    /// There was no room among the idle ones, or fewer are wanted.
+    /// The connection was idle and exceeded a limit of the pool or the number of connections that
+    /// the load needs.
     Surplus,
-    /// New connections are rejected for want of room: other senders wait for this one.
+    /// The connection was idle while endpoints reject new connections for lack of room, so that
+    /// other senders wait for connections.
     #[serde(rename = "scarce")]
     Scarcity,
-    /// Its place in the total was needed for another endpoint.
+    /// The connection was idle while the limit on all connections was reached and another
+    /// connection had to be dialled.
     Evicted,
-    /// A call on another connection to the address timed out, and this one had heard nothing since.
+    /// A call on another connection to the same address timed out, and this idle connection had
+    /// received nothing since that call began.
     Suspect,
-    /// Its endpoint drains, is gone, disabled or moved.
+    /// The connection's endpoint drains, was removed or disabled, or has another address now.
     Retired,
-    /// The decisions closed the endpoint's idle connections.
+    /// The decision module closed the endpoint's idle connections.
     #[serde(rename = "given_back")]
     Disconnected,
-    /// Its call was cancelled.
+    /// The call on the connection was cancelled.
     #[serde(rename = "called_off")]
     Cancelled,
-    /// Its call got no answer in time.
+    /// The call on the connection got no answer in time.
     TimedOut,
-    /// It broke with a call on it.
+    /// The connection broke while it carried a call.
     Reset,
-    /// Its answer could not be read to the end.
+    /// The answer on the connection could not be read to the end.
     Unreadable,
-    /// The process shuts down, or has handed over.
+    /// The process shuts down, or has handed over to its successor.
     #[serde(rename = "leaving")]
     ShuttingDown,
 }
 
-/// Why a dial brought no connection.
+/// Why a dial failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DialFailure {
-    /// The peer refused it.
+    /// The peer refused the connection.
     Refused,
-    /// Nothing came in time.
+    /// The connection did not come up in time.
     TimedOut,
-    /// This machine could not make it: that says nothing of the endpoint.
+    /// The local host could not open a connection, for example for lack of sockets. This says
+    /// nothing about the endpoint.
     Local,
-    /// Anything else on the way.
+    /// Any other failure, for example an unreachable network.
     Other,
 }
 
-/// Why a call that waits gets no connection.
+/// Why a waiting call gets no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseDenied {
-    /// A dial failed.
+    /// The dial for the call failed.
     Dial(DialFailure),
-    /// Its endpoint drains, is gone, disabled or moved.
+    /// The call's endpoint drains, was removed or disabled, or has another address now.
     Retired,
-    /// Its destination has sent a Retry-After.
+    /// The call's destination has sent a Retry-After.
     RetryAfter,
-    /// The process shuts down, or has handed over.
+    /// The process shuts down, or has handed over to its successor.
     ShuttingDown,
 }
 
-/// What an answer tells of its endpoint.
+/// Whether an answer shows that its endpoint accepts calls on the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// The call was served.
+    /// The endpoint served the call.
     Served,
-    /// It was rejected (503), for whatever reason.
+    /// The endpoint rejected the call with status 503, for whatever reason.
     Rejected,
-    /// Any other answer.
+    /// Any other answer, from which nothing is learned.
     Other,
 }
 
-/// What the layer round the rules is to do.
+/// A request from the pool's rules to the host, which owns the sockets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Dial this connection.
+    /// Dial a new connection.
     Dial {
-        /// Its number, never used again.
+        /// Number of the new connection, which is never reused.
         connection: u64,
-        /// Where to.
+        /// Endpoint and address to dial.
         target: EndpointAddress,
     },
-    /// Give the connection to the call.
+    /// Give a connection to a waiting call.
     Lease {
-        /// The call that asked.
+        /// Number of the waiting call.
         waiter: u64,
-        /// What it gets.
+        /// Number of the connection that the call gets.
         connection: u64,
-        /// How long the connection had been idle; none if it is new.
+        /// Time in microseconds for which the connection had been idle; `None` if it carries its
+        /// first call.
         idle_for: Option<Micros>,
     },
-    /// The call gets none.
+    /// Tell a waiting call that it gets no connection.
     Deny {
-        /// The call that asked.
+        /// Number of the waiting call.
         waiter: u64,
-        /// Why.
+        /// Why the call gets no connection.
         reason: LeaseDenied,
     },
-    /// Close the connection, which carries nothing.
+    /// Close a connection that carries no call.
     Close {
-        /// Its number.
+        /// Number of the connection to close.
         connection: u64,
     },
 }
--- a/src/pool/mod.rs
+++ b/src/pool/mod.rs
@@ -1,13 +1,16 @@
-//! The rules of the connection pool: which connections to endpoints are dialled, kept, given to calls and closed.
+//! The rules of the connection pool: which connections to endpoints are dialled, kept, leased to
+//! calls and closed.
 //!
-//! The rules open no sockets and read no clock. They are told what happens, with the time, and answer with
-//! [`Command`]s; the layer round them carries these out. Which endpoint gets a call is decided elsewhere; nothing here
-//! sends, repeats or moves a call.
+//! The rules open no sockets and read no clock. The host reports what happens, together with the
+//! time, and carries out the [`Command`]s that the rules return. Which endpoint gets a call is
+//! decided by [`crate::decisions`]; the pool sends no call, repeats none and moves none to another
+//! endpoint.
 //!
-//! One file a concern: `leases` gives connections to calls and takes them back, `dials` and `prewarm` open new ones,
-//! `sizing` tells how many an endpoint needs, `idle` keeps and closes those without a call, `learned_caps` learns how
-//! many an endpoint accepts, `scarcity` tells when all endpoints together accept too few, `endpoints` enables and
-//! retires endpoints, `accounting` counts.
+//! Each file covers one concern: `leases` gives connections to calls and takes them back, `dials`
+//! and `prewarm` open new connections, `sizing` determines how many connections an endpoint needs,
+//! `idle` keeps and closes connections without a call, `learned_caps` learns how many connections
+//! an endpoint accepts, `scarcity` detects when all endpoints together accept too few, `endpoints`
+//! enables and retires endpoints, and `accounting` maintains the counters.
 
 mod accounting;
 mod dials;
@@ -33,33 +36,37 @@
 use scarcity::Scarcity;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The rules and the state of the connection pool.
+/// State of the connection pool, and the rules that act on it.
 #[derive(Debug)]
 pub struct Pool {
     limits: PoolLimits,
     random: Pcg32,
     endpoints: BTreeMap<EndpointAddress, Endpoint>,
-    /// Connections by their number, from dial to close.
+    /// Connections by their number, from the start of the dial until they are closed.
     connections: BTreeMap<u64, Connection>,
-    /// Calls that wait for a connection, by their number.
+    /// Endpoint of each call that waits for a connection, by the number of the call.
     waiters: BTreeMap<u64, EndpointAddress>,
-    /// Endpoints with calls that wait without a dial, in turn.
+    /// Endpoints with more waiting calls than dials in flight, in the order in which they get a
+    /// dial.
     dial_queue: VecDeque<EndpointAddress>,
-    /// Idle connections by the time since which they are.
+    /// Idle connections, as the time in microseconds since which each is idle and its number.
     idle: BTreeSet<(Micros, u64)>,
-    /// Dials in flight.
+    /// Number of dials in flight.
     dialling: usize,
+    /// Number of the next connection to be dialled.
     next_connection: u64,
-    /// Connections that the predecessor of a handover holds on this process's account.
+    /// Number of connections that the predecessor of a handover still holds; they count towards the
+    /// total.
     predecessor_connections: usize,
     is_shutting_down: bool,
     scarcity: Scarcity,
-    /// Counters of endpoints that are forgotten.
+    /// Sum of the counters of endpoints that have been removed from `endpoints`.
     forgotten_counters: PoolCounters,
 }
 
 impl Pool {
-    /// An empty pool. The seed spreads retries and dials ahead of need over time.
+    /// Creates an empty pool. `seed` determines the jitter of trials above a learned cap and of
+    /// prewarming, so that senders with different seeds don't dial at the same time.
     pub fn new(limits: PoolLimits, seed: u64) -> Self {
         Pool {
             limits,
@@ -78,12 +85,13 @@
         }
     }
 
-    /// The limits in force.
+    /// Returns the limits in force.
     pub fn limits(&self) -> &PoolLimits {
         &self.limits
     }
 
-    /// Puts other limits in force; idle connections beyond them are closed at once.
+    /// Replaces the limits. Idle connections beyond the new limits are closed at once; leased
+    /// connections are kept until their calls end.
     pub fn set_limits(&mut self, now: Micros, limits: PoolLimits, commands: &mut Vec<Command>) {
         self.limits = limits;
         for target in self.targets() {
@@ -95,7 +103,8 @@
         self.tick(now, commands);
     }
 
-    /// The predecessor of a handover holds so many connections; they count towards the total.
+    /// Sets the number of connections that the predecessor of a handover still holds, which count
+    /// towards the total.
     pub fn set_predecessor_connections(
         &mut self,
         now: Micros,
@@ -106,8 +115,8 @@
         self.run_dial_queue(now, commands);
     }
 
-    /// Closes all idle connections and keeps none from now on. Calls that wait for a connection get none: whether they
-    /// may still be sent is decided elsewhere.
+    /// Closes all idle connections, and keeps no connection idle from now on. Waiting calls are
+    /// denied a connection; the decision module decides whether they may still be sent.
     pub fn shut_down(&mut self, commands: &mut Vec<Command>) {
         self.is_shutting_down = true;
         while let Some(&(_, connection)) = self.idle.first() {
@@ -118,7 +127,8 @@
         }
     }
 
-    /// Does what time alone brings; to be called some times a second.
+    /// Closes idle connections that have expired, starts dials that have become allowed, and
+    /// prewarms. Must be called several times a second.
     pub fn tick(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.close_expired(now, commands);
         self.run_dial_queue(now, commands);
@@ -131,7 +141,7 @@
         self.endpoints.keys().copied().collect()
     }
 
-    /// A span from half to one and a half times as long.
+    /// Returns `span` multiplied by a random factor from 0.5 to 1.5.
     fn with_jitter(&mut self, span: Micros) -> Micros {
         let fraction = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         (span as f64 * (0.5 + fraction)) as Micros
--- a/src/pool/prewarm.rs
+++ b/src/pool/prewarm.rs
@@ -1,4 +1,5 @@
-//! Prewarming: dials ahead of need, where the demand of the recent past exceeds the connections that are open.
+//! Prewarming: dialling connections before a call needs them, at endpoints where the recent peak of
+//! concurrent calls exceeds the number of open connections.
 
 use super::Pool;
 use super::dials::DialKind;
@@ -6,13 +7,16 @@
 use super::messages::{Command, EndpointAddress};
 use crate::{Micros, SECOND};
 
-/// Pause between two dials ahead of need to one endpoint, times the number of senders, so that the fleet makes
-/// about four a second; never shorter than the minimum.
+/// Interval in microseconds for each sender of the fleet: a sender waits this value times the
+/// number of senders between two prewarming dials to one endpoint. So the fleet as a whole makes
+/// about four such dials a second.
 const PREWARM_INTERVAL_PER_SENDER: Micros = SECOND / 4;
+/// Minimum interval in microseconds between two prewarming dials of a sender to one endpoint.
 const MIN_PREWARM_INTERVAL: Micros = SECOND;
 
 impl Pool {
-    /// Dials ahead of need, one an endpoint at a time, at moments of this sender's own.
+    /// Dials at most one connection ahead of need to each endpoint. The interval to the next such
+    /// dial is random, so that the senders of a fleet don't dial at the same time.
     pub(super) fn prewarm(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let max_unused = (self.limits.prewarm_share * self.limits.total as f64) as usize;
         let is_unused = |known: &&Connection| known.calls == 0;
@@ -33,7 +37,8 @@
         }
     }
 
-    /// Whether the endpoint is in use, may need more connections than it has, and can have one now.
+    /// Returns true if the endpoint is in use, recently needed more connections than are open, and
+    /// may be dialled now without exceeding a learned cap.
     fn may_prewarm(&self, now: Micros, target: EndpointAddress) -> bool {
         let Some(endpoint) = self.endpoints.get(&target) else {
             return false;
--- a/src/pool/scarcity.rs
+++ b/src/pool/scarcity.rs
@@ -1,39 +1,49 @@
-//! Scarce connections: whether endpoints reject new connections for want of room, while connections that are kept are
-//! served. Then each idle connection that one sender keeps is one that another waits for.
+//! Detection of scarce connections: endpoints reject calls on new connections because they have no
+//! room for more connections, while calls on established connections are served. In that case each
+//! idle connection that one sender keeps is a connection that another sender cannot get.
 //!
-//! A limit of calls rejects on new and on reused connections alike, so the difference between the two tells.
+//! A limit on calls, in contrast, causes rejections on new and on reused connections alike. So
+//! scarcity is detected by comparing the shares of rejected calls on new and on reused connections.
 
 use super::messages::AnswerKind;
 
-/// Weight of one more call in the shares: some ten calls are remembered.
+/// Weight of the latest call in the moving average of rejections, which therefore covers about the
+/// last ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Share of new connections that are rejected from which on they are scarce, and under which they are no more.
+/// Share of rejected calls on new connections from which on connections count as scarce.
 const SCARCE_SHARE: f64 = 0.5;
+/// Share of rejected calls on new connections at which connections no longer count as scarce.
 const AMPLE_SHARE: f64 = 0.2;
-/// As often must new connections be rejected for each kept one that is.
+/// Minimum ratio of the share of rejected calls on new connections to the share on reused ones. A
+/// smaller difference may come from a limit on calls.
 const REJECTION_RATIO: f64 = 4.0;
-/// Calls on new and on reused connections before anything is made of their shares. One that holds the only connection which
-/// it could get makes few calls on it.
+/// Minimum number of calls on new connections before their share of rejections is used.
 const MIN_NEW_CALLS: u32 = 4;
+/// Minimum number of calls on reused connections before their share of rejections is used. It is
+/// lower than for new connections, because a sender that could get only one connection makes few
+/// calls on it.
 const MIN_REUSED_CALLS: u32 = 2;
 
-/// How often calls of one kind of connection were rejected.
+/// Share of rejected calls, either on new or on reused connections.
 #[derive(Debug, Default)]
 struct RejectedShare {
+    /// Number of calls recorded so far.
     calls: u32,
+    /// Moving average of rejections, from 0 (none) to 1 (all).
     share: f64,
 }
 
 impl RejectedShare {
     fn record(&mut self, is_rejected: bool) {
         self.calls = self.calls.saturating_add(1);
-        // the mean of the first calls, then a moving one
+        // the plain mean of the first ten calls, then a moving average
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.calls));
         self.share += weight * (f64::from(u8::from(is_rejected)) - self.share);
     }
 }
 
-/// What the answers on new and on reused connections tell of the room that endpoints have for connections.
+/// Detects from the answers on new and on reused connections whether endpoints have room for more
+/// connections.
 #[derive(Debug, Default)]
 pub(super) struct Scarcity {
     new: RejectedShare,
@@ -42,7 +52,7 @@
 }
 
 impl Scarcity {
-    /// An answer to the first call of a connection, or to a later one.
+    /// Records an answer. `first_call` says whether the call was the first one on its connection.
     pub(super) fn record(&mut self, answer: AnswerKind, first_call: bool) {
         if answer == AnswerKind::Other {
             return;
@@ -64,7 +74,8 @@
         };
     }
 
-    /// True if an idle connection is better closed than kept.
+    /// Returns true if endpoints lack room for connections, so that idle connections should be
+    /// closed for other senders.
     pub(super) fn is_scarce(&self) -> bool {
         self.scarce
     }
--- a/src/pool/settings.rs
+++ b/src/pool/settings.rs
@@ -1,26 +1,28 @@
-//! What operators set for the pool, and the limits that follow.
+//! The pool's settings, and the limits derived from them.
 
 use crate::Micros;
 
-/// The `pool` object of the configuration, with the names that it has there. Caps that are not set follow from the
-/// number of descriptors.
+/// The `pool` object of the configuration; the fields have the names used there. Limits that are
+/// `None` are derived from the maximum number of file descriptors.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolSettings {
-    /// Connections to one endpoint.
+    /// Maximum number of connections to one endpoint.
     pub per_endpoint: Option<usize>,
-    /// Dials at once.
+    /// Maximum number of dials in flight.
     pub dials: Option<usize>,
-    /// Connections to all endpoints, those being dialled counted.
+    /// Maximum number of connections to all endpoints, including those being dialled.
     pub all: Option<usize>,
-    /// Idle ones of them.
+    /// Maximum number of idle connections to all endpoints.
     pub idle: Option<usize>,
-    /// Idle ones to one endpoint.
+    /// Maximum number of idle connections to one endpoint.
     pub idle_per_endpoint: Option<usize>,
-    /// Seconds in which the wanted number of connections falls by half.
+    /// Time in seconds in which the recent peak of concurrent calls, which determines the wanted
+    /// number of connections, decays by half.
     pub decay_s: f64,
-    /// Caps of endpoints are learned from what they refuse.
+    /// Whether the pool learns how many connections an endpoint accepts, from the dials and first
+    /// calls that the endpoint refuses.
     pub learn_caps: bool,
-    /// The part of all connections that may be dialled ahead of need.
+    /// Share of `all` that may be connections dialled ahead of need, from 0 to 1.
     pub warm_share: f64,
 }
 
@@ -39,29 +41,33 @@
     }
 }
 
-/// What the pool may do.
+/// Limits that the pool observes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolLimits {
-    /// Connections to one endpoint, those being dialled counted.
+    /// Maximum number of connections to one endpoint, including those being dialled.
     pub per_endpoint: usize,
-    /// Dials in flight at once.
+    /// Maximum number of dials in flight.
     pub concurrent_dials: usize,
-    /// Connections to all endpoints, those being dialled counted.
+    /// Maximum number of connections to all endpoints, including those being dialled.
     pub total: usize,
-    /// Idle connections to all endpoints.
+    /// Maximum number of idle connections to all endpoints.
     pub idle: usize,
-    /// Idle connections to one endpoint.
+    /// Maximum number of idle connections to one endpoint.
     pub idle_per_endpoint: usize,
-    /// An idle connection is closed after this time.
+    /// Time in microseconds after which an idle connection is closed.
     pub idle_timeout: Micros,
-    /// The wanted number falls by half in this time where fewer calls are in flight.
+    /// Time in microseconds in which the recent peak of concurrent calls, which determines the
+    /// wanted number of connections, decays by half.
     pub demand_half_life: Micros,
-    /// Caps of endpoints are learned from dials that they refuse.
+    /// Whether the pool learns how many connections an endpoint accepts, from the dials and first
+    /// calls that the endpoint refuses.
     pub learn_caps: bool,
-    /// The part of `total` that may be dialled ahead of need; 0 dials none.
+    /// Share of `total` that may be connections dialled ahead of need, from 0 to 1. At 0, the pool
+    /// does not prewarm.
     pub prewarm_share: f64,
-    /// An endpoint that has come, come back or failed is not dialled ahead of need for this time.
+    /// Time in microseconds for which an endpoint is not prewarmed after it was enabled or after a
+    /// dial or a call to it failed: it may be cold or down.
     pub prewarm_delay: Micros,
-    /// Senders that share the endpoints, this one counted.
+    /// Number of senders that share the endpoints, including this one.
     pub senders: u32,
 }
--- a/src/pool/sizing.rs
+++ b/src/pool/sizing.rs
@@ -1,28 +1,34 @@
-//! Sizing: how many connections an endpoint's load asks for, by the recent peak of concurrent calls.
+//! Sizing: the number of connections that an endpoint needs, derived from the recent peak of
+//! concurrent calls.
 
 use super::endpoint::Endpoint;
 use super::settings::PoolLimits;
 use crate::Micros;
 
-/// The wanted number falls by one once the decaying peak has come so near to the next lower one.
+/// Number of calls by which the decaying peak may exceed a whole number without needing one more
+/// connection. A peak of 3.25 calls still wants 3 connections.
 const PEAK_SLACK: f64 = 0.25;
 
-/// The recent peak of concurrent calls, as it was at a time.
+/// The recent peak of concurrent calls, which decays from `calls` at the time `at`.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DemandPeak {
+    /// Number of concurrent calls, leased and waiting.
     pub(super) calls: f64,
+    /// Time in microseconds at which the peak had the value `calls`.
     pub(super) at: Micros,
 }
 
 impl Endpoint {
-    /// The peak as it has decayed, or the present demand if that is higher.
+    /// Returns the decayed peak of concurrent calls, or the present number of leased connections
+    /// and waiting calls if that is higher. `half_life` is in microseconds.
     fn demand_at(&self, now: Micros, half_life: Micros) -> f64 {
         let halvings = (now - self.demand_peak.at) as f64 / half_life.max(1) as f64;
         let decayed = self.demand_peak.calls * 0.5f64.powf(halvings);
         decayed.max((self.leased + self.waiting.len()) as f64)
     }
 
-    /// Calls have come or gone.
+    /// Updates the peak. Called whenever a call starts to wait or ends; `half_life` is in
+    /// microseconds.
     pub(super) fn update_demand(&mut self, now: Micros, half_life: Micros) {
         self.demand_peak = DemandPeak {
             calls: self.demand_at(now, half_life),
@@ -30,7 +36,8 @@
         };
     }
 
-    /// How many connections the load asks for, at least one; that one is left to its idle timeout.
+    /// Returns the number of connections that the load needs. It is at least 1, so that the last
+    /// connection is closed by its idle timeout only, not as surplus.
     pub(super) fn wanted_connections(&self, now: Micros, limits: &PoolLimits) -> usize {
         let max = self.cap.as_ref().map_or(limits.per_endpoint, |cap| {
             cap.connections.min(limits.per_endpoint)
