--- a/src/bin/message-sender-simulator.rs
+++ b/src/bin/message-sender-simulator.rs
@@ -1,4 +1,5 @@
-//! The decisions on the wire: standard input to standard output, many instances in one process.
+//! Runs the decision module as a text filter: reads events from standard input and writes the
+//! resulting actions to standard output. One process can hold many independent senders.
 
 use std::io;
 use std::process::ExitCode;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,6 @@
-//! The types that the decisions and their host share: ids and time here, settings, rules and quotas, events, outcomes
-//! and actions. They are validated here; nothing is decided.
+//! The types that the decision module and its host exchange: settings, rules and quotas, events,
+//! outcomes and actions. Ids and units of time are in this file. Settings are validated here; no
+//! decision is made here.
 
 mod actions;
 mod attempts;
@@ -27,20 +28,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in integer microseconds.
+/// A point in time or a time span, in integer microseconds. The host chooses the epoch of its
+/// clock.
 pub type Micros = i64;
-/// One second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// One millisecond.
+/// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// A message, numbered by the host; the number is never used again after the message's end.
+/// Number that the host gives a message; it is not reused once the message is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// An endpoint, numbered by the host.
+/// Number that the host gives an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// A destination's number.
+/// Number of a destination, as the endpoint list and the clients use it.
 pub type DestinationId = u64;
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,50 +1,56 @@
-//! What the sender asks its host to do.
+//! Actions: the requests that the sender makes to its host.
 
 use super::{EndpointId, MessageId, Micros, RouteEvent};
 
-/// What the sender asks its host to do.
+/// A request from the sender to its host.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Call an endpoint. Sends to one endpoint in one turn share a call as far as its kind allows.
+    /// Send an attempt of a message to an endpoint. Sends to the same endpoint in one turn share a
+    /// call, up to [`Kind::bundle_max`](super::Kind::bundle_max) messages.
     Send {
-        /// Which message.
+        /// Message to send.
         message: MessageId,
-        /// Which attempt, numbered on from 0; it comes back in the one
-        /// [`Event::AttemptEnded`](super::Event::AttemptEnded) that it gets.
+        /// Number of the attempt, counted from 0 for each message. The host reports the attempt's
+        /// end under this number, in exactly one
+        /// [`Event::AttemptEnded`](super::Event::AttemptEnded).
         attempt: usize,
-        /// Where to.
+        /// Endpoint to call.
         endpoint: EndpointId,
-        /// When the attempt times out.
+        /// Time in microseconds at which the attempt times out.
         expires: Micros,
-        /// It may begin only before this time, however long its connection takes to come up; none: at any time.
+        /// Time in microseconds before which the call must begin, even if its connection takes
+        /// longer to come up; otherwise the call must not be made. `None` sets no limit.
         start_by: Option<Micros>,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// Which message.
+        /// Message whose attempt to cancel.
         message: MessageId,
-        /// Which attempt.
+        /// Number of the attempt to cancel, counted from 0 for each message.
         attempt: usize,
     },
-    /// End a message undelivered; a retry does no harm.
+    /// Return a message undelivered to its client, who may safely hand it in again: no attempt can
+    /// have run.
     Reject {
-        /// Which message.
+        /// Message to return.
         message: MessageId,
-        /// When the client should come back, where clients are told.
+        /// Time in microseconds after which the client should hand in the message again; `None`
+        /// sends the client no Retry-After.
         retry_after: Option<Micros>,
     },
-    /// End a message as failed.
+    /// End this message as failed: an attempt may have run, but none is known to have succeeded.
     Fail(MessageId),
-    /// Let the timer expire at this time.
+    /// Set the sender's timer: hand in [`Event::TimerExpired`](super::Event::TimerExpired) at this
+    /// time, in microseconds.
     SetTimer(Micros),
-    /// Make a health check of an endpoint.
+    /// Make a health check of this endpoint.
     HealthCheck(EndpointId),
-    /// Close the idle connections to an endpoint.
+    /// Close the idle connections to this endpoint.
     Disconnect(EndpointId),
-    /// Subscribe to the endpoint list.
+    /// Subscribe to the endpoint list at discovery.
     Subscribe,
-    /// Write to all other senders.
+    /// Send these bytes to all other senders.
     SendNote(Vec<u8>),
-    /// Write an event to the log.
+    /// Write this change of a destination's health to the log.
     Log(RouteEvent),
 }
--- a/src/interface/attempts.rs
+++ b/src/interface/attempts.rs
@@ -1,51 +1,55 @@
-//! Attempts and their outcomes.
+//! Attempts of a message and their outcomes.
 
 use super::{EndpointId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// An attempt from before a restart, as the host's journal has it.
+/// An attempt made before a restart, as recorded in the host's journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PastAttempt {
-    /// Where it went; an endpoint that the list no longer has counts as one of no known zone.
+    /// Endpoint that the attempt was sent to. If the list no longer has the endpoint, its zone
+    /// counts as unknown.
     pub endpoint: EndpointId,
-    /// When it was sent, on this process's clock.
+    /// Time in microseconds at which the attempt was sent, on this process's clock.
     pub sent: Micros,
-    /// Nothing proves that it never ran.
+    /// The destination may have carried out the attempt: nothing proves that it did not.
     pub may_have_run: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Delivered.
+    /// The destination confirmed the delivery.
     Success,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the message may have run.
     Error,
-    /// Rejected by the destination before it ran, perhaps with a Retry-After.
+    /// The destination rejected the attempt before the message ran, perhaps with a
+    /// Retry-After.
     #[serde(rename = "Refused")]
     Rejected {
-        /// How long to keep away.
+        /// Retry-After in microseconds: the delay that the destination asks for before further
+        /// calls.
         #[serde(rename = "wait")]
         retry_after: Option<Micros>,
     },
-    /// No answer in time; it may have run or still run.
+    /// No answer came in time; the message may have run or may still run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection to the endpoint came up, so the message never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke before the answer; the message may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The sender cancelled the attempt; the message may have run.
     Cancelled,
-    /// Never left the sender.
+    /// The host did not send the attempt, so the message never ran.
     #[serde(rename = "Unsent")]
     NotSent {
-        /// No slot was free.
+        /// True if none of [`Settings::call_slots`](super::Settings::call_slots) was free.
         no_slot: bool,
     },
 }
 
 impl Outcome {
-    /// True if the destination, or the way to it, failed the attempt.
+    /// Returns true if the attempt failed because of the destination or the network path to it. A
+    /// rejection is not a failure.
     pub fn failed(self) -> bool {
         matches!(
             self,
@@ -53,7 +57,7 @@
         )
     }
 
-    /// True if the attempt certainly never ran.
+    /// Returns true if the attempt certainly never ran at the destination, so a repeat is safe.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
--- a/src/interface/classes.rs
+++ b/src/interface/classes.rs
@@ -1,31 +1,35 @@
-//! Classes of message: what a repeat does, the deadline and the priority.
+//! Classes of messages: effect of a repeat, latency objective, deadline and priority weight.
 
 use super::{Effect, Micros};
 use serde::{Deserialize, Serialize};
 
-/// A class of message.
+/// A class of messages, with the terms under which its messages are delivered.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name, unique among the classes.
+    /// Name of the class, unique among the classes of a sender.
     pub name: String,
-    /// What a repeat does.
+    /// What a repeated attempt does at the destination.
     pub effect: Effect,
-    /// A message keeps its full priority weight when delivered within this time.
+    /// Age in microseconds up to which a delivery keeps the full priority weight of its
+    /// message.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// No longer delivered after this time.
+    /// Age in microseconds after which a message is no longer delivered.
     pub deadline: Micros,
-    /// Priority weight of one message.
+    /// Priority weight of one message that is delivered within the latency objective, without a
+    /// unit.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the priority weight that is left at the deadline.
+    /// Minimum share of the priority weight that a late delivery keeps, from 0 to 1. A linear decay
+    /// reaches this share at the deadline.
     pub late_share: f64,
-    /// Messages of one key go one at a time, in order.
+    /// Messages of one key are delivered one at a time, in the order in which they came in.
     pub ordered: bool,
 }
 
 impl Class {
-    /// A class of priority weight 1 that keeps none of it after the latency objective and asks for no order.
+    /// Creates an unordered class of priority weight 1 whose late share is 0. `latency_objective`
+    /// and `deadline` are in microseconds.
     pub fn new(name: &str, effect: Effect, latency_objective: Micros, deadline: Micros) -> Self {
         Class {
             name: name.to_string(),
@@ -38,7 +42,7 @@
         }
     }
 
-    /// Share of the priority weight that a delivery at this age still has.
+    /// Returns the share of the priority weight, from 0 to 1, that a delivery at this `age` keeps.
     pub fn remaining_weight(&self, age: Micros, decay: WeightDecay) -> f64 {
         let late = (age - self.latency_objective) as f64;
         let remaining = match decay {
@@ -52,12 +56,13 @@
     }
 }
 
-/// How the priority weight falls after the latency objective.
+/// How the priority weight of a message falls with its age after the latency objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// The weight falls linearly and reaches the late share at the deadline.
     #[serde(rename = "Even")]
     Linear,
-    /// By half with each further latency objective, not under the late share.
+    /// The weight falls by half for each further span of the latency objective, but not below the
+    /// late share.
     Halving,
 }
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -1,48 +1,50 @@
-//! The endpoint list, as the host passes it on.
+//! The list of endpoints that discovery serves, as the host hands it to the sender.
 
 use super::{DestinationId, EndpointId};
 
-/// How much of the endpoint list an event holds.
+/// Which part of the endpoint list an [`Event::EndpointList`](super::Event::EndpointList) holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Changes,
-    /// The complete list; an endpoint that is not in it has been removed.
+    /// The complete list; a known endpoint without an entry has been removed.
     Full,
-    /// The complete list as last known before a restart, maybe out of date.
+    /// The complete list as it was stored before a restart; it may be out of date.
     Stale,
 }
 
-/// An endpoint's state in the list; it says nothing of health.
+/// State of an endpoint in the endpoint list. It is independent of the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// New calls may go there.
+    /// New calls may go to the endpoint.
     Serving,
-    /// No new call may go there.
+    /// The endpoint shuts down or moves: no new call may go to it.
     Draining,
-    /// No longer listed.
+    /// The endpoint is no longer in the list.
     Removed,
 }
 
-/// One endpoint in the list.
+/// Entry of one endpoint in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// Number of the endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// Destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its zone, as a number into the host's list.
+    /// Zone of the endpoint, as an index into the host's list of zones.
     pub zone: u16,
-    /// Its destination's kind, by position in the settings.
+    /// Kind of the destination, as an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
-    /// Its state.
+    /// Whether new calls may go to the endpoint.
     pub status: EndpointStatus,
-    /// Calls a second that the list gives its destination (or route); used where `weight_trust` is above 0.
+    /// Calls a second that the destination (or the route, where each endpoint is one) accepts
+    /// from all senders, according to the list. Used only where
+    /// [`Settings::weight_trust`](super::Settings::weight_trust) is above 0.
     pub weight: f64,
 }
 
 impl EndpointEntry {
-    /// A serving endpoint of the first kind and zone.
+    /// Creates the entry of a serving endpoint with kind 0, zone 0 and weight 1.
     pub fn new(endpoint: EndpointId, destination: DestinationId) -> Self {
         EndpointEntry {
             endpoint,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,116 +1,132 @@
-//! What the host tells the sender.
+//! Events: what the host reports to the sender.
 
 use super::{
     AgreedRules, DestinationId, EndpointEntry, EndpointId, FleetView, ListScope, MessageId, Micros,
     NewMessage, Outcome, PastAttempt, Quotas, Settings,
 };
 
-/// What the host tells the sender.
+/// Something that has happened, reported by the host to the sender.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Rules on which the senders agree; none: own settings alone hold.
+    /// The rules on which all senders agree have changed. `None`: there are none, and only this
+    /// sender's settings apply.
     AgreedRules(Option<Box<AgreedRules>>),
-    /// What this sender may use of limits that hold for all; none: no such limits.
+    /// This sender's quotas, its allocations of the limits that hold for the whole fleet, have
+    /// changed. `None`: there are no such limits.
     Quotas(Option<Box<Quotas>>),
     /// A quorum of senders reports that a destination is unavailable, or available again.
     FleetHealth {
-        /// Which destination.
+        /// Destination that the reports are about.
         destination: DestinationId,
-        /// It is unavailable.
+        /// True if the destination is unavailable, false once it is available again.
         unavailable: bool,
     },
-    /// What is known of the other senders; none where nothing is.
+    /// The membership counts of the fleet have changed. `None`: nothing is known of the other
+    /// senders.
     FleetView(Option<FleetView>),
-    /// The endpoint list, or changes of it.
+    /// The complete endpoint list, or changes of it, have come in.
     EndpointList {
-        /// How much of the list the entries are.
+        /// Whether the entries are the complete list or only those that have changed.
         scope: ListScope,
-        /// The entries.
+        /// Entries of the list, one for each endpoint.
         entries: Vec<EndpointEntry>,
     },
-    /// Polling the list failed, or the subscription broke.
+    /// A poll of the endpoint list failed, or the subscription broke. The sender subscribes again
+    /// after a backoff.
     EndpointListFailed,
-    /// The list may be older than what counts as notified: nothing is sent by it, until it is known to be good again.
+    /// `true`: the endpoint list may miss a change that counts as received by all senders, so
+    /// nothing is sent. `false`: the list is known to be up to date again.
     EndpointListStale(bool),
-    /// This machine can't write down what is sent, or can resubmitted: nothing is sent meanwhile. It says nothing of any
-    /// endpoint.
+    /// `true`: the local host cannot record attempts in the journal, so nothing is sent. `false`:
+    /// it can again. The event says nothing about the health of any endpoint.
     HostFailing(bool),
-    /// A message came in.
+    /// The host has accepted this new message from a client.
     Accepted(NewMessage),
-    /// A message accepted before a restart is back, with all attempts that it had. Its time may be up.
+    /// A message accepted before a restart has been read back from the journal, with all its
+    /// attempts. Its deadline may have passed.
     MessageRestored {
-        /// The message; a time left below zero says how long its time has been up.
+        /// The message. A negative [`NewMessage::time_left`] is the time since its deadline, in
+        /// microseconds.
         message: NewMessage,
-        /// Its attempts, in the order of their sending; later ones are numbered on from them.
+        /// Attempts before the restart, in the order of sending. Their position is their number;
+        /// new attempts continue the numbering.
         attempts: Vec<PastAttempt>,
     },
-    /// The process before this one has ended, maybe just now: calls that it had given up may still run.
+    /// The predecessor of this process has ended, perhaps only just now. Calls that it abandoned
+    /// may still run at their destinations.
     Restarted,
-    /// A message that ended before a restart and whose outcome notification has not been delivered.
+    /// This message ended before a restart, but its outcome notification has not been delivered
+    /// yet.
     NotificationPending(NewMessage),
-    /// The notification of an end that the sender decided has been delivered: the message is complete.
+    /// The outcome notification of this message, whose end the sender decided, has been delivered:
+    /// the message is complete.
     NotificationDelivered(MessageId),
-    /// New settings. Classes, kinds, zones and tenants keep their positions, and a class that open messages may
-    /// have keeps its terms: changed ones have a new position.
+    /// The settings have changed. Classes, kinds, zones and tenants keep their positions. A class
+    /// with changed terms gets a new position, because pending messages keep the terms under which
+    /// they were accepted.
     SettingsChanged(Box<Settings>),
-    /// Operators disable an endpoint: nothing new goes there, whatever lists say, until it is enabled.
+    /// Operators have disabled this endpoint: no new call goes to it until it is enabled again,
+    /// whatever its status in the endpoint list.
     Disabled(EndpointId),
-    /// Operators enable an endpoint, which they may have restarted meanwhile.
+    /// Operators have enabled this endpoint again; they may have restarted it in the meantime.
     Enabled(EndpointId),
-    /// The process has been asked to stop: calls in flight at its end are cut off.
+    /// The process has been asked to stop. Calls that are still in flight when it ends are cut
+    /// off.
     ShuttingDown {
-        /// When it ends.
+        /// Time in microseconds at which the process ends.
         at: Micros,
     },
-    /// A destination asked for a wait in an answer that rejected no message.
+    /// A destination sent a Retry-After in an answer that rejected no message.
     RetryAfter {
         /// The endpoint that answered.
         endpoint: EndpointId,
-        /// How long to keep away.
+        /// Retry-After in microseconds: how long to send no further calls.
         wait: Micros,
     },
-    /// An attempt ended.
+    /// An attempt has its outcome.
     AttemptEnded {
-        /// Which message.
+        /// Message that the attempt belongs to.
         message: MessageId,
-        /// Which attempt, from 0.
+        /// Number of the attempt, counted from 0 for each message.
         attempt: usize,
-        /// Where it went.
+        /// Endpoint that the attempt was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time in microseconds from the send to the outcome.
         latency: Micros,
-        /// The message is complete: nothing more is owed for it.
+        /// True if this outcome completes the message: it needs no further attempt and no outcome
+        /// notification.
         complete: bool,
-        /// Load report, if any.
+        /// Values of the load report in the answer; empty if there was none.
         report: Vec<f64>,
     },
-    /// The answer has started; the client owns this attempt now.
+    /// The answer to an attempt has started and is passed to the client, who decides about this
+    /// attempt from now on.
     ResponseStarted {
-        /// Which message.
+        /// Message that is answered.
         message: MessageId,
-        /// Which attempt.
+        /// Number of the answered attempt, counted from 0 for each message.
         attempt: usize,
     },
-    /// Nobody wants this message any more.
+    /// The client no longer waits for this message: no further attempt is needed.
     MessageAbandoned(MessageId),
-    /// A health check was answered or failed.
+    /// A health check has its outcome.
     HealthCheckEnded {
-        /// Which endpoint.
+        /// Endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// Load report, if any.
+        /// Values of the load report in the answer; empty if there was none.
         report: Vec<f64>,
     },
-    /// Another sender wrote.
+    /// Another sender has sent a note.
     PeerNote {
-        /// Its number.
+        /// Number of the sender that wrote the note.
         from: u32,
-        /// What it wrote.
+        /// Content of the note.
         bytes: Vec<u8>,
     },
-    /// The timer expired.
+    /// The timer set by [`Action::SetTimer`](super::Action::SetTimer) has expired.
     TimerExpired,
 }
--- a/src/interface/fleet.rs
+++ b/src/interface/fleet.rs
@@ -1,22 +1,24 @@
-//! What is known of the other senders.
+//! Membership counts of the fleet, as this sender sees them.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of the other senders of the group.
+/// Membership counts of the fleet, as this sender's membership protocol sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct FleetView {
-    /// Senders that are alive, this one and the suspects among them counted.
+    /// Number of senders that count as alive, including this one and all suspects.
     #[serde(rename = "living")]
     pub present: u32,
-    /// Those that some have had no answer from.
+    /// Number of present senders under suspicion because a probe of them went unanswered.
     pub suspects: u32,
-    /// Senders known to have died or left.
+    /// Number of senders known to have failed or left.
     #[serde(rename = "gone")]
     pub departed: u32,
-    /// Senders known to see just the same ones present, this one counted.
+    /// Number of senders, including this one, known to see exactly the same set of senders
+    /// present.
     #[serde(rename = "holders")]
     pub agreeing: u32,
-    /// This sender has reason to doubt what it sees: it may be cut off from the others.
+    /// This sender may be cut off from the rest of the fleet by a network partition, so its
+    /// counts may be wrong.
     #[serde(rename = "doubt")]
     pub isolated: bool,
 }
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -1,32 +1,36 @@
-//! A message as the host hands it to the sender.
+//! The properties of a message that the host passes to the sender.
 
 use super::{DestinationId, MessageId, Micros};
 
-/// A message that the sender is to deliver.
+/// A message that the sender has to deliver. The body stays with the host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
-    /// Its id.
+    /// Number of the message.
     pub id: MessageId,
-    /// Its class, by position; an unknown class is treated as not idempotent.
+    /// Class of the message, as an index into [`Settings::classes`](super::Settings::classes).
+    /// An unknown class is treated as not idempotent.
     pub class: usize,
-    /// Where it goes.
+    /// Destination that the message must be delivered to.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// Time in microseconds from now until the message's deadline.
     pub time_left: Micros,
-    /// Its key, where the class keeps order.
+    /// Key of the message, where its class is ordered: messages of one key are delivered one at a
+    /// time, in order.
     pub key: Option<u64>,
-    /// Its tenant, by position.
+    /// Tenant of the message, as an index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: Option<usize>,
-    /// The client has handed it in before.
+    /// The client has handed in this message before.
     pub resubmitted: bool,
-    /// It comes from a sender that died.
+    /// The client resubmits the message because the sender that had accepted the message
+    /// failed.
     pub orphan: bool,
-    /// The attempts that it was promised when it was accepted; those of the settings where not given.
+    /// Maximum number of attempts that held when the message was accepted. `None` means
+    /// [`Settings::max_attempts`](super::Settings::max_attempts).
     pub max_attempts: Option<usize>,
 }
 
 impl NewMessage {
-    /// A message without key or tenant, handed in for the first time.
+    /// Creates a message without key and tenant that is handed in for the first time.
     pub fn new(id: MessageId, class: usize, destination: DestinationId, time_left: Micros) -> Self {
         NewMessage {
             id,
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -1,16 +1,18 @@
-//! Quotas: this sender's share of limits that hold for all senders together, and its demand for them.
+//! Quotas: this sender's allocations of limits that hold for the whole fleet, and the demand that
+//! the sender reports to obtain them.
 
 use super::{DestinationId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The part of a limit that is allocated to this sender for a time.
+/// Amount of a fleet-wide limit that is allocated to this sender until a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Option<u64>, Micros)", into = "(Option<u64>, Micros)")]
 pub struct QuotaAllocation {
-    /// How much, in the unit of the share; none: there is no limit for so long.
+    /// Allocated amount, in the unit of the [`QuotaShare`] that holds the allocation. `None`: there
+    /// is no limit until the allocation expires.
     pub amount: Option<u64>,
-    /// When it expires.
+    /// Time in microseconds at which the allocation expires.
     pub until: Micros,
 }
 
@@ -26,24 +28,27 @@
     }
 }
 
-/// What this sender may use of a limit that holds for all senders together.
+/// What this sender may use of one fleet-wide limit. Its unit is thousandths of a call a second for
+/// a rate, and calls in flight for a concurrency limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaShare {
-    /// Without an allocation: in thousandths of a call a second, or in concurrent calls.
+    /// Fallback quota, which this sender may use even without an allocation: in thousandths of a
+    /// call a second, or in concurrent calls.
     #[serde(rename = "floor")]
     pub fallback: u64,
-    /// Added to the fallback while it lasts.
+    /// Allocation, which is added to the fallback quota until it expires.
     #[serde(rename = "part")]
     pub allocation: Option<QuotaAllocation>,
 }
 
 impl QuotaShare {
-    /// The allocation, if it has not expired.
+    /// Returns the allocation if it has not expired at `now`.
     pub fn allocation_at(&self, now: Micros) -> Option<QuotaAllocation> {
         self.allocation.filter(|allocation| now < allocation.until)
     }
 
-    /// What may be used at a time; none: there is no limit.
+    /// Returns the amount that this sender may use at `now`, in the unit of the share. `None`:
+    /// there is no limit.
     pub fn at(&self, now: Micros) -> Option<u64> {
         match self.allocation_at(now) {
             Some(allocation) => allocation
@@ -54,13 +59,13 @@
     }
 }
 
-/// A limit of concurrent calls.
+/// This sender's quota of a fleet-wide limit on concurrent calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(QuotaShare, Micros)", into = "(QuotaShare, Micros)")]
 pub struct ConcurrencyQuota {
-    /// How many calls.
+    /// Number of calls that this sender may have in flight.
     pub share: QuotaShare,
-    /// How long one call may last at most.
+    /// Maximum duration of one call, in microseconds.
     pub max_duration: Micros,
 }
 
@@ -79,21 +84,24 @@
     }
 }
 
-/// What this sender may send to one destination, as far as all senders together are limited there.
+/// This sender's quotas at one destination. `None` in a field means that there is no such limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Thousandths of a call a second.
+    /// Rate limit, in thousandths of a call a second.
     pub rate: Option<QuotaShare>,
-    /// Calls in flight.
+    /// Limit on the calls in flight.
     #[serde(rename = "out")]
     pub in_flight: Option<ConcurrencyQuota>,
-    /// Thousandths of a call a second while the destination is not healthy.
+    /// Further rate limit that holds while the destination is not healthy, in thousandths of a
+    /// call a second.
     #[serde(rename = "cold")]
     pub unhealthy_rate: Option<QuotaShare>,
 }
 
 impl Quota {
-    /// The lowest rate that holds at a time for a destination that is healthy or not; none: there is no limit.
+    /// Returns the lowest rate limit that applies at `now`, in thousandths of a call a second. The
+    /// limit for unhealthy destinations applies only if `healthy` is false. `None`: there is no
+    /// limit.
     pub fn rate_at(&self, now: Micros, healthy: bool) -> Option<u64> {
         let shares = [self.rate, self.unhealthy_rate.filter(|_| !healthy)];
         shares
@@ -104,41 +112,45 @@
     }
 }
 
-/// Quotas by destination; what holds for one that is not named.
+/// This sender's quotas at all destinations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quotas {
-    /// Of these destinations.
+    /// Quotas at destinations that have limits of their own.
     pub named: BTreeMap<DestinationId, Quota>,
-    /// Of all others.
+    /// Quota at each destination that is not in `named`.
     pub others: Quota,
 }
 
 impl Quotas {
-    /// The quota of a destination.
+    /// Returns the quota at `destination`.
     pub fn of(&self, destination: DestinationId) -> Quota {
         self.named.get(&destination).copied().unwrap_or(self.others)
     }
 }
 
-/// What a sender could use at a destination.
+/// Load of this sender at one destination, from which the allocator determines the sender's
+/// allocation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Messages that wait for a call there.
+    /// Number of messages for the destination without an attempt in flight.
     pub waiting: u64,
-    /// Calls in flight.
+    /// Number of calls in flight to the destination.
     pub in_flight: u64,
-    /// Calls sent since the destination was first seen.
+    /// Number of calls sent since this sender first saw the destination.
     pub sent: u64,
-    /// The destination is not healthy.
+    /// True if the destination is not healthy, for whatever reason.
     pub unhealthy: bool,
-    /// It is not, by own calls that failed or are not answered.
+    /// True if the destination is ejected and this sender's own last calls failed or have no
+    /// answer.
     pub failing: bool,
-    /// Its last call succeeded, a short while ago.
+    /// True if this sender's calls have succeeded and the last sign of life came less than
+    /// [`Safety::overload_span`](super::Safety::overload_span) ago.
     pub alive: bool,
 }
 
 impl Demand {
-    /// Whether there is anything that a later look at the demand must show again.
+    /// Returns true if the demand must be reported again at the next poll even if nothing changes
+    /// until then: parts of it, such as `alive`, end by time alone.
     pub fn is_current(&self) -> bool {
         self.waiting > 0 || self.in_flight > 0 || self.unhealthy || self.alive
     }
--- a/src/interface/route_events.rs
+++ b/src/interface/route_events.rs
@@ -1,34 +1,36 @@
-//! Changes of a destination's health, for the log.
+//! Changes of a destination's health that the host writes to the log.
 
 use super::DestinationId;
 use std::fmt;
 
-/// Why new attempts no longer go to a destination as before.
+/// Why a destination counts as unhealthy, so that new attempts are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// It refuses every call, or asks for a wait too long for throttling.
+    /// The destination rejects every call, or sends a Retry-After too long to be mere
+    /// throttling.
     Closed,
-    /// Calls fail.
+    /// Calls to the destination fail.
     Failures,
-    /// Calls get no answer.
+    /// Calls to the destination get no answer.
     Unresponsive,
-    /// Enough other senders report it unavailable.
+    /// A quorum of senders reports the destination as unavailable.
     FleetHealth,
 }
 
 /// A change of a destination's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteEvent {
-    /// It counts as unhealthy: only single calls go there, to see whether it recovers.
+    /// The destination counts as unhealthy from now on: only single calls go there, to find out
+    /// whether it has recovered.
     Ejected {
-        /// Which destination.
+        /// The unhealthy destination.
         destination: DestinationId,
-        /// Why.
+        /// What showed that the destination is unhealthy.
         reason: EjectionReason,
     },
-    /// It answers again: its rate rises step by step.
+    /// An ejected destination answers again: the rate of calls to it rises step by step.
     Recovering {
-        /// Which destination.
+        /// The destination that answers again.
         destination: DestinationId,
     },
 }
--- a/src/interface/rules.rs
+++ b/src/interface/rules.rs
@@ -1,31 +1,33 @@
-//! What a class of message allows, and the rules on which the senders agree.
+//! The effect of repeated attempts, and the rules on which all senders agree.
 
 use super::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a repeat of a message does.
+/// What a repeated attempt of a message does at its destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// May be sent any number of times.
+    /// The message is idempotent: repeated attempts do no harm.
     #[serde(rename = "Repeatable")]
     Idempotent,
-    /// The destination drops a repeat inside `window`, counted from the first send that may have run.
+    /// The message carries an idempotency key: the destination drops a repeat within `window`,
+    /// counted from the first attempt that may have run.
     #[serde(rename = "Keyed")]
     IdempotencyKey {
-        /// How long the key is remembered.
+        /// Time in microseconds for which the destination remembers the key.
         window: Micros,
-        /// Only endpoints of the same zone know of each other's keys.
+        /// True if endpoints share the keys only within their zone, so that a repeat in another
+        /// zone runs again.
         #[serde(rename = "zone_only")]
         same_zone_only: bool,
     },
-    /// Must never run twice.
+    /// The message is not idempotent: it must never run twice.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
 impl Effect {
-    /// The most permissive effect that is no more permissive than either: what both allow.
+    /// Returns the most permissive effect that both `self` and `other` allow.
     pub fn intersection(self, other: Effect) -> Effect {
         match (self, other) {
             (Effect::NonIdempotent, _) | (_, Effect::NonIdempotent) => Effect::NonIdempotent,
@@ -47,25 +49,29 @@
     }
 }
 
-/// What agreed rules allow a class at most; the stricter of this and its own terms binds what is sent.
+/// Bounds that the agreed rules set for a class. Where these bounds and the terms of the class
+/// differ, the stricter of the two applies.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ClassBounds {
-    /// New messages are accepted.
+    /// Whether new messages of the class are accepted.
     pub accepted: bool,
-    /// What a repeat does.
+    /// Most permissive effect that a repeated attempt may be assumed to have.
     pub effect: Effect,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     #[serde(rename = "attempts")]
     pub max_attempts: usize,
-    /// New messages of one key go one at a time, in order.
+    /// Whether new messages of one key are delivered one at a time, in order, even if the class is
+    /// unordered.
     pub ordered: bool,
-    /// Backoff of a key after an attempt whose end is not sure.
+    /// Minimum time in microseconds before the next message of a key, after an attempt that may
+    /// still run at the destination (timed out, reset or cancelled).
     #[serde(rename = "key_rest")]
     pub key_backoff: Micros,
 }
 
 impl ClassBounds {
-    /// Of a class that the rules do not name.
+    /// Bounds of a class that the rules do not name: new messages are rejected and accepted ones
+    /// get no attempt.
     pub const NOTHING: ClassBounds = ClassBounds {
         accepted: false,
         effect: Effect::NonIdempotent,
@@ -75,26 +81,28 @@
     };
 }
 
-/// What agreed rules allow at most.
+/// Bounds that the agreed rules set for this sender.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RuleBounds {
-    /// By name; a class that is not named may do nothing.
+    /// Bounds of each class, by its name. For other classes, [`ClassBounds::NOTHING`] holds.
     pub classes: BTreeMap<String, ClassBounds>,
-    /// Calls that may be in flight; none: as the settings say.
+    /// Maximum number of calls in flight. `None`: only
+    /// [`Settings::call_slots`](super::Settings::call_slots) holds.
     #[serde(rename = "calls")]
     pub max_calls: Option<usize>,
-    /// Messages that may be pending; none: as the settings say.
+    /// Maximum number of pending messages. `None`: only
+    /// [`Settings::max_pending`](super::Settings::max_pending) holds.
     #[serde(rename = "messages")]
     pub max_messages: Option<usize>,
 }
 
-/// Bounds that hold for the term of a lease.
+/// Bounds that hold until a lease expires.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(RuleBounds, Micros)", into = "(RuleBounds, Micros)")]
 pub struct LeasedBounds {
-    /// What the lease allows.
+    /// Bounds that the lease grants.
     pub bounds: RuleBounds,
-    /// When it expires.
+    /// Time in microseconds at which the lease expires.
     pub until: Micros,
 }
 
@@ -110,18 +118,18 @@
     }
 }
 
-/// Rules on which the senders agree.
+/// Rules on which all senders agree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgreedRules {
-    /// What holds while the lease lasts.
+    /// Bounds granted by a lease, which hold until it expires. `None`: this sender has no lease.
     pub leased: Option<LeasedBounds>,
-    /// What holds without a lease.
+    /// Fallback rules: the bounds that hold without a valid lease.
     #[serde(rename = "floor")]
     pub fallback: RuleBounds,
 }
 
 impl AgreedRules {
-    /// What holds at a time.
+    /// Returns the bounds that hold at `now`: those of the lease, or the fallback rules.
     pub fn at(&self, now: Micros) -> &RuleBounds {
         match &self.leased {
             Some(leased) if now < leased.until => &leased.bounds,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one sender.
+//! The settings of one sender.
 
 mod error;
 mod validation;
@@ -8,125 +8,145 @@
 use super::{Class, MILLISECOND, Micros, SECOND, WeightDecay};
 use serde::{Deserialize, Serialize};
 
-/// A kind of destination.
+/// Properties that all destinations of one kind share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind, as errors in its settings show it.
     pub name: String,
-    /// Each endpoint is a route of its own, with its own limits and health.
+    /// True if each endpoint is a route of its own, with its own limits and health; false if all
+    /// endpoints of a destination share one route.
     pub separate_routes: bool,
-    /// Messages that one call may carry.
+    /// Maximum number of messages in one call.
     pub bundle_max: usize,
 }
 
-/// A tenant.
+/// A tenant, on whose behalf clients hand in messages.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant, as errors in its settings show it.
     pub name: String,
-    /// Messages a second within its share, over all senders.
+    /// Fair share of the tenant, in messages a second over all senders. Messages beyond it have a
+    /// lower priority weight.
     pub allowance: f64,
 }
 
-/// Figures of the rules.
+/// Times and factors that keep destinations from overload and messages from running twice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// Sends to a draining endpoint end within this time.
+    /// Time in microseconds within which a sender must stop sending to an endpoint once the
+    /// endpoint list shows it as draining.
     pub drain_grace: Micros,
-    /// A recovering destination has warmed up after this time.
+    /// Time in microseconds that a destination needs to warm up to its full capacity after a
+    /// start or an outage.
     #[serde(rename = "cold_time")]
     pub warm_up_time: Micros,
-    /// It starts with this share of its capacity.
+    /// Share of its capacity with which a cold destination starts to warm up, from 0 to 1.
     pub start_capacity: f64,
-    /// A destination fails under this multiple of its capacity ...
+    /// Load that makes a destination fail if it lasts for `overload_span`, as a multiple of its
+    /// capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Time in microseconds for which a destination withstands a load of `overload_multiple` times
+    /// its capacity.
     #[serde(rename = "fall_span")]
     pub overload_span: Micros,
-    /// A final answer still counts this long after the deadline.
+    /// Time in microseconds after the deadline of a message during which a final answer still
+    /// counts.
     pub answer_grace: Micros,
-    /// Backoff of a key after an attempt whose end is not sure.
+    /// Minimum time in microseconds before the next message of a key, after an attempt that may
+    /// still run at the destination (timed out, reset or cancelled).
     #[serde(rename = "key_rest")]
     pub key_backoff: Micros,
-    /// A sender without a subscription must poll the endpoint list this often.
+    /// Time in microseconds between two polls of the endpoint list, where the sender has no
+    /// subscription.
     #[serde(rename = "ask_every")]
     pub poll_interval: Micros,
 }
 
-/// All settings of one sender.
+/// Settings of one sender: its limits, what it may do, prices, classes, kinds and tenants.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Senders of this group, this one counted.
+    /// Number of senders in the fleet, including this one.
     pub senders: u32,
-    /// This sender's zone, as a number into the host's list.
+    /// Zone of this sender, as an index into the host's list of zones.
     pub zone: u16,
-    /// Calls that may be in flight.
+    /// Maximum number of calls in flight.
     pub call_slots: usize,
-    /// Messages that may be pending.
+    /// Maximum number of pending messages; further ones are rejected.
     #[serde(rename = "max_held")]
     pub max_pending: usize,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message.
     pub max_attempts: usize,
-    /// Hedged requests are allowed: two attempts of one message may be in flight.
+    /// Whether hedged requests are allowed, so that two attempts of one message may be in flight at
+    /// the same time.
     #[serde(rename = "second_copies")]
     pub hedging_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     #[serde(rename = "may_cancel")]
     pub cancellation_allowed: bool,
-    /// Health checks may be made.
+    /// Whether the sender may ask for health checks of endpoints.
     #[serde(rename = "may_probe")]
     pub health_checks_allowed: bool,
-    /// Senders may write to each other.
+    /// Whether senders may send each other notes.
     #[serde(rename = "may_note")]
     pub notes_allowed: bool,
-    /// Idle connections close by themselves after this time; 0 where that is not known.
+    /// Time in microseconds after which endpoints close an idle connection; 0 if that is not
+    /// known.
     #[serde(rename = "connection_idle")]
     pub connection_idle_timeout: Micros,
-    /// Longest Retry-After that a client follows; 0 where clients are told none.
+    /// Longest Retry-After in microseconds that clients obey; 0 if clients are sent no
+    /// Retry-After.
     #[serde(rename = "max_client_wait")]
     pub max_retry_after: Micros,
-    /// The endpoint list comes only by a subscription.
+    /// Whether the sender must subscribe to the endpoint list itself; otherwise the host receives
+    /// the list without being asked.
     #[serde(rename = "list_on_request")]
     pub list_by_subscription: bool,
-    /// A message whose end the sender decides is complete only with
+    /// Whether a message whose end the sender decides becomes complete only with
     /// [`Event::NotificationDelivered`](super::Event::NotificationDelivered).
     #[serde(rename = "ends_by_notice")]
     pub completion_by_notification: bool,
-    /// The list gives each destination's rate: 0 no, 1 exactly, 0.5 up to half off.
+    /// How far the weights in the endpoint list can be trusted as rates of the destinations: 0 not
+    /// at all, 0.5 if they may be wrong by up to half, 1 if they are exact.
     pub weight_trust: f64,
-    /// Position of the remaining share of the limit in a load report.
+    /// Index of the value in a load report that gives the remaining share of the endpoint's limit;
+    /// `None` if reports do not contain it.
     #[serde(rename = "report_left")]
     pub report_remaining: Option<usize>,
-    /// Position of the limit, in calls a second, in a load report.
+    /// Index of the value in a load report that gives the endpoint's limit in calls a second;
+    /// `None` if reports do not contain it.
     pub report_limit: Option<usize>,
-    /// Price of a call to another zone, as a share of a first attempt.
+    /// Price of a call to another zone, as a share of the price of a first attempt.
     pub price_cross_zone: f64,
-    /// Price of a health check, as a share of a first attempt.
+    /// Price of a health check, as a share of the price of a first attempt.
     #[serde(rename = "price_probe")]
     pub price_health_check: f64,
-    /// Price of the destinations' wasted work, as a share of the work asked for.
+    /// Price of the work that destinations waste, as a share of the work that they are asked to
+    /// do.
     pub price_waste: f64,
-    /// Price of a message that a separate route takes on, by zone.
+    /// Price of each message accepted by an endpoint that is a route of its own, indexed by the
+    /// endpoint's zone.
     pub zone_fees: Vec<f64>,
-    /// Factor on the priority weight of a message beyond its tenant's share.
+    /// Factor applied to the priority weight of a message that exceeds its tenant's fair share,
+    /// [`Tenant::allowance`].
     #[serde(rename = "over_share_worth")]
     pub over_share_weight: f64,
-    /// How the priority weight falls after the latency objective.
+    /// How the priority weight of a message falls after its latency objective.
     #[serde(rename = "fade")]
     pub weight_decay: WeightDecay,
-    /// Figures of the rules.
+    /// Times and factors that keep destinations from overload and messages from running twice.
     pub safety: Safety,
-    /// Classes; events name them by position.
+    /// Classes of messages; events refer to a class by its index.
     pub classes: Vec<Class>,
-    /// Kinds of destination; list entries name them by position.
+    /// Kinds of destinations; entries of the endpoint list refer to a kind by its index.
     pub kinds: Vec<Kind>,
-    /// Tenants; messages name them by position.
+    /// Tenants; messages refer to a tenant by its index.
     pub tenants: Vec<Tenant>,
 }
 
 impl Settings {
-    /// Settings for a lone sender, with no classes yet and the mildest assumption for all else.
+    /// Creates settings for a fleet of one sender, with no classes, kinds or tenants and all prices
+    /// 0. Hedged requests and cancellation are allowed; health checks and notes are not.
     pub fn new(call_slots: usize, max_pending: usize) -> Self {
         Settings {
             senders: 1,
@@ -167,7 +187,7 @@
         }
     }
 
-    /// The position of a class with just these terms, which is a new one where none has them.
+    /// Returns the index of the class that equals `class`. Appends `class` if there is none.
     pub fn class_position(&mut self, class: Class) -> usize {
         self.classes
             .iter()
--- a/src/interface/settings/error.rs
+++ b/src/interface/settings/error.rs
@@ -1,72 +1,72 @@
-//! What may be wrong with a setting.
+//! Errors in the settings.
 
 use thiserror::Error;
 
-/// A setting that makes no sense: which one, and the value that it has.
+/// An invalid setting. Each variant holds the name of the setting and its value, if there is one.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A setting without a default is not there.
+    /// A setting that has no default is missing.
     #[error("setting {setting} is missing")]
     Missing {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
     },
-    /// The text is no number that a setting may have.
+    /// The value is not a finite number of zero or more.
     #[error("setting {setting} is '{value}', not a finite number of zero or more")]
     NotANumber {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its text.
+        /// Text of the value, as it was read.
         value: String,
     },
-    /// The text is no whole number.
+    /// The value is not a whole number.
     #[error("setting {setting} is '{value}', not a whole number")]
     NotWhole {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its text.
+        /// Text of the value, as it was read.
         value: String,
     },
-    /// The text is none of the words that the setting may have.
+    /// The value is none of the words that the setting allows.
     #[error("setting {setting} is '{value}', not one of {}", .expected.join(", "))]
     UnknownWord {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its text.
+        /// Text of the value, as it was read.
         value: String,
-        /// The words that it may have.
+        /// Words that the setting allows.
         expected: &'static [&'static str],
     },
-    /// Zero, or less, where that makes no sense.
+    /// The value is zero or less, but must be positive.
     #[error("setting {setting} must be above zero, but is {value}")]
     NotPositive {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its value.
+        /// Value that was not positive.
         value: i128,
     },
-    /// A negative span.
+    /// The value is a time span and must not be negative.
     #[error("setting {setting} must not be negative, but is {value} us")]
     NegativeSpan {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its value, in microseconds.
+        /// Negative time span, in microseconds.
         value: i64,
     },
-    /// A number that is negative or not finite.
+    /// The value is a share or a factor, and is negative or not finite.
     #[error("setting {setting} must be a finite number, zero or more, but is {value}")]
     NotAShare {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// Its value, as text.
+        /// Value in decimal notation, or `NaN` or `inf`.
         value: String,
     },
-    /// Two classes have one name.
-    #[error("setting {setting} stands twice: '{value}'")]
+    /// Two classes have the same name.
+    #[error("setting {setting} is used twice: '{value}'")]
     Duplicate {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
-        /// The value that stands twice.
+        /// Value that is used twice.
         value: String,
     },
 }
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -1,14 +1,15 @@
-//! The checks that settings make sense.
+//! Validation of the settings.
 
 use super::{Settings, SettingsError};
 use crate::interface::{Class, Effect, Micros};
 use std::collections::BTreeSet;
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that all numbers are within the ranges that the decisions assume and that class names
+    /// are unique.
     ///
     /// # Errors
-    /// Names the first setting that does not.
+    /// The first invalid setting, under the name that it has when serialized.
     pub fn validate(&self) -> Result<(), SettingsError> {
         check_positive("senders", self.senders)?;
         check_positive("call_slots", self.call_slots as u64)?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! Delivery decisions for outbound messages to other firms' systems.
 //!
-//! A [`Sender`] is told what happens (messages handed in, outcomes of calls, news of the endpoint
-//! list, alarms) and answers with what to do (send, cancel, refuse, fail). It opens no sockets and
-//! reads no clock: the program that hosts it does both. The same events always give the same actions.
+//! A [`Sender`] receives events (messages handed in by clients, outcomes of calls, changes of the
+//! endpoint list, timers that expired) and returns actions (send, cancel, reject, fail). It opens
+//! no sockets and reads no clock: the program that hosts it does both. The same sequence of events
+//! always produces the same actions.
 //!
 //! ```
 //! use message_sender::{Action, Class, Effect, EndpointEntry, Event, EndpointId, ListScope, MessageId, NewMessage,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,44 +1,49 @@
-//! The lifecycle of messages as the host has seen it, checked before the host acts.
+//! Second, independent check that a call may begin, made by the host before each call.
 //!
-//! The decisions propose ([`crate::decisions`]); this module knows only what has happened, and says whether a call may begin
-//! now: a second, independent answer to the rules on repeats and on the order of a key. A violation is a defect of the
-//! decisions or of the host, never a state of a peer or of the machine; the host counts it and does not make the call.
+//! The decision module ([`crate::decisions`]) decides which calls to make. This module records only
+//! what has happened to each message, and checks each call against two rules: a message that must
+//! not run twice is not repeated, and messages of one key go one at a time, in order. A violation
+//! means a defect of the decision module or of the host; it is never caused by a peer or by the
+//! local host's state. The host counts the violation and does not make the call.
 
 use crate::interface::{Effect, MessageId, Micros, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Keys in backoff that are kept before those whose backoff is over are forgotten.
+/// Number of recorded key backoffs from which on those that have ended are removed before another
+/// one is recorded.
 const KEY_BACKOFFS_BEFORE_CLEANUP: usize = 1024;
 
-/// Why a call may not begin.
+/// Rule that a call would break, so that it must not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Violation {
-    /// The message was not accepted, or has ended.
-    #[error("its message is not open")]
+    /// The message was never accepted, or has ended.
+    #[error("the message was not accepted or has ended")]
     NotOpen,
-    /// The message may have run, and must not run twice.
-    #[error("its message may have run and must not be repeated")]
+    /// The message may have run already, and its class does not allow it to run twice.
+    #[error("the message may have run and must not run twice")]
     Repeated,
-    /// An earlier message of its key is not complete.
-    #[error("an earlier message of its key is not complete")]
+    /// An earlier message with the same key is not complete.
+    #[error("an earlier message with the same key is not complete")]
     OutOfOrder,
-    /// A call of its key was given up and may still run.
-    #[error("its key is in backoff after a call that was given up")]
+    /// An earlier call with a message of the same key timed out, broke or was cancelled and may
+    /// still run, so the key is in backoff.
+    #[error("the key is in backoff after a call that may still run")]
     KeyBackoff,
 }
 
-/// How often and in which order a message may be delivered, as promised when it was accepted.
+/// Guarantee given when a message was accepted: in which order, and whether more than once, it may
+/// run at the destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeliveryGuarantee {
-    /// Its key, where its class keeps order.
+    /// Key of the message, if messages of its class with one key are delivered in order.
     pub key: Option<u64>,
-    /// It must not run twice.
+    /// True if the message must not run twice.
     pub at_most_once: bool,
 }
 
 impl DeliveryGuarantee {
-    /// That of a class with this effect.
+    /// Creates the guarantee of a message whose class has this effect.
     pub fn new(key: Option<u64>, effect: Effect) -> Self {
         DeliveryGuarantee {
             key,
@@ -47,38 +52,42 @@
     }
 }
 
-/// What has happened to one message.
+/// Record of what has happened to one message.
 #[derive(Debug)]
 struct Message {
     guarantee: DeliveryGuarantee,
+    /// Calls with the message may begin.
     open: bool,
-    /// Nothing more is owed for it.
+    /// The message needs no further call and no outcome notification.
     complete: bool,
-    /// Calls that have no outcome yet.
+    /// Number of calls with the message that have no outcome yet.
     in_flight: usize,
-    /// A call that has ended may have run it.
+    /// A call that has ended may have run the message.
     may_have_run: bool,
-    /// A call with it has begun before.
+    /// A call with the message has begun before, in this process or an earlier one.
     attempted: bool,
 }
 
-/// All messages that are accepted and not complete.
+/// Records of all messages that are accepted and not complete, or still have calls in flight.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     messages: BTreeMap<MessageId, Message>,
     /// The messages of each key, in the order in which they were accepted.
     key_queues: BTreeMap<u64, BTreeSet<MessageId>>,
-    /// Until when no first call with a message of a key may begin.
+    /// For each key in backoff, the time in microseconds before which no message of the key may
+    /// begin its first call.
     key_backoffs: BTreeMap<u64, Micros>,
 }
 
 impl Lifecycle {
-    /// A message is accepted. Numbers of messages rise in this order.
+    /// Records that a message was accepted. Ids must rise in the order of acceptance, because the
+    /// order within a key follows from them.
     pub fn accept(&mut self, id: MessageId, guarantee: DeliveryGuarantee) {
         self.restore(id, guarantee, 0, false);
     }
 
-    /// A message is taken over from an earlier process, with so many calls in flight.
+    /// Records a message taken over from an earlier process: `in_flight` calls with the message
+    /// have no outcome yet, and `may_have_run` says whether a call that ended may have run it.
     pub fn restore(
         &mut self,
         id: MessageId,
@@ -101,10 +110,11 @@
         self.messages.insert(id, message);
     }
 
-    /// A call with the message is about to begin, and does unless that is a violation.
+    /// Checks whether a call with the message may begin now, and records that it begins. `now` is
+    /// in microseconds.
     ///
     /// # Errors
-    /// The rule that the call would break.
+    /// The rule that the call would break; then nothing is recorded.
     pub fn begin_attempt(&mut self, id: MessageId, now: Micros) -> Result<(), Violation> {
         let Some(message) = self.messages.get_mut(&id).filter(|message| message.open) else {
             return Err(Violation::NotOpen);
@@ -128,7 +138,8 @@
         Ok(())
     }
 
-    /// A call that began has its outcome; `backoff` is that of its key where the call may run on.
+    /// Records the outcome of a call that began. If the call may still run at the destination, its
+    /// key is in backoff until `now` + `backoff`, both in microseconds.
     pub fn end_attempt(&mut self, id: MessageId, outcome: Outcome, now: Micros, backoff: Micros) {
         let Some(message) = self.messages.get_mut(&id) else {
             return;
@@ -145,14 +156,16 @@
         self.forget_if_done(id);
     }
 
-    /// The message gets no further call; it stays first of its key until it is complete.
+    /// Records that no further call with the message may begin. The message still blocks later
+    /// messages of its key until it is complete.
     pub fn close(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.open = false;
         }
     }
 
-    /// Nothing more is owed for the message.
+    /// Records that the message is complete: it needs no further call and no outcome notification.
+    /// Once no call is in flight either, the next message of its key may begin.
     pub fn complete(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.open = false;
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,9 +1,10 @@
-//! Order of keys, repeats and backoffs.
+//! Tests of the order of messages with one key, of repeats and of key backoffs.
 
 use super::*;
 
 const EARLIER: MessageId = MessageId(1);
 const LATER: MessageId = MessageId(2);
+/// Backoff of a key, in microseconds.
 const BACKOFF: Micros = 300;
 
 fn lifecycle_with_two_messages_of_a_key(effect: Effect) -> Lifecycle {
@@ -26,7 +27,7 @@
     assert_eq!(
         lifecycle.begin_attempt(LATER, 1),
         Err(Violation::OutOfOrder),
-        "the call of the first is in flight"
+        "a call with the earlier message is in flight"
     );
     lifecycle.end_attempt(EARLIER, Outcome::Cancelled, 10, BACKOFF);
     assert_eq!(
@@ -56,7 +57,7 @@
     assert_eq!(
         lifecycle.begin_attempt(EARLIER, 0),
         Err(Violation::Repeated),
-        "a hedge"
+        "a hedge would run the message twice"
     );
     lifecycle.end_attempt(EARLIER, Outcome::NoConnection, 1, BACKOFF);
     assert_eq!(lifecycle.begin_attempt(EARLIER, 2), Ok(()));
--- a/src/message_index.rs
+++ b/src/message_index.rs
@@ -1,8 +1,10 @@
-//! An index of the pending messages, so that a turn looks only at those that may be sent or must end.
+//! An index of the pending messages, so that a turn examines only those that may be sent or must
+//! end.
 //!
-//! No decision is here: the decisions say when a message is eligible and how urgent it is. Messages that
-//! wait for one destination form groups of which a turn need only look at the first: whatever keeps that
-//! one from being sent keeps the others too.
+//! No decision is made here: the decision module determines when a message is eligible and how
+//! urgent it is. The messages for one destination form groups. A turn needs to examine only the
+//! first message of a group, because whatever prevents sending the first one also prevents sending
+//! the others.
 
 mod candidates;
 mod entry;
--- a/src/message_index/candidates.rs
+++ b/src/message_index/candidates.rs
@@ -1,4 +1,4 @@
-//! The candidates of one turn, the most urgent first.
+//! The messages that one turn may send, in order of urgency.
 
 use super::group_order::Rank;
 use super::index::GroupSide;
@@ -6,7 +6,7 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// A message that may be sent, and where it is the next.
+/// A message that may be sent, with the side of a group on which it is the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
     pub rank: Rank,
@@ -15,7 +15,8 @@
 
 impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        // the greatest comes out of a heap first
+        // reversed: the heap pops its greatest element first, and the lowest rank is the most
+        // urgent
         other.rank.cmp(&self.rank)
     }
 }
@@ -26,21 +27,22 @@
     }
 }
 
-/// The candidates of one turn, the most urgent first.
+/// The messages that one turn may send; [`Candidates::pop`] returns the most urgent one first.
 #[derive(Debug, Default)]
 pub struct Candidates {
     heap: BinaryHeap<Candidate>,
-    /// Where nothing can be sent for now.
+    /// Sides of groups of which nothing can be sent for now, by destination.
     skipped: BTreeMap<DestinationId, Vec<GroupSide>>,
 }
 
 impl Candidates {
-    /// Adds a candidate, if there is one.
+    /// Adds `candidate`, if it is not `None`.
     pub fn push(&mut self, candidate: Option<Candidate>) {
         self.heap.extend(candidate);
     }
 
-    /// The next whose group is not skipped.
+    /// Removes and returns the most urgent candidate whose group is not skipped. Candidates of
+    /// skipped groups on the way are added to the skipped sides.
     pub fn pop(&mut self) -> Option<Candidate> {
         loop {
             let candidate = self.heap.pop()?;
@@ -55,13 +57,15 @@
         }
     }
 
-    /// Skips a group until something is sent to its destination.
+    /// Skips the group of `group_side` until [`Candidates::take_skipped`] is called for its
+    /// destination, which is done when something has been sent there.
     pub fn skip(&mut self, group_side: GroupSide) {
         let skipped = self.skipped.entry(group_side.destination).or_default();
         skipped.push(group_side);
     }
 
-    /// What was skipped of a destination so far; it is no longer.
+    /// Removes and returns the skipped sides of groups of `destination`, so that their messages can
+    /// become candidates again.
     pub fn take_skipped(&mut self, destination: DestinationId) -> Vec<GroupSide> {
         self.skipped.remove(&destination).unwrap_or_default()
     }
--- a/src/message_index/entry.rs
+++ b/src/message_index/entry.rs
@@ -1,51 +1,61 @@
-//! What the index holds of one message.
+//! Types that describe a message to the index.
 
 use crate::interface::{DestinationId, MessageId, Micros};
 
-/// The properties of a message that stay as they are while it is indexed.
+/// The properties of a message that do not change while the message is in the index.
 #[derive(Debug, Clone, Copy)]
 pub struct IndexedMessage {
     pub id: MessageId,
     pub destination: DestinationId,
-    /// When the client first handed it in.
+    /// Time in microseconds at which the client first handed in the message.
     pub created_at: Micros,
+    /// Time in microseconds after which the message is no longer delivered.
     pub deadline: Micros,
 }
 
-/// What messages of one destination have in common that can be sent, or not, for the same reasons.
+/// Key of a group: messages of one destination with equal keys are all prevented from being sent by
+/// the same conditions, so it is enough to examine the first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Group {
+    /// Index of the messages' class in the settings.
     pub class: usize,
-    /// The bits of one message's priority weight.
+    /// Priority weight of each message, as the bits of its `f64`, which can be compared and
+    /// ordered.
     pub priority_weight: u64,
-    /// Attempts so far, and whether any of them may have run.
+    /// Number of attempts that each message has had.
     pub attempts: usize,
+    /// True if one of the attempts may have run, so that a further attempt may repeat the message.
     pub at_risk: bool,
-    /// The message, where it is a group of its own.
+    /// The only member, for a message that forms a group of its own because conditions apply to it
+    /// alone.
     pub sole_member: Option<MessageId>,
 }
 
-/// When a message may be sent next, as far as its own state tells.
+/// When the next attempt of a message may be sent, judged by the state of the message alone: the
+/// destination's limits and health may still prevent the attempt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Eligibility {
-    /// Not before something else has happened.
+    /// The message must wait for another event, such as the end of an earlier message of its key.
     #[default]
     Blocked,
-    /// At this time.
+    /// An attempt may be sent at this time, in microseconds.
     At(Micros),
-    /// Now.
+    /// An attempt may be sent now; the message waits in this group.
     Ready(Group),
 }
 
-/// What the index holds of one message, which changes with the message.
+/// State of a message as the index has it. Whenever the state changes, the old entry is replaced by
+/// the new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IndexEntry {
-    /// It has no outcome yet.
+    /// The message has no outcome yet.
     pub open: bool,
-    /// An attempt has no outcome yet.
+    /// An attempt of the message is in flight.
     pub in_flight: bool,
-    /// From when on no further send can be legal.
+    /// Time in microseconds from which on no further attempt can be allowed, so that the message
+    /// must end undelivered; `Micros::MAX` if there is no such time.
     pub no_send_after: Micros,
+    /// When the next attempt may be sent.
     pub eligibility: Eligibility,
 }
 
--- a/src/message_index/group_order.rs
+++ b/src/message_index/group_order.rs
@@ -1,18 +1,22 @@
-//! The order of the messages inside a group: the most urgent first.
+//! The order of the messages in a group, by urgency.
 
 use crate::interface::{MessageId, Micros};
 use std::cmp::Ordering;
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
-/// A message of a group, by when it was created.
+/// A message of a group: its time of creation in microseconds and its id.
 pub(super) type Member = (Micros, MessageId);
+/// The messages of a group, sorted by their time of creation.
 pub(super) type Members = BTreeSet<Member>;
 
-/// How urgent a message is among others, the most urgent first; of equals the one that came first.
+/// Position of a message in the order of sending: more urgent messages first, and the lower id
+/// first among equally urgent ones.
 #[derive(Debug, Clone, Copy)]
 pub struct Rank {
+    /// Priority weight of the message, scaled by its age.
     pub urgency: f64,
+    /// Time in microseconds at which the message was created; it does not count in the comparison.
     pub created_at: Micros,
     pub id: MessageId,
 }
@@ -38,24 +42,29 @@
 
 impl Eq for Rank {}
 
-/// One of the two parts of a group: along each of them the urgency never rises.
+/// One of the two parts of a group, split at [`GroupOrder::peak`]. In the order given for each
+/// part, the urgency never rises, so the first member is among the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// Created at the peak or later, the oldest first: they still get more urgent.
+    /// Messages created at the peak or later, the oldest first: their urgency still rises with
+    /// age.
     Rising,
-    /// Created before the peak, the youngest first.
+    /// Messages created before the peak, the youngest first: their urgency no longer rises
+    /// with age.
     Falling,
 }
 
-/// The order inside a group: urgency by the time of creation, which rises with age up to those created at
-/// `peak`, and never rises again beyond.
+/// The order of the messages in a group. Urgency depends on the time of creation only: it rises
+/// with age up to the messages created at `peak`, and never rises for older ones.
 pub struct GroupOrder<F> {
+    /// Returns the urgency of a message created at the given time in microseconds.
     pub urgency: F,
+    /// Time of creation, in microseconds, of the most urgent message that there could be.
     pub peak: Micros,
 }
 
 impl<F: Fn(Micros) -> f64> GroupOrder<F> {
-    /// The most urgent member on a side.
+    /// Returns the rank of the most urgent member on `side`.
     pub(super) fn first_of(&self, members: &Members, side: Side) -> Option<Rank> {
         let member = match side {
             Side::Rising => *members.range(self.range(side)).next()?,
@@ -68,7 +77,7 @@
         Some(rank)
     }
 
-    /// The member that ranks next after one that was there.
+    /// Returns the rank that follows `last` on `side`; `last` was returned by this order before.
     pub(super) fn next_of(&self, members: &Members, side: Side, last: Rank) -> Option<Rank> {
         if self.is_tied(members, side, last) {
             return self.search(members, side, Some(last));
@@ -87,7 +96,8 @@
         Some(rank)
     }
 
-    /// The first of all on a side, or of all that rank after one.
+    /// Returns the first rank on `side`, or the first one that follows `after`. Examines all
+    /// members of the side.
     pub(super) fn search(
         &self,
         members: &Members,
@@ -118,8 +128,9 @@
         }
     }
 
-    /// Whether members created at another time are just as urgent: then the order of creation is not that
-    /// of rank.
+    /// Returns true if a neighbour created at another time is exactly as urgent. Equally urgent
+    /// members rank by id, which may differ from the order of creation, so only a search of the
+    /// whole side finds the next one.
     fn is_tied(&self, members: &Members, side: Side, rank: Rank) -> bool {
         let neighbours = [
             self.following(members, side, rank.created_at),
@@ -131,7 +142,8 @@
             .any(|(created_at, _)| (self.urgency)(created_at).total_cmp(&rank.urgency).is_eq())
     }
 
-    /// The first member of the next time of creation in the order.
+    /// Returns the member that follows all those created at `created_at` in the order of `side`; if
+    /// several members were created at the same time, the one with the lowest id.
     fn following(&self, members: &Members, side: Side, created_at: Micros) -> Option<Member> {
         match side {
             Side::Rising => {
@@ -142,7 +154,8 @@
         }
     }
 
-    /// A member of the time of creation before in the order.
+    /// Returns a member that directly precedes all those created at `created_at` in the order of
+    /// `side`; if several were created at the same time, any of them.
     fn preceding(&self, members: &Members, side: Side, created_at: Micros) -> Option<Member> {
         let peak = first_at(self.peak);
         let found = match side {
@@ -156,13 +169,14 @@
     }
 }
 
-/// The first member of the last time of creation before this one.
+/// Returns the youngest member created before `created_at`; if several were created at that time,
+/// the one with the lowest id.
 fn youngest_before(members: &Members, created_at: Micros) -> Option<Member> {
     let (youngest, _) = members.range(..first_at(created_at)).next_back()?;
     members.range(first_at(*youngest)..).next().copied()
 }
 
-/// The least member that a time of creation can have.
+/// Returns the lowest possible member created at `created_at`, as a bound for ranges.
 fn first_at(created_at: Micros) -> Member {
     (created_at, MessageId(0))
 }
--- a/src/message_index/index.rs
+++ b/src/message_index/index.rs
@@ -1,4 +1,4 @@
-//! The index itself: pending messages by deadline, by the time of their next send, and by group.
+//! The index of pending messages: by deadline, by the time of their next attempt, and by group.
 
 use super::candidates::Candidate;
 use super::entry::{Eligibility, Group, IndexEntry, IndexedMessage};
@@ -6,7 +6,7 @@
 use crate::interface::{DestinationId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A side of a group.
+/// One of the two sides of a group of messages for one destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupSide {
     pub destination: DestinationId,
@@ -14,26 +14,29 @@
     pub side: Side,
 }
 
-/// The index of the pending messages.
+/// The index of the pending messages. It is derived from the messages and can be rebuilt from them.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MessageIndex {
     built: bool,
-    /// Each message is a group of its own.
+    /// True if each message is a group of its own, so that turns examine every message; tests
+    /// compare with this.
     pub group_per_message: bool,
+    /// Number of messages without an outcome.
     open: usize,
     in_flight: BTreeSet<MessageId>,
     by_deadline: BTreeSet<(Micros, MessageId)>,
     by_no_send_after: BTreeSet<(Micros, MessageId)>,
     by_next_send: BTreeSet<(Micros, MessageId)>,
     ready: BTreeMap<DestinationId, BTreeMap<Group, Members>>,
-    /// Messages without an attempt in flight, of each destination that has any.
+    /// Number of open messages without an attempt in flight, for each destination that has any.
     waiting: BTreeMap<DestinationId, u64>,
-    /// Destinations for which something has changed since their demand was looked at, where that is kept.
+    /// Destinations whose demand may have changed since it was last read. `None`: changes are not
+    /// recorded, and every destination has to be read.
     pub changed_destinations: Option<BTreeSet<DestinationId>>,
 }
 
 impl MessageIndex {
-    /// An index of these messages.
+    /// Creates an index of `messages`.
     pub fn build(
         group_per_message: bool,
         messages: impl Iterator<Item = (IndexedMessage, IndexEntry)>,
@@ -49,33 +52,34 @@
         index
     }
 
-    /// False where it was not made of the messages that there are.
+    /// Returns false for the default index, which has not been built from the pending messages yet.
     pub fn is_built(&self) -> bool {
         self.built
     }
 
-    /// The number of open messages.
+    /// Returns the number of messages without an outcome.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// Destinations for which messages wait, with their number.
+    /// Returns the number of open messages without an attempt in flight, for each destination that
+    /// has any.
     pub fn waiting(&self) -> &BTreeMap<DestinationId, u64> {
         &self.waiting
     }
 
-    /// Messages with attempts in flight.
+    /// Returns the messages with an attempt in flight.
     pub fn in_flight(&self) -> &BTreeSet<MessageId> {
         &self.in_flight
     }
 
-    /// The first deadline of an open message.
+    /// Returns the earliest deadline of an open message, in microseconds.
     pub fn first_deadline(&self) -> Option<Micros> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Open messages whose deadline is `deadline` at the latest, or for which no send can be legal from
-    /// `now` on.
+    /// Returns the open messages that can no longer be delivered: their deadline is at or before
+    /// `deadline`, or no attempt can be allowed from `now` on. Both are times in microseconds.
     pub fn undeliverable(&self, deadline: Micros, now: Micros) -> BTreeSet<MessageId> {
         let last = MessageId(u64::MAX);
         let late = self.by_deadline.range(..=(deadline, last));
@@ -83,18 +87,20 @@
         late.chain(unsendable).map(|(_, id)| *id).collect()
     }
 
-    /// Messages whose next send is still to come, the next first.
+    /// Returns the messages whose next attempt may be sent at a known time, with this time in
+    /// microseconds, the earliest first.
     pub fn upcoming(&self) -> impl Iterator<Item = (Micros, MessageId)> {
         self.by_next_send.iter().copied()
     }
 
-    /// A message whose time has come and whose entry does not say so yet.
+    /// Returns a message whose next attempt may be sent now, but whose entry is still
+    /// [`Eligibility::At`] and has to be replaced.
     pub fn next_due(&self, now: Micros) -> Option<MessageId> {
         let first = self.by_next_send.first();
         first.filter(|(at, _)| *at <= now).map(|(_, id)| *id)
     }
 
-    /// Both sides of each group that is ready.
+    /// Returns both sides of each group that has messages ready to be sent.
     pub fn ready(&self) -> impl Iterator<Item = GroupSide> {
         let sides = |destination, group| {
             [Side::Rising, Side::Falling].map(|side| GroupSide {
@@ -110,7 +116,7 @@
         })
     }
 
-    /// Replaces the entry of a message.
+    /// Replaces the entry of a message; `before` must be the entry that the index holds.
     pub fn replace(&mut self, message: IndexedMessage, before: IndexEntry, after: IndexEntry) {
         if before == after {
             return;
@@ -119,7 +125,7 @@
         self.insert(message, after);
     }
 
-    /// The most urgent message on one side of a group.
+    /// Returns the most urgent message on one side of a group.
     pub fn first(
         &self,
         group_side: GroupSide,
@@ -129,7 +135,7 @@
         Some(Candidate { rank, group_side })
     }
 
-    /// The first that ranks after one that was there.
+    /// Returns the candidate that follows `last` on the same side of its group.
     pub fn next(
         &self,
         last: Candidate,
@@ -140,7 +146,8 @@
         Some(Candidate { rank, group_side })
     }
 
-    /// The first that ranks after any message.
+    /// Returns the first candidate on a side of a group that ranks after `rank`, which may be the
+    /// rank of a message of another group.
     pub fn after(
         &self,
         group_side: GroupSide,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -149,7 +149,7 @@
         (
             "classes.1.name=order",
             "classes.1.name=notice",
-            "classes.notice.name stands twice",
+            "classes.notice.name is used twice",
         ),
         (
             "specifics.callSlots=12",
