--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -1,9 +1,9 @@
-//! What a version of the decisions must have in common with the one before it: the bytes of a
-//! serialized sender, which a handover carries from one to the other, and every action for the same
-//! events.
+//! Compatibility of the decision module with its previous version. A serialized sender must keep
+//! its bytes, because a handover passes it from a process of one version to a process of another,
+//! and the same events must give the same actions.
 //!
-//! `UPDATE_GOLDEN=1` writes the golden files; only a change of behaviour that is meant may need
-//! that.
+//! `UPDATE_GOLDEN=1` rewrites the golden files. This is needed only after an intended change of
+//! behaviour.
 
 mod decision_record;
 
@@ -11,30 +11,33 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
+/// Number of recorded scenarios, apart from those of the golden senders.
 const SCENARIOS: u64 = 48;
+/// Number of turns of the decision module in each scenario.
 const TURNS: u64 = 4000;
-/// Files of serialized senders, with their scenario and turn; together they hold at least one of
-/// everything.
+/// Files of serialized senders, with the scenario and the turn after which each was serialized.
+/// Together they contain every state that a sender can hold at least once.
 const GOLDEN_SENDERS: [(&str, u64, u64); 3] = [
     ("sender-1.postcard", 115, 1961),
     ("sender-2.postcard", 103, 2506),
     ("sender-3.postcard", 103, 1462),
 ];
-/// Turns that each golden sender goes on for.
-const CONTINUED: u64 = 500;
+/// Number of turns for which each golden sender is continued.
+const CONTINUED_TURNS: u64 = 500;
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/decisions")
         .join(name)
 }
 
-/// The content of a golden file, or this where the files are to be written.
+/// Returns the content of a golden file, after writing `actual` to the file if `UPDATE_GOLDEN` is
+/// set.
 fn expected(name: &str, actual: &[u8]) -> Vec<u8> {
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        std::fs::write(golden(name), actual).expect("written");
+        std::fs::write(golden_path(name), actual).expect("written");
     }
-    std::fs::read(golden(name)).expect("the golden file")
+    std::fs::read(golden_path(name)).expect("the golden file")
 }
 
 #[test]
@@ -56,16 +59,16 @@
     }
     let expected = String::from_utf8(expected("actions.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
-    // no decision asks for probes or writes to other senders
+    // the decisions never ask for a health check (5) or send a note (8)
     let taken: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
     assert_eq!(
         taken,
         [0, 1, 2, 3, 4, 6, 7, 9],
-        "each other action is there"
+        "every other kind of action is taken"
     );
     assert!(
         logged.iter().all(|&count| count > 0),
-        "each log event is there: {logged:?}"
+        "every kind of log event occurs: {logged:?}"
     );
 }
 
@@ -79,23 +82,25 @@
         let golden = expected(name, &bytes);
         assert!(
             bytes == golden,
-            "{name}: the same events led to other bytes"
+            "{name}: the same events give a sender with different bytes"
         );
         let sender: message_sender::Sender = postcard::from_bytes(&golden).expect("a sender");
         assert!(
             postcard::to_allocvec(&sender).expect("bytes") == golden,
-            "{name}: written otherwise than read"
+            "{name}: a sender that was read serializes to different bytes"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
-        let here = mirror.missing();
-        missing = Some(missing.map_or(here.clone(), |all| {
-            all.into_iter().filter(|what| here.contains(what)).collect()
+        let missing_here = mirror.missing();
+        missing = Some(missing.map_or(missing_here.clone(), |all| {
+            all.into_iter()
+                .filter(|state| missing_here.contains(state))
+                .collect()
         }));
     }
     assert_eq!(
         missing,
         Some(Vec::new()),
-        "together they hold at least one of everything"
+        "the golden senders together contain every state"
     );
 }
 
@@ -105,10 +110,11 @@
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
         host.run(turn);
-        let golden = std::fs::read(golden(name)).expect("the golden file");
+        let golden = std::fs::read(golden_path(name)).expect("the golden file");
         host.sender = postcard::from_bytes(&golden).expect("a sender");
-        host.run(CONTINUED);
-        writeln!(lines, "{name} {CONTINUED} {:016x}", host.digest.0).expect("written to a string");
+        host.run(CONTINUED_TURNS);
+        writeln!(lines, "{name} {CONTINUED_TURNS} {:016x}", host.digest.0)
+            .expect("written to a string");
     }
     let expected = String::from_utf8(expected("continued.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
--- a/tests/compatibility_interface.rs
+++ b/tests/compatibility_interface.rs
@@ -1,4 +1,5 @@
-//! Types that are stored or sent to another process keep their JSON names and their postcard bytes.
+//! Types that are stored or sent to another process must keep their recorded JSON text and postcard
+//! bytes.
 
 use message_sender::wire::Names;
 use message_sender::*;
@@ -7,18 +8,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// One line a form: the sample's name, `json` or `postcard`, and the text or the bytes in hexadecimal.
+/// Recorded samples. Each line holds the name of a sample, `json` or `postcard`, and the JSON text
+/// or the postcard bytes in hexadecimal.
 const RECORDED: &str = include_str!("golden/interface.txt");
 
-/// More than fits into 32 bits.
-const WIDE: usize = 5_000_000_000;
+/// A number that does not fit into 32 bits.
+const WIDER_THAN_32_BITS: usize = 5_000_000_000;
 
 fn recorded(name: &str, form: &str) -> &'static str {
     let head = format!("{name} {form} ");
     RECORDED
         .lines()
         .find_map(|line| line.strip_prefix(head.as_str()))
-        .unwrap_or_else(|| panic!("no {head}"))
+        .unwrap_or_else(|| panic!("no recorded sample {head}"))
 }
 
 fn to_hexadecimal(bytes: &[u8]) -> String {
@@ -26,12 +28,17 @@
 }
 
 fn from_hexadecimal(text: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two digits");
+    let digits =
+        |offset: usize| u8::from_str_radix(&text[offset..offset + 2], 16).expect("two digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// Both recorded forms are read as this value, and this value is written as both.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+/// Checks that `value` serializes to both recorded forms of the sample `name` and that both forms
+/// deserialize to `value`.
+fn check_recorded_forms<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    value: &T,
+) {
     let json = serde_json::to_string(value).expect("written as JSON");
     let bytes = postcard::to_allocvec(value).expect("written as postcard");
     assert_eq!(json, recorded(name, "json"), "{name}");
@@ -59,9 +66,9 @@
     Settings {
         senders: u32::MAX,
         zone: u16::MAX,
-        call_slots: WIDE,
-        max_pending: WIDE + 1,
-        max_attempts: WIDE + 2,
+        call_slots: WIDER_THAN_32_BITS,
+        max_pending: WIDER_THAN_32_BITS + 1,
+        max_attempts: WIDER_THAN_32_BITS + 2,
         hedging_allowed: true,
         cancellation_allowed: false,
         health_checks_allowed: true,
@@ -71,8 +78,8 @@
         list_by_subscription: true,
         completion_by_notification: false,
         weight_trust: 0.5,
-        report_remaining: Some(WIDE),
-        report_limit: Some(WIDE + 3),
+        report_remaining: Some(WIDER_THAN_32_BITS),
+        report_limit: Some(WIDER_THAN_32_BITS + 3),
         price_cross_zone: 0.05,
         price_health_check: 0.01,
         price_waste: 0.2,
@@ -104,7 +111,7 @@
         kinds: vec![Kind {
             name: "apart".into(),
             separate_routes: true,
-            bundle_max: WIDE,
+            bundle_max: WIDER_THAN_32_BITS,
         }],
         tenants: vec![Tenant {
             name: "gold".into(),
@@ -114,24 +121,24 @@
 }
 
 fn bounds() -> RuleBounds {
-    let bound = ClassBounds {
+    let class_bounds = ClassBounds {
         accepted: true,
         effect: Effect::IdempotencyKey {
             window: Micros::MIN,
             same_zone_only: false,
         },
-        max_attempts: WIDE,
+        max_attempts: WIDER_THAN_32_BITS,
         ordered: true,
         key_backoff: Micros::MAX,
     };
     let classes = BTreeMap::from([
-        ("free".to_string(), bound),
+        ("free".to_string(), class_bounds),
         ("shut".to_string(), ClassBounds::NOTHING),
     ]);
     RuleBounds {
         classes,
-        max_calls: Some(WIDE),
-        max_messages: Some(WIDE + 1),
+        max_calls: Some(WIDER_THAN_32_BITS),
+        max_messages: Some(WIDER_THAN_32_BITS + 1),
     }
 }
 
@@ -159,14 +166,14 @@
 }
 
 #[test]
-fn settings_read_and_write_the_same() {
-    check("settings", &settings());
-    check("settings_lone", &Settings::new(8, 100));
+fn settings_match_their_recorded_forms() {
+    check_recorded_forms("settings", &settings());
+    check_recorded_forms("settings_lone", &Settings::new(8, 100));
 }
 
 #[test]
-fn agreed_rules_read_and_write_the_same() {
-    check(
+fn agreed_rules_match_their_recorded_forms() {
+    check_recorded_forms(
         "agreed",
         &AgreedRules {
             leased: Some(LeasedBounds {
@@ -176,7 +183,7 @@
             fallback: RuleBounds::default(),
         },
     );
-    check(
+    check_recorded_forms(
         "agreed_without_lease",
         &AgreedRules {
             leased: None,
@@ -186,13 +193,13 @@
 }
 
 #[test]
-fn quotas_read_and_write_the_same() {
-    check("quotas", &quotas());
+fn quotas_match_their_recorded_forms() {
+    check_recorded_forms("quotas", &quotas());
 }
 
 #[test]
-fn fleet_view_reads_and_writes_the_same() {
-    check(
+fn fleet_view_matches_its_recorded_forms() {
+    check_recorded_forms(
         "fleet_view",
         &FleetView {
             present: u32::MAX,
@@ -205,41 +212,41 @@
 }
 
 #[test]
-fn every_outcome_reads_and_writes_the_same() {
-    check("outcome_success", &Outcome::Success);
-    check("outcome_error", &Outcome::Error);
-    check("outcome_refused", &Outcome::Rejected { retry_after: None });
-    check(
+fn every_outcome_matches_its_recorded_forms() {
+    check_recorded_forms("outcome_success", &Outcome::Success);
+    check_recorded_forms("outcome_error", &Outcome::Error);
+    check_recorded_forms("outcome_refused", &Outcome::Rejected { retry_after: None });
+    check_recorded_forms(
         "outcome_refused_with_wait",
         &Outcome::Rejected {
             retry_after: Some(350 * MILLISECOND),
         },
     );
-    check("outcome_timed_out", &Outcome::TimedOut);
-    check("outcome_no_connection", &Outcome::NoConnection);
-    check("outcome_reset", &Outcome::Reset);
-    check("outcome_cancelled", &Outcome::Cancelled);
-    check("outcome_unsent", &Outcome::NotSent { no_slot: false });
-    check(
+    check_recorded_forms("outcome_timed_out", &Outcome::TimedOut);
+    check_recorded_forms("outcome_no_connection", &Outcome::NoConnection);
+    check_recorded_forms("outcome_reset", &Outcome::Reset);
+    check_recorded_forms("outcome_cancelled", &Outcome::Cancelled);
+    check_recorded_forms("outcome_unsent", &Outcome::NotSent { no_slot: false });
+    check_recorded_forms(
         "outcome_unsent_without_slot",
         &Outcome::NotSent { no_slot: true },
     );
 }
 
 #[test]
-fn every_fade_reads_and_writes_the_same() {
-    check("fade_even", &WeightDecay::Linear);
-    check("fade_halving", &WeightDecay::Halving);
+fn every_weight_decay_matches_its_recorded_forms() {
+    check_recorded_forms("fade_even", &WeightDecay::Linear);
+    check_recorded_forms("fade_halving", &WeightDecay::Halving);
 }
 
 #[test]
-fn ids_read_and_write_the_same() {
-    check("message_id", &MessageId(u64::MAX));
-    check("endpoint_id", &EndpointId(u32::MAX));
+fn ids_match_their_recorded_forms() {
+    check_recorded_forms("message_id", &MessageId(u64::MAX));
+    check_recorded_forms("endpoint_id", &EndpointId(u32::MAX));
 }
 
 #[test]
-fn names_read_and_write_the_same() {
+fn names_match_their_recorded_forms() {
     let names = Names {
         zones: vec!["a".into(), "b".into()],
         classes: vec!["free".into()],
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,5 +1,5 @@
-//! The pool's rules without sockets: random orders of what happens to it, held against what must never be, and the
-//! cases that operators would ask about, each by itself.
+//! Tests of the connection pool's rules without sockets: random events checked against invariants,
+//! and single cases that matter to operators.
 
 use message_sender::pool::*;
 use message_sender::{EndpointId, MILLISECOND, Micros, SECOND};
@@ -8,10 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const T0: Micros = 50 * SECOND;
+/// Time in microseconds at which each test begins.
+const START: Micros = 50 * SECOND;
 
-/// The sizes of a pool of which nothing is left.
-const NOTHING: PoolSizes = PoolSizes {
+/// Sizes of a pool without any records.
+const EMPTY: PoolSizes = PoolSizes {
     endpoints: 0,
     connections: 0,
     waiters: 0,
@@ -34,239 +35,267 @@
 }
 
 fn target(endpoint: u32) -> EndpointAddress {
-    at(endpoint, endpoint as u16)
+    endpoint_at_port(endpoint, endpoint as u16)
 }
 
-fn at(endpoint: u32, port: u16) -> EndpointAddress {
+fn endpoint_at_port(endpoint: u32, port: u16) -> EndpointAddress {
     EndpointAddress {
         address: SocketAddr::from(([127, 0, 0, 1], 1000 + port)),
         endpoint: EndpointId(endpoint),
     }
 }
 
-/// A fault put between the rules and whoever checks them, to show that the checks see it.
+/// A fault injected between the rules and the model, to show that the model's checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// The rules have larger caps than is said.
-    LooseCaps,
-    /// A call that is called off is not told to the rules.
-    ForgottenWaiter,
-    /// A connection is given to two calls.
+    /// The rules work with higher limits than the model checks.
+    LimitsTooHigh,
+    /// Cancelled calls are not reported to the rules.
+    CancelNotReported,
+    /// A connection is leased to two calls.
     LeasedTwice,
-    /// Closing is left out now and then.
-    Leak,
-    /// A dial's failure is not told, and so nobody is denied.
-    SilentFailure,
-    /// Retirement is not told.
-    Unretired,
+    /// Every ninth command is not carried out if it closes a connection.
+    CloseIgnored,
+    /// Failed dials are not reported to the rules, so that waiting calls are not denied.
+    DialFailureNotReported,
+    /// Retired endpoints are not reported to the rules.
+    RetirementNotReported,
 }
 
+/// State of a connection in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Has {
-    Dial,
-    Lease,
+enum State {
+    Dialling,
+    Leased,
     Idle,
 }
 
-/// The world round the rules: which connections there are, and which calls wait since when.
-struct World {
+/// Model of what surrounds the rules: it carries out their commands, tracks connections and
+/// waiting calls independently, and records violations of invariants.
+struct Model {
     pool: Pool,
     limits: PoolLimits,
     now: Micros,
-    connections: BTreeMap<u64, (EndpointAddress, Has)>,
+    connections: BTreeMap<u64, (EndpointAddress, State)>,
     waiting: BTreeMap<u64, EndpointAddress>,
     serving: BTreeSet<EndpointAddress>,
     fault: Fault,
-    turns: u32,
-    wrong: Vec<String>,
+    /// Number of commands carried out.
+    commands_executed: u32,
+    /// Descriptions of the violated invariants.
+    violations: Vec<String>,
 }
 
-impl World {
+impl Model {
     fn new(limits: PoolLimits, seed: u64, fault: Fault) -> Self {
-        let mut given = limits.clone();
-        if fault == Fault::LooseCaps {
-            given.per_endpoint += 2;
-            given.concurrent_dials += 2;
-            given.total += 2;
+        let mut pool_limits = limits.clone();
+        if fault == Fault::LimitsTooHigh {
+            pool_limits.per_endpoint += 2;
+            pool_limits.concurrent_dials += 2;
+            pool_limits.total += 2;
         }
-        World {
-            pool: Pool::new(given, seed),
+        Model {
+            pool: Pool::new(pool_limits, seed),
             limits,
-            now: T0,
+            now: START,
             connections: BTreeMap::new(),
             waiting: BTreeMap::new(),
             serving: BTreeSet::new(),
             fault,
-            turns: 0,
-            wrong: Vec::new(),
+            commands_executed: 0,
+            violations: Vec::new(),
         }
     }
 
-    fn with(&mut self, say: impl FnOnce(&mut Pool, Micros, &mut Vec<Command>)) {
+    fn apply(&mut self, event: impl FnOnce(&mut Pool, Micros, &mut Vec<Command>)) {
         let mut commands = Vec::new();
-        say(&mut self.pool, self.now, &mut commands);
+        event(&mut self.pool, self.now, &mut commands);
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
         self.check();
     }
 
-    fn carry_out(&mut self, command: Command) {
-        self.turns += 1;
-        let every_ninth = self.turns.is_multiple_of(9);
+    fn execute(&mut self, command: Command) {
+        self.commands_executed += 1;
+        let is_ninth = self.commands_executed.is_multiple_of(9);
         match command {
             Command::Dial { connection, target } => {
                 if !self.serving.contains(&target) {
-                    self.wrong
-                        .push(format!("{connection} dialled to one that does not serve"));
+                    self.violations.push(format!(
+                        "connection {connection} dialled to a retired endpoint"
+                    ));
                 }
                 if self
                     .connections
-                    .insert(connection, (target, Has::Dial))
+                    .insert(connection, (target, State::Dialling))
                     .is_some()
                 {
-                    self.wrong.push(format!("{connection} dialled twice"));
+                    self.violations
+                        .push(format!("connection {connection} dialled twice"));
                 }
-                let here = self
+                let open_to_target = self
                     .connections
                     .values()
                     .filter(|(there, _)| *there == target)
                     .count();
-                let (all, dials) = (self.connections.len(), self.count(Has::Dial));
+                let (all, dials) = (self.connections.len(), self.count(State::Dialling));
                 let PoolLimits {
                     per_endpoint,
-                    total: all_most,
-                    concurrent_dials: dials_most,
+                    total: max_total,
+                    concurrent_dials: max_dials,
                     ..
                 } = self.limits;
-                if here > per_endpoint || all > all_most || dials > dials_most {
-                    let most = (per_endpoint, all_most, dials_most);
-                    self.wrong.push(format!(
-                        "a dial too many: {:?} of {most:?}",
-                        (here, all, dials)
+                if open_to_target > per_endpoint || all > max_total || dials > max_dials {
+                    let allowed = (per_endpoint, max_total, max_dials);
+                    self.violations.push(format!(
+                        "connections to the endpoint, in all, and dials after a dial: {:?} of {allowed:?}",
+                        (open_to_target, all, dials)
                     ));
                 }
             }
             Command::Lease {
                 waiter, connection, ..
             } => {
-                let wanted = self.waiting.remove(&waiter);
+                let expected_target = self.waiting.remove(&waiter);
                 let connection = match self.fault {
-                    Fault::LeasedTwice if every_ninth => connection.saturating_sub(1),
+                    Fault::LeasedTwice if is_ninth => connection.saturating_sub(1),
                     _ => connection,
                 };
                 match self.connections.get_mut(&connection) {
-                    Some((target, has)) if *has == Has::Idle && Some(*target) == wanted => {
-                        *has = Has::Lease
+                    Some((target, state))
+                        if *state == State::Idle && Some(*target) == expected_target =>
+                    {
+                        *state = State::Leased
                     }
-                    other => self
-                        .wrong
-                        .push(format!("{waiter} got {connection}, which is {other:?}")),
+                    other => self.violations.push(format!(
+                        "call {waiter} got connection {connection}, which is {other:?}"
+                    )),
                 }
             }
             Command::Deny { waiter, .. } => {
                 if self.waiting.remove(&waiter).is_none() {
-                    self.wrong
-                        .push(format!("{waiter} denied, who did not wait"));
+                    self.violations
+                        .push(format!("call {waiter} was denied, but did not wait"));
                 }
             }
             Command::Close { connection } => {
-                if self.fault == Fault::Leak && every_ninth {
+                if self.fault == Fault::CloseIgnored && is_ninth {
                     return;
                 }
                 match self.connections.remove(&connection) {
-                    Some((_, Has::Idle)) => {}
-                    other => self
-                        .wrong
-                        .push(format!("{connection} closed, which is {other:?}")),
+                    Some((_, State::Idle)) => {}
+                    other => self.violations.push(format!(
+                        "connection {connection} was closed, which is {other:?}"
+                    )),
                 }
             }
         }
     }
 
-    fn count(&self, has: Has) -> usize {
+    fn count(&self, state: State) -> usize {
         self.connections
             .values()
-            .filter(|(_, now)| *now == has)
+            .filter(|(_, current)| *current == state)
             .count()
     }
 
     fn check(&mut self) {
-        let mut wrong = Vec::new();
-        let idle = self.count(Has::Idle);
-        let over = |wrong: &mut Vec<String>, what: &str, is: usize, most: usize| {
-            if is > most {
-                wrong.push(format!("{what}: {is} of {most}"));
+        let mut violations = Vec::new();
+        let idle = self.count(State::Idle);
+        let check_max = |violations: &mut Vec<String>, subject: &str, count: usize, max: usize| {
+            if count > max {
+                violations.push(format!("{subject}: {count} of {max}"));
             }
         };
-        over(&mut wrong, "idle", idle, self.limits.idle);
-        // a cap that was lowered waits for what carries a call, and for nothing else
+        check_max(&mut violations, "idle connections", idle, self.limits.idle);
+        // a lowered limit may be exceeded by leased and dialling connections, but not by idle ones
         if idle > 0 {
-            over(&mut wrong, "all", self.connections.len(), self.limits.total);
+            check_max(
+                &mut violations,
+                "all connections",
+                self.connections.len(),
+                self.limits.total,
+            );
         }
         let PoolSizes {
-            endpoints: sites,
+            endpoints: endpoints_known,
             connections,
             waiters,
         } = self.pool.sizes();
-        let views = self.pool.report(self.now).endpoints;
-        for view in &views {
-            if view.idle > 0 {
-                over(
-                    &mut wrong,
-                    "to one endpoint",
-                    view.idle + view.leased + view.dialling,
+        let reports = self.pool.report(self.now).endpoints;
+        for report in &reports {
+            if report.idle > 0 {
+                check_max(
+                    &mut violations,
+                    "connections to one endpoint",
+                    report.idle + report.leased + report.dialling,
                     self.limits.per_endpoint,
                 );
             }
-            over(
-                &mut wrong,
-                "idle at one endpoint",
-                view.idle,
+            check_max(
+                &mut violations,
+                "idle connections to one endpoint",
+                report.idle,
                 self.limits.idle_per_endpoint,
             );
-            let there = self
+            let at_target = self
                 .connections
                 .values()
-                .filter(|(target, _)| *target == view.target);
-            let here = |has| there.clone().filter(|(_, now)| *now == has).count();
-            let seen = (here(Has::Idle), here(Has::Lease), here(Has::Dial));
-            if seen != (view.idle, view.leased, view.dialling) {
-                wrong.push(format!("{:?} is {seen:?}, told {view:?}", view.target));
+                .filter(|(target, _)| *target == report.target);
+            let count_in = |state| {
+                at_target
+                    .clone()
+                    .filter(|(_, current)| *current == state)
+                    .count()
+            };
+            let counts = (
+                count_in(State::Idle),
+                count_in(State::Leased),
+                count_in(State::Dialling),
+            );
+            if counts != (report.idle, report.leased, report.dialling) {
+                violations.push(format!(
+                    "{:?} has {counts:?}, but is reported as {report:?}",
+                    report.target
+                ));
             }
-            // what waits while something lies idle waits in vain
-            if view.waiting > 0 && view.idle > 0 {
-                wrong.push(format!(
-                    "{:?}: {} wait beside {} idle",
-                    view.target, view.waiting, view.idle
+            // a call must not wait while a connection to its endpoint is idle
+            if report.waiting > 0 && report.idle > 0 {
+                violations.push(format!(
+                    "{:?}: {} calls wait although {} connections are idle",
+                    report.target, report.waiting, report.idle
                 ));
             }
         }
         if connections != self.connections.len() || waiters != self.waiting.len() {
-            let there = (self.connections.len(), self.waiting.len());
-            wrong.push(format!(
-                "{connections} connections and {waiters} waiters are known, there are {there:?}"
+            let expected = (self.connections.len(), self.waiting.len());
+            violations.push(format!(
+                "the pool has {connections} connections and {waiters} waiting calls instead of {expected:?}"
             ));
         }
-        if sites < views.len() {
-            wrong.push(format!("{sites} sites"));
+        if endpoints_known < reports.len() {
+            violations.push(format!(
+                "{endpoints_known} endpoints known, fewer than reported"
+            ));
         }
         let idle_retired = self
             .connections
             .values()
-            .any(|(target, has)| *has == Has::Idle && !self.serving.contains(target));
+            .any(|(target, state)| *state == State::Idle && !self.serving.contains(target));
         if idle_retired {
-            wrong.push("idle at one that does not serve".to_string());
+            violations.push("a connection to a retired endpoint is idle".to_string());
         }
-        self.wrong.extend(wrong);
+        self.violations.extend(violations);
     }
 }
 
-/// Plays random events for a while, then lets all of them end; what was found wrong.
-fn play(seed: u64, fault: Fault) -> Vec<String> {
+/// Feeds the rules with random events, then lets all dials and calls end and retires the endpoints.
+/// Returns the violations found.
+fn run_random_events(seed: u64, fault: Fault) -> Vec<String> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let mut below = |most: usize| random.next_u32() as usize % most.max(1);
+    let mut below = |bound: usize| random.next_u32() as usize % bound.max(1);
     let mut limits = limits();
     (limits.per_endpoint, limits.concurrent_dials, limits.total) =
         (1 + below(6), 1 + below(8), 6 + below(12));
@@ -274,68 +303,72 @@
     limits.per_endpoint = limits.per_endpoint.min(limits.total);
     limits.prewarm_share = [0.0, 0.3, 1.0][below(3)];
     limits.senders = [1, 30][below(2)];
-    let mut world = World::new(limits.clone(), seed, fault);
-    let places: Vec<EndpointAddress> = (0..5).map(|n| at(n, n.min(3) as u16)).collect();
-    for &target in &places {
-        world.serving.insert(target);
-        world.with(|pool, now, _| pool.enable_endpoint(now, target));
+    let mut model = Model::new(limits.clone(), seed, fault);
+    let targets: Vec<EndpointAddress> = (0..5)
+        .map(|n| endpoint_at_port(n, n.min(3) as u16))
+        .collect();
+    for &target in &targets {
+        model.serving.insert(target);
+        model.apply(|pool, now, _| pool.enable_endpoint(now, target));
     }
-    let mut next = 0;
+    let mut last_waiter = 0;
     for _ in 0..1500 {
-        if !world.wrong.is_empty() {
-            return world.wrong;
+        if !model.violations.is_empty() {
+            return model.violations;
         }
-        world.now += [0, MILLISECOND, 40 * MILLISECOND, 3 * SECOND][below(4)];
-        let pick = |world: &World, has: Has, at: usize| {
-            let all: Vec<u64> = world
+        model.now += [0, MILLISECOND, 40 * MILLISECOND, 3 * SECOND][below(4)];
+        let pick_connection = |model: &Model, state: State, choice: usize| {
+            let all: Vec<u64> = model
                 .connections
                 .iter()
-                .filter(|(_, (_, now))| *now == has)
+                .filter(|(_, (_, current))| *current == state)
                 .map(|(&number, _)| number)
                 .collect();
-            (!all.is_empty()).then(|| all[at % all.len()])
+            (!all.is_empty()).then(|| all[choice % all.len()])
         };
-        let (what, at) = (below(24), below(1000));
-        match what {
+        let (event, choice) = (below(24), below(1000));
+        match event {
             0..=6 => {
-                let target = places[at % places.len()];
-                next += 1;
-                world.waiting.insert(next, target);
-                world.with(|pool, now, out| pool.acquire(now, target, next, out));
+                let target = targets[choice % targets.len()];
+                last_waiter += 1;
+                model.waiting.insert(last_waiter, target);
+                model.apply(|pool, now, commands| pool.acquire(now, target, last_waiter, commands));
             }
             7..=9 => {
-                if let Some(dial) = pick(&world, Has::Dial, at) {
-                    world
+                if let Some(dial) = pick_connection(&model, State::Dialling, choice) {
+                    model
                         .connections
                         .entry(dial)
-                        .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
+                        .and_modify(|known| known.1 = State::Idle);
+                    model.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
                 }
             }
             10 | 11 => {
-                let whys = [
+                let failures = [
                     DialFailure::Refused,
                     DialFailure::TimedOut,
                     DialFailure::Other,
                 ];
-                if let Some(dial) = pick(&world, Has::Dial, at) {
-                    world.connections.remove(&dial);
-                    if fault != Fault::SilentFailure {
-                        world.with(|pool, now, out| pool.dial_failed(now, dial, whys[at % 3], out));
+                if let Some(dial) = pick_connection(&model, State::Dialling, choice) {
+                    model.connections.remove(&dial);
+                    if fault != Fault::DialFailureNotReported {
+                        model.apply(|pool, now, commands| {
+                            pool.dial_failed(now, dial, failures[choice % 3], commands)
+                        });
                     }
                 }
             }
             12..=15 => {
                 let answers = [AnswerKind::Served, AnswerKind::Rejected, AnswerKind::Other];
-                if let Some(lease) = pick(&world, Has::Lease, at) {
-                    world.with(|pool, now, _| {
-                        pool.record_answer(now, lease, answers[at % 3]);
+                if let Some(lease) = pick_connection(&model, State::Leased, choice) {
+                    model.apply(|pool, now, _| {
+                        pool.record_answer(now, lease, answers[choice % 3]);
                     });
-                    world
+                    model
                         .connections
                         .entry(lease)
-                        .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.release(now, lease, out));
+                        .and_modify(|known| known.1 = State::Idle);
+                    model.apply(|pool, now, commands| pool.release(now, lease, commands));
                 }
             }
             16 | 17 => {
@@ -346,206 +379,221 @@
                     CloseReason::Unreadable,
                     CloseReason::ClosedByPeer,
                 ];
-                if let Some(lease) = pick(&world, Has::Lease, at) {
-                    world.connections.remove(&lease);
-                    world.with(|pool, now, out| pool.discard(now, lease, causes[at % 5], out));
+                if let Some(lease) = pick_connection(&model, State::Leased, choice) {
+                    model.connections.remove(&lease);
+                    model.apply(|pool, now, commands| {
+                        pool.discard(now, lease, causes[choice % 5], commands)
+                    });
                 }
             }
             18 => {
-                let waiter = world
+                let waiter = model
                     .waiting
                     .keys()
-                    .nth(at % world.waiting.len().max(1))
+                    .nth(choice % model.waiting.len().max(1))
                     .copied();
                 if let Some(waiter) = waiter {
-                    world.waiting.remove(&waiter);
-                    if fault != Fault::ForgottenWaiter {
-                        world.with(|pool, _, _| pool.cancel_wait(waiter));
+                    model.waiting.remove(&waiter);
+                    if fault != Fault::CancelNotReported {
+                        model.apply(|pool, _, _| pool.cancel_wait(waiter));
                     }
                 }
             }
             19 => {
-                if let Some(idle) = pick(&world, Has::Idle, at) {
-                    world.with(|pool, _, out| pool.peer_closed(idle, out));
+                if let Some(idle) = pick_connection(&model, State::Idle, choice) {
+                    model.apply(|pool, _, commands| pool.peer_closed(idle, commands));
                 }
             }
             20 => {
-                let target = places[at % places.len()];
-                if world.serving.remove(&target) {
-                    if fault != Fault::Unretired {
-                        world.with(|pool, _, out| pool.retire_endpoint(target, out));
+                let target = targets[choice % targets.len()];
+                if model.serving.remove(&target) {
+                    if fault != Fault::RetirementNotReported {
+                        model.apply(|pool, _, commands| pool.retire_endpoint(target, commands));
                     }
                 } else {
-                    world.serving.insert(target);
-                    world.with(|pool, now, _| pool.enable_endpoint(now, target));
+                    model.serving.insert(target);
+                    model.apply(|pool, now, _| pool.enable_endpoint(now, target));
                 }
             }
             21 => {
-                let target = places[at % places.len()];
-                world.with(|pool, _, out| pool.close_idle(target, out));
+                let target = targets[choice % targets.len()];
+                model.apply(|pool, _, commands| pool.close_idle(target, commands));
             }
             22 => {
-                let mut less = limits.clone();
-                (less.total, less.idle) = (limits.total - at % 3, limits.idle.min(1 + at % 4));
-                less.per_endpoint = limits.per_endpoint.min(less.total);
-                world.limits = less.clone();
-                if fault == Fault::LooseCaps {
-                    less.per_endpoint += 2;
-                    less.concurrent_dials += 2;
-                    less.total += 2;
+                let mut lower_limits = limits.clone();
+                (lower_limits.total, lower_limits.idle) =
+                    (limits.total - choice % 3, limits.idle.min(1 + choice % 4));
+                lower_limits.per_endpoint = limits.per_endpoint.min(lower_limits.total);
+                model.limits = lower_limits.clone();
+                if fault == Fault::LimitsTooHigh {
+                    lower_limits.per_endpoint += 2;
+                    lower_limits.concurrent_dials += 2;
+                    lower_limits.total += 2;
                 }
-                world.with(|pool, now, out| pool.set_limits(now, less, out));
+                model.apply(|pool, now, commands| pool.set_limits(now, lower_limits, commands));
             }
-            _ => world.with(|pool, now, out| pool.tick(now, out)),
+            _ => model.apply(|pool, now, commands| pool.tick(now, commands)),
         }
     }
-    // every dial ends, every call too, and time passes: each one that waits gets its end
+    // let every dial and every call end and time pass: each waiting call must get a connection or a
+    // denial
     for round in 0..2000 {
-        world.now += 20 * MILLISECOND;
-        let all: Vec<(u64, Has)> = world
+        model.now += 20 * MILLISECOND;
+        let all: Vec<(u64, State)> = model
             .connections
             .iter()
             .map(|(&number, known)| (number, known.1))
             .collect();
-        for (number, has) in all {
-            match has {
-                Has::Dial if round % 2 == 0 => {
-                    world
+        for (number, state) in all {
+            match state {
+                State::Dialling if round % 2 == 0 => {
+                    model
                         .connections
                         .entry(number)
-                        .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.dial_succeeded(now, number, out));
+                        .and_modify(|known| known.1 = State::Idle);
+                    model.apply(|pool, now, commands| pool.dial_succeeded(now, number, commands));
                 }
-                Has::Dial => {
-                    world.connections.remove(&number);
-                    world.with(|pool, now, out| {
-                        pool.dial_failed(now, number, DialFailure::Refused, out)
+                State::Dialling => {
+                    model.connections.remove(&number);
+                    model.apply(|pool, now, commands| {
+                        pool.dial_failed(now, number, DialFailure::Refused, commands)
                     });
                 }
-                Has::Lease => {
-                    world
+                State::Leased => {
+                    model
                         .connections
                         .entry(number)
-                        .and_modify(|known| known.1 = Has::Idle);
-                    world.with(|pool, now, out| pool.release(now, number, out));
+                        .and_modify(|known| known.1 = State::Idle);
+                    model.apply(|pool, now, commands| pool.release(now, number, commands));
                 }
-                Has::Idle => {}
+                State::Idle => {}
             }
         }
-        world.with(|pool, now, out| pool.tick(now, out));
-        if world.waiting.is_empty() || !world.wrong.is_empty() {
+        model.apply(|pool, now, commands| pool.tick(now, commands));
+        if model.waiting.is_empty() || !model.violations.is_empty() {
             break;
         }
     }
-    if !world.waiting.is_empty() {
-        world
-            .wrong
-            .push(format!("{} wait for ever", world.waiting.len()));
+    if !model.waiting.is_empty() {
+        model.violations.push(format!(
+            "{} calls were neither leased a connection nor denied",
+            model.waiting.len()
+        ));
     }
-    // and all that is idle grows old, the endpoints go, and nothing is left of them
-    for &target in &places {
-        world.serving.remove(&target);
-        if fault != Fault::Unretired {
-            world.with(|pool, _, out| pool.retire_endpoint(target, out));
+    // then retire all endpoints and end what is still open: the pool must keep no records
+    for &target in &targets {
+        model.serving.remove(&target);
+        if fault != Fault::RetirementNotReported {
+            model.apply(|pool, _, commands| pool.retire_endpoint(target, commands));
         }
     }
-    for (number, has) in world
+    for (number, state) in model
         .connections
         .clone()
         .into_iter()
         .map(|(number, known)| (number, known.1))
     {
-        if has == Has::Dial {
-            world.connections.remove(&number);
-            world.with(|pool, now, out| pool.dial_failed(now, number, DialFailure::Other, out));
+        if state == State::Dialling {
+            model.connections.remove(&number);
+            model.apply(|pool, now, commands| {
+                pool.dial_failed(now, number, DialFailure::Other, commands)
+            });
         }
     }
-    let left: Vec<u64> = world.connections.keys().copied().collect();
+    let left: Vec<u64> = model.connections.keys().copied().collect();
     for number in left {
-        world.connections.remove(&number);
-        world.with(|pool, now, out| pool.discard(now, number, CloseReason::Cancelled, out));
+        model.connections.remove(&number);
+        model.apply(|pool, now, commands| {
+            pool.discard(now, number, CloseReason::Cancelled, commands)
+        });
     }
-    if world.pool.sizes() != NOTHING {
-        world
-            .wrong
-            .push(format!("{:?} are left", world.pool.sizes()));
+    if model.pool.sizes() != EMPTY {
+        model
+            .violations
+            .push(format!("records are left: {:?}", model.pool.sizes()));
     }
-    world.wrong
+    model.violations
 }
 
 #[test]
-fn no_order_of_events_passes_a_cap_leaks_or_lets_a_call_wait_for_ever() {
+fn random_events_exceed_no_limit_leak_nothing_and_leave_no_call_waiting() {
     for seed in 0..300 {
-        let wrong = play(seed, Fault::None);
+        let violations = run_random_events(seed, Fault::None);
         assert!(
-            wrong.is_empty(),
+            violations.is_empty(),
             "seed {seed}: {:?}",
-            &wrong[..wrong.len().min(3)]
+            &violations[..violations.len().min(3)]
         );
     }
 }
 
 #[test]
-fn the_checks_see_each_broken_rule() {
+fn model_checks_detect_each_injected_fault() {
     use Fault::*;
     for fault in [
-        LooseCaps,
-        ForgottenWaiter,
+        LimitsTooHigh,
+        CancelNotReported,
         LeasedTwice,
-        Leak,
-        SilentFailure,
-        Unretired,
+        CloseIgnored,
+        DialFailureNotReported,
+        RetirementNotReported,
     ] {
-        let seen = (0..20)
-            .filter(|&seed| !play(seed, fault).is_empty())
+        let detected = (0..20)
+            .filter(|&seed| !run_random_events(seed, fault).is_empty())
             .count();
-        assert!(seen >= 15, "{fault:?} is seen on {seen} of 20 seeds");
+        assert!(
+            detected >= 15,
+            "{fault:?} is detected with {detected} of 20 seeds"
+        );
     }
 }
 
-/// A pool with one endpoint that serves, and what it says.
-struct Rig {
+/// A pool with one enabled endpoint.
+struct Fixture {
     pool: Pool,
     now: Micros,
+    /// Endpoint that the methods act on.
     target: EndpointAddress,
-    next: u64,
+    /// Number of the last call that asked for a connection.
+    last_waiter: u64,
 }
 
-impl Rig {
+impl Fixture {
     fn new(limits: PoolLimits) -> Self {
         let mut pool = Pool::new(limits, 7);
-        pool.enable_endpoint(T0, target(1));
-        Rig {
+        pool.enable_endpoint(START, target(1));
+        Fixture {
             pool,
-            now: T0,
+            now: START,
             target: target(1),
-            next: 0,
+            last_waiter: 0,
         }
     }
 
-    fn with(&mut self, say: impl FnOnce(&mut Pool, Micros, &mut Vec<Command>)) -> Vec<Command> {
-        let mut out = Vec::new();
-        say(&mut self.pool, self.now, &mut out);
-        out
+    fn apply(&mut self, event: impl FnOnce(&mut Pool, Micros, &mut Vec<Command>)) -> Vec<Command> {
+        let mut commands = Vec::new();
+        event(&mut self.pool, self.now, &mut commands);
+        commands
     }
 
-    /// A call asks; its number and what came of it.
-    fn ask(&mut self) -> (u64, Vec<Command>) {
-        self.next += 1;
-        let (waiter, target) = (self.next, self.target);
+    /// Lets a call ask for a connection; returns the call's number and the commands of the pool.
+    fn acquire(&mut self) -> (u64, Vec<Command>) {
+        self.last_waiter += 1;
+        let (waiter, target) = (self.last_waiter, self.target);
         (
             waiter,
-            self.with(|pool, now, out| pool.acquire(now, target, waiter, out)),
+            self.apply(|pool, now, commands| pool.acquire(now, target, waiter, commands)),
         )
     }
 
-    /// A call asks, is dialled for and gets a new connection.
-    fn dialled(&mut self) -> u64 {
-        let (waiter, out) = self.ask();
-        let connection = dials(&out)[0];
-        let out = self.with(|pool, now, out| pool.dial_succeeded(now, connection, out));
+    /// Lets a call ask for a connection, and completes the dial for it; returns the new connection.
+    fn connect(&mut self) -> u64 {
+        let (waiter, commands) = self.acquire();
+        let connection = dialled_connections(&commands)[0];
+        let commands =
+            self.apply(|pool, now, commands| pool.dial_succeeded(now, connection, commands));
         assert_eq!(
-            out,
+            commands,
             [Command::Lease {
                 waiter,
                 connection,
@@ -555,107 +603,109 @@
         connection
     }
 
-    /// The call on it ends well.
-    fn ends(&mut self, connection: u64, answered: AnswerKind) -> Vec<Command> {
-        self.with(|pool, now, out| {
-            pool.record_answer(now, connection, answered);
-            pool.release(now, connection, out);
+    /// Records an answer on a leased connection and releases the connection.
+    fn answer_and_release(&mut self, connection: u64, answer: AnswerKind) -> Vec<Command> {
+        self.apply(|pool, now, commands| {
+            pool.record_answer(now, connection, answer);
+            pool.release(now, connection, commands);
         })
     }
 
-    fn view(&self) -> EndpointReport {
+    fn report(&self) -> EndpointReport {
         self.pool
             .report(self.now)
             .endpoints
             .into_iter()
-            .find(|view| view.target == self.target)
-            .expect("known")
+            .find(|report| report.target == self.target)
+            .expect("the endpoint is in the report")
     }
 }
 
-fn dials(out: &[Command]) -> Vec<u64> {
+fn dialled_connections(commands: &[Command]) -> Vec<u64> {
     let dial = |command: &Command| match command {
         Command::Dial { connection, .. } => Some(*connection),
         _ => None,
     };
-    out.iter().filter_map(dial).collect()
+    commands.iter().filter_map(dial).collect()
 }
 
-fn leased(out: &[Command]) -> Vec<(u64, u64)> {
+fn granted_leases(commands: &[Command]) -> Vec<(u64, u64)> {
     let lease = |command: &Command| match command {
         Command::Lease {
             waiter, connection, ..
         } => Some((*waiter, *connection)),
         _ => None,
     };
-    out.iter().filter_map(lease).collect()
+    commands.iter().filter_map(lease).collect()
 }
 
 #[test]
-fn the_newest_idle_one_is_taken_and_the_others_grow_old() {
-    let mut rig = Rig::new(PoolLimits {
+fn newest_idle_connection_is_leased_and_older_ones_expire() {
+    let mut fixture = Fixture::new(PoolLimits {
         demand_half_life: 100 * SECOND,
         ..limits()
     });
-    let (old, new) = (rig.dialled(), rig.dialled());
-    rig.ends(old, AnswerKind::Served);
-    rig.now += SECOND;
-    rig.ends(new, AnswerKind::Served);
+    let (old, new) = (fixture.connect(), fixture.connect());
+    fixture.answer_and_release(old, AnswerKind::Served);
+    fixture.now += SECOND;
+    fixture.answer_and_release(new, AnswerKind::Served);
     for _ in 0..9 {
-        rig.now += SECOND;
-        let (waiter, out) = rig.ask();
-        assert_eq!(leased(&out), [(waiter, new)]);
-        rig.ends(new, AnswerKind::Served);
+        fixture.now += SECOND;
+        let (waiter, commands) = fixture.acquire();
+        assert_eq!(granted_leases(&commands), [(waiter, new)]);
+        fixture.answer_and_release(new, AnswerKind::Served);
     }
     assert_eq!(
-        rig.with(|pool, now, out| pool.tick(now, out)),
+        fixture.apply(|pool, now, commands| pool.tick(now, commands)),
         [Command::Close { connection: old }]
     );
-    let view = rig.view();
+    let report = fixture.report();
     assert_eq!(
         (
-            view.idle,
-            view.counters.reuses,
-            view.counters.dials,
-            view.counters.closes[&CloseReason::IdleTimeout]
+            report.idle,
+            report.counters.reuses,
+            report.counters.dials,
+            report.counters.closes[&CloseReason::IdleTimeout]
         ),
         (1, 9, 2, 1)
     );
 }
 
 #[test]
-fn a_call_takes_the_first_of_its_dial_and_a_connection_given_back() {
-    let mut rig = Rig::new(limits());
-    let first = rig.dialled();
-    let (waiter, out) = rig.ask();
-    let dial = dials(&out)[0];
+fn waiting_call_gets_the_first_of_its_dial_and_a_released_connection() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.connect();
+    let (waiter, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
     assert_eq!(
-        leased(&rig.ends(first, AnswerKind::Served)),
+        granted_leases(&fixture.answer_and_release(first, AnswerKind::Served)),
         [(waiter, first)]
     );
-    // the dial serves the next call, with no further one
-    let (next, out) = rig.ask();
-    assert_eq!(out, []);
+    // the dial in flight goes to the next call, without a further dial
+    let (second_waiter, commands) = fixture.acquire();
+    assert_eq!(commands, []);
     assert_eq!(
-        leased(&rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out))),
-        [(next, dial)]
+        granted_leases(
+            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands))
+        ),
+        [(second_waiter, dial)]
     );
 }
 
 #[test]
-fn a_dial_whose_call_was_called_off_is_kept() {
-    let mut rig = Rig::new(limits());
-    let (waiter, out) = rig.ask();
-    rig.with(|pool, _, _| pool.cancel_wait(waiter));
-    let dial = dials(&out)[0];
+fn connection_dialled_for_a_cancelled_call_is_kept_idle() {
+    let mut fixture = Fixture::new(limits());
+    let (waiter, commands) = fixture.acquire();
+    fixture.apply(|pool, _, _| pool.cancel_wait(waiter));
+    let dial = dialled_connections(&commands)[0];
     assert_eq!(
-        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
         []
     );
-    assert_eq!(rig.view().idle, 1);
-    let (waiter, out) = rig.ask();
+    assert_eq!(fixture.report().idle, 1);
+    let (waiter, commands) = fixture.acquire();
     assert_eq!(
-        out,
+        commands,
         [Command::Lease {
             waiter,
             connection: dial,
@@ -665,22 +715,29 @@
 }
 
 #[test]
-fn a_dial_that_times_out_fails_only_the_call_that_it_was_made_for() {
-    let mut rig = Rig::new(limits());
-    let (first, out) = rig.ask();
-    let dial = dials(&out)[0];
-    rig.with(|pool, _, _| pool.cancel_wait(first));
-    rig.now += SECOND / 2;
-    let (_, out) = rig.ask();
-    assert_eq!(out, [], "the dial that is out serves it");
-    rig.now += SECOND / 2;
-    let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::TimedOut, out));
-    assert_eq!(dials(&out).len(), 1, "its own dial follows: {out:?}");
-    rig.now += SECOND;
-    let again = dials(&out)[0];
-    let out = rig.with(|pool, now, out| pool.dial_failed(now, again, DialFailure::TimedOut, out));
+fn dial_timeout_denies_only_a_call_that_waited_since_the_dial_began() {
+    let mut fixture = Fixture::new(limits());
+    let (first, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    fixture.apply(|pool, _, _| pool.cancel_wait(first));
+    fixture.now += SECOND / 2;
+    let (_, commands) = fixture.acquire();
+    assert_eq!(commands, [], "the dial in flight is for this call now");
+    fixture.now += SECOND / 2;
+    let commands = fixture
+        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::TimedOut, commands));
+    assert_eq!(
+        dialled_connections(&commands).len(),
+        1,
+        "the call gets a dial of its own: {commands:?}"
+    );
+    fixture.now += SECOND;
+    let second_dial = dialled_connections(&commands)[0];
+    let commands = fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, second_dial, DialFailure::TimedOut, commands)
+    });
     assert_eq!(
-        out,
+        commands,
         [Command::Deny {
             waiter: 2,
             reason: LeaseDenied::Dial(DialFailure::TimedOut)
@@ -688,223 +745,265 @@
     );
 }
 
-/// Connects are refused beside `open` connections of which one then answers; the cap learned.
-fn learned(rig: &mut Rig, open: usize) -> Vec<u64> {
-    let held: Vec<u64> = (0..open).map(|_| rig.dialled()).collect();
-    let (waiter, out) = rig.ask();
-    let dial = dials(&out)[0];
-    let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
+/// Makes the pool learn a cap of `open`: a dial is refused while `open` connections are
+/// established, and one of these then brings an answer. Returns the established connections.
+fn learn_cap_from_refused_dial(fixture: &mut Fixture, open: usize) -> Vec<u64> {
+    let held: Vec<u64> = (0..open).map(|_| fixture.connect()).collect();
+    let (waiter, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    let commands = fixture
+        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
     assert_eq!(
-        (out, rig.view().waiting),
+        (commands, fixture.report().waiting),
         (vec![], 1),
-        "it may get one of those that are open"
+        "the call may get one of the open connections"
     );
-    rig.with(|pool, _, _| pool.cancel_wait(waiter));
+    fixture.apply(|pool, _, _| pool.cancel_wait(waiter));
     assert_eq!(
-        rig.view().learned_cap,
+        fixture.report().learned_cap,
         None,
-        "nothing is learned before one of them answers"
+        "no cap is learned before an open connection brings an answer"
     );
-    rig.now += 10 * MILLISECOND;
+    fixture.now += 10 * MILLISECOND;
     let first = held[0];
-    rig.with(|pool, now, _| {
+    fixture.apply(|pool, now, _| {
         pool.record_answer(now, first, AnswerKind::Served);
     });
-    assert_eq!(rig.view().learned_cap, Some(open));
+    assert_eq!(fixture.report().learned_cap, Some(open));
     held
 }
 
 #[test]
-fn a_refused_connect_beside_working_ones_teaches_a_cap() {
-    let mut rig = Rig::new(limits());
-    let held = learned(&mut rig, 3);
-    let (waiter, out) = rig.ask();
-    assert_eq!(out, [], "it waits for one of the three");
+fn refused_dial_with_working_connections_teaches_a_cap() {
+    let mut fixture = Fixture::new(limits());
+    let held = learn_cap_from_refused_dial(&mut fixture, 3);
+    let (waiter, commands) = fixture.acquire();
+    assert_eq!(
+        commands,
+        [],
+        "the call waits for one of the three connections"
+    );
     assert_eq!(
-        leased(&rig.ends(held[1], AnswerKind::Served)),
+        granted_leases(&fixture.answer_and_release(held[1], AnswerKind::Served)),
         [(waiter, held[1])]
     );
 }
 
 #[test]
-fn an_outage_teaches_no_cap() {
-    // the endpoint is down: a connect is refused first, the open connections break after
-    let mut rig = Rig::new(limits());
-    let held: Vec<u64> = (0..3).map(|_| rig.dialled()).collect();
-    let (first, out) = rig.ask();
-    let dial = dials(&out)[0];
-    rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
-    let (second, out) = rig.ask();
+fn outage_teaches_no_cap() {
+    // the endpoint is down: first a dial is refused, then the open connections break
+    let mut fixture = Fixture::new(limits());
+    let held: Vec<u64> = (0..3).map(|_| fixture.connect()).collect();
+    let (first, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    fixture
+        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    let (second, commands) = fixture.acquire();
     assert_eq!(
-        out,
+        commands,
         [],
-        "until it is known what works, none is dialled beside it"
+        "no dial before it is known whether the open connections work"
     );
-    let mut out = Vec::new();
+    let mut commands = Vec::new();
     for connection in held {
-        assert_eq!(out, []);
-        out = rig.with(|pool, now, out| pool.discard(now, connection, CloseReason::Reset, out));
+        assert_eq!(commands, []);
+        commands = fixture.apply(|pool, now, commands| {
+            pool.discard(now, connection, CloseReason::Reset, commands)
+        });
     }
-    // both calls are dialled for now, and have their end with that
-    for (dial, waiter) in dials(&out).into_iter().zip([first, second]) {
-        let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
+    // now each call gets a dial, and is denied when the dial is refused
+    for (dial, waiter) in dialled_connections(&commands)
+        .into_iter()
+        .zip([first, second])
+    {
+        let commands = fixture.apply(|pool, now, commands| {
+            pool.dial_failed(now, dial, DialFailure::Refused, commands)
+        });
         assert_eq!(
-            out,
+            commands,
             [Command::Deny {
                 waiter,
                 reason: LeaseDenied::Dial(DialFailure::Refused)
             }]
         );
     }
-    assert_eq!(rig.view().waiting, 0);
-    // it is back
-    rig.now += SECOND;
-    let back = rig.dialled();
-    rig.ends(back, AnswerKind::Served);
-    assert_eq!(rig.view().learned_cap, None);
-    // and with none open at all nothing can be told
-    rig.with(|pool, _, out| pool.peer_closed(back, out));
-    let (_, out) = rig.ask();
-    let dial = dials(&out)[0];
-    rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
-    let back = rig.dialled();
-    rig.ends(back, AnswerKind::Served);
-    assert_eq!(rig.view().learned_cap, None);
+    assert_eq!(fixture.report().waiting, 0);
+    // the endpoint is up again
+    fixture.now += SECOND;
+    let reconnected = fixture.connect();
+    fixture.answer_and_release(reconnected, AnswerKind::Served);
+    assert_eq!(fixture.report().learned_cap, None);
+    // a refused dial without any open connection does not show a cap either
+    fixture.apply(|pool, _, commands| pool.peer_closed(reconnected, commands));
+    let (_, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    fixture
+        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    let reconnected = fixture.connect();
+    fixture.answer_and_release(reconnected, AnswerKind::Served);
+    assert_eq!(fixture.report().learned_cap, None);
 }
 
 #[test]
-fn a_cap_is_tried_above_slowly_and_only_when_a_call_waits() {
-    let mut rig = Rig::new(limits());
-    learned(&mut rig, 3);
-    rig.now += 4 * SECOND;
+fn trials_above_a_cap_are_slow_and_need_a_waiting_call() {
+    let mut fixture = Fixture::new(limits());
+    learn_cap_from_refused_dial(&mut fixture, 3);
+    fixture.now += 4 * SECOND;
     assert_eq!(
-        rig.with(|pool, now, out| pool.tick(now, out)),
+        fixture.apply(|pool, now, commands| pool.tick(now, commands)),
         [],
-        "nobody waits"
+        "no trial while no call waits"
+    );
+    let (_, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    fixture.acquire();
+    assert_eq!(fixture.report().dialling, 1, "one trial at a time");
+    // the trial is refused: the calls go on waiting, and the next trial comes later
+    let commands = fixture
+        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    assert_eq!((commands, fixture.report().waiting), (vec![], 2));
+    fixture.now += 2 * SECOND - 1;
+    assert_eq!(
+        fixture.apply(|pool, now, commands| pool.tick(now, commands)),
+        []
     );
-    let (_, out) = rig.ask();
-    let dial = dials(&out)[0];
-    rig.ask();
-    assert_eq!(rig.view().dialling, 1, "one at a time");
-    // refused again: the calls wait on, and the next try is later
-    let out = rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
-    assert_eq!((out, rig.view().waiting), (vec![], 2));
-    rig.now += 2 * SECOND - 1;
-    assert_eq!(rig.with(|pool, now, out| pool.tick(now, out)), []);
-    rig.now += 4 * SECOND;
-    let dial = dials(&rig.with(|pool, now, out| pool.tick(now, out)))[0];
-    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
+    fixture.now += 4 * SECOND;
+    let dial =
+        dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands)))[0];
+    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
     assert_eq!(
-        rig.view().learned_cap,
+        fixture.report().learned_cap,
         Some(3),
-        "its first call has not told yet"
+        "the cap stays until the first call on the new connection is answered"
     );
-    rig.ends(dial, AnswerKind::Served);
-    assert_eq!(rig.view().learned_cap, Some(4));
-    // it bears more: soon tried again, with two at once
-    rig.ask();
-    rig.ask();
-    rig.now += 2 * SECOND;
+    fixture.answer_and_release(dial, AnswerKind::Served);
+    assert_eq!(fixture.report().learned_cap, Some(4));
+    // the endpoint accepts more: soon the next trials follow, two at once
+    fixture.acquire();
+    fixture.acquire();
+    fixture.now += 2 * SECOND;
     assert_eq!(
-        dials(&rig.with(|pool, now, out| pool.tick(now, out))).len(),
+        dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands))).len(),
         2
     );
 }
 
 #[test]
-fn tries_above_a_cap_by_a_whole_fleet_are_few_and_spread() {
-    let mut tries = Vec::new();
+fn trials_above_a_cap_by_a_whole_fleet_are_few_and_spread_over_time() {
+    let mut trial_times = Vec::new();
     for sender in 0..300 {
-        let mut rig = Rig::new(PoolLimits {
+        let mut fixture = Fixture::new(PoolLimits {
             senders: 300,
             ..limits()
         });
-        rig.pool = Pool::new(
+        fixture.pool = Pool::new(
             PoolLimits {
                 senders: 300,
                 ..limits()
             },
             sender,
         );
-        rig.pool.enable_endpoint(T0, target(1));
-        learned(&mut rig, 2);
-        rig.ask();
+        fixture.pool.enable_endpoint(START, target(1));
+        learn_cap_from_refused_dial(&mut fixture, 2);
+        fixture.acquire();
         for _ in 0..1200 {
-            rig.now += 250 * MILLISECOND;
-            for dial in dials(&rig.with(|pool, now, out| pool.tick(now, out))) {
-                tries.push(rig.now - T0);
-                rig.with(|pool, now, out| pool.dial_failed(now, dial, DialFailure::Refused, out));
+            fixture.now += 250 * MILLISECOND;
+            for dial in
+                dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands)))
+            {
+                trial_times.push(fixture.now - START);
+                fixture.apply(|pool, now, commands| {
+                    pool.dial_failed(now, dial, DialFailure::Refused, commands)
+                });
             }
         }
     }
-    let worst = (0..300)
-        .map(|s| tries.iter().filter(|&&at| at / SECOND == s).count())
+    let max_per_second = (0..300)
+        .map(|second| {
+            trial_times
+                .iter()
+                .filter(|&&tried_at| tried_at / SECOND == second)
+                .count()
+        })
         .max()
         .unwrap_or(0);
     assert!(
-        (300..=600).contains(&tries.len()),
-        "{} tries of 300 senders in five minutes",
-        tries.len()
+        (300..=600).contains(&trial_times.len()),
+        "{} trials of 300 senders in five minutes",
+        trial_times.len()
+    );
+    assert!(
+        max_per_second <= 10,
+        "{max_per_second} trials in one second"
     );
-    assert!(worst <= 10, "{worst} in one second");
 }
 
-/// Calls on new and old connections in turns, each answered as told by how many came before in its second.
-fn turned_away(closes: bool, answer: impl Fn(usize, bool) -> AnswerKind) -> Option<usize> {
-    let mut rig = Rig::new(PoolLimits {
+/// Makes up to 6 calls a second on idle and new connections, for 60 seconds. `answer` gives the
+/// answer to a call from the number of earlier calls in the same second and from whether its
+/// connection is new; rejected calls end their connection if `closes_rejected` is true. Returns the
+/// learned cap.
+fn learned_cap_after(
+    closes_rejected: bool,
+    answer: impl Fn(usize, bool) -> AnswerKind,
+) -> Option<usize> {
+    let mut fixture = Fixture::new(PoolLimits {
         idle_timeout: 1000 * SECOND,
         demand_half_life: 1000 * SECOND,
         ..limits()
     });
-    let mut seen = 0;
+    let mut answered = 0;
     for _ in 0..60 {
-        rig.now += SECOND;
+        fixture.now += SECOND;
         let mut held: Vec<(u64, bool)> = Vec::new();
-        // what is idle goes first, then new ones
+        // idle connections are leased first, then new ones dialled
         for _ in 0..6 {
-            let (waiter, out) = rig.ask();
-            match (leased(&out).first(), dials(&out).first()) {
+            let (waiter, commands) = fixture.acquire();
+            match (
+                granted_leases(&commands).first(),
+                dialled_connections(&commands).first(),
+            ) {
                 (Some(&(_, connection)), _) => held.push((connection, false)),
                 (_, Some(&dial)) => {
-                    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
+                    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
                     held.push((dial, true));
                 }
-                // it has learned a cap and waits
-                _ => rig.with(|pool, _, _| pool.cancel_wait(waiter)).clear(),
+                // the pool has learned a cap, so the call waits
+                _ => fixture.apply(|pool, _, _| pool.cancel_wait(waiter)).clear(),
             }
         }
-        for (nth, (connection, new)) in held.into_iter().enumerate() {
-            rig.now += MILLISECOND;
-            match answer(nth, new) {
-                AnswerKind::Rejected if closes => {
-                    rig.with(|pool, now, out| {
+        for (earlier_calls, (connection, new)) in held.into_iter().enumerate() {
+            fixture.now += MILLISECOND;
+            match answer(earlier_calls, new) {
+                AnswerKind::Rejected if closes_rejected => {
+                    fixture.apply(|pool, now, commands| {
                         pool.record_answer(now, connection, AnswerKind::Rejected);
-                        pool.discard(now, connection, CloseReason::ClosedByPeer, out);
+                        pool.discard(now, connection, CloseReason::ClosedByPeer, commands);
                     });
                 }
-                other => drop(rig.ends(connection, other)),
+                other => drop(fixture.answer_and_release(connection, other)),
             }
-            seen += 1;
+            answered += 1;
         }
     }
-    assert!(seen > 100);
-    rig.view().learned_cap
+    assert!(answered > 100);
+    fixture.report().learned_cap
 }
 
 #[test]
-fn only_first_calls_turned_away_beside_served_ones_teach_a_cap() {
-    // the endpoint serves three connections and turns away the first call on any further one
+fn only_rejected_first_calls_with_served_later_calls_teach_a_cap() {
+    // the endpoint serves three connections and rejects the first call on any further one
     assert_eq!(
-        turned_away(true, |nth, new| if new && nth >= 3 {
+        learned_cap_after(true, |earlier_calls, new| if new && earlier_calls >= 3 {
             AnswerKind::Rejected
         } else {
             AnswerKind::Served
         }),
         Some(3)
     );
-    // a limit of three calls in a time, and a queue that is full now and then, meet old and new alike
+    // a limit of three calls a second, and a queue that is full now and then, reject calls on old
+    // and new connections alike
     assert_eq!(
-        turned_away(false, |nth, _| if nth >= 3 {
+        learned_cap_after(false, |earlier_calls, _| if earlier_calls >= 3 {
             AnswerKind::Rejected
         } else {
             AnswerKind::Served
@@ -912,147 +1011,156 @@
         None
     );
     assert_eq!(
-        turned_away(false, |nth, _| if nth % 2 == 1 {
+        learned_cap_after(false, |earlier_calls, _| if earlier_calls % 2 == 1 {
             AnswerKind::Rejected
         } else {
             AnswerKind::Served
         }),
         None
     );
-    assert_eq!(turned_away(false, |_, _| AnswerKind::Rejected), None);
+    assert_eq!(learned_cap_after(false, |_, _| AnswerKind::Rejected), None);
 }
 
 #[test]
-fn what_is_idle_since_before_a_call_that_timed_out_leaves_with_it() {
-    let mut rig = Rig::new(limits());
-    // the same address under another id, and another address
-    let (same, other) = (at(2, 1), target(3));
-    rig.pool.enable_endpoint(rig.now, same);
-    rig.pool.enable_endpoint(rig.now, other);
+fn call_timeout_closes_connections_to_its_address_idle_since_before_the_call() {
+    let mut fixture = Fixture::new(limits());
+    // another endpoint at the same address, and an endpoint at another address
+    let (same_address, other_address) = (endpoint_at_port(2, 1), target(3));
+    fixture.pool.enable_endpoint(fixture.now, same_address);
+    fixture.pool.enable_endpoint(fixture.now, other_address);
     let mut idle = Vec::new();
-    for there in [rig.target, same, other] {
-        rig.target = there;
-        let connection = rig.dialled();
-        rig.ends(connection, AnswerKind::Served);
+    for target in [fixture.target, same_address, other_address] {
+        fixture.target = target;
+        let connection = fixture.connect();
+        fixture.answer_and_release(connection, AnswerKind::Served);
         idle.push(connection);
     }
-    rig.target = target(1);
-    rig.now += SECOND;
-    // one that is heard after the call began stays
-    let (_, out) = rig.ask();
-    let silent = leased(&out)[0].1;
-    let heard = rig.dialled();
-    rig.now += SECOND;
-    rig.ends(heard, AnswerKind::Served);
-    rig.now += SECOND;
-    let out = rig.with(|pool, now, out| pool.discard(now, silent, CloseReason::TimedOut, out));
+    fixture.target = target(1);
+    fixture.now += SECOND;
+    // a connection that brings an answer after the call began stays open
+    let (_, commands) = fixture.acquire();
+    let silent = granted_leases(&commands)[0].1;
+    let answered_later = fixture.connect();
+    fixture.now += SECOND;
+    fixture.answer_and_release(answered_later, AnswerKind::Served);
+    fixture.now += SECOND;
+    let commands = fixture
+        .apply(|pool, now, commands| pool.discard(now, silent, CloseReason::TimedOut, commands));
     assert_eq!(
-        out,
+        commands,
         [Command::Close {
             connection: idle[1]
         }]
     );
-    assert_eq!(rig.view().idle, 1);
+    assert_eq!(fixture.report().idle, 1);
 }
 
 #[test]
-fn an_endpoint_that_drains_has_its_idle_ones_closed_and_is_dialled_no_more() {
-    let mut rig = Rig::new(PoolLimits {
+fn retired_endpoint_has_idle_connections_closed_and_is_not_dialled() {
+    let mut fixture = Fixture::new(PoolLimits {
         concurrent_dials: 4,
         ..limits()
     });
-    let (idle, busy) = (rig.dialled(), rig.dialled());
-    rig.ends(idle, AnswerKind::Served);
-    let (first, _) = rig.ask();
+    let (idle, busy) = (fixture.connect(), fixture.connect());
+    fixture.answer_and_release(idle, AnswerKind::Served);
+    let (first, _) = fixture.acquire();
     assert_eq!(first, 3);
-    let (_, out) = rig.ask();
-    let dial = dials(&out)[0];
-    let (late, out) = rig.ask();
-    assert_eq!(out, [], "one dial in four may go to one endpoint");
-    let here = rig.target;
-    let out = rig.with(|pool, _, out| pool.retire_endpoint(here, out));
+    let (_, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
+    let (late, commands) = fixture.acquire();
     assert_eq!(
-        out,
+        commands,
+        [],
+        "one endpoint gets one of the four concurrent dials"
+    );
+    let target = fixture.target;
+    let commands = fixture.apply(|pool, _, commands| pool.retire_endpoint(target, commands));
+    assert_eq!(
+        commands,
         [Command::Deny {
             waiter: late,
             reason: LeaseDenied::Retired
         }]
     );
-    // the call with a dial gets the first that comes; the other ends
-    assert_eq!(leased(&rig.ends(busy, AnswerKind::Served)), [(4, busy)]);
+    // the call with a dial gets the released connection; the dialled one is closed
+    assert_eq!(
+        granted_leases(&fixture.answer_and_release(busy, AnswerKind::Served)),
+        [(4, busy)]
+    );
     assert_eq!(
-        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
         [Command::Close { connection: dial }]
     );
-    let (waiter, out) = rig.ask();
+    let (waiter, commands) = fixture.acquire();
     assert_eq!(
-        out,
+        commands,
         [Command::Deny {
             waiter,
             reason: LeaseDenied::Retired
         }]
     );
     assert_eq!(
-        rig.ends(busy, AnswerKind::Served),
+        fixture.answer_and_release(busy, AnswerKind::Served),
         [Command::Close { connection: busy }]
     );
     assert_eq!(
-        rig.ends(idle, AnswerKind::Served),
+        fixture.answer_and_release(idle, AnswerKind::Served),
         [Command::Close { connection: idle }]
     );
-    assert_eq!(rig.pool.sizes(), NOTHING);
+    assert_eq!(fixture.pool.sizes(), EMPTY);
 }
 
 #[test]
-fn what_waits_when_its_destination_tells_to_wait_gets_no_connection() {
-    let mut rig = Rig::new(limits());
-    let busy = rig.dialled();
-    let ((first, out), (second, _)) = (rig.ask(), rig.ask());
-    let dial = dials(&out)[0];
-    let (here, until) = (rig.target, rig.now + SECOND);
-    let out = rig.with(|pool, _, out| pool.apply_retry_after(here, until, out));
+fn retry_after_denies_waiting_calls_a_connection() {
+    let mut fixture = Fixture::new(limits());
+    let busy = fixture.connect();
+    let ((first, commands), (second, _)) = (fixture.acquire(), fixture.acquire());
+    let dial = dialled_connections(&commands)[0];
+    let (target, until) = (fixture.target, fixture.now + SECOND);
+    let commands =
+        fixture.apply(|pool, _, commands| pool.apply_retry_after(target, until, commands));
     let denied = |waiter| Command::Deny {
         waiter,
         reason: LeaseDenied::RetryAfter,
     };
-    assert_eq!(out, [denied(second), denied(first)]);
-    // what comes up or falls free is kept for those who ask after it
+    assert_eq!(commands, [denied(second), denied(first)]);
+    // connections that come up or are released later are kept for later calls
     assert_eq!(
-        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
         []
     );
-    assert_eq!(rig.ends(busy, AnswerKind::Served), []);
-    let (waiter, out) = rig.ask();
-    assert_eq!(leased(&out), [(waiter, busy)]);
+    assert_eq!(fixture.answer_and_release(busy, AnswerKind::Served), []);
+    let (waiter, commands) = fixture.acquire();
+    assert_eq!(granted_leases(&commands), [(waiter, busy)]);
 }
 
 #[test]
-fn a_process_that_has_handed_over_gives_no_connection_to_what_waits() {
-    let mut rig = Rig::new(limits());
-    let (idle, busy) = (rig.dialled(), rig.dialled());
-    rig.ends(idle, AnswerKind::Served);
-    rig.ask();
-    let (waiter, out) = rig.ask();
-    let dial = dials(&out)[0];
+fn pool_after_shut_down_denies_waiting_calls_and_keeps_no_connection() {
+    let mut fixture = Fixture::new(limits());
+    let (idle, busy) = (fixture.connect(), fixture.connect());
+    fixture.answer_and_release(idle, AnswerKind::Served);
+    fixture.acquire();
+    let (waiter, commands) = fixture.acquire();
+    let dial = dialled_connections(&commands)[0];
     assert_eq!(
-        rig.with(|pool, _, out| pool.shut_down(out)),
+        fixture.apply(|pool, _, commands| pool.shut_down(commands)),
         [Command::Deny {
             waiter,
             reason: LeaseDenied::ShuttingDown
         }]
     );
     assert_eq!(
-        rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
         [Command::Close { connection: dial }]
     );
     assert_eq!(
-        rig.ends(busy, AnswerKind::Served),
+        fixture.answer_and_release(busy, AnswerKind::Served),
         [Command::Close { connection: busy }]
     );
-    // nor to a call whose connection closed before its first byte, and which asks again
-    let (waiter, out) = rig.ask();
+    // a call that asks again because its connection closed before the first byte is denied too
+    let (waiter, commands) = fixture.acquire();
     assert_eq!(
-        out,
+        commands,
         [Command::Deny {
             waiter,
             reason: LeaseDenied::ShuttingDown
@@ -1061,183 +1169,218 @@
 }
 
 #[test]
-fn smaller_caps_take_effect_at_once_on_what_is_idle() {
-    let mut rig = Rig::new(limits());
-    let held: Vec<u64> = (0..6).map(|_| rig.dialled()).collect();
+fn lower_limits_close_idle_connections_at_once() {
+    let mut fixture = Fixture::new(limits());
+    let held: Vec<u64> = (0..6).map(|_| fixture.connect()).collect();
     held[..4]
         .iter()
-        .for_each(|&connection| drop(rig.ends(connection, AnswerKind::Served)));
-    let less = PoolLimits {
+        .for_each(|&connection| drop(fixture.answer_and_release(connection, AnswerKind::Served)));
+    let lower_limits = PoolLimits {
         per_endpoint: 3,
         ..limits()
     };
-    let out = rig.with(|pool, now, out| pool.set_limits(now, less, out));
+    let commands =
+        fixture.apply(|pool, now, commands| pool.set_limits(now, lower_limits, commands));
     assert_eq!(
-        out,
+        commands,
         held[..3]
             .iter()
             .map(|&connection| Command::Close { connection })
             .collect::<Vec<_>>()
     );
-    assert_eq!((rig.view().idle, rig.view().leased), (1, 2));
+    assert_eq!((fixture.report().idle, fixture.report().leased), (1, 2));
 }
 
 #[test]
-fn connections_follow_the_load_and_fall_away_after_it() {
-    let mut rig = Rig::new(PoolLimits {
+fn idle_connections_halve_with_each_half_life_after_a_peak() {
+    let mut fixture = Fixture::new(PoolLimits {
         idle_timeout: 1000 * SECOND,
         ..limits()
     });
-    let held: Vec<u64> = (0..8).map(|_| rig.dialled()).collect();
+    let held: Vec<u64> = (0..8).map(|_| fixture.connect()).collect();
     held.iter()
-        .for_each(|&connection| drop(rig.ends(connection, AnswerKind::Served)));
-    assert_eq!((rig.view().idle, rig.view().wanted_connections), (8, 8));
+        .for_each(|&connection| drop(fixture.answer_and_release(connection, AnswerKind::Served)));
+    assert_eq!(
+        (fixture.report().idle, fixture.report().wanted_connections),
+        (8, 8)
+    );
     let mut seen = Vec::new();
     for _ in 0..4 {
-        rig.now += 10 * SECOND;
-        rig.with(|pool, now, out| pool.tick(now, out));
-        seen.push(rig.view().idle);
+        fixture.now += 10 * SECOND;
+        fixture.apply(|pool, now, commands| pool.tick(now, commands));
+        seen.push(fixture.report().idle);
     }
     assert_eq!(
         seen,
         [4, 2, 1, 1],
-        "by half in each ten seconds, and the last is left to its age"
+        "half in each ten seconds; the last connection is left to its idle timeout"
     );
 }
 
 #[test]
-fn warming_keeps_to_endpoints_that_are_in_use_and_sound() {
+fn prewarming_dials_only_healthy_endpoints_in_use() {
     let warm = PoolLimits {
         prewarm_share: 0.5,
         ..limits()
     };
-    let ticked = |rig: &mut Rig| dials(&rig.with(|pool, now, out| pool.tick(now, out)));
+    let prewarm_dials = |fixture: &mut Fixture| {
+        dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands)))
+    };
     let busy = |limits: PoolLimits| {
-        let mut rig = Rig::new(limits);
-        let held: Vec<u64> = (0..4).map(|_| rig.dialled()).collect();
-        rig.now += 6 * SECOND; // no longer new
+        let mut fixture = Fixture::new(limits);
+        let held: Vec<u64> = (0..4).map(|_| fixture.connect()).collect();
+        fixture.now += 6 * SECOND; // the delay after the endpoint was enabled is over
         for connection in held {
-            rig.with(|pool, now, out| pool.discard(now, connection, CloseReason::Unreadable, out));
+            fixture.apply(|pool, now, commands| {
+                pool.discard(now, connection, CloseReason::Unreadable, commands)
+            });
         }
-        let only = rig.dialled();
-        rig.ends(only, AnswerKind::Served);
-        rig
+        let connection = fixture.connect();
+        fixture.answer_and_release(connection, AnswerKind::Served);
+        fixture
     };
-    let mut rig = busy(warm.clone());
-    assert_eq!(ticked(&mut rig).len(), 1, "one at a time");
-    assert_eq!(ticked(&mut rig).len(), 0, "and not at once again");
+    let mut fixture = busy(warm.clone());
+    assert_eq!(
+        prewarm_dials(&mut fixture).len(),
+        1,
+        "one prewarming dial at a time"
+    );
+    assert_eq!(
+        prewarm_dials(&mut fixture).len(),
+        0,
+        "no second prewarming dial at once"
+    );
     for _ in 0..40 {
-        rig.now += 250 * MILLISECOND;
-        for dial in ticked(&mut rig) {
-            rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
+        fixture.now += 250 * MILLISECOND;
+        for dial in prewarm_dials(&mut fixture) {
+            fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
         }
     }
-    let view = rig.view();
+    let report = fixture.report();
     assert!(
-        view.idle > 1 && view.idle <= view.wanted_connections.max(2),
-        "{view:?}"
+        report.idle > 1 && report.idle <= report.wanted_connections.max(2),
+        "{report:?}"
     );
-    // off, told to wait, failed, drained, or not in use: none
-    assert_eq!(ticked(&mut busy(limits())), []);
-    let mut rig = busy(warm.clone());
-    let (here, until) = (rig.target, rig.now + 2 * SECOND);
+    // no prewarming if it is off, after a Retry-After, a failure or a retirement, or without use
+    assert_eq!(prewarm_dials(&mut busy(limits())), []);
+    let mut fixture = busy(warm.clone());
+    let (target, until) = (fixture.target, fixture.now + 2 * SECOND);
     assert_eq!(
-        rig.with(|pool, _, out| pool.apply_retry_after(here, until, out)),
+        fixture.apply(|pool, _, commands| pool.apply_retry_after(target, until, commands)),
         []
     );
-    assert_eq!(ticked(&mut rig), []);
-    rig.now += 2 * SECOND;
-    assert_eq!(ticked(&mut rig).len(), 1);
-    let mut rig = busy(warm.clone());
-    let (_, out) = rig.ask();
-    let leased = leased(&out)[0].1;
-    rig.with(|pool, now, out| pool.discard(now, leased, CloseReason::TimedOut, out));
-    assert_eq!(ticked(&mut rig), [], "it may be down, and comes back cold");
-    let mut rig = busy(warm.clone());
-    let here = rig.target;
-    rig.with(|pool, _, out| pool.retire_endpoint(here, out));
-    assert_eq!(ticked(&mut rig), []);
-    let now = rig.now;
-    rig.pool.enable_endpoint(now, here);
-    assert_eq!(ticked(&mut rig), [], "put back, it is cold");
-    let mut rig = busy(warm);
-    rig.now += 11 * SECOND;
-    assert_eq!(ticked(&mut rig), [], "not in use");
+    assert_eq!(prewarm_dials(&mut fixture), []);
+    fixture.now += 2 * SECOND;
+    assert_eq!(prewarm_dials(&mut fixture).len(), 1);
+    let mut fixture = busy(warm.clone());
+    let (_, commands) = fixture.acquire();
+    let leased = granted_leases(&commands)[0].1;
+    fixture.apply(|pool, now, commands| pool.discard(now, leased, CloseReason::TimedOut, commands));
+    assert_eq!(
+        prewarm_dials(&mut fixture),
+        [],
+        "the endpoint may be down, and will be cold after a restart"
+    );
+    let mut fixture = busy(warm.clone());
+    let target = fixture.target;
+    fixture.apply(|pool, _, commands| pool.retire_endpoint(target, commands));
+    assert_eq!(prewarm_dials(&mut fixture), []);
+    let now = fixture.now;
+    fixture.pool.enable_endpoint(now, target);
+    assert_eq!(
+        prewarm_dials(&mut fixture),
+        [],
+        "an endpoint that was enabled again may be cold"
+    );
+    let mut fixture = busy(warm);
+    fixture.now += 11 * SECOND;
+    assert_eq!(
+        prewarm_dials(&mut fixture),
+        [],
+        "no call has used the endpoint recently"
+    );
 }
 
 #[test]
-fn a_silent_endpoint_does_not_hold_all_the_dials() {
-    let mut rig = Rig::new(PoolLimits {
+fn unresponsive_endpoint_does_not_use_up_all_dials() {
+    let mut fixture = Fixture::new(PoolLimits {
         concurrent_dials: 8,
         ..limits()
     });
     for _ in 0..6 {
-        rig.ask();
+        fixture.acquire();
     }
-    assert_eq!(rig.view().dialling, 2);
-    rig.target = target(2);
-    rig.pool.enable_endpoint(rig.now, rig.target);
-    assert_eq!(dials(&rig.ask().1).len(), 1);
+    assert_eq!(fixture.report().dialling, 2);
+    fixture.target = target(2);
+    fixture.pool.enable_endpoint(fixture.now, fixture.target);
+    assert_eq!(dialled_connections(&fixture.acquire().1).len(), 1);
 }
 
 #[test]
-fn a_place_is_found_for_a_busy_endpoint_among_what_lies_idle_elsewhere() {
-    let mut rig = Rig::new(PoolLimits {
+fn full_pool_evicts_an_idle_connection_for_a_dial_to_another_endpoint() {
+    let mut fixture = Fixture::new(PoolLimits {
         total: 3,
         per_endpoint: 3,
         ..limits()
     });
-    let idle = rig.dialled();
-    rig.ends(idle, AnswerKind::Served);
-    rig.target = target(2);
-    rig.pool.enable_endpoint(rig.now, rig.target);
-    let first = rig.dialled();
-    rig.dialled();
-    let (_, out) = rig.ask();
-    assert_eq!(out[0], Command::Close { connection: idle });
-    let dial = dials(&out)[0];
-    rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out));
-    // nothing is idle any more: the next one waits for what falls free, wherever
-    let (waiter, out) = rig.ask();
-    assert_eq!(out, []);
-    let out = rig.with(|pool, now, out| pool.discard(now, first, CloseReason::Reset, out));
-    let dial = dials(&out)[0];
+    let idle = fixture.connect();
+    fixture.answer_and_release(idle, AnswerKind::Served);
+    fixture.target = target(2);
+    fixture.pool.enable_endpoint(fixture.now, fixture.target);
+    let first = fixture.connect();
+    fixture.connect();
+    let (_, commands) = fixture.acquire();
+    assert_eq!(commands[0], Command::Close { connection: idle });
+    let dial = dialled_connections(&commands)[0];
+    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
+    // no connection is idle any more: the next call waits until any connection is closed
+    let (waiter, commands) = fixture.acquire();
+    assert_eq!(commands, []);
+    let commands =
+        fixture.apply(|pool, now, commands| pool.discard(now, first, CloseReason::Reset, commands));
+    let dial = dialled_connections(&commands)[0];
     assert_eq!(
-        leased(&rig.with(|pool, now, out| pool.dial_succeeded(now, dial, out))),
+        granted_leases(
+            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands))
+        ),
         [(waiter, dial)]
     );
-    // what an old process still holds counts too
-    rig.with(|pool, now, out| pool.set_predecessor_connections(now, 2, out));
-    assert_eq!(rig.ask().1, []);
+    // connections that a predecessor still holds count too
+    fixture.apply(|pool, now, commands| pool.set_predecessor_connections(now, 2, commands));
+    assert_eq!(fixture.acquire().1, []);
     assert_eq!(
-        dials(&rig.with(|pool, now, out| pool.set_predecessor_connections(now, 0, out))).len(),
+        dialled_connections(
+            &fixture
+                .apply(|pool, now, commands| pool.set_predecessor_connections(now, 0, commands))
+        )
+        .len(),
         0,
-        "three are open"
+        "three connections are open"
     );
 }
 
 #[test]
-fn ten_thousand_endpoints_that_come_and_go_leave_nothing_behind() {
-    let mut rig = Rig::new(limits());
+fn ten_thousand_retired_endpoints_leave_no_records_behind() {
+    let mut fixture = Fixture::new(limits());
     for n in 0..10_000 {
-        rig.target = at(n + 10, (n % 50) as u16);
-        rig.pool.enable_endpoint(rig.now, rig.target);
-        let connection = rig.dialled();
-        rig.ends(connection, AnswerKind::Served);
-        let here = rig.target;
-        rig.with(|pool, _, out| pool.retire_endpoint(here, out));
-        rig.now += MILLISECOND;
+        fixture.target = endpoint_at_port(n + 10, (n % 50) as u16);
+        fixture.pool.enable_endpoint(fixture.now, fixture.target);
+        let connection = fixture.connect();
+        fixture.answer_and_release(connection, AnswerKind::Served);
+        let target = fixture.target;
+        fixture.apply(|pool, _, commands| pool.retire_endpoint(target, commands));
+        fixture.now += MILLISECOND;
     }
     assert_eq!(
-        rig.pool.sizes(),
+        fixture.pool.sizes(),
         PoolSizes {
             endpoints: 1,
-            ..NOTHING
+            ..EMPTY
         }
     );
     assert_eq!(
-        rig.pool.report(rig.now).totals.dials,
+        fixture.pool.report(fixture.now).totals.dials,
         10_000,
-        "the sums keep what the endpoints had"
+        "the totals include the counters of retired endpoints"
     );
 }
--- a/tests/pool_recorded.rs
+++ b/tests/pool_recorded.rs
@@ -1,4 +1,5 @@
-//! Recorded runs of the pool's rules: the same random events give the same commands and the same report as always.
+//! Recorded runs of the connection pool's rules: the same random events must give the same commands
+//! and the same report as in the golden file.
 
 use message_sender::pool::*;
 use message_sender::{EndpointId, MILLISECOND, Micros, SECOND};
@@ -8,6 +9,7 @@
 use std::net::SocketAddr;
 
 const GOLDEN: &str = include_str!("golden/pool_runs.txt");
+/// Number of random events in each run.
 const STEPS: usize = 6000;
 
 fn limits(random: &mut Random) -> PoolLimits {
@@ -29,8 +31,8 @@
 struct Random(Pcg32);
 
 impl Random {
-    fn below(&mut self, most: usize) -> usize {
-        self.0.next_u32() as usize % most.max(1)
+    fn below(&mut self, bound: usize) -> usize {
+        self.0.next_u32() as usize % bound.max(1)
     }
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// FNV-1a over what the rules say.
+/// FNV-1a hash over the commands and the report.
 struct Digest(u64);
 
 impl Digest {
@@ -52,7 +54,7 @@
     }
 }
 
-fn failure(failure: DialFailure) -> i64 {
+fn failure_code(failure: DialFailure) -> i64 {
     match failure {
         DialFailure::Refused => 1,
         DialFailure::TimedOut => 2,
@@ -61,16 +63,16 @@
     }
 }
 
-fn denial(reason: LeaseDenied) -> i64 {
+fn denial_code(reason: LeaseDenied) -> i64 {
     match reason {
-        LeaseDenied::Dial(cause) => failure(cause),
+        LeaseDenied::Dial(cause) => failure_code(cause),
         LeaseDenied::Retired => 5,
         LeaseDenied::RetryAfter => 6,
         LeaseDenied::ShuttingDown => 7,
     }
 }
 
-fn encoded(command: &Command) -> Vec<i64> {
+fn encode(command: &Command) -> Vec<i64> {
     match *command {
         Command::Dial { connection, target } => {
             vec![1, connection as i64, i64::from(target.endpoint.0)]
@@ -82,21 +84,21 @@
         } => {
             vec![2, waiter as i64, connection as i64, idle_for.unwrap_or(-1)]
         }
-        Command::Deny { waiter, reason } => vec![3, waiter as i64, denial(reason)],
+        Command::Deny { waiter, reason } => vec![3, waiter as i64, denial_code(reason)],
         Command::Close { connection } => vec![4, connection as i64],
     }
 }
 
-/// Connections by what they do, as the commands have it.
+/// Connections that are dialled or leased and calls that wait, according to the commands.
 #[derive(Default)]
-struct Known {
+struct PoolState {
     dialled: VecDeque<u64>,
     leased: VecDeque<u64>,
     waiting: VecDeque<u64>,
 }
 
-impl Known {
-    fn note(&mut self, command: &Command) {
+impl PoolState {
+    fn record(&mut self, command: &Command) {
         match *command {
             Command::Dial { connection, .. } => self.dialled.push_back(connection),
             Command::Lease {
@@ -111,38 +113,43 @@
     }
 }
 
-fn take(from: &mut VecDeque<u64>, random: &mut Random) -> u64 {
+fn take_random(from: &mut VecDeque<u64>, random: &mut Random) -> u64 {
     let position = random.below(from.len());
     from.remove(position).unwrap_or(u64::MAX)
 }
 
 fn step(
     pool: &mut Pool,
-    known: &mut Known,
+    state: &mut PoolState,
     random: &mut Random,
     now: Micros,
     waiter: u64,
 ) -> Vec<Command> {
-    let mut out = Vec::new();
+    let mut commands = Vec::new();
     let target = endpoint(random.below(7));
     match random.below(100) {
         0..=29 => {
-            known.waiting.push_back(waiter);
-            pool.acquire(now, target, waiter, &mut out);
+            state.waiting.push_back(waiter);
+            pool.acquire(now, target, waiter, &mut commands);
         }
-        30..=44 => pool.dial_succeeded(now, take(&mut known.dialled, random), &mut out),
+        30..=44 => pool.dial_succeeded(now, take_random(&mut state.dialled, random), &mut commands),
         45..=51 => {
-            let whys = [
+            let failures = [
                 DialFailure::Refused,
                 DialFailure::TimedOut,
                 DialFailure::Local,
                 DialFailure::Other,
             ];
-            let why = whys[random.below(4)];
-            pool.dial_failed(now, take(&mut known.dialled, random), why, &mut out);
+            let failure = failures[random.below(4)];
+            pool.dial_failed(
+                now,
+                take_random(&mut state.dialled, random),
+                failure,
+                &mut commands,
+            );
         }
         52..=79 => {
-            let connection = take(&mut known.leased, random);
+            let connection = take_random(&mut state.leased, random);
             let answers = [
                 AnswerKind::Served,
                 AnswerKind::Served,
@@ -150,7 +157,7 @@
                 AnswerKind::Other,
             ];
             pool.record_answer(now, connection, answers[random.below(4)]);
-            pool.release(now, connection, &mut out);
+            pool.release(now, connection, &mut commands);
         }
         80..=85 => {
             let causes = [
@@ -161,25 +168,30 @@
                 CloseReason::ClosedByPeer,
             ];
             let cause = causes[random.below(5)];
-            pool.discard(now, take(&mut known.leased, random), cause, &mut out);
+            pool.discard(
+                now,
+                take_random(&mut state.leased, random),
+                cause,
+                &mut commands,
+            );
         }
-        86..=88 => pool.cancel_wait(take(&mut known.waiting, random)),
-        89 => pool.peer_closed(random.below(200) as u64, &mut out),
+        86..=88 => pool.cancel_wait(take_random(&mut state.waiting, random)),
+        89 => pool.peer_closed(random.below(200) as u64, &mut commands),
         90..=91 => pool.enable_endpoint(now, target),
-        92 => pool.retire_endpoint(target, &mut out),
-        93 => pool.close_idle(target, &mut out),
-        94 => pool.apply_retry_after(target, now + SECOND, &mut out),
-        95 => pool.set_predecessor_connections(now, random.below(4), &mut out),
+        92 => pool.retire_endpoint(target, &mut commands),
+        93 => pool.close_idle(target, &mut commands),
+        94 => pool.apply_retry_after(target, now + SECOND, &mut commands),
+        95 => pool.set_predecessor_connections(now, random.below(4), &mut commands),
         96 => {
             let limits = limits(random);
-            pool.set_limits(now, limits, &mut out);
+            pool.set_limits(now, limits, &mut commands);
         }
-        _ => pool.tick(now, &mut out),
+        _ => pool.tick(now, &mut commands),
     }
-    out
+    commands
 }
 
-fn reported(pool: &Pool, now: Micros) -> String {
+fn report_text(pool: &Pool, now: Micros) -> String {
     let PoolReport { endpoints, totals } = pool.report(now);
     let mut text = serde_json::to_string(&totals).expect("JSON");
     for endpoint in endpoints {
@@ -200,41 +212,44 @@
     text
 }
 
-/// One run; its digest and the last report.
+/// Runs the pool with random events from `seed`; returns the digest and the totals of the last
+/// report.
 fn run(seed: u64) -> String {
     let mut random = Random(Pcg32::seed_from_u64(seed));
     let limits = limits(&mut random);
     let mut pool = Pool::new(limits, seed);
-    let (mut known, mut digest) = (Known::default(), Digest(0xcbf2_9ce4_8422_2325));
+    let (mut state, mut digest) = (PoolState::default(), Digest(0xcbf2_9ce4_8422_2325));
     let mut now = 100 * SECOND;
     (0..7).for_each(|number| pool.enable_endpoint(now, endpoint(number)));
-    let mut count = 0;
+    let mut command_count = 0;
     for waiter in 0..STEPS {
         now += random.below(100) as Micros * MILLISECOND;
-        for command in step(&mut pool, &mut known, &mut random, now, waiter as u64) {
-            count += 1;
-            digest.add(&encoded(&command));
-            known.note(&command);
+        for command in step(&mut pool, &mut state, &mut random, now, waiter as u64) {
+            command_count += 1;
+            digest.add(&encode(&command));
+            state.record(&command);
         }
     }
-    let last = reported(&pool, now);
-    let totals = last.lines().next().unwrap_or_default();
-    digest.add(&last.bytes().map(i64::from).collect::<Vec<_>>());
-    let mut out = Vec::new();
-    pool.shut_down(&mut out);
-    out.iter().for_each(|command| digest.add(&encoded(command)));
+    let final_report = report_text(&pool, now);
+    let totals = final_report.lines().next().unwrap_or_default();
+    digest.add(&final_report.bytes().map(i64::from).collect::<Vec<_>>());
+    let mut commands = Vec::new();
+    pool.shut_down(&mut commands);
+    commands
+        .iter()
+        .for_each(|command| digest.add(&encode(command)));
     format!(
-        "seed {seed}: {count} commands, {} at the end, {:016x}\n  {totals}\n",
-        out.len(),
+        "seed {seed}: {command_count} commands, {} at the end, {:016x}\n  {totals}\n",
+        commands.len(),
         digest.0
     )
 }
 
 #[test]
 fn seeded_runs_match_the_golden_commands_and_reports() {
-    let written: String = (0..60).map(run).collect();
+    let actual: String = (0..60).map(run).collect();
     if std::env::var_os("WRITE_GOLDEN").is_some() {
-        std::fs::write("tests/golden/pool_runs.txt", &written).expect("written");
+        std::fs::write("tests/golden/pool_runs.txt", &actual).expect("written");
     }
-    assert_eq!(written, GOLDEN);
+    assert_eq!(actual, GOLDEN);
 }
