--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -8,7 +8,7 @@
 const SCARCITY_WEIGHT: f64 = 0.2;
 /// The score above which idle connections are closed. Lower frees endpoints sooner, higher saves
 /// handshakes.
-const SCARCE: f64 = 0.1;
+const SCARCITY_THRESHOLD: f64 = 0.1;
 
 impl Sender {
     pub(super) fn record_connection(
@@ -20,14 +20,14 @@
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        let of_kind = self.connection_scarcity.entry(endpoint.kind).or_default();
-        for score in [of_kind, &mut endpoint.connection_scarcity] {
+        let kind_scarcity = self.connection_scarcity.entry(endpoint.kind).or_default();
+        for score in [kind_scarcity, &mut endpoint.connection_scarcity] {
             match outcome {
                 // where nothing else succeeds the endpoint is unavailable, not short of connections
                 Outcome::NoConnection if others_succeed => {
                     *score += SCARCITY_WEIGHT * (1.0 - *score);
                 }
-                Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCE * *score,
+                Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCITY_THRESHOLD * *score,
                 _ => {}
             }
         }
@@ -62,9 +62,9 @@
             return;
         };
         let is_seldom_used = usual_rate * seconds(idle_timeout) < 1.0;
-        let of_kind = self.connection_scarcity.get(&endpoint.kind).copied();
-        let is_scarce = endpoint.connection_scarcity > SCARCE
-            || is_seldom_used && of_kind.unwrap_or(0.0) > SCARCE;
+        let kind_scarcity = self.connection_scarcity.get(&endpoint.kind).copied();
+        let is_scarce = endpoint.connection_scarcity > SCARCITY_THRESHOLD
+            || is_seldom_used && kind_scarcity.unwrap_or(0.0) > SCARCITY_THRESHOLD;
         if is_scarce && self.calls.values().all(|call| call.endpoint != id) {
             actions.push(Action::Disconnect(id));
         }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -9,7 +9,7 @@
 
 /// Hedge delays after which an attempt of an idempotent message times out. Lower frees slots
 /// sooner.
-const TIMEOUT_DELAYS: i64 = 10;
+const TIMEOUT_HEDGE_DELAYS: i64 = 10;
 
 /// When an attempt times out, and by when it must have begun.
 struct AttemptTimes {
@@ -189,7 +189,7 @@
                 (deadline.min(self.now + window), start_by)
             }
             Effect::Idempotent => {
-                let timeout = hedge_delay * TIMEOUT_DELAYS;
+                let timeout = hedge_delay * TIMEOUT_HEDGE_DELAYS;
                 (deadline.min(self.now + timeout), None)
             }
         };
--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -21,11 +21,11 @@
 
     pub(super) fn apply_fleet_view(&mut self, view: Option<FleetView>) {
         // the number of those that agree may grow; what is seen must stand
-        let seen = |view: FleetView| FleetView {
+        let without_agreeing = |view: FleetView| FleetView {
             agreeing: 0,
             ..view
         };
-        if view.map(seen) != self.fleet_view.map(seen) {
+        if view.map(without_agreeing) != self.fleet_view.map(without_agreeing) {
             self.fleet_view_since = self.now;
         }
         self.fleet_view = view;
@@ -37,13 +37,13 @@
     /// configured one in a minority and in doubt. Senders never heard of count as living. Could
     /// starve a destination for that time after many senders have gone.
     pub(super) fn update_fleet_size(&mut self) {
-        let before = self.fleet_size;
+        let size_before = self.fleet_size;
         let target = self.target_fleet_size();
-        if target == before || target < before && !self.may_shrink_fleet() {
+        if target == size_before || target < size_before && !self.may_shrink_fleet() {
             return;
         }
         self.fleet_size = target;
-        self.rescale_routes(f64::from(before) / f64::from(target));
+        self.rescale_routes(f64::from(size_before) / f64::from(target));
     }
 
     fn target_fleet_size(&self) -> u32 {
@@ -52,12 +52,12 @@
             return configured;
         };
         let is_minority = view.present.saturating_mul(2) <= configured;
-        let gone = if view.isolated || is_minority {
+        let departed = if view.isolated || is_minority {
             0
         } else {
             view.departed
         };
-        view.present.max(configured.saturating_sub(gone)).max(1)
+        view.present.max(configured.saturating_sub(departed)).max(1)
     }
 
     fn may_shrink_fleet(&mut self) -> bool {
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -43,8 +43,8 @@
         } else {
             MILLISECOND
         };
-        let (part, whole) = HEDGE_QUANTILE;
-        let quantile = self.latencies.quantile(part, whole).unwrap_or(0);
+        let (numerator, denominator) = HEDGE_QUANTILE;
+        let quantile = self.latencies.quantile(numerator, denominator).unwrap_or(0);
         self.learned_hedge_delay = Some(quantile.max(min_delay));
     }
 }
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -95,7 +95,7 @@
         response_limit: Micros,
     ) {
         let now = self.now;
-        let base = self.settings.safety.overload_span / 4;
+        let base_avoidance = self.settings.safety.overload_span / 4;
         let Some(endpoint) = self.endpoints.get_mut(&observation.endpoint) else {
             return;
         };
@@ -108,7 +108,7 @@
         } else if outcome.failed() || is_unanswered {
             record.consecutive_failures += 1;
             let doublings = record.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
-            record.avoided_until = now + (base << doublings);
+            record.avoided_until = now + (base_avoidance << doublings);
         }
     }
 }
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -1,22 +1,22 @@
 //! Attempts that are taken for lost are cancelled, so that their call slots are free again.
 
 use super::Sender;
-use super::unresponsive::OVERTAKEN_DELAYS;
+use super::unresponsive::OVERTAKEN_HEDGE_DELAYS;
 use crate::decisions::share_of;
 use crate::decisions::state::{Attempt, PendingMessage, Route};
 use crate::interface::{Action, Effect, MessageId, Micros};
 
 /// Attempts on an ejected route are cancelled after this many response limits.
 /// Lower frees slots sooner, higher waits for late answers.
-const EJECTED_LIMITS: i64 = 2;
+const EJECTED_RESPONSE_LIMITS: i64 = 2;
 /// So many times longer where only the one class at the one endpoint shows no sign of life.
 const CLASS_LIMIT_FACTOR: i64 = 2;
 /// An attempt is lost after this many limits, even where others are answered. Lower frees slots
 /// sooner.
-const LOST_LIMITS: i64 = 3;
+const LOST_RESPONSE_LIMITS: i64 = 3;
 /// Slots in use above which attempts that can't be repeated are cancelled too. Lower gives up more,
 /// higher frees less.
-const SCARCE_SHARE: f64 = 0.7;
+const SCARCE_SLOTS_SHARE: f64 = 0.7;
 
 /// How much the call slots are in demand.
 struct SlotPressure {
@@ -27,7 +27,7 @@
 impl Sender {
     /// Cancels attempts that are taken for lost, where that is safe.
     pub(in crate::decisions) fn cancel_lost_attempts(&mut self, actions: &mut Vec<Action>) {
-        let scarce_calls = share_of(self.settings.call_slots, SCARCE_SHARE);
+        let scarce_calls = share_of(self.settings.call_slots, SCARCE_SLOTS_SHARE);
         let pressure = SlotPressure {
             is_scarce: self.calls.len() >= scarce_calls,
             is_full: self.are_slots_full(),
@@ -73,7 +73,7 @@
         };
         let age = self.now - attempt.sent;
         let may_be_overtaken = pressure.is_full && is_repeatable;
-        age > LOST_LIMITS * route.response_limit()
+        age > LOST_RESPONSE_LIMITS * route.response_limit()
             || may_be_overtaken && route.is_overtaken(attempt, age)
             || self.is_lost_with_others(message, attempt, route, pressure)
     }
@@ -90,7 +90,7 @@
         let pressure_limits = if pressure.is_scarce {
             1
         } else {
-            EJECTED_LIMITS
+            EJECTED_RESPONSE_LIMITS
         };
         let limits = if is_route_silent {
             pressure_limits
@@ -112,6 +112,6 @@
 impl Route {
     /// Answers to later calls have come meanwhile.
     fn is_overtaken(&self, attempt: &Attempt, age: Micros) -> bool {
-        self.alive_at > attempt.sent && age > OVERTAKEN_DELAYS * self.hedge_delay()
+        self.alive_at > attempt.sent && age > OVERTAKEN_HEDGE_DELAYS * self.hedge_delay()
     }
 }
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -8,7 +8,7 @@
 
 /// A route is unresponsive when a call is unanswered for this many hedge delays, and no shorter
 /// than this.
-const RESPONSE_LIMIT_DELAYS: i64 = 2;
+const RESPONSE_LIMIT_HEDGE_DELAYS: i64 = 2;
 const MIN_RESPONSE_LIMIT: Micros = SECOND;
 /// A route lags while a call is in flight for this many usual latencies; all lagging and ejected
 /// routes share a part of the call slots. Lower isolates sooner, higher leaves room to long but
@@ -16,10 +16,10 @@
 const LAGGING_LATENCIES: i64 = 4;
 /// A call is lost after this many hedge delays where no slot is free and others overtook it; the
 /// turn at which that is found has to be asked for.
-pub(super) const OVERTAKEN_DELAYS: i64 = 5;
+pub(super) const OVERTAKEN_HEDGE_DELAYS: i64 = 5;
 /// The response limits after which something changes for a call: its route may be ejected, it may
 /// be cancelled.
-const OBSERVED_LIMITS: [i64; 3] = [1, 2, 4];
+const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
 
 impl Sender {
     /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Guards
@@ -68,15 +68,15 @@
 impl Route {
     /// How long an answer may take before its call counts as unanswered.
     pub(in crate::decisions) fn response_limit(&self) -> Micros {
-        (self.hedge_delay() * RESPONSE_LIMIT_DELAYS).max(MIN_RESPONSE_LIMIT)
+        (self.hedge_delay() * RESPONSE_LIMIT_HEDGE_DELAYS).max(MIN_RESPONSE_LIMIT)
     }
 
     /// When there is something new to see of a call.
     fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
         let response_limit = self.response_limit();
-        let overtaken_at = call.sent + OVERTAKEN_DELAYS * self.hedge_delay();
+        let overtaken_at = call.sent + OVERTAKEN_HEDGE_DELAYS * self.hedge_delay();
         let sent = call.sent;
-        let limits = OBSERVED_LIMITS.map(|limits| sent + limits * response_limit);
+        let limits = OBSERVED_RESPONSE_LIMITS.map(|limits| sent + limits * response_limit);
         let times = limits.into_iter().chain(is_full.then_some(overtaken_at));
         times.map(|at| at + MILLISECOND)
     }
--- a/src/decisions/permission.rs
+++ b/src/decisions/permission.rs
@@ -13,11 +13,11 @@
         let Some(message) = self.messages.get(&id) else {
             return false;
         };
-        self.may_be_tried(message)
-            && self.may_go_to(message, endpoint)
+        self.may_start_attempt(message)
+            && self.may_use_endpoint(message, endpoint)
             && self.may_be_repeated_at(message, endpoint)
-            && self.is_its_turn(id, message)
-            && !self.has_to_wait(endpoint)
+            && self.is_turn_in_key_queue(id, message)
+            && !self.must_wait_for_retry_after(endpoint)
             && (joins_call || self.has_free_slot(message.destination))
     }
 
@@ -27,7 +27,7 @@
     }
 
     /// The message may have one more attempt.
-    fn may_be_tried(&self, message: &PendingMessage) -> bool {
+    fn may_start_attempt(&self, message: &PendingMessage) -> bool {
         let bounds = self.class_bounds(message.class);
         let allowed = bounds.map_or(usize::MAX, |bounds| bounds.max_attempts);
         let is_hedge = message.has_attempt_in_flight();
@@ -38,7 +38,7 @@
             && (!is_hedge || self.settings.hedging_allowed)
     }
 
-    fn may_go_to(&self, message: &PendingMessage, endpoint: EndpointId) -> bool {
+    fn may_use_endpoint(&self, message: &PendingMessage, endpoint: EndpointId) -> bool {
         let endpoint = self.endpoints.get(&endpoint);
         endpoint.is_some_and(|endpoint| {
             endpoint.is_available() && endpoint.destination == message.destination
@@ -63,7 +63,7 @@
         !is_zone_bound || at_risk.all(|past| zone(past.endpoint) == zone(endpoint))
     }
 
-    fn is_its_turn(&self, id: MessageId, message: &PendingMessage) -> bool {
+    fn is_turn_in_key_queue(&self, id: MessageId, message: &PendingMessage) -> bool {
         let Some(backoff_end) = self.key_backoff_end(message.key) else {
             return true;
         };
@@ -72,7 +72,7 @@
     }
 
     /// The destination has asked to be left alone.
-    fn has_to_wait(&self, endpoint: EndpointId) -> bool {
+    fn must_wait_for_retry_after(&self, endpoint: EndpointId) -> bool {
         let route = self.routes.get(&self.route_of(endpoint));
         route.is_some_and(|route| self.now < route.retry_after_until)
     }
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -6,7 +6,7 @@
 
 /// Part of the latency objective up to which a message gets more urgent. Higher serves more
 /// messages just in time, lower leaves more time for a retry.
-const RISING_PART: f64 = 0.9;
+const RISING_FRACTION: f64 = 0.9;
 /// Urgency after that, as a part of the remaining priority weight: messages that can still meet
 /// their objective go first.
 const LATE_FACTOR: f64 = 0.8;
@@ -20,9 +20,9 @@
         let Some(class) = self.settings.classes.get(class) else {
             return 0.0;
         };
-        let objectives = age as f64 / class.latency_objective as f64;
-        let factor = if objectives <= RISING_PART {
-            1.0 + objectives
+        let relative_age = age as f64 / class.latency_objective as f64;
+        let factor = if relative_age <= RISING_FRACTION {
+            1.0 + relative_age
         } else {
             LATE_FACTOR * class.remaining_weight(age, self.settings.weight_decay)
         };
@@ -45,8 +45,8 @@
 /// The greatest age that is no more than the rising part of the latency objective, by the same
 /// rounding as the urgency.
 fn oldest_rising_age(objective: Micros) -> Micros {
-    let mut age = (objective as f64 * RISING_PART) as Micros + 1;
-    while age as f64 / objective as f64 > RISING_PART {
+    let mut age = (objective as f64 * RISING_FRACTION) as Micros + 1;
+    while age as f64 / objective as f64 > RISING_FRACTION {
         age -= 1;
     }
     age
--- a/src/decisions/quotas.rs
+++ b/src/decisions/quotas.rs
@@ -67,7 +67,7 @@
     /// Counts a call to the destination that starts now.
     pub(super) fn spend_quota(&mut self, destination: DestinationId) {
         if let Some(bucket) = self.quota_buckets.get_mut(&destination) {
-            bucket.tokens -= QuotaBucket::CALL;
+            bucket.tokens -= QuotaBucket::TOKENS_PER_CALL;
         }
     }
 }
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -24,7 +24,7 @@
 /// Part of a decrease that one of many senders leaves out: one debt rejects all that call while it
 /// runs off, so most notice it, and some twice. Less and all together fall far below the limit,
 /// more and they hover at it. The pause after a rejection stays as long as after a whole decrease.
-const CONTENDED_DECREASE: f64 = 0.6;
+const CONTENDED_DECREASE_REDUCTION: f64 = 0.6;
 /// Growth of the rate with each success, in calls a second. Growth by successes, not by time, keeps
 /// the rejected share the same however few calls a sender makes.
 const INCREASE: f64 = 0.25;
@@ -33,15 +33,15 @@
 const MAX_INCREASE: f64 = 0.5;
 /// Part of the growth that contention takes: all have grown before any notices that it was too
 /// much.
-const CONTENDED_INCREASE: f64 = 0.8;
+const CONTENDED_INCREASE_REDUCTION: f64 = 0.8;
 /// Calls for which the listed rate of a destination stands in, as long as a sender has made few of
 /// its own.
 const LISTED_RATE_CALLS: f64 = 3.0;
 /// Parts of a listed rate, which may be half too high or too low, that a destination takes when
 /// warm: surely, and at most. Higher recovers and works backlogs off sooner, lower spares one that
 /// is listed too high.
-pub(super) const CERTAIN_LISTED_PART: f64 = 0.75;
-const MAX_LISTED_PART: f64 = 1.5;
+pub(super) const CERTAIN_LISTED_FRACTION: f64 = 0.75;
+const MAX_LISTED_FRACTION: f64 = 1.5;
 /// Most of a reported limit that counts as left. Higher lets a lone sender take more at once.
 const MAX_REMAINING: f64 = 0.9;
 /// Tokens of an ejected route: two, so that one can be kept for a message that can't be repeated.
@@ -63,13 +63,13 @@
     pub(super) fn apply_retry_after(
         &mut self,
         id: RouteId,
-        wait: Micros,
+        delay: Micros,
         actions: &mut Vec<Action>,
     ) {
-        if wait > 2 * self.settings.safety.overload_span {
+        if delay > 2 * self.settings.safety.overload_span {
             self.eject_closed(id, actions); // closed, not throttled: it opens cold
         }
-        let until = self.now + wait + MILLISECOND;
+        let until = self.now + delay + MILLISECOND;
         let route = self.route_mut(id);
         route.retry_after_until = route.retry_after_until.max(until);
     }
@@ -79,9 +79,9 @@
     /// load. Guards limits that rejected calls use up; could hold back a sender that has most of
     /// the traffic.
     pub(super) fn apply_load_report(&mut self, id: RouteId, report: &[f64]) {
-        let read = |at: Option<usize>| at.and_then(|position| report.get(position).copied());
-        let remaining = read(self.settings.report_remaining);
-        let limit = read(self.settings.report_limit);
+        let value_at = |at: Option<usize>| at.and_then(|position| report.get(position).copied());
+        let remaining = value_at(self.settings.report_remaining);
+        let limit = value_at(self.settings.report_limit);
         let Some(limit) = limit.filter(|&limit| limit > 0.0 && limit.is_finite()) else {
             return;
         };
@@ -90,14 +90,15 @@
         route.reported_limit = Some(limit);
         route.fair_share = fair_share;
         route.best_rate = route.best_rate.max(fair_share);
-        let used = remaining.map_or(0.0, |part| 1.0 - part.clamp(0.0, MAX_REMAINING));
-        let free = fair_share / (used * used);
-        let before = if route.rate_limit.is_infinite() {
+        let used_fraction =
+            remaining.map_or(0.0, |fraction| 1.0 - fraction.clamp(0.0, MAX_REMAINING));
+        let max_rate = fair_share / (used_fraction * used_fraction);
+        let rate_before = if route.rate_limit.is_infinite() {
             fair_share.max(MIN_FIRST_RATE)
         } else {
             route.rate_limit
         };
-        route.rate_limit = before.min(free).min(limit);
+        route.rate_limit = rate_before.min(max_rate).min(limit);
     }
 
     /// Has what waited while nothing could be sent go by the even share of the listed rate. Guards
@@ -118,7 +119,7 @@
             if !waiting.contains(&id.destination) || !is_limited {
                 continue;
             }
-            let backlog_rate = route.best_rate.max(route.listed_rate * MAX_LISTED_PART);
+            let backlog_rate = route.best_rate.max(route.listed_rate * MAX_LISTED_FRACTION);
             route.rate_limit = route.rate_limit.min(backlog_rate);
             route.bucket.tokens = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
             route.bucket.refilled_at = self.now;
@@ -143,7 +144,7 @@
     /// limit, the own rate so far, or half way between the listed rate and the part of it that is
     /// certain, if that is more.
     pub(super) fn known_rate(&self, now: Micros, contention: f64) -> f64 {
-        let listed = self.listed_rate * (1.0 + CERTAIN_LISTED_PART) / 2.0;
+        let listed = self.listed_rate * (1.0 + CERTAIN_LISTED_FRACTION) / 2.0;
         let certain = self.own_rate(now).max(listed);
         self.best_rate * (1.0 - contention) + certain.min(self.best_rate) * contention
     }
@@ -167,26 +168,29 @@
     /// The even share of a reported limit is left only for demand: other senders may need theirs.
     pub(super) fn decrease_rate_limit(&mut self, decrease: &RateDecrease) {
         let contention = decrease.contention;
-        let factor = if self.succeeded {
+        let full_factor = if self.succeeded {
             DECREASE_FACTOR
         } else {
             DECREASE_FACTOR_WITHOUT_SUCCESS
         };
-        let kept = 1.0 - (1.0 - factor) * (1.0 - CONTENDED_DECREASE * contention);
-        let before = self.rate_before_decrease(decrease);
+        let kept_fraction =
+            1.0 - (1.0 - full_factor) * (1.0 - CONTENDED_DECREASE_REDUCTION * contention);
+        let rate_before = self.rate_before_decrease(decrease);
         let fair_share = self
             .reported_limit
             .map_or(f64::INFINITY, |_| self.fair_share);
-        let most = fair_share.max(before * DECREASE_FACTOR_WITHOUT_SUCCESS);
-        let least = decrease.success_rate * DECREASE_FACTOR;
-        let decreased = (before * kept).max(least).min(most);
+        let upper_bound = fair_share.max(rate_before * DECREASE_FACTOR_WITHOUT_SUCCESS);
+        let lower_bound = decrease.success_rate * DECREASE_FACTOR;
+        let decreased = (rate_before * kept_fraction)
+            .max(lower_bound)
+            .min(upper_bound);
         self.rate_limit = decreased
             .max(MIN_FLEET_RATE / decrease.senders)
             .max(MIN_RATE);
         self.spend_tokens_of_rejection(decrease.random_phase);
         // rejected calls of those that have not noticed yet use the limit up: this one stays away
         // meanwhile
-        self.bucket.tokens -= contention * kept / factor;
+        self.bucket.tokens -= contention * kept_fraction / full_factor;
         self.succeeded = false;
     }
 
@@ -215,7 +219,7 @@
 
     pub(super) fn increase_rate_limit(&mut self, contention: f64) {
         let increase = INCREASE
-            * (1.0 - CONTENDED_INCREASE * contention)
+            * (1.0 - CONTENDED_INCREASE_REDUCTION * contention)
             * (self.best_rate / self.rate_limit).max(1.0);
         let max_increase = MAX_INCREASE * (1.0 + contention) * self.rate_limit;
         let limit = self.reported_limit.unwrap_or(f64::INFINITY);
@@ -226,15 +230,15 @@
     pub(super) fn refill_tokens(&mut self, now: Micros, rate: f64) {
         // nothing is saved up during Retry-After: all who were asked to wait would start at its end
         let since = self.bucket.refilled_at.max(self.retry_after_until);
-        let passed = seconds((now - since).max(0));
+        let elapsed_s = seconds((now - since).max(0));
         self.bucket.refilled_at = now;
-        let size = if self.is_ejected() {
+        let bucket_size = if self.is_ejected() {
             EJECTED_BURST
         } else {
             (rate * BURST_SECONDS).max(1.0)
         };
         self.bucket.tokens = if rate.is_finite() {
-            (self.bucket.tokens + rate * passed).min(size)
+            (self.bucket.tokens + rate * elapsed_s).min(bucket_size)
         } else {
             f64::MAX
         };
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -10,7 +10,7 @@
 
 /// Tokens that a call needs, and that one needs which had better be spared: a hedge, or a message
 /// that can't be repeated on an ejected route.
-const TOKENS: f64 = 1.0;
+const TOKENS_OF_CALL: f64 = 1.0;
 const TOKENS_OF_RISKY_CALL: f64 = 2.0;
 
 /// Where a message is sent.
@@ -246,7 +246,7 @@
             let needed = if is_risky {
                 TOKENS_OF_RISKY_CALL
             } else {
-                TOKENS
+                TOKENS_OF_CALL
             };
             return !call.is_hedge && self.bucket.tokens >= needed && !are_unhealthy_full;
         }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -3,7 +3,7 @@
 
 use super::Sender;
 use super::fleet_size::contention;
-use super::rate_limit::CERTAIN_LISTED_PART;
+use super::rate_limit::CERTAIN_LISTED_FRACTION;
 use super::state::{Endpoint, Health, Route, RouteId, seconds};
 use crate::interface::{Action, EndpointId, MILLISECOND, Micros, RouteEvent, Safety};
 
@@ -12,10 +12,10 @@
 const BUDGET_SHARE: f64 = 0.7;
 /// Calls in an overload span that all senders together may try at an ejected route, however little
 /// each knows of it. Higher finds the recovery sooner, lower spares a small destination.
-const FLEET_TRIALS: f64 = 3.0;
+const FLEET_TRIALS_PER_OVERLOAD_SPAN: f64 = 3.0;
 /// One sender tries at least this often in a warm-up time, whatever the fleet: no pause is longer
 /// than twice that.
-const MIN_TRIALS: f64 = 0.5;
+const MIN_TRIALS_PER_WARM_UP: f64 = 0.5;
 /// The least start capacity that trials are scaled by: below it, the division makes no sense.
 const MIN_START_CAPACITY: f64 = 0.01;
 
@@ -25,7 +25,7 @@
     pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
         let now = self.now;
         let warm_up_time = self.settings.safety.warm_up_time;
-        let quick_span = 2 * self.settings.safety.overload_span;
+        let short_ejection = 2 * self.settings.safety.overload_span;
         let contention = self.contention();
         let route = self.route_mut(id);
         match route.health {
@@ -34,7 +34,7 @@
             Health::Ejected {
                 unresponsive,
                 since,
-            } if route.is_trusted() && (unresponsive || now - since < quick_span) => {
+            } if route.is_trusted() && (unresponsive || now - since < short_ejection) => {
                 route.health = Health::Healthy;
             }
             Health::Ejected { since, .. } => self.begin_recovery(id, since, actions),
@@ -54,8 +54,8 @@
         let route = self.route_mut(id);
         route.limit_failure_score();
         // it came back between the last failure and now; one of many senders seldom looks
-        let unseen = now - route.failed_at.max(ejected_since);
-        let since = now - (unseen as f64 / 2.0 * contention) as Micros;
+        let unobserved_time = now - route.failed_at.max(ejected_since);
+        let since = now - (unobserved_time as f64 / 2.0 * contention) as Micros;
         route.health = Health::Recovering { since };
         self.forget_connection_scarcity(id);
         actions.push(Action::Log(RouteEvent::Recovering {
@@ -129,23 +129,23 @@
             * safety.overload_multiple
             * BUDGET_SHARE
             * level;
-        let span = seconds(safety.overload_span.max(1));
-        let trials = (FLEET_TRIALS / senders / span)
-            .max(MIN_TRIALS / seconds(warm_up_time))
-            .min(1.0 / span);
-        let least = trials * level / safety.start_capacity.max(MIN_START_CAPACITY);
-        let most = if since == now {
-            1.0 / span
+        let overload_span_s = seconds(safety.overload_span.max(1));
+        let trial_rate = (FLEET_TRIALS_PER_OVERLOAD_SPAN / senders / overload_span_s)
+            .max(MIN_TRIALS_PER_WARM_UP / seconds(warm_up_time))
+            .min(1.0 / overload_span_s);
+        let min_rate = trial_rate * level / safety.start_capacity.max(MIN_START_CAPACITY);
+        let max_rate = if since == now {
+            1.0 / overload_span_s
         } else {
             self.rate_limit
         };
-        budget.max(least).min(most)
+        budget.max(min_rate).min(max_rate)
     }
 
     /// Calls a second of this sender that the warm destination takes, as far as that is known.
     fn capacity(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
-        let listed = self.listed_rate * (CERTAIN_LISTED_PART * contention(senders));
+        let listed = self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
         self.best_rate
             .clamp(usual_rate, 2.0 * usual_rate)
             .max(self.fair_share)
@@ -163,7 +163,7 @@
     /// How long a recovery lasts. It began between the last failure and the first success:
     /// certainly warm is later.
     fn recovery_time(&self, since: Micros, warm_up_time: Micros, contention: f64) -> Micros {
-        let uncertain = (since - self.failed_at).clamp(0, warm_up_time);
-        warm_up_time + (uncertain as f64 * contention) as Micros
+        let uncertain_time = (since - self.failed_at).clamp(0, warm_up_time);
+        warm_up_time + (uncertain_time as f64 * contention) as Micros
     }
 }
--- a/src/decisions/state/quota_bucket.rs
+++ b/src/decisions/state/quota_bucket.rs
@@ -13,12 +13,12 @@
 
 impl QuotaBucket {
     /// One call: a rate in thousandths of a call a second times microseconds.
-    pub const CALL: i64 = 1_000_000_000;
+    pub const TOKENS_PER_CALL: i64 = 1_000_000_000;
 
     /// A bucket with one call.
     pub fn new(now: Micros) -> Self {
         QuotaBucket {
-            tokens: QuotaBucket::CALL,
+            tokens: QuotaBucket::TOKENS_PER_CALL,
             refilled_at: now,
         }
     }
@@ -27,7 +27,7 @@
     /// what comes in `burst`.
     pub fn refill(&mut self, now: Micros, rate: u64, burst: Micros) {
         let rate = i64::try_from(rate).unwrap_or(i64::MAX);
-        let max_tokens = rate.saturating_mul(burst).max(QuotaBucket::CALL);
+        let max_tokens = rate.saturating_mul(burst).max(QuotaBucket::TOKENS_PER_CALL);
         let added = rate.saturating_mul(now - self.refilled_at);
         self.tokens = self.tokens.saturating_add(added).min(max_tokens);
         self.refilled_at = now;
@@ -61,12 +61,12 @@
 
     /// True if it holds a whole call.
     pub fn has_call(&self) -> bool {
-        self.tokens >= QuotaBucket::CALL
+        self.tokens >= QuotaBucket::TOKENS_PER_CALL
     }
 
     /// How long until it holds a whole call.
     pub fn time_until_call(&self, rate: u64) -> Micros {
         let rate = i64::try_from(rate).unwrap_or(i64::MAX).max(1);
-        (QuotaBucket::CALL - self.tokens).max(0) / rate + 1
+        (QuotaBucket::TOKENS_PER_CALL - self.tokens).max(0) / rate + 1
     }
 }
--- a/src/decisions/state/samples.rs
+++ b/src/decisions/state/samples.rs
@@ -29,11 +29,11 @@
     }
 
     /// The value below which `part` of `whole` parts lie; none while there are no values.
-    pub fn quantile(&self, part: usize, whole: usize) -> Option<Micros> {
+    pub fn quantile(&self, numerator: usize, denominator: usize) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.0.iter().copied().collect();
         sorted.sort_unstable();
         let last = sorted.len().saturating_sub(1);
-        let position = (sorted.len() * part / whole).min(last);
+        let position = (sorted.len() * numerator / denominator).min(last);
         sorted.get(position).copied()
     }
 }
