--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,8 +1,9 @@
-//! Every decision of the delivery service.
+//! All decisions of a sender: which messages it accepts, where and when it sends them, and when it
+//! ends them.
 //!
-//! [`Sender::handle`] is one turn: it applies all events, then appends the actions that follow.
-//! Each module below decides one thing; `state` holds the records that they share. There is no
-//! socket and no clock here: the same events always give the same actions.
+//! [`Sender::handle`] runs one turn: it applies all events, then appends the resulting actions.
+//! Each submodule makes one kind of decision; `state` holds the records that they share. Nothing
+//! here uses a socket or a clock: the same events always give the same actions.
 
 mod admission;
 mod concurrency_limit;
@@ -42,69 +43,74 @@
 use state::{Call, Endpoint, KeyQueue, PendingMessage, QuotaBucket, Route, RouteId, TokenBucket};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The decisions of one sender. It can be serialized, and another process goes on with it: the
-/// order and the kinds of the fields are part of the format.
+/// State and decisions of one sender. A process hands it over to its successor in serialized form,
+/// in which fields have no names: the order and the types of the fields are part of the format.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Sender {
     settings: Settings,
     random: Pcg32,
     now: Micros,
-    /// When the host's timer expires; `Micros::MAX` where none is set.
+    /// Time at which the host's timer expires; `Micros::MAX` while it is not set.
     timer_at: Micros,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     endpoints_by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
     routes: BTreeMap<RouteId, Route>,
     messages: BTreeMap<MessageId, PendingMessage>,
     key_queues: BTreeMap<u64, KeyQueue>,
-    /// Until when no message of any key starts, because an earlier process may have cancelled a
-    /// call of it.
+    /// Time before which no message with a key gets its first attempt. After a restart, a call that
+    /// the earlier process cancelled may still run.
     key_backoff_until: Micros,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    /// Calls in flight that carry hedged requests.
+    /// Number of calls in flight that carry hedges.
     hedges_in_flight: usize,
-    /// For each kind of destination, how often calls lately found no connection, from 0 to 1.
+    /// Score from 0 to 1 for each kind of destination: how often recent calls found no connection.
     connection_scarcity: BTreeMap<usize, f64>,
-    /// One for each tenant of the settings.
+    /// Token bucket of each tenant, in the order of the settings.
     tenant_buckets: Vec<TokenBucket>,
-    /// When to subscribe to the endpoint list again.
+    /// Time at which to subscribe to the endpoint list again; `None` if that is not due.
     list_retry_at: Option<Micros>,
+    /// Backoff in microseconds after the next subscription that fails.
     list_backoff: Micros,
-    /// When the process ends, once that is known; the next process must not hear of it.
+    /// Time at which this process ends, once it is known. It is not serialized, because it does not
+    /// apply to the successor.
     #[serde(skip)]
     shutdown_at: Option<Micros>,
-    /// The next time at which something may have to be done; the timer is set by it.
+    /// Earliest time at which a turn may have something to do; the timer is set to it.
     next_deadline: Micros,
-    /// The number of senders that all rates are scaled by.
+    /// Number of senders by which all rate limits are divided.
     fleet_size: u32,
-    /// What is known of the other senders, and since when.
+    /// Last view of the other senders; `None` if there is none.
     fleet_view: Option<FleetView>,
+    /// Time since which the fleet view has not changed, apart from its number of agreeing senders.
     fleet_view_since: Micros,
     agreed_rules: Option<Box<AgreedRules>>,
-    /// The endpoint list may be out of date.
+    /// True while the endpoint list may be out of date; sending is suspended then.
     list_stale: bool,
-    /// This machine can't record what is sent; the next process finds out for itself.
+    /// True while the local host can't record what is sent; sending is suspended then. It is not
+    /// serialized: the successor detects this for itself.
     #[serde(skip)]
     host_failing: bool,
-    /// This sender's share of limits that hold for all senders, and what it may send by them now.
+    /// Share of the fleet-wide limits that this sender may use.
     quotas: Option<Box<Quotas>>,
     quota_buckets: BTreeMap<DestinationId, QuotaBucket>,
-    /// Messages for which the last turn looked for an endpoint.
+    /// Number of messages for which the last turn looked for an endpoint.
     #[serde(skip)]
     candidates_examined: usize,
-    /// Which pending messages have to be looked at.
+    /// Index of the pending messages: tells a turn which of them may be sent or must end.
     #[serde(skip)]
     index: MessageIndex,
-    /// Calls in flight on lagging and ejected routes, in this turn.
+    /// Number of calls in flight on lagging and ejected routes; counted again in each turn.
     #[serde(skip)]
     unhealthy_in_flight: usize,
 }
 
 impl Sender {
-    /// A sender that knows nothing yet. `seed` determines all that it does at random.
+    /// Creates a sender without endpoints and messages. `seed` determines all of its random
+    /// choices.
     ///
     /// # Errors
-    /// The first setting that is not valid.
+    /// Returns the first setting that is not valid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let list_retry_at = settings.list_by_subscription.then_some(Micros::MIN);
@@ -143,13 +149,13 @@
         })
     }
 
-    /// The settings as they are now.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// One turn: applies all events, then appends the actions that follow. The time never goes
-    /// backwards.
+    /// Runs one turn at time `now`: applies all events, then appends the resulting actions. If
+    /// `now` is before the time of the last turn, that time is used instead.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.forget_expired_timer();
@@ -236,10 +242,10 @@
         self.settings = settings.clone();
         let tenants = self.settings.tenants.len();
         self.tenant_buckets.resize(tenants, TokenBucket::FULL);
-        self.rebuild_index(); // other effects end other messages
+        self.rebuild_index(); // a changed effect of a class changes which messages must end
     }
 
-    /// The route that calls to an endpoint belong to.
+    /// Returns the route against whose limits calls to the endpoint count.
     fn route_of(&self, endpoint: EndpointId) -> RouteId {
         let Some(known) = self.endpoints.get(&endpoint) else {
             return RouteId::of_endpoint(0, endpoint);
@@ -252,7 +258,7 @@
         }
     }
 
-    /// A route, which is new where it was not known.
+    /// Returns the route, and creates it if it is not known.
     fn route_mut(&mut self, id: RouteId) -> &mut Route {
         let initial_limit = concurrency_limit::initial(self.settings.call_slots);
         let now = self.now;
@@ -260,13 +266,13 @@
         self.routes.entry(id).or_insert_with(new)
     }
 
-    /// A random part of a token, from 0 to 1, so that senders do not all start at once.
+    /// Returns a random fraction of a token, from 0 to 1, so that senders do not all start at once.
     fn random_phase(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 }
 
-/// The whole number of so many that a share of them makes, at least one.
+/// Returns `share` of `count`, rounded down to a whole number but at least 1.
 fn share_of(count: usize, share: f64) -> usize {
     ((count as f64 * share).floor() as usize).max(1)
 }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,4 +1,5 @@
-//! Which messages are taken on, with what priority, and what is taken back after a restart.
+//! Decides which messages are accepted and with what priority, and restores messages after a
+//! restart.
 
 use super::Sender;
 use super::fleet_size::contention;
@@ -7,11 +8,12 @@
 use crate::interface::{Action, MessageId, Micros, NewMessage, PastAttempt};
 use crate::message_index::IndexEntry;
 
-/// Size of a tenant's token bucket, in seconds of its share.
-/// Larger lets a tenant bring more at once before its messages count less.
+/// Size of a tenant's token bucket, in seconds of the tenant's share. Larger lets a tenant submit
+/// more messages at once before their priority is reduced.
 const TENANT_BURST_SECONDS: f64 = 2.0;
-/// Messages beyond that which chance may bring one sender of many.
-/// More sees a tenant beyond its share late, fewer sees one where there is none.
+/// Additional messages in the token bucket of a tenant at one sender of a large fleet, since
+/// several messages may reach the same sender by chance. Higher detects a tenant beyond its share
+/// later; lower reduces the priority of tenants within theirs.
 const TENANT_CHANCE_BURST: f64 = 4.0;
 
 impl Sender {
@@ -32,7 +34,7 @@
         self.index.open() < max_pending
     }
 
-    /// Takes on a message.
+    /// Adds an accepted message to the pending messages.
     pub(super) fn admit(&mut self, new: &NewMessage) {
         let deadline = self.now + new.time_left;
         let class = self.settings.classes.get(new.class);
@@ -63,7 +65,8 @@
         self.reindex(new.id);
     }
 
-    /// What is left of the priority of a tenant's message: all of it within the tenant's share.
+    /// Returns the factor on the priority weight of a tenant's message: 1 while the tenant stays
+    /// within its share.
     fn tenant_factor(&mut self, position: Option<usize>) -> f64 {
         let Some(position) = position else {
             return 1.0;
@@ -73,7 +76,8 @@
         };
         let senders = f64::from(self.fleet_size);
         let rate = tenant.allowance / senders;
-        // a few messages at one of many senders are chance, not a tenant beyond its share
+        // a few messages of a tenant at one of many senders come together by chance; they do not
+        // show that the tenant exceeds its share
         let chance_burst = 1.0 + TENANT_CHANCE_BURST * contention(senders);
         let burst = (rate * TENANT_BURST_SECONDS).max(chance_burst);
         let bucket = &mut self.tenant_buckets[position];
@@ -86,9 +90,10 @@
         }
     }
 
-    /// Takes a message back after a restart. Its calls ended with the old process; those with no
-    /// known outcome may have run. All count as overlapped: nobody knows the order of their ends,
-    /// and a window of an idempotency key must count from the first.
+    /// Restores a pending message after a restart. Its calls ended with the earlier process; those
+    /// without a known outcome may have run. All attempts count as overlapped: the order in which
+    /// they ended is not known, and the window of an idempotency key must count from the first
+    /// attempt.
     pub(super) fn restore(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
         self.admit(message);
         let backoff = self.key_backoff(message.class);
@@ -104,7 +109,7 @@
         self.reindex(message.id);
     }
 
-    /// Takes back a message that has ended, but whose outcome the client has not been notified of.
+    /// Restores a message that has an outcome of which the client has not been notified.
     pub(super) fn restore_ended(&mut self, message: &NewMessage) {
         self.admit(message);
         if let Some(pending) = self.messages.get_mut(&message.id) {
@@ -121,7 +126,8 @@
         self.forget_if_done(message);
     }
 
-    /// When a client whose message is rejected should come back, where clients are told.
+    /// Returns the Retry-After delay for a client whose message is rejected; `None` if clients are
+    /// given none.
     pub(super) fn client_retry_after(&self) -> Option<Micros> {
         Some(self.settings.max_retry_after / 2).filter(|&wait| wait > 0)
     }
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -1,42 +1,49 @@
-//! How many calls may be in flight to a destination: additive increase, multiplicative decrease.
+//! Concurrency limit of a route, the number of calls that may be in flight: additive increase,
+//! multiplicative decrease.
 
 use super::share_of;
 use super::state::Route;
 use crate::interface::Micros;
 
-/// Limits per destination, as shares of the call slots: at the start, at most, and for all ejected
-/// and lagging routes together. Higher serves one destination faster, lower leaves more slots to
-/// the others.
+/// Initial concurrency limit of a route, as a share of the call slots. Higher serves one
+/// destination faster; lower leaves more slots to the others.
 const INITIAL_SHARE: f64 = 0.25;
+/// Share of the call slots that one destination may hold at most. Higher serves one destination
+/// faster; lower leaves more slots to the others.
 const MAX_SHARE: f64 = 0.75;
+/// Share of the call slots that all ejected and lagging routes together may hold. Higher serves
+/// those routes faster; lower leaves more slots to the others.
 const UNHEALTHY_SHARE: f64 = 0.5;
-/// What congestion leaves of the limit. Lower drains queues sooner and costs more throughput.
+/// Factor on the concurrency limit when a call shows congestion. Lower drains queues sooner and
+/// costs more throughput.
 const DECREASE_FACTOR: f64 = 0.7;
 
-/// The limit of a route that is new.
+/// Returns the concurrency limit of a new route.
 pub(super) fn initial(call_slots: usize) -> f64 {
     share_of(call_slots, INITIAL_SHARE) as f64
 }
 
-/// The calls that one destination may hold at most.
+/// Returns the maximum number of calls in flight to one destination.
 pub(super) fn max_calls(call_slots: usize) -> usize {
     share_of(call_slots, MAX_SHARE)
 }
 
-/// The calls that ejected and lagging routes may hold together.
+/// Returns the maximum number of calls in flight on all ejected and lagging routes together.
 pub(super) fn max_unhealthy_calls(call_slots: usize) -> usize {
     share_of(call_slots, UNHEALTHY_SHARE)
 }
 
 impl Route {
-    /// One more call of the limit has succeeded.
+    /// Raises the concurrency limit after a successful call: by one for about as many successes as
+    /// the limit allows calls.
     pub(super) fn increase_concurrency_limit(&mut self, call_slots: usize) {
         let increased = self.concurrency_limit + 1.0 / self.concurrency_limit;
         self.concurrency_limit = increased.min(MAX_SHARE * call_slots as f64);
     }
 
-    /// Congestion showed at a call sent at `sent`. The limit decreases once for all calls that were
-    /// in flight then; returns whether this call was the first of them to show it.
+    /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion. The
+    /// limit decreases only once for all calls that were in flight at that time; returns whether
+    /// this call was the first of them and lowered it.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
         let is_new = sent > self.decreased_at;
         if is_new {
--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -1,13 +1,15 @@
-//! Endpoints that take few connections: idle ones are closed, so that other senders get through.
+//! Detects endpoints that accept few connections, and closes idle connections to them so that other
+//! senders can connect.
 
 use super::Sender;
 use super::state::{RouteId, seconds};
 use crate::interface::{Action, EndpointId, Outcome};
 
-/// Weight of one call that found no connection in the score of its endpoint and of its kind.
+/// Weight of one call that found no connection in the scarcity scores of its endpoint and of its
+/// kind of destination.
 const SCARCITY_WEIGHT: f64 = 0.2;
-/// The score above which idle connections are closed. Lower frees endpoints sooner, higher saves
-/// handshakes.
+/// Scarcity score above which idle connections are closed. Lower frees connections of an endpoint
+/// sooner; higher saves handshakes.
 const SCARCITY_THRESHOLD: f64 = 0.1;
 
 impl Sender {
@@ -23,7 +25,7 @@
         let kind_scarcity = self.connection_scarcity.entry(endpoint.kind).or_default();
         for score in [kind_scarcity, &mut endpoint.connection_scarcity] {
             match outcome {
-                // where nothing else succeeds the endpoint is unavailable, not short of connections
+                // where no call succeeds the endpoint is unavailable, not short of connections
                 Outcome::NoConnection if others_succeed => {
                     *score += SCARCITY_WEIGHT * (1.0 - *score);
                 }
@@ -33,8 +35,8 @@
         }
     }
 
-    /// A route that recovers: what found no connection before says nothing of how scarce they are
-    /// now.
+    /// Resets the scarcity scores of the endpoints of a route that begins to recover: calls that
+    /// found no connection during the outage do not show how scarce connections are now.
     pub(super) fn forget_connection_scarcity(&mut self, route: RouteId) {
         let ids = self.endpoints_by_destination.get(&route.destination);
         for id in ids.into_iter().flatten() {
@@ -46,9 +48,11 @@
         }
     }
 
-    /// Closes a connection that would sooner close by itself than be used again. Guards endpoints
-    /// that take few connections against hundreds of senders that each keep one idle. Could harm
-    /// where traffic comes in bursts with long pauses: the next call pays a handshake.
+    /// Closes the idle connections to an endpoint where connections are scarce, or to a seldom used
+    /// endpoint of a kind where they are scarce: its idle timeout would pass before the next use.
+    /// Protects endpoints that accept few connections against hundreds of senders that each keep
+    /// one idle. Drawback: where traffic comes in bursts with long pauses, the next call pays for a
+    /// handshake.
     pub(super) fn close_idle_connection(
         &mut self,
         route: RouteId,
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -1,30 +1,30 @@
-//! What the host is told of the sender's state: attempts in flight, and the demand for quotas. No
-//! decision is here.
+//! The part of a sender's state that the host reads: attempts in flight, and the demand for quotas.
+//! Nothing is decided here.
 
 use super::Sender;
 use super::state::{Health, PendingMessage, Route, RouteId};
 use crate::interface::{Demand, DestinationId, EndpointId, MessageId};
 use std::collections::BTreeMap;
 
-/// An attempt that has begun and has no outcome yet.
+/// An attempt that has started and has no outcome yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightAttempt {
-    /// Its message.
+    /// Message that the attempt delivers.
     pub message: MessageId,
-    /// Its number among the message's attempts.
+    /// Position of the attempt among the message's attempts, starting from 0.
     pub number: usize,
-    /// Where it went.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
 }
 
 impl Sender {
-    /// The number of attempts that have begun and have no outcome yet: as many as the host has in
-    /// flight.
+    /// Returns the number of attempts that have started and have no outcome yet. The host has as
+    /// many in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.calls.values().map(|call| call.pending).sum()
     }
 
-    /// The attempts that have begun and have no outcome yet.
+    /// Returns the attempts that have started and have no outcome yet.
     pub fn in_flight_attempts(&self) -> Vec<InFlightAttempt> {
         let of_message = |(&message, pending): (&MessageId, &PendingMessage)| {
             let attempts = pending.attempts.iter().enumerate();
@@ -39,7 +39,7 @@
         self.messages.iter().flat_map(of_message).collect()
     }
 
-    /// What this sender could use at each destination that it knows.
+    /// Returns the demand of this sender at each destination that it knows.
     pub fn demand(&self) -> BTreeMap<DestinationId, Demand> {
         let listed = self.endpoints_by_destination.keys();
         let mut all: BTreeMap<DestinationId, Demand> =
@@ -55,9 +55,10 @@
         all
     }
 
-    /// The number of destinations that are listed, and what this sender could use: at each of them
-    /// if there are `max_complete` at most, else only where messages wait, calls are in flight or
-    /// something has changed since the last look.
+    /// Returns the number of listed destinations, and the demand of this sender. The demand covers
+    /// every destination if at most `max_complete` are listed. Otherwise it covers only those where
+    /// messages wait, calls are in flight, or something has changed since the last call of this
+    /// function.
     pub fn demand_in_use(
         &mut self,
         max_complete: usize,
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -7,13 +7,14 @@
 use crate::message_index::{Candidate, Candidates, GroupSide};
 use std::collections::BTreeMap;
 
-/// Hedge delays after which an attempt of an idempotent message times out. Lower frees slots
-/// sooner.
+/// Timeout of an attempt of an idempotent message, in hedge delays. Lower frees call slots sooner.
 const TIMEOUT_HEDGE_DELAYS: i64 = 10;
 
-/// When an attempt times out, and by when it must have begun.
+/// Time limits of an attempt.
 struct AttemptTimes {
+    /// Time at which the attempt times out.
     expires: Micros,
+    /// Time by which the host must have started the attempt; `None` if it may start at any time.
     start_by: Option<Micros>,
 }
 
@@ -28,7 +29,7 @@
         let mut open_calls: BTreeMap<EndpointId, u64> = BTreeMap::new();
         while let Some(candidate) = candidates.pop() {
             if !may_bundle && self.are_slots_full() {
-                break; // the end of a call brings the next turn
+                break; // all slots are in use; the next call that ends causes a turn
             }
             self.candidates_examined += 1;
             if self.send_candidate(candidate, &mut open_calls, actions) {
@@ -66,7 +67,8 @@
         self.calls.values().filter(is_unhealthy).count()
     }
 
-    /// The most urgent message on both sides of each group that is ready.
+    /// Returns the most urgent messages of each ready group: one of those whose urgency still rises
+    /// with age, and one of those whose urgency falls.
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
         for group_side in self.index.ready() {
@@ -77,7 +79,7 @@
         candidates
     }
 
-    /// Sends a message if an endpoint takes it now; returns whether one does.
+    /// Sends the candidate if an endpoint can take it now; returns whether it was sent.
     fn send_candidate(
         &mut self,
         candidate: Candidate,
@@ -87,8 +89,8 @@
         let id = candidate.rank.id;
         let is_hedge = self.messages[&id].has_attempt_in_flight();
         let may_hedge = !self.are_hedges_full();
-        // a hedge skipped for its share comes up again in the next turn: its interval is not
-        // doubled
+        // a hedge that is skipped because hedges hold their share of the call slots is due again in
+        // the next turn: its interval is not doubled
         let target = self.choose_endpoint(id, is_hedge, open_calls);
         let Some(target) = target.filter(|_| !is_hedge || may_hedge) else {
             return false;
@@ -103,7 +105,8 @@
         true
     }
 
-    /// Something was sent to the destination: its groups that were skipped are looked at again.
+    /// Adds the skipped groups of a destination to the candidates again, after something was sent
+    /// to the destination.
     fn readmit_skipped(&mut self, sent: Candidate, candidates: &mut Candidates) {
         for skipped in candidates.take_skipped(sent.group_side.destination) {
             let order = self.order(skipped.group);
@@ -111,12 +114,13 @@
         }
     }
 
-    /// True if what holds one message of a group back holds all of them back.
+    /// Returns true if the reason for not sending one message of a group holds for all its
+    /// messages.
     fn holds_back_group(&self, group_side: GroupSide) -> bool {
         !group_side.group.at_risk || self.effect(group_side.group.class) == Effect::Idempotent
     }
 
-    /// Opens a call that starts now and has no message yet.
+    /// Opens a call that starts now and has no message yet; returns its number.
     fn open_call(&mut self, endpoint: EndpointId, is_hedge: bool) -> u64 {
         let id = self.route_of(endpoint);
         let call = self.next_call;
@@ -136,7 +140,7 @@
         call
     }
 
-    /// Sends the message in a call.
+    /// Adds the message to a call, and appends the action that sends it.
     fn send(
         &mut self,
         id: MessageId,
@@ -178,7 +182,7 @@
         });
     }
 
-    /// The times of an attempt that starts now.
+    /// Returns the time limits of an attempt that starts now.
     fn attempt_times(&self, id: MessageId, hedge_delay: Micros) -> AttemptTimes {
         let message = &self.messages[&id];
         let deadline = message.deadline;
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: entries, subscription, and endpoints that operators disable.
+//! The endpoint list: its entries, the subscription to it, and endpoints that operators disable or
+//! enable.
 
 use super::Sender;
 use super::state::WarmUp;
@@ -6,9 +7,11 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Backoff of a subscription that failed, at first and at most.
-/// Longer spares the discovery service, shorter leaves the list out of date for less time.
+/// Backoff after the first failed subscription to the endpoint list. Longer spares the discovery
+/// service; shorter leaves the list out of date for less time.
 pub(super) const INITIAL_BACKOFF: Micros = 300 * MILLISECOND;
+/// Maximum backoff after failed subscriptions to the endpoint list. Longer spares the discovery
+/// service; shorter leaves the list out of date for less time.
 const MAX_BACKOFF: Micros = 4 * SECOND;
 
 impl Sender {
@@ -83,14 +86,15 @@
         if let Some(endpoint) = disabled {
             endpoint.disabled = false;
             endpoint.warm_up = Some(WarmUp::new(self.now));
-            endpoint.classes.clear(); // it may be another process by now
+            endpoint.classes.clear(); // another process may serve there by now
         }
         actions.push(Action::Disconnect(id));
         self.forget_unused();
     }
 
-    /// Forgets unlisted endpoints that no pending message tried, their routes without calls, and
-    /// idle key queues.
+    /// Removes endpoints that are neither serving nor disabled and that no pending message was sent
+    /// to, routes without a listed endpoint, call in flight or Retry-After delay, and key queues
+    /// that are empty and do not back off.
     pub(super) fn forget_unused(&mut self) {
         let attempts = self.messages.values().flat_map(|message| &message.attempts);
         let tried: BTreeSet<EndpointId> = attempts.map(|attempt| attempt.endpoint).collect();
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -1,18 +1,20 @@
-//! Messages that can't be delivered any more end, and load is shed when too many are pending.
+//! Ends messages that can no longer be delivered, and sheds load when too many are pending.
 
 use super::state::{Health, PendingMessage, Route};
 use super::{Sender, share_of};
 use crate::interface::{Action, Effect, EndpointId, MILLISECOND, MessageId, Micros};
 use std::collections::BTreeSet;
 
-/// Time kept before a deadline for a last answer, and before the window of an idempotency key or a
-/// wait ends.
+/// Safety margin in microseconds: no attempt starts this close to the deadline of a message, so
+/// that a last answer can still arrive, or this close to the end of the window of an idempotency
+/// key or of a wait.
 pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
-/// Share of the pending messages above which those that can't go are rejected.
-/// Higher keeps more for a destination that recovers, lower leaves more capacity to the others.
+/// Share of the maximum number of pending messages above which messages that can't be sent now are
+/// rejected. Higher keeps more messages for a destination that recovers; lower leaves more capacity
+/// to the other destinations.
 const SHEDDING_SHARE: f64 = 0.85;
 
-/// A message that could be rejected to make room.
+/// A pending message that may be rejected to make room for others.
 struct SheddingCandidate {
     priority_weight: f64,
     created_at: Micros,
@@ -20,7 +22,7 @@
 }
 
 impl Sender {
-    /// Ends messages that can't be delivered any more, and makes room when too many are pending.
+    /// Ends messages that can no longer be delivered, and rejects some when too many are pending.
     pub(super) fn end_undeliverable_messages(&mut self, actions: &mut Vec<Action>) {
         if let Some(deadline) = self.index.first_deadline() {
             self.wake_by(deadline - DEADLINE_MARGIN);
@@ -34,7 +36,8 @@
         }
     }
 
-    /// The messages of least priority that can't go now, as many as there are too many.
+    /// Returns the messages to reject when too many are pending: of those that can't be sent now,
+    /// the ones with the lowest priority weights, as many as exceed the capacity.
     fn messages_to_shed(&self, expired: &BTreeSet<MessageId>) -> Vec<MessageId> {
         let capacity = share_of(self.settings.max_pending, SHEDDING_SHARE);
         let excess = self.index.open().saturating_sub(capacity);
@@ -51,7 +54,8 @@
                 });
             }
         }
-        // the sort is stable: of equals the one with the lower number goes first
+        // the sort is stable: of messages with equal weight and age, the one with the lowest id is
+        // rejected first
         candidates.sort_by(|a, b| {
             let by_weight = a.priority_weight.total_cmp(&b.priority_weight);
             by_weight.then(a.created_at.cmp(&b.created_at))
@@ -70,7 +74,8 @@
             && self.is_stuck(message)
     }
 
-    /// Ends a message that is not delivered.
+    /// Ends a message without delivery: rejects it if a retry by the client does no harm, otherwise
+    /// fails it.
     fn end(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let action = if self.may_reject(&self.messages[&id]) {
             Action::Reject {
@@ -88,7 +93,8 @@
         self.forget_if_done(id);
     }
 
-    /// Gives a message no further attempt, and cancels those in flight.
+    /// Closes a message: it gets no further attempt, and its attempts in flight are cancelled where
+    /// that is allowed.
     pub(super) fn close(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let message = self.messages.get_mut(&id).filter(|message| message.open);
         let Some(message) = message else {
@@ -106,13 +112,14 @@
         self.reindex(id);
     }
 
-    /// From when on no send can be legal: the message may have run and can't be repeated, or no
-    /// attempt is left.
+    /// Returns the time from which no send of the message can be legal, because it may have run and
+    /// can't be repeated, or because no attempt is left. `Micros::MIN` means now already,
+    /// `Micros::MAX` never.
     pub(super) fn no_send_after(&self, message: &PendingMessage) -> Micros {
         if message.attempts.len() >= message.max_attempts {
             return Micros::MIN;
         }
-        // what agreed rules forbid for now they may allow again
+        // agreed rules do not count here: what they forbid now they may allow later
         match self.configured_effect(message.class) {
             Effect::Idempotent => Micros::MAX,
             Effect::NonIdempotent if message.is_at_risk() => Micros::MIN,
@@ -124,8 +131,8 @@
         }
     }
 
-    /// True if every route of the message's destination is ejected, recovering or has failed of
-    /// late.
+    /// Returns true if every route of the message's destination is ejected, is recovering or has
+    /// failed recently.
     fn is_stuck(&self, message: &PendingMessage) -> bool {
         let Some(endpoints) = self.endpoints_by_destination.get(&message.destination) else {
             return true;
--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -1,26 +1,26 @@
-//! The number of senders that rates are scaled by, and the contention that follows from it.
+//! The number of senders that rate limits are divided by, and the contention that follows from it.
 
 use super::Sender;
 use crate::interface::FleetView;
 
-/// Fleets of this size hear of a limit almost as soon as a single sender does.
-/// Higher lets a larger fleet act as a few senders do.
+/// Largest fleet in which a sender notices an exceeded limit almost as soon as a single sender
+/// does. Higher lets larger fleets act as a few senders do.
 const SMALL_FLEET: f64 = 4.0;
 
 impl Sender {
-    /// The number of senders that all rates are scaled by.
+    /// Returns the number of senders that all rate limits are divided by.
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size
     }
 
-    /// The fraction of all senders that have not noticed yet what this one has; 0 where they are
-    /// few.
+    /// Returns the estimated fraction of all senders that have not noticed an exceeded limit yet
+    /// when this sender has; 0 in a small fleet.
     pub(super) fn contention(&self) -> f64 {
         contention(f64::from(self.fleet_size))
     }
 
     pub(super) fn apply_fleet_view(&mut self, view: Option<FleetView>) {
-        // the number of those that agree may grow; what is seen must stand
+        // the number of agreeing senders may grow meanwhile; all other fields must stay the same
         let without_agreeing = |view: FleetView| FleetView {
             agreeing: 0,
             ..view
@@ -31,11 +31,13 @@
         self.fleet_view = view;
     }
 
-    /// Guards destinations against senders that hear less and take more: the size falls below the
-    /// configured number only once nobody is suspect, a majority of the configured senders is known
-    /// to hold just this view, and it has stood for the warm-up time. It rises at once, and is the
-    /// configured one in a minority and in doubt. Senders never heard of count as living. Could
-    /// starve a destination for that time after many senders have gone.
+    /// Adopts the number of senders from the fleet view. Protects destinations against a sender
+    /// that sees too few of the others and therefore sends too much. The number falls below the
+    /// configured one only when no sender is suspect, a majority of the configured senders is known
+    /// to hold the same view, and the view has not changed for the warm-up time. It rises at once,
+    /// and is at least the configured number while this sender is isolated or in a minority.
+    /// Senders that it never received anything from count as present. Drawback: after many senders
+    /// have departed, destinations get too few calls for that time.
     pub(super) fn update_fleet_size(&mut self) {
         let size_before = self.fleet_size;
         let target = self.target_fleet_size();
@@ -80,7 +82,8 @@
             route.fair_share *= factor;
             route.listed_rate *= factor;
             if factor < 1.0 {
-                // others are back: what was theirs is given up, and only successes bring it again
+                // senders have come back: their part of the learned rates is given back, and only
+                // successes raise the rates again
                 route.rate_limit *= factor;
                 route.best_rate *= factor;
             }
@@ -88,7 +91,8 @@
     }
 }
 
-/// The fraction of so many senders that have not noticed yet what one has; 0 where they are few.
+/// Returns the estimated fraction of `senders` that have not noticed an exceeded limit yet when one
+/// of them has; 0 in a small fleet.
 pub(super) fn contention(senders: f64) -> f64 {
     (1.0 - SMALL_FLEET / senders).max(0.0)
 }
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -5,31 +5,32 @@
 use super::state::{PendingMessage, Route};
 use crate::interface::{Effect, MILLISECOND, Micros, SECOND};
 
-/// Delay of a hedge before any latency is known. Shorter finds trouble sooner, longer wastes less.
+/// Delay before an attempt is hedged while no latency of its route is known. Shorter detects slow
+/// calls sooner; longer wastes fewer attempts.
 pub(super) const INITIAL_HEDGE_DELAY: Micros = SECOND;
-/// Share of the call slots that hedges may hold. More rescues more, less leaves slots to first
-/// attempts.
+/// Share of the call slots that hedges may hold. Higher rescues more messages; lower leaves more
+/// slots to first attempts.
 const MAX_HEDGE_SHARE: f64 = 0.5;
-/// Latencies remembered per route.
+/// Number of latencies that a route keeps.
 const LATENCY_SAMPLES: usize = 40;
-/// The quantile of them that sets the hedge delay, as a fraction.
+/// Quantile of the kept latencies that becomes the hedge delay, as numerator and denominator.
 const HEDGE_QUANTILE: (usize, usize) = (19, 20);
-/// Latencies seen before they are believed. Fewer finds trouble sooner, more spares small
-/// destinations.
+/// Number of latencies needed before the hedge delay of a route may fall below its initial value.
+/// Fewer detects slow calls sooner; more avoids needless hedges at destinations that get few calls.
 const MIN_LATENCY_SAMPLES: usize = 8;
-/// The usual latency follows the last one by one part in so many: slow enough to outlast an
-/// episode.
+/// Divisor for the weight of a new latency in the usual latency of a route. With 50, the usual
+/// latency changes slowly enough to outlast a temporary slowdown.
 const USUAL_LATENCY_SMOOTHING: i64 = 50;
 
 impl Sender {
-    /// True if hedges hold as many slots as they may.
+    /// Returns true if hedges hold as many call slots as they may.
     pub(super) fn are_hedges_full(&self) -> bool {
         self.hedges_in_flight >= share_of(self.settings.call_slots, MAX_HEDGE_SHARE)
     }
 }
 
 impl Route {
-    /// How long an attempt is in flight before it is hedged.
+    /// Returns how long an attempt is in flight before it is hedged, in microseconds.
     pub(super) fn hedge_delay(&self) -> Micros {
         self.learned_hedge_delay.unwrap_or(INITIAL_HEDGE_DELAY)
     }
--- a/src/decisions/key_ordering.rs
+++ b/src/decisions/key_ordering.rs
@@ -1,10 +1,10 @@
-//! Messages of one key go one at a time, in the order of their arrival.
+//! Key ordering: messages of one key are sent one at a time, in the order of their arrival.
 
 use super::Sender;
 use crate::interface::{MessageId, Micros, Outcome};
 
 impl Sender {
-    /// True if messages of a class go in the order of their keys.
+    /// Returns true if messages of the class that share a key are sent in order.
     pub(super) fn is_ordered(&self, class: usize) -> bool {
         let by_settings = self.settings.classes.get(class);
         by_settings.is_some_and(|class| class.ordered)
@@ -21,26 +21,27 @@
         }
     }
 
-    /// Takes a message that is done out of its queue; returns the first of those behind it.
+    /// Removes a completed message from the queue of its key; returns the message that is now at
+    /// the front.
     pub(super) fn leave_key_queue(&mut self, key: u64, message: MessageId) -> Option<MessageId> {
         let queue = self.key_queues.get_mut(&key)?;
         queue.messages.retain(|&other| other != message);
         queue.messages.front().copied()
     }
 
-    /// True if no message of its key is before this one.
+    /// Returns true if no earlier message of the same key is pending.
     pub(super) fn is_first_of_key(&self, message: MessageId, key: Option<u64>) -> bool {
         let queue = key.and_then(|key| self.key_queues.get(&key));
         queue.is_none_or(|queue| queue.messages.front() == Some(&message))
     }
 
-    /// Until when a key backs off; none where it has no queue.
+    /// Returns the time at which the backoff of a key ends; `None` if the key has no queue.
     pub(super) fn key_backoff_end(&self, key: Option<u64>) -> Option<Micros> {
         let queue = key.and_then(|key| self.key_queues.get(&key))?;
         Some(queue.backoff_until.max(self.key_backoff_until))
     }
 
-    /// How long a key backs off after an attempt that may still run.
+    /// Returns how long a key backs off after an attempt that may still run, in microseconds.
     pub(super) fn key_backoff(&self, class: usize) -> Micros {
         let bounds = self.class_bounds(class);
         let by_rules = bounds.map_or(0, |bounds| bounds.key_backoff);
@@ -54,14 +55,14 @@
         }
     }
 
-    /// The process before this one has ended, maybe just now: calls that it had cancelled may still
-    /// run.
+    /// Makes all keys back off after a restart: the earlier process may have ended just now, and
+    /// calls that it cancelled may still run.
     pub(super) fn back_off_all_keys(&mut self) {
         self.key_backoff_until = self.now + self.settings.safety.key_backoff;
     }
 }
 
-/// True if the destination may still work on an attempt that ended so.
+/// Returns true if the destination may still be working on an attempt that ended with this outcome.
 pub(super) fn may_still_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/src/decisions/message_index.rs
+++ b/src/decisions/message_index.rs
@@ -1,4 +1,4 @@
-//! Keeps the index of the pending messages in step with them. No decision is here.
+//! Keeps the index of pending messages consistent with the messages. Nothing is decided here.
 
 use super::Sender;
 use super::state::{Endpoint, PendingMessage};
@@ -6,32 +6,35 @@
 use crate::message_index::{Eligibility, Group, IndexEntry, MessageIndex};
 
 impl Sender {
-    /// For how many messages the last turn looked for an endpoint: what its CPU time grows with.
+    /// Returns the number of messages for which the last turn looked for an endpoint. The CPU time
+    /// of a turn grows with this number.
     pub fn candidates_examined(&self) -> usize {
         self.candidates_examined
     }
 
-    /// Has every turn look at each message that is due, as if none were held back for the reasons
-    /// of another: slow, and what tests compare with.
+    /// Makes every turn look at each due message separately, instead of holding back a whole group
+    /// for the reason that holds back one of its messages. This is slow; tests compare its
+    /// decisions with those of the grouped index.
     #[doc(hidden)]
     pub fn examine_each_message(&mut self) {
         self.index.group_per_message = true;
         self.rebuild_index();
     }
 
-    /// True if an endpoint takes calls.
+    /// Returns true if the endpoint may receive calls.
     pub(super) fn is_available(&self, id: EndpointId) -> bool {
         let endpoint = self.endpoints.get(&id);
         endpoint.is_some_and(Endpoint::is_available)
     }
 
-    /// True if an endpoint of the destination takes calls.
+    /// Returns true if at least one endpoint of the destination may receive calls.
     pub(super) fn is_served(&self, destination: DestinationId) -> bool {
         let endpoints = self.endpoints_by_destination.get(&destination);
         endpoints.is_some_and(|ids| ids.iter().any(|id| self.is_available(*id)))
     }
 
-    /// Forgets a message of which nothing more can come; the next of its key may go.
+    /// Removes a message that is complete and has no attempt in flight; the next message of its key
+    /// may then be sent.
     pub(super) fn forget_if_done(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else {
             return;
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Tells the index of a message that has changed.
+    /// Updates the index entry of a message that has changed.
     pub(super) fn reindex(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else {
             return;
@@ -71,7 +74,7 @@
                 ..IndexEntry::default()
             };
         }
-        // an attempt in flight may end in a way that allows another
+        // the outcome of the attempt in flight may allow another attempt
         let no_send_after = if in_flight {
             Micros::MAX
         } else {
@@ -103,7 +106,8 @@
     fn group(&self, id: MessageId, message: &PendingMessage, in_flight: bool) -> Group {
         let at_risk = message.is_at_risk();
         let is_idempotent = self.configured_effect(message.class) == Effect::Idempotent;
-        // a hedge, the backoff of a key and the window of an idempotency key concern one message only
+        // a hedge, the backoff of a key and the window of an idempotency key concern only one
+        // message, which then forms a group of its own
         let is_sole_member = self.index.group_per_message
             || in_flight
             || message.key.is_some()
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Builds the index if the messages were read back without it.
+    /// Builds the index if the sender was deserialized: the index is not part of the serialized
+    /// state.
     pub(super) fn build_index_once(&mut self) {
         if !self.index.is_built() {
             self.rebuild_index();
@@ -139,7 +144,7 @@
         self.index.changed_destinations = changed;
     }
 
-    /// Checks that the index holds each message as it is.
+    /// Panics if the index differs from one that is built anew from the pending messages.
     #[cfg(debug_assertions)]
     pub(super) fn check_index(&mut self) {
         let index = std::mem::take(&mut self.index);
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt shows of its message, its endpoint and its route.
+//! Applies the outcome of an attempt to its message, its endpoint and its route.
 
 use super::Sender;
 use super::key_ordering::may_still_run;
@@ -6,15 +6,15 @@
 use super::state::{Attempt, RouteId};
 use crate::interface::{Action, EndpointId, MessageId, Micros, Outcome};
 
-/// How an attempt ended, as the host reports it.
+/// End of an attempt, as the host reports it.
 pub(super) struct AttemptResult<'a> {
     pub message: MessageId,
-    /// Its number among the attempts of the message.
+    /// Position of the attempt among the attempts of the message.
     pub attempt: usize,
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time in microseconds since the attempt was sent.
     pub latency: Micros,
-    /// The load report of the destination, if any.
+    /// Load report that came with the answer; empty if there was none.
     pub report: &'a [f64],
 }
 
@@ -26,14 +26,15 @@
     sent: Micros,
 }
 
-/// A call of which a message has just ended.
+/// The call of an attempt that has just ended.
 struct EndedCall {
     route: RouteId,
-    /// No other message of the call had ended before: only the first tells something of the route.
+    /// True if no other message of the call ended before. Only the first outcome of a call is used
+    /// to judge its route.
     is_first_outcome: bool,
 }
 
-/// What the first outcome of a call shows.
+/// First outcome of a call, from which its endpoint and its route are judged.
 pub(super) struct Observation {
     pub route: RouteId,
     pub endpoint: EndpointId,
@@ -41,7 +42,7 @@
     pub sent: Micros,
     pub outcome: Outcome,
     pub latency: Micros,
-    /// Drawn once for each observation.
+    /// Random fraction of a token, from 0 to 1; drawn once for each observation.
     pub random_phase: f64,
 }
 
@@ -89,7 +90,7 @@
         self.observe_route(&observation, actions);
     }
 
-    /// Ends the attempt of its message; none where it was not in flight.
+    /// Marks the attempt as ended; returns `None` if it was not in flight.
     fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let message = self.messages.get_mut(&result.message)?;
         let in_flight = |attempt: &&mut Attempt| attempt.in_flight;
@@ -111,7 +112,7 @@
         Some(ended)
     }
 
-    /// Ends one message of a call, and the call with the last of them.
+    /// Ends one message of a call, and the call itself with its last message.
     fn end_call_of(
         &mut self,
         attempt: &EndedAttempt,
@@ -193,7 +194,8 @@
                 known_rate: route.known_rate(now, contention),
                 success_rate: success_rate * (1.0 - contention),
                 senders,
-                // a wait that was asked for keeps all away until there is room
+                // a Retry-After delay keeps all senders away until there is room, so this decrease
+                // is a full one
                 contention: if retry_after.is_some() {
                     0.0
                 } else {
@@ -221,7 +223,8 @@
         let nothing_succeeds = !route.succeeded;
         let shows_congestion = nothing_succeeds || observation.outcome != Outcome::Error;
         let is_new = shows_congestion && route.decrease_concurrency_limit(observation.sent, now);
-        // with a call or more in a span the failure score is soon certain
+        // the failure score of a route with a call or more per overload span soon decides; only a
+        // seldom called one needs a lower rate
         let is_seldom_called = route.calls_in(overload_span, now, warm_up_time) < 1.0;
         if is_new && nothing_succeeds && is_seldom_called {
             let decrease = RateDecrease {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: routes that fail, reject everything or do not answer are ejected, and get
-//! only single calls.
+//! Outlier detection: routes that fail, reject everything or do not answer are ejected. An ejected
+//! route gets only single calls.
 
 mod lost_attempts;
 mod unresponsive;
@@ -12,22 +12,27 @@
     Action, DestinationId, EjectionReason, Micros, Outcome, RouteEvent, SECOND,
 };
 
-/// Weight of one more outcome in the failure score. Higher ejects after fewer failures.
+/// Weight of the latest outcome in the failure score of a route. Higher ejects after fewer
+/// failures.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// The score above which a route is ejected. Higher ejects later, lower ejects for chance failures.
+/// Failure score above which a route is ejected. Higher ejects later; lower ejects because of
+/// random failures.
 const EJECTION_SCORE: f64 = 0.55;
-/// The score below which a route is trusted with messages that can't be repeated.
+/// Failure score below which a route is trusted with non-idempotent messages.
 pub(super) const TRUSTED_SCORE: f64 = 0.25;
-/// Consecutive rejections, over at least this span, that mean closed rather than throttled.
+/// Number of consecutive rejections, over at least `CLOSED_SPAN`, after which a destination counts
+/// as closed rather than throttled.
 const CLOSED_REJECTIONS: u32 = 4;
+/// Minimum time from the first to the last of the consecutive rejections after which a destination
+/// counts as closed rather than throttled.
 const CLOSED_SPAN: Micros = SECOND;
-/// The longest time that failures of one class count against an endpoint, as a power of two of a
-/// quarter of the overload span. Longer spares more messages, shorter returns sooner to an endpoint
-/// that is well again.
+/// Maximum number of doublings of the time for which failures of one class count against an
+/// endpoint. That time starts from a quarter of the overload span. Higher spares more messages;
+/// lower returns sooner to an endpoint that is healthy again.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 impl Sender {
-    /// Ejects a route. Its rate follows from the recovery budget until it recovers.
+    /// Ejects a route. Until it recovers, its rate follows from the recovery budget.
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
@@ -35,7 +40,8 @@
         let route = self.route_mut(id);
         if !route.is_ejected() {
             route.bucket.tokens = random_phase;
-            // from here on the recovery budget sets the rate, not what failures made of the limit
+            // from here on the recovery budget sets the rate, not a limit that failures have
+            // lowered
             if reason != EjectionReason::Closed {
                 route.rate_limit = route.rate_limit.max(route.best_rate);
             }
@@ -61,9 +67,10 @@
         }
     }
 
-    /// Heeds what enough other senders agree on. Guards call slots against a destination that is
-    /// unavailable to others; could hold back one that is healthy, so own successes go before it.
-    /// One that is back is tried at once.
+    /// Applies the health verdict that enough other senders agree on. Protects call slots against a
+    /// destination that is unavailable to others. Since it could hold back a destination that is
+    /// healthy for this sender, recent answers to own calls take precedence. A destination that is
+    /// available again is tried at once.
     pub(super) fn apply_fleet_health(
         &mut self,
         destination: DestinationId,
@@ -87,8 +94,9 @@
         }
     }
 
-    /// One class may fail or go unanswered at an endpoint where others fare well; a late attempt
-    /// that was cancelled counts.
+    /// Records the outcome of one message class at an endpoint, since one class may fail or go
+    /// unanswered where others succeed. A cancelled attempt counts as unanswered if it took longer
+    /// than the response limit.
     pub(super) fn record_class_outcome(
         &mut self,
         observation: &Observation,
@@ -113,7 +121,8 @@
     }
 }
 
-/// Such a route may be merely slow: it is healthy again with its first answer.
+/// Returns true if a route ejected for this reason may be merely slow; it becomes healthy with its
+/// first answer.
 fn is_for_missing_answers(reason: EjectionReason) -> bool {
     matches!(
         reason,
@@ -140,7 +149,8 @@
         self.failure_score -= FAILURE_WEIGHT * self.failure_score;
     }
 
-    /// A route that recovers is not ejected again by its next failure alone.
+    /// Reduces the failure score of a route that begins to recover, so that failures from before
+    /// the recovery do not eject it again by themselves.
     pub(super) fn limit_failure_score(&mut self) {
         let limit = EJECTION_SCORE - FAILURE_WEIGHT / 2.0;
         self.failure_score = self.failure_score.min(limit);
@@ -150,7 +160,8 @@
         self.failure_score < TRUSTED_SCORE
     }
 
-    /// Counts a rejection; returns whether so many in a row mean that the destination is closed.
+    /// Counts a rejection; returns true if there are so many consecutive ones that the destination
+    /// counts as closed.
     pub(super) fn record_rejection(&mut self, now: Micros) -> bool {
         if self.consecutive_rejections == 0 {
             self.rejected_since = now;
@@ -159,8 +170,9 @@
         self.consecutive_rejections >= CLOSED_REJECTIONS && now - self.rejected_since >= CLOSED_SPAN
     }
 
-    /// Rejections mean closed after a span, however seldom this sender calls; enough of them come
-    /// later.
+    /// Returns the time since which the route counts as ejected. After rejections this is at most
+    /// `CLOSED_SPAN` after the first of them: a sender that calls seldom collects enough rejections
+    /// only later.
     fn ejected_since(&self, now: Micros) -> Micros {
         if self.consecutive_rejections > 0 {
             now.min(self.rejected_since + CLOSED_SPAN)
@@ -169,7 +181,8 @@
         }
     }
 
-    /// Calls that this sender makes in a span, as far as its rate since `min_span` tells.
+    /// Returns how many calls this sender makes in `span`, by its rate since the route was first
+    /// seen, averaged over at least `min_span`.
     pub(super) fn calls_in(&self, span: Micros, now: Micros, min_span: Micros) -> f64 {
         self.usual_rate(now, min_span) * seconds(span)
     }
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that are taken for lost are cancelled, so that their call slots are free again.
+//! Cancels attempts that are presumed lost, so that their call slots become free.
 
 use super::Sender;
 use super::unresponsive::OVERTAKEN_HEDGE_DELAYS;
@@ -6,26 +6,27 @@
 use crate::decisions::state::{Attempt, PendingMessage, Route};
 use crate::interface::{Action, Effect, MessageId, Micros};
 
-/// Attempts on an ejected route are cancelled after this many response limits.
-/// Lower frees slots sooner, higher waits for late answers.
+/// Number of response limits after which an attempt on an ejected route is cancelled if the route
+/// has answered nothing since. Lower frees slots sooner; higher waits for late answers.
 const EJECTED_RESPONSE_LIMITS: i64 = 2;
-/// So many times longer where only the one class at the one endpoint shows no sign of life.
+/// Factor on the time until an attempt is cancelled, where not the whole route is silent but only
+/// the class of the message at its endpoint.
 const CLASS_LIMIT_FACTOR: i64 = 2;
-/// An attempt is lost after this many limits, even where others are answered. Lower frees slots
-/// sooner.
+/// Number of response limits after which an attempt counts as lost even if other calls are
+/// answered. Lower frees slots sooner.
 const LOST_RESPONSE_LIMITS: i64 = 3;
-/// Slots in use above which attempts that can't be repeated are cancelled too. Lower gives up more,
-/// higher frees less.
+/// Share of the call slots in use above which attempts of non-idempotent messages are cancelled
+/// too. Lower abandons more attempts; higher frees fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
 
-/// How much the call slots are in demand.
+/// How scarce free call slots are.
 struct SlotPressure {
     is_scarce: bool,
     is_full: bool,
 }
 
 impl Sender {
-    /// Cancels attempts that are taken for lost, where that is safe.
+    /// Cancels attempts that are presumed lost, where cancelling is safe.
     pub(in crate::decisions) fn cancel_lost_attempts(&mut self, actions: &mut Vec<Action>) {
         let scarce_calls = share_of(self.settings.call_slots, SCARCE_SLOTS_SHARE);
         let pressure = SlotPressure {
@@ -78,7 +79,8 @@
             || self.is_lost_with_others(message, attempt, route, pressure)
     }
 
-    /// Nothing on the route has been answered since, or nothing of the class at the endpoint.
+    /// Returns true if the attempt is late and nothing sent with or after it has been answered: on
+    /// the whole ejected route, or for the same class at the same endpoint.
     fn is_lost_with_others(
         &self,
         message: &PendingMessage,
@@ -101,7 +103,8 @@
         is_late && (is_route_silent || self.class_alive_at(message, attempt) < attempt.sent)
     }
 
-    /// The last success of the message's class at the endpoint of an attempt.
+    /// Returns the time of the last success of the message's class at the endpoint of the attempt;
+    /// 0 if there was none.
     fn class_alive_at(&self, message: &PendingMessage, attempt: &Attempt) -> Micros {
         let endpoint = self.endpoints.get(&attempt.endpoint);
         let record = endpoint.and_then(|endpoint| endpoint.classes.get(&message.class));
@@ -110,7 +113,8 @@
 }
 
 impl Route {
-    /// Answers to later calls have come meanwhile.
+    /// Returns true if the attempt is several hedge delays old and the route has answered other
+    /// calls since it was sent.
     fn is_overtaken(&self, attempt: &Attempt, age: Micros) -> bool {
         self.alive_at > attempt.sent && age > OVERTAKEN_HEDGE_DELAYS * self.hedge_delay()
     }
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -1,4 +1,4 @@
-//! Routes that leave calls unanswered.
+//! Detects routes that leave calls unanswered.
 
 use super::Sender;
 use crate::decisions::hedging::INITIAL_HEDGE_DELAY;
@@ -6,26 +6,27 @@
 use crate::interface::{Action, EjectionReason, MILLISECOND, Micros, SECOND};
 use std::collections::BTreeSet;
 
-/// A route is unresponsive when a call is unanswered for this many hedge delays, and no shorter
-/// than this.
+/// Number of hedge delays after which a call counts as unanswered.
 const RESPONSE_LIMIT_HEDGE_DELAYS: i64 = 2;
+/// Minimum time after which a call counts as unanswered, however short the hedge delay is.
 const MIN_RESPONSE_LIMIT: Micros = SECOND;
-/// A route lags while a call is in flight for this many usual latencies; all lagging and ejected
-/// routes share a part of the call slots. Lower isolates sooner, higher leaves room to long but
-/// healthy calls.
+/// Number of usual latencies after which a call in flight makes its route lagging; all lagging and
+/// ejected routes together may hold only a part of the call slots. Lower isolates slow routes
+/// sooner; higher leaves room for long but healthy calls.
 const LAGGING_LATENCIES: i64 = 4;
-/// A call is lost after this many hedge delays where no slot is free and others overtook it; the
-/// turn at which that is found has to be asked for.
+/// Number of hedge delays after which a call counts as lost if no call slot is free and the route
+/// has answered other calls meanwhile. No event occurs at that time, so a turn has to be scheduled
+/// for it.
 pub(super) const OVERTAKEN_HEDGE_DELAYS: i64 = 5;
-/// The response limits after which something changes for a call: its route may be ejected, it may
-/// be cancelled.
+/// Multiples of the response limit at which a call is looked at again: its route may have to be
+/// ejected, or the call cancelled.
 const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
 
 impl Sender {
-    /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Guards
-    /// against hung, vanished or crawling destinations that would fill the slots of healthy ones.
-    /// Could harm where one long call is the only traffic of a route, so a lone call gets twice the
-    /// time.
+    /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Protects
+    /// call slots against hung, vanished or very slow destinations that would fill the slots of
+    /// healthy ones. Since it could eject a route whose only traffic is one long call, a single
+    /// call gets twice the time.
     pub(in crate::decisions) fn detect_unresponsive_routes(&mut self, actions: &mut Vec<Action>) {
         self.observe_calls();
         let called: BTreeSet<RouteId> = self.calls.values().map(|call| call.route).collect();
@@ -59,19 +60,20 @@
         self.wake_by(next_observation);
     }
 
-    /// True if all call slots are in use.
+    /// Returns true if all call slots are in use.
     pub(in crate::decisions) fn are_slots_full(&self) -> bool {
         self.calls.len() >= self.settings.call_slots
     }
 }
 
 impl Route {
-    /// How long an answer may take before its call counts as unanswered.
+    /// Returns the response limit: how long an answer may take before its call counts as
+    /// unanswered, in microseconds.
     pub(in crate::decisions) fn response_limit(&self) -> Micros {
         (self.hedge_delay() * RESPONSE_LIMIT_HEDGE_DELAYS).max(MIN_RESPONSE_LIMIT)
     }
 
-    /// When there is something new to see of a call.
+    /// Returns the times at which a turn has to look at the call again.
     fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
         let response_limit = self.response_limit();
         let overtaken_at = call.sent + OVERTAKEN_HEDGE_DELAYS * self.hedge_delay();
--- a/src/decisions/permission.rs
+++ b/src/decisions/permission.rs
@@ -1,5 +1,5 @@
-//! What the rules and limits allow now: the only place that knows them. Whoever proposes a send or
-//! an end asks here.
+//! Permission: what the rules and limits allow now. No other module knows them; code that proposes
+//! to send or to end a message asks here.
 
 use super::concurrency_limit::max_calls;
 use super::state::{PendingMessage, RouteId};
@@ -7,8 +7,8 @@
 use crate::interface::{ClassBounds, DestinationId, Effect, EndpointId, MessageId, RuleBounds};
 
 impl Sender {
-    /// True if the rules and limits allow this send now. `joins_call`: it travels in a call opened
-    /// this turn.
+    /// Returns true if the rules and limits allow this send now. `joins_call` is true if the
+    /// message joins a call that was opened in this turn, and so needs no call slot of its own.
     pub(super) fn may_send(&self, id: MessageId, endpoint: EndpointId, joins_call: bool) -> bool {
         let Some(message) = self.messages.get(&id) else {
             return false;
@@ -21,12 +21,12 @@
             && (joins_call || self.has_free_slot(message.destination))
     }
 
-    /// True while nothing at all may be sent.
+    /// Returns true while nothing at all may be sent.
     pub(super) fn is_sending_suspended(&self) -> bool {
         self.list_stale || self.host_failing
     }
 
-    /// The message may have one more attempt.
+    /// Returns true if the message may have one more attempt.
     fn may_start_attempt(&self, message: &PendingMessage) -> bool {
         let bounds = self.class_bounds(message.class);
         let allowed = bounds.map_or(usize::MAX, |bounds| bounds.max_attempts);
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The effect of the message allows that it runs once more, there.
+    /// Returns true if the effect of the message allows it to run once more, at this endpoint.
     fn may_be_repeated_at(&self, message: &PendingMessage, endpoint: EndpointId) -> bool {
         let effect = self.effect(message.class);
         if !self.may_run_again(message, effect) {
@@ -71,13 +71,13 @@
         self.is_first_of_key(id, message.key) && (!is_first_attempt || self.now >= backoff_end)
     }
 
-    /// The destination has asked to be left alone.
+    /// Returns true while a Retry-After delay of the endpoint's route lasts.
     fn must_wait_for_retry_after(&self, endpoint: EndpointId) -> bool {
         let route = self.routes.get(&self.route_of(endpoint));
         route.is_some_and(|route| self.now < route.retry_after_until)
     }
 
-    /// The limits on calls in flight leave one to the destination.
+    /// Returns true if the limits on calls in flight allow one more call to the destination.
     fn has_free_slot(&self, destination: DestinationId) -> bool {
         let call_slots = self.settings.call_slots;
         let routes = self.routes.range(RouteId::all_of(destination));
@@ -87,7 +87,8 @@
             && in_flight < max_calls(call_slots)
     }
 
-    /// True if the message may be rejected: it is certain that a retry by the client does no harm.
+    /// Returns true if the message may be rejected, because a retry by the client is certain to do
+    /// no harm.
     pub(super) fn may_reject(&self, message: &PendingMessage) -> bool {
         match self.effect(message.class) {
             Effect::IdempotencyKey {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// True if the message may run once more now: it never ran, or a repeat has no effect.
+    /// Returns true if the message may run once more now: it never ran, or a repeat has no effect.
     fn may_run_again(&self, message: &PendingMessage, effect: Effect) -> bool {
         match effect {
             Effect::Idempotent => true,
@@ -110,27 +111,30 @@
         }
     }
 
-    /// True if the agreed rules let messages of the class be taken on.
+    /// Returns true if the agreed rules allow messages of the class to be accepted.
     pub(super) fn may_accept(&self, class: usize) -> bool {
         let bounds = self.class_bounds(class);
         bounds.is_none_or(|bounds| bounds.accepted)
     }
 
-    /// What a repeat does, and no more than agreed rules allow.
+    /// Returns the effect of messages of the class: the configured effect, restricted to what
+    /// agreed rules allow.
     pub(super) fn effect(&self, class: usize) -> Effect {
         let own = self.configured_effect(class);
         let bounds = self.class_bounds(class);
         bounds.map_or(own, |bounds| own.intersection(bounds.effect))
     }
 
-    /// What a repeat does by the settings; a class that they do not name must not run twice.
+    /// Returns the configured effect of messages of the class; a class that the settings do not
+    /// name must not run twice.
     pub(super) fn configured_effect(&self, class: usize) -> Effect {
         let class = self.settings.classes.get(class);
         class.map_or(Effect::NonIdempotent, |class| class.effect)
     }
 
-    /// What agreed rules allow a class now, if there are any. Guards against senders that
-    /// contradict each other; could starve a class that the rules do not name.
+    /// Returns what agreed rules allow a class now; `None` if there are no agreed rules. A class
+    /// that the rules do not name is allowed nothing. This protects against senders that contradict
+    /// each other, but could starve such a class.
     pub(super) fn class_bounds(&self, class: usize) -> Option<ClassBounds> {
         let rules = self.agreed_rules.as_ref()?.at(self.now);
         let class = self.settings.classes.get(class);
@@ -139,7 +143,7 @@
         Some(bounds.unwrap_or(ClassBounds::NOTHING))
     }
 
-    /// A limit of the settings, or a lower one of agreed rules.
+    /// Returns the configured limit, or that of the agreed rules if it is lower.
     pub(super) fn limit_with_rules(
         &self,
         limit: impl Fn(&RuleBounds) -> Option<usize>,
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -4,17 +4,17 @@
 use crate::interface::Micros;
 use crate::message_index::{Group, GroupOrder};
 
-/// Part of the latency objective up to which a message gets more urgent. Higher serves more
-/// messages just in time, lower leaves more time for a retry.
+/// Fraction of the latency objective up to which a message becomes more urgent with age. Higher
+/// serves more messages just in time; lower leaves more time for a retry.
 const RISING_FRACTION: f64 = 0.9;
-/// Urgency after that, as a part of the remaining priority weight: messages that can still meet
-/// their objective go first.
+/// Factor on the remaining priority weight of a message that is too old to become more urgent:
+/// messages that can still meet their latency objective are sent first.
 const LATE_FACTOR: f64 = 0.8;
 
 impl Sender {
-    /// The weight that can still be had by sending a message now; within the latency objective the
-    /// oldest come first. The index relies on this: it rises with age up to a part of the
-    /// objective, and never beyond.
+    /// Returns the urgency of a message: the priority weight that can still be earned by sending it
+    /// now, where within the latency objective the oldest messages come first. The index relies on
+    /// the urgency to rise with age up to a fraction of the objective, and never to rise after it.
     fn urgency(&self, class: usize, priority_weight: f64, created_at: Micros) -> f64 {
         let age = self.now - created_at;
         let Some(class) = self.settings.classes.get(class) else {
@@ -29,7 +29,7 @@
         priority_weight * factor
     }
 
-    /// The order in which the messages of a group are sent.
+    /// Returns the order in which the messages of a group are sent.
     pub(super) fn order(&self, group: Group) -> GroupOrder<impl Fn(Micros) -> f64> {
         let priority_weight = f64::from_bits(group.priority_weight);
         let urgency = move |created_at| self.urgency(group.class, priority_weight, created_at);
@@ -42,8 +42,8 @@
     }
 }
 
-/// The greatest age that is no more than the rising part of the latency objective, by the same
-/// rounding as the urgency.
+/// Returns the greatest age, in microseconds, up to which the urgency of a message rises. Rounds as
+/// the computation of the urgency does.
 fn oldest_rising_age(objective: Micros) -> Micros {
     let mut age = (objective as f64 * RISING_FRACTION) as Micros + 1;
     while age as f64 / objective as f64 > RISING_FRACTION {
--- a/src/decisions/quotas.rs
+++ b/src/decisions/quotas.rs
@@ -1,11 +1,11 @@
-//! Limits that hold for all senders together: this sender keeps to its share of them.
+//! Fleet-wide limits: this sender keeps within its share of them.
 
 use super::Sender;
 use super::state::{Health, QuotaBucket, RouteId};
 use crate::interface::{DestinationId, MILLISECOND, Micros, Quota, QuotaShare, Quotas};
 
-/// Span of a rate that may be used at once, the same for all that share it.
-/// Longer takes bursts faster, shorter keeps the sum of all senders nearer to the limit.
+/// Time span of a rate whose calls may be made at once; it is the same for all senders that share a
+/// limit. Longer serves bursts faster; shorter keeps the sum of all senders closer to the limit.
 const BURST: Micros = 400 * MILLISECOND;
 
 impl Sender {
@@ -18,15 +18,15 @@
         }
     }
 
-    /// The quota of a destination, where there are quotas.
+    /// Returns the quota of a destination; `None` if no quotas apply.
     pub(super) fn quota_of(&self, destination: DestinationId) -> Option<Quota> {
         let quotas = self.quotas.as_ref()?;
         Some(quotas.of(destination))
     }
 
-    /// True if this sender's share of the limits allows a call to the destination now. Guards the
-    /// limit against the sum of all senders; could starve a sender that can't ask for an allocation
-    /// and has a small fallback.
+    /// Returns true if this sender's share of the limits allows a call to the destination now.
+    /// Protects the limits against the sum of all senders. Drawback: a sender with a small fallback
+    /// quota that can't request an allocation could starve.
     pub(super) fn quota_allows_call(&mut self, destination: DestinationId) -> bool {
         let Some(quota) = self.quota_of(destination) else {
             return true;
@@ -50,7 +50,8 @@
         false
     }
 
-    /// Calls that this sender may have in flight to the destination by its share of the limits.
+    /// Returns the number of calls that this sender may have in flight to the destination by its
+    /// share of the limits.
     pub(super) fn quota_of_calls_in_flight(&self, destination: DestinationId) -> u64 {
         let quota = self.quota_of(destination);
         let in_flight = quota.and_then(|quota| quota.in_flight);
@@ -58,13 +59,14 @@
         allowed.unwrap_or(u64::MAX)
     }
 
-    /// How long a call to the destination may last, where the limits say so.
+    /// Returns how long a call to the destination may last, in microseconds; `None` if the limits
+    /// do not say.
     pub(super) fn max_call_duration(&self, destination: DestinationId) -> Option<Micros> {
         let in_flight = self.quota_of(destination)?.in_flight?;
         Some(in_flight.max_duration)
     }
 
-    /// Counts a call to the destination that starts now.
+    /// Takes the tokens of a call that starts now from the quota bucket of its destination.
     pub(super) fn spend_quota(&mut self, destination: DestinationId) {
         if let Some(bucket) = self.quota_buckets.get_mut(&destination) {
             bucket.tokens -= QuotaBucket::TOKENS_PER_CALL;
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -1,5 +1,5 @@
-//! How many calls a second a destination gets: learned from rejections, told by reports and by
-//! Retry-After.
+//! The rate limit of a route in calls per second. It is learned from rejected calls, and bounded by
+//! load reports and by Retry-After delays.
 
 use super::Sender;
 use super::state::{Health, Route, RouteId, seconds};
@@ -7,59 +7,75 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// The least rate that a first rejection leaves, in calls a second. Higher retries sooner, lower
-/// spares a destination that hundreds of senders share.
+/// Lowest rate in calls per second that the first rejection leaves to a sender. Higher retries
+/// sooner; lower spares a destination that hundreds of senders share.
 const MIN_FIRST_RATE: f64 = 0.35;
-/// The least rate that any rejection leaves to all senders together, in calls a second.
+/// Lowest rate in calls per second that rejections leave to all senders together.
 const MIN_FLEET_RATE: f64 = 1.5;
-/// Least rate of one sender in a fleet of any size: a call a minute starves nobody for good.
+/// Lowest rate in calls per second that rejections leave to one sender in a fleet of any size: one
+/// call per minute, so that no message waits forever.
 const MIN_RATE: f64 = 1.0 / 60.0;
-/// Size of the token bucket, as a span of the rate in seconds. Longer takes bursts faster, shorter
-/// draws fewer rejections.
+/// Size of the token bucket, in seconds of the rate limit. Longer serves bursts faster; shorter
+/// causes fewer rejections.
 const BURST_SECONDS: f64 = 0.4;
-/// What a rejection leaves of the rate amid successes, and when nothing succeeded since the last
-/// decrease. Lower draws fewer rejections, higher keeps more of a shared limit.
+/// Factor on the rate limit after a rejection, if a call has succeeded since the last decrease.
+/// Lower causes fewer rejections; higher keeps more of a limit shared with other senders.
 const DECREASE_FACTOR: f64 = 0.8;
+/// Factor on the rate limit after a rejection or failure, if no call has succeeded since the last
+/// decrease. Lower causes fewer rejections; higher keeps more of a limit shared with other senders.
 const DECREASE_FACTOR_WITHOUT_SUCCESS: f64 = 0.5;
-/// Part of a decrease that one of many senders leaves out: one debt rejects all that call while it
-/// runs off, so most notice it, and some twice. Less and all together fall far below the limit,
-/// more and they hover at it. The pause after a rejection stays as long as after a whole decrease.
+/// Fraction of a rate decrease that a sender in a large fleet leaves out. When senders exceed a
+/// shared limit, the destination rejects every call until the excess has drained; most senders see
+/// a rejection then, and some see two. Lower makes all senders together fall far below the limit;
+/// higher keeps them hovering at it. The pause after a rejection is as long as after a full
+/// decrease.
 const CONTENDED_DECREASE_REDUCTION: f64 = 0.6;
-/// Growth of the rate with each success, in calls a second. Growth by successes, not by time, keeps
-/// the rejected share the same however few calls a sender makes.
+/// Increase of the rate limit with each success, in calls per second. Increasing by successes
+/// instead of by time keeps the fraction of rejected calls the same, however few calls a sender
+/// makes.
 const INCREASE: f64 = 0.25;
-/// The growth is at most this part of the rate, and twice that under contention, where successes
-/// are seldom.
+/// Maximum increase of the rate limit with one success, as a fraction of the limit. It is up to
+/// twice as large under contention, where successes are rare.
 const MAX_INCREASE: f64 = 0.5;
-/// Part of the growth that contention takes: all have grown before any notices that it was too
-/// much.
+/// Fraction of the increase that a sender in a large fleet leaves out: all senders have increased
+/// their rates before the first one notices that the sum is too high.
 const CONTENDED_INCREASE_REDUCTION: f64 = 0.8;
-/// Calls for which the listed rate of a destination stands in, as long as a sender has made few of
-/// its own.
+/// Number of calls that the listed rate counts for in the estimate of the sender's own rate, so
+/// that a few first calls do not decide it.
 const LISTED_RATE_CALLS: f64 = 3.0;
-/// Parts of a listed rate, which may be half too high or too low, that a destination takes when
-/// warm: surely, and at most. Higher recovers and works backlogs off sooner, lower spares one that
-/// is listed too high.
+/// Fraction of a listed rate that a warm destination certainly takes; the listed rate may be half
+/// too high or half too low. Higher recovers and works off backlogs sooner; lower spares a
+/// destination whose listed rate is too high.
 pub(super) const CERTAIN_LISTED_FRACTION: f64 = 0.75;
+/// Largest multiple of a listed rate that a warm destination may take, since the listed rate may be
+/// half too low. Higher works off backlogs sooner; lower spares a destination whose listed rate is
+/// too high.
 const MAX_LISTED_FRACTION: f64 = 1.5;
-/// Most of a reported limit that counts as left. Higher lets a lone sender take more at once.
+/// Largest remaining fraction of a reported limit that is taken into account. Higher lets a lone
+/// sender use more of the limit at once.
 const MAX_REMAINING: f64 = 0.9;
-/// Tokens of an ejected route: two, so that one can be kept for a message that can't be repeated.
+/// Token bucket size of an ejected route: two tokens, so that one can be kept for a non-idempotent
+/// message, which is sent there only while the bucket holds two.
 const EJECTED_BURST: f64 = 2.0;
 
-/// What a decrease of the rate limit goes by.
+/// Inputs of a decrease of the rate limit.
 pub(super) struct RateDecrease {
-    /// The rate that the destination is known to take, where no limit was learned before.
+    /// Rate in calls per second that the destination is known to take; used if the route has no
+    /// rate limit yet.
     pub known_rate: f64,
-    /// Calls a second that succeeded of late.
+    /// Rate of successful calls over the last overload span, in calls per second.
     pub success_rate: f64,
+    /// Number of senders in the fleet.
     pub senders: f64,
+    /// Estimated fraction of the fleet that has not noticed the limit yet, from 0 to 1.
     pub contention: f64,
+    /// Random fraction of a token, from 0 to 1, so that senders do not retry at the same time.
     pub random_phase: f64,
 }
 
 impl Sender {
-    /// The destination asked to be left alone for a while.
+    /// Sends nothing on the route until the Retry-After delay has passed. A delay longer than twice
+    /// the overload span ejects the route.
     pub(super) fn apply_retry_after(
         &mut self,
         id: RouteId,
@@ -67,17 +83,18 @@
         actions: &mut Vec<Action>,
     ) {
         if delay > 2 * self.settings.safety.overload_span {
-            self.eject_closed(id, actions); // closed, not throttled: it opens cold
+            self.eject_closed(id, actions); // closed rather than throttled, so it starts cold
         }
         let until = self.now + delay + MILLISECOND;
         let route = self.route_mut(id);
         route.retry_after_until = route.retry_after_until.max(until);
     }
 
-    /// Bounds the rate by what a destination reports of its shared limit: the even share while
-    /// nothing is left, more by the square of what others leave, the only sign of all senders'
-    /// load. Guards limits that rejected calls use up; could hold back a sender that has most of
-    /// the traffic.
+    /// Bounds the rate by what a destination reports of its shared limit. While nothing of the
+    /// limit remains, the bound is this sender's fair share; otherwise it is the fair share divided
+    /// by the square of the used fraction, since the remaining fraction is the only sign of the
+    /// load of all senders. Protects limits against which rejected calls count too. Drawback: a
+    /// sender that has most of the traffic may be held back.
     pub(super) fn apply_load_report(&mut self, id: RouteId, report: &[f64]) {
         let value_at = |at: Option<usize>| at.and_then(|position| report.get(position).copied());
         let remaining = value_at(self.settings.report_remaining);
@@ -101,9 +118,11 @@
         route.rate_limit = rate_before.min(max_rate).min(limit);
     }
 
-    /// Has what waited while nothing could be sent go by the even share of the listed rate. Guards
-    /// limits against backlogs of hundreds of senders at one moment; could slow down one with most
-    /// of the traffic. What is restored spreads each route once, what was suspended each time.
+    /// Limits the rate at which messages are sent that waited while sending was suspended or the
+    /// process restarted: to the best known rate, or to one and a half times the fair share of the
+    /// listed rate if that is more. Protects the limits of destinations against the backlogs of
+    /// hundreds of senders at the same time. Drawback: a sender that has most of the traffic may be
+    /// slowed down. After a restart each route is limited once; after a suspension, every time.
     pub(super) fn spread_backlog(&mut self, was_suspended: bool) {
         if self.contention() <= 0.0 {
             return;
@@ -128,8 +147,8 @@
 }
 
 impl Route {
-    /// Calls a second that this sender makes, as far as so few tell, else its even part of the
-    /// listed rate.
+    /// Returns the rate of calls that this sender makes, in calls per second. While it has made
+    /// few, the estimate leans on its fair share of the listed rate.
     fn own_rate(&self, now: Micros) -> f64 {
         let (prior_calls, prior_seconds) = if self.listed_rate > 0.0 {
             (LISTED_RATE_CALLS, LISTED_RATE_CALLS / self.listed_rate)
@@ -140,22 +159,24 @@
         (self.sent as f64 + prior_calls) / span.max(1.0)
     }
 
-    /// The highest rate seen; under contention, where the highest of all are together more than the
-    /// limit, the own rate so far, or half way between the listed rate and the part of it that is
-    /// certain, if that is more.
+    /// Returns the rate in calls per second that the destination is known to take from this sender.
+    /// For a single sender this is the best rate seen. In a large fleet, the best rates of all
+    /// senders add up to more than the limit: there it is at most the best rate, and within that
+    /// the larger of the sender's own rate so far and the middle between the listed rate and the
+    /// fraction of it that is certain.
     pub(super) fn known_rate(&self, now: Micros, contention: f64) -> f64 {
         let listed = self.listed_rate * (1.0 + CERTAIN_LISTED_FRACTION) / 2.0;
         let certain = self.own_rate(now).max(listed);
         self.best_rate * (1.0 - contention) + certain.min(self.best_rate) * contention
     }
 
-    /// A call succeeded now.
+    /// Raises the best rate after a call that succeeded now, if the rate of successes is higher.
     pub(super) fn record_best_rate(&mut self, now: Micros, span: Micros, contention: f64) {
         self.served.push(now, usize::MAX);
-        // one of many senders makes too few calls in a span to tell a rate by
+        // a sender of a large fleet makes too few calls in an overload span to measure a rate
         let success_rate = self.success_rate(now, span);
         let rate = success_rate * (1.0 - contention) + self.own_rate(now) * contention;
-        // what succeeds while the route recovers must not raise the budget of the recovery itself
+        // successes during a recovery must not raise the budget of that same recovery
         let counted = if self.health == Health::Healthy {
             rate
         } else {
@@ -164,8 +185,10 @@
         self.best_rate = self.best_rate.max(counted);
     }
 
-    /// A rejection, or a failure with no success since the last decrease, lowers the limit.
-    /// The even share of a reported limit is left only for demand: other senders may need theirs.
+    /// Lowers the rate limit after a rejection, or after a failure when no call has succeeded since
+    /// the last decrease. Where the destination reports a limit, the result is at most the fair
+    /// share of that limit or half of the previous rate, whichever is higher: the other senders may
+    /// need the rest.
     pub(super) fn decrease_rate_limit(&mut self, decrease: &RateDecrease) {
         let contention = decrease.contention;
         let full_factor = if self.succeeded {
@@ -188,8 +211,8 @@
             .max(MIN_FLEET_RATE / decrease.senders)
             .max(MIN_RATE);
         self.spend_tokens_of_rejection(decrease.random_phase);
-        // rejected calls of those that have not noticed yet use the limit up: this one stays away
-        // meanwhile
+        // calls of senders that have not noticed the limit yet are rejected and still use it up:
+        // this sender pauses meanwhile
         self.bucket.tokens -= contention * kept_fraction / full_factor;
         self.succeeded = false;
     }
@@ -198,8 +221,8 @@
         if self.rate_limit.is_finite() {
             return self.rate_limit;
         }
-        // a listed rate, however rough, beats one that is the same for each sender, however many
-        // they are
+        // even an inaccurate listed rate is a better start than a constant that does not depend on
+        // the number of senders
         let first_rate = if self.listed_rate > 0.0 {
             MIN_FIRST_RATE * (1.0 - decrease.contention)
         } else {
@@ -226,9 +249,10 @@
         self.rate_limit = (self.rate_limit + increase.min(max_increase)).min(limit);
     }
 
-    /// Adds the tokens that a rate, in calls a second, has brought since the last time.
+    /// Adds the tokens that `rate`, in calls per second, has brought since the last refill.
     pub(super) fn refill_tokens(&mut self, now: Micros, rate: f64) {
-        // nothing is saved up during Retry-After: all who were asked to wait would start at its end
+        // no tokens are added for a Retry-After delay: otherwise all senders that were asked to
+        // wait would start at its end
         let since = self.bucket.refilled_at.max(self.retry_after_until);
         let elapsed_s = seconds((now - since).max(0));
         self.bucket.refilled_at = now;
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a message goes to, and whether a call there is advisable now.
+//! Chooses the endpoint for a message, and decides whether a call to it is advisable now.
 
 use super::Sender;
 use super::concurrency_limit::max_unhealthy_calls;
@@ -8,32 +8,33 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// Tokens that a call needs, and that one needs which had better be spared: a hedge, or a message
-/// that can't be repeated on an ejected route.
+/// Tokens that a call needs.
 const TOKENS_OF_CALL: f64 = 1.0;
+/// Tokens that must be available for a call that is better avoided: a hedge, or a non-idempotent
+/// message on an ejected route.
 const TOKENS_OF_RISKY_CALL: f64 = 2.0;
 
-/// Where a message is sent.
+/// Endpoint that a message is sent to, and the call that carries it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SendTarget {
     pub endpoint: EndpointId,
-    /// The call of this turn that it joins; none: it opens a call.
+    /// Call opened in this turn that the message joins; `None` if the message opens a new call.
     pub joined_call: Option<u64>,
 }
 
-/// How well an endpoint suits a message: the least is the best, and the fields count in their
-/// order.
+/// How well an endpoint suits a message. Endpoints are compared by the fields in their order, and
+/// the smallest value is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
     health: HealthRank,
-    /// Its last messages of the class failed.
+    /// True if the last messages of the same class failed at the endpoint.
     is_avoided: bool,
-    /// Earlier attempts of the message there.
+    /// Number of earlier attempts of the message at the endpoint.
     attempts: usize,
-    /// Calls in flight there.
+    /// Load of the endpoint: mainly its number of calls in flight.
     load: usize,
     is_in_other_zone: bool,
-    /// Spreads messages over equals.
+    /// Random number that spreads messages over otherwise equal endpoints.
     random: u32,
     target: SendTarget,
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A message that is to be sent, and what is the same for all endpoints.
+/// A message to be sent, with the properties that are the same for all endpoints.
 struct Proposal {
     message: MessageId,
     is_hedge: bool,
@@ -63,17 +64,17 @@
     quota_allows_call: bool,
 }
 
-/// What a call would be for its route.
+/// Properties of a proposed call that matter to its route.
 #[derive(Clone, Copy)]
 struct ProposedCall {
     is_hedge: bool,
     is_non_idempotent: bool,
-    /// The message joins a call that is open already.
+    /// True if the message joins a call that is already open.
     joins_call: bool,
 }
 
 impl Sender {
-    /// The best legal endpoint for the message.
+    /// Returns the most suitable endpoint among those that the message may be sent to now.
     pub(super) fn choose_endpoint(
         &mut self,
         id: MessageId,
@@ -105,7 +106,8 @@
         options.into_iter().min().map(|best| best.target)
     }
 
-    /// The call to the endpoint that was opened in this turn and has room for one more message.
+    /// Returns the call to the endpoint that was opened in this turn and has room for one more
+    /// message.
     fn joinable_call(
         &self,
         endpoint: EndpointId,
@@ -117,7 +119,7 @@
         call.filter(|call| self.calls[call].size < bundle_max)
     }
 
-    /// True if the message may go there, and that is advisable.
+    /// Returns true if the message may be sent to the endpoint and that is advisable.
     fn is_option(&mut self, proposal: &Proposal, option: SendTarget) -> bool {
         let SendTarget {
             endpoint,
@@ -143,7 +145,8 @@
         joins_call || proposal.quota_allows_call && self.is_warm_enough(endpoint, route)
     }
 
-    /// Has a turn look again at a message when backoff and Retry-After are over.
+    /// Schedules a turn for the end of the backoff of the message's key, and one for the end of the
+    /// route's Retry-After delay.
     fn wake_when_allowed(&mut self, id: MessageId, route: RouteId) {
         let key = self.messages[&id].key;
         if let Some(backoff_end) = self.key_backoff_end(key) {
@@ -153,12 +156,14 @@
         self.wake_by_future(retry_after_until);
     }
 
-    /// True unless the process ends before the answer, or a hedge would come too late.
+    /// Returns false if the process would probably end before the answer arrives, or if a hedge
+    /// would be answered after the deadline.
     fn has_time_for(&mut self, proposal: &Proposal, route: RouteId) -> bool {
         let route = self.route_mut(route);
         let usual_latency = route.usual_latency.unwrap_or(0);
         let slow_latency = route.hedge_delay();
-        // a call cut off by the end of the process may have run; the next process makes a whole one
+        // a call that the end of the process cuts off may have run; the successor can make a
+        // complete one instead
         let is_cut_off = self
             .shutdown_at
             .is_some_and(|at| self.now + slow_latency > at);
@@ -167,7 +172,7 @@
         !is_cut_off && !is_late_hedge
     }
 
-    /// True if limits, tokens and health of the route advise the call.
+    /// Returns true if the limits, the tokens and the health of the route make the call advisable.
     fn is_advisable(&mut self, id: RouteId, call: ProposedCall) -> bool {
         let now = self.now;
         let senders = f64::from(self.fleet_size);
@@ -207,7 +212,9 @@
         }
     }
 
-    /// Filling a call costs nothing; another route has a limit of its own, a shared one has not.
+    /// Returns the load that is compared between endpoints: the calls in flight to the endpoint.
+    /// Joining an open call adds no load. An endpoint whose route is shared with others counts one
+    /// more than an endpoint with a route, and so a limit, of its own.
     fn load_of(&self, route: RouteId, option: SendTarget) -> usize {
         if option.joined_call.is_some() {
             return 0;
@@ -219,11 +226,13 @@
 }
 
 impl Route {
-    /// False where a call is not advisable, however many tokens there are.
+    /// Returns false if the health of the route speaks against the call, even if the route has
+    /// tokens for it.
     fn may_risk(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
-                // what is sent to a route that may be about to fail can't be sent again
+                // a non-idempotent message that may be lost on a failing route could not be sent
+                // again
                 let may_be_failing = self.oldest_unanswered > self.hedge_delay();
                 let is_risky = call.is_non_idempotent && may_be_failing;
                 let spares_hedge = call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
@@ -237,11 +246,12 @@
         }
     }
 
-    /// True if limit and tokens leave a call.
+    /// Returns true if the concurrency limit and the token bucket of the route leave room for the
+    /// call.
     fn has_room_for(&self, call: ProposedCall, are_unhealthy_full: bool) -> bool {
         if self.is_ejected() {
-            // a message that can't be repeated is risked only if calls are rejected, or if no other
-            // goes
+            // a non-idempotent message is risked on an ejected route only if the route rejects
+            // calls, or if no other message uses the tokens
             let is_risky = call.is_non_idempotent && self.consecutive_rejections == 0;
             let needed = if is_risky {
                 TOKENS_OF_RISKY_CALL
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the rate of ejected and recovering routes, and of endpoints that operators have
+//! Slow start: the call rate of ejected and recovering routes, and of endpoints that operators have
 //! enabled.
 
 use super::Sender;
@@ -7,21 +7,23 @@
 use super::state::{Endpoint, Health, Route, RouteId, seconds};
 use crate::interface::{Action, EndpointId, MILLISECOND, Micros, RouteEvent, Safety};
 
-/// Part of the recovery budget that is used. Higher recovers sooner, lower leaves room for other
-/// senders.
+/// Fraction of the recovery budget that is used. Higher recovers sooner; lower leaves room for
+/// other senders.
 const BUDGET_SHARE: f64 = 0.7;
-/// Calls in an overload span that all senders together may try at an ejected route, however little
-/// each knows of it. Higher finds the recovery sooner, lower spares a small destination.
+/// Number of calls per overload span that all senders together may try on an ejected route, however
+/// little each of them knows of it. Higher detects the recovery sooner; lower spares a small
+/// destination.
 const FLEET_TRIALS_PER_OVERLOAD_SPAN: f64 = 3.0;
-/// One sender tries at least this often in a warm-up time, whatever the fleet: no pause is longer
-/// than twice that.
+/// Minimum number of calls that one sender tries on an ejected route per warm-up time, in a fleet
+/// of any size. With 0.5, the pause between two tries is at most twice the warm-up time.
 const MIN_TRIALS_PER_WARM_UP: f64 = 0.5;
-/// The least start capacity that trials are scaled by: below it, the division makes no sense.
+/// Lowest start capacity that the rate of trial calls is divided by; a smaller divisor would give
+/// rates that make no sense.
 const MIN_START_CAPACITY: f64 = 0.01;
 
 impl Sender {
-    /// A call on the route succeeded: an ejected route begins to recover, one that has recovered
-    /// for long is healthy.
+    /// Advances the recovery of a route after a successful call: an ejected route begins to
+    /// recover, and a route that has recovered for long enough becomes healthy.
     pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
         let now = self.now;
         let warm_up_time = self.settings.safety.warm_up_time;
@@ -29,8 +31,8 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         match route.health {
-            // it answers the first trial after rejections or silence alone: throttled or slow, not
-            // unavailable
+            // a trial call succeeds after missing answers, or soon after rejections, and few calls
+            // failed: the route was throttled or slow, not unavailable
             Health::Ejected {
                 unresponsive,
                 since,
@@ -53,7 +55,8 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         route.limit_failure_score();
-        // it came back between the last failure and now; one of many senders seldom looks
+        // the destination came back at some time between the last failure and now; one of many
+        // senders tries seldom, so the recovery is taken to have begun up to half of that time ago
         let unobserved_time = now - route.failed_at.max(ejected_since);
         let since = now - (unobserved_time as f64 / 2.0 * contention) as Micros;
         route.health = Health::Recovering { since };
@@ -63,10 +66,10 @@
         }));
     }
 
-    /// True unless the endpoint was enabled a short while ago and has had what it can take. Guards
-    /// a restarted endpoint whose siblings are warm: it gets its part of what the destination is
-    /// known to take, at the level of a recovering one. Could hold back one that was never
-    /// restarted for a while.
+    /// Returns true unless the endpoint was enabled recently and has already received the calls
+    /// that it can take. Protects a restarted endpoint whose siblings are warm: it gets its part of
+    /// the rate that the destination is known to take, reduced as for a recovering destination.
+    /// Drawback: an endpoint that was never restarted is held back for a while too.
     pub(super) fn is_warm_enough(&mut self, id: EndpointId, route: RouteId) -> bool {
         let now = self.now;
         let siblings = self.available_endpoints(route);
@@ -94,7 +97,7 @@
         false
     }
 
-    /// The number of endpoints of a destination that take calls, at least one.
+    /// Returns the number of endpoints of the destination that may receive calls, but at least 1.
     fn available_endpoints(&self, route: RouteId) -> usize {
         let is_available = |id: &&EndpointId| {
             let endpoint = self.endpoints.get(id);
@@ -105,17 +108,19 @@
     }
 }
 
-/// The part of its capacity that something takes at a warmth from 0 to 1.
+/// Returns the fraction of its capacity that a route or endpoint takes at a warmth from 0 (cold) to
+/// 1 (warm).
 fn capacity_level(safety: &Safety, warmth: f64) -> f64 {
     safety.start_capacity + (1.0 - safety.start_capacity) * warmth
 }
 
 impl Route {
-    /// Calls a second that may start now. An ejected route gets a trickle and a recovering one slow
-    /// start: this sender's share of the recovery budget, by its usual rate there or by the even
-    /// share of a reported limit. Guards a recovering destination against the sum of hundreds of
-    /// senders; could starve one that was seldom called, so no pause is longer than twice the
-    /// warm-up time.
+    /// Returns the rate in calls per second at which calls may start now. A healthy route has its
+    /// rate limit. An ejected route gets a few trial calls, and a recovering one a slow start: this
+    /// sender's share of the recovery budget, by its usual rate there or by its fair share of a
+    /// reported limit. Protects a recovering destination against the sum of hundreds of senders.
+    /// Since that could starve a destination that was seldom called, no pause is longer than twice
+    /// the warm-up time.
     pub(super) fn allowed_rate(&self, safety: &Safety, senders: f64, now: Micros) -> f64 {
         let since = match self.health {
             Health::Healthy => return self.rate_limit,
@@ -142,7 +147,8 @@
         budget.max(min_rate).min(max_rate)
     }
 
-    /// Calls a second of this sender that the warm destination takes, as far as that is known.
+    /// Returns the rate in calls per second that the warm destination takes from this sender, as
+    /// far as it is known.
     fn capacity(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
         let listed = self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
@@ -160,8 +166,9 @@
         }
     }
 
-    /// How long a recovery lasts. It began between the last failure and the first success:
-    /// certainly warm is later.
+    /// Returns how long a recovery lasts, in microseconds. The destination came back at some time
+    /// between the last failure and the first success, so in a large fleet the recovery is
+    /// prolonged by up to that time until it is certainly warm.
     fn recovery_time(&self, since: Micros, warm_up_time: Micros, contention: f64) -> Micros {
         let uncertain_time = (since - self.failed_at).clamp(0, warm_up_time);
         warm_up_time + (uncertain_time as f64 * contention) as Micros
--- a/src/decisions/state.rs
+++ b/src/decisions/state.rs
@@ -1,5 +1,6 @@
-//! The records that the decisions share: plain data, serialized with the sender. The order and the
-//! kinds of their fields are part of the format. No rule and no tuned value is here.
+//! Records that the decisions share: plain data, serialized with the sender. The order and the
+//! types of their fields are part of the serialized format. Rules and tuned values belong
+//! elsewhere.
 
 mod call;
 mod endpoint;
@@ -21,7 +22,7 @@
 
 use crate::interface::{Micros, SECOND};
 
-/// A span in seconds.
+/// Converts a span from microseconds to seconds.
 pub fn seconds(span: Micros) -> f64 {
     span as f64 / SECOND as f64
 }
--- a/src/decisions/state/call.rs
+++ b/src/decisions/state/call.rs
@@ -7,20 +7,20 @@
 /// One call in flight, with one message or a bundle.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Call {
-    /// Whose limits it counts for.
+    /// Route against whose limits the call counts.
     pub route: RouteId,
     pub endpoint: EndpointId,
     pub sent: Micros,
-    /// Messages in it whose outcome is not known yet.
+    /// Number of messages in the call whose outcome is not known yet.
     pub pending: usize,
-    /// All messages in it.
+    /// Number of all messages in the call.
     pub size: usize,
-    /// It carries hedged requests.
+    /// True if the call carries hedges.
     pub is_hedge: bool,
 }
 
 impl Call {
-    /// A call that starts now and has no message yet.
+    /// Creates a call that starts at `sent` and has no message yet.
     pub fn new(route: RouteId, endpoint: EndpointId, sent: Micros, is_hedge: bool) -> Self {
         Call {
             route,
--- a/src/decisions/state/endpoint.rs
+++ b/src/decisions/state/endpoint.rs
@@ -1,36 +1,37 @@
-//! Endpoints, and how each class of message fares at them.
+//! Endpoints, and the recent outcomes of each message class at them.
 
 use super::TokenBucket;
 use crate::interface::{DestinationId, EndpointEntry, EndpointStatus, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its destination, zone and kind, as listed last.
+    /// Destination of the endpoint in the last endpoint list that named it.
     pub destination: DestinationId,
     pub zone: u16,
     pub kind: usize,
-    /// Listed, neither draining nor removed.
+    /// True while the endpoint is listed and neither draining nor removed.
     pub serving: bool,
-    /// How each class fares here, by its position in the settings.
+    /// Recent outcomes of each message class at the endpoint, by the position of the class in the
+    /// settings.
     pub classes: BTreeMap<usize, ClassRecord>,
-    /// How often calls lately found no connection, from 0 to 1.
+    /// Score from 0 to 1: how often recent calls to the endpoint found no connection.
     pub connection_scarcity: f64,
-    /// Operators have disabled it, which holds whatever is listed.
+    /// True while the endpoint is disabled by operators, whatever the endpoint list says.
     pub disabled: bool,
-    /// It was enabled a short while ago and may be cold.
+    /// Slow start of the endpoint, if operators enabled it recently and it may be cold.
     pub warm_up: Option<WarmUp>,
 }
 
 impl Endpoint {
-    /// True if new calls may go there.
+    /// Returns true if new calls may be sent to the endpoint.
     pub fn is_available(&self) -> bool {
         self.serving && !self.disabled
     }
 
-    /// Takes over what the list says of it.
+    /// Copies destination, zone, kind and status from an entry of the endpoint list.
     pub fn update(&mut self, entry: &EndpointEntry) {
         self.destination = entry.destination;
         self.zone = entry.zone;
@@ -39,7 +40,7 @@
     }
 }
 
-/// The slow start of an endpoint that was enabled.
+/// Slow start of an endpoint that operators have enabled.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WarmUp {
     pub since: Micros,
@@ -47,7 +48,7 @@
 }
 
 impl WarmUp {
-    /// That of an endpoint enabled now, which may have one call at once.
+    /// Starts the slow start of an endpoint that is enabled now; one call may be sent at once.
     pub fn new(now: Micros) -> Self {
         let bucket = TokenBucket {
             tokens: 1.0,
@@ -57,12 +58,12 @@
     }
 }
 
-/// How one class fares at one endpoint.
+/// Recent outcomes of one message class at one endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct ClassRecord {
     pub consecutive_failures: u32,
-    /// Until when the failures count against the endpoint.
+    /// Time until which messages of the class avoid the endpoint because of their failures there.
     pub avoided_until: Micros,
-    /// Last success.
+    /// Time of the last success of the class at the endpoint.
     pub alive_at: Micros,
 }
--- a/src/decisions/state/key_queue.rs
+++ b/src/decisions/state/key_queue.rs
@@ -1,14 +1,14 @@
-//! The queues of keys.
+//! Queues of messages that share a key.
 
 use crate::interface::{MessageId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The messages of one key, which go one at a time.
+/// Messages of one key, which are sent one at a time.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct KeyQueue {
-    /// In the order of arrival.
+    /// Ids of the pending messages of the key, in the order of arrival.
     pub messages: VecDeque<MessageId>,
-    /// No message of the key starts before.
+    /// Time before which no message of the key gets its first attempt.
     pub backoff_until: Micros,
 }
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -4,27 +4,29 @@
 use crate::message_index::{IndexEntry, IndexedMessage};
 use serde::{Deserialize, Serialize};
 
-/// The number of a call that ended with an earlier process.
+/// Call number of attempts made by an earlier process; no call in flight has this number.
 const NO_CALL: u64 = u64::MAX;
 
-/// One send of a message.
+/// One attempt to deliver a message.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Attempt {
     pub endpoint: EndpointId,
+    /// Time at which the attempt was sent.
     pub sent: Micros,
-    /// The call that carries it.
+    /// Number of the call that carries the attempt.
     pub call: u64,
-    /// Its outcome is not known yet.
+    /// True while the outcome of the attempt is not known.
     pub in_flight: bool,
-    /// Its outcome does not prove that it never ran.
+    /// True if the outcome does not prove that the destination never ran the message.
     pub may_have_run: bool,
-    /// A later attempt started while this one was in flight.
+    /// True if a later attempt of the message started while this one was in flight.
     pub overlapped: bool,
+    /// True once the host was asked to cancel the attempt because it seemed lost.
     pub cancelled: bool,
 }
 
 impl Attempt {
-    /// One that starts now.
+    /// Creates an attempt that starts at `sent`.
     pub fn new(endpoint: EndpointId, sent: Micros, call: u64) -> Self {
         Attempt {
             endpoint,
@@ -37,7 +39,8 @@
         }
     }
 
-    /// One of an earlier process, whose call has ended; nobody knows what it overlapped with.
+    /// Restores an attempt of an earlier process, whose call has ended. It counts as overlapped,
+    /// because it is not known which other attempts were in flight at the same time.
     pub fn restored(past: &PastAttempt) -> Self {
         Attempt {
             in_flight: false,
@@ -48,39 +51,40 @@
     }
 }
 
-/// A message until its end and the end of its attempts.
+/// A message that is not complete, or that still has attempts in flight.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct PendingMessage {
-    /// Position of its class in the settings.
+    /// Position of the message's class in the settings.
     pub class: usize,
     pub destination: DestinationId,
-    /// Its key, if its class keeps order.
+    /// Key of the message, if its class is sent in order.
     pub key: Option<u64>,
-    /// When the client first handed it in.
+    /// Time at which the client first submitted the message.
     pub created_at: Micros,
     pub deadline: Micros,
     pub priority_weight: f64,
     pub max_attempts: usize,
-    /// It has no outcome yet.
+    /// True while the message has no outcome.
     pub open: bool,
-    /// It has ended, but the client has not been notified: its place in the queue of its key is not
-    /// free.
+    /// True if the message has an outcome of which the client has not been notified. Until then the
+    /// message keeps its place in the queue of its key.
     pub notification_pending: bool,
     pub attempts: Vec<Attempt>,
-    /// Earliest next attempt while none is in flight, and the backoff after the one that fails
-    /// then.
+    /// Earliest time of the next attempt while none is in flight.
     pub retry_at: Micros,
+    /// Backoff in microseconds after the next attempt that fails.
     pub retry_backoff: Micros,
-    /// When the next hedge is due, and the interval to the one after it.
+    /// Time at which the next hedge is due.
     pub hedge_at: Micros,
+    /// Interval in microseconds from the next hedge to the one after it.
     pub hedge_interval: Micros,
-    /// What the index holds of it.
+    /// Entry of the message in the index of pending messages.
     #[serde(skip)]
     pub index_entry: IndexEntry,
 }
 
 impl PendingMessage {
-    /// What the index is told of it once.
+    /// Returns the properties of the message that the index needs and that do not change.
     pub fn indexed(&self, id: MessageId) -> IndexedMessage {
         IndexedMessage {
             id,
@@ -94,7 +98,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// How often an endpoint was tried.
+    /// Returns how many attempts of the message were sent to `endpoint`.
     pub fn attempts_at(&self, endpoint: EndpointId) -> usize {
         let here = self
             .attempts
@@ -103,9 +107,9 @@
         here.count()
     }
 
-    /// Attempts that may run or have run. While there are any, also those that a later one
-    /// overlapped: the window of an idempotency key counts from the first, even if that one turns
-    /// out never to have run.
+    /// Returns the attempts that may run or may have run. If there are any, also returns those that
+    /// a later attempt overlapped: the window of an idempotency key counts from the first of them,
+    /// even if that attempt turns out never to have run.
     pub fn attempts_at_risk(&self) -> impl Iterator<Item = &Attempt> {
         let may_run = |attempt: &Attempt| attempt.in_flight || attempt.may_have_run;
         let any = self.attempts.iter().any(may_run);
@@ -118,8 +122,8 @@
         self.attempts_at_risk().next().is_some()
     }
 
-    /// When the first attempt that may have run leaves the window of an idempotency key; none where
-    /// there is no such attempt.
+    /// Returns the time at which the window of an idempotency key ends, counted from the first
+    /// attempt that may have run; `None` if no attempt may have run.
     pub fn window_end(&self, window: Micros) -> Option<Micros> {
         self.attempts_at_risk()
             .map(|attempt| attempt.sent.saturating_add(window))
--- a/src/decisions/state/quota_bucket.rs
+++ b/src/decisions/state/quota_bucket.rs
@@ -1,10 +1,10 @@
-//! The token bucket of a limit that holds for all senders together.
+//! Token bucket for this sender's share of a fleet-wide limit.
 
 use crate::interface::{Micros, QuotaShare};
 use serde::{Deserialize, Serialize};
 
-/// Calls that a shared limit allows now, in billionths of a call: whole numbers, so that nothing is
-/// rounded up.
+/// Calls that this sender's share of a fleet-wide limit allows now. Tokens are billionths of a call
+/// in whole numbers, so that nothing is rounded up.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct QuotaBucket {
     pub tokens: i64,
@@ -12,10 +12,11 @@
 }
 
 impl QuotaBucket {
-    /// One call: a rate in thousandths of a call a second times microseconds.
+    /// Tokens of one call. A rate in thousandths of a call per second, multiplied by microseconds,
+    /// gives billionths of a call.
     pub const TOKENS_PER_CALL: i64 = 1_000_000_000;
 
-    /// A bucket with one call.
+    /// Creates a bucket that holds one call.
     pub fn new(now: Micros) -> Self {
         QuotaBucket {
             tokens: QuotaBucket::TOKENS_PER_CALL,
@@ -23,8 +24,9 @@
         }
     }
 
-    /// Adds what a rate, in thousandths of a call a second, has brought since; at most a call or
-    /// what comes in `burst`.
+    /// Adds the tokens that `rate`, in thousandths of a call per second, has brought since the last
+    /// refill. The bucket then holds at most one call or the tokens of `burst` microseconds,
+    /// whichever is more.
     pub fn refill(&mut self, now: Micros, rate: u64, burst: Micros) {
         let rate = i64::try_from(rate).unwrap_or(i64::MAX);
         let max_tokens = rate.saturating_mul(burst).max(QuotaBucket::TOKENS_PER_CALL);
@@ -33,8 +35,9 @@
         self.refilled_at = now;
     }
 
-    /// Another share of the limit holds. What has come so far came by the one before; a larger
-    /// allocation may be used up at its beginning.
+    /// Changes the share of the limit from `before` to `after`. The time up to now is refilled at
+    /// the rate of the old share. If the allocation grows, the tokens that the increase brings
+    /// until the allocation ends are added at once.
     pub fn change_share(
         &mut self,
         now: Micros,
@@ -59,12 +62,13 @@
         self.tokens = self.tokens.saturating_add(early_tokens);
     }
 
-    /// True if it holds a whole call.
+    /// Returns true if the bucket holds a whole call.
     pub fn has_call(&self) -> bool {
         self.tokens >= QuotaBucket::TOKENS_PER_CALL
     }
 
-    /// How long until it holds a whole call.
+    /// Returns the time in microseconds until the bucket holds a whole call, at `rate` thousandths
+    /// of a call per second.
     pub fn time_until_call(&self, rate: u64) -> Micros {
         let rate = i64::try_from(rate).unwrap_or(i64::MAX).max(1);
         (QuotaBucket::TOKENS_PER_CALL - self.tokens).max(0) / rate + 1
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -1,11 +1,13 @@
-//! Routes: what shares health, waits and limits.
+//! Routes: a destination, or one of its endpoints, with its own health, limits and Retry-After
+//! delays.
 
 use super::{Samples, TokenBucket, seconds};
 use crate::interface::{DestinationId, EndpointId, Micros};
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-/// A destination, or one endpoint of it where each has limits of its own.
+/// Identifies a route: a whole destination, or one endpoint of a destination whose endpoints have
+/// separate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RouteId {
     pub destination: DestinationId,
@@ -13,7 +15,7 @@
 }
 
 impl RouteId {
-    /// The route of a whole destination.
+    /// Returns the id of the route for a whole destination.
     pub fn of_destination(destination: DestinationId) -> Self {
         RouteId {
             destination,
@@ -21,7 +23,7 @@
         }
     }
 
-    /// The route of one endpoint.
+    /// Returns the id of the route for one endpoint.
     pub fn of_endpoint(destination: DestinationId, endpoint: EndpointId) -> Self {
         RouteId {
             destination,
@@ -29,20 +31,20 @@
         }
     }
 
-    /// All ids that routes of a destination may have.
+    /// Returns the range of all ids that routes of a destination can have.
     pub fn all_of(destination: DestinationId) -> RangeInclusive<RouteId> {
         let last = EndpointId(u32::MAX);
         RouteId::of_destination(destination)..=RouteId::of_endpoint(destination, last)
     }
 }
 
-/// How a route seems to be.
+/// Health of a route, judged by the outcomes of its calls.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub enum Health {
     #[default]
     Healthy,
     Ejected {
-        /// For missing answers only, not for failures or rejections.
+        /// True if the route was ejected only for missing answers, not for failures or rejections.
         unresponsive: bool,
         since: Micros,
     },
@@ -51,61 +53,71 @@
     },
 }
 
-/// What is known of a route.
+/// State of one route: its health, its limits and what recent calls have shown.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Route {
     pub health: Health,
-    /// Calls that may be in flight.
+    /// Maximum number of calls in flight.
     pub concurrency_limit: f64,
-    /// When that was decreased last.
+    /// Time at which the concurrency limit was last decreased.
     pub decreased_at: Micros,
-    /// End of the last wait that the destination asked for.
+    /// Time at which the last Retry-After delay of the destination ends.
     pub retry_after_until: Micros,
-    /// Latencies of the last successes, and the hedge delay that follows from them.
+    /// Latencies of the last successful calls, in microseconds.
     pub latencies: Samples,
+    /// Hedge delay in microseconds that follows from the latencies of successful calls.
     pub learned_hedge_delay: Option<Micros>,
-    /// The latency as it is over a long time.
+    /// Moving average of the latency over a long time, in microseconds.
     pub usual_latency: Option<Micros>,
-    /// From 0, all calls succeed, to 1, all fail.
+    /// Weighted average of recent outcomes: 0 if all calls succeed, 1 if all fail.
     pub failure_score: f64,
-    /// Last answer that shows life.
+    /// Time of the last success, error or rejection: any answer that shows that the destination is
+    /// alive.
     pub alive_at: Micros,
-    /// Last failure or rejection.
+    /// Time of the last failure or rejection.
     pub failed_at: Micros,
-    /// First rejection of the present run, and the length of the run.
+    /// Time of the first of the consecutive rejections.
     pub rejected_since: Micros,
+    /// Number of rejections since the last success.
     pub consecutive_rejections: u32,
     pub in_flight: usize,
-    /// Calls in flight that are unanswered beyond the limit. Observed anew in each turn, as are the
-    /// next two.
+    /// Number of calls in flight that have gone unanswered for longer than the response limit.
+    /// Observed again in each turn.
     pub unanswered: usize,
-    /// The oldest age of a call with no sign of life since.
+    /// Age in microseconds of the oldest call in flight since whose start the destination has not
+    /// answered any call. Observed again in each turn.
     pub oldest_unanswered: Micros,
-    /// A call is in flight far beyond the usual latency.
+    /// True if a call has been in flight far longer than the usual latency. Observed again in each
+    /// turn.
     pub is_lagging: bool,
-    /// When calls succeeded over the last span.
+    /// Times of the successful calls within the last overload span.
     pub served: Samples,
-    /// The highest rate of successes seen, in calls a second.
+    /// Highest rate of successes seen, in calls per second.
     pub best_rate: f64,
-    /// Calls sent since the route was first seen, and when that was.
+    /// Number of calls sent since the route was first seen.
     pub sent: u64,
+    /// Time at which the route was first seen.
     pub since: Micros,
-    /// The limit that answers report, in calls a second.
+    /// Rate limit for all senders that the destination reports in its answers, in calls per second.
     pub reported_limit: Option<f64>,
-    /// This sender's even share of what list or answers tell, in calls a second, or 0.
+    /// This sender's fair share of the rate that the endpoint list or load reports give, in calls
+    /// per second; 0 if there is none.
     pub fair_share: f64,
-    /// This sender's even share of the listed rate, taken at its word, or 0.
+    /// This sender's fair share of the listed rate, in calls per second, not reduced by how far the
+    /// list is trusted; 0 if there is none.
     pub listed_rate: f64,
-    /// Calls a second allowed, infinite before any rejection.
+    /// Maximum rate in calls per second; infinite until something limits it, such as a first
+    /// rejection.
     pub rate_limit: f64,
-    /// A call has succeeded since the rate limit was decreased last, or since any call failed.
+    /// True if a call has succeeded since the last decrease of the rate limit and since the last
+    /// failed call.
     pub succeeded: bool,
-    /// The tokens of the rate limit.
+    /// Token bucket of the rate limit.
     pub bucket: TokenBucket,
 }
 
 impl Route {
-    /// A route of which nothing is known, as first seen now.
+    /// Creates a route that is first seen at `now` and has no rate limit.
     pub fn new(concurrency_limit: f64, now: Micros) -> Self {
         Route {
             concurrency_limit,
@@ -124,13 +136,13 @@
         matches!(self.health, Health::Ejected { .. })
     }
 
-    /// True if its calls together with those of other such routes may hold only a part of the call
-    /// slots.
+    /// Returns true if the route is lagging or ejected. All such routes together may hold only a
+    /// part of the call slots.
     pub fn is_unhealthy(&self) -> bool {
         self.is_lagging || self.is_ejected()
     }
 
-    /// Forgets what the calls in flight have shown, before they are observed again.
+    /// Clears what calls in flight have shown, before they are observed again.
     pub fn reset_observations(&mut self) {
         self.unanswered = 0;
         self.oldest_unanswered = 0;
@@ -144,12 +156,13 @@
         self.sent += 1;
     }
 
-    /// Calls a second that this sender makes, over `min_span` or longer.
+    /// Returns the rate of calls that this sender makes, in calls per second, averaged over the
+    /// time since the route was first seen but at least over `min_span`.
     pub fn usual_rate(&self, now: Micros, min_span: Micros) -> f64 {
         self.sent as f64 / seconds((now - self.since).max(min_span).max(1))
     }
 
-    /// Calls a second that succeeded over the last span.
+    /// Returns the rate of successful calls over the last `span`, in calls per second.
     pub fn success_rate(&mut self, now: Micros, span: Micros) -> f64 {
         self.served.drop_until(now - span);
         self.served.len() as f64 / seconds(span)
--- a/src/decisions/state/samples.rs
+++ b/src/decisions/state/samples.rs
@@ -1,15 +1,15 @@
-//! The last values of a measurement.
+//! Storage for the last values of a measurement.
 
 use crate::interface::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The last values of something, oldest first.
+/// Last values of a measurement, oldest first.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Samples(VecDeque<Micros>);
 
 impl Samples {
-    /// Adds a value and keeps the last `max_count`.
+    /// Adds a value, and drops the oldest so that at most `max_count` remain.
     pub fn push(&mut self, value: Micros, max_count: usize) {
         self.0.push_back(value);
         while self.0.len() > max_count {
@@ -28,7 +28,8 @@
         self.0.len()
     }
 
-    /// The value below which `part` of `whole` parts lie; none while there are no values.
+    /// Returns the value below which `numerator / denominator` of all values lie; `None` if there
+    /// are no values.
     pub fn quantile(&self, numerator: usize, denominator: usize) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.0.iter().copied().collect();
         sorted.sort_unstable();
--- a/src/decisions/state/token_bucket.rs
+++ b/src/decisions/state/token_bucket.rs
@@ -1,13 +1,15 @@
-//! Token buckets.
+//! Token buckets for rates in tokens per second.
 
 use super::seconds;
 use crate::interface::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// The least rate that a time until the next token is reckoned with, in tokens a second.
+/// Lowest rate, in tokens per second, that the time until the next token is computed with. It keeps
+/// that time finite at a rate of 0.
 const MIN_RATE: f64 = 0.001;
 
-/// A token bucket; who uses it knows its rate and its size.
+/// A token bucket. Its rate and its size are not stored: they may change, so each caller passes
+/// them in.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct TokenBucket {
     pub tokens: f64,
@@ -15,25 +17,27 @@
 }
 
 impl TokenBucket {
-    /// A bucket that is full, whatever its size.
+    /// A full bucket of any size; the first refill reduces its tokens to the size.
     pub const FULL: TokenBucket = TokenBucket {
         tokens: f64::MAX,
         refilled_at: 0,
     };
 
-    /// Adds what a rate, in tokens a second, has brought since the last time, up to the size.
+    /// Adds the tokens that `rate`, in tokens per second, has brought since the last refill, up to
+    /// `size` tokens.
     pub fn refill(&mut self, now: Micros, rate: f64, size: f64) {
         let added = rate * seconds(now - self.refilled_at);
         self.tokens = (self.tokens + added).min(size);
         self.refilled_at = now;
     }
 
-    /// True if it holds a whole token.
+    /// Returns true if the bucket holds a whole token.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// How long until it holds a whole token.
+    /// Returns the time in microseconds until the bucket holds a whole token, at `rate` tokens per
+    /// second.
     pub fn time_until_token(&self, rate: f64) -> Micros {
         ((1.0 - self.tokens) / rate.max(MIN_RATE) * SECOND as f64) as Micros
     }
