--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -1,6 +1,6 @@
-//! The layout of a serialized sender, written a second time: postcard knows no names, so this and
-//! the program agree only while the order and the kinds of all fields and variants are the same in
-//! both.
+//! The layout of a serialized sender, defined a second time independently of the program. Postcard
+//! writes no field names, so both definitions agree only while the order and the types of all
+//! fields and variants are the same.
 #![allow(dead_code)]
 
 use message_sender::{AgreedRules, FleetView, Micros, Quotas, Settings};
@@ -15,7 +15,7 @@
     pub settings: Settings,
     pub random: Pcg32,
     pub now: Micros,
-    pub timer: Micros,
+    pub timer_at: Micros,
     pub endpoints: BTreeMap<u32, Endpoint>,
     pub endpoints_by_destination: BTreeMap<u64, BTreeSet<u32>>,
     pub routes: BTreeMap<RouteId, Route>,
@@ -31,12 +31,12 @@
     pub list_backoff: Micros,
     pub next_deadline: Micros,
     pub fleet_size: u32,
-    pub fleet: Option<FleetView>,
-    pub fleet_since: Micros,
+    pub fleet_view: Option<FleetView>,
+    pub fleet_view_since: Micros,
     pub agreed_rules: Option<AgreedRules>,
-    pub stale: bool,
+    pub list_stale: bool,
     pub quotas: Option<Quotas>,
-    pub buckets: BTreeMap<u64, Bucket>,
+    pub quota_buckets: BTreeMap<u64, QuotaBucket>,
 }
 
 #[derive(Deserialize)]
@@ -55,7 +55,7 @@
 pub struct WarmUp {
     pub since: Micros,
     pub tokens: f64,
-    pub tokens_at: Micros,
+    pub tokens_refilled_at: Micros,
 }
 
 #[derive(Deserialize)]
@@ -99,9 +99,9 @@
     pub route: RouteId,
     pub endpoint: u32,
     pub sent: Micros,
-    pub left: usize,
+    pub pending: usize,
     pub size: usize,
-    pub hedge: bool,
+    pub is_hedge: bool,
 }
 
 #[derive(Deserialize)]
@@ -121,10 +121,10 @@
 pub struct Route {
     pub health: Health,
     pub concurrency_limit: f64,
-    pub last_decrease: Micros,
+    pub decreased_at: Micros,
     pub retry_after_until: Micros,
     pub latencies: VecDeque<Micros>,
-    pub hedge_delay: Option<Micros>,
+    pub learned_hedge_delay: Option<Micros>,
     pub usual_latency: Option<Micros>,
     pub failure_score: f64,
     pub alive_at: Micros,
@@ -145,17 +145,17 @@
     pub rate_limit: f64,
     pub succeeded: bool,
     pub tokens: f64,
-    pub tokens_at: Micros,
+    pub tokens_refilled_at: Micros,
 }
 
 #[derive(Deserialize)]
-pub struct Bucket {
+pub struct QuotaBucket {
     pub tokens: i64,
-    pub at: Micros,
+    pub refilled_at: Micros,
 }
 
 impl Sender {
-    /// What of all that a sender may hold this one does not.
+    /// Returns the names of the states and records that a sender can hold and this one does not.
     pub fn missing(&self) -> Vec<&'static str> {
         let routes = || self.routes.values();
         let messages = || self.messages.values();
@@ -228,7 +228,7 @@
                 self.routes.keys().any(|(_, endpoint)| endpoint.is_some()),
             ),
             (
-                "a route that asked to wait",
+                "a route in a Retry-After delay",
                 routes().any(|route| route.retry_after_until > self.now),
             ),
             (
@@ -278,7 +278,7 @@
             ),
             (
                 "a hedged call",
-                self.hedges_in_flight > 0 && self.calls.values().any(|call| call.hedge),
+                self.hedges_in_flight > 0 && self.calls.values().any(|call| call.is_hedge),
             ),
             (
                 "a call with a bundle",
@@ -307,10 +307,13 @@
                     .iter()
                     .any(|(tokens, _)| *tokens < f64::MAX),
             ),
-            ("a retry of the list", self.list_retry_at.is_some()),
+            (
+                "a retry of the subscription to the list",
+                self.list_retry_at.is_some(),
+            ),
             (
                 "a view of the fleet",
-                self.fleet.is_some() && self.fleet_since > 0,
+                self.fleet_view.is_some() && self.fleet_view_since > 0,
             ),
             (
                 "a fleet of another size than configured",
@@ -328,12 +331,12 @@
                     .as_ref()
                     .is_some_and(|quotas| quotas.named.len() > 1),
             ),
-            ("a bucket", !self.buckets.is_empty()),
+            ("a quota bucket", !self.quota_buckets.is_empty()),
         ];
         checks
             .into_iter()
-            .filter(|(_, there)| !there)
-            .map(|(what, _)| what)
+            .filter(|(_, is_present)| !is_present)
+            .map(|(name, _)| name)
             .collect()
     }
 }
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated host with a fixed seed that drives one sender through faults, list changes, restarts
-//! and commands, and folds every action and the serialized state into a digest. What it does
-//! depends on nothing but the scenario's number and the actions, so that equal digests of two
-//! versions mean equal decisions.
+//! A simulated host with a fixed seed. It drives one sender through faults, changes of the endpoint
+//! list, restarts and commands, and adds every action and the serialized state to a digest. All
+//! that it does follows from the number of the scenario and from the actions, so two versions with
+//! equal digests make equal decisions.
 
 pub mod layout;
 pub mod settings;
@@ -15,14 +15,17 @@
 const DESTINATIONS: u64 = 6;
 const ENDPOINTS: u32 = 18;
 const CLASSES: u32 = 6;
+/// Time for which a destination keeps the same fault.
 const FAULT_PERIOD: Micros = 9 * SECOND;
-/// Turns from one digest of the serialized state to the next.
+/// Number of turns from one digest of the serialized state to the next.
 const STATE_EVERY: u64 = 100;
-/// Turns from one handover, and from one restart, to the next.
+/// Number of turns from one handover to the next.
 const HANDOVER_EVERY: u64 = 400;
+/// Number of turns from one restart to the next.
 const RESTART_EVERY: u64 = 700;
 
-/// FNV-1a over 64 bits: stable, and short enough to be read here.
+/// 64-bit FNV-1a hash of all actions and states. It gives the same value on every platform, and the
+/// code for it is short.
 #[derive(Clone, Copy)]
 pub struct Digest(pub u64);
 
@@ -44,21 +47,21 @@
     }
 }
 
-/// How a destination behaves for a while.
+/// Behaviour of a destination during one fault period.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
     Errors,
     Rejections,
-    RejectionsWithWait,
+    RejectionsWithRetryAfter,
     Unresponsive,
     Unreachable,
     Slow,
     OneClassAtOneEndpoint,
 }
 
-/// An attempt that is in flight, and how it is going to end.
-struct Flight {
+/// An attempt in flight, with the time and the outcome with which it will end.
+struct AttemptInFlight {
     message: u64,
     attempt: usize,
     endpoint: u32,
@@ -67,7 +70,7 @@
     outcome: Outcome,
 }
 
-struct Past {
+struct SentAttempt {
     endpoint: u32,
     sent: Micros,
     may_have_run: bool,
@@ -78,7 +81,7 @@
     deadline: Micros,
     ended: bool,
     notification_pending: bool,
-    attempts: Vec<Past>,
+    attempts: Vec<SentAttempt>,
 }
 
 /// One sender with the simulated host around it.
@@ -91,23 +94,24 @@
     turn: u64,
     next_message: u64,
     messages: BTreeMap<u64, Message>,
-    in_flight: Vec<Flight>,
+    in_flight: Vec<AttemptInFlight>,
     timers: BTreeSet<Micros>,
     notifications: BTreeMap<u64, Micros>,
     disabled: BTreeSet<u32>,
     unlisted: BTreeSet<u32>,
     stale: bool,
-    local_fault: bool,
+    host_failing: bool,
     events: Vec<Event>,
     pub digest: Digest,
-    /// Actions by the number of their variant.
+    /// Number of actions, by the variant numbers that are used in the digest.
     pub actions: [u64; 10],
-    /// Log actions by what they say.
+    /// Number of log actions, by the kinds that are used in the digest.
     pub logged: [u64; 5],
 }
 
 impl Host {
-    /// A host at its start; scenarios differ in settings, in faults and in what else happens.
+    /// Creates the host of scenario `number` before its first turn. Scenarios differ in settings,
+    /// faults and other events.
     pub fn new(number: u64) -> Self {
         let settings = settings::settings(number);
         let sender = Sender::new(settings.clone(), number + 1000).expect("valid settings");
@@ -126,7 +130,7 @@
             disabled: BTreeSet::new(),
             unlisted: BTreeSet::new(),
             stale: false,
-            local_fault: false,
+            host_failing: false,
             events: Vec::new(),
             digest: Digest::default(),
             actions: [0; 10],
@@ -142,28 +146,32 @@
         }
     }
 
-    fn below(&mut self, limit: u32) -> u32 {
+    fn random_below(&mut self, limit: u32) -> u32 {
         self.random.next_u32() % limit
     }
 
     fn run_turn(&mut self) {
         self.turn += 1;
-        let step = Micros::from(5_000 * (1 + self.below(6)));
-        let pause = if self.below(400) == 0 { 2 * SECOND } else { 0 };
+        let time_step = Micros::from(5_000 * (1 + self.random_below(6)));
+        let pause = if self.random_below(400) == 0 {
+            2 * SECOND
+        } else {
+            0
+        };
         self.now += if self.turn.is_multiple_of(50) {
             0
         } else {
-            step + pause
+            time_step + pause
         };
         self.restart_or_hand_over();
-        self.hand_in();
+        self.submit_messages();
         self.end_attempts();
         self.deliver_notifications();
         self.change_list();
         self.change_fleet();
         self.change_limits();
-        self.command();
-        self.notify_of_little();
+        self.issue_commands();
+        self.add_minor_events();
         while self.timers.first().is_some_and(|&at| at <= self.now) {
             self.timers.pop_first();
             self.events.push(Event::TimerExpired);
@@ -178,7 +186,11 @@
         }
         self.record_state();
         let keep = |message: &Message| !message.ended || message.notification_pending;
-        let in_flight: BTreeSet<u64> = self.in_flight.iter().map(|flight| flight.message).collect();
+        let in_flight: BTreeSet<u64> = self
+            .in_flight
+            .iter()
+            .map(|attempt_in_flight| attempt_in_flight.message)
+            .collect();
         self.messages
             .retain(|id, message| keep(message) || in_flight.contains(id));
     }
@@ -186,7 +198,7 @@
     fn restart_or_hand_over(&mut self) {
         if self.turn.is_multiple_of(HANDOVER_EVERY) {
             self.sender = postcard::from_bytes(&self.state()).expect("its own bytes");
-            self.events.push(Event::HostFailing(self.local_fault));
+            self.events.push(Event::HostFailing(self.host_failing));
         }
         if !self.turn.is_multiple_of(RESTART_EVERY) || self.number.is_multiple_of(2) {
             return;
@@ -195,7 +207,7 @@
             Sender::new(self.settings.clone(), self.number + self.turn).expect("valid settings");
         self.timers.clear();
         self.stale = false;
-        self.local_fault = false;
+        self.host_failing = false;
         self.events.push(Event::Restarted);
         self.list(ListScope::Stale);
         self.in_flight.clear();
@@ -222,28 +234,28 @@
             .retain(|_, message| !message.ended || message.notification_pending);
     }
 
-    /// The serialized sender, as a handover carries it.
+    /// Returns the serialized sender, as a handover transfers it.
     pub fn state(&self) -> Vec<u8> {
         postcard::to_allocvec(&self.sender).expect("a sender can be serialized")
     }
 
-    fn hand_in(&mut self) {
-        let bursts = if self.below(150) == 0 { 20 } else { 0 };
-        let arrivals = if self.below(8) == 0 {
-            1 + self.below(3)
+    fn submit_messages(&mut self) {
+        let bursts = if self.random_below(150) == 0 { 20 } else { 0 };
+        let arrivals = if self.random_below(8) == 0 {
+            1 + self.random_below(3)
         } else {
             bursts
         };
         for _ in 0..arrivals {
-            let class = self.below(CLASSES) as usize;
-            let destination = u64::from(self.below(DESTINATIONS as u32));
-            let time = [20 * SECOND, 20 * SECOND, 3 * SECOND][self.below(3) as usize];
+            let class = self.random_below(CLASSES) as usize;
+            let destination = u64::from(self.random_below(DESTINATIONS as u32));
+            let time = [20 * SECOND, 20 * SECOND, 3 * SECOND][self.random_below(3) as usize];
             let mut new = NewMessage::new(MessageId(self.next_message), class, destination, time);
-            new.key =
-                (class >= 4 || self.below(8) == 0).then(|| u64::from(self.random.next_u32() % 4));
-            new.tenant = (self.below(2) == 0).then(|| self.random.next_u32() as usize % 2);
-            new.resubmitted = self.below(20) == 0;
-            new.max_attempts = (self.below(10) == 0).then_some(2);
+            new.key = (class >= 4 || self.random_below(8) == 0)
+                .then(|| u64::from(self.random.next_u32() % 4));
+            new.tenant = (self.random_below(2) == 0).then(|| self.random.next_u32() as usize % 2);
+            new.resubmitted = self.random_below(20) == 0;
+            new.max_attempts = (self.random_below(10) == 0).then_some(2);
             let deadline = self.now + time;
             let message = Message {
                 new: new.clone(),
@@ -265,27 +277,31 @@
                 index += 1;
                 continue;
             }
-            let flight = self.in_flight.swap_remove(index);
-            let report = vec![f64::from(self.below(11)) / 10.0, f64::from(self.below(30))];
+            let attempt_in_flight = self.in_flight.swap_remove(index);
+            let report = vec![
+                f64::from(self.random_below(11)) / 10.0,
+                f64::from(self.random_below(30)),
+            ];
             let message = self
                 .messages
-                .get_mut(&flight.message)
+                .get_mut(&attempt_in_flight.message)
                 .expect("kept while in flight");
-            message.attempts[flight.attempt].may_have_run = !flight.outcome.never_ran();
-            message.ended |= flight.outcome == Outcome::Success;
+            message.attempts[attempt_in_flight.attempt].may_have_run =
+                !attempt_in_flight.outcome.never_ran();
+            message.ended |= attempt_in_flight.outcome == Outcome::Success;
             self.events.push(Event::AttemptEnded {
-                message: MessageId(flight.message),
-                attempt: flight.attempt,
-                endpoint: EndpointId(flight.endpoint),
-                outcome: flight.outcome,
-                latency: self.now - flight.sent,
+                message: MessageId(attempt_in_flight.message),
+                attempt: attempt_in_flight.attempt,
+                endpoint: EndpointId(attempt_in_flight.endpoint),
+                outcome: attempt_in_flight.outcome,
+                latency: self.now - attempt_in_flight.sent,
                 complete: message.ended,
                 report,
             });
-            if self.below(40) == 0 {
-                let wait = Micros::from(self.below(6_000_000));
+            if self.random_below(40) == 0 {
+                let wait = Micros::from(self.random_below(6_000_000));
                 self.events.push(Event::RetryAfter {
-                    endpoint: EndpointId(flight.endpoint),
+                    endpoint: EndpointId(attempt_in_flight.endpoint),
                     wait,
                 });
             }
@@ -327,12 +343,12 @@
     }
 
     fn change_list(&mut self) {
-        match self.below(600) {
+        match self.random_below(600) {
             0..=4 => {
-                let endpoint = self.below(ENDPOINTS);
+                let endpoint = self.random_below(ENDPOINTS);
                 let mut entry = self.entry(endpoint);
                 if !self.unlisted.remove(&endpoint) {
-                    entry.status = if self.below(2) == 0 {
+                    entry.status = if self.random_below(2) == 0 {
                         EndpointStatus::Draining
                     } else {
                         EndpointStatus::Removed
@@ -350,8 +366,8 @@
                 self.stale = !self.stale;
                 self.events.push(Event::EndpointListStale(self.stale));
             }
-            // what is stale is not for long
-            _ if self.stale && self.below(40) == 0 => {
+            // a stale list becomes current again soon
+            _ if self.stale && self.random_below(40) == 0 => {
                 self.stale = false;
                 self.events.push(Event::EndpointListStale(false));
             }
@@ -360,20 +376,20 @@
     }
 
     fn change_fleet(&mut self) {
-        if self.below(120) == 0 {
+        if self.random_below(120) == 0 {
             let view = FleetView {
-                present: 1 + self.below(self.settings.senders * 2),
-                suspects: self.below(3) / 2,
-                departed: self.below(self.settings.senders),
+                present: 1 + self.random_below(self.settings.senders * 2),
+                suspects: self.random_below(3) / 2,
+                departed: self.random_below(self.settings.senders),
                 agreeing: self.settings.senders,
-                isolated: self.below(8) == 0,
+                isolated: self.random_below(8) == 0,
             };
-            let known = self.below(6) > 0;
+            let known = self.random_below(6) > 0;
             self.events.push(Event::FleetView(known.then_some(view)));
         }
-        if self.below(90) == 0 {
-            let destination = u64::from(self.below(DESTINATIONS as u32));
-            let unavailable = self.below(2) == 0;
+        if self.random_below(90) == 0 {
+            let destination = u64::from(self.random_below(DESTINATIONS as u32));
+            let unavailable = self.random_below(2) == 0;
             self.events.push(Event::FleetHealth {
                 destination,
                 unavailable,
@@ -383,24 +399,24 @@
 
     fn change_limits(&mut self) {
         let now = self.now;
-        if self.number % 3 == 1 && (self.turn % 300 == 1 || self.below(200) == 0) {
+        if self.number % 3 == 1 && (self.turn % 300 == 1 || self.random_below(200) == 0) {
             let quotas = settings::quotas(now, &mut self.random);
-            let none = self.below(6) == 0;
+            let none = self.random_below(6) == 0;
             self.events
                 .push(Event::Quotas((!none).then(|| Box::new(quotas))));
         }
-        if self.number % 4 >= 2 && (self.turn % 300 == 1 || self.below(200) == 0) {
+        if self.number % 4 >= 2 && (self.turn % 300 == 1 || self.random_below(200) == 0) {
             let agreed = settings::agreed_rules(now, &mut self.random);
-            let none = self.below(3) == 0;
+            let none = self.random_below(3) == 0;
             self.events
                 .push(Event::AgreedRules((!none).then(|| Box::new(agreed))));
         }
     }
 
-    fn command(&mut self) {
-        match self.below(500) {
+    fn issue_commands(&mut self) {
+        match self.random_below(500) {
             0 | 1 => {
-                let endpoint = self.below(ENDPOINTS);
+                let endpoint = self.random_below(ENDPOINTS);
                 if self.disabled.remove(&endpoint) {
                     self.events.push(Event::Enabled(EndpointId(endpoint)));
                 } else {
@@ -419,24 +435,24 @@
                     .push(Event::SettingsChanged(Box::new(self.settings.clone())));
             }
             4 => {
-                self.local_fault = !self.local_fault;
-                self.events.push(Event::HostFailing(self.local_fault));
+                self.host_failing = !self.host_failing;
+                self.events.push(Event::HostFailing(self.host_failing));
             }
             5 if self.turn % RESTART_EVERY > RESTART_EVERY - 100 => {
                 self.events.push(Event::ShuttingDown {
                     at: self.now + SECOND,
                 });
             }
-            _ if self.local_fault && self.below(20) == 0 => {
-                self.local_fault = false;
+            _ if self.host_failing && self.random_below(20) == 0 => {
+                self.host_failing = false;
                 self.events.push(Event::HostFailing(false));
             }
             _ => {}
         }
     }
 
-    fn notify_of_little(&mut self) {
-        match self.below(200) {
+    fn add_minor_events(&mut self) {
+        match self.random_below(200) {
             0 => self.events.push(Event::PeerNote {
                 from: 1,
                 bytes: vec![7; 9],
@@ -454,7 +470,7 @@
                 }
             }
             3 => {
-                if let Some(Flight {
+                if let Some(AttemptInFlight {
                     message, attempt, ..
                 }) = self.in_flight.first()
                 {
@@ -472,7 +488,7 @@
         match (self.number * 31 + destination * 17 + period * 7919) % 97 % 18 {
             0 => Fault::Errors,
             1 => Fault::Rejections,
-            2 => Fault::RejectionsWithWait,
+            2 => Fault::RejectionsWithRetryAfter,
             3 => Fault::Unresponsive,
             4 => Fault::Unreachable,
             5 => Fault::Slow,
@@ -481,15 +497,15 @@
         }
     }
 
-    /// How long an attempt takes, and how it ends.
-    fn plan(&mut self, message: u64, endpoint: u32) -> (Micros, Outcome) {
-        let quick = Micros::from(20_000 + self.below(100_000));
-        let wait = Micros::from(self.below(2_500_000));
+    /// Returns how long an attempt takes, and its outcome.
+    fn plan_attempt(&mut self, message: u64, endpoint: u32) -> (Micros, Outcome) {
+        let quick = Micros::from(20_000 + self.random_below(100_000));
+        let wait = Micros::from(self.random_below(2_500_000));
         let class = self.messages[&message].new.class;
         match self.fault(u64::from(endpoint / 3)) {
-            Fault::Errors if self.below(5) > 0 => (quick, Outcome::Error),
+            Fault::Errors if self.random_below(5) > 0 => (quick, Outcome::Error),
             Fault::Rejections => (5_000, Outcome::Rejected { retry_after: None }),
-            Fault::RejectionsWithWait if self.below(3) > 0 => (
+            Fault::RejectionsWithRetryAfter if self.random_below(3) > 0 => (
                 5_000,
                 Outcome::Rejected {
                     retry_after: Some(wait),
@@ -501,7 +517,7 @@
             Fault::OneClassAtOneEndpoint if class == 0 && endpoint.is_multiple_of(3) => {
                 (Micros::MAX / 4, Outcome::TimedOut)
             }
-            _ => match self.below(150) {
+            _ => match self.random_below(150) {
                 0 => (quick, Outcome::Error),
                 1 => (quick, Outcome::Rejected { retry_after: None }),
                 2 => (quick, Outcome::Reset),
@@ -523,7 +539,7 @@
                 expires,
                 ..
             } => {
-                let (latency, outcome) = self.plan(message.0, endpoint.0);
+                let (latency, outcome) = self.plan_attempt(message.0, endpoint.0);
                 let expired = self.now + latency > *expires;
                 let known = self.messages.get_mut(&message.0).expect("sent while open");
                 assert_eq!(
@@ -531,12 +547,12 @@
                     known.attempts.len(),
                     "attempts are numbered in order"
                 );
-                known.attempts.push(Past {
+                known.attempts.push(SentAttempt {
                     endpoint: endpoint.0,
                     sent: self.now,
                     may_have_run: true,
                 });
-                self.in_flight.push(Flight {
+                self.in_flight.push(AttemptInFlight {
                     message: message.0,
                     attempt: *attempt,
                     endpoint: endpoint.0,
@@ -551,21 +567,21 @@
             }
             Action::Cancel { message, attempt } => {
                 let ends_at = self.now + 20 * MILLISECOND;
-                let same = |flight: &&mut Flight| {
-                    (flight.message, flight.attempt) == (message.0, *attempt)
+                let same = |attempt_in_flight: &&mut AttemptInFlight| {
+                    (attempt_in_flight.message, attempt_in_flight.attempt) == (message.0, *attempt)
                 };
-                if let Some(flight) = self.in_flight.iter_mut().find(same)
-                    && flight.ends_at > ends_at
+                if let Some(attempt_in_flight) = self.in_flight.iter_mut().find(same)
+                    && attempt_in_flight.ends_at > ends_at
                 {
-                    flight.ends_at = ends_at;
-                    flight.outcome = Outcome::Cancelled;
+                    attempt_in_flight.ends_at = ends_at;
+                    attempt_in_flight.outcome = Outcome::Cancelled;
                 }
             }
             Action::Reject { message, .. } | Action::Fail(message) => {
-                let delay = Micros::from(20_000 + self.below(400_000));
+                let delay = Micros::from(20_000 + self.random_below(400_000));
                 let known = self.messages.get_mut(&message.0).expect("ended while open");
                 known.ended = true;
-                // one that was never taken on has nothing to be notified of later
+                // the host owes a notification only where messages are completed by notification
                 if self.settings.completion_by_notification {
                     known.notification_pending = true;
                     self.notifications.insert(message.0, self.now + delay);
@@ -573,7 +589,7 @@
             }
             Action::SetTimer(at) => drop(self.timers.insert(*at)),
             Action::Subscribe => {
-                if self.below(2) == 0 {
+                if self.random_below(2) == 0 {
                     self.list(ListScope::Full);
                 } else {
                     self.events.push(Event::EndpointListFailed);
@@ -583,8 +599,8 @@
         }
     }
 
-    /// Folds one action into the digest: the number of its variant, then its fields. The numbers
-    /// are given by hand, so that no name and no order in the program has a part in them.
+    /// Adds one action to the digest: the number of its variant, then its fields. The numbers are
+    /// written out here, so that renamed or reordered variants do not change the digest.
     fn record(&mut self, action: &Action) {
         let none = i64::MIN;
         let fields: Vec<i64> = match action {
@@ -666,7 +682,7 @@
     }
 }
 
-/// What a log action says, and of which destination.
+/// Returns the kind of a log action as a number, and the destination that it concerns.
 fn logged(event: RouteEvent) -> (i64, i64) {
     match event {
         RouteEvent::Recovering { destination } => (0, destination as i64),
--- a/tests/decision_record/settings.rs
+++ b/tests/decision_record/settings.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::RngCore;
 
-/// From this number on, scenarios have all that settings can bring.
+/// Number of the first scenario whose settings use all features together.
 pub const WITH_EVERYTHING: u64 = 100;
 
 const CLASS_NAMES: [&str; 6] = [
@@ -44,7 +44,7 @@
     classes
 }
 
-/// The settings of a scenario.
+/// Returns the settings of a scenario.
 pub fn settings(number: u64) -> Settings {
     let pick = |divisor: u64, count: u64| (number / divisor % count) as usize;
     let mut settings = Settings::new([10, 3, 40, 2][pick(1, 4)], [80, 300, 30][pick(1, 3)]);
@@ -104,7 +104,7 @@
     settings
 }
 
-/// Changes what an operator may change while the process runs.
+/// Changes one setting that an operator may change while the process runs.
 pub fn change(settings: &mut Settings, random: &mut Pcg32) {
     match random.next_u32() % 5 {
         0 => settings.senders = settings.senders % 7 + 1,
@@ -117,7 +117,7 @@
 
 fn share(now: Micros, random: &mut Pcg32) -> QuotaShare {
     let fallback = u64::from(random.next_u32() % 4000);
-    let more = u64::from(random.next_u32() % 20_000);
+    let amount = u64::from(random.next_u32() % 20_000);
     let until = now + Micros::from(random.next_u32() % 4_000_000);
     let allocation = match random.next_u32() % 4 {
         0 => None,
@@ -126,7 +126,7 @@
             until,
         }),
         _ => Some(QuotaAllocation {
-            amount: Some(more),
+            amount: Some(amount),
             until,
         }),
     };
@@ -136,7 +136,7 @@
     }
 }
 
-/// Quotas for some destinations, and for all others.
+/// Returns quotas for two destinations and for all others, with random amounts.
 pub fn quotas(now: Micros, random: &mut Pcg32) -> Quotas {
     let calls = QuotaShare {
         fallback: 1,
@@ -169,7 +169,7 @@
     quotas
 }
 
-/// Agreed rules: a lease that allows nearly all, and a fallback that allows less.
+/// Returns agreed rules: a lease that allows nearly everything, and fallback rules that allow less.
 pub fn agreed_rules(now: Micros, random: &mut Pcg32) -> AgreedRules {
     let mut leased = RuleBounds {
         max_calls: Some(8),
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,10 +1,12 @@
-//! Limits on the size of the decision modules: a file beyond them holds more than one concern.
+//! Limits on the size of the files of the decision modules: a larger file holds more than one
+//! concern.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines of one file that are not blank.
+/// Maximum number of lines of one file that are not blank.
 const MAX_LINES: usize = 600;
+/// Maximum length of a line, in characters.
 const MAX_CHARACTERS: usize = 110;
 
 fn files_of(folder: &Path) -> Vec<PathBuf> {
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,5 @@
-//! Random legal events with a fixed seed; the actions are checked against the rules. Models no servers.
+//! Sends random legal events with a fixed seed to a sender, and checks its actions against the
+//! rules. No server is simulated.
 
 mod common;
 use common::*;
@@ -7,7 +8,7 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Out {
+struct CallInFlight {
     message: u64,
     attempt: usize,
     endpoint: u32,
@@ -16,15 +17,15 @@
 }
 
 #[derive(Default)]
-struct Book {
+struct MessageRecord {
     class: usize,
     destination: u64,
     key: Option<u64>,
     deadline: Micros,
     ended: bool,
-    out: usize,
+    in_flight: usize,
     attempts: usize,
-    /// Endpoint and time of attempts that may have run.
+    /// Endpoint and time of the attempts that may have run, by the position of the attempt.
     risky: BTreeMap<usize, (u32, Micros)>,
 }
 
@@ -32,7 +33,7 @@
     u64::from(endpoint / 3)
 }
 
-fn listed(endpoint: u32) -> EndpointEntry {
+fn listed_entry(endpoint: u32) -> EndpointEntry {
     let kind = (endpoint / 3 % 3) as usize;
     EndpointEntry {
         zone: (endpoint % 2) as u16,
@@ -41,14 +42,17 @@
     }
 }
 
-fn wait_key(endpoint: u32) -> (u64, Option<u32>) {
-    let apart = listed(endpoint).kind == 1;
-    (destination(endpoint), apart.then_some(endpoint))
+fn route_key(endpoint: u32) -> (u64, Option<u32>) {
+    let has_separate_routes = listed_entry(endpoint).kind == 1;
+    (
+        destination(endpoint),
+        has_separate_routes.then_some(endpoint),
+    )
 }
 
-fn play(seed: u64) -> (Vec<Action>, usize) {
+fn run_random_events(seed: u64) -> (Vec<Action>, usize) {
     let mut random = Pcg32::seed_from_u64(seed);
-    let mut below = |most: u32| random.next_u32() % most;
+    let mut below = |limit: u32| random.next_u32() % limit;
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
     settings.max_attempts = 5;
     settings.senders = [1, 3, 300][seed as usize % 3];
@@ -60,18 +64,18 @@
     }];
     settings.connection_idle_timeout = 5 * SECOND;
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
-    let (mut now, mut next) = (START, 0u64);
-    let mut books: BTreeMap<u64, Book> = BTreeMap::new();
-    let mut out: Vec<Out> = Vec::new();
-    let mut stopped: BTreeMap<u32, Micros> = BTreeMap::new();
-    let mut waits: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
-    let mut lines: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-    let mut rests: BTreeMap<u64, Micros> = BTreeMap::new();
-    let mut all = Vec::new();
+    let (mut now, mut next_id) = (START, 0u64);
+    let mut records: BTreeMap<u64, MessageRecord> = BTreeMap::new();
+    let mut calls_in_flight: Vec<CallInFlight> = Vec::new();
+    let mut draining_or_removed: BTreeMap<u32, Micros> = BTreeMap::new();
+    let mut retry_after_ends: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
+    let mut key_queues: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+    let mut key_backoff_ends: BTreeMap<u64, Micros> = BTreeMap::new();
+    let mut all_actions = Vec::new();
     let mut timers: BTreeSet<Micros> = BTreeSet::new();
     let mut events = vec![Event::EndpointList {
         scope: ListScope::Stale,
-        entries: (0..12).map(listed).collect(),
+        entries: (0..12).map(listed_entry).collect(),
     }];
     let mut sends = 0;
     for turn in 0..6000u64 {
@@ -85,34 +89,35 @@
         for _ in 0..arrivals {
             let class = below(4) as usize;
             let key = (class == ORDERED).then(|| u64::from(below(3)));
-            let mut new = NewMessage::new(MessageId(next), class, u64::from(below(5)), 20 * SECOND);
+            let mut new =
+                NewMessage::new(MessageId(next_id), class, u64::from(below(5)), 20 * SECOND);
             new.key = key;
             new.tenant = (below(2) == 0).then_some(0);
             let deadline = now + new.time_left;
-            let book = Book {
+            let record = MessageRecord {
                 class,
                 destination: new.destination,
                 key,
                 deadline,
-                ..Book::default()
+                ..MessageRecord::default()
             };
-            books.insert(next, book);
+            records.insert(next_id, record);
             if let Some(key) = key {
-                lines.entry(key).or_default().push(next);
+                key_queues.entry(key).or_default().push(next_id);
             }
             events.push(Event::Accepted(new));
-            next += 1;
+            next_id += 1;
         }
         if below(200) == 0 {
             let endpoint = below(12);
-            let mut changed = listed(endpoint);
-            if stopped.remove(&endpoint).is_none() {
+            let mut changed = listed_entry(endpoint);
+            if draining_or_removed.remove(&endpoint).is_none() {
                 changed.status = if below(2) == 0 {
                     EndpointStatus::Draining
                 } else {
                     EndpointStatus::Removed
                 };
-                stopped.insert(endpoint, now);
+                draining_or_removed.insert(endpoint, now);
             }
             events.push(Event::EndpointList {
                 scope: ListScope::Changes,
@@ -120,18 +125,18 @@
             });
         }
         let mut index = 0;
-        while index < out.len() {
-            let over = now >= out[index].expires;
+        while index < calls_in_flight.len() {
+            let has_expired = now >= calls_in_flight[index].expires;
             let pick = below(60);
-            if !over && pick > 5 {
+            if !has_expired && pick > 5 {
                 index += 1;
                 continue;
             }
-            let call = out.swap_remove(index);
-            let bad = destination(call.endpoint) == turn / 1000 % 4;
+            let call = calls_in_flight.swap_remove(index);
+            let is_faulty = destination(call.endpoint) == turn / 1000 % 4;
             let outcome = match pick {
-                _ if over => Outcome::TimedOut,
-                _ if bad && below(4) != 0 => Outcome::Error,
+                _ if has_expired => Outcome::TimedOut,
+                _ if is_faulty && below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
                 1 => Outcome::Rejected {
                     retry_after: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
@@ -140,25 +145,27 @@
                 3 if below(3) == 0 => Outcome::Reset,
                 _ => Outcome::Success,
             };
-            let book = books.get_mut(&call.message).expect("known");
-            book.out -= 1;
+            let record = records.get_mut(&call.message).expect("known");
+            record.in_flight -= 1;
             if outcome.never_ran() {
-                book.risky.remove(&call.attempt);
+                record.risky.remove(&call.attempt);
             }
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
-                (book.key, outcome)
+                (record.key, outcome)
             {
-                rests.insert(key, now + settings.safety.key_backoff);
+                key_backoff_ends.insert(key, now + settings.safety.key_backoff);
             }
             if let Outcome::Rejected {
                 retry_after: Some(wait),
             } = outcome
             {
-                let until = waits.entry(wait_key(call.endpoint)).or_default();
+                let until = retry_after_ends
+                    .entry(route_key(call.endpoint))
+                    .or_default();
                 *until = (*until).max(now + wait);
             }
-            let closed = book.ended || outcome == Outcome::Success;
-            book.ended = closed;
+            let closed = record.ended || outcome == Outcome::Success;
+            record.ended = closed;
             let mut event = ended(
                 call.message,
                 call.attempt,
@@ -202,48 +209,63 @@
                     sends += 1;
                     let (id, endpoint) = (message.0, endpoint.0);
                     assert_eq!(
-                        *attempt, books[&id].attempts,
-                        "numbered otherwise than in order"
+                        *attempt, records[&id].attempts,
+                        "attempts are not numbered in order"
                     );
                     let earlier_open = |id: u64, key: u64| {
-                        lines[&key]
+                        key_queues[&key]
                             .iter()
-                            .take_while(|&&o| o != id)
-                            .any(|o| !books[o].ended || books[o].out > 0)
+                            .take_while(|&&other| other != id)
+                            .any(|other| !records[other].ended || records[other].in_flight > 0)
                     };
-                    let book = &books[&id];
-                    assert!(!book.ended && now < book.deadline, "sent after its end");
-                    assert_eq!(destination(endpoint), book.destination);
+                    let record = &records[&id];
+                    assert!(!record.ended && now < record.deadline, "sent after its end");
+                    assert_eq!(destination(endpoint), record.destination);
                     assert!(
-                        !stopped.contains_key(&endpoint),
+                        !draining_or_removed.contains_key(&endpoint),
                         "sent to a drained endpoint"
                     );
-                    assert!(book.attempts < settings.max_attempts);
-                    let waits = waits.get(&wait_key(endpoint)).copied().unwrap_or(0);
-                    assert!(now >= waits, "sent before a wait was over");
-                    match settings.classes[book.class].effect {
+                    assert!(record.attempts < settings.max_attempts);
+                    let retry_after_end = retry_after_ends
+                        .get(&route_key(endpoint))
+                        .copied()
+                        .unwrap_or(0);
+                    assert!(now >= retry_after_end, "sent during a Retry-After delay");
+                    match settings.classes[record.class].effect {
                         Effect::Idempotent => {}
                         Effect::NonIdempotent => {
-                            assert!(book.risky.is_empty(), "unsafe sent twice")
+                            assert!(
+                                record.risky.is_empty(),
+                                "a non-idempotent message that may have run was sent again"
+                            )
                         }
                         Effect::IdempotencyKey { window, .. } => assert!(
-                            book.risky.values().all(|&(o, at)| o % 2 == endpoint % 2
-                                && now < at + window
-                                && start_by.is_some_and(|by| now < by && by < at + window)),
-                            "keyed left its group or window, or may do so later"
+                            record
+                                .risky
+                                .values()
+                                .all(|&(tried, at)| tried % 2 == endpoint % 2
+                                    && now < at + window
+                                    && start_by.is_some_and(|by| now < by && by < at + window)),
+                            "a message with an idempotency key leaves its zone or its window, or may do so later"
                         ),
                     }
-                    if let Some(key) = book.key {
-                        assert!(!earlier_open(id, key), "out of turn");
-                        let rest = rests.get(&key).copied().unwrap_or(0);
-                        assert!(book.attempts > 0 || now >= rest, "no rest");
+                    if let Some(key) = record.key {
+                        assert!(
+                            !earlier_open(id, key),
+                            "sent before an earlier message of its key was complete"
+                        );
+                        let backoff_end = key_backoff_ends.get(&key).copied().unwrap_or(0);
+                        assert!(
+                            record.attempts > 0 || now >= backoff_end,
+                            "sent during the backoff of its key"
+                        );
                     }
-                    let book = books.get_mut(&id).expect("known");
-                    book.risky.insert(book.attempts, (endpoint, now));
-                    let attempt = book.attempts;
-                    book.attempts += 1;
-                    book.out += 1;
-                    out.push(Out {
+                    let record = records.get_mut(&id).expect("known");
+                    record.risky.insert(record.attempts, (endpoint, now));
+                    let attempt = record.attempts;
+                    record.attempts += 1;
+                    record.in_flight += 1;
+                    calls_in_flight.push(CallInFlight {
                         message: id,
                         attempt,
                         endpoint,
@@ -252,29 +274,29 @@
                     });
                 }
                 Action::Reject { message, .. } => {
-                    let book = books.get_mut(&message.0).expect("known");
+                    let record = records.get_mut(&message.0).expect("known");
                     assert!(
-                        !book.ended && now <= book.deadline + settings.safety.answer_grace,
-                        "ended twice or late"
+                        !record.ended && now <= record.deadline + settings.safety.answer_grace,
+                        "ended twice or too late"
                     );
-                    let free = settings.classes[book.class].effect == Effect::Idempotent;
+                    let is_idempotent = settings.classes[record.class].effect == Effect::Idempotent;
                     assert!(
-                        free || book.risky.is_empty(),
-                        "refused although it may have run"
+                        is_idempotent || record.risky.is_empty(),
+                        "rejected although it may have run"
                     );
-                    book.ended = true;
+                    record.ended = true;
                 }
                 Action::Fail(message) => {
-                    let book = books.get_mut(&message.0).expect("known");
+                    let record = records.get_mut(&message.0).expect("known");
                     assert!(
-                        !book.ended && now <= book.deadline + settings.safety.answer_grace,
-                        "ended twice or late"
+                        !record.ended && now <= record.deadline + settings.safety.answer_grace,
+                        "ended twice or too late"
                     );
-                    book.ended = true;
+                    record.ended = true;
                 }
                 Action::Cancel { message, attempt } => {
                     let id = (message.0, *attempt);
-                    if let Some(call) = out
+                    if let Some(call) = calls_in_flight
                         .iter_mut()
                         .find(|call| (call.message, call.attempt) == id)
                     {
@@ -288,19 +310,21 @@
                 _ => {}
             }
         }
-        all.extend(actions);
+        all_actions.extend(actions);
     }
     assert!(
-        books.values().all(|book| book.ended || book.deadline > now),
-        "a message was lost"
+        records
+            .values()
+            .all(|record| record.ended || record.deadline > now),
+        "a message has no end after its deadline"
     );
-    (all, sends)
+    (all_actions, sends)
 }
 
 #[test]
 fn random_legal_events_break_no_rule() {
     for seed in 0..6 {
-        let (_, sends) = play(seed);
+        let (_, sends) = run_random_events(seed);
         assert!(
             sends > [300, 150, 40][seed as usize % 3],
             "seed {seed}: {sends} sends"
@@ -310,5 +334,5 @@
 
 #[test]
 fn same_events_give_same_actions() {
-    assert_eq!(play(5).0, play(5).0);
+    assert_eq!(run_random_events(5).0, run_random_events(5).0);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,38 +1,42 @@
-//! The six rules and the copy schedule, by scripted events.
+//! Tests of the rules for sending and of the schedule of hedges, with scripted events.
 
 mod common;
 use common::*;
 use message_sender::*;
 
-fn pool(count: u32) -> Vec<EndpointEntry> {
+fn endpoint_entries(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(|endpoint| entry(endpoint, 7)).collect()
 }
 
 #[test]
-fn hedges_start_at_doubling_intervals_and_first_success_cancels_the_rest() {
-    let mut host = TestHost::new(settings(40), pool(5));
+fn hedges_start_at_doubling_intervals_and_first_success_cancels_other_attempts() {
+    let mut host = TestHost::new(settings(40), endpoint_entries(5));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.run(START + 4_500 * MILLISECOND);
     assert_eq!(host.sends_of(1), [0, SECOND, 2 * SECOND, 4 * SECOND]);
     let mut endpoints: Vec<u32> = host.sends.iter().map(|send| send.2).collect();
     endpoints.sort_unstable();
     endpoints.dedup();
-    assert_eq!(endpoints.len(), 4, "each copy goes to an untried endpoint");
+    assert_eq!(endpoints.len(), 4, "each hedge goes to an untried endpoint");
     let before = host.cancels(1);
     let (_, _, endpoint, attempt) = host.sends[1];
     host.handle(vec![ended(1, attempt, endpoint, Outcome::Success, SECOND)]);
     let cancelled_now = host.cancels(1) - before;
     assert!(
         cancelled_now >= 3,
-        "the three others are called off, {cancelled_now} were"
+        "{cancelled_now} of the three other attempts were cancelled"
     );
     host.run(START + 40 * SECOND);
-    assert_eq!(host.sends_of(1).len(), 4, "nothing goes out after the end");
+    assert_eq!(
+        host.sends_of(1).len(),
+        4,
+        "nothing is sent after the message has ended"
+    );
 }
 
 #[test]
 fn hedge_delay_follows_observed_latency() {
-    let mut host = TestHost::new(settings(40), pool(3));
+    let mut host = TestHost::new(settings(40), endpoint_entries(3));
     for id in 10..30 {
         host.handle(vec![message(id, IDEMPOTENT, 7)]);
         host.now += 200 * MILLISECOND;
@@ -49,50 +53,51 @@
 
 #[test]
 fn hedge_needs_untried_endpoint_remaining_attempt_and_permission() {
-    let mut host = TestHost::new(settings(40), pool(1));
+    let mut host = TestHost::new(settings(40), endpoint_entries(1));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.run(START + 3 * SECOND);
     assert_eq!(host.sends_of(1).len(), 1);
 
-    let mut few = settings(40);
-    few.max_attempts = 2;
-    let mut host = TestHost::new(few, pool(4));
+    let mut two_attempts = settings(40);
+    two_attempts.max_attempts = 2;
+    let mut host = TestHost::new(two_attempts, endpoint_entries(4));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.run(START + 3 * SECOND);
     assert_eq!(host.sends_of(1).len(), 2);
 
-    let mut none = settings(40);
-    none.hedging_allowed = false;
-    let mut host = TestHost::new(none, pool(4));
+    let mut without_hedging = settings(40);
+    without_hedging.hedging_allowed = false;
+    let mut host = TestHost::new(without_hedging, endpoint_entries(4));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.run(START + 3 * SECOND);
     assert_eq!(host.sends_of(1).len(), 1);
 
-    let mut host = TestHost::new(settings(40), pool(4));
-    let mut late = NewMessage::new(MessageId(1), IDEMPOTENT, 7, SECOND);
-    late.resubmitted = true;
-    host.handle(vec![Event::Accepted(late)]);
+    let mut host = TestHost::new(settings(40), endpoint_entries(4));
+    let mut expiring = NewMessage::new(MessageId(1), IDEMPOTENT, 7, SECOND);
+    expiring.resubmitted = true;
+    host.handle(vec![Event::Accepted(expiring)]);
     host.run(START + 3 * SECOND);
-    assert_eq!(host.sends_of(1).len(), 1, "no time was left for a copy");
+    assert_eq!(host.sends_of(1).len(), 1, "no time was left for a hedge");
 }
 
 #[test]
 fn hedge_skipped_at_share_limit_keeps_its_interval() {
-    // 12 slots: six copies at most. Four messages make four copies at 1 s and want four more at 2 s.
+    // With 12 call slots, at most six may hold hedges. Four messages start four hedges at 1 s, and
+    // four more are due at 2 s.
     let entries = (0..16).map(|n| entry(n, u64::from(n / 4))).collect();
     let mut host = TestHost::new(settings(12), entries);
     host.handle((0..4).map(|id| message(id, IDEMPOTENT, id)).collect());
     host.run(START + 2_500 * MILLISECOND);
-    assert_eq!(host.sends.len(), 10, "4 first attempts and 6 copies");
+    assert_eq!(host.sends.len(), 10, "4 first attempts and 6 hedges");
     let waiting: Vec<u64> = (0..4).filter(|&id| host.sends_of(id).len() == 2).collect();
     assert_eq!(waiting.len(), 2);
-    let done = (0..4)
+    let hedged_twice = (0..4)
         .find(|id| !waiting.contains(id))
-        .expect("one has two copies");
+        .expect("a message with two hedges");
     let calls: Vec<_> = host
         .sends
         .iter()
-        .filter(|send| send.1 == done)
+        .filter(|send| send.1 == hedged_twice)
         .copied()
         .collect();
     let outcome = |n: usize| {
@@ -105,14 +110,14 @@
     host.handle(
         calls
             .iter()
-            .map(|call| ended(done, call.3, call.2, outcome(call.3), SECOND))
+            .map(|call| ended(hedged_twice, call.3, call.2, outcome(call.3), SECOND))
             .collect(),
     );
     for &id in &waiting {
         assert_eq!(
             host.sends_of(id),
             [0, SECOND, 2_500 * MILLISECOND],
-            "at once when there is room"
+            "the hedge is sent as soon as hedges may use a slot again"
         );
     }
 }
@@ -125,7 +130,7 @@
         Outcome::Reset,
         Outcome::Cancelled,
     ] {
-        let mut host = TestHost::new(settings(40), pool(3));
+        let mut host = TestHost::new(settings(40), endpoint_entries(3));
         host.handle(vec![message(1, NON_IDEMPOTENT, 7)]);
         host.run(START + 300 * MILLISECOND);
         host.end(1, outcome, 300 * MILLISECOND);
@@ -142,7 +147,7 @@
         Outcome::NoConnection,
         Outcome::NotSent { no_slot: true },
     ] {
-        let mut host = TestHost::new(settings(40), pool(3));
+        let mut host = TestHost::new(settings(40), endpoint_entries(3));
         host.handle(vec![message(1, NON_IDEMPOTENT, 7)]);
         host.end(1, outcome, MILLISECOND);
         host.run(START + 3 * SECOND);
@@ -152,9 +157,9 @@
 
 #[test]
 fn idempotency_key_message_stays_in_zone_and_window() {
-    let mut far = entry(2, 7);
-    far.zone = 1;
-    let mut host = TestHost::new(settings(40), vec![entry(1, 7), far]);
+    let mut other_zone = entry(2, 7);
+    other_zone.zone = 1;
+    let mut host = TestHost::new(settings(40), vec![entry(1, 7), other_zone]);
     host.handle(vec![message(1, WITH_IDEMPOTENCY_KEY, 7)]);
     host.run(START + 3 * SECOND);
     assert_eq!(
@@ -171,24 +176,24 @@
     );
     assert!(
         !host.rejected(1),
-        "it may have run and its group is one zone"
+        "it may have run, and its idempotency key holds in one zone only"
     );
 }
 
 #[test]
 fn idempotency_key_window_end_stops_hedges_and_fails_message() {
-    let mut short = settings(40);
-    short.classes[WITH_IDEMPOTENCY_KEY].effect = Effect::IdempotencyKey {
+    let mut short_window = settings(40);
+    short_window.classes[WITH_IDEMPOTENCY_KEY].effect = Effect::IdempotencyKey {
         window: 1_500 * MILLISECOND,
         same_zone_only: true,
     };
-    let mut host = TestHost::new(short, pool(4));
+    let mut host = TestHost::new(short_window, endpoint_entries(4));
     host.handle(vec![message(1, WITH_IDEMPOTENCY_KEY, 7)]);
     host.run(START + 5 * SECOND);
     assert_eq!(
         host.sends_of(1),
         [0, SECOND],
-        "the copy due at 2 s falls out of the window"
+        "the hedge due at 2 s would start after the window"
     );
     let calls: Vec<_> = host.sends.clone();
     host.handle(
@@ -202,21 +207,21 @@
 
 #[test]
 fn draining_or_removed_endpoint_gets_no_attempt() {
-    let mut host = TestHost::new(settings(40), pool(2));
+    let mut host = TestHost::new(settings(40), endpoint_entries(2));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     let (used, _) = host.last_send(1);
     let other = 3 - used;
-    let mut drains = entry(other, 7);
-    drains.status = EndpointStatus::Draining;
+    let mut draining_entry = entry(other, 7);
+    draining_entry.status = EndpointStatus::Draining;
     host.handle(vec![Event::EndpointList {
         scope: ListScope::Changes,
-        entries: vec![drains],
+        entries: vec![draining_entry],
     }]);
     host.run(START + 3 * SECOND);
     assert_eq!(
         host.sends_of(1).len(),
         1,
-        "no copy to the draining endpoint"
+        "no hedge to the draining endpoint"
     );
     host.handle(vec![Event::EndpointList {
         scope: ListScope::Full,
@@ -227,34 +232,34 @@
     host.run(START + 60 * SECOND);
     assert_eq!(host.sends.len(), 1, "an empty list leaves no endpoint");
     assert!(host.rejected(1) && host.rejected(2));
-    let known = host.sends.len();
+    let sends_before = host.sends.len();
     host.handle(vec![
         Event::EndpointList {
             scope: ListScope::Full,
-            entries: pool(2),
+            entries: endpoint_entries(2),
         },
         message(3, IDEMPOTENT, 7),
     ]);
     assert_eq!(
         host.sends.len(),
-        known + 1,
-        "a list that names it again counts"
+        sends_before + 1,
+        "endpoints that are listed again receive messages"
     );
 }
 
 #[test]
 fn disabled_endpoint_listed_again_stays_disabled_and_is_enabled_cold() {
-    let mut host = TestHost::new(settings(40), pool(2));
-    let out = EndpointId(1);
-    host.handle(vec![Event::Disabled(out), Event::Disabled(out)]);
-    // gone and back under the same id
+    let mut host = TestHost::new(settings(40), endpoint_entries(2));
+    let disabled = EndpointId(1);
+    host.handle(vec![Event::Disabled(disabled), Event::Disabled(disabled)]);
+    // the endpoint leaves the list and is listed again under the same id
     host.handle(vec![Event::EndpointList {
         scope: ListScope::Full,
         entries: vec![entry(2, 7)],
     }]);
     host.handle(vec![Event::EndpointList {
         scope: ListScope::Full,
-        entries: pool(2),
+        entries: endpoint_entries(2),
     }]);
     for id in 0..20 {
         host.handle(vec![message(id, NON_IDEMPOTENT, 7)]);
@@ -266,9 +271,12 @@
         "{:?}",
         host.sends
     );
-    // alone, so that all that goes is what it is given; one call back is enough
-    host.handle(vec![Event::Disabled(EndpointId(2)), Event::Enabled(out)]);
-    let sent_in = |host: &mut TestHost, from: u64| {
+    // the enabled endpoint is the only one, so that all messages have to go to it
+    host.handle(vec![
+        Event::Disabled(EndpointId(2)),
+        Event::Enabled(disabled),
+    ]);
+    let sends_of_40_messages = |host: &mut TestHost, from: u64| {
         let before = host.sends.len();
         for id in from..from + 40 {
             host.handle(vec![message(id, IDEMPOTENT, 7)]);
@@ -289,9 +297,9 @@
         }
         host.sends.len() - before
     };
-    let cold = sent_in(&mut host, 100);
+    let cold = sends_of_40_messages(&mut host, 100);
     host.run(host.now + 12 * SECOND);
-    let warm = sent_in(&mut host, 200);
+    let warm = sends_of_40_messages(&mut host, 200);
     assert!(
         (1..20).contains(&cold) && warm >= 40,
         "{cold} cold, {warm} warm"
@@ -299,27 +307,30 @@
 }
 
 #[test]
-fn retry_after_holds_destination_or_separate_route() {
-    let wait = Outcome::Rejected {
+fn retry_after_suspends_destination_or_separate_route() {
+    let rejection = Outcome::Rejected {
         retry_after: Some(2 * SECOND),
     };
-    let mut host = TestHost::new(settings(40), pool(3));
+    let mut host = TestHost::new(settings(40), endpoint_entries(3));
     host.handle(vec![
         message(1, IDEMPOTENT, 7),
         message(2, NON_IDEMPOTENT, 7),
     ]);
     host.now += 10 * MILLISECOND;
-    let told = host.now;
-    host.end(1, wait, 10 * MILLISECOND);
+    let rejected_at = host.now;
+    host.end(1, rejection, 10 * MILLISECOND);
     host.end(2, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
     host.handle(vec![message(3, IDEMPOTENT, 7)]);
-    host.run(told + 10 * SECOND);
+    host.run(rejected_at + 10 * SECOND);
     let early: Vec<_> = host.sends[2..]
         .iter()
-        .filter(|send| send.0 < told + 2 * SECOND)
+        .filter(|send| send.0 < rejected_at + 2 * SECOND)
         .collect();
     assert!(early.is_empty(), "{early:?}");
-    assert!(host.sends.len() > 2, "they go when the wait is over");
+    assert!(
+        host.sends.len() > 2,
+        "messages are sent after the Retry-After delay"
+    );
 
     let routes = (1..=2)
         .map(|n| EndpointEntry {
@@ -330,7 +341,7 @@
     let mut host = TestHost::new(settings(40), routes);
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     let (used, _) = host.last_send(1);
-    host.end(1, wait, 10 * MILLISECOND);
+    host.end(1, rejection, 10 * MILLISECOND);
     host.run(START + SECOND);
     assert_eq!(host.last_send(1).0, 3 - used, "the other route is free");
 }
@@ -379,8 +390,8 @@
 }
 
 #[test]
-fn messages_of_key_go_in_order_and_uncertain_end_backs_key_off() {
-    let mut host = TestHost::new(settings(40), pool(1));
+fn messages_of_key_are_sent_in_order_and_uncertain_end_backs_key_off() {
+    let mut host = TestHost::new(settings(40), endpoint_entries(1));
     host.handle(vec![with_key(1, 5), with_key(2, 5), with_key(3, 6)]);
     assert_eq!(
         (
@@ -395,7 +406,7 @@
     assert_eq!(
         host.sends_of(2).len(),
         1,
-        "its turn comes at once after a sure end"
+        "the next message is sent at once after a certain end"
     );
     host.handle(vec![with_key(4, 5)]);
     host.now += 50 * MILLISECOND;
@@ -403,13 +414,13 @@
     assert_eq!(
         host.sends_of(4).len(),
         0,
-        "an attempt of the earlier one is still out"
+        "an attempt of the earlier message is still in flight"
     );
-    let rests = host.now;
+    let cancelled_at = host.now;
     host.end(2, Outcome::Cancelled, 50 * MILLISECOND);
-    host.run(rests + SECOND);
+    host.run(cancelled_at + SECOND);
     let sent = host.sends_of(4)[0] + START;
-    assert!(sent >= rests + 100 * MILLISECOND && sent < rests + 200 * MILLISECOND);
+    assert!(sent >= cancelled_at + 100 * MILLISECOND && sent < cancelled_at + 200 * MILLISECOND);
 }
 
 #[test]
@@ -417,7 +428,7 @@
     let mut settings = settings(40);
     settings.classes[ORDERED].effect = Effect::NonIdempotent;
     settings.completion_by_notification = true;
-    let mut host = TestHost::new(settings, pool(1));
+    let mut host = TestHost::new(settings, endpoint_entries(1));
     host.handle(vec![with_key(1, 3), with_key(2, 3), with_key(3, 4)]);
     host.end(1, Outcome::Error, 20 * MILLISECOND);
     assert!(host.failed(1));
@@ -425,12 +436,16 @@
     assert_eq!(
         host.sends_of(2).len(),
         0,
-        "sent before the first one's notice arrived"
+        "sent before the notification of the first message was delivered"
+    );
+    assert_eq!(
+        host.sends_of(3).len(),
+        1,
+        "a message of another key is not held back"
     );
-    assert_eq!(host.sends_of(3).len(), 1, "another key waits for nothing");
     host.handle(vec![Event::NotificationDelivered(MessageId(1))]);
     assert_eq!(host.sends_of(2).len(), 1);
-    // a notice that a life before still owes holds the key too
+    // a notification still pending from before a restart holds its key too
     let old = NewMessage {
         key: Some(5),
         ..NewMessage::new(MessageId(5), ORDERED, 7, SECOND)
@@ -445,15 +460,15 @@
 fn message_beyond_capacity_is_rejected_with_retry_after() {
     let mut settings = settings(10);
     (settings.max_pending, settings.max_retry_after) = (5, 3 * SECOND);
-    let mut host = TestHost::new(settings, pool(1));
+    let mut host = TestHost::new(settings, endpoint_entries(1));
     let actions = host.handle((1..=6).map(|id| message(id, NON_IDEMPOTENT, 7)).collect());
-    let refusals: Vec<&Action> = actions
+    let rejections: Vec<&Action> = actions
         .iter()
         .filter(|a| matches!(a, Action::Reject { .. }))
         .collect();
     let retry_after = Some(3 * SECOND / 2);
     assert_eq!(
-        refusals,
+        rejections,
         [&Action::Reject {
             message: MessageId(6),
             retry_after
@@ -466,7 +481,7 @@
 
 #[test]
 fn every_message_ends_once_before_its_deadline() {
-    let mut host = TestHost::new(settings(8), pool(2));
+    let mut host = TestHost::new(settings(8), endpoint_entries(2));
     let mut events: Vec<Event> = (0..30).map(|id| message(id, id as usize % 3, 7)).collect();
     events.push(message(100, IDEMPOTENT, 999));
     events.push(message(101, 57, 7));
@@ -493,7 +508,7 @@
 
 #[test]
 fn late_and_unknown_events_are_ignored() {
-    let mut host = TestHost::new(settings(8), pool(2));
+    let mut host = TestHost::new(settings(8), endpoint_entries(2));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.run(START + 1_200 * MILLISECOND);
     let (endpoint, attempt) = host.last_send(1);
@@ -501,7 +516,7 @@
     host.handle(vec![ended(1, 0, 3 - endpoint, Outcome::Success, SECOND)]);
     let sends = host.sends.len();
     host.handle(vec![
-        ended(1, 1, endpoint, Outcome::Success, SECOND), // a called-off copy that succeeds all the same
+        ended(1, 1, endpoint, Outcome::Success, SECOND), // a cancelled hedge that succeeds nevertheless
         ended(1, 1, endpoint, Outcome::TimedOut, SECOND),
         ended(77, 0, 99, Outcome::Success, SECOND),
         Event::MessageAbandoned(MessageId(1)),
@@ -530,13 +545,13 @@
     assert_eq!(host.sends.len(), sends);
     assert!(
         !host.failed(1) && !host.rejected(1),
-        "a success needs no answer"
+        "a message that succeeded is neither failed nor rejected"
     );
 }
 
 #[test]
 fn timeout_at_deadline_ends_message() {
-    let mut host = TestHost::new(settings(8), pool(1));
+    let mut host = TestHost::new(settings(8), endpoint_entries(1));
     host.handle(vec![message(1, NON_IDEMPOTENT, 7)]);
     host.now = START + 30 * SECOND;
     let actions = host.end(1, Outcome::TimedOut, 30 * SECOND);
@@ -545,9 +560,9 @@
 
 #[test]
 fn failed_subscription_is_retried_with_growing_backoff() {
-    let mut asks = settings(8);
-    asks.list_by_subscription = true;
-    let mut host = TestHost::new(asks, pool(1));
+    let mut subscribing = settings(8);
+    subscribing.list_by_subscription = true;
+    let mut host = TestHost::new(subscribing, endpoint_entries(1));
     let subscribed = |host: &TestHost| -> Vec<Micros> {
         host.log
             .iter()
@@ -562,32 +577,39 @@
     }
     let times = subscribed(&host);
     assert_eq!(times.len(), 5);
-    let rest = |n: usize| times[n] - (n as i64 - 1) * 8 * SECOND;
-    assert!(rest(1) > 100 * MILLISECOND && rest(1) < SECOND, "{times:?}");
-    assert!(rest(4) > SECOND && rest(4) < 6 * SECOND, "{times:?}");
+    let backoff_after_failure = |n: usize| times[n] - (n as i64 - 1) * 8 * SECOND;
+    assert!(
+        backoff_after_failure(1) > 100 * MILLISECOND && backoff_after_failure(1) < SECOND,
+        "{times:?}"
+    );
+    assert!(
+        backoff_after_failure(4) > SECOND && backoff_after_failure(4) < 6 * SECOND,
+        "{times:?}"
+    );
 }
 
 #[test]
 fn hedge_needs_time_for_usual_latency_before_deadline() {
-    let mut host = TestHost::new(settings(40), pool(3));
+    let mut host = TestHost::new(settings(40), endpoint_entries(3));
     for id in 10..30 {
         host.handle(vec![message(id, IDEMPOTENT, 7)]);
         host.now += 400 * MILLISECOND;
         host.end(id, Outcome::Success, 400 * MILLISECOND);
     }
-    for (id, left, copies) in [(1, 700, 1), (2, 900, 2)] {
-        let new = NewMessage::new(MessageId(id), IDEMPOTENT, 7, left * MILLISECOND);
+    for (id, time_left_ms, attempts) in [(1, 700, 1), (2, 900, 2)] {
+        let new = NewMessage::new(MessageId(id), IDEMPOTENT, 7, time_left_ms * MILLISECOND);
         host.handle(vec![Event::Accepted(new)]);
         host.run(host.now + 600 * MILLISECOND);
-        assert_eq!(host.sends_of(id).len(), copies, "{left} ms left");
+        assert_eq!(host.sends_of(id).len(), attempts, "{time_left_ms} ms left");
         host.end(id, Outcome::Success, 600 * MILLISECOND);
     }
 }
 
 #[test]
 fn idempotency_window_counts_from_overlapped_first_attempt_that_never_ran() {
-    // Found on a freshly drawn day: the first attempt found no connection after its copy had started.
-    let mut host = TestHost::new(settings(40), pool(2));
+    // The first attempt finds no connection only after its hedge has started. The window must still
+    // count from that first attempt.
+    let mut host = TestHost::new(settings(40), endpoint_entries(2));
     host.handle(vec![message(1, WITH_IDEMPOTENCY_KEY, 7)]);
     host.run(START + 1_100 * MILLISECOND);
     let calls = host.sends.clone();
@@ -611,7 +633,7 @@
     assert_eq!(
         host.sends_of(1).len(),
         2,
-        "nothing goes after the first window"
+        "nothing is sent after the window of the first attempt"
     );
 }
 
@@ -631,9 +653,9 @@
             ..Quotas::default()
         })))
     };
-    let mut host = TestHost::new(settings(40), pool(5));
-    let sent = |host: &mut TestHost| {
-        // each call ends well at once
+    let mut host = TestHost::new(settings(40), endpoint_entries(5));
+    let sends_so_far = |host: &mut TestHost| {
+        // each call succeeds at once
         for send in host.sends.clone() {
             host.handle(vec![ended(
                 send.1,
@@ -647,49 +669,63 @@
     };
     host.handle(vec![quotas(Some(0), START + 10 * SECOND)]);
     host.handle((1..7).map(|id| message(id, NON_IDEMPOTENT, 7)).collect());
-    assert_eq!(sent(&mut host), 1, "one that was never made is saved");
+    assert_eq!(sends_so_far(&mut host), 1, "one unused call is saved up");
     host.run(START + 2 * SECOND);
-    assert_eq!(sent(&mut host), 1, "the next one waits for a part");
-    // two calls a second for a second bring one at once, since no more are saved, and another after half of it
+    assert_eq!(
+        sends_so_far(&mut host),
+        1,
+        "the next call needs an allocation"
+    );
+    // an allocation of two calls per second for one second allows one call at once, since no more
+    // are saved up, and another after half a second
     host.handle(vec![quotas(Some(2000), host.now + SECOND)]);
-    assert_eq!(sent(&mut host), 2);
+    assert_eq!(sends_so_far(&mut host), 2);
     host.run(START + 2600 * MILLISECOND);
-    assert_eq!(sent(&mut host), 3);
+    assert_eq!(sends_so_far(&mut host), 3);
     host.run(START + 10 * SECOND);
-    assert_eq!(sent(&mut host), 3, "nothing once the part has ended");
-    // the time without a part brought nothing, also where a small one comes then
+    assert_eq!(
+        sends_so_far(&mut host),
+        3,
+        "no call once the allocation has ended"
+    );
+    // the time without an allocation adds no tokens, even if a small allocation follows
     host.handle(vec![quotas(Some(1), host.now + SECOND)]);
-    assert_eq!(sent(&mut host), 3);
+    assert_eq!(sends_so_far(&mut host), 3);
     host.handle(vec![quotas(None, host.now + SECOND)]);
-    assert_eq!(sent(&mut host), 6, "without a limit all go");
+    assert_eq!(
+        sends_so_far(&mut host),
+        6,
+        "without a limit all messages are sent"
+    );
 }
 
 #[test]
 fn fleet_health_ejects_route_only_without_own_successes() {
-    let word = |unavailable| Event::FleetHealth {
+    let verdict = |unavailable| Event::FleetHealth {
         destination: 7,
         unavailable,
     };
-    let mut host = TestHost::new(settings(40), pool(2));
+    let mut host = TestHost::new(settings(40), endpoint_entries(2));
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.end(1, Outcome::Success, 10 * MILLISECOND);
     let before = host.sender.demand()[&7];
     assert!(before.alive && !before.unhealthy);
-    // it has just succeeded: a word changes nothing
-    host.handle(vec![word(true)]);
+    // the route has just succeeded, so the verdict of the fleet changes nothing
+    host.handle(vec![verdict(true)]);
     assert!(!host.sender.demand()[&7].unhealthy);
     host.run(START + 20 * SECOND);
-    host.handle(vec![word(true)]);
-    let told = host.sender.demand()[&7];
+    host.handle(vec![verdict(true)]);
+    let after_verdict = host.sender.demand()[&7];
     assert!(
-        told.unhealthy && !told.failing && !told.alive,
-        "what others told is no word of its own: {told:?}"
+        after_verdict.unhealthy && !after_verdict.failing && !after_verdict.alive,
+        "the verdict of other senders is not reported as an observation of its own: {after_verdict:?}"
     );
-    // few are tried, until it is said to be back, and one success ends it
+    // few messages are tried until the fleet reports the destination available again; then one
+    // success makes the route healthy
     host.handle((10..20).map(|id| message(id, IDEMPOTENT, 7)).collect());
     assert!(host.sends.len() <= 3, "{:?}", host.sends);
-    host.handle(vec![word(false)]);
-    let (_, id, ..) = *host.sends.last().expect("one is tried at once");
+    host.handle(vec![verdict(false)]);
+    let (_, id, ..) = *host.sends.last().expect("a message is tried at once");
     host.end(id, Outcome::Success, 10 * MILLISECOND);
     assert!(!host.sender.demand()[&7].unhealthy);
     host.run(host.now + 2 * SECOND);
