--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -91,7 +91,7 @@
     /// serialized: the successor detects this for itself.
     #[serde(skip)]
     host_failing: bool,
-    /// Share of the fleet-wide limits that this sender may use.
+    /// Share of the fleet-wide limits that this sender may use; `None` if no such limits apply.
     quotas: Option<Box<Quotas>>,
     quota_buckets: BTreeMap<DestinationId, QuotaBucket>,
     /// Number of messages for which the last turn looked for an endpoint.
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -42,8 +42,8 @@
     }
 
     /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion. The
-    /// limit decreases only once for all calls that were in flight at that time; returns whether
-    /// this call was the first of them and lowered it.
+    /// limit decreases only once for all calls that were in flight at that time; returns true if
+    /// this call is the first of them.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
         let is_new = sent > self.decreased_at;
         if is_new {
--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint where connections are scarce, or to a seldom used
-    /// endpoint of a kind where they are scarce: its idle timeout would pass before the next use.
-    /// Protects endpoints that accept few connections against hundreds of senders that each keep
-    /// one idle. Drawback: where traffic comes in bursts with long pauses, the next call pays for a
-    /// handshake.
+    /// Closes the idle connections to an endpoint whose connections are scarce. Also closes those
+    /// to an endpoint of a kind whose connections are scarce, if the route makes less than one call
+    /// per idle timeout: they would time out before their next use. Protects endpoints that accept
+    /// few connections against hundreds of senders that each keep one idle. Drawback: where traffic
+    /// comes in bursts with long pauses, the next call pays for a handshake.
     pub(super) fn close_idle_connection(
         &mut self,
         route: RouteId,
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -7,7 +7,7 @@
 
 /// Safety margin in microseconds: no attempt starts this close to the deadline of a message, so
 /// that a last answer can still arrive, or this close to the end of the window of an idempotency
-/// key or of a wait.
+/// key.
 pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
 /// Share of the maximum number of pending messages above which messages that can't be sent now are
 /// rejected. Higher keeps more messages for a destination that recovers; lower leaves more capacity
--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -82,8 +82,8 @@
             route.fair_share *= factor;
             route.listed_rate *= factor;
             if factor < 1.0 {
-                // senders have come back: their part of the learned rates is given back, and only
-                // successes raise the rates again
+                // senders have come back: this sender gives up their part of the learned rates, and
+                // only successes raise the rates again
                 route.rate_limit *= factor;
                 route.best_rate *= factor;
             }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -18,7 +18,8 @@
     pub report: &'a [f64],
 }
 
-/// An attempt that has just ended.
+/// Properties of an attempt that has just ended; used to end its call and to judge its endpoint and
+/// route.
 struct EndedAttempt {
     class: usize,
     call: u64,
@@ -26,7 +27,8 @@
     sent: Micros,
 }
 
-/// The call of an attempt that has just ended.
+/// Properties of the call whose attempt has just ended, which remain valid if the call ended with
+/// it.
 struct EndedCall {
     route: RouteId,
     /// True if no other message of the call ended before. Only the first outcome of a call is used
@@ -223,8 +225,8 @@
         let nothing_succeeds = !route.succeeded;
         let shows_congestion = nothing_succeeds || observation.outcome != Outcome::Error;
         let is_new = shows_congestion && route.decrease_concurrency_limit(observation.sent, now);
-        // the failure score of a route with a call or more per overload span soon decides; only a
-        // seldom called one needs a lower rate
+        // a route with a call or more per overload span is soon ejected by its failure score; one
+        // that is called less often gets a lower rate limit first
         let is_seldom_called = route.calls_in(overload_span, now, warm_up_time) < 1.0;
         if is_new && nothing_succeeds && is_seldom_called {
             let decrease = RateDecrease {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -21,18 +21,19 @@
 /// Failure score below which a route is trusted with non-idempotent messages.
 pub(super) const TRUSTED_SCORE: f64 = 0.25;
 /// Number of consecutive rejections, over at least `CLOSED_SPAN`, after which a destination counts
-/// as closed rather than throttled.
+/// as closed: out of service rather than throttled.
 const CLOSED_REJECTIONS: u32 = 4;
 /// Minimum time from the first to the last of the consecutive rejections after which a destination
-/// counts as closed rather than throttled.
+/// counts as closed: out of service rather than throttled.
 const CLOSED_SPAN: Micros = SECOND;
 /// Maximum number of doublings of the time for which failures of one class count against an
-/// endpoint. That time starts from a quarter of the overload span. Higher spares more messages;
-/// lower returns sooner to an endpoint that is healthy again.
+/// endpoint. That time starts from a quarter of the overload span. Higher saves more messages from
+/// failing there; lower returns sooner to an endpoint that is healthy again.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 impl Sender {
-    /// Ejects a route. Until it recovers, its rate follows from the recovery budget.
+    /// Ejects a route. Until it is healthy again, its call rate follows from the recovery budget:
+    /// what it can take while it recovers.
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -79,8 +79,8 @@
             || self.is_lost_with_others(message, attempt, route, pressure)
     }
 
-    /// Returns true if the attempt is late and nothing sent with or after it has been answered: on
-    /// the whole ejected route, or for the same class at the same endpoint.
+    /// Returns true if the attempt is late and, since it was sent, either the ejected route has
+    /// answered nothing or its class has had no success at its endpoint.
     fn is_lost_with_others(
         &self,
         message: &PendingMessage,
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -6,13 +6,14 @@
 use crate::interface::{Action, EjectionReason, MILLISECOND, Micros, SECOND};
 use std::collections::BTreeSet;
 
-/// Number of hedge delays after which a call counts as unanswered.
+/// Number of hedge delays after which a call counts as unanswered. Several unanswered calls, or a
+/// single one after twice that time, eject their route.
 const RESPONSE_LIMIT_HEDGE_DELAYS: i64 = 2;
 /// Minimum time after which a call counts as unanswered, however short the hedge delay is.
 const MIN_RESPONSE_LIMIT: Micros = SECOND;
-/// Number of usual latencies after which a call in flight makes its route lagging; all lagging and
-/// ejected routes together may hold only a part of the call slots. Lower isolates slow routes
-/// sooner; higher leaves room for long but healthy calls.
+/// Number of usual latencies for which a call may be in flight before its route counts as lagging.
+/// All lagging and ejected routes together may hold only a part of the call slots. Lower isolates
+/// slow routes sooner; higher leaves room for long but healthy calls.
 const LAGGING_LATENCIES: i64 = 4;
 /// Number of hedge delays after which a call counts as lost if no call slot is free and the route
 /// has answered other calls meanwhile. No event occurs at that time, so a turn has to be scheduled
--- a/src/decisions/permission.rs
+++ b/src/decisions/permission.rs
@@ -21,7 +21,8 @@
             && (joins_call || self.has_free_slot(message.destination))
     }
 
-    /// Returns true while nothing at all may be sent.
+    /// Returns true while no message at all may be sent: the endpoint list may be out of date, or
+    /// the local host fails.
     pub(super) fn is_sending_suspended(&self) -> bool {
         self.list_stale || self.host_failing
     }
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -120,9 +120,10 @@
 
     /// Limits the rate at which messages are sent that waited while sending was suspended or the
     /// process restarted: to the best known rate, or to one and a half times the fair share of the
-    /// listed rate if that is more. Protects the limits of destinations against the backlogs of
-    /// hundreds of senders at the same time. Drawback: a sender that has most of the traffic may be
-    /// slowed down. After a restart each route is limited once; after a suspension, every time.
+    /// listed rate if that is more. The first call starts after a random time. Protects the limits
+    /// of destinations against the backlogs of hundreds of senders at the same time. Drawback: a
+    /// sender that has most of the traffic may be slowed down. After a restart each route is
+    /// limited once; after a suspension, every time.
     pub(super) fn spread_backlog(&mut self, was_suspended: bool) {
         if self.contention() <= 0.0 {
             return;
@@ -170,7 +171,8 @@
         self.best_rate * (1.0 - contention) + certain.min(self.best_rate) * contention
     }
 
-    /// Raises the best rate after a call that succeeded now, if the rate of successes is higher.
+    /// Counts a call that succeeded at `now`, and raises the best rate if successes are now more
+    /// frequent.
     pub(super) fn record_best_rate(&mut self, now: Micros, span: Micros, contention: f64) {
         self.served.push(now, usize::MAX);
         // a sender of a large fleet makes too few calls in an overload span to measure a rate
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -8,7 +8,7 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// Tokens that a call needs.
+/// Tokens that the route's bucket must hold for an ordinary call.
 const TOKENS_OF_CALL: f64 = 1.0;
 /// Tokens that must be available for a call that is better avoided: a hedge, or a non-idempotent
 /// message on an ejected route.
@@ -31,7 +31,8 @@
     is_avoided: bool,
     /// Number of earlier attempts of the message at the endpoint.
     attempts: usize,
-    /// Load of the endpoint: mainly its number of calls in flight.
+    /// Number of calls in flight to the endpoint, plus one if its route is shared with other
+    /// endpoints; 0 if the message joins an open call.
     load: usize,
     is_in_other_zone: bool,
     /// Random number that spreads messages over otherwise equal endpoints.
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -7,7 +7,8 @@
 use super::state::{Endpoint, Health, Route, RouteId, seconds};
 use crate::interface::{Action, EndpointId, MILLISECOND, Micros, RouteEvent, Safety};
 
-/// Fraction of the recovery budget that is used. Higher recovers sooner; lower leaves room for
+/// Fraction of the recovery budget that is used; the budget is the call rate above which a
+/// recovering destination would be overloaded again. Higher recovers sooner; lower leaves room for
 /// other senders.
 const BUDGET_SHARE: f64 = 0.7;
 /// Number of calls per overload span that all senders together may try on an ejected route, however
--- a/src/decisions/state/endpoint.rs
+++ b/src/decisions/state/endpoint.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// State of one endpoint.
+/// One endpoint: its entry in the endpoint list, its status and recent outcomes.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Endpoint {
     /// Destination of the endpoint in the last endpoint list that named it.
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -7,7 +7,7 @@
 /// Call number of attempts made by an earlier process; no call in flight has this number.
 const NO_CALL: u64 = u64::MAX;
 
-/// One attempt to deliver a message.
+/// One attempt to deliver a message, kept until the message is complete.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Attempt {
     pub endpoint: EndpointId,
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -76,7 +76,7 @@
     pub alive_at: Micros,
     /// Time of the last failure or rejection.
     pub failed_at: Micros,
-    /// Time of the first of the consecutive rejections.
+    /// Time of the first rejection since the last success.
     pub rejected_since: Micros,
     /// Number of rejections since the last success.
     pub consecutive_rejections: u32,
