--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -29,16 +29,17 @@
         /// Number of the attempt to cancel, counted from 0 for each message.
         attempt: usize,
     },
-    /// Return a message undelivered to its client, who may safely hand it in again: no attempt can
-    /// have run.
+    /// End a message undelivered. The client may safely hand it in again, because no attempt can
+    /// have run or the effect of the message's class makes a repeat harmless.
     Reject {
-        /// Message to return.
+        /// Message to end.
         message: MessageId,
         /// Time in microseconds after which the client should hand in the message again; `None`
         /// sends the client no Retry-After.
         retry_after: Option<Micros>,
     },
-    /// End this message as failed: an attempt may have run, but none is known to have succeeded.
+    /// End this message as failed: no attempt is known to have succeeded, but one may have run, and
+    /// a repeat could do harm.
     Fail(MessageId),
     /// Set the sender's timer: hand in [`Event::TimerExpired`](super::Event::TimerExpired) at this
     /// time, in microseconds.
--- a/src/interface/classes.rs
+++ b/src/interface/classes.rs
@@ -8,7 +8,7 @@
 pub struct Class {
     /// Name of the class, unique among the classes of a sender.
     pub name: String,
-    /// What a repeated attempt does at the destination.
+    /// Effect of a repeated attempt at the destination.
     pub effect: Effect,
     /// Age in microseconds up to which a delivery keeps the full priority weight of its
     /// message.
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -58,8 +58,9 @@
     /// This message ended before a restart, but its outcome notification has not been delivered
     /// yet.
     NotificationPending(NewMessage),
-    /// The outcome notification of this message, whose end the sender decided, has been delivered:
-    /// the message is complete.
+    /// The outcome notification of this message, which the sender ended with
+    /// [`Action::Reject`](super::Action::Reject) or [`Action::Fail`](super::Action::Fail), has been
+    /// delivered: the message is complete.
     NotificationDelivered(MessageId),
     /// The settings have changed. Classes, kinds, zones and tenants keep their positions. A class
     /// with changed terms gets a new position, because pending messages keep the terms under which
--- a/src/interface/rules.rs
+++ b/src/interface/rules.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a repeated attempt of a message does at its destination.
+/// Effect of a repeated attempt of a message at its destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     /// The message is idempotent: repeated attempts do no harm.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -102,12 +102,12 @@
     /// the list without being asked.
     #[serde(rename = "list_on_request")]
     pub list_by_subscription: bool,
-    /// Whether a message whose end the sender decides becomes complete only with
+    /// Whether a message that the sender itself rejects or fails becomes complete only with
     /// [`Event::NotificationDelivered`](super::Event::NotificationDelivered).
     #[serde(rename = "ends_by_notice")]
     pub completion_by_notification: bool,
-    /// How far the weights in the endpoint list can be trusted as rates of the destinations: 0 not
-    /// at all, 0.5 if they may be wrong by up to half, 1 if they are exact.
+    /// Trust in the weights of the endpoint list as rates of the destinations: 0 if the weights say
+    /// nothing about rates, 0.5 if they may be wrong by up to half, 1 if they are exact.
     pub weight_trust: f64,
     /// Index of the value in a load report that gives the remaining share of the endpoint's limit;
     /// `None` if reports do not contain it.
--- a/src/message_index/candidates.rs
+++ b/src/message_index/candidates.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Candidates {
     heap: BinaryHeap<Candidate>,
-    /// Sides of groups of which nothing can be sent for now, by destination.
+    /// Group sides whose messages cannot be sent for now, by destination.
     skipped: BTreeMap<DestinationId, Vec<GroupSide>>,
 }
 
--- a/src/message_index/entry.rs
+++ b/src/message_index/entry.rs
@@ -55,7 +55,7 @@
     /// Time in microseconds from which on no further attempt can be allowed, so that the message
     /// must end undelivered; `Micros::MAX` if there is no such time.
     pub no_send_after: Micros,
-    /// When the next attempt may be sent.
+    /// When the next attempt may be sent, and in which group the message waits once it may.
     pub eligibility: Eligibility,
 }
 
--- a/src/message_index/group_order.rs
+++ b/src/message_index/group_order.rs
@@ -46,11 +46,11 @@
 /// part, the urgency never rises, so the first member is among the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// Messages created at the peak or later, the oldest first: their urgency still rises with
-    /// age.
+    /// Messages created at [`GroupOrder::peak`] or later, the oldest first: their urgency still
+    /// rises with age.
     Rising,
-    /// Messages created before the peak, the youngest first: their urgency no longer rises
-    /// with age.
+    /// Messages created before [`GroupOrder::peak`], the youngest first: their urgency no longer
+    /// rises with age.
     Falling,
 }
 
--- a/src/message_index/index.rs
+++ b/src/message_index/index.rs
@@ -6,7 +6,8 @@
 use crate::interface::{DestinationId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One of the two sides of a group of messages for one destination.
+/// A group of messages for one destination, restricted to the messages on one side of the peak of
+/// urgency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupSide {
     pub destination: DestinationId,
--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -118,24 +118,24 @@
     /// Removes the record of a closed connection and counts the reason of its end at the
     /// endpoint.
     pub(super) fn remove_connection(&mut self, connection: u64, reason: CloseReason) {
-        let Some(known) = self.connections.remove(&connection) else {
+        let Some(record) = self.connections.remove(&connection) else {
             return;
         };
-        let Some(endpoint) = self.endpoints.get_mut(&known.target) else {
+        let Some(endpoint) = self.endpoints.get_mut(&record.target) else {
             return;
         };
-        match known.state {
+        match record.state {
             ConnectionState::Idle { since } => {
                 endpoint.idle.retain(|idle| *idle != connection);
                 self.idle.remove(&(since, connection));
             }
             ConnectionState::Leased { .. } => {
                 endpoint.leased -= 1;
-                endpoint.leased_proven -= usize::from(known.is_proven);
+                endpoint.leased_proven -= usize::from(record.is_proven);
             }
             ConnectionState::Dialling { .. } => endpoint.dialling -= 1,
         }
-        if known.is_trial
+        if record.is_trial
             && let Some(cap) = &mut endpoint.cap
         {
             cap.end_trial();
--- a/src/pool/dials.rs
+++ b/src/pool/dials.rs
@@ -135,16 +135,16 @@
 
     /// Records that a dial succeeded: the new connection becomes idle and goes to a waiting call.
     pub fn dial_succeeded(&mut self, now: Micros, connection: u64, commands: &mut Vec<Command>) {
-        let Some(known) = self.connections.get_mut(&connection) else {
+        let Some(record) = self.connections.get_mut(&connection) else {
             return;
         };
-        let ConnectionState::Dialling { .. } = known.state else {
+        let ConnectionState::Dialling { .. } = record.state else {
             return;
         };
-        known.last_received_at = now;
-        known.connected_at = now;
-        known.state = ConnectionState::Idle { since: now };
-        let target = known.target;
+        record.last_received_at = now;
+        record.connected_at = now;
+        record.state = ConnectionState::Idle { since: now };
+        let target = record.target;
         self.dialling -= 1;
         self.idle.insert((now, connection));
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
@@ -163,14 +163,14 @@
         failure: DialFailure,
         commands: &mut Vec<Command>,
     ) {
-        let Some(known) = self.connections.get(&connection) else {
+        let Some(record) = self.connections.get(&connection) else {
             return;
         };
-        let ConnectionState::Dialling { since } = known.state else {
+        let ConnectionState::Dialling { since } = record.state else {
             return;
         };
-        let target = known.target;
-        let is_trial = known.is_trial;
+        let target = record.target;
+        let is_trial = record.is_trial;
         self.connections.remove(&connection);
         self.dialling -= 1;
         if is_trial && failure != DialFailure::Local {
--- a/src/pool/endpoints.rs
+++ b/src/pool/endpoints.rs
@@ -47,8 +47,8 @@
     }
 
     /// Applies a Retry-After of the endpoint's destination that lasts until `until`, a time in
-    /// microseconds. Waiting calls are denied a connection, because they must not be written when
-    /// one comes up; the endpoint is not prewarmed until then.
+    /// microseconds. Waiting calls are denied a connection, because they must not be written to a
+    /// connection that comes up before then; the endpoint is not prewarmed until then.
     pub fn apply_retry_after(
         &mut self,
         target: EndpointAddress,
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -64,11 +64,11 @@
 
     /// Returns true if the connection is idle and has reached its idle timeout.
     pub(super) fn is_idle_expired(&self, now: Micros, connection: u64) -> bool {
-        let Some(known) = self.connections.get(&connection) else {
+        let Some(record) = self.connections.get(&connection) else {
             return false;
         };
-        match known.state {
-            ConnectionState::Idle { since } => now - since >= self.idle_timeout(now, known.target),
+        match record.state {
+            ConnectionState::Idle { since } => now - since >= self.idle_timeout(now, record.target),
             _ => false,
         }
     }
@@ -122,7 +122,7 @@
     }
 
     /// Returns true if idle connections are closed at once, because endpoints accept fewer
-    /// connections than all senders want and each idle one keeps another sender waiting. Small
+    /// connections than all senders need and each idle one keeps another sender waiting. Small
     /// fleets keep their idle connections.
     pub(super) fn closes_idle_at_once(&self) -> bool {
         self.limits.senders > SMALL_FLEET_SENDERS && self.scarcity.is_scarce()
@@ -189,8 +189,8 @@
             .flat_map(|(_, endpoint)| endpoint.idle.clone())
             .collect();
         for connection in idle {
-            let known = self.connections.get(&connection);
-            if known.is_some_and(|known| known.last_received_at < since) {
+            let record = self.connections.get(&connection);
+            if record.is_some_and(|record| record.last_received_at < since) {
                 self.close(connection, CloseReason::Suspect, commands);
             }
         }
--- a/src/pool/leases.rs
+++ b/src/pool/leases.rs
@@ -75,10 +75,10 @@
         connection: u64,
         commands: &mut Vec<Command>,
     ) {
-        let Some(known) = self.connections.get_mut(&connection) else {
+        let Some(record) = self.connections.get_mut(&connection) else {
             return;
         };
-        let ConnectionState::Idle { since } = known.state else {
+        let ConnectionState::Idle { since } = record.state else {
             return;
         };
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
@@ -89,11 +89,11 @@
         };
         endpoint.idle.retain(|idle| *idle != connection);
         endpoint.leased += 1;
-        endpoint.leased_proven += usize::from(known.is_proven);
-        let idle_for = (known.calls > 0).then_some(now - since);
+        endpoint.leased_proven += usize::from(record.is_proven);
+        let idle_for = (record.calls > 0).then_some(now - since);
         endpoint.counters.reuses += u64::from(idle_for.is_some());
-        known.calls += 1;
-        known.state = ConnectionState::Leased {
+        record.calls += 1;
+        record.state = ConnectionState::Leased {
             since: now,
             leased_proven: endpoint.leased_proven,
             idle_for,
@@ -123,14 +123,14 @@
     /// because the endpoint has no room for the connection; such a rejection says nothing about
     /// how many calls the endpoint accepts.
     pub fn record_answer(&mut self, now: Micros, connection: u64, answer: AnswerKind) -> bool {
-        let Some(known) = self.connections.get_mut(&connection) else {
+        let Some(record) = self.connections.get_mut(&connection) else {
             return false;
         };
         let ConnectionState::Leased {
             since,
             leased_proven,
             ..
-        } = known.state
+        } = record.state
         else {
             return false;
         };
@@ -138,15 +138,15 @@
             answer,
             began_at: since,
             leased_proven,
-            is_first: known.calls == 1,
-            connected_at: known.connected_at,
+            is_first: record.calls == 1,
+            connected_at: record.connected_at,
         };
-        known.last_received_at = now;
+        record.last_received_at = now;
         self.scarcity.record(answer, call.is_first);
-        let newly_proven = answer == AnswerKind::Served && !known.is_proven;
-        known.is_proven |= newly_proven;
-        let target = known.target;
-        let was_trial = std::mem::take(&mut known.is_trial);
+        let newly_proven = answer == AnswerKind::Served && !record.is_proven;
+        record.is_proven |= newly_proven;
+        let target = record.target;
+        let was_trial = std::mem::take(&mut record.is_trial);
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
             endpoint.leased_proven += usize::from(newly_proven);
         }
@@ -161,16 +161,16 @@
 
     /// Ends the lease of a connection that can carry another call.
     pub fn release(&mut self, now: Micros, connection: u64, commands: &mut Vec<Command>) {
-        let Some(known) = self.connections.get_mut(&connection) else {
+        let Some(record) = self.connections.get_mut(&connection) else {
             return;
         };
-        let ConnectionState::Leased { .. } = known.state else {
+        let ConnectionState::Leased { .. } = record.state else {
             return;
         };
-        known.last_received_at = now;
-        known.state = ConnectionState::Idle { since: now };
-        let target = known.target;
-        let is_proven = known.is_proven;
+        record.last_received_at = now;
+        record.state = ConnectionState::Idle { since: now };
+        let target = record.target;
+        let is_proven = record.is_proven;
         self.idle.insert((now, connection));
         let half_life = self.limits.demand_half_life;
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
@@ -192,16 +192,16 @@
         reason: CloseReason,
         commands: &mut Vec<Command>,
     ) {
-        let Some(known) = self.connections.get(&connection) else {
+        let Some(record) = self.connections.get(&connection) else {
             return;
         };
         let ConnectionState::Leased {
             since, idle_for, ..
-        } = known.state
+        } = record.state
         else {
             return;
         };
-        let target = known.target;
+        let target = record.target;
         self.update_endpoint_after_discard(now, target, reason);
         if let (CloseReason::Reset, Some(idle_for)) = (reason, idle_for) {
             self.shorten_idle_timeout(now, target, idle_for);
--- a/src/pool/prewarm.rs
+++ b/src/pool/prewarm.rs
@@ -19,7 +19,7 @@
     /// dial is random, so that the senders of a fleet don't dial at the same time.
     pub(super) fn prewarm(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let max_unused = (self.limits.prewarm_share * self.limits.total as f64) as usize;
-        let is_unused = |known: &&Connection| known.calls == 0;
+        let is_unused = |record: &&Connection| record.calls == 0;
         let mut unused = self.connections.values().filter(is_unused).count();
         let fleet_interval = PREWARM_INTERVAL_PER_SENDER * Micros::from(self.limits.senders);
         let interval = MIN_PREWARM_INTERVAL.max(fleet_interval);
--- a/src/pool/sizing.rs
+++ b/src/pool/sizing.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 
 /// Number of calls by which the decaying peak may exceed a whole number without needing one more
-/// connection. A peak of 3.25 calls still wants 3 connections.
+/// connection. A peak of 3.25 calls still needs 3 connections only.
 const PEAK_SLACK: f64 = 0.25;
 
 /// The recent peak of concurrent calls, which decays from `calls` at the time `at`.
