--- a/src/interface/classes.rs
+++ b/src/interface/classes.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Returns the share of the priority weight, from 0 to 1, that a delivery at this `age` keeps.
+    /// Returns the share of the priority weight, from 0 to 1, that a delivery keeps at the message's
+    /// `age` in microseconds.
     pub fn remaining_weight(&self, age: Micros, decay: WeightDecay) -> f64 {
         let late = (age - self.latency_objective) as f64;
         let remaining = match decay {
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -34,7 +34,7 @@
     /// A poll of the endpoint list failed, or the subscription broke. The sender subscribes again
     /// after a backoff.
     EndpointListFailed,
-    /// `true`: the endpoint list may miss a change that counts as received by all senders, so
+    /// `true`: the endpoint list may lack a change that every sender is required to know by now, so
     /// nothing is sent. `false`: the list is known to be up to date again.
     EndpointListStale(bool),
     /// `true`: the local host cannot record attempts in the journal, so nothing is sent. `false`:
