--- a/src/net/calls/answer.rs
+++ b/src/net/calls/answer.rs
@@ -267,9 +267,10 @@
     items: &[Item],
     retry_after: Option<Micros>,
 ) -> Vec<AttemptResult> {
-    let lines: HashMap<&[u8], BulkLine<'_>> = BulkLine::all_in(answer.text, answer.is_length_told)
-        .map(|line| (line.id(), line))
-        .collect();
+    let lines: HashMap<&[u8], BulkLine<'_>> =
+        BulkLine::parse_complete(answer.text, answer.is_length_told)
+            .map(|line| (line.id(), line))
+            .collect();
     let result = |item: &Item| match lines.get(item.id.as_bytes()) {
         Some(line) => result_of_line(line, retry_after),
         None => Outcome::Error.into(),
@@ -285,7 +286,7 @@
     if let Some(proof) = EndProof::of_gone_line(line) {
         return AttemptResult::gone(proof);
     }
-    match line.word() {
+    match line.status() {
         b"later" => Outcome::Rejected { retry_after }.into(),
         b"exhausted" => NOT_SENT.into(),
         _ => Outcome::Error.into(),
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: how they begin, how they are cancelled and how they end.
 
 use super::Driver;
-use super::calls_in_flight::{Bundle, Send, add_to_bundle};
+use super::calls_in_flight::{Bundle, PermittedAttempt, add_to_bundle};
 use super::violations::Violation;
 use crate::net::calls;
 use crate::net::events::{AttemptEnd, HandoverMessage};
@@ -54,7 +54,7 @@
                 .events
                 .push(ended_without_call(attempt, NOT_SENT, !open));
         }
-        let size = calls::bulk_size(&pending.item);
+        let size_bytes = calls::bulk_size(&pending.item);
         self.messages
             .begin_attempt(attempt.message, attempt.endpoint, now);
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else {
@@ -74,13 +74,13 @@
             endpoint: &uid,
         };
         self.log_event(attempt.message, &began);
-        let send = Send {
+        let permitted = PermittedAttempt {
             attempt,
             expires: request.expires,
             start_by: request.start_by,
-            size,
+            size_bytes,
         };
-        add_to_bundle(bundles, send, max_messages);
+        add_to_bundle(bundles, permitted, max_messages);
     }
 
     /// The attempt's position in the journal; none if it must not begin.
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -17,46 +17,50 @@
     /// The call must not begin later.
     start_by: Option<Micros>,
     /// The message and attempt of each position.
-    sends: Vec<(MessageId, usize)>,
+    attempts: Vec<(MessageId, usize)>,
     /// Bytes of all messages.
-    size: usize,
+    size_bytes: usize,
 }
 
 /// One attempt that may begin.
-pub(super) struct Send {
+pub(super) struct PermittedAttempt {
     pub attempt: InFlightAttempt,
     pub expires: Micros,
     pub start_by: Option<Micros>,
     /// Bytes of the message in a call.
-    pub size: usize,
+    pub size_bytes: usize,
 }
 
 /// Adds a send to a bundle that has room, or to a new one.
-pub(super) fn add_to_bundle(bundles: &mut Vec<Bundle>, send: Send, max_messages: usize) {
+pub(super) fn add_to_bundle(
+    bundles: &mut Vec<Bundle>,
+    permitted: PermittedAttempt,
+    max_messages: usize,
+) {
     let InFlightAttempt {
         message,
         number,
         endpoint,
-    } = send.attempt;
+    } = permitted.attempt;
     let has_room = |bundle: &&mut Bundle| {
         bundle.endpoint == endpoint
-            && bundle.sends.len() < max_messages
-            && bundle.size + send.size <= MAX_BODY_BYTES
+            && bundle.attempts.len() < max_messages
+            && bundle.size_bytes + permitted.size_bytes <= MAX_BODY_BYTES
     };
     match bundles.iter_mut().find(has_room) {
         Some(bundle) => {
-            bundle.sends.push((message, number));
-            bundle.expires = bundle.expires.max(send.expires);
-            let starts = [bundle.start_by, send.start_by];
+            bundle.attempts.push((message, number));
+            bundle.expires = bundle.expires.max(permitted.expires);
+            let starts = [bundle.start_by, permitted.start_by];
             bundle.start_by = starts.into_iter().flatten().min();
-            bundle.size += send.size;
+            bundle.size_bytes += permitted.size_bytes;
         }
         None => bundles.push(Bundle {
             endpoint,
-            expires: send.expires,
-            start_by: send.start_by,
-            sends: vec![(message, number)],
-            size: send.size,
+            expires: permitted.expires,
+            start_by: permitted.start_by,
+            attempts: vec![(message, number)],
+            size_bytes: permitted.size_bytes,
         }),
     }
 }
@@ -65,7 +69,7 @@
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     calls: BTreeMap<u64, InFlightCall>,
-    next: u64,
+    next_number: u64,
 }
 
 impl CallsInFlight {
@@ -92,16 +96,16 @@
 
     /// The number of the next new call.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    pub fn set_next_number(&mut self, next: u64) {
-        self.next = next;
+    pub fn set_next_number(&mut self, next_number: u64) {
+        self.next_number = next_number;
     }
 
     fn take_number(&mut self) -> u64 {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         number
     }
 
@@ -129,11 +133,11 @@
     /// Starts the call of a bundle.
     pub(super) fn start_call(&mut self, bundle: Bundle) {
         let number = self.calls_in_flight.take_number();
-        let Some(place) = self.endpoints.place_of(bundle.endpoint) else {
+        let Some(target) = self.endpoints.address_of(bundle.endpoint) else {
             return self.abandon_bundle(bundle);
         };
-        let mut items = Vec::with_capacity(bundle.sends.len());
-        for (position, &(message, attempt)) in bundle.sends.iter().enumerate() {
+        let mut items = Vec::with_capacity(bundle.attempts.len());
+        for (position, &(message, attempt)) in bundle.attempts.iter().enumerate() {
             // an attempt that is in flight keeps its message
             let Some(held) = self.messages.get_mut(message) else {
                 continue;
@@ -147,13 +151,13 @@
         let (cancels, cancelled) = mpsc::unbounded_channel();
         let in_flight = InFlightCall {
             cancels: Some(cancels),
-            left: bundle.sends.len(),
-            items: bundle.sends,
+            left: bundle.attempts.len(),
+            items: bundle.attempts,
         };
         self.calls_in_flight.insert(number, in_flight);
         let call = Call {
             number,
-            target: place,
+            target,
             items,
             expires: self.clock.instant(bundle.expires),
             start_by: bundle.start_by.map(|by| self.clock.instant(by)),
@@ -163,7 +167,7 @@
 
     /// The endpoint has no address: nothing of the bundle is sent.
     fn abandon_bundle(&mut self, bundle: Bundle) {
-        for &(message, number) in &bundle.sends {
+        for &(message, number) in &bundle.attempts {
             self.lifecycle
                 .end_attempt(message, NOT_SENT, Micros::MIN, 0);
             self.attempt_not_sent(InFlightAttempt {
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -148,7 +148,7 @@
             destination: submission.destination,
             time_limit: submission.time_limit,
             received_at: self.clock.at(submission.received_at),
-            again: submission.again,
+            resubmitted: submission.resubmitted,
             orphan: submission.orphan,
             body: submission.body.to_vec(),
         };
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -145,8 +145,10 @@
         };
         if let Some(address) = record.address {
             let serving = record.listed && record.serving && !self.journal.is_disabled(&record.uid);
-            let place = EndpointAddress { address, endpoint };
-            self.calls.connections().set_serving(place, serving);
+            let endpoint_address = EndpointAddress { address, endpoint };
+            self.calls
+                .connections()
+                .set_serving(endpoint_address, serving);
         }
     }
 
@@ -168,11 +170,13 @@
             let same_route = !separate_routes && record.destination == origin.destination;
             let concerned = other == endpoint || same_route;
             if let Some(address) = record.address.filter(|_| concerned) {
-                let place = EndpointAddress {
+                let endpoint_address = EndpointAddress {
                     address,
                     endpoint: other,
                 };
-                self.calls.connections().apply_retry_after(place, wait);
+                self.calls
+                    .connections()
+                    .apply_retry_after(endpoint_address, wait);
             }
         }
     }
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -53,7 +53,7 @@
 pub(super) struct Endpoints {
     records: BTreeMap<EndpointId, EndpointRecord>,
     by_uid: HashMap<String, EndpointId>,
-    next: u32,
+    next_number: u32,
 }
 
 impl Endpoints {
@@ -89,8 +89,8 @@
         if let Some(endpoint) = self.id_of(uid) {
             return endpoint;
         }
-        let endpoint = EndpointId(self.next);
-        self.next += 1;
+        let endpoint = EndpointId(self.next_number);
+        self.next_number += 1;
         self.insert(endpoint, EndpointRecord::unlisted(uid));
         endpoint
     }
@@ -103,15 +103,15 @@
 
     /// The number that the next new endpoint gets.
     pub fn next_number(&self) -> u32 {
-        self.next
+        self.next_number
     }
 
-    pub fn set_next_number(&mut self, next: u32) {
-        self.next = next;
+    pub fn set_next_number(&mut self, next_number: u32) {
+        self.next_number = next_number;
     }
 
     /// Where an endpoint takes calls.
-    pub fn place_of(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
+    pub fn address_of(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let address = self.get(endpoint)?.address?;
         Some(EndpointAddress { address, endpoint })
     }
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -50,7 +50,7 @@
 }
 
 /// An entry of the list as the freeze compares it.
-fn listed_state(listed: &ListedEndpoint) -> EndpointSnapshot {
+fn listed_snapshot(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
         up: listed.status == EndpointStatus::Serving,
         destination: listed.destination,
@@ -60,7 +60,7 @@
 }
 
 /// What is known of an endpoint that the last list had.
-fn known_state(record: &EndpointRecord) -> Option<EndpointSnapshot> {
+fn known_snapshot(record: &EndpointRecord) -> Option<EndpointSnapshot> {
     record.listed.then(|| EndpointSnapshot {
         up: record.serving,
         destination: record.destination,
@@ -95,7 +95,7 @@
         before: Option<EndpointSnapshot>,
     ) -> Option<ListedEndpoint> {
         self.held_back.remove(&entry.uid);
-        let resource = resource_change(before.as_ref(), &listed_state(&entry));
+        let resource = resource_change(before.as_ref(), &listed_snapshot(&entry));
         let verdict = resource.map(|resource| self.check.check_changes(now, &resource));
         let Some(Err(error)) = verdict else {
             return Some(entry);
@@ -179,7 +179,7 @@
         }
         let endpoints = &self.endpoints;
         let usable = update.targets.into_iter().filter_map(|entry| {
-            let before = endpoints.by_uid(&entry.uid).and_then(known_state);
+            let before = endpoints.by_uid(&entry.uid).and_then(known_snapshot);
             filter.filter(now, entry, before)
         });
         update.targets = usable.collect();
@@ -189,20 +189,20 @@
     /// Admits what is held back no more, one entry at a time; true if one was.
     pub(super) fn admit_unfrozen(&mut self) -> bool {
         let now = self.freeze_time();
-        let at = self.clock.at(Instant::now());
+        let now_us = self.clock.at(Instant::now());
         let Some(filter) = &mut self.freeze else {
             return false;
         };
-        if filter.held_back.is_empty() || at < filter.next_admission {
+        if filter.held_back.is_empty() || now_us < filter.next_admission {
             return false;
         }
         let endpoints = &self.endpoints;
-        let free = filter.held_back.iter().find(|(uid, entry)| {
-            let before = endpoints.by_uid(uid).and_then(known_state);
-            resource_change(before.as_ref(), &listed_state(entry))
+        let released = filter.held_back.iter().find(|(uid, entry)| {
+            let before = endpoints.by_uid(uid).and_then(known_snapshot);
+            resource_change(before.as_ref(), &listed_snapshot(entry))
                 .is_none_or(|resource| filter.check.check_changes(now, &resource).is_ok())
         });
-        let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
+        let Some(uid) = released.map(|(uid, _)| uid.clone()) else {
             return false;
         };
         let Some(entry) = filter.held_back.remove(&uid) else {
@@ -210,7 +210,7 @@
         };
         // senders whose freeze ends at one moment do not admit the same entry at that moment
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
-        filter.next_admission = at + interval / 2 + self.admission_jitter.next(interval);
+        filter.next_admission = now_us + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
         net::log(format_args!("freeze: {uid} is admitted"));
         self.admit_entries(vec![entry]);
@@ -249,11 +249,11 @@
     }
 
     /// A further time up to `interval`.
-    fn next(&mut self, interval: Micros) -> Micros {
+    fn next_delay(&mut self, interval: Micros) -> Micros {
         self.0 = self.0.wrapping_add(1);
         let draw = Pcg32::seed_from_u64(self.0).next_u32();
-        let part = f64::from(draw) / f64::from(u32::MAX);
-        (interval as f64 * part) as Micros
+        let fraction = f64::from(draw) / f64::from(u32::MAX);
+        (interval as f64 * fraction) as Micros
     }
 }
 
--- a/src/net/driver/journal_state.rs
+++ b/src/net/driver/journal_state.rs
@@ -38,7 +38,7 @@
         .await
     }
 
-    fn logged<T>(&self, written: Result<T, JournalError>) -> Option<T> {
+    fn log_error<T>(&self, written: Result<T, JournalError>) -> Option<T> {
         written
             .inspect_err(|error| self.log.log(format_args!("journal: {error}")))
             .ok()
@@ -62,7 +62,7 @@
     /// Tries again what failed; true if the journal takes records again and the decision module is to learn of it.
     pub fn retry(&mut self) -> bool {
         let written = self.journal.retry_pending();
-        self.logged(written);
+        self.log_error(written);
         self.reported_failing && !self.journal.is_failing()
     }
 
@@ -75,37 +75,37 @@
         terms: ClassTerms,
     ) -> bool {
         let written = self.journal.accept(message.0, accepted, origin, terms);
-        self.logged(written).is_some()
+        self.log_error(written).is_some()
     }
 
     /// Writes an attempt down; its position in the journal, or none if it is not written.
     pub fn start_attempt(&mut self, message: MessageId, uid: &str, now: Micros) -> Option<usize> {
         let written = self.journal.start_attempt(message.0, uid, now);
-        self.logged(written)
+        self.log_error(written)
     }
 
     /// The attempt at this position has proved that it never ran.
     pub fn attempt_never_ran(&mut self, message: MessageId, position: usize) {
         let written = self.journal.attempt_never_ran(message.0, position);
-        self.logged(written);
+        self.log_error(written);
     }
 
     /// The message ended undelivered, and a notification is pending.
     pub fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
         let written = self.journal.end_undelivered(message.0, outcome);
-        self.logged(written);
+        self.log_error(written);
     }
 
     /// Nothing more is owed for the message, as the proof shows.
     pub fn complete(&mut self, message: MessageId, proof: EndProof) {
         let written = self.journal.complete(message.0, proof);
-        self.logged(written);
+        self.log_error(written);
     }
 
     /// Writes down that an endpoint is disabled or enabled; false if it is not written.
     pub fn set_disabled(&mut self, uid: &str, disabled: bool) -> bool {
         let written = self.journal.set_disabled(uid, disabled);
-        self.logged(written).is_some()
+        self.log_error(written).is_some()
     }
 
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = &str> {
--- a/src/net/driver/messages.rs
+++ b/src/net/driver/messages.rs
@@ -60,7 +60,7 @@
     by_number: BTreeMap<MessageId, Message>,
     /// Open messages by the clients' ids.
     open_by_id: HashMap<HeaderValue, MessageId>,
-    next: u64,
+    next_number: u64,
     attempts_in_flight: usize,
     /// Ids of messages that were delivered last.
     delivered: VecDeque<HeaderValue>,
@@ -96,17 +96,17 @@
 
     /// The number of the next new message.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    pub fn set_next_number(&mut self, next: u64) {
-        self.next = next;
+    pub fn set_next_number(&mut self, next_number: u64) {
+        self.next_number = next_number;
     }
 
     /// A number that no message has had.
     pub fn take_number(&mut self) -> MessageId {
-        let number = MessageId(self.next);
-        self.next += 1;
+        let number = MessageId(self.next_number);
+        self.next_number += 1;
         number
     }
 
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -25,7 +25,7 @@
         let unfinished = self.journal.unfinished().clone();
         let now = self.clock.at(Instant::now());
         for message in unfinished.values() {
-            self.place_recorded_class(message);
+            self.restore_class_position(message);
         }
         if self.settings != *self.sender.settings() {
             let settings = Box::new(self.settings.clone());
@@ -39,7 +39,7 @@
     }
 
     /// The position of the class that a message was accepted with; none where its terms were not written down.
-    fn place_recorded_class(&mut self, message: &UnfinishedMessage) -> Option<usize> {
+    fn restore_class_position(&mut self, message: &UnfinishedMessage) -> Option<usize> {
         let terms = message.terms.as_ref()?;
         Some(
             self.settings
@@ -54,7 +54,7 @@
         now: Micros,
         taken_over: bool,
     ) {
-        let new = self.recovered(number, &message, now);
+        let new = self.restored_message(number, &message, now);
         self.recover_lifecycle(number, &message);
         if let Some(outcome) = message.outcome {
             self.lifecycle.close(number);
@@ -74,13 +74,13 @@
     }
 
     /// The message as the decision module gets it.
-    fn recovered(
+    fn restored_message(
         &mut self,
         number: MessageId,
         message: &UnfinishedMessage,
         now: Micros,
     ) -> NewMessage {
-        let class = self.place_recorded_class(message).unwrap_or_else(|| {
+        let class = self.restore_class_position(message).unwrap_or_else(|| {
             let is_named = |class: &Class| class.name == message.accepted.class;
             let position = self.settings.classes.iter().rposition(is_named);
             position.unwrap_or(usize::MAX)
@@ -122,7 +122,7 @@
     ) {
         let accepted = message.accepted;
         let Ok(id) = HeaderValue::from_str(&accepted.id) else {
-            return self.end_unreadable(number, new, accepted.id);
+            return self.end_message_with_invalid_id(number, new, accepted.id);
         };
         let key = accepted.key.as_deref();
         let key = key.and_then(|key| HeaderValue::from_str(key).ok());
@@ -160,7 +160,7 @@
     }
 
     /// A message that no call can carry ends undelivered: its id, as it is recorded, makes no header.
-    fn end_unreadable(&mut self, number: MessageId, new: NewMessage, id: String) {
+    fn end_message_with_invalid_id(&mut self, number: MessageId, new: NewMessage, id: String) {
         let outcome = UndeliveredOutcome::Failed;
         message_log::record_text(&id, &MessageEvent::EndedUndelivered(outcome));
         self.journal.end_undelivered(number, outcome);
--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -76,7 +76,7 @@
         self.calls.set_report_fields(names.report_fields.clone());
         let old = self.settings.clone();
         let positions = keep_positions(&mut settings, old, &mut self.names, names);
-        let named = |index: usize| {
+        let class_entry = |index: usize| {
             let class: &Class = &settings.classes[index];
             ClassEntry {
                 name: class.name.clone(),
@@ -84,7 +84,7 @@
                 key_required: matches!(class.effect, Effect::IdempotencyKey { .. }),
             }
         };
-        let classes = positions.into_iter().map(named).collect();
+        let classes = positions.into_iter().map(class_entry).collect();
         self.process.classes.replace(classes);
         if settings != *self.sender.settings() {
             let settings = Box::new(settings.clone());
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -79,7 +79,7 @@
         self.events.push(Event::Accepted(NewMessage {
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
-            resubmitted: submission.again,
+            resubmitted: submission.resubmitted,
             orphan: submission.orphan,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -83,7 +83,7 @@
             item,
             open: state.open,
             clients: state.clients,
-            attempts: state.attempts.into_iter().map(attempt).collect(),
+            attempts: state.attempts.into_iter().map(attempt_of).collect(),
         };
         self.messages.insert(MessageId(state.number), message);
     }
@@ -184,7 +184,7 @@
             destination: forwarded.destination,
             time_limit: forwarded.time_limit,
             received_at: self.clock.instant(forwarded.received_at),
-            again: forwarded.again,
+            resubmitted: forwarded.resubmitted,
             orphan: forwarded.orphan,
             body: forwarded.body.into(),
             reply,
@@ -230,7 +230,7 @@
     }
 }
 
-fn attempt(state: AttemptState) -> Attempt {
+fn attempt_of(state: AttemptState) -> Attempt {
     Attempt {
         endpoint: EndpointId(state.endpoint),
         sent_at: state.sent_at,
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -101,8 +101,8 @@
             Action::Fail(message) => self.end_undelivered(message, UndeliveredOutcome::Failed),
             Action::SetTimer(at) => self.timer = Some(at),
             Action::Disconnect(endpoint) => {
-                if let Some(place) = self.endpoints.place_of(endpoint) {
-                    self.calls.connections().close_idle(place);
+                if let Some(address) = self.endpoints.address_of(endpoint) {
+                    self.calls.connections().close_idle(address);
                 }
             }
             Action::Log(event) => net::log(format_args!("{event}")),
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -6,9 +6,9 @@
 use thiserror::Error;
 
 /// Violations of each kind that are logged one by one.
-const LOGGED_ONE_BY_ONE: u64 = 10;
+const MAX_LOGGED_INDIVIDUALLY: u64 = 10;
 /// Of the later ones only every so many is logged.
-const LOGGED_EVERY: u64 = 1000;
+const LOG_EVERY_NTH: u64 = 1000;
 
 /// An invariant that does not hold. Each is a defect of this program, not a failure of a peer or of the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
@@ -42,7 +42,7 @@
     pub fn count(&mut self, violation: Violation, subject: fmt::Arguments<'_>) {
         let count = self.0.entry(violation).or_default();
         *count += 1;
-        if *count <= LOGGED_ONE_BY_ONE || count.is_multiple_of(LOGGED_EVERY) {
+        if *count <= MAX_LOGGED_INDIVIDUALLY || count.is_multiple_of(LOG_EVERY_NTH) {
             crate::net::log(format_args!(
                 "violation: {violation}: {subject} (number {count})"
             ));
--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -54,12 +54,12 @@
 
     /// A whole line of a bulk answer says of its message that it was delivered.
     pub fn of_delivered_line(line: &BulkLine<'_>) -> Option<Self> {
-        (line.word == BULK_DELIVERED).then_some(EndProof(Evidence::DeliveredInBulk))
+        (line.status == BULK_DELIVERED).then_some(EndProof(Evidence::DeliveredInBulk))
     }
 
     /// A whole line of a bulk answer says of its message that it is over at its endpoint.
     pub fn of_gone_line(line: &BulkLine<'_>) -> Option<Self> {
-        (line.word == BULK_GONE).then_some(EndProof(Evidence::GoneInBulk))
+        (line.status == BULK_GONE).then_some(EndProof(Evidence::GoneInBulk))
     }
 
     /// The platform answered the notification with 204.
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct BulkLine<'a> {
     id: &'a [u8],
-    word: &'a [u8],
+    status: &'a [u8],
 }
 
 impl<'a> BulkLine<'a> {
@@ -104,20 +104,23 @@
     }
 
     /// What it says of the message.
-    pub fn word(&self) -> &'a [u8] {
-        self.word
+    pub fn status(&self) -> &'a [u8] {
+        self.status
     }
 
     /// The whole lines of a bulk answer. The last one needs no line feed where the answer's length is told and has come:
     /// one that the end of the connection ends may have been cut.
-    pub fn all_in(text: &'a [u8], is_length_told: bool) -> impl Iterator<Item = BulkLine<'a>> {
+    pub fn parse_complete(
+        text: &'a [u8],
+        is_length_known: bool,
+    ) -> impl Iterator<Item = BulkLine<'a>> {
         text.split_inclusive(|&byte| byte == b'\n')
-            .filter(move |line| is_length_told || line.ends_with(b"\n"))
+            .filter(move |line| is_length_known || line.ends_with(b"\n"))
             .filter_map(|line| {
                 let space = line.iter().position(|&byte| byte == b' ')?;
                 Some(BulkLine {
                     id: &line[..space],
-                    word: line[space + 1..].trim_ascii(),
+                    status: line[space + 1..].trim_ascii(),
                 })
             })
     }
--- a/src/net/end_proof/tests.rs
+++ b/src/net/end_proof/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn only_200_410_and_204_prove_the_end_that_each_stands_for() {
+fn status_200_410_or_204_proves_only_its_own_end() {
     for status in 200..600 {
         let head = head(status);
         let delivered = EndProof::of_delivered_head(&head).is_some();
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn line_of_bulk_answer_cut_at_any_byte_proves_no_end() {
+fn incomplete_line_of_bulk_answer_proves_no_end() {
     let text = b"m1 ok\r\nm2 gone\r\n";
     for length in 0..=text.len() {
-        let proved: Vec<&[u8]> = BulkLine::all_in(&text[..length], false)
+        let proved: Vec<&[u8]> = BulkLine::parse_complete(&text[..length], false)
             .filter(|line| {
                 EndProof::of_delivered_line(line)
                     .or(EndProof::of_gone_line(line))
@@ -34,16 +34,16 @@
             .map(|line| line.id())
             .collect();
         let whole_lines = text[..length].iter().filter(|byte| **byte == b'\n').count();
-        let wanted: &[&[u8]] = &[b"m1", b"m2"];
-        assert_eq!(proved, wanted[..whole_lines], "{length} bytes");
+        let expected: &[&[u8]] = &[b"m1", b"m2"];
+        assert_eq!(proved, expected[..whole_lines], "{length} bytes");
     }
     // where the length is told, the last line is whole without its line feed
-    assert_eq!(BulkLine::all_in(b"m1 ok\nm2 ok", true).count(), 2);
-    assert_eq!(BulkLine::all_in(b"m1 ok\nm2 ok", false).count(), 1);
+    assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", true).count(), 2);
+    assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", false).count(), 1);
 }
 
 #[test]
-fn proof_in_a_frame_has_the_form_of_a_flag() {
+fn proof_is_serialized_as_one_boolean_byte() {
     #[derive(serde::Serialize, serde::Deserialize)]
     struct End(#[serde(with = "in_frame")] Option<EndProof>);
     let proof = EndProof::of_delivered_head(&head(200));
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -191,7 +191,7 @@
     /// When its request began.
     pub received_at: Instant,
     /// The client hands it in once more.
-    pub again: bool,
+    pub resubmitted: bool,
     /// The client that first handed it in is gone.
     pub orphan: bool,
     /// Its body.
@@ -340,7 +340,7 @@
     /// When its request began, in Unix time.
     pub received_at: Micros,
     /// The client hands it in once more.
-    pub again: bool,
+    pub resubmitted: bool,
     /// The client that first handed it in is gone.
     pub orphan: bool,
     /// Its body.
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -147,7 +147,7 @@
         destination: 70_000,
         time_limit: 20_000_004,
         received_at: 1_700_000_000_000_005,
-        again: true,
+        resubmitted: true,
         orphan: false,
         body: b"passed on".to_vec(),
     }
@@ -166,7 +166,7 @@
         key: None,
         subject: None,
         tenant: None,
-        again: false,
+        resubmitted: false,
         orphan: true,
         ..forwarded()
     };
--- a/src/net/local_errors.rs
+++ b/src/net/local_errors.rs
@@ -10,11 +10,11 @@
 
 /// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
 pub fn is_local(error: &io::Error) -> bool {
-    let Some(number) = error.raw_os_error() else {
+    let Some(errno) = error.raw_os_error() else {
         return false;
     };
     matches!(
-        Errno::from_raw(number),
+        Errno::from_raw(errno),
         Errno::EMFILE
             | Errno::ENFILE
             | Errno::ENOBUFS
@@ -30,11 +30,11 @@
 
 /// True if `accept(2)` failed for the one connection that it would have given: the next one may be had at once.
 pub fn concerns_one_connection(error: &io::Error) -> bool {
-    let Some(number) = error.raw_os_error() else {
+    let Some(errno) = error.raw_os_error() else {
         return false;
     };
     matches!(
-        Errno::from_raw(number),
+        Errno::from_raw(errno),
         Errno::ECONNABORTED | Errno::EINTR | Errno::EPROTO | Errno::EPERM
     )
 }
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -209,40 +209,40 @@
 
 fn write_line(line: fmt::Arguments<'_>) {
     thread_local! {
-        static LOG: RefCell<TimedLog> = RefCell::new(TimedLog::new(Instant::now()));
+        static LOG: RefCell<MessageLog> = RefCell::new(MessageLog::new(Instant::now()));
     }
     LOG.with_borrow_mut(|log| log.write(Instant::now(), line));
 }
 
 /// The lines on messages: within a budget, and each with the time since the process began, which orders them beside the
 /// records of others.
-struct TimedLog {
+struct MessageLog {
     started_at: Instant,
     budget: LineBudget,
 }
 
-impl TimedLog {
+impl MessageLog {
     fn new(now: Instant) -> Self {
-        TimedLog {
+        MessageLog {
             started_at: now,
             budget: LineBudget::new(now),
         }
     }
 
     fn write(&mut self, now: Instant, line: fmt::Arguments<'_>) {
-        let left_out = if traces() {
+        let suppressed = if traces() {
             Some(0)
         } else {
             self.budget.take(now)
         };
-        let Some(left_out) = left_out else {
+        let Some(suppressed) = suppressed else {
             return;
         };
-        if left_out > 0 {
-            log(format_args!("messages: {left_out} lines were left out"));
+        if suppressed > 0 {
+            log(format_args!("messages: {suppressed} lines were left out"));
         }
-        let elapsed = now.saturating_duration_since(self.started_at).as_secs_f64();
-        log(format_args!("+{elapsed:.3} {line}"));
+        let elapsed_s = now.saturating_duration_since(self.started_at).as_secs_f64();
+        log(format_args!("+{elapsed_s:.3} {line}"));
     }
 }
 
@@ -251,7 +251,7 @@
 struct LineBudget {
     tokens: f64,
     updated_at: Instant,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl LineBudget {
@@ -259,21 +259,21 @@
         LineBudget {
             tokens: MAX_BURST_LINES,
             updated_at: now,
-            left_out: 0,
+            suppressed: 0,
         }
     }
 
     /// Takes one line. None: it is left out; else the number of lines that were left out before it.
     fn take(&mut self, now: Instant) -> Option<u64> {
-        let passed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        let elapsed_s = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.updated_at = now;
-        self.tokens = (self.tokens + passed * LINES_PER_SECOND).min(MAX_BURST_LINES);
+        self.tokens = (self.tokens + elapsed_s * LINES_PER_SECOND).min(MAX_BURST_LINES);
         if self.tokens < 1.0 {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
         self.tokens -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
--- a/src/net/message_log/tests.rs
+++ b/src/net/message_log/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 #[test]
-fn ordinary_steps_are_left_to_the_trace_and_others_are_not() {
+fn only_ordinary_events_require_tracing() {
     let ended = |number, outcome| MessageEvent::AttemptEnded {
         number,
         endpoint: Some("s-1"),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn line_of_an_attempt_names_endpoint_outcome_and_whether_it_ends_the_message() {
+fn attempt_and_incomplete_call_lines_name_endpoint_and_outcome() {
     let event = MessageEvent::AttemptEnded {
         number: 2,
         endpoint: Some("s-7"),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn flood_of_lines_is_bounded_and_counted() {
+fn lines_over_budget_are_suppressed_and_counted() {
     let now = Instant::now();
     let mut budget = LineBudget::new(now);
     let burst = MAX_BURST_LINES as usize;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -172,7 +172,7 @@
         destination: head.destination,
         time_limit: head.time_limit,
         received_at,
-        again: head.again,
+        resubmitted: head.again,
         orphan: head.orphan,
         body,
         reply,
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -28,7 +28,7 @@
         arrival.class,
         arrival.destination,
         arrival.time_limit,
-        arrival.again,
+        arrival.resubmitted,
         arrival.orphan,
         arrival.body
     )
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 /// From SIGTERM to the end of a process.
-const EXIT_AFTER: Duration = Duration::from_millis(3300);
+const SHUTDOWN_DURATION: Duration = Duration::from_millis(3300);
 /// Call slots of the sender in these tests.
-const SLOTS: usize = 8;
+const CALL_SLOTS: usize = 8;
 
 /// A sender whose system calls fail by order, its discovery, and the endpoint that it delivers to.
 struct FaultySender {
@@ -56,11 +56,11 @@
 }
 
 /// An endpoint that answers one message only once the gate is open.
-fn gated(held: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
+fn gated_endpoint(held_id: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |request, _| {
-        if request.ids()[0] == held {
+        if request.ids()[0] == held_id {
             wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
         }
         OK
@@ -71,7 +71,9 @@
 #[test]
 fn message_not_stored_holds_no_call_slot() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let uids: Vec<String> = (0..SLOTS).map(|number| format!("s-{number}")).collect();
+    let uids: Vec<String> = (0..CALL_SLOTS)
+        .map(|number| format!("s-{number}"))
+        .collect();
     let listed = uids
         .iter()
         .zip(0..)
@@ -83,7 +85,7 @@
     } = &sender;
     let node = sender.start();
     faults.on("journal_write", EIO);
-    for dest in 0..SLOTS as u64 {
+    for dest in 0..CALL_SLOTS as u64 {
         assert_eq!(
             node.hand_in("webhook", &format!("refused-{dest}"), dest, 20_000, b"x"),
             503
@@ -129,7 +131,7 @@
 
 #[test]
 fn ordered_message_waits_until_end_of_previous_one_is_durable() {
-    let (endpoint, gate) = gated("first");
+    let (endpoint, gate) = gated_endpoint("first");
     // an ordered class that may be repeated: what a next life sends again shows at the endpoint
     let repeatable = |text: String| {
         text.replace(
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn failure_at_deadline_is_notified_though_not_durable() {
+fn failure_at_deadline_is_notified_without_durable_record() {
     let sender = FaultySender::new();
     let FaultySender { agent, faults, .. } = &sender;
     let node = sender.start();
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn calls_and_answers_in_small_pieces_succeed() {
+fn partial_sends_and_receives_complete_calls() {
     let sender = FaultySender::new();
     let FaultySender {
         endpoint,
@@ -265,21 +267,23 @@
 
 #[test]
 fn local_dial_error_does_not_eject_endpoint() {
-    let numbers = [ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EINTR];
+    let errnos = [ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH, EINTR];
     thread::scope(|scope| {
         for fault in ["socket", "connect"] {
-            let _ = numbers.map(|number| scope.spawn(move || dials_fail_here(fault, number)));
+            let _ = errnos.map(|errno| {
+                scope.spawn(move || assert_local_dial_error_does_not_eject(fault, errno))
+            });
         }
     });
 }
 
-fn dials_fail_here(fault: &str, number: i32) {
+fn assert_local_dial_error_does_not_eject(fault: &str, errno: i32) {
     let sender = FaultySender::new();
     let FaultySender {
         endpoint, faults, ..
     } = &sender;
     let node = sender.start();
-    faults.on(fault, number);
+    faults.on(fault, errno);
     let ids: Vec<String> = (0..6).map(|number| format!("m{number}")).collect();
     for id in &ids {
         assert_eq!(node.hand_in("order", id, 7, 20_000, b"x"), 202);
@@ -292,7 +296,7 @@
     wait_until("all are delivered", || {
         ids.iter().all(|id| endpoint.times(id) == 1)
     });
-    assert!(!node.logged("ejected"), "{fault} {number}: {:?}", node.log);
+    assert!(!node.logged("ejected"), "{fault} {errno}: {:?}", node.log);
 }
 
 /// Dials that failed, for whatever reason.
@@ -327,25 +331,29 @@
                     202
                 );
                 drop(node);
-                let number = match fault {
+                let errno = match fault {
                     "bind" => EADDRNOTAVAIL,
                     "socket" => ENOBUFS,
                     _ => EIO,
                 };
-                faults.on(fault, number);
+                faults.on(fault, errno);
                 let mut process = faults.start_unseen();
                 let log = process.stderr.take().expect("piped");
                 let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log));
-                let said = lines
+                let error_line = lines
                     .by_ref()
                     .map_while(Result::ok)
                     .find(|line| line.contains("os error"));
-                assert!(said.is_some(), "{fault}: it says what it waits for");
+                assert!(error_line.is_some(), "{fault}: it says what it waits for");
                 faults.off(fault);
-                let listens = lines
+                let listening_line = lines
                     .map_while(Result::ok)
                     .find(|line| line.contains("listening on"));
-                assert!(listens.is_some(), "{fault}: it ended: {:?}", process.wait());
+                assert!(
+                    listening_line.is_some(),
+                    "{fault}: it ended: {:?}",
+                    process.wait()
+                );
                 let _ = process.kill();
                 let _ = process.wait();
             });
@@ -355,9 +363,9 @@
 
 #[test]
 fn deadlines_hold_over_restart_with_wall_clock_step() {
-    const HOUR: i32 = 3_600;
+    const HOUR_S: i32 = 3_600;
     thread::scope(|scope| {
-        for step in [HOUR, -HOUR] {
+        for step_s in [HOUR_S, -HOUR_S] {
             scope.spawn(move || {
                 let sender = FaultySender::new();
                 let FaultySender {
@@ -366,11 +374,11 @@
                     faults,
                 } = &sender;
                 let node = sender.start();
-                let (long, short) = (format!("long{step}"), format!("short{step}"));
+                let (long, short) = (format!("long{step_s}"), format!("short{step_s}"));
                 assert_eq!(node.hand_in("webhook", &long, 8, 20_000, b"x"), 202);
                 assert_eq!(node.hand_in("webhook", &short, 9, 3_000, b"x"), 202);
                 drop(node);
-                faults.on("wall_step", step);
+                faults.on("wall_step", step_s);
                 let lines = list(&[
                     ("s-1", endpoint.address, "one", 7, "up"),
                     ("s-2", endpoint.address, "one", 8, "up"),
@@ -404,8 +412,8 @@
 }
 
 #[test]
-fn handover_in_small_pieces_waits_for_durable_journal() {
-    let (endpoint, gate) = gated("held");
+fn handover_over_partial_sends_waits_for_durable_journal() {
+    let (endpoint, gate) = gated_endpoint("held");
     let sender = FaultySender::with_endpoint(endpoint);
     let FaultySender {
         endpoint, faults, ..
@@ -425,7 +433,7 @@
     wait_until("its end can't be written", || {
         old.logged("the journal can't be written")
     });
-    let starts = thread::scope(|scope| {
+    let new = thread::scope(|scope| {
         let next = scope.spawn(|| faults.start());
         assert_eq!(
             old.hand_in("webhook", "refused", 7, 20_000, b"x"),
@@ -435,13 +443,13 @@
         faults.off("journal_write");
         next.join().expect("it takes over")
     });
-    assert!(starts.logged("taken over (complete)"), "{:?}", starts.log);
+    assert!(new.logged("taken over (complete)"), "{:?}", new.log);
     assert!(
         old.logged("handed over 1 messages, 0 calls are in flight"),
         "{:?}",
         old.log
     );
-    let new = starts.ready();
+    let new = new.ready();
     assert_eq!(
         new.hand_in("webhook", "held", 7, 20_000, b"x"),
         200,
@@ -475,7 +483,7 @@
     let sender = FaultySender::new();
     let endpoint = &sender.endpoint;
     let old = sender.start();
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     old.terminate();
     wait_until("draining", || old.logged("draining"));
     let new = sender.start();
@@ -484,7 +492,7 @@
         new.logged("the predecessor has ended")
     });
     // from here on the old one could not have made a call
-    thread::sleep(EXIT_AFTER.saturating_sub(told.elapsed()));
+    thread::sleep(SHUTDOWN_DURATION.saturating_sub(terminated_at.elapsed()));
     assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
     wait_until("it is delivered", || endpoint.times("after") == 1);
 }
@@ -492,22 +500,23 @@
 /// Two processes start while the lock can't be opened, and the later one is first at it: the earlier must not take the
 /// messages back from it.
 #[test]
-fn earlier_process_leaves_folder_to_later_one_that_was_first_at_the_lock() {
+fn earlier_process_exits_if_later_process_locked_folder_first() {
     let sender = FaultySender::new();
     let faults = &sender.faults;
     faults.on("lock_open", EIO);
     let mut earlier = faults.start_unseen();
     let log = earlier.stderr.take().expect("piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log)).map_while(Result::ok);
-    let waits = lines.find(|line| line.contains("the folder's lock is waited for"));
-    assert!(waits.is_some(), "it waits for the lock");
+    let waiting_line = lines.find(|line| line.contains("the folder's lock is waited for"));
+    assert!(waiting_line.is_some(), "it waits for the lock");
     signal(&earlier, "STOP");
     faults.off("lock_open");
     let later = sender.start();
     signal(&earlier, "CONT");
     // one that took over instead would run on
-    let until = std::time::Instant::now() + Duration::from_secs(10);
-    while earlier.try_wait().expect("its state").is_none() && std::time::Instant::now() < until {
+    let poll_until = std::time::Instant::now() + Duration::from_secs(10);
+    while earlier.try_wait().expect("its state").is_none() && std::time::Instant::now() < poll_until
+    {
         thread::sleep(Duration::from_millis(5));
     }
     let _ = earlier.kill();
@@ -515,8 +524,9 @@
         earlier.wait().expect("it ends").success(),
         "it ends by itself"
     );
-    let ends = lines.find(|line| line.contains("a process that started later owns the folder"));
-    assert!(ends.is_some(), "it says why it ends");
+    let exit_line =
+        lines.find(|line| line.contains("a process that started later owns the folder"));
+    assert!(exit_line.is_some(), "it says why it ends");
     assert_eq!(later.hand_in("webhook", "m1", 99, 20_000, b"x"), 202);
     assert!(!later.logged("handover: handed over"));
 }
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn answer_cut_within_its_status_line_is_no_delivery() {
+fn answer_cut_within_status_line_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
@@ -39,18 +39,18 @@
 }
 
 #[test]
-fn partial_status_line_on_an_open_connection_is_no_delivery() {
+fn partial_status_line_on_open_connection_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
     // the attempt of a class with a key ends with its window, that of the other with its message
-    for (class, time_ms) in [("webhook", LONG_MS), ("order", 1500)] {
+    for (class, time_limit_ms) in [("webhook", LONG_MS), ("order", 1500)] {
         for length in 0..=STATUS_LINE.len() {
             let id = format!("{class}-{length}");
             endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
             let destination = ids.len() as u64;
-            let answer = node.hand_in(class, &id, destination, time_ms, b"body");
+            let answer = node.hand_in(class, &id, destination, time_limit_ms, b"body");
             assert_eq!(answer, 202, "{id}");
             ids.push(id);
         }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn whole_status_line_is_a_delivery_at_once_though_the_rest_never_comes() {
+fn complete_status_line_is_a_delivery_without_the_rest_of_the_answer() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
@@ -70,27 +70,27 @@
             Fragment::of_status_line(STATUS_LINE.len(), Then::Silence),
         );
         assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
-        let until = Instant::now() + Duration::from_secs(5);
-        while Instant::now() < until
+        let poll_until = Instant::now() + Duration::from_secs(5);
+        while Instant::now() < poll_until
             && node.hand_in(class, &id, destination, LONG_MS, b"body") != 200
         {
             thread::sleep(Duration::from_millis(5));
         }
-        let again = node.hand_in(class, &id, destination, LONG_MS, b"body");
-        assert_eq!(again, 200, "{id} is delivered");
+        let repeated_status = node.hand_in(class, &id, destination, LONG_MS, b"body");
+        assert_eq!(repeated_status, 200, "{id} is delivered");
         assert_eq!(endpoint.calls(&id), 1, "calls with {id}");
         assert!(!is_notified(&agent, &id));
     }
 }
 
 /// Lengths of the status line round those that were once taken for a delivery.
-const LATE_CUTS: std::ops::RangeInclusive<usize> = 11..=17;
+const CUT_LENGTHS_BYTES: std::ops::RangeInclusive<usize> = 11..=17;
 
 /// Messages whose first calls are answered in part and left open, one for each class and length.
-fn hand_in_late_cuts(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
+fn submit_with_cut_status_lines(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
     let mut ids = Vec::new();
     for class in ["webhook", "order"] {
-        for length in LATE_CUTS {
+        for length in CUT_LENGTHS_BYTES {
             let id = format!("{class}-{length}");
             endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
             let destination = ids.len() as u64;
@@ -125,21 +125,21 @@
 }
 
 #[test]
-fn partial_status_line_at_sigkill_is_no_delivery_for_the_next_process() {
+fn partial_status_line_at_sigkill_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let node = sender(&agent);
-    let ids = hand_in_late_cuts(&node, &endpoint);
+    let ids = submit_with_cut_status_lines(&node, &endpoint);
     let node = node.restart().ready();
     assert_ends_after_restart(&node, &agent, &endpoint, &ids);
 }
 
 #[test]
-fn partial_status_line_at_sigterm_is_no_delivery_for_the_next_process() {
+fn partial_status_line_at_sigterm_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let mut node = sender(&agent);
-    let ids = hand_in_late_cuts(&node, &endpoint);
+    let ids = submit_with_cut_status_lines(&node, &endpoint);
     node.terminate();
     wait_until("it ends", || {
         node.process.try_wait().expect("its state").is_some()
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn gone_answer_ends_its_message_only_with_its_whole_head() {
+fn answer_410_ends_message_only_with_its_complete_head() {
     const GONE: &[u8] = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n";
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 100);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn bulk_answer_without_length_cut_at_any_byte_ends_only_messages_of_whole_lines() {
+fn cut_bulk_answer_without_length_ends_only_messages_of_complete_lines() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "bulk", 120);
     let node = sender(&agent);
@@ -210,7 +210,10 @@
     assert_proved_ends(&node, &agent, &endpoint, &ids);
     // what the cut answer had not told in a whole line was called again; a reset may take what came before it
     for id in ids.iter().filter(|id| id.contains("Close")) {
-        let again = endpoint.calls(id) - 1;
-        assert!(again <= 1, "{again} further calls with {id}");
+        let further_calls = endpoint.calls(id) - 1;
+        assert!(
+            further_calls <= 1,
+            "{further_calls} further calls with {id}"
+        );
     }
 }
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn notification_is_owed_until_a_whole_204_over_restarts_too() {
+fn notification_is_repeated_across_restarts_until_complete_204() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 1);
     let node = sender(&agent);
@@ -30,13 +30,13 @@
     // the whole answer but its last byte proves nothing either
     agent.cut_notices(0..ACCEPTED.len());
     assert_eq!(node.hand_in("order", "m1", 0, LONG_MS, b"body"), 202);
-    let third = ACCEPTED.len() / 3;
+    let third_of_cuts = ACCEPTED.len() / 3;
     wait_until("a third of the cuts", || {
-        notifications_of(&agent, "m1") > third
+        notifications_of(&agent, "m1") > third_of_cuts
     });
     let mut node = node.restart().ready();
     wait_until("two thirds of the cuts", || {
-        notifications_of(&agent, "m1") > 2 * third
+        notifications_of(&agent, "m1") > 2 * third_of_cuts
     });
     node.terminate();
     wait_until("it ends", || {
@@ -50,17 +50,17 @@
         let earlier = earlier_log.lock().expect("not poisoned");
         node.logged(accepted) || earlier.iter().any(|line| line.contains(accepted))
     });
-    let told = notifications_of(&agent, "m1");
-    assert!(told > ACCEPTED.len(), "{told} posts");
+    let post_count = notifications_of(&agent, "m1");
+    assert!(post_count > ACCEPTED.len(), "{post_count} posts");
     let node = node.restart().ready();
     assert_eq!(node.hand_in("webhook", "m2", 0, LONG_MS, b"body"), 202);
     wait_until("a later message is served", || endpoint.has_delivered("m2"));
-    assert_eq!(notifications_of(&agent, "m1"), told, "it is over");
+    assert_eq!(notifications_of(&agent, "m1"), post_count, "it is over");
     assert_eq!(endpoint.calls("m1"), 1);
 }
 
 #[test]
-fn unanswered_notification_holds_up_no_other() {
+fn unanswered_notification_does_not_delay_others() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 2);
     let node = sender(&agent);
@@ -73,17 +73,17 @@
         wait_until("its notification", || notifications_of(&agent, id) > 0);
     }
     // the second came while the first had no answer: that is posted again only after
-    let ids: Vec<bool> = agent
+    let is_second: Vec<bool> = agent
         .notices()
         .iter()
         .map(|line| line.contains("m2"))
         .collect();
-    assert_eq!(ids[..2], [false, true], "{:?}", agent.notices());
+    assert_eq!(is_second[..2], [false, true], "{:?}", agent.notices());
     wait_until("the first again", || notifications_of(&agent, "m1") == 2);
 }
 
 /// Hands a message in and reads its whole answer; the connection.
-fn accepted(node: &Node, text: &[u8]) -> TcpStream {
+fn submit_accepted(node: &Node, text: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(node.address).expect("the sender accepts");
     stream.write_all(text).expect("written");
     let mut answer = Vec::new();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn client_that_goes_right_after_its_202_ends_no_message() {
+fn client_disconnect_after_202_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 40);
     let node = sender(&agent);
@@ -114,7 +114,7 @@
             endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         }
         let text = message("order", &id, destination, 1500, b"body");
-        let stream = accepted(&node, &text);
+        let stream = submit_accepted(&node, &text);
         if destination % 4 < 2 {
             reset(stream);
         }
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn second_client_with_the_same_id_that_goes_unanswered_ends_no_message() {
+fn unanswered_disconnect_of_second_client_with_same_id_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let node = sender(&agent);
@@ -133,7 +133,7 @@
         let id = format!("m-{destination}");
         endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         let text = message("order", &id, destination, 1500, b"body");
-        let _first = accepted(&node, &text);
+        let _first = submit_accepted(&node, &text);
         let mut second = TcpStream::connect(node.address).expect("the sender accepts");
         node.at_one_moment(|| {
             second.write_all(&text).expect("written");
@@ -150,26 +150,26 @@
 /// Replaces a text in the payload of each record by one of the same length, with sound checksums.
 fn replace_in_journal(journal: &mut [u8], from: &[u8], to: &[u8]) -> usize {
     let mut replaced = 0;
-    let mut at = 0;
-    while at + RECORD_HEADER_BYTES <= journal.len() {
-        let word = |at: usize| journal[at..at + 4].try_into().expect("four bytes");
-        let length = u32::from_le_bytes(word(at + 4)) as usize;
-        let payload = at + RECORD_HEADER_BYTES..at + RECORD_HEADER_BYTES + length;
+    let mut offset = 0;
+    while offset + RECORD_HEADER_BYTES <= journal.len() {
+        let field = |start: usize| journal[start..start + 4].try_into().expect("four bytes");
+        let length = u32::from_le_bytes(field(offset + 4)) as usize;
+        let payload = offset + RECORD_HEADER_BYTES..offset + RECORD_HEADER_BYTES + length;
         let mut text = journal[payload.clone()].to_vec();
         if let Some(found) = text.windows(from.len()).position(|part| part == from) {
             text[found..found + to.len()].copy_from_slice(to);
             replaced += 1;
         }
         let checksum = crc32fast::hash(&text).to_le_bytes();
-        journal[at + 8..at + 12].copy_from_slice(&checksum);
+        journal[offset + 8..offset + 12].copy_from_slice(&checksum);
         journal[payload.clone()].copy_from_slice(&text);
-        at = payload.end;
+        offset = payload.end;
     }
     replaced
 }
 
 #[test]
-fn recorded_message_that_no_call_can_carry_ends_by_a_notification() {
+fn recovered_message_with_invalid_id_ends_with_notification() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 1);
     let mut node = sender(&agent);
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 /// An endpoint that is accepted and answered by hand.
-struct Gate(TcpListener);
+struct ManualEndpoint(TcpListener);
 
-impl Gate {
+impl ManualEndpoint {
     fn new() -> Self {
-        Gate(TcpListener::bind("127.0.0.1:0").expect("a port"))
+        ManualEndpoint(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
     /// Discovery that lists it alone, for destination 7.
@@ -31,7 +31,7 @@
     }
 
     /// A connection over which some calls were served, so that the sender trusts the endpoint.
-    fn well_known(&self, node: &Node) -> TcpStream {
+    fn warm_connection(&self, node: &Node) -> TcpStream {
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
             let id = format!("warm-{served}");
@@ -61,8 +61,8 @@
 
 #[test]
 fn retry_connected_after_idempotency_window_is_not_sent() {
-    let gate = Gate::new();
-    let agent = gate.listed();
+    let endpoint = ManualEndpoint::new();
+    let agent = endpoint.listed();
     let node = Node::configured_with(&agent, |text| {
         let text = text.replace(r#""window":12.0"#, r#""window":1.0"#);
         with_part(
@@ -71,7 +71,7 @@
         )
     });
     let node = node.ready();
-    let mut first = gate.well_known(&node);
+    let mut first_connection = endpoint.warm_connection(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
@@ -80,23 +80,23 @@
             .0,
         202
     );
-    assert!(read_call(&mut first).contains("x-request-id: m1"));
-    let (sent, window) = (Instant::now(), Duration::from_secs(1));
+    assert!(read_call(&mut first_connection).contains("x-request-id: m1"));
+    let (sent_at, window) = (Instant::now(), Duration::from_secs(1));
     // m1 may have run: a repeat is dropped until a second after its sending, and may be made for so long, but
     // rests a while before it; another message has the one connection by then
     node.at_one_moment(|| {
-        drop(first);
+        drop(first_connection);
         client
             .write(&message("order", "m2", 7, 20_000, b"body"))
             .expect("written");
     });
-    let mut second = gate.accept();
-    assert!(read_call(&mut second).contains("x-request-id: m2"));
+    let mut second_connection = endpoint.accept();
+    assert!(read_call(&mut second_connection).contains("x-request-id: m2"));
     wait_until("the repeat waits for the other", || {
         pools(&node)["totals"]["waiting"] == 1
     });
-    std::thread::sleep(window.saturating_sub(sent.elapsed()));
-    second.write_all(ANSWER).expect("taken");
+    std::thread::sleep(window.saturating_sub(sent_at.elapsed()));
+    second_connection.write_all(ANSWER).expect("taken");
     wait_until("its notice", || {
         agent
             .notices()
@@ -104,17 +104,17 @@
     });
     // the connection that it might have had carries the next message
     assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"body"), 202);
-    let call = read_call(&mut second);
+    let call = read_call(&mut second_connection);
     assert!(call.contains("x-request-id: m3"), "{call}");
 }
 
 const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
 
 #[test]
-fn client_connection_closed_for_room_answers_request_already_received() {
-    let gate = Gate::new();
+fn connection_closed_at_client_limit_answers_received_request() {
+    let endpoint = ManualEndpoint::new();
     // twenty places for clients
-    let node = Node::with_sockets(gate.listed().address, 3.0, 5.0, 60).ready();
+    let node = Node::with_sockets(endpoint.listed().address, 3.0, 5.0, 60).ready();
     for round in 0..10 {
         let mut clients: Vec<Client> = (0..20).map(|_| Client::new(&node)).collect();
         clients
@@ -145,27 +145,27 @@
 
 /// Requests on resting connections come just as the process would close these; each gets its answer. False if the
 /// machine was so slow that they had ended before.
-fn meet_the_end(node: &Node, clients: &mut [Client], status: u16) -> bool {
-    let mut in_time = false;
+fn send_at_idle_close(node: &Node, clients: &mut [Client], status: u16) -> bool {
+    let mut sent_before_close = false;
     node.at_one_moment(|| {
-        in_time = !clients.iter_mut().any(Client::has_ended);
+        sent_before_close = !clients.iter_mut().any(Client::has_ended);
         std::thread::sleep(Duration::from_millis(600));
         clients
             .iter_mut()
             .for_each(|client| drop(client.write(READY)));
     });
-    for (number, client) in clients.iter_mut().enumerate().filter(|_| in_time) {
+    for (number, client) in clients.iter_mut().enumerate().filter(|_| sent_before_close) {
         let answer = client.answer().map(|(status, _)| status);
         assert_eq!(answer, Some(status), "client {number}");
     }
-    in_time
+    sent_before_close
 }
 
 #[test]
-fn requests_at_idle_close_during_shutdown_are_answered() {
-    let gate = Gate::new();
-    let agent = gate.listed();
-    let met = || {
+fn requests_at_shutdown_idle_close_are_answered() {
+    let endpoint = ManualEndpoint::new();
+    let agent = endpoint.listed();
+    let sent_in_time = || {
         let node = Node::new(&agent).ready();
         node.terminate();
         wait_until("draining", || node.logged("draining"));
@@ -173,31 +173,31 @@
         std::thread::sleep(Duration::from_millis(1500));
         let mut clients: Vec<Client> = (0..16).map(|_| Client::new(&node)).collect();
         std::thread::sleep(Duration::from_millis(500));
-        meet_the_end(&node, &mut clients, 503)
+        send_at_idle_close(&node, &mut clients, 503)
     };
-    assert!((0..5).any(|_| met()), "never in time");
+    assert!((0..5).any(|_| sent_in_time()), "never in time");
 }
 
 #[test]
 fn requests_at_idle_timeout_are_answered() {
-    let gate = Gate::new();
-    let node = Node::new(&gate.listed()).ready();
-    let met = || {
+    let endpoint = ManualEndpoint::new();
+    let node = Node::new(&endpoint.listed()).ready();
+    let sent_in_time = || {
         let mut clients: Vec<Client> = (0..16).map(|_| Client::new(&node)).collect();
         clients
             .iter_mut()
             .for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
         // they are closed after 2.1 s
         std::thread::sleep(Duration::from_millis(1700));
-        meet_the_end(&node, &mut clients, 200)
+        send_at_idle_close(&node, &mut clients, 200)
     };
-    assert!((0..5).any(|_| met()), "never in time");
+    assert!((0..5).any(|_| sent_in_time()), "never in time");
 }
 
 #[test]
 fn request_after_connection_close_is_not_accepted() {
-    let gate = Gate::new();
-    let agent = gate.listed();
+    let endpoint = ManualEndpoint::new();
+    let agent = endpoint.listed();
     let node = Node::new(&agent).ready();
     let mut client = Client::new(&node);
     assert_eq!(client.send(READY).expect("answered").0, 200);
@@ -212,13 +212,13 @@
         !next.logged("unfinished messages") || next.logged(" 0 unfinished messages")
     });
     assert_eq!(next.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
-    assert!(read_call(&mut gate.accept()).contains("x-request-id: m2"));
+    assert!(read_call(&mut endpoint.accept()).contains("x-request-id: m2"));
 }
 
 #[test]
 fn early_answer_to_long_request_is_complete() {
-    let gate = Gate::new();
-    let node = Node::new(&gate.listed()).ready();
+    let endpoint = ManualEndpoint::new();
+    let node = Node::new(&endpoint.listed()).ready();
     let head = b"POST /webhook HTTP/1.1\r\nHost: a\r\nX-Request-ID: m1\r\nX-Priority-Class: webhook\r\n\
         X-Timeout: 900m\r\nIdempotency-Key: k\r\nContent-Length: 100000\r\nEnvelope: dest=7\r\n\r\n";
     let mut stream = TcpStream::connect(node.address).expect("the sender accepts");
@@ -241,12 +241,12 @@
 }
 
 /// A sender whose keyed calls are given up after a second, and a call of it that is under way: its connection.
-fn under_way(gate: &Gate, agent: &Agent) -> (Node, TcpStream, Instant) {
+fn start_keyed_call(endpoint: &ManualEndpoint, agent: &Agent) -> (Node, TcpStream, Instant) {
     let node = Node::configured_with(agent, |text| {
         text.replace(r#""window":12.0"#, r#""window":1.0"#)
     })
     .ready();
-    let mut stream = gate.well_known(&node);
+    let mut stream = endpoint.warm_connection(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
@@ -260,20 +260,20 @@
 }
 
 #[test]
-fn answer_that_arrives_at_timeout_counts() {
-    let gate = Gate::new();
-    let agent = gate.listed();
+fn answer_received_together_with_timeout_completes_message() {
+    let endpoint = ManualEndpoint::new();
+    let agent = endpoint.listed();
     // a head without an end is true too, by its first line
-    for (answer, rest) in [(ANSWER, &b""[..]), (b"HTTP/1.1 200 OK\r\nX-Long: ", b"x")] {
-        let (node, mut stream, sent) = under_way(&gate, &agent);
+    for (answer, late_bytes) in [(ANSWER, &b""[..]), (b"HTTP/1.1 200 OK\r\nX-Long: ", b"x")] {
+        let (node, mut stream, sent_at) = start_keyed_call(&endpoint, &agent);
         node.at_one_moment(|| {
-            std::thread::sleep(Duration::from_millis(1300).saturating_sub(sent.elapsed()));
+            std::thread::sleep(Duration::from_millis(1300).saturating_sub(sent_at.elapsed()));
             stream.write_all(answer).expect("taken");
         });
-        if !rest.is_empty() {
+        if !late_bytes.is_empty() {
             // its connection is closed: the call is given up
             while stream.read(&mut [0; 64]).expect("it ends") > 0 {}
-            let _ = stream.write_all(rest);
+            let _ = stream.write_all(late_bytes);
         }
         wait_until("delivered", || {
             node.hand_in("webhook", "m1", 7, 20_000, b"body") == 200
@@ -287,34 +287,37 @@
 }
 
 #[test]
-fn retry_after_received_after_timeout_is_obeyed() {
-    let gate = Gate::new();
-    let agent = gate.listed();
-    let told = || {
-        let (node, mut stream, _) = under_way(&gate, &agent);
+fn retry_after_arriving_after_timeout_delays_next_call() {
+    let endpoint = ManualEndpoint::new();
+    let agent = endpoint.listed();
+    let reject_late = || {
+        let (node, mut stream, _) = start_keyed_call(&endpoint, &agent);
         // a first wait, so that they are listened for
-        stream.write_all(&full("0.010")).expect("taken");
+        stream
+            .write_all(&rejection_with_retry_after("0.010"))
+            .expect("taken");
         assert!(read_call(&mut stream).contains("x-request-id: m1"));
         // the sending side is shut: the call is given up
         assert_eq!(stream.read(&mut [0]).expect("it ends"), 0);
-        let told = Instant::now();
-        let written = stream.write_all(&full("3"));
+        let rejected_at = Instant::now();
+        let written = stream.write_all(&rejection_with_retry_after("3"));
         wait_until("it is read", || pools(&node)["totals"]["leased"] == 0);
         // false if the machine was so slow that nobody listened any more
-        (written.is_ok() && stream.take_error().expect("asked").is_none()).then_some((node, told))
+        (written.is_ok() && stream.take_error().expect("asked").is_none())
+            .then_some((node, rejected_at))
     };
-    let (node, told) = (0..5).find_map(|_| told()).expect("never in time");
+    let (node, rejected_at) = (0..5).find_map(|_| reject_late()).expect("never in time");
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
-    let mut next = gate.accept();
-    let after = told.elapsed();
+    let mut next = endpoint.accept();
+    let delay = rejected_at.elapsed();
     assert!(read_call(&mut next).contains("x-request-id: m2"));
     assert!(
-        after >= Duration::from_millis(2900),
-        "a call {after:?} after a wait of 3 s was told"
+        delay >= Duration::from_millis(2900),
+        "a call {delay:?} after a wait of 3 s was told"
     );
 }
 
 /// An answer that tells to wait.
-fn full(seconds: &str) -> Vec<u8> {
+fn rejection_with_retry_after(seconds: &str) -> Vec<u8> {
     format!("HTTP/1.1 429 Full\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
