--- a/src/net/driver/admin.rs
+++ b/src/net/driver/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of operators.
+//! Commands of operators: disabling and enabling of endpoints, and reports.
 
 use super::Driver;
 use crate::net;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 
 impl Driver {
-    /// Executes a command; true if a turn is due.
+    /// Executes a command; returns true if a turn is due afterwards.
     pub(super) fn execute(&mut self, command: AdminCommand) -> bool {
         match command {
             AdminCommand::SetDisabled {
@@ -20,12 +20,12 @@
             }
             AdminCommand::PoolReport { reply } => {
                 let uid_of = |id: EndpointId| Some(self.endpoints.get(id)?.uid.clone());
-                // an operator that has gone asks again
+                // the send fails only if the operator has disconnected
                 let _ = reply.send(self.calls.connections().report(uid_of));
                 false
             }
             AdminCommand::FreezeReport { reply } => {
-                // without an answer it is off
+                // dropping `reply` without a report means that the freeze is off
                 if let Some(report) = self.freeze_report() {
                     let _ = reply.send(report);
                 }
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Disables an endpoint or enables it again, once the journal has it.
+    /// Disables or enables an endpoint, after the journal has recorded the change.
     pub(super) fn set_disabled(
         &mut self,
         uid: String,
@@ -44,7 +44,7 @@
         let result = self.try_set_disabled(&uid, disabled);
         let change = if disabled { "disabled" } else { "enabled" };
         net::log(format_args!("control: endpoint {uid} {change}: {result:?}"));
-        // an operator that has gone sees the log
+        // a disconnected operator finds the result in the log
         let _ = reply.send(result);
     }
 
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: how they begin, how they are cancelled and how they end.
+//! Attempts: permission and journal record before the call, cancellation, and handling of the
+//! outcome.
 
 use super::Driver;
 use super::calls_in_flight::{Bundle, PermittedAttempt, add_to_bundle};
@@ -11,10 +12,10 @@
 use message_sender::{Event, MessageId, Micros, Outcome};
 use tokio::time::Instant;
 
-/// The outcome of an attempt whose call never began.
+/// Outcome of an attempt for which no call was made.
 pub(super) const NOT_SENT: Outcome = Outcome::NotSent { no_slot: false };
 
-/// The event of an attempt that has no call of its own.
+/// Returns the event that ends an attempt for which the driver has no call.
 fn ended_without_call(attempt: InFlightAttempt, outcome: Outcome, complete: bool) -> Event {
     Event::AttemptEnded {
         message: attempt.message,
@@ -27,21 +28,23 @@
     }
 }
 
-/// What the decision module asks to be sent.
+/// Attempt that the decision module asks the driver to send.
 pub(super) struct SendRequest {
     pub attempt: InFlightAttempt,
-    /// The latest time at which an answer counts.
+    /// Time in microseconds after which an answer no longer counts.
     pub expires: Micros,
-    /// The call must not begin later.
+    /// Time in microseconds after which the call must not begin; `None` if there is no such
+    /// limit.
     pub start_by: Option<Micros>,
 }
 
 impl Driver {
-    /// Begins an attempt, if what has happened allows it and the journal takes it.
+    /// Begins an attempt if the message's earlier attempts allow it and the journal has recorded
+    /// it.
     pub(super) fn send(&mut self, now: Micros, request: SendRequest, bundles: &mut Vec<Bundle>) {
         let attempt = request.attempt;
         let Some(pending) = self.messages.get(attempt.message) else {
-            // the journal has refused it in this very turn
+            // the message was dropped in this turn because the journal could not store it
             return self
                 .events
                 .push(ended_without_call(attempt, NOT_SENT, true));
@@ -83,7 +86,8 @@
         add_to_bundle(bundles, permitted, max_messages);
     }
 
-    /// The attempt's position in the journal; none if it must not begin.
+    /// Checks that the attempt may begin and records it in the journal. Returns its position among
+    /// the message's records, or `None` if it must not begin.
     fn permit_and_record(
         &mut self,
         attempt: InFlightAttempt,
@@ -100,7 +104,7 @@
             }
             return None;
         }
-        // one that is not open was dropped in this very turn
+        // a message that is no longer open was dropped in this turn, so its attempt is not recorded
         let record = open
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
@@ -111,7 +115,7 @@
         record
     }
 
-    /// An attempt that the driver has in flight never left.
+    /// Ends an attempt that was marked as in flight but never sent.
     pub(super) fn attempt_not_sent(&mut self, attempt: InFlightAttempt) {
         if !self.end_attempt(attempt.message, attempt.number) {
             return;
@@ -122,7 +126,8 @@
         self.messages.forget_if_done(attempt.message);
     }
 
-    /// Marks an attempt as no longer in flight; false, and a violation, if it was not in flight.
+    /// Marks an attempt as no longer in flight. Returns false and counts a violation if it was not
+    /// in flight.
     fn end_attempt(&mut self, message: MessageId, number: usize) -> bool {
         let ended = self.messages.end_attempt(message, number).is_some();
         if !ended {
@@ -138,7 +143,8 @@
         );
     }
 
-    /// A success without a proof is none: the message may have run, and is still owed its end.
+    /// Turns a success without an end proof into [`Outcome::Error`]: the message may have run, but
+    /// it is not shown to be delivered and stays incomplete.
     fn with_proved_success(&mut self, end: AttemptEnd) -> AttemptEnd {
         if end.outcome != Outcome::Success || end.proof.is_some() {
             return end;
@@ -154,7 +160,7 @@
         }
     }
 
-    /// An attempt's call has reported how it ended.
+    /// Handles the end of an attempt that its call has reported.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let end = self.with_proved_success(end);
         let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.item) else {
@@ -212,8 +218,9 @@
         self.messages.forget_if_done(message);
     }
 
-    /// Finds attempts whose outcome the decision module would wait for in vain, and gives them one; false if there are
-    /// none.
+    /// Finds attempts that the decision module counts as in flight and the driver does not. Their
+    /// outcome would never come, so each gets the outcome of a lost call. Returns false if there
+    /// are none.
     pub(super) fn find_lost_attempts(&mut self) -> bool {
         if self.sender.attempts_in_flight() == self.messages.attempts_in_flight() {
             return false;
@@ -230,7 +237,7 @@
         !lost.is_empty()
     }
 
-    /// Cancels an attempt, here or in the predecessor that has it in flight.
+    /// Cancels an attempt, through the predecessor if that process made its call.
     pub(super) fn cancel(&mut self, message: MessageId, number: usize) {
         let attempt = self.messages.attempt(message, number);
         let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
@@ -245,7 +252,8 @@
                 format_args!("{message:?}, attempt {number}"),
             );
         };
-        // a call that has just ended has reported its outcome
+        // the send fails only if the call has just ended, and then its outcome is already on the
+        // way
         match (&in_flight.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(item)),
             (None, Some(predecessor)) => {
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -1,4 +1,5 @@
-//! Calls that have not ended, those of a predecessor included, and how a turn's sends become calls.
+//! Calls in flight, including those of a predecessor, and the bundling of a turn's attempts into
+//! calls.
 
 use super::Driver;
 use super::attempts::NOT_SENT;
@@ -9,29 +10,31 @@
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// A turn's sends to one endpoint that travel in one call.
+/// Attempts of one turn at the same endpoint that are sent in one call.
 pub(super) struct Bundle {
     endpoint: EndpointId,
-    /// The latest time at which an answer counts.
+    /// Time in microseconds after which an answer no longer counts: the latest of all
+    /// attempts.
     expires: Micros,
-    /// The call must not begin later.
+    /// Time in microseconds after which the call must not begin: the earliest of all
+    /// attempts.
     start_by: Option<Micros>,
-    /// The message and attempt of each position.
+    /// Message and attempt number at each position of the call.
     attempts: Vec<(MessageId, usize)>,
-    /// Bytes of all messages.
+    /// Total size of the messages in bytes.
     size_bytes: usize,
 }
 
-/// One attempt that may begin.
+/// Attempt that is permitted and recorded, and not yet part of a call.
 pub(super) struct PermittedAttempt {
     pub attempt: InFlightAttempt,
     pub expires: Micros,
     pub start_by: Option<Micros>,
-    /// Bytes of the message in a call.
+    /// Size in bytes that the message takes in a bulk call.
     pub size_bytes: usize,
 }
 
-/// Adds a send to a bundle that has room, or to a new one.
+/// Adds an attempt to a bundle for its endpoint that has room, or to a new bundle.
 pub(super) fn add_to_bundle(
     bundles: &mut Vec<Bundle>,
     permitted: PermittedAttempt,
@@ -65,7 +68,7 @@
     }
 }
 
-/// Calls that have not ended, by number.
+/// Calls in flight, by call number.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     calls: BTreeMap<u64, InFlightCall>,
@@ -89,12 +92,12 @@
         self.calls.insert(number, call);
     }
 
-    /// The message and attempt at a position of a call.
+    /// Returns the message and attempt number at a position of a call.
     pub fn attempt_at(&self, call: u64, item: usize) -> Option<(MessageId, usize)> {
         self.calls.get(&call)?.items.get(item).copied()
     }
 
-    /// The number of the next new call.
+    /// Returns the number that the next new call will get.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
@@ -109,7 +112,8 @@
         number
     }
 
-    /// One message of a call has ended. Returns the call if that was the last.
+    /// Marks one message of a call as ended. Removes and returns the call if no other message of it
+    /// is left.
     pub fn end_item(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
         call.left -= 1;
@@ -119,7 +123,7 @@
         self.calls.remove(&number)
     }
 
-    /// Calls that a predecessor has in flight.
+    /// Returns the calls that the predecessor made and that are still in flight.
     pub fn of_predecessor(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
         self.iter().filter(|(_, call)| call.cancels.is_none())
     }
@@ -130,7 +134,7 @@
 }
 
 impl Driver {
-    /// Starts the call of a bundle.
+    /// Starts one call with all messages of a bundle.
     pub(super) fn start_call(&mut self, bundle: Bundle) {
         let number = self.calls_in_flight.take_number();
         let Some(target) = self.endpoints.address_of(bundle.endpoint) else {
@@ -138,7 +142,7 @@
         };
         let mut items = Vec::with_capacity(bundle.attempts.len());
         for (position, &(message, attempt)) in bundle.attempts.iter().enumerate() {
-            // an attempt that is in flight keeps its message
+            // never missing: a message is kept while one of its attempts is in flight
             let Some(held) = self.messages.get_mut(message) else {
                 continue;
             };
@@ -165,7 +169,7 @@
         self.calls.start(call, cancelled);
     }
 
-    /// The endpoint has no address: nothing of the bundle is sent.
+    /// Ends the attempts of a bundle as not sent, because its endpoint has no address.
     fn abandon_bundle(&mut self, bundle: Bundle) {
         for &(message, number) in &bundle.attempts {
             self.lifecycle
@@ -178,7 +182,8 @@
         }
     }
 
-    /// One message of a call has its outcome.
+    /// Marks one message of a call as ended, and updates the number of the predecessor's calls if
+    /// that ends one of them.
     pub(super) fn end_call_item(&mut self, number: u64) {
         let ended = self.calls_in_flight.end_item(number);
         if ended.is_some_and(|call| call.cancels.is_none()) {
@@ -186,7 +191,8 @@
         }
     }
 
-    /// Connections of a predecessor's calls count among this process's.
+    /// Reports the number of the predecessor's calls to the connection pool, which counts their
+    /// connections against this process's limit.
     pub(super) fn count_calls_of_predecessor(&self) {
         let count = self.calls_in_flight.of_predecessor().count();
         self.calls.connections().set_predecessor_connections(count);
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -1,5 +1,8 @@
-//! How messages become complete, and the notifications of those that end undelivered: the platform is notified once the
-//! end is durable, or once no later process could send the message any more.
+//! Completion of messages, and outcome notifications for messages that end undelivered.
+//!
+//! The platform is notified once the end is durable, or once the message's deadline is so near that
+//! no process would send the message any more. Without either, a restarted process could still
+//! deliver a message reported as undelivered.
 
 use super::Driver;
 use crate::net::discovery::OutcomeNotification;
@@ -12,14 +15,15 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A notification that must wait: a later process would not know of the end, and would send the message.
+/// Notification held back until the end is durable, because a restarted process would not know of
+/// the end and could send the message again.
 struct PendingNotification {
     notification: OutcomeNotification,
-    /// From then on no process sends the message.
+    /// Time in microseconds from which no process sends the message.
     no_send_after: Micros,
 }
 
-/// The notifications of messages that ended undelivered.
+/// Outcome notifications: the queue of the task that posts them, and those that must wait.
 pub(super) struct Notifications {
     queue: mpsc::UnboundedSender<OutcomeNotification>,
     pending: Vec<PendingNotification>,
@@ -37,17 +41,17 @@
         !self.pending.is_empty()
     }
 
-    /// When the next notification can be sent though its end is not durable.
+    /// Returns the earliest time at which a pending notification can be sent without a durable end.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.pending.iter().map(|end| end.no_send_after).min()
     }
 
     pub fn send(&self, notification: OutcomeNotification) {
-        // the task that posts them lives as long as the process
+        // the receiving task runs until the process ends
         let _ = self.queue.send(notification);
     }
 
-    /// Sends the notifications of ends that no later process can undo.
+    /// Sends the pending notifications whose messages no later process can send.
     fn send_final(&mut self, now: Micros, all_durable: bool) {
         let is_final = |end: &PendingNotification| all_durable || end.no_send_after <= now;
         let pending = std::mem::take(&mut self.pending);
@@ -60,7 +64,7 @@
 }
 
 impl Driver {
-    /// Nothing more is owed for the message, as the proof shows.
+    /// Completes a message, as its end proof shows.
     pub(super) fn complete(&mut self, message: MessageId, proof: EndProof) {
         self.lifecycle.complete(message);
         if self.messages.close(message) {
@@ -69,10 +73,11 @@
         }
     }
 
-    /// The decision module has ended the message undelivered.
+    /// Ends a message undelivered, as the decision module decided, and queues its notification.
     pub(super) fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
         let Some(pending) = self.messages.get(message).filter(|held| held.open) else {
-            // its client has had the outcome as its answer: no notification is due
+            // the client received the outcome as the response to its request, so no notification is
+            // needed
             return self.events.push(Event::NotificationDelivered(message));
         };
         let id = pending.item.id.clone();
@@ -93,7 +98,7 @@
         });
     }
 
-    /// Sends the notifications that need not wait any longer.
+    /// Sends the pending notifications that no longer need to wait.
     pub(super) fn send_final_notifications(&mut self) {
         if self.notifications.has_pending() {
             let now = self.clock.at(Instant::now());
@@ -102,7 +107,7 @@
         }
     }
 
-    /// The platform has accepted notifications.
+    /// Completes the messages whose notifications the platform has accepted.
     pub(super) fn notifications_accepted(&mut self, accepted: AcceptedNotifications) {
         let AcceptedNotifications { numbers, proof } = accepted;
         for message in numbers.into_iter().map(MessageId) {
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -1,5 +1,6 @@
-//! What is left of a process that has handed over: it reports how its calls end, and forwards what clients and operators
-//! still bring. It decides nothing, writes nothing down and starts no call.
+//! Predecessor after a handover: it reports the ends of its calls to the successor, and forwards
+//! submissions and commands that still arrive. It makes no decisions, writes no journal records and
+//! starts no calls.
 
 use super::ClientSlots;
 use super::calls_in_flight::CallsInFlight;
@@ -15,18 +16,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::interval;
 
-/// How often it is looked at whether all is done.
+/// Interval at which the predecessor checks whether all its calls and clients have ended.
 const DONE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process after the handover.
+/// Process that has handed its state over and drains its calls and clients.
 pub(super) struct DrainingPredecessor {
     writer: LinkWriter,
     clock: Clock,
     calls_in_flight: CallsInFlight,
     client_slots: ClientSlots,
-    /// Clients that wait for the successor's answer, by number of their submission.
+    /// Clients that wait for the successor's response, by the number of their forwarded submission.
     clients: HashMap<u64, oneshot::Sender<SubmissionResult>>,
-    /// Operators that wait for the successor's result, by number of their command.
+    /// Operators that wait for the successor's result, by the number of their forwarded command.
     operators: HashMap<u64, oneshot::Sender<AdminResult>>,
     last_number: u64,
 }
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Runs until no call is in flight and no client is connected, or the successor is gone.
+    /// Runs until no call is in flight and no client is connected, or until the link to the
+    /// successor is lost.
     pub async fn run(
         mut self,
         mut inputs: mpsc::UnboundedReceiver<DriverInput>,
@@ -62,7 +64,9 @@
                 Some(command) = commands.recv() => self.forward_command(command).await,
                 _ = done_check.tick() => {
                     if self.is_done() {
-                        net::log(format_args!("handover: calls and clients are done, the predecessor ends"));
+                        net::log(format_args!(
+                            "handover: all calls and client connections have ended; the predecessor exits"
+                        ));
                         return;
                     }
                     Ok(())
@@ -70,9 +74,10 @@
                 Some(input) = inputs.recv() => self.receive(input).await,
             };
             if let Err(error) = sent {
-                // whoever takes the journal next must not meet calls that still run
+                // exit at once: calls of this process must not still run when another process opens
+                // the journal
                 return net::log(format_args!(
-                    "handover: the successor is lost, the predecessor ends: {error}"
+                    "handover: lost the successor; the predecessor exits: {error}"
                 ));
             }
         }
@@ -120,9 +125,10 @@
                 Ok(())
             }
             DriverInput::HandoverLinkLost => Err(LinkError::Unexpected),
-            // no message of the link carries a wait without its call's end (docs/ROADMAP.md)
+            // dropped: the handover protocol has no message for a Retry-After that arrives after
+            // the end of its attempt (docs/ROADMAP.md)
             DriverInput::RetryAfter { .. } => Ok(()),
-            // the successor reads lists and settings itself, and posts notifications
+            // the successor receives lists and settings itself, and posts the notifications
             DriverInput::SettingsChanged(_)
             | DriverInput::AgreedRules { .. }
             | DriverInput::Quotas { .. }
@@ -171,21 +177,24 @@
             HandoverMessage::CancelAttempt { call, item } => {
                 let call = self.calls_in_flight.get(call);
                 if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
-                    // a call that has just ended has reported its outcome
+                    // the send fails only if the call has just ended, and then its outcome is
+                    // already on the way
                     let _ = cancels.send(item);
                 }
             }
             HandoverMessage::Answered { number, result } => {
                 if let Some(client) = self.clients.remove(&number) {
-                    let _ = client.send(result); // a client that is gone has said so by its guard
+                    // the send fails only if the client has disconnected, which its guard reports
+                    let _ = client.send(result);
                 }
             }
             HandoverMessage::AdminResult { number, result } => {
                 if let Some(operator) = self.operators.remove(&number) {
-                    let _ = operator.send(result); // an operator that has gone sees the log
+                    // a disconnected operator finds the result in the successor's log
+                    let _ = operator.send(result);
                 }
             }
-            // what only a predecessor sends
+            // only a predecessor sends these
             HandoverMessage::AttemptEnded(_)
             | HandoverMessage::Submitted { .. }
             | HandoverMessage::ClientDisconnected(_)
--- a/src/net/driver/end_counts.rs
+++ b/src/net/driver/end_counts.rs
@@ -1,4 +1,4 @@
-//! How many messages ended by each kind of proof, and the log of these counts.
+//! Number of messages that ended by each kind of end proof, and the log line of these counts.
 
 use crate::net;
 use crate::net::end_proof::EndProof;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the counts are logged while they change.
+/// Minimum time between two log lines of the counts.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Ends since the process began.
+/// Number of ended messages since the process began, by kind of end proof.
 #[derive(Debug)]
 pub(super) struct EndCounts {
     by_proof: BTreeMap<EndProof, u64>,
@@ -32,14 +32,14 @@
         self.changed = true;
     }
 
-    /// Logs the counts, unless they are those of the last line or that is a short while ago.
+    /// Logs the counts if they have changed and the last line is at least [`LOG_INTERVAL`] old.
     pub fn log_if_due(&mut self, now: Instant) {
         if self.changed && now.saturating_duration_since(self.logged_at) >= LOG_INTERVAL {
             self.log(now);
         }
     }
 
-    /// Logs the counts now.
+    /// Logs the counts, whether they have changed or not.
     pub fn log(&mut self, now: Instant) {
         self.changed = false;
         self.logged_at = now;
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: what it changes in the driver's records, and what the connection pool learns of it.
+//! Endpoint list: updates the driver's records of the endpoints and notifies the connection pool of
+//! changes.
 
 use super::Driver;
 use crate::net::RateLimitedLog;
@@ -8,21 +9,24 @@
 use message_sender::{EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, Micros};
 use std::collections::BTreeSet;
 
-/// Which list is in force.
+/// Version of the endpoint list, and the check against older lists.
 #[derive(Default)]
 pub(super) struct ListState {
-    /// The version that is in force.
+    /// Version of the list that is in force.
     pub version: u64,
-    /// Senders agree on rules, and the list is the registry's: no lower version than this is accepted.
+    /// True if agreement is on. The list then comes from the registry, and versions below the one
+    /// in force are rejected.
     pub rules_agreed: bool,
-    /// A lower version came: changes of it rest on another list.
+    /// True since an older version was received. Later changes build on that older list and are
+    /// rejected as well.
     is_behind: bool,
     behind_log: RateLimitedLog,
 }
 
 impl ListState {
-    /// Whether a list is of a version below the one that is in force: a registry that came back from an older folder. What
-    /// it sends is accepted again once a full list is no older.
+    /// Returns true if an update must be rejected because its list is older than the one in force.
+    /// That happens after a registry was restored from an older folder. Updates are accepted again
+    /// from the first full list that is not older.
     fn rejects(&mut self, update: &ListUpdate) -> bool {
         if !self.rules_agreed {
             return false;
@@ -32,7 +36,7 @@
             let found = update.version;
             let known = self.version;
             self.behind_log.log(format_args!(
-                "discovery: version {found} is not accepted, {known} is in force"
+                "discovery: list version {found} rejected, {known} is in force"
             ));
         }
         self.is_behind
@@ -40,7 +44,7 @@
 }
 
 impl Driver {
-    /// Applies a list that discovery sent.
+    /// Applies a list that discovery sent, except for changes that a freeze holds back.
     pub(super) fn receive_list(&mut self, update: ListUpdate) {
         if self.list.rejects(&update) {
             return;
@@ -49,7 +53,7 @@
         self.apply_list(update);
     }
 
-    /// Applies a list as discovery has it.
+    /// Applies a list or changes to it, and sets the version that is in force.
     pub(super) fn apply_list(&mut self, update: ListUpdate) {
         let scope = if update.full {
             ListScope::Full
@@ -60,9 +64,9 @@
         self.apply_entries(update, scope);
     }
 
-    /// Applies the list of the configuration, which may be older than discovery's.
+    /// Applies the list of the configuration file, which may be older than discovery's.
     pub(super) fn apply_known_list(&mut self, update: ListUpdate) {
-        // one that is empty is none: the first watch is to send all
+        // an empty list sets no version, so that the first request to discovery gets the full list
         if !update.targets.is_empty() {
             self.set_list_version(update.version);
         }
@@ -98,7 +102,7 @@
         self.events.push(Event::EndpointList { scope, entries });
     }
 
-    /// Takes one entry into the endpoint's record.
+    /// Updates the record of an endpoint from its entry in the list.
     fn apply_entry(&mut self, listed: ListedEndpoint) -> EndpointEntry {
         let kind = position(&self.names.kinds, &listed.kind);
         let zone = position(&self.names.zones, &listed.zone) as u16;
@@ -126,7 +130,8 @@
         }
     }
 
-    /// Forgets endpoints that no list has had for a while, that are not disabled and that no message was sent to.
+    /// Removes endpoints that have been unlisted for a while, are not disabled, and have no attempt
+    /// of a held message.
     fn forget_unneeded_endpoints(&mut self) {
         if self.endpoints.are_all_listed() {
             return;
@@ -138,7 +143,7 @@
         });
     }
 
-    /// Tells the pool whether the endpoint takes calls.
+    /// Notifies the connection pool whether the endpoint may get calls.
     pub(super) fn update_pool(&self, endpoint: EndpointId) {
         let Some(record) = self.endpoints.get(endpoint) else {
             return;
@@ -152,14 +157,15 @@
         }
     }
 
-    /// A late answer carried a Retry-After.
+    /// Applies a Retry-After from an answer that came after its attempt had ended.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
         self.events.push(Event::RetryAfter { endpoint, wait });
     }
 
-    /// A Retry-After holds for the whole destination where that is one route: a call to any endpoint of it that has no
-    /// connection yet must not be written when one comes up.
+    /// Applies a Retry-After delay to connections. If the destination is one route, the delay holds
+    /// for all its endpoints: calls that still wait for a connection to one of them must not be
+    /// sent when it is established.
     pub(super) fn delay_connections(&self, endpoint: EndpointId, wait: Micros) {
         let Some(origin) = self.endpoints.get(endpoint) else {
             return;
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the driver knows, by the decision module's numbers.
+//! Endpoints that the driver knows, by the numbers that the decision module uses for them.
 
 use message_sender::EndpointId;
 use message_sender::pool::EndpointAddress;
@@ -7,28 +7,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An endpoint that comes back within this time is the same still, with its Retry-After: longer than these are.
+/// Time for which an unneeded endpoint is still remembered. An endpoint that is listed again within
+/// this time keeps its number, and with it a Retry-After; delays of Retry-After are shorter than
+/// this.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
-/// What the driver knows of one endpoint.
+/// Driver's record of one endpoint.
 pub(super) struct EndpointRecord {
-    /// Its name in the list.
+    /// Name of the endpoint in the endpoint list.
     pub uid: String,
-    /// Where it takes calls, as listed last.
+    /// Address for calls, from the latest entry; `None` if the endpoint was never listed.
     pub address: Option<SocketAddr>,
-    /// Its kind, by position in the settings; `usize::MAX` for one that is not there.
+    /// Position of the endpoint's kind in the settings; `usize::MAX` if the settings do not have
+    /// it.
     pub kind: usize,
-    /// The destination that it belongs to.
+    /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
-    /// The last list that named it did not say that it is gone.
+    /// True if the latest entry did not mark the endpoint as removed.
     pub listed: bool,
-    /// That list did not say either that it drains.
+    /// True if the latest entry marked the endpoint as serving, neither draining nor removed.
     pub serving: bool,
-    /// Its zone, as listed last.
+    /// Name of the zone, from the latest entry.
     pub zone: String,
-    /// Its weight, as listed last.
+    /// Relative capacity, from the latest entry.
     pub weight: f64,
-    /// Since when nothing needs it any more, as far as that has been looked at.
+    /// Time at which a check first found that nothing needs the endpoint; `None` if the last check
+    /// found it needed.
     pub unneeded_since: Option<Instant>,
 }
 
@@ -48,7 +52,7 @@
     }
 }
 
-/// All endpoints that the driver knows.
+/// All endpoints that the driver knows, by number and by name.
 #[derive(Default)]
 pub(super) struct Endpoints {
     records: BTreeMap<EndpointId, EndpointRecord>,
@@ -71,7 +75,7 @@
             .map(|(&endpoint, record)| (endpoint, record))
     }
 
-    /// The endpoint's name in the list.
+    /// Returns the endpoint's name in the endpoint list.
     pub fn uid(&self, endpoint: EndpointId) -> Option<&str> {
         Some(&self.get(endpoint)?.uid)
     }
@@ -84,7 +88,8 @@
         self.records.get(self.by_uid.get(uid)?)
     }
 
-    /// The number of the endpoint; one that is not known yet gets the next number.
+    /// Returns the number of the endpoint with this name, and adds an unlisted record if the name
+    /// is new.
     pub fn id_or_new(&mut self, uid: &str) -> EndpointId {
         if let Some(endpoint) = self.id_of(uid) {
             return endpoint;
@@ -95,13 +100,13 @@
         endpoint
     }
 
-    /// Adds an endpoint under a number that it has already.
+    /// Adds an endpoint under a given number.
     pub fn insert(&mut self, endpoint: EndpointId, record: EndpointRecord) {
         self.by_uid.insert(record.uid.clone(), endpoint);
         self.records.insert(endpoint, record);
     }
 
-    /// The number that the next new endpoint gets.
+    /// Returns the number that the next new endpoint will get.
     pub fn next_number(&self) -> u32 {
         self.next_number
     }
@@ -110,7 +115,7 @@
         self.next_number = next_number;
     }
 
-    /// Where an endpoint takes calls.
+    /// Returns the address for calls to an endpoint; `None` if it was never listed.
     pub fn address_of(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
         let address = self.get(endpoint)?.address?;
         Some(EndpointAddress { address, endpoint })
@@ -120,7 +125,7 @@
         self.records.values().any(|record| record.listed)
     }
 
-    /// Takes all endpoints as unlisted, before a list that names each one anew.
+    /// Marks all endpoints as unlisted, before a full list is applied.
     pub fn unlist_all(&mut self) {
         for record in self.records.values_mut() {
             record.listed = false;
@@ -132,7 +137,7 @@
         self.records.values().all(|record| record.listed)
     }
 
-    /// Forgets endpoints that nothing has needed for [`FORGET_AFTER`].
+    /// Removes endpoints that nothing has needed for [`FORGET_AFTER`].
     pub fn forget_unneeded(&mut self, is_needed: impl Fn(EndpointId, &EndpointRecord) -> bool) {
         let now = Instant::now();
         let by_uid = &mut self.by_uid;
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -1,5 +1,6 @@
-//! What a freeze holds back of the endpoint list: such entries are not used, counted, reported, and admitted one after
-//! another once the freeze ends. What a list takes away is always obeyed.
+//! Filter of the endpoint list during a freeze. Entries that a freeze forbids are held back,
+//! counted and reported, and admitted one after another once the freeze ends. Removals from the
+//! list always apply.
 
 use super::Driver;
 use super::endpoints::EndpointRecord;
@@ -15,41 +16,41 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// The freeze, while it is on in the configuration.
+/// State of the freeze, while the configuration has it switched on.
 pub(super) struct FreezeFilter {
     check: FreezeCheck,
     settings: FreezeSettings,
-    /// Entries that are held back, as they were listed last, by uid.
+    /// Latest versions of the entries that are held back, by uid.
     held_back: BTreeMap<String, ListedEndpoint>,
-    /// When the next one may be admitted.
+    /// Time in microseconds from which the next held-back entry may be admitted.
     next_admission: Micros,
-    /// How often an entry was held back.
+    /// Number of times that an entry was held back.
     held_back_count: u64,
-    /// Entries that were admitted afterwards.
+    /// Number of held-back entries that were admitted later.
     admitted_count: u64,
 }
 
-/// The answer to `GET /freeze` on the control address.
+/// Response to `GET /freeze` on the control address.
 #[derive(Debug, Serialize)]
 struct FreezeReport<'a> {
-    /// The calendar's revision; none: it is not known.
+    /// Revision of the freeze calendar; `None` while the calendar is not known.
     #[serde(rename = "calendar")]
     revision: Option<u64>,
-    /// The windows that are on, by name.
+    /// Freeze windows that are active, by name.
     #[serde(rename = "on")]
     active_windows: BTreeMap<String, ActiveWindow>,
-    /// Entries that are held back, by uid.
+    /// Uids of the entries that are held back.
     #[serde(rename = "held")]
     held_back: Vec<&'a str>,
-    /// How often an entry was held back.
+    /// Number of times that an entry was held back.
     #[serde(rename = "held_ever")]
     held_back_count: u64,
-    /// Entries that were admitted afterwards.
+    /// Number of held-back entries that were admitted later.
     #[serde(rename = "admitted")]
     admitted_count: u64,
 }
 
-/// An entry of the list as the freeze compares it.
+/// Returns the state of a list entry that the freeze compares with the endpoint's current state.
 fn listed_snapshot(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
         up: listed.status == EndpointStatus::Serving,
@@ -59,7 +60,7 @@
     }
 }
 
-/// What is known of an endpoint that the last list had.
+/// Returns the current state of an endpoint; `None` if it is not listed.
 fn known_snapshot(record: &EndpointRecord) -> Option<EndpointSnapshot> {
     record.listed.then(|| EndpointSnapshot {
         up: record.serving,
@@ -81,13 +82,14 @@
         }
     }
 
-    /// Forgets entries that a full list does not name any more.
+    /// Forgets held-back entries that a new full list no longer contains.
     fn retain_listed(&mut self, listed: &[ListedEndpoint]) {
         let names: BTreeSet<&str> = listed.iter().map(|entry| entry.uid.as_str()).collect();
         self.held_back.retain(|uid, _| names.contains(uid.as_str()));
     }
 
-    /// What of an entry may be used now; `before` is what the endpoint was so far.
+    /// Returns the entry with only the changes that are allowed now; `None` if nothing of it may be
+    /// used. `before` is the current state of the endpoint.
     fn filter(
         &mut self,
         now: u64,
@@ -105,7 +107,7 @@
         self.held_back.insert(entry.uid.clone(), entry.clone());
         let before = before?;
         if before.destination == entry.destination && before.zone == entry.zone {
-            // it stays what it was
+            // keep the endpoint's current weight and status
             entry.weight = before.weight;
             entry.status = if before.up {
                 EndpointStatus::Serving
@@ -134,7 +136,7 @@
 }
 
 impl Driver {
-    /// The freeze calendar or its settings changed.
+    /// Applies a change of the freeze calendar or of its settings.
     pub(super) fn change_freeze(&mut self, change: FreezeChange) {
         let now = self.freeze_time();
         match change {
@@ -159,12 +161,13 @@
         }
     }
 
-    /// Module time, as the freeze calendar counts it.
+    /// Returns the current time in microseconds, unsigned as the freeze calendar needs it.
     fn freeze_time(&self) -> u64 {
         u64::try_from(self.clock.at(Instant::now())).unwrap_or(0)
     }
 
-    /// The list without what is held back of it.
+    /// Removes from a list update the changes that the freeze forbids, and keeps them for later
+    /// admission.
     pub(super) fn hold_back_frozen(&mut self, mut update: ListUpdate) -> ListUpdate {
         let now = self.freeze_time();
         let Some(filter) = &mut self.freeze else {
@@ -173,7 +176,7 @@
         if update.full {
             filter.retain_listed(&update.targets);
         }
-        // with no list at all it serves with what it gets
+        // without any listed endpoint the sender could not serve, so the update applies in full
         if !self.endpoints.is_any_listed() {
             return update;
         }
@@ -186,7 +189,8 @@
         update
     }
 
-    /// Admits what is held back no more, one entry at a time; true if one was.
+    /// Admits one entry that the freeze no longer forbids, if the time for the next admission has
+    /// come. Returns true if an entry was admitted.
     pub(super) fn admit_unfrozen(&mut self) -> bool {
         let now = self.freeze_time();
         let now_us = self.clock.at(Instant::now());
@@ -208,7 +212,8 @@
         let Some(entry) = filter.held_back.remove(&uid) else {
             return false;
         };
-        // senders whose freeze ends at one moment do not admit the same entry at that moment
+        // random delays keep senders whose freeze ends at the same time from admitting the same
+        // entry together
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
         filter.next_admission = now_us + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
@@ -227,20 +232,20 @@
         }
     }
 
-    /// Whether entries of the list are held back.
+    /// Returns true if the freeze holds back entries of the list.
     pub(super) fn has_held_back_entries(&self) -> bool {
         let filter = self.freeze.as_ref();
         filter.is_some_and(|filter| !filter.held_back.is_empty())
     }
 
-    /// The report for operators, as JSON; none while the freeze is off.
+    /// Returns the report for operators as JSON; `None` while the freeze is off.
     pub(super) fn freeze_report(&self) -> Option<String> {
         let filter = self.freeze.as_ref()?;
         Some(to_sorted_json(&filter.report(self.freeze_time())))
     }
 }
 
-/// Jitter between admissions, which differs from sender to sender.
+/// Generator of random delays between admissions. Its seed differs from sender to sender.
 pub(super) struct AdmissionJitter(u64);
 
 impl AdmissionJitter {
@@ -248,7 +253,7 @@
         AdmissionJitter(seed)
     }
 
-    /// A further time up to `interval`.
+    /// Returns a random delay in microseconds from 0 to `interval`.
     fn next_delay(&mut self, interval: Micros) -> Micros {
         self.0 = self.0.wrapping_add(1);
         let draw = Pcg32::seed_from_u64(self.0).next_u32();
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -1,4 +1,5 @@
-//! The predecessor's side of a handover: all state goes to the successor, which alone owns the messages from then on.
+//! Predecessor's side of a handover: all state is sent to the successor, which then is the only
+//! owner of the messages.
 
 use super::Driver;
 use super::draining_predecessor::DrainingPredecessor;
@@ -12,34 +13,37 @@
 };
 use message_sender::{EndpointId, MessageId};
 
-/// What follows a successor's request.
+/// Next step of this process after a successor's request to take over.
 pub(super) enum AfterRequest {
-    /// This process still owns the messages.
+    /// This process still owns the messages and continues.
     Continue,
-    /// The successor owns the messages; this process ends once its calls and clients have.
+    /// The successor owns the messages; this process ends after its last call and client
+    /// connection.
     Drain(Link),
     /// The successor owns the messages, and this process ends at once.
     Exit,
 }
 
 impl Driver {
-    /// Hands all state over, if the successor takes it; nothing is decided meanwhile.
+    /// Hands all state over to the successor. No turn runs meanwhile, so the state can't change.
     pub(super) async fn hand_over(&mut self, request: SuccessorRequest) -> AfterRequest {
         let mut link = match request {
             SuccessorRequest::SameVersion(link) => link,
             SuccessorRequest::OtherVersion => {
                 net::log(format_args!(
-                    "handover: the successor reads another version, this process ends"
+                    "handover: the successor reads another state version; this process exits"
                 ));
                 return AfterRequest::Exit;
             }
         };
         if self.predecessor.is_some() {
-            return AfterRequest::Continue; // it asks again once the process before this one is gone
+            // the successor asks again, after this process's own predecessor has ended
+            return AfterRequest::Continue;
         }
         self.take_turns();
         if self.journal.has_pending() {
-            return AfterRequest::Continue; // what it would read is not all that has happened: it asks again
+            // the journal lacks records that are not written yet; the successor asks again later
+            return AfterRequest::Continue;
         }
         let state = match self.handover_state() {
             Ok(state) => state,
@@ -65,7 +69,7 @@
         }
     }
 
-    /// The successor did not take over: this process goes on, if it gets the lock back.
+    /// Continues after a failed handover, if this process gets the lock of the state folder back.
     async fn resume_after(&mut self, error: LinkError) -> AfterRequest {
         if !self.process.lock.try_acquire().unwrap_or(false) {
             net::log(format_args!(
@@ -80,7 +84,7 @@
             Ok(()) => AfterRequest::Continue,
             Err(error) => {
                 net::log(format_args!(
-                    "handover: the journal is lost, this process ends: {error}"
+                    "handover: the journal can't be reopened; this process exits: {error}"
                 ));
                 AfterRequest::Exit
             }
@@ -88,7 +92,8 @@
     }
 
     fn handover_state(&self) -> Result<HandoverState, postcard::Error> {
-        // what a freeze holds back of the list is not handed over: the successor asks for all of it
+        // changes held back by a freeze are not handed over; version 0 makes the successor request
+        // the full list
         let list_version = if self.has_held_back_entries() {
             0
         } else {
@@ -110,7 +115,8 @@
         })
     }
 
-    /// What is left of this process once its successor has taken over.
+    /// Converts this driver into one that only drains its calls and clients, after the successor
+    /// has taken over.
     pub(super) fn into_draining_predecessor(self, link: Link) -> DrainingPredecessor {
         self.process.draining.set(true);
         self.process.handed_over.send_replace(true);
--- a/src/net/driver/journal_state.rs
+++ b/src/net/driver/journal_state.rs
@@ -1,4 +1,5 @@
-//! The journal as the driver uses it: failures are logged, and the decision module learns whether records are taken.
+//! Journal access for the driver: failed writes are logged, and the decision module is notified
+//! when writes begin to fail or succeed again.
 
 use crate::net::RateLimitedLog;
 use crate::net::end_proof::EndProof;
@@ -10,11 +11,11 @@
 use message_sender::{MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// The journal and what the decision module knows of it.
+/// Journal, and the state of it that was last reported to the decision module.
 pub(super) struct JournalState {
     journal: Journal,
     log: RateLimitedLog,
-    /// The decision module knows that the journal can't be written.
+    /// True if the decision module was last notified that the journal can't be written.
     reported_failing: bool,
 }
 
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Reads the journal anew, as soon as the disk lets it be read: another process had it meanwhile.
+    /// Reads the journal again, because another process may have written to it meanwhile. Read
+    /// errors are retried until the disk allows the read.
     pub async fn reopen(&mut self) -> Result<(), JournalError> {
         let JournalState { journal, log, .. } = self;
         retry_while(
@@ -44,7 +46,9 @@
             .ok()
     }
 
-    /// Whether the decision module is to learn of a change: true if the journal fails now, false if it no longer does.
+    /// Returns a change that the decision module must be notified of: `Some(true)` if the journal
+    /// now fails, `Some(false)` if it no longer does. `None` if nothing changed since the last
+    /// report.
     pub fn take_change(&mut self) -> Option<bool> {
         let failing = self.journal.is_failing();
         if failing == self.reported_failing {
@@ -54,19 +58,20 @@
         Some(failing)
     }
 
-    /// The decision module knows that the journal can't be written.
+    /// Returns true if the decision module was last notified that the journal can't be written.
     pub fn is_reported_failing(&self) -> bool {
         self.reported_failing
     }
 
-    /// Tries again what failed; true if the journal takes records again and the decision module is to learn of it.
+    /// Retries the writes that failed. Returns true if the journal can be written again and the
+    /// decision module was not notified of that yet.
     pub fn retry(&mut self) -> bool {
         let written = self.journal.retry_pending();
         self.log_error(written);
         self.reported_failing && !self.journal.is_failing()
     }
 
-    /// Writes a new message down; false if it is not written.
+    /// Records a newly accepted message; returns false if the write failed.
     pub fn accept(
         &mut self,
         message: MessageId,
@@ -78,31 +83,32 @@
         self.log_error(written).is_some()
     }
 
-    /// Writes an attempt down; its position in the journal, or none if it is not written.
+    /// Records the start of an attempt. Returns its position among the message's records, or `None`
+    /// if the write failed.
     pub fn start_attempt(&mut self, message: MessageId, uid: &str, now: Micros) -> Option<usize> {
         let written = self.journal.start_attempt(message.0, uid, now);
         self.log_error(written)
     }
 
-    /// The attempt at this position has proved that it never ran.
+    /// Records that the attempt at this position proved to have never run at the endpoint.
     pub fn attempt_never_ran(&mut self, message: MessageId, position: usize) {
         let written = self.journal.attempt_never_ran(message.0, position);
         self.log_error(written);
     }
 
-    /// The message ended undelivered, and a notification is pending.
+    /// Records that the message ended undelivered and that its notification is pending.
     pub fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
         let written = self.journal.end_undelivered(message.0, outcome);
         self.log_error(written);
     }
 
-    /// Nothing more is owed for the message, as the proof shows.
+    /// Records that the message is complete, as its end proof shows.
     pub fn complete(&mut self, message: MessageId, proof: EndProof) {
         let written = self.journal.complete(message.0, proof);
         self.log_error(written);
     }
 
-    /// Writes down that an endpoint is disabled or enabled; false if it is not written.
+    /// Records that an operator disabled or enabled an endpoint; returns false if the write failed.
     pub fn set_disabled(&mut self, uid: &str, disabled: bool) -> bool {
         let written = self.journal.set_disabled(uid, disabled);
         self.log_error(written).is_some()
--- a/src/net/driver/messages.rs
+++ b/src/net/driver/messages.rs
@@ -1,45 +1,49 @@
-//! The messages that the driver holds, with their attempts.
+//! Messages that the driver holds, and their attempts.
 
 use crate::net::calls::Item;
 use hyper::header::HeaderValue;
 use message_sender::{EndpointId, MessageId, Micros};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Ids of delivered messages that are remembered, for clients whose request crossed a closed connection.
+/// Maximum number of delivered messages whose ids are remembered. A client whose connection closed
+/// before the response submits its message again, and must learn that it was delivered.
 const MAX_DELIVERED_IDS: usize = 4096;
-/// The call of an attempt that has none.
+/// Call number of an attempt for which this process knows no call.
 pub(super) const NO_CALL: u64 = u64::MAX;
 
 /// One attempt to deliver a message.
 #[derive(Debug, Clone)]
 pub(super) struct Attempt {
     pub endpoint: EndpointId,
-    /// Module time.
+    /// Time in microseconds at which the attempt began.
     pub sent_at: Micros,
-    /// Its call; [`NO_CALL`] for one of an earlier process.
+    /// Number of the call that carries the message; [`NO_CALL`] for attempts recovered from the
+    /// journal.
     pub call: u64,
-    /// The message's position in the call.
+    /// Position of the message in the call.
     pub item: usize,
-    /// It has no outcome yet.
+    /// True until the attempt has an outcome.
     pub in_flight: bool,
-    /// Its position in the journal; none where it was not written down, so that it never left.
+    /// Position of the attempt among the message's journal records; `None` if it was not recorded,
+    /// and so never sent.
     pub record: Option<usize>,
 }
 
-/// A message that is not complete, or has attempts in flight.
+/// Message that is incomplete or has attempts in flight.
 pub(super) struct Message {
-    /// What calls carry.
+    /// Id, idempotency key and body, as sent in calls.
     pub item: Item,
-    /// It is neither delivered nor ended undelivered.
+    /// True until the message is delivered or ends undelivered.
     pub open: bool,
-    /// Clients that have the answer that it is accepted, or will get it.
+    /// Number of clients that submitted this message and have not disconnected before their
+    /// response.
     pub clients: usize,
-    /// All attempts, those of earlier processes included.
+    /// All attempts in order, including those of earlier processes.
     pub attempts: Vec<Attempt>,
 }
 
 impl Message {
-    /// A message of one client, without attempts.
+    /// Creates an open message, submitted by one client and without attempts.
     pub fn new(item: Item) -> Self {
         Message {
             item,
@@ -54,15 +58,15 @@
     }
 }
 
-/// All messages that the driver holds.
+/// All messages that the driver holds, by message number.
 #[derive(Default)]
 pub(super) struct Messages {
     by_number: BTreeMap<MessageId, Message>,
-    /// Open messages by the clients' ids.
+    /// Numbers of the open messages, by the id that the client gave.
     open_by_id: HashMap<HeaderValue, MessageId>,
     next_number: u64,
     attempts_in_flight: usize,
-    /// Ids of messages that were delivered last.
+    /// Ids of the most recently delivered messages, oldest first; at most [`MAX_DELIVERED_IDS`].
     delivered: VecDeque<HeaderValue>,
 }
 
@@ -81,7 +85,7 @@
             .map(|(&number, message)| (number, message))
     }
 
-    /// The open message that a client gave this id.
+    /// Returns the number of the open message with this client id.
     pub fn open_message(&self, id: &HeaderValue) -> Option<MessageId> {
         self.open_by_id.get(id).copied()
     }
@@ -94,7 +98,7 @@
         self.get(message).is_some_and(|message| message.open)
     }
 
-    /// The number of the next new message.
+    /// Returns the number that the next new message will get.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
@@ -103,7 +107,7 @@
         self.next_number = next_number;
     }
 
-    /// A number that no message has had.
+    /// Allocates a message number that was not used before.
     pub fn take_number(&mut self) -> MessageId {
         let number = MessageId(self.next_number);
         self.next_number += 1;
@@ -119,7 +123,7 @@
         self.by_number.insert(number, message);
     }
 
-    /// Marks the message as ended; false if it was.
+    /// Marks a message as ended. Returns false if it has already ended or is unknown.
     pub fn close(&mut self, number: MessageId) -> bool {
         let Some(message) = self.by_number.get_mut(&number).filter(|held| held.open) else {
             return false;
@@ -132,7 +136,7 @@
         true
     }
 
-    /// Forgets a message that has ended and has no attempt in flight.
+    /// Removes a message if it has ended and none of its attempts is in flight.
     pub fn forget_if_done(&mut self, number: MessageId) {
         if self.get(number).is_some_and(Message::is_done) {
             self.by_number.remove(&number);
@@ -152,12 +156,12 @@
         attempt.is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Attempts of all messages that have no outcome yet.
+    /// Returns the number of attempts in flight, over all messages.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight
     }
 
-    /// Adds an attempt that begins now.
+    /// Adds an attempt to a message, in flight since `now`.
     pub fn begin_attempt(&mut self, number: MessageId, endpoint: EndpointId, now: Micros) {
         let Some(message) = self.by_number.get_mut(&number) else {
             return;
@@ -173,7 +177,8 @@
         self.attempts_in_flight += 1;
     }
 
-    /// Marks an attempt as no longer in flight, and returns it as it was; none if it was not in flight.
+    /// Marks an attempt as no longer in flight. Returns its state from before, or `None` if it was
+    /// not in flight.
     pub fn end_attempt(&mut self, message: MessageId, attempt: usize) -> Option<Attempt> {
         let attempt = self.attempt_mut(message, attempt)?;
         if !attempt.in_flight {
@@ -185,13 +190,13 @@
         Some(before)
     }
 
-    /// The endpoints that some message was sent to.
+    /// Returns the endpoints of all attempts; an endpoint may occur several times.
     pub fn attempted_endpoints(&self) -> impl Iterator<Item = EndpointId> {
         let attempts = self.by_number.values().flat_map(|held| &held.attempts);
         attempts.map(|attempt| attempt.endpoint)
     }
 
-    /// Remembers the id of a message that was delivered.
+    /// Remembers the id of a delivered message, and forgets the oldest one if there are too many.
     pub fn remember_delivered(&mut self, message: MessageId) {
         let Some(held) = self.by_number.get(&message) else {
             return;
@@ -206,7 +211,7 @@
         self.delivered.contains(id)
     }
 
-    /// Ids of delivered messages, the oldest first.
+    /// Returns the ids of the remembered delivered messages, oldest first.
     pub fn delivered_ids(&self) -> impl Iterator<Item = &HeaderValue> {
         self.delivered.iter()
     }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,8 +1,10 @@
 //! The event loop: the only owner of the decision module and of the messages.
 //!
-//! All input that is ready becomes events, the decision module is asked once, and its actions are carried out: one turn.
-//! Each kind of state has a module of its own ([`endpoints`], [`messages`], [`calls_in_flight`], [`journal_state`],
-//! [`completion`], [`submissions`]); so has each job.
+//! In each turn the driver turns all waiting input into events, passes them to the decision module
+//! in one call, and carries out the actions that it returns. Each kind of state has a module of its
+//! own ([`endpoints`], [`messages`], [`calls_in_flight`], [`journal_state`], [`completion`],
+//! [`submissions`]); the other modules each do one job, such as a handover or the recovery from the
+//! journal.
 
 mod admin;
 mod attempts;
@@ -53,61 +55,66 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 use violations::Violations;
 
-/// How often idle connections are closed and frozen entries are looked at.
+/// Interval at which idle connections are closed and endpoints held back by a freeze are checked
+/// for admission.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Inputs of one turn, so that a turn stays short: the ends of a call to each of as many endpoints.
+/// Maximum number of queued inputs handled in one turn, which keeps a turn short. 1024 covers the
+/// end of one call to each of 1024 endpoints.
 const MAX_INPUTS_PER_TURN: usize = 1024;
 
-/// What the driver works with.
+/// Components and channels that the driver uses while it runs.
 pub struct Dependencies {
-    /// State that it shares with the other tasks.
+    /// State that the driver shares with the other tasks of the process.
     pub process: ProcessState,
-    /// The open journal.
+    /// Journal of accepted messages, already open.
     pub journal: Journal,
     /// Starts calls to endpoints.
     pub calls: Calls,
-    /// Takes the notifications of undelivered messages.
+    /// Queue of the task that posts outcome notifications to the platform.
     pub notifications: mpsc::UnboundedSender<OutcomeNotification>,
-    /// Set once endpoints are known.
+    /// Set to true once an endpoint is listed; the process then reports itself as ready.
     pub ready: watch::Sender<bool>,
-    /// Seed of the jitter of frozen entries.
+    /// Seed of the random delays between admissions of endpoints after a freeze.
     pub seed: u64,
 }
 
-/// What the driver starts from.
+/// State with which the driver starts.
 pub struct InitialState {
-    /// The decision module, new or handed over.
+    /// Decision module, either new or handed over by the predecessor.
     pub sender: Sender,
-    /// The settings of the configuration file.
+    /// Settings read from the configuration file.
     pub settings: SettingsUpdate,
-    /// The endpoint list of the configuration file.
+    /// Endpoint list from the configuration file, used until discovery sends one.
     pub known_list: Option<ListUpdate>,
-    /// Rules that hold until some are leased; none while agreement is off.
+    /// Fallback rules, in force until rules are leased; `None` if agreement is off.
     pub fallback_rules: Option<RuleBounds>,
-    /// Quotas that hold until some are leased; none while the ledger is off.
+    /// Fallback quotas, in force until quotas are leased; `None` if the ledger is off.
     pub fallback_quotas: Option<Quotas>,
-    /// What a predecessor handed over, but for the decision module.
+    /// State that the predecessor handed over, without the decision module; `None` if no handover
+    /// took place.
     pub handover: Option<HandoverState>,
 }
 
-/// The channels that the event loop reads.
+/// Channels that the event loop reads.
 pub struct DriverChannels {
-    /// Input of the other tasks.
+    /// Input from the other tasks of the process.
     pub inputs: mpsc::UnboundedReceiver<DriverInput>,
-    /// Commands of operators.
+    /// Commands of operators, which are handled before all other input.
     pub commands: mpsc::Receiver<AdminCommand>,
-    /// Processes that ask to take over.
+    /// Requests of newly started processes to take over from this one.
     pub successors: mpsc::Receiver<SuccessorRequest>,
 }
 
-/// Owner of the decision module and of the messages.
+/// Event loop of the process: owns the decision module and all messages.
 pub struct Driver {
     sender: Sender,
     clock: Clock,
     names: Names,
-    /// As the decision module has them: all that was ever in force, each at its position.
+    /// Settings as passed to the decision module. Classes, kinds and tenants that were removed from
+    /// the configuration remain, so that positions never change while the process runs.
     settings: Settings,
-    /// What has happened to each message: asked before a call begins.
+    /// Independent record of each message's calls. It is checked before each call, and forbids
+    /// calls that would repeat a message or break the order of its key.
     lifecycle: Lifecycle,
     journal: JournalState,
     messages: Messages,
@@ -118,24 +125,26 @@
     end_counts: EndCounts,
     endpoints: Endpoints,
     list: ListState,
-    /// What a freeze holds back of the list; none while it is off.
+    /// Filter that holds back changes of the endpoint list during a freeze; `None` while the freeze
+    /// is off.
     freeze: Option<Box<FreezeFilter>>,
     admission_jitter: AdmissionJitter,
-    /// Events of the next turn.
+    /// Events to pass to the decision module in the next turn.
     events: Vec<Event>,
-    /// When the decision module wants its next turn.
+    /// Time in microseconds at which the decision module requested its next turn.
     timer: Option<Micros>,
-    /// Tasks that wait until what they sent binds.
+    /// Notified after the next turn, when the rules or quotas that a task sent are in force.
     waiting_for_turn: Vec<oneshot::Sender<()>>,
     violations: Violations,
     ready: watch::Sender<bool>,
     process: ProcessState,
-    /// The process before this one, while it has calls in flight or clients connected.
+    /// Predecessor process, while it still has calls in flight or clients connected.
     predecessor: Option<Predecessor>,
 }
 
 impl Driver {
-    /// A driver whose decision module knows the list as last known and what the journal holds.
+    /// Creates a driver, and queues the events that give the decision module the last known
+    /// endpoint list and the messages of the journal.
     pub fn new(dependencies: Dependencies, initial: InitialState) -> Self {
         let InitialState {
             sender,
@@ -151,7 +160,7 @@
         let taken_over = handover.is_some();
         if let Some(state) = handover {
             driver.take_over(state);
-            // what the predecessor saw of the fleet is its own
+            // the predecessor's view of the fleet does not apply to this process
             driver.events.push(Event::FleetView(None));
         }
         driver.push_fallbacks(fallback_rules, fallback_quotas, taken_over);
@@ -200,7 +209,8 @@
         }
     }
 
-    /// A start begins with the fallbacks: what a predecessor was granted is its own.
+    /// Queues the fallback rules and quotas. Leases are granted to one process, so those of a
+    /// predecessor do not apply to its successor.
     fn push_fallbacks(
         &mut self,
         rules: Option<RuleBounds>,
@@ -233,17 +243,18 @@
         }
     }
 
-    /// The version of the list that is in force.
+    /// Returns the version of the endpoint list that is in force.
     pub fn list_version(&self) -> u64 {
         self.list.version
     }
 
-    /// Turns until the inputs end, or until another process owns the messages.
+    /// Runs turns until the input channel is closed or a successor owns the messages. After a
+    /// handover it also drains the calls and clients that are left.
     pub async fn run(mut self, mut channels: DriverChannels) {
         let mut sweep = interval(SWEEP_INTERVAL);
         let mut journal_retry = interval(RETRY_INTERVAL);
         journal_retry.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        // what was sent before the first turn binds it
+        // rules and quotas that were sent before the first turn must already apply to it
         while let Ok(input) = channels.inputs.try_recv() {
             self.receive(input);
         }
@@ -251,7 +262,8 @@
         loop {
             let deadline = self.next_deadline();
             tokio::select! {
-                // operators wait a second at most, however much input waits
+                // commands come first: operators must be answered within a second, even under heavy
+                // input
                 biased;
                 Some(command) = channels.commands.recv() => {
                     if !self.execute(command) {
@@ -271,7 +283,7 @@
                         continue;
                     }
                 }
-                // all waits for the disk meanwhile
+                // no message is accepted and no call begins until the journal can be written
                 _ = journal_retry.tick(), if self.journal.is_reported_failing() => {
                     if !self.journal.retry() {
                         continue;
@@ -288,14 +300,14 @@
         }
     }
 
-    /// When the next turn is due without further input.
+    /// Returns the time at which the next turn is due if no input arrives.
     fn next_deadline(&self) -> Option<Instant> {
         let deadlines = [self.timer, self.notifications.next_deadline()];
         let next = deadlines.into_iter().flatten().min();
         next.map(|at| self.clock.instant(at))
     }
 
-    /// Regular work; true if a turn is due.
+    /// Performs the periodic maintenance; returns true if a turn is due afterwards.
     fn sweep(&mut self) -> bool {
         self.calls.connections().run_maintenance();
         self.end_counts.log_if_due(Instant::now());
@@ -303,7 +315,7 @@
         self.admit_unfrozen() || journal_recovered || self.notifications.has_pending()
     }
 
-    /// Further input that has come already.
+    /// Receives input that is already queued, up to [`MAX_INPUTS_PER_TURN`].
     fn receive_waiting(&mut self, inputs: &mut mpsc::UnboundedReceiver<DriverInput>) {
         for _ in 0..MAX_INPUTS_PER_TURN {
             let Ok(input) = inputs.try_recv() else { break };
@@ -311,7 +323,7 @@
         }
     }
 
-    /// Turns one input to events of the next turn.
+    /// Applies one input and queues its events for the next turn.
     fn receive(&mut self, input: DriverInput) {
         match input {
             DriverInput::Submitted(submission) => self.receive_submission(submission),
@@ -349,7 +361,7 @@
                 reply,
             } => {
                 let (listed, by_destination) = self.sender.demand_in_use(complete_up_to);
-                // a ledger client that is off by now asks no more
+                // the send fails only if the ledger client was switched off meanwhile
                 let _ = reply.send(DemandReport {
                     listed,
                     by_destination,
@@ -362,7 +374,7 @@
         }
     }
 
-    /// Logs a step of the message.
+    /// Logs an event of a message, if the driver still holds the message.
     fn log_event(&self, message: MessageId, event: &MessageEvent<'_>) {
         if let Some(held) = self.messages.get(message) {
             message_log::record(&held.item.id, event);
--- a/src/net/driver/process_state.rs
+++ b/src/net/driver/process_state.rs
@@ -1,4 +1,5 @@
-//! State that the driver shares with the other tasks of the process.
+//! State that the driver shares with the other tasks of the process: clock, input channel, limits
+//! and flags.
 
 use crate::net::clock::Clock;
 use crate::net::events::DriverInput;
@@ -11,36 +12,37 @@
 
 /// State that the driver shares with the other tasks of the process.
 pub struct ProcessState {
-    /// Module time.
+    /// Clock that converts between instants and the time in microseconds that the decision module
+    /// and the journal use; it continues across restarts.
     pub clock: Clock,
-    /// The driver's own input.
+    /// Sending end of the driver's input channel.
     pub inputs: mpsc::UnboundedSender<DriverInput>,
-    /// The lock of the state folder, which this process holds.
+    /// Lock of the state folder, held by this process until a handover.
     pub lock: FolderLock,
-    /// How many clients may be connected.
+    /// Slots for client connections, which limit how many clients are connected at once.
     pub client_slots: ClientSlots,
-    /// The classes that clients may name.
+    /// Message classes that clients may name in their requests.
     pub classes: Classes,
-    /// Set once the process takes nothing new.
+    /// True once the process accepts no new messages.
     pub draining: Rc<Cell<bool>>,
-    /// Set once a successor has taken over.
+    /// Set to true once a successor has taken over.
     pub handed_over: watch::Sender<bool>,
-    /// The number of senders that the decisions scale by.
+    /// Number of senders among which the decision module divides limits.
     pub fleet_size: Rc<Cell<u32>>,
-    /// The version of the list that they go by.
+    /// Version of the endpoint list that is in force.
     pub list_version: Rc<Cell<u64>>,
 }
 
-/// The connections of clients that the process may hold.
+/// Slots for client connections; each connected client holds one.
 pub struct ClientSlots {
-    /// Slots that are free.
+    /// Semaphore with one permit for each free slot.
     pub free: Arc<Semaphore>,
-    /// All slots.
+    /// Number of all slots, free or in use.
     pub total: usize,
 }
 
 impl ClientSlots {
-    /// So many slots, all of them free.
+    /// Creates `total` slots, all of them free.
     pub fn new(total: usize) -> Self {
         ClientSlots {
             free: Arc::new(Semaphore::new(total)),
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Slots that clients hold.
+    /// Returns the number of slots that connected clients hold.
     pub fn in_use(&self) -> usize {
         self.total.saturating_sub(self.free.available_permits())
     }
 
-    /// Adds free slots.
+    /// Adds free slots, such as those of a predecessor that has ended.
     pub fn add(&mut self, slots: usize) {
         self.free.add_permits(slots);
         self.total += slots;
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -1,4 +1,5 @@
-//! What an earlier process had accepted: handed back to the decision module from the journal.
+//! Recovery of messages that an earlier process accepted: they are read from the journal and passed
+//! to the decision module.
 
 use super::Driver;
 use super::messages::{Attempt, Message, NO_CALL};
@@ -13,11 +14,13 @@
 use message_sender::{Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
 use tokio::time::Instant;
 
-/// An endpoint that no list has.
+/// Number that stands for the endpoint of a recorded attempt if the driver does not know that
+/// endpoint.
 const UNKNOWN_ENDPOINT: EndpointId = EndpointId(u32::MAX);
 
 impl Driver {
-    /// Hands back what an earlier process had accepted; what had ended is notified again.
+    /// Passes the unfinished messages of the journal to the decision module. For messages that had
+    /// ended undelivered, the notification is sent again.
     pub(super) fn recover_messages(&mut self, taken_over: bool) {
         if !taken_over && self.journal.has_records() {
             self.events.push(Event::Restarted);
@@ -38,7 +41,8 @@
         }
     }
 
-    /// The position of the class that a message was accepted with; none where its terms were not written down.
+    /// Returns the position of the class with the terms under which a message was accepted, and
+    /// adds that class to the settings if needed. `None` if the terms were not recorded.
     fn restore_class_position(&mut self, message: &UnfinishedMessage) -> Option<usize> {
         let terms = message.terms.as_ref()?;
         Some(
@@ -67,13 +71,14 @@
                 outcome,
             });
         }
-        // one that was handed over came with all that the journal does not hold
+        // a message that was handed over is already present, with state that the journal does not
+        // hold
         if self.messages.get(number).is_none() {
             self.recover_open_message(number, message, new);
         }
     }
 
-    /// The message as the decision module gets it.
+    /// Builds the message that is passed to the decision module.
     fn restored_message(
         &mut self,
         number: MessageId,
@@ -159,7 +164,8 @@
         self.messages.insert(number, recovered);
     }
 
-    /// A message that no call can carry ends undelivered: its id, as it is recorded, makes no header.
+    /// Ends a message undelivered because its recorded id is not a valid header value, so no call
+    /// can carry it.
     fn end_message_with_invalid_id(&mut self, number: MessageId, new: NewMessage, id: String) {
         let outcome = UndeliveredOutcome::Failed;
         message_log::record_text(&id, &MessageEvent::EndedUndelivered(outcome));
--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -1,4 +1,5 @@
-//! New settings: what they name keeps the position that messages and endpoints know it by.
+//! Change of settings while the process runs. Messages and endpoints refer to classes, kinds,
+//! tenants and zones by position, so each name keeps its position.
 
 use super::Driver;
 use crate::net::events::SettingsUpdate;
@@ -6,7 +7,7 @@
 use message_sender::wire::Names;
 use message_sender::{Class, Effect, Event, Settings};
 
-/// The position of a name; one that is not there is added at the end.
+/// Returns the position of a name, and adds it at the end if it is missing.
 fn position_or_push(names: &mut Vec<String>, name: &str) -> usize {
     let known = names.iter().position(|known| known == name);
     known.unwrap_or_else(|| {
@@ -15,7 +16,7 @@
     })
 }
 
-/// Puts an item at a position, which is in the list or its end.
+/// Replaces the item at a position, or adds it if the position is the end of the list.
 fn replace_or_push<T>(items: &mut Vec<T>, position: usize, item: T) {
     match items.get_mut(position) {
         Some(known) => *known = item,
@@ -23,8 +24,9 @@
     }
 }
 
-/// Gives what both settings name the position that it had, and what is new one at the end; returns the positions of the
-/// new settings' classes. What is named no more stays for the messages and endpoints that still have it.
+/// Rearranges the new settings so that names of the old settings keep their positions and new names
+/// follow at the end. Removed names remain, because messages and endpoints may still refer to them.
+/// Returns the positions of the classes that the new settings name.
 fn keep_positions(
     new: &mut Settings,
     old: Settings,
@@ -64,7 +66,7 @@
 }
 
 impl Driver {
-    /// Puts new settings in force for all that comes from now on.
+    /// Applies new settings; messages that are already accepted keep the terms of their class.
     pub(super) fn apply_settings(&mut self, update: SettingsUpdate) {
         let SettingsUpdate {
             mut settings,
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -1,4 +1,5 @@
-//! Messages that clients hand in. A client is answered only once the journal has its message.
+//! Submission of messages by clients. A client gets the response that its message is accepted only
+//! after the journal has recorded the message.
 
 use super::Driver;
 use super::messages::Message;
@@ -17,43 +18,46 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The decision module's number for a subject. Two subjects with the same number only wait for one another.
+/// Returns the number that stands for a subject in the decision module. If two subjects hash to the
+/// same number, their messages are merely delivered one at a time.
 pub(super) fn key_of(subject: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     subject.hash(&mut hasher);
     hasher.finish()
 }
 
-/// What was promised for a message when it was accepted.
+/// Returns the delivery guarantee that applied to a message when it was accepted.
 pub(super) fn guarantee_of(terms: &ClassTerms, origin: &MessageOrigin) -> DeliveryGuarantee {
     let subject = origin.subject.as_deref().filter(|_| terms.ordered);
     DeliveryGuarantee::new(subject.map(key_of), terms.effect)
 }
 
-/// A message of this turn.
+/// Message first submitted in the current turn.
 struct NewSubmission {
     submission: Submission,
-    /// Module time.
+    /// Time in microseconds at which the client's request began.
     received_at: Micros,
 }
 
-/// A message of this turn whose id is that of an open one.
+/// Submission in the current turn whose id belongs to a message that is already open.
 struct RepeatedSubmission {
     message: MessageId,
     id: HeaderValue,
     reply: oneshot::Sender<SubmissionResult>,
 }
 
-/// Clients that are answered at the end of the turn.
+/// Clients that get their response at the end of the turn.
 #[derive(Default)]
 pub(super) struct WaitingClients {
     new: BTreeMap<MessageId, NewSubmission>,
-    /// They must wait too: their message may be of this very turn, and not in the journal.
+    /// Repeated submissions wait too, because the first one may belong to this turn and not be in
+    /// the journal yet.
     repeated: Vec<RepeatedSubmission>,
 }
 
 impl Driver {
-    /// A client hands a message in. A receiver that is gone is a client that left, which its guard reports.
+    /// Handles a submission. Failed sends of a response are ignored: the client has disconnected,
+    /// and the guard of its request reports that.
     pub(super) fn receive_submission(&mut self, submission: Submission) {
         if let Some(message) = self.messages.open_message(&submission.id) {
             if let Some(pending) = self.messages.get_mut(message) {
@@ -96,7 +100,8 @@
         self.clients.new.insert(message, new);
     }
 
-    /// A client left before it had its answer; the message is abandoned with its last client.
+    /// Handles a client that disconnected before its response. The message is abandoned once no
+    /// client waits for it.
     pub(super) fn client_disconnected(&mut self, client: &DepartedClient) {
         let DepartedClient { id } = client;
         let Some(message) = self.messages.open_message(id) else {
@@ -113,7 +118,9 @@
         }
     }
 
-    /// Accepts what the decision module keeps, once it is in the journal; what it ends at once was never accepted.
+    /// Responds to the clients of the turn. A message that the decision module keeps is accepted
+    /// once the journal has it; a message that it rejects or fails in the same turn was never
+    /// accepted.
     pub(super) fn answer_clients(&mut self, actions: &[Action]) {
         for (message, new) in std::mem::take(&mut self.clients.new) {
             self.answer_new(message, new, actions);
@@ -125,7 +132,7 @@
 
     fn answer_new(&mut self, message: MessageId, new: NewSubmission, actions: &[Action]) {
         if !self.messages.is_open(message) {
-            return; // its client has left
+            return; // the message's last client has disconnected
         }
         let ended = actions.iter().find_map(|action| match action {
             Action::Reject {
@@ -145,7 +152,7 @@
                 self.events.push(Event::MessageAbandoned(message));
             }
         }
-        // a client that is gone has said so by its guard
+        // the send fails only if the client has disconnected, which its request's guard reports
         let _ = new.submission.reply.send(result);
     }
 
@@ -160,10 +167,11 @@
         let _ = repeated.reply.send(result);
     }
 
-    /// Writes a message down.
+    /// Records a message in the journal and accepts it.
     fn accept(&mut self, message: MessageId, new: &NewSubmission) -> SubmissionResult {
         let submission = &new.submission;
-        // what came from a predecessor has its class's position too
+        // class positions also hold for messages from a predecessor, so the lookup is not expected
+        // to fail
         let Some(class) = self.settings.classes.get(submission.class) else {
             return SubmissionResult::NotStored;
         };
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -1,4 +1,5 @@
-//! The successor's side of a handover: the state that it takes over, and what the predecessor still reports and forwards.
+//! Successor's side of a handover: restores the state that the predecessor sent, and handles what
+//! the predecessor reports and forwards afterwards.
 
 use super::Driver;
 use super::endpoints::EndpointRecord;
@@ -17,22 +18,23 @@
 use message_sender::{EndpointId, MessageId};
 use tokio::sync::{mpsc, oneshot};
 
-/// The process before this one, while it has calls in flight or clients connected.
+/// Link to the predecessor process, which still has calls in flight or clients connected.
 pub(super) struct Predecessor {
     messages: mpsc::UnboundedSender<HandoverMessage>,
-    /// Client connections that it holds.
+    /// Number of client connections that the predecessor held at the handover.
     client_connections: usize,
 }
 
 impl Predecessor {
     pub fn send(&self, message: HandoverMessage) {
-        // one that is gone has no use for it
+        // the send fails only if the predecessor has ended, which the link reports separately
         let _ = self.messages.send(message);
     }
 }
 
 impl Driver {
-    /// Takes over what a predecessor handed over, but for the decision module. Its calls are still in flight.
+    /// Restores the state that the predecessor handed over, without the decision module. The
+    /// predecessor's calls are still in flight.
     pub(super) fn take_over(&mut self, state: HandoverState) {
         self.names = state.names;
         self.list.version = state.list_version;
@@ -100,13 +102,13 @@
         self.calls_in_flight.insert(state.number, call);
     }
 
-    /// Names the process that this one took over from, and the client connections that it holds.
+    /// Sets the link to the predecessor and the number of client connections that it still holds.
     pub fn set_predecessor(&mut self, mut link: LinkWriter, client_connections: usize) {
         let (messages, mut queue) = mpsc::unbounded_channel();
         tokio::task::spawn_local(async move {
             while let Some(message) = queue.recv().await {
                 if link.send_message(message).await.is_err() {
-                    return; // the reader of the link reports its end
+                    return; // the reading side of the link reports that it is lost
                 }
             }
         });
@@ -116,7 +118,7 @@
         });
     }
 
-    /// What the predecessor reports and forwards.
+    /// Handles a message from the predecessor.
     pub(super) fn receive_from_predecessor(&mut self, message: HandoverMessage) {
         let Some(predecessor) = &self.predecessor else {
             return;
@@ -141,11 +143,12 @@
                 self.set_disabled(uid, disabled, reply);
                 tokio::task::spawn_local(async move {
                     let result = result.await.unwrap_or(AdminResult::NotWritten);
-                    // a predecessor that is gone has no operator to answer
+                    // the send fails only if the predecessor has ended, and its operator connection
+                    // with it
                     let _ = replies.send(HandoverMessage::AdminResult { number, result });
                 });
             }
-            // what only a successor sends
+            // only a successor sends these
             HandoverMessage::CancelAttempt { .. }
             | HandoverMessage::Answered { .. }
             | HandoverMessage::AdminResult { .. } => {}
@@ -164,7 +167,7 @@
         }
         tokio::task::spawn_local(async move {
             let result = result.await.unwrap_or(SubmissionResult::NotStored);
-            // a predecessor that is gone has no client to answer
+            // the send fails only if the predecessor has ended, and its client connections with it
             let _ = replies.send(HandoverMessage::Answered { number, result });
         });
     }
@@ -191,7 +194,8 @@
         })
     }
 
-    /// The predecessor has ended: nobody will report how its last calls do.
+    /// Handles the end of the predecessor. Its remaining calls can no longer be reported, so their
+    /// attempts end as lost.
     pub(super) fn predecessor_lost(&mut self) {
         let Some(predecessor) = self.predecessor.take() else {
             return;
@@ -216,7 +220,8 @@
         }
     }
 
-    /// Call and position of each attempt that a predecessor has in flight. Others of its bundle may have ended before.
+    /// Returns the call and position of each attempt that the predecessor has in flight. Other
+    /// messages of the same call may have ended already.
     fn attempts_of_predecessor(&self) -> Vec<(u64, usize)> {
         let mut attempts = Vec::new();
         for (number, call) in self.calls_in_flight.of_predecessor() {
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -1,4 +1,5 @@
-//! A turn: the decision module is asked once, and its actions are carried out.
+//! Turns: the decision module handles all queued events in one call, and the driver carries out its
+//! actions.
 
 use super::Driver;
 use super::attempts::SendRequest;
@@ -10,7 +11,7 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// A turn, and further ones while its own actions led to events for the decision module.
+    /// Runs turns until no event is queued: carrying out actions can queue events of its own.
     pub(super) fn take_turns(&mut self) {
         self.take_turn();
         while !self.events.is_empty() || self.find_lost_attempts() {
@@ -29,7 +30,7 @@
         let mut actions = Vec::new();
         self.sender.handle(now, &events, &mut actions);
         for applied in self.waiting_for_turn.drain(..) {
-            // the task that waits lives as long as the process
+            // the receiver is dropped only when the process ends
             let _ = applied.send(());
         }
         self.publish_fleet_size(&events);
@@ -43,28 +44,29 @@
         }
     }
 
-    /// Tells the decision module that the journal takes nothing, or takes records again.
+    /// Notifies the decision module when journal writes begin to fail, and when they succeed again.
     fn report_journal_change(&mut self) {
         let Some(failing) = self.journal.take_change() else {
             return;
         };
         let state = if failing {
-            "takes nothing: no call begins"
+            "records can't be written; no call begins"
         } else {
-            "takes records again"
+            "records can be written again"
         };
-        net::log(format_args!("journal: the disk {state}"));
+        net::log(format_args!("journal: {state}"));
         self.events.push(Event::HostFailing(failing));
     }
 
-    /// Tells the other tasks the number of senders that the decisions scale by.
+    /// Publishes to the other tasks the number of senders among which the decision module divides
+    /// limits.
     fn publish_fleet_size(&self, events: &[Event]) {
         let size = self.sender.fleet_size();
         let before = self.process.fleet_size.replace(size);
         let by_fleet = |event: &Event| matches!(event, Event::FleetView(_) | Event::TimerExpired);
         if size != before && events.iter().any(by_fleet) {
             net::log(format_args!(
-                "members: limits are shared by {size} senders, no longer by {before}"
+                "members: limits are divided among {size} senders, previously {before}"
             ));
         }
     }
@@ -106,7 +108,8 @@
                 }
             }
             Action::Log(event) => net::log(format_args!("{event}")),
-            // the watch is always on; probes and notes are not to be had on sockets
+            // the driver always watches the endpoint list, and it supports neither health checks
+            // nor peer notes
             Action::Subscribe | Action::HealthCheck(_) | Action::SendNote(_) => {}
         }
     }
