--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -1,21 +1,27 @@
-//! Proofs that nothing more is owed for an accepted message.
+//! End proofs: evidence that an accepted message is complete.
 //!
-//! A message stops being owed only on what the protocol calls its end, read from bytes that are whole: a first line, up to
-//! its line feed, that says 200; a whole head that says 410; a line of a bulk answer that says the same of one message;
-//! the platform's 204 to its notification; a client that left before its answer. Each constructor looks at that evidence
-//! itself, and whatever completes a message takes the proof: an end without one does not compile.
+//! A message is complete only after one of these, read in full and never from a part that was cut
+//! off:
+//! - a status line with 200, up to its line feed
+//! - a response head with 410
+//! - a line of a bulk answer that reports one of the two for a message
+//! - the platform's 204 to the outcome notification
+//! - a client that disconnected before its response
+//!
+//! Each constructor of [`EndProof`] checks the evidence itself, and every function that completes a
+//! message requires a proof. Code that completes a message without evidence does not compile.
 
 use super::pool::SuccessLine;
 use hyper::StatusCode;
 use hyper::http::response::Parts;
 use std::fmt;
 
-/// Word of a bulk answer for a message that was delivered.
+/// Status in a bulk answer of a message that was delivered.
 const BULK_DELIVERED: &[u8] = b"ok";
-/// Word of a bulk answer for a message that is over at its endpoint.
+/// Status in a bulk answer of a message that is gone at its endpoint and must not be sent again.
 const BULK_GONE: &[u8] = b"gone";
 
-/// What proves an end.
+/// Kind of evidence in an end proof.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Evidence {
     DeliveredByHead,
@@ -28,46 +34,47 @@
     ClientLeft,
 }
 
-/// Proof that nothing more is owed for a message.
+/// Proof that a message is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndProof(Evidence);
 
 impl EndProof {
-    /// The process before this one had a proof, and reports that.
+    /// Proof that the predecessor had and reported to this process.
     #[cfg(test)]
     pub const REPORTED: Self = EndProof(Evidence::ReportedByPredecessor);
 
-    /// A whole first line says 200, whatever follows it: true for a call with one message.
+    /// Returns the proof from a complete status line with 200, whatever follows it. Valid only for
+    /// a call with one message.
     pub fn of_status_line(_: &SuccessLine) -> Self {
         EndProof(Evidence::DeliveredByStatusLine)
     }
 
-    /// A whole head says 200: true for a call with one message.
+    /// Returns a proof if the response head has status 200. Valid only for a call with one message.
     pub fn of_delivered_head(head: &Parts) -> Option<Self> {
         (head.status == StatusCode::OK).then_some(EndProof(Evidence::DeliveredByHead))
     }
 
-    /// A whole head says 410: true for each message of the call.
+    /// Returns a proof if the response head has status 410. Valid for each message of the call.
     pub fn of_gone_head(head: &Parts) -> Option<Self> {
         (head.status == StatusCode::GONE).then_some(EndProof(Evidence::GoneByHead))
     }
 
-    /// A whole line of a bulk answer says of its message that it was delivered.
+    /// Returns a proof if the line of a bulk answer reports its message as delivered.
     pub fn of_delivered_line(line: &BulkLine<'_>) -> Option<Self> {
         (line.status == BULK_DELIVERED).then_some(EndProof(Evidence::DeliveredInBulk))
     }
 
-    /// A whole line of a bulk answer says of its message that it is over at its endpoint.
+    /// Returns a proof if the line of a bulk answer reports its message as gone at the endpoint.
     pub fn of_gone_line(line: &BulkLine<'_>) -> Option<Self> {
         (line.status == BULK_GONE).then_some(EndProof(Evidence::GoneInBulk))
     }
 
-    /// The platform answered the notification with 204.
+    /// Returns a proof if the platform answered the outcome notification with 204.
     pub fn of_notification_answer(status: StatusCode) -> Option<Self> {
         (status == StatusCode::NO_CONTENT).then_some(EndProof(Evidence::NotificationAccepted))
     }
 
-    /// The message's last client left before it had an answer.
+    /// Returns the proof for a message whose last client disconnected before its response.
     pub fn of_departed_client(_: &DepartedClient) -> Self {
         EndProof(Evidence::ClientLeft)
     }
@@ -78,19 +85,19 @@
         formatter.write_str(match self.0 {
             Evidence::DeliveredByHead => "delivered, 200",
             Evidence::DeliveredByStatusLine => {
-                "delivered, 200 in a whole first line without its head"
+                "delivered, complete 200 status line without the rest of the head"
             }
             Evidence::DeliveredInBulk => "delivered, in a bulk answer",
-            Evidence::GoneByHead => "over at its endpoint, 410",
-            Evidence::GoneInBulk => "over at its endpoint, in a bulk answer",
-            Evidence::ReportedByPredecessor => "proved to the process before",
+            Evidence::GoneByHead => "gone at its endpoint, 410",
+            Evidence::GoneInBulk => "gone at its endpoint, in a bulk answer",
+            Evidence::ReportedByPredecessor => "end proof reported by the predecessor",
             Evidence::NotificationAccepted => "notification accepted",
-            Evidence::ClientLeft => "client left before its answer",
+            Evidence::ClientLeft => "client disconnected before its response",
         })
     }
 }
 
-/// A whole line of a bulk answer: a message's id and a word on it.
+/// Complete line of a bulk answer: a message id and the status of that message.
 #[derive(Debug, Clone, Copy)]
 pub struct BulkLine<'a> {
     id: &'a [u8],
@@ -98,18 +105,19 @@
 }
 
 impl<'a> BulkLine<'a> {
-    /// The id of the message that it is about.
+    /// Returns the id of the message that the line reports on.
     pub fn id(&self) -> &'a [u8] {
         self.id
     }
 
-    /// What it says of the message.
+    /// Returns the status that the line reports, such as `ok` or `gone`.
     pub fn status(&self) -> &'a [u8] {
         self.status
     }
 
-    /// The whole lines of a bulk answer. The last one needs no line feed where the answer's length is told and has come:
-    /// one that the end of the connection ends may have been cut.
+    /// Returns the complete lines of a bulk answer. If the answer's length is known and all of it
+    /// was received, the last line is complete without a line feed. Otherwise the connection may
+    /// have been closed in the middle of that line.
     pub fn parse_complete(
         text: &'a [u8],
         is_length_known: bool,
@@ -126,20 +134,23 @@
     }
 }
 
-/// A client that left before it had an answer to the message that it handed in.
+/// Client that disconnected before the response to its submission.
 #[derive(Debug)]
 pub struct DepartedClient {
-    /// The id of the message.
+    /// Id of the message that the client submitted.
     pub id: hyper::header::HeaderValue,
 }
 
-/// A proof within an attempt's end, as the processes of a handover exchange it: whether there is one.
+/// Serialization of an optional end proof between the processes of a handover. Only its presence is
+/// sent, as one boolean; the receiver gets a proof reported by the predecessor.
 pub mod in_frame {
     use super::{EndProof, Evidence};
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+    /// Serializes whether there is a proof.
+    ///
     /// # Errors
-    /// Those of the serializer.
+    /// Returns the errors of the serializer.
     pub fn serialize<S: Serializer>(
         proof: &Option<EndProof>,
         serializer: S,
@@ -147,8 +158,10 @@
         proof.is_some().serialize(serializer)
     }
 
+    /// Deserializes whether the predecessor had a proof.
+    ///
     /// # Errors
-    /// Those of the deserializer.
+    /// Returns the errors of the deserializer.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<EndProof>, D::Error> {
--- a/src/net/end_proof/tests.rs
+++ b/src/net/end_proof/tests.rs
@@ -1,4 +1,4 @@
-//! What proves an end, and what does not.
+//! Tests of the evidence that completes a message, and of incomplete evidence that must not.
 
 use super::*;
 use hyper::Response;
@@ -37,7 +37,7 @@
         let expected: &[&[u8]] = &[b"m1", b"m2"];
         assert_eq!(proved, expected[..whole_lines], "{length} bytes");
     }
-    // where the length is told, the last line is whole without its line feed
+    // if the answer's length is known, the last line is complete without a line feed
     assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", true).count(), 2);
     assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", false).count(), 1);
 }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,5 +1,5 @@
-//! Messages to the driver from the other tasks and from operators, and those between the two processes of a handover:
-//! data alone, known to all tasks.
+//! Data types of the messages to the driver, from other tasks and from operators, and of the
+//! messages between the two processes of a handover.
 
 use super::end_proof::{DepartedClient, EndProof, in_frame};
 use super::freeze::settings::FreezeSettings;
@@ -17,25 +17,25 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Longest body of a message, in bytes.
+/// Maximum size of a message body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What the other tasks of the process tell the driver.
+/// Input that the other tasks of the process send to the driver.
 #[derive(Debug)]
 pub enum DriverInput {
-    /// A client hands a message in.
+    /// A client submitted a message.
     Submitted(Submission),
-    /// A client left before it had its answer.
+    /// A client disconnected before the response to its request.
     ClientDisconnected(DepartedClient),
-    /// The process shuts down gracefully and ends at this instant.
+    /// The process has begun a graceful shutdown and will end at this instant.
     ShuttingDown(Instant),
-    /// An attempt to deliver one message ended.
+    /// The attempt to deliver one message of a call ended.
     AttemptEnded(AttemptEnd),
-    /// An answer that came after its call was given up carried a Retry-After.
+    /// An answer that arrived after its call was abandoned carried a Retry-After.
     RetryAfter {
-        /// The endpoint that asked for it.
+        /// Endpoint that sent the answer.
         endpoint: EndpointId,
-        /// How long to keep away.
+        /// Delay of the Retry-After in microseconds, from the time at which the answer was read.
         wait: Micros,
     },
     /// Discovery sent the endpoint list, or changes to it.
@@ -46,303 +46,312 @@
     NotificationsAccepted(AcceptedNotifications),
     /// The rules on which all senders agree changed.
     AgreedRules {
-        /// The rules; none while agreement is off.
+        /// Rules that are now in force; `None` while agreement is off.
         rules: Option<Box<AgreedRules>>,
-        /// Notified once the rules bind all that is sent.
+        /// Notified once all further calls obey these rules.
         applied: oneshot::Sender<()>,
     },
-    /// What this sender may use of limits that hold for the whole fleet changed.
+    /// This sender's quotas of the limits for the whole fleet changed.
     Quotas {
-        /// The quotas; none while the ledger is off.
+        /// Quotas that are now in force; `None` while the ledger is off.
         quotas: Option<Box<Quotas>>,
-        /// Notified once the quotas bind all that is sent.
+        /// Notified once all further calls obey these quotas.
         applied: oneshot::Sender<()>,
     },
     /// The freeze calendar or its settings changed.
     Freeze(FreezeChange),
     /// A quorum of the other senders reports a destination as unavailable, or as available again.
     FleetHealth {
-        /// The destination.
+        /// Destination that the report is about.
         destination: u64,
-        /// It is unavailable.
+        /// True if it is reported as unavailable, false if it is available again.
         unavailable: bool,
     },
-    /// Asks what this sender could use of the fleet's limits.
+    /// Requests this sender's demand for the fleet's limits.
     Demand {
-        /// With at most so many listed destinations the report names all of them, else those in use.
+        /// Number of listed destinations up to which the report names all of them. If more are
+        /// listed, it names only those in use.
         complete_up_to: usize,
-        /// Gets the report.
+        /// Channel on which the report is sent.
         reply: oneshot::Sender<DemandReport>,
     },
-    /// What membership knows of the other senders; none where that is nothing.
+    /// Membership's view of the other senders changed; `None` if membership knows nothing of them.
     FleetView(Option<FleetView>),
-    /// New settings, already validated.
+    /// The settings changed; the new ones are already validated.
     SettingsChanged(Box<SettingsUpdate>),
-    /// A message from the other process of a handover.
+    /// The other process of a handover, successor or predecessor, sent a message.
     Handover(HandoverMessage),
-    /// The other process of a handover is gone.
+    /// The link to the other process of a handover is lost.
     HandoverLinkLost,
 }
 
 /// Outcome notifications that the platform has accepted.
 #[derive(Debug)]
 pub struct AcceptedNotifications {
-    /// The numbers of their messages.
+    /// Numbers of the messages whose outcomes were reported.
     pub numbers: Vec<u64>,
-    /// The platform's answer.
+    /// End proof from the platform's response.
     pub proof: EndProof,
 }
 
-/// What a sender could use of the fleet's limits.
+/// Demand of this sender for the fleet's limits.
 #[derive(Debug, Default)]
 pub struct DemandReport {
-    /// Destinations that are listed.
+    /// Number of destinations in the endpoint list.
     pub listed: usize,
-    /// The demand at each reported destination.
+    /// Demand at each reported destination, by destination number.
     pub by_destination: BTreeMap<u64, Demand>,
 }
 
-/// Settings that belong together, from one configuration file.
+/// Settings of one configuration file, which must be applied together.
 #[derive(Debug, Clone)]
 pub struct SettingsUpdate {
-    /// Settings of the decision module.
+    /// Settings for the decision module.
     pub settings: Settings,
-    /// The names that these settings number.
+    /// Names of the classes, kinds, tenants and zones, which `settings` refers to by position.
     pub names: Names,
-    /// Settings of the connection pool.
+    /// Settings for the connection pool.
     pub pool: PoolSettings,
 }
 
 /// A change of the freeze calendar or of its settings.
 #[derive(Debug)]
 pub enum FreezeChange {
-    /// The freeze is switched off: nothing is held back.
+    /// The freeze was switched off, and all entries held back are admitted.
     Off,
-    /// The freeze is switched on, or its settings changed.
+    /// The freeze was switched on, or its settings changed.
     On(FreezeSettings),
-    /// The registry's answer to a poll.
+    /// The registry answered a poll of the freeze calendar.
     Calendar {
-        /// When the poll was sent, in module time.
+        /// Time in microseconds at which the poll was sent.
         asked_at: u64,
-        /// How long a break-glass override counts by this answer, in microseconds.
+        /// Time in microseconds for which a break-glass override in this answer stays valid.
         fresh_for: u64,
-        /// What the registry answered.
+        /// Calendar or changes of it from the registry's answer.
         update: FreezeUpdate,
     },
 }
 
-/// Asks a task for its report, which it sends as JSON.
+/// Channel on which a task sends a requested report as JSON.
 pub type ReportRequest = oneshot::Sender<String>;
 
-/// A command of an operator; it overtakes all waiting input.
+/// Command of an operator. The driver handles commands before all waiting input.
 #[derive(Debug)]
 pub enum AdminCommand {
     /// Disables an endpoint, or enables it again.
     SetDisabled {
-        /// The endpoint's name in the list.
+        /// Name of the endpoint in the endpoint list.
         uid: String,
-        /// True to disable it.
+        /// True to disable the endpoint, false to enable it.
         disabled: bool,
-        /// Gets the result.
+        /// Channel on which the result is sent.
         reply: oneshot::Sender<AdminResult>,
     },
-    /// Reports on the connections to endpoints.
+    /// Requests a report on the connections to endpoints.
     PoolReport {
-        /// Gets the report.
+        /// Channel on which the report is sent.
         reply: ReportRequest,
     },
-    /// Reports on the freeze; no answer while it is off.
+    /// Requests a report on the freeze.
     FreezeReport {
-        /// Gets the report.
+        /// Channel on which the report is sent; dropped without a report while the freeze is off.
         reply: ReportRequest,
     },
 }
 
 /// The result of [`AdminCommand::SetDisabled`].
 ///
-/// Sent between the processes of a handover: the order of the variants is their encoding.
+/// Sent between the processes of a handover. The encoding depends on the order of the variants, so
+/// it must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
-    /// It holds, also after a restart.
+    /// The change was made and recorded in the journal, so it also applies after a restart.
     Done,
-    /// No list has this endpoint.
+    /// The endpoint is neither listed nor disabled, so nothing was changed.
     UnknownEndpoint,
-    /// The journal could not be written.
+    /// The journal could not be written, so nothing was changed.
     NotWritten,
 }
 
-/// A message that a client hands in.
+/// Message that a client submits.
 #[derive(Debug)]
 pub struct Submission {
-    /// The client's id of the message.
+    /// Id that the client gave the message.
     pub id: HeaderValue,
-    /// Its idempotency key.
+    /// Idempotency key of the message, if the client sent one.
     pub key: Option<HeaderValue>,
-    /// What the message is about; ordered classes deliver messages of one subject one at a time.
+    /// Subject of the message; messages of one subject in an ordered class are delivered one at a
+    /// time.
     pub subject: Option<String>,
-    /// The tenant that it counts for.
+    /// Name of the tenant against whose limits the message counts.
     pub tenant: Option<String>,
-    /// Its class, by position in the settings.
+    /// Position of the message's class in the settings.
     pub class: usize,
-    /// Where it goes.
+    /// Number of the destination to deliver to.
     pub destination: u64,
-    /// The time that the client gave it, counted from `received_at`.
+    /// Time in microseconds, from `received_at`, within which the message must be delivered.
     pub time_limit: Micros,
-    /// When its request began.
+    /// Time at which the client's request began.
     pub received_at: Instant,
-    /// The client hands it in once more.
+    /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
-    /// The client that first handed it in is gone.
+    /// True if the client that first submitted the message is gone.
     pub orphan: bool,
-    /// Its body.
+    /// Body of the message.
     pub body: Bytes,
-    /// Gets the answer.
+    /// Channel on which the client's response is sent.
     pub reply: oneshot::Sender<SubmissionResult>,
 }
 
-/// The answer to a client.
+/// Result of a submission, from which the client's response follows.
 ///
-/// Sent between the processes of a handover: the order of the variants is their encoding.
+/// Sent between the processes of a handover. The encoding depends on the order of the variants, so
+/// it must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmissionResult {
-    /// The message is durable and will be delivered or reported as undelivered.
+    /// The message is durable, and will be delivered or reported as undelivered.
     Accepted,
-    /// A message of this id has been delivered.
+    /// A message with this id was delivered before.
     AlreadyDelivered,
-    /// It was rejected.
+    /// The message was rejected, for example because of a limit.
     Rejected {
-        /// When the client may try again, if that is known.
+        /// Delay in microseconds after which the client may submit again, if known.
         retry_after: Option<Micros>,
     },
-    /// The journal could not take it.
+    /// The journal could not record the message.
     NotStored,
-    /// It could not be delivered.
+    /// The message could not be delivered.
     Failed,
 }
 
-/// How an attempt to deliver one message of a call ended.
+/// End of the attempt to deliver one message of a call.
 ///
-/// Sent between the processes of a handover: the order of the fields is their encoding.
+/// Sent between the processes of a handover. The encoding depends on the order of the fields, so it
+/// must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// The number of the call.
+    /// Number of the call.
     pub call: u64,
-    /// The message's position in the call.
+    /// Position of the message in the call.
     pub item: usize,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Where nothing more is owed for the message: what proves that.
+    /// End proof, if the answer shows that the message is complete.
     #[serde(with = "in_frame")]
     pub proof: Option<EndProof>,
-    /// The fields of the endpoint's load report.
+    /// Values of the load report in the endpoint's answer; empty without a report.
     pub report: Vec<f64>,
-    /// A Retry-After that the outcome does not carry.
+    /// Retry-After delay in microseconds, if the answer carried one that `outcome` does not
+    /// contain.
     pub retry_after: Option<Micros>,
 }
 
-/// One endpoint of the list.
+/// Entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct ListedEndpoint {
-    /// Its name, which stays the same over changes of its address.
+    /// Name of the endpoint, which stays the same when its address changes.
     pub uid: String,
-    /// Where it takes calls.
+    /// Address to which calls are sent.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// The name of its kind.
+    /// Name of the endpoint's kind.
     pub kind: String,
-    /// The destination that it belongs to.
+    /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
-    /// Whether it takes calls.
+    /// Status of the endpoint: whether it is serving, draining or removed.
     pub status: EndpointStatus,
-    /// Its capacity as the list has it.
+    /// Relative capacity of the endpoint.
     pub weight: f64,
 }
 
-/// The endpoint list, or changes to it.
+/// Full endpoint list, or changes to it.
 #[derive(Debug, Clone)]
 pub struct ListUpdate {
-    /// The version of the list.
+    /// Version of the list, including these changes.
     pub version: u64,
-    /// True if it names every endpoint.
+    /// True if `targets` is the full list, false if it contains changes only.
     pub full: bool,
-    /// The endpoints that it names.
+    /// Entries of the list, or those that changed.
     pub targets: Vec<ListedEndpoint>,
 }
 
-/// What the two processes of a handover tell each other once all state is handed over.
+/// Message between the two processes of a handover, after all state is handed over.
 ///
-/// The order of variants and fields is their encoding.
+/// The encoding depends on the order of variants and fields, so it must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The successor cancels one message of a call that the predecessor has in flight.
+    /// Cancels one message of a call that the predecessor has in flight; sent by the successor.
     CancelAttempt {
-        /// The number of the call.
+        /// Number of the call.
         call: u64,
-        /// The message's position in it.
+        /// Position of the message in the call.
         item: usize,
     },
-    /// How one message of such a call ended.
+    /// Reports how one message of the predecessor's calls ended; sent by the predecessor.
     AttemptEnded(AttemptEnd),
-    /// A message that a client handed in on a connection of the predecessor.
+    /// Forwards a message that a client submitted on a connection of the predecessor.
     Submitted {
-        /// The predecessor's number for the answer.
+        /// Number by which the predecessor matches the response to its client.
         number: u64,
-        /// The message.
+        /// Message and its terms.
         submission: Box<ForwardedSubmission>,
     },
-    /// The answer to such a message.
+    /// Returns the result of a forwarded submission; sent by the successor.
     Answered {
-        /// The number of the submission.
+        /// Number from the forwarded submission.
         number: u64,
-        /// The answer.
+        /// Result for the client.
         result: SubmissionResult,
     },
-    /// The client of such a message left before its answer; the message's id.
+    /// Reports that the client of a forwarded submission disconnected before its response. Contains
+    /// the id of the message.
     ClientDisconnected(String),
-    /// A command that an operator gave the predecessor.
+    /// Forwards an operator's command to disable or enable an endpoint; sent by the predecessor.
     AdminCommand {
-        /// The predecessor's number for the result.
+        /// Number by which the predecessor matches the result to the operator.
         number: u64,
-        /// The endpoint's name in the list.
+        /// Name of the endpoint in the endpoint list.
         uid: String,
-        /// True to disable it.
+        /// True to disable the endpoint, false to enable it.
         disabled: bool,
     },
-    /// The result of such a command.
+    /// Returns the result of a forwarded operator command; sent by the successor.
     AdminResult {
-        /// The number of the command.
+        /// Number from the forwarded command.
         number: u64,
-        /// The result.
+        /// Result for the operator.
         result: AdminResult,
     },
 }
 
-/// A [`Submission`] that the predecessor forwards to its successor.
+/// [`Submission`] in the form in which the predecessor forwards it to its successor.
 ///
-/// The order of the fields is their encoding.
+/// The encoding depends on the order of the fields, so it must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ForwardedSubmission {
-    /// The client's id of the message.
+    /// Id that the client gave the message.
     pub id: String,
-    /// Its idempotency key.
+    /// Idempotency key of the message, if the client sent one.
     pub key: Option<String>,
-    /// What the message is about.
+    /// Subject of the message; messages of one subject in an ordered class are delivered one at a
+    /// time.
     pub subject: Option<String>,
-    /// The tenant that it counts for.
+    /// Name of the tenant against whose limits the message counts.
     pub tenant: Option<String>,
-    /// Its class, by position in the settings.
+    /// Position of the message's class in the settings.
     pub class: usize,
-    /// Where it goes.
+    /// Number of the destination to deliver to.
     pub destination: u64,
-    /// The time that the client gave it, counted from `received_at`.
+    /// Time in microseconds, from `received_at`, within which the message must be delivered.
     pub time_limit: Micros,
-    /// When its request began, in Unix time.
+    /// Time at which the client's request began, in microseconds on the clock that both processes
+    /// share.
     pub received_at: Micros,
-    /// The client hands it in once more.
+    /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
-    /// The client that first handed it in is gone.
+    /// True if the client that first submitted the message is gone.
     pub orphan: bool,
-    /// Its body.
+    /// Body of the message.
     pub body: Vec<u8>,
 }
--- a/src/net/local_errors.rs
+++ b/src/net/local_errors.rs
@@ -1,14 +1,17 @@
-//! Errors of this machine, as opposed to those of a peer: no descriptor, address, buffer or route is available, or a
-//! system call was interrupted. They say nothing of the peer, and end when their cause does.
+//! Classification of errors of the local host, as opposed to errors of a peer: no descriptor,
+//! address, buffer or route is available, or a system call was interrupted. Such an error says
+//! nothing about the peer, and stops when its local cause does.
 
 use nix::errno::Errno;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// Between two tries of a call that this machine failed: many times within any time limit of a peer.
+/// Delay before a system call that failed for a local reason is tried again. It is short enough for
+/// many tries within any time limit of a peer.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// True if this machine failed the making of a socket or a connection; see `socket(2)`, `bind(2)`, `connect(2)`.
+/// Returns true if creating a socket or a connection failed for a reason of the local host; see
+/// `socket(2)`, `bind(2)`, `connect(2)`.
 pub fn is_local(error: &io::Error) -> bool {
     let Some(errno) = error.raw_os_error() else {
         return false;
@@ -28,7 +31,8 @@
     )
 }
 
-/// True if `accept(2)` failed for the one connection that it would have given: the next one may be had at once.
+/// Returns true if `accept(2)` failed only for the connection that it would have returned, so that
+/// the next connection can be accepted without delay.
 pub fn concerns_one_connection(error: &io::Error) -> bool {
     let Some(errno) = error.raw_os_error() else {
         return false;
@@ -39,7 +43,8 @@
     )
 }
 
-/// True if a file stays unavailable until an operator changes something.
+/// Returns true if a file stays unavailable until an operator changes something, such as its
+/// permissions.
 pub fn is_permanent(error: &io::Error) -> bool {
     let kinds = [
         ErrorKind::PermissionDenied,
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -1,8 +1,9 @@
-//! The log of what happens to messages, by the clients' ids.
+//! Log of events of messages, by the ids that clients gave them.
 //!
-//! What is out of the ordinary is always logged: refusals, retries and hedges, attempts that do not succeed and what had
-//! come of their answers, and how such messages end. The ordinary steps are logged too where `RELAY_TRACE` is set.
-//! A line budget keeps a flood of failures from filling the log; what it leaves out is counted in the log.
+//! Unusual events are always logged: rejections, retries, hedges, and failed attempts with the
+//! bytes of their answers that were received, and how such messages end. Ordinary events are logged
+//! only if `RELAY_TRACE` is set. A rate limit keeps many failures from filling the log; the number
+//! of suppressed lines is logged.
 
 use super::end_proof::EndProof;
 use super::events::SubmissionResult;
@@ -15,56 +16,57 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Lines a second in the long run; a message with a retry takes some five.
+/// Sustained limit of log lines a second; a message with a retry takes about five lines.
 const LINES_PER_SECOND: f64 = 200.0;
-/// Lines that may come at once.
+/// Maximum number of log lines in a burst.
 const MAX_BURST_LINES: f64 = 2000.0;
-/// Of an answer that broke off, so many bytes are shown.
+/// Maximum number of bytes of an incomplete answer that a log line shows.
 const SHOWN_ANSWER_BYTES: usize = 32;
 
-/// A step in the life of a message.
+/// Event of a message that is logged.
 #[derive(Debug)]
 pub enum MessageEvent<'a> {
-    /// Its client gets this answer.
+    /// The client's submission got this result.
     Answered(SubmissionResult),
-    /// A start or an upgrade found it in the journal.
+    /// The message was recovered from the journal at a start or an upgrade.
     Recovered {
-        /// Attempts of earlier processes.
+        /// Number of recorded attempts of earlier processes.
         attempts: usize,
     },
-    /// A call with it begins.
+    /// An attempt to deliver the message began.
     AttemptBegan {
-        /// The number of the attempt, from 0.
+        /// Number of the attempt, from 0.
         number: usize,
-        /// The endpoint's name in the list.
+        /// Name of the endpoint in the endpoint list.
         endpoint: &'a str,
     },
-    /// A call with it has an outcome.
+    /// An attempt to deliver the message has an outcome.
     AttemptEnded {
-        /// The number of the attempt.
+        /// Number of the attempt, from 0.
         number: usize,
-        /// The endpoint's name in the list, if it still has one.
+        /// Name of the endpoint in the endpoint list; `None` if the driver has forgotten the
+        /// endpoint.
         endpoint: Option<&'a str>,
-        /// How the attempt ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Where nothing more is owed for the message: what proves that.
+        /// End proof, if the attempt completed the message.
         proof: Option<EndProof>,
     },
-    /// An attempt is cancelled, because the message has ended or another attempt goes on.
+    /// An attempt was cancelled, because the message has ended or another attempt continues.
     AttemptCancelled {
-        /// The number of the attempt.
+        /// Number of the attempt, from 0.
         number: usize,
     },
-    /// Its last client left before the answer, so that it was never accepted.
+    /// The last client disconnected before its response, so the message was never accepted.
     ClientLeft,
-    /// It ended undelivered, and a notification is owed.
+    /// The message ended undelivered, and its notification is pending.
     EndedUndelivered(UndeliveredOutcome),
-    /// The platform has accepted its notification.
+    /// The platform has accepted the outcome notification of the message.
     Notified,
 }
 
 impl MessageEvent<'_> {
-    /// Whether it is logged only where all steps are.
+    /// Returns true for events that are logged only if tracing is on.
     fn is_ordinary(&self) -> bool {
         match self {
             MessageEvent::Answered(result) => matches!(
@@ -100,18 +102,20 @@
                 outcome,
                 proof,
             } => {
-                let endpoint = endpoint.unwrap_or("an endpoint that is gone");
+                let endpoint = endpoint.unwrap_or("a removed endpoint");
                 let outcome = OutcomeText(*outcome);
                 write!(formatter, "attempt {number} at {endpoint} ended: {outcome}")?;
                 match proof {
-                    Some(proof) => write!(formatter, ", which ends the message: {proof}"),
+                    Some(proof) => write!(formatter, "; message complete: {proof}"),
                     None => Ok(()),
                 }
             }
             MessageEvent::AttemptCancelled { number } => {
                 write!(formatter, "attempt {number} is cancelled")
             }
-            MessageEvent::ClientLeft => formatter.write_str("client left before its answer"),
+            MessageEvent::ClientLeft => {
+                formatter.write_str("client disconnected before its response")
+            }
             MessageEvent::EndedUndelivered(outcome) => {
                 write!(formatter, "ended undelivered: {outcome:?}")
             }
@@ -120,7 +124,7 @@
     }
 }
 
-/// An outcome in words.
+/// Formats an outcome for the log, with delays in milliseconds.
 struct OutcomeText(Outcome);
 
 impl fmt::Display for OutcomeText {
@@ -128,27 +132,27 @@
         match self.0 {
             Outcome::Rejected {
                 retry_after: Some(wait),
-            } => write!(formatter, "rejected for {} ms", wait / MILLISECOND),
+            } => write!(formatter, "rejected, retry after {} ms", wait / MILLISECOND),
             Outcome::Rejected { retry_after: None } => formatter.write_str("rejected"),
-            Outcome::NotSent { no_slot: true } => formatter.write_str("not sent, no slot"),
+            Outcome::NotSent { no_slot: true } => formatter.write_str("not sent, no call slot"),
             Outcome::NotSent { no_slot: false } => formatter.write_str("not sent"),
             outcome => write!(formatter, "{outcome:?}"),
         }
     }
 }
 
-/// A call that got no whole head of an answer.
+/// Call that ended before the head of an answer was received in full.
 #[derive(Debug)]
 pub struct IncompleteCall<'a> {
-    /// Where it went.
+    /// Address that the call was sent to.
     pub address: SocketAddr,
-    /// The ids of its messages.
+    /// Ids of the messages in the call.
     pub ids: Vec<&'a HeaderValue>,
-    /// What ended it.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// Bytes of an answer that had come by then.
+    /// Number of bytes of an answer that were received.
     pub answer_bytes: u64,
-    /// The first of them.
+    /// First bytes of the answer, of which the log shows up to [`SHOWN_ANSWER_BYTES`].
     pub answer_start: Vec<u8>,
 }
 
@@ -178,29 +182,30 @@
     }
 }
 
-/// Logs a step of a message.
+/// Logs an event of a message, unless it is ordinary and tracing is off.
 pub fn record(id: &HeaderValue, event: &MessageEvent<'_>) {
     record_text(&String::from_utf8_lossy(id.as_bytes()), event);
 }
 
-/// Logs a step of a message whose id is known as a text.
+/// Logs an event of a message whose id is given as text, unless it is ordinary and tracing is off.
 pub fn record_text(id: &str, event: &MessageEvent<'_>) {
     if traces() || !event.is_ordinary() {
         write_line(format_args!("message {id}: {event}"));
     }
 }
 
-/// Logs a call that got no whole head of an answer.
+/// Logs a call that ended before the head of an answer was received in full.
 pub fn record_call(call: &IncompleteCall<'_>) {
     write_line(format_args!("{call}"));
 }
 
-/// Logs a client's request that was refused before the driver had it.
+/// Logs a client's request that was rejected before it reached the driver.
 pub fn record_refused_request(error: &dyn fmt::Display) {
-    write_line(format_args!("client request refused: {error}"));
+    write_line(format_args!("client request rejected: {error}"));
 }
 
-/// Logs why a connection ended, where all steps are logged; the control address counts these by reason.
+/// Logs why a connection was closed, if tracing is on. Reports on the control address count the
+/// closes by reason.
 pub fn record_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
     if traces() {
         log(format_args!("{connection} closed: {reason:?}"));
@@ -214,8 +219,8 @@
     LOG.with_borrow_mut(|log| log.write(Instant::now(), line));
 }
 
-/// The lines on messages: within a budget, and each with the time since the process began, which orders them beside the
-/// records of others.
+/// Rate-limited log of messages. Each line begins with the seconds since the process began, so that
+/// it can be compared with the records of other processes.
 struct MessageLog {
     started_at: Instant,
     budget: LineBudget,
@@ -239,14 +244,16 @@
             return;
         };
         if suppressed > 0 {
-            log(format_args!("messages: {suppressed} lines were left out"));
+            log(format_args!(
+                "messages: {suppressed} lines suppressed by the rate limit"
+            ));
         }
         let elapsed_s = now.saturating_duration_since(self.started_at).as_secs_f64();
         log(format_args!("+{elapsed_s:.3} {line}"));
     }
 }
 
-/// Lines that may be logged: a token bucket.
+/// Token bucket that limits the rate of log lines.
 #[derive(Debug)]
 struct LineBudget {
     tokens: f64,
@@ -263,7 +270,8 @@
         }
     }
 
-    /// Takes one line. None: it is left out; else the number of lines that were left out before it.
+    /// Takes the token for one line. Returns `None` if the line must be suppressed, else the number
+    /// of lines suppressed since the last one that was logged.
     fn take(&mut self, now: Instant) -> Option<u64> {
         let elapsed_s = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.updated_at = now;
--- a/src/net/message_log/tests.rs
+++ b/src/net/message_log/tests.rs
@@ -1,4 +1,4 @@
-//! Which steps are logged by default, and what keeps the log short.
+//! Tests of which events are logged without tracing, of the line format and of the rate limit.
 
 use super::*;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     };
     assert_eq!(
         event.to_string(),
-        "attempt 2 at s-7 ended: rejected for 500 ms"
+        "attempt 2 at s-7 ended: rejected, retry after 500 ms"
     );
     let id = HeaderValue::from_static("m1");
     let call = IncompleteCall {
