--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,5 +1,6 @@
-//! System calls and disk writes that fail for a moment, each forced by order: a fault is on from one step of the test to
-//! another, and what was taken on is still owed.
+//! Tests of transient failures of system calls and disk writes. Each test switches a fault on and
+//! off at fixed steps, and messages accepted before or after the fault must still be delivered or
+//! reported.
 
 mod node;
 
@@ -9,12 +10,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// From SIGTERM to the end of a process.
+/// Longest time from SIGTERM to the end of a process.
 const SHUTDOWN_DURATION: Duration = Duration::from_millis(3300);
-/// Call slots of the sender in these tests.
+/// Number of calls that the sender in these tests may have in flight.
 const CALL_SLOTS: usize = 8;
 
-/// A sender whose system calls fail by order, its discovery, and the endpoint that it delivers to.
+/// Sender whose system calls a test can make fail, with its discovery service and its endpoint.
 struct FaultySender {
     endpoint: Endpoint,
     agent: Agent,
@@ -22,18 +23,18 @@
 }
 
 impl FaultySender {
-    /// One with an endpoint that accepts every call.
+    /// Creates a sender with an endpoint that accepts every call.
     fn new() -> Self {
         FaultySender::with_endpoint(Endpoint::new(|_, _| OK))
     }
 
-    /// One with this endpoint, which is listed for destination 7.
+    /// Creates a sender whose endpoint list contains this endpoint for destination 7.
     fn with_endpoint(endpoint: Endpoint) -> Self {
         let agent = one(&endpoint);
         FaultySender::with_agent(endpoint, agent)
     }
 
-    /// One whose endpoint is listed as the agent has it.
+    /// Creates a sender that gets its endpoint list from this agent.
     fn with_agent(endpoint: Endpoint, agent: Agent) -> Self {
         let faults = Faults::new(&agent, |config| config);
         FaultySender {
@@ -43,19 +44,20 @@
         }
     }
 
-    /// The same sender with its configuration changed.
+    /// Changes the configuration of the sender.
     fn configured(mut self, change: impl FnOnce(String) -> String) -> Self {
         self.faults = Faults::new(&self.agent, change);
         self
     }
 
-    /// Starts a process of it, and waits until it is ready.
+    /// Starts a process of the sender and waits until it is ready.
     fn start(&self) -> Node {
         self.faults.start().ready()
     }
 }
 
-/// An endpoint that answers one message only once the gate is open.
+/// Returns an endpoint that delays its answer to the message `held_id` until the returned gate is
+/// set to true.
 fn gated_endpoint(held_id: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
@@ -94,7 +96,7 @@
     faults.off("journal_write");
     assert_eq!(node.hand_in("webhook", "after", 0, 20_000, b"x"), 202);
     wait_until("it is delivered", || endpoint.times("after") == 1);
-    assert_eq!(endpoint.count(), 1, "what was refused is not sent");
+    assert_eq!(endpoint.count(), 1, "rejected messages are not sent");
 }
 
 #[test]
@@ -105,7 +107,7 @@
     } = &sender;
     let node = sender.start();
     faults.on("journal_truncate", EIO);
-    // nor can a whole file take the place of this one
+    // compaction can't replace the journal file either
     faults.on("journal_rename", EIO);
     faults.on("journal_half", ENOSPC);
     assert_eq!(node.hand_in("webhook", "refused", 7, 20_000, b"x"), 503);
@@ -113,26 +115,29 @@
     assert_eq!(
         node.hand_in("webhook", "refused-too", 7, 20_000, b"x"),
         503,
-        "half a record stands at the end"
+        "half a record is at the end of the journal"
     );
-    // the half is left behind with its file, though it can't be cut off
+    // compaction writes a new file without the half record, though truncation still fails
     faults.off("journal_rename");
-    wait_until("messages are taken on", || {
+    wait_until("messages are accepted", || {
         node.hand_in("webhook", "after", 7, 20_000, b"x") == 202
     });
     wait_until("it is delivered", || endpoint.times("after") == 1);
-    // what was written after the half is found by the next life
+    // after a restart, messages recorded in the new file must be recovered
     assert_eq!(node.hand_in("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
     let node = sender.start();
-    wait_until("it is told", || node.logged("1 unfinished messages"));
+    wait_until("the restart logs its unfinished messages", || {
+        node.logged("1 unfinished messages")
+    });
     assert!(!node.logged("damaged"));
 }
 
 #[test]
 fn ordered_message_waits_until_end_of_previous_one_is_durable() {
     let (endpoint, gate) = gated_endpoint("first");
-    // an ordered class that may be repeated: what a next life sends again shows at the endpoint
+    // the ordered class is idempotent here, so messages that a restarted process sends again show
+    // at the endpoint
     let repeatable = |text: String| {
         text.replace(
             r#""effect":"at_most_once","oneAtATime":true"#,
@@ -147,14 +152,14 @@
     for id in ["first", "second"] {
         assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
     }
-    wait_until("the first is out", || endpoint.times("first") == 1);
-    // ends are the shortest records
+    wait_until("the first is in flight", || endpoint.times("first") == 1);
+    // only records of at most 20 bytes fail: the ends of messages are the shortest records
     faults.on("journal_short", 20);
     *gate.lock().expect("not poisoned") = true;
-    wait_until("the end can't be written", || {
+    wait_until("writing the end fails", || {
         node.logged("the journal can't be written")
     });
-    // nothing is written after the end that failed, and so nothing is taken on or sent
+    // no record may follow the one that failed, so no message is accepted or sent
     assert_eq!(node.raw(&about("b", "charge", "other", 7, 20_000)).0, 503);
     assert_eq!(endpoint.count(), 1);
     drop(node);
@@ -177,7 +182,8 @@
 
 #[test]
 fn failure_before_deadline_is_notified_only_once_durable() {
-    // its end is a failure as soon as the gate opens; a next life that did not know of that would end it once more
+    // the message fails as soon as the gate opens; a restarted process without a record of that
+    // would notify again
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |_, _| {
@@ -192,17 +198,18 @@
     } = &sender;
     let node = sender.start();
     assert_eq!(node.hand_in("order", "one", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("one") == 1);
+    wait_until("the call is in flight", || endpoint.times("one") == 1);
     faults.on("journal_write", EIO);
     *gate.lock().expect("not poisoned") = true;
-    wait_until("its end can't be written", || {
+    wait_until("writing its end fails", || {
         node.logged("the journal can't be written")
     });
-    // what the turn of its end told has been told by the time that another message was refused
+    // the turn with the failed end is over once a later submission was rejected, so its
+    // notification would have been posted
     assert_eq!(node.hand_in("order", "refused", 7, 20_000, b"x"), 503);
     assert_eq!(agent.notices(), [""; 0]);
     faults.off("journal_write");
-    wait_until("its end is told", || {
+    wait_until("the failure is notified", || {
         agent.notices() == [r#"{"id":"one","state":"failed"}"#]
     });
 }
@@ -215,7 +222,7 @@
     assert_eq!(node.hand_in("order", "one", 99, 1_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "two", 99, 4_000, b"x"), 202);
     faults.on("journal_write", ENOSPC);
-    wait_until("its end is told", || {
+    wait_until("the failure is notified", || {
         agent
             .notices()
             .iter()
@@ -229,10 +236,10 @@
     );
     assert_eq!(node.hand_in("order", "refused", 7, 20_000, b"x"), 503);
     faults.off("journal_write");
-    wait_until("messages are taken on", || {
+    wait_until("messages are accepted", || {
         node.hand_in("order", "after", 7, 20_000, b"x") == 202
     });
-    wait_until("the other's end is told", || {
+    wait_until("the other failure is notified", || {
         agent
             .notices()
             .iter()
@@ -257,10 +264,10 @@
         assert_eq!(node.hand_in("webhook", &id, 7, 20_000, &[b'x'; 5_000]), 202);
         wait_until("it is delivered", || endpoint.times(&id) == 1);
     }
-    assert_eq!(endpoint.count(), 3, "each went once");
-    // an end by a notice goes to discovery the same way
+    assert_eq!(endpoint.count(), 3, "each was sent once");
+    // an outcome notification must also be posted over partial sends
     assert_eq!(node.hand_in("order", "unsent", 99, 100, b"x"), 202);
-    wait_until("its notice", || {
+    wait_until("its notification", || {
         agent.notices().iter().any(|line| line.contains("unsent"))
     });
 }
@@ -288,7 +295,7 @@
     for id in &ids {
         assert_eq!(node.hand_in("order", id, 7, 20_000, b"x"), 202);
     }
-    // long enough for several dials of each
+    // eight failed dials, more than one for each of the six messages
     wait_until("dials have failed", || {
         node.logged("ejected") || dial_failures(&node) >= 8
     });
@@ -299,7 +306,7 @@
     assert!(!node.logged("ejected"), "{fault} {errno}: {:?}", node.log);
 }
 
-/// Dials that failed, for whatever reason.
+/// Returns the number of failed dials in the pool report, over all reasons.
 fn dial_failures(node: &Node) -> u64 {
     let report = pools(node);
     let failures = report["totals"]["counts"]["dial_failures"]
@@ -344,14 +351,14 @@
                     .by_ref()
                     .map_while(Result::ok)
                     .find(|line| line.contains("os error"));
-                assert!(error_line.is_some(), "{fault}: it says what it waits for");
+                assert!(error_line.is_some(), "{fault}: no log line with the error");
                 faults.off(fault);
                 let listening_line = lines
                     .map_while(Result::ok)
                     .find(|line| line.contains("listening on"));
                 assert!(
                     listening_line.is_some(),
-                    "{fault}: it ended: {:?}",
+                    "{fault}: it ended without listening: {:?}",
                     process.wait()
                 );
                 let _ = process.kill();
@@ -385,8 +392,12 @@
                 ]);
                 *agent.lines.lock().expect("not poisoned") = vec![lines];
                 let node = sender.start();
-                wait_until("what has time left is sent", || endpoint.times(&long) == 1);
-                wait_until("what has none ends", || !agent.notices().is_empty());
+                wait_until("the message with time left is sent", || {
+                    endpoint.times(&long) == 1
+                });
+                wait_until("the expired message is notified", || {
+                    !agent.notices().is_empty()
+                });
                 assert!(agent.notices()[0].contains(&short), "{:?}", agent.notices());
                 drop(node);
             });
@@ -404,7 +415,9 @@
     let node = sender.start();
     faults.on("config_read", EIO);
     node.move_discovery(&next);
-    wait_until("it can't be read", || node.logged("os error 5"));
+    wait_until("reading the configuration fails", || {
+        node.logged("os error 5")
+    });
     faults.off("config_read");
     wait_until("discovery has moved", || {
         next.watches.load(std::sync::atomic::Ordering::SeqCst) == 1
@@ -424,13 +437,14 @@
         202
     );
     assert_eq!(old.hand_in("webhook", "held", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("held") == 1);
+    wait_until("the call is in flight", || endpoint.times("held") == 1);
     faults.on("short_send", 1);
     faults.on("short_receive", 64);
-    // its end is known here and not on the disk: the next process would take it for owed
+    // the end of "held" is known but not on the disk; a successor that reads the journal now would
+    // take it as incomplete
     faults.on("journal_write", EIO);
     *gate.lock().expect("not poisoned") = true;
-    wait_until("its end can't be written", || {
+    wait_until("writing its end fails", || {
         old.logged("the journal can't be written")
     });
     let new = thread::scope(|scope| {
@@ -438,7 +452,7 @@
         assert_eq!(
             old.hand_in("webhook", "refused", 7, 20_000, b"x"),
             503,
-            "it owns the messages still"
+            "the old process still owns the messages"
         );
         faults.off("journal_write");
         next.join().expect("it takes over")
@@ -453,7 +467,7 @@
     assert_eq!(
         new.hand_in("webhook", "held", 7, 20_000, b"x"),
         200,
-        "it is remembered as delivered"
+        "the message is remembered as delivered"
     );
     assert_eq!(endpoint.times("held"), 1);
 }
@@ -466,7 +480,7 @@
     } = &sender;
     let old = sender.start();
     assert_eq!(old.hand_in("webhook", "first", 7, 20_000, b"x"), 202);
-    wait_until("its end is written", || {
+    wait_until("the end of the message is written", || {
         old.hand_in("webhook", "first", 7, 20_000, b"x") == 200
     });
     faults.on("journal_write", EIO);
@@ -491,14 +505,15 @@
     wait_until("the old one has ended", || {
         new.logged("the predecessor has ended")
     });
-    // from here on the old one could not have made a call
+    // after this time the old process has exited, so only the new one can make the call
     thread::sleep(SHUTDOWN_DURATION.saturating_sub(terminated_at.elapsed()));
     assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
     wait_until("it is delivered", || endpoint.times("after") == 1);
 }
 
-/// Two processes start while the lock can't be opened, and the later one is first at it: the earlier must not take the
-/// messages back from it.
+/// Guards against two owners of one state folder. Two processes start while the lock file can't be
+/// opened, and the later one gets the lock first; the earlier one must then exit instead of taking
+/// over the messages.
 #[test]
 fn earlier_process_exits_if_later_process_locked_folder_first() {
     let sender = FaultySender::new();
@@ -508,25 +523,32 @@
     let log = earlier.stderr.take().expect("piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log)).map_while(Result::ok);
     let waiting_line = lines.find(|line| line.contains("the folder's lock is waited for"));
-    assert!(waiting_line.is_some(), "it waits for the lock");
+    assert!(
+        waiting_line.is_some(),
+        "no log line about the wait for the lock"
+    );
     signal(&earlier, "STOP");
     faults.off("lock_open");
     let later = sender.start();
     signal(&earlier, "CONT");
-    // one that took over instead would run on
+    // an earlier process that took over would continue to run
     let poll_until = std::time::Instant::now() + Duration::from_secs(10);
-    while earlier.try_wait().expect("its state").is_none() && std::time::Instant::now() < poll_until
+    while earlier.try_wait().expect("process state").is_none()
+        && std::time::Instant::now() < poll_until
     {
         thread::sleep(Duration::from_millis(5));
     }
     let _ = earlier.kill();
     assert!(
         earlier.wait().expect("it ends").success(),
-        "it ends by itself"
+        "the earlier process exits without an error"
     );
     let exit_line =
         lines.find(|line| line.contains("a process that started later owns the folder"));
-    assert!(exit_line.is_some(), "it says why it ends");
+    assert!(
+        exit_line.is_some(),
+        "no log line with the reason for the exit"
+    );
     assert_eq!(later.hand_in("webhook", "m1", 99, 20_000, b"x"), 202);
     assert!(!later.logged("handover: handed over"));
 }
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -1,5 +1,7 @@
-//! Answers of endpoints that are cut: a message ends by a whole first line 200, a whole line of a bulk answer, or else by a
-//! notification. The endpoint's own record of what it has written decides what a message's end has to be.
+//! Tests of answers that endpoints cut off at any byte. A cut answer must never count as a
+//! delivery: a message ends only with a complete 200 status line, a complete 410 head, a complete
+//! line of a bulk answer, or an outcome notification. The expected end of each message follows from
+//! what the endpoint has recorded as written.
 
 mod node;
 
@@ -44,7 +46,8 @@
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
-    // the attempt of a class with a key ends with its window, that of the other with its message
+    // an attempt with an idempotency key ends with the key's window; an attempt without one ends at
+    // the message's deadline
     for (class, time_limit_ms) in [("webhook", LONG_MS), ("order", 1500)] {
         for length in 0..=STATUS_LINE.len() {
             let id = format!("{class}-{length}");
@@ -83,10 +86,12 @@
     }
 }
 
-/// Lengths of the status line round those that were once taken for a delivery.
+/// Lengths in bytes at which the status line is cut. An earlier version took some of them for a
+/// delivery.
 const CUT_LENGTHS_BYTES: std::ops::RangeInclusive<usize> = 11..=17;
 
-/// Messages whose first calls are answered in part and left open, one for each class and length.
+/// Submits a message for each class and each length of [`CUT_LENGTHS_BYTES`]. The endpoint answers
+/// its first call with that part of the status line and leaves the connection open.
 fn submit_with_cut_status_lines(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
     let mut ids = Vec::new();
     for class in ["webhook", "order"] {
@@ -95,16 +100,19 @@
             endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
             let destination = ids.len() as u64;
             assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
-            wait_until("its call", || endpoint.calls(&id) == 1);
+            wait_until("the endpoint receives the call", || {
+                endpoint.calls(&id) == 1
+            });
             ids.push(id);
         }
     }
     let whole = STATUS_LINE.len();
     for (class, destination) in [("webhook", 6), ("order", 13)] {
         let id = format!("{class}-{whole}");
-        wait_until("the whole line is known to be a delivery", || {
-            node.hand_in(class, &id, destination, LONG_MS, b"body") == 200
-        });
+        wait_until(
+            "the message with the complete line counts as delivered",
+            || node.hand_in(class, &id, destination, LONG_MS, b"body") == 200,
+        );
     }
     ids
 }
@@ -141,8 +149,8 @@
     let mut node = sender(&agent);
     let ids = submit_with_cut_status_lines(&node, &endpoint);
     node.terminate();
-    wait_until("it ends", || {
-        node.process.try_wait().expect("its state").is_some()
+    wait_until("the process ends", || {
+        node.process.try_wait().expect("process state").is_some()
     });
     let node = node.restart().ready();
     assert_ends_after_restart(&node, &agent, &endpoint, &ids);
@@ -167,8 +175,8 @@
         );
         ids.push(id);
     }
-    let whole = ids.pop().expect("the last one");
-    // what is cut may have run, and is called again
+    let whole = ids.pop().expect("at least one message");
+    // a message whose answer was cut may have run; its class allows a second call
     assert_proved_ends(&node, &agent, &endpoint, &ids);
     assert!(ids.iter().all(|id| endpoint.calls(id) == 2));
     assert_eq!(endpoint.calls(&whole), 1);
@@ -208,7 +216,8 @@
     }
     let ids: Vec<String> = cases.concat();
     assert_proved_ends(&node, &agent, &endpoint, &ids);
-    // what the cut answer had not told in a whole line was called again; a reset may take what came before it
+    // messages without a complete line in the cut answer are called again; a reset may also discard
+    // earlier lines
     for id in ids.iter().filter(|id| id.contains("Close")) {
         let further_calls = endpoint.calls(id) - 1;
         assert!(
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -1,5 +1,6 @@
-//! Ends that no endpoint's answer proves: a notification that the platform has accepted, and a client that left before its
-//! 202. What only looks like one of them ends no message.
+//! Tests of messages that end without an answer of an endpoint: the platform has accepted the
+//! notification, or the client disconnected before its 202. A cut 204, or a disconnect after the
+//! 202, must not end a message.
 
 mod node;
 
@@ -27,26 +28,28 @@
     let agent = destinations_at(endpoint.address, "one", 1);
     let node = sender(&agent);
     endpoint.break_off("m1", Fragment::of_status_line(0, Then::Close));
-    // the whole answer but its last byte proves nothing either
+    // cut the response to the notification at each length; even without only its last byte it must
+    // not count
     agent.cut_notices(0..ACCEPTED.len());
     assert_eq!(node.hand_in("order", "m1", 0, LONG_MS, b"body"), 202);
     let third_of_cuts = ACCEPTED.len() / 3;
-    wait_until("a third of the cuts", || {
+    wait_until("a third of the cut responses", || {
         notifications_of(&agent, "m1") > third_of_cuts
     });
     let mut node = node.restart().ready();
-    wait_until("two thirds of the cuts", || {
+    wait_until("two thirds of the cut responses", || {
         notifications_of(&agent, "m1") > 2 * third_of_cuts
     });
     node.terminate();
-    wait_until("it ends", || {
-        node.process.try_wait().expect("its state").is_some()
+    wait_until("the process ends", || {
+        node.process.try_wait().expect("process state").is_some()
     });
-    // the process that ends goes on posting until it is gone
+    // the terminated process posts until it exits, so either log may contain the accepted
+    // notification
     let accepted = "message m1: notification accepted";
     let earlier_log = node.log.clone();
     let node = node.restart().ready();
-    wait_until("the whole answer", || {
+    wait_until("the complete 204 is received", || {
         let earlier = earlier_log.lock().expect("not poisoned");
         node.logged(accepted) || earlier.iter().any(|line| line.contains(accepted))
     });
@@ -55,7 +58,11 @@
     let node = node.restart().ready();
     assert_eq!(node.hand_in("webhook", "m2", 0, LONG_MS, b"body"), 202);
     wait_until("a later message is served", || endpoint.has_delivered("m2"));
-    assert_eq!(notifications_of(&agent, "m1"), post_count, "it is over");
+    assert_eq!(
+        notifications_of(&agent, "m1"),
+        post_count,
+        "no further post"
+    );
     assert_eq!(endpoint.calls("m1"), 1);
 }
 
@@ -70,19 +77,23 @@
     for (id, destination) in [("m1", 0), ("m2", 1)] {
         endpoint.break_off(id, Fragment::of_status_line(0, Then::Close));
         assert_eq!(node.hand_in("order", id, destination, LONG_MS, b"x"), 202);
-        wait_until("its notification", || notifications_of(&agent, id) > 0);
+        wait_until("the notification is posted", || {
+            notifications_of(&agent, id) > 0
+        });
     }
-    // the second came while the first had no answer: that is posted again only after
+    // the second was posted while the first had no response; the first is repeated only afterwards
     let is_second: Vec<bool> = agent
         .notices()
         .iter()
         .map(|line| line.contains("m2"))
         .collect();
     assert_eq!(is_second[..2], [false, true], "{:?}", agent.notices());
-    wait_until("the first again", || notifications_of(&agent, "m1") == 2);
+    wait_until("the first is posted again", || {
+        notifications_of(&agent, "m1") == 2
+    });
 }
 
-/// Hands a message in and reads its whole answer; the connection.
+/// Submits a message, reads the head of the 202 response, and returns the connection.
 fn submit_accepted(node: &Node, text: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(node.address).expect("the sender accepts");
     stream.write_all(text).expect("written");
@@ -109,7 +120,7 @@
     let mut ids = Vec::new();
     for destination in 0..40 {
         let id = format!("m-{destination}");
-        // half of them are still owed when the client goes, and fail later
+        // half of the messages are incomplete when the client disconnects, and fail later
         if destination % 2 == 0 {
             endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         }
@@ -144,10 +155,12 @@
     assert_proved_ends(&node, &agent, &endpoint, &ids);
 }
 
-/// A record of the journal, as src/net/journal/records.rs writes it: a mark, length, checksum, payload.
+/// Size in bytes of the header of a journal record: mark, length and checksum of 4 bytes each,
+/// followed by the payload (see src/net/journal/records.rs).
 const RECORD_HEADER_BYTES: usize = 12;
 
-/// Replaces a text in the payload of each record by one of the same length, with sound checksums.
+/// Replaces a text in the payload of each journal record by one of the same length, and updates the
+/// checksums. Returns the number of records changed.
 fn replace_in_journal(journal: &mut [u8], from: &[u8], to: &[u8]) -> usize {
     let mut replaced = 0;
     let mut offset = 0;
@@ -178,20 +191,24 @@
         node.hand_in("webhook", "id-of-m1", 0, LONG_MS, b"body"),
         202
     );
-    wait_until("its call", || endpoint.calls("id-of-m1") == 1);
+    wait_until("the endpoint receives the call", || {
+        endpoint.calls("id-of-m1") == 1
+    });
     node.kill();
-    let mut journal = std::fs::read(node.journal()).expect("a journal");
+    let mut journal = std::fs::read(node.journal()).expect("readable journal");
     assert_eq!(
         replace_in_journal(&mut journal, b"id-of-m1", b"id\x01of-m1"),
         1
     );
     std::fs::write(node.journal(), journal).expect("written");
     let node = node.restart().ready();
-    wait_until("its notification", || {
+    wait_until("the notification is posted", || {
         let notices = agent.notices();
         notices
             .iter()
             .any(|notice| notice.contains(r"id\u0001of-m1"))
     });
-    wait_until("it is over", || node.logged("notification accepted"));
+    wait_until("the notification is accepted", || {
+        node.logged("notification accepted")
+    });
 }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,4 +1,5 @@
-//! Rare moments, each forced by order: what comes between two steps of the sender, on real connections.
+//! Tests of races on real connections. Each test forces an event to arrive between two particular
+//! steps of the sender.
 
 mod node;
 
@@ -7,7 +8,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An endpoint that is accepted and answered by hand.
+/// Endpoint at which the test itself accepts connections and answers calls.
 struct ManualEndpoint(TcpListener);
 
 impl ManualEndpoint {
@@ -15,13 +16,13 @@
         ManualEndpoint(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
-    /// Discovery that lists it alone, for destination 7.
+    /// Returns a discovery service whose list contains only this endpoint, for destination 7.
     fn listed(&self) -> Agent {
         let address = self.0.local_addr().expect("bound");
         Agent::new(vec![list(&[("s-1", address, "one", 7, "up")])])
     }
 
-    /// The next connection that the sender opens.
+    /// Accepts the next connection that the sender opens.
     fn accept(&self) -> TcpStream {
         let (stream, _) = self.0.accept().expect("a connection");
         stream
@@ -30,7 +31,8 @@
         stream
     }
 
-    /// A connection over which some calls were served, so that the sender trusts the endpoint.
+    /// Returns a connection over which 8 calls were served, so that the sender treats the endpoint
+    /// as healthy and warm.
     fn warm_connection(&self, node: &Node) -> TcpStream {
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
@@ -39,7 +41,7 @@
             let stream = stream.get_or_insert_with(|| self.accept());
             assert!(read_call(stream).contains(&id));
             stream.write_all(ANSWER).expect("taken");
-            wait_until("its end is known", || {
+            wait_until("it counts as delivered", || {
                 node.hand_in("webhook", &id, 7, 20_000, b"body") == 200
             });
             served += 1;
@@ -48,7 +50,8 @@
     }
 }
 
-/// Reads a request up to its body's end; what came before the connection ended, if that was sooner.
+/// Reads a request up to the end of its body, or until the connection ends, and returns what was
+/// received.
 fn read_call(stream: &mut TcpStream) -> String {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\nbody") && matches!(stream.read(&mut byte), Ok(1)) {
@@ -82,8 +85,8 @@
     );
     assert!(read_call(&mut first_connection).contains("x-request-id: m1"));
     let (sent_at, window) = (Instant::now(), Duration::from_secs(1));
-    // m1 may have run: a repeat is dropped until a second after its sending, and may be made for so long, but
-    // rests a while before it; another message has the one connection by then
+    // m1 may have run. The endpoint drops repeats for 1 s after the first call, so the sender may
+    // retry only within that time and after a backoff. Meanwhile m2 uses the only connection.
     node.at_one_moment(|| {
         drop(first_connection);
         client
@@ -92,17 +95,17 @@
     });
     let mut second_connection = endpoint.accept();
     assert!(read_call(&mut second_connection).contains("x-request-id: m2"));
-    wait_until("the repeat waits for the other", || {
+    wait_until("the retry waits for a connection", || {
         pools(&node)["totals"]["waiting"] == 1
     });
     std::thread::sleep(window.saturating_sub(sent_at.elapsed()));
     second_connection.write_all(ANSWER).expect("taken");
-    wait_until("its notice", || {
+    wait_until("m1 is notified as failed", || {
         agent
             .notices()
             .contains(&r#"{"id":"m1","state":"failed"}"#.to_string())
     });
-    // the connection that it might have had carries the next message
+    // the connection that the retry waited for must carry the next message instead
     assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"body"), 202);
     let call = read_call(&mut second_connection);
     assert!(call.contains("x-request-id: m3"), "{call}");
@@ -113,14 +116,14 @@
 #[test]
 fn connection_closed_at_client_limit_answers_received_request() {
     let endpoint = ManualEndpoint::new();
-    // twenty places for clients
+    // 60 sockets leave room for 20 client connections
     let node = Node::with_sockets(endpoint.listed().address, 3.0, 5.0, 60).ready();
     for round in 0..10 {
         let mut clients: Vec<Client> = (0..20).map(|_| Client::new(&node)).collect();
         clients
             .iter_mut()
             .for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
-        // all have been idle for so long that each may be closed
+        // after 300 ms of idleness each connection may be closed to make room
         std::thread::sleep(Duration::from_millis(300));
         let mut next = None;
         node.at_one_moment(|| {
@@ -134,17 +137,15 @@
             assert_eq!(answer, Some(200), "round {round}, client {number}");
         }
         assert_eq!(
-            next.expect("connected")
-                .send(READY)
-                .expect("has its turn")
-                .0,
+            next.expect("connected").send(READY).expect("answered").0,
             200
         );
     }
 }
 
-/// Requests on resting connections come just as the process would close these; each gets its answer. False if the
-/// machine was so slow that they had ended before.
+/// Sends requests on idle connections while the process is about to close them, and asserts that
+/// each gets an answer with `status`. Returns false, without a check, if the host was so slow that
+/// a connection had been closed before.
 fn send_at_idle_close(node: &Node, clients: &mut [Client], status: u16) -> bool {
     let mut sent_before_close = false;
     node.at_one_moment(|| {
@@ -169,13 +170,13 @@
         let node = Node::new(&agent).ready();
         node.terminate();
         wait_until("draining", || node.logged("draining"));
-        // resting connections are closed 2.5 s after the signal
+        // idle connections are closed 2.5 s after the signal
         std::thread::sleep(Duration::from_millis(1500));
         let mut clients: Vec<Client> = (0..16).map(|_| Client::new(&node)).collect();
         std::thread::sleep(Duration::from_millis(500));
         send_at_idle_close(&node, &mut clients, 503)
     };
-    assert!((0..5).any(|_| sent_in_time()), "never in time");
+    assert!((0..5).any(|_| sent_in_time()), "too slow in all 5 tries");
 }
 
 #[test]
@@ -187,11 +188,11 @@
         clients
             .iter_mut()
             .for_each(|client| assert_eq!(client.send(READY).expect("answered").0, 200));
-        // they are closed after 2.1 s
+        // idle connections are closed after 2.1 s
         std::thread::sleep(Duration::from_millis(1700));
         send_at_idle_close(&node, &mut clients, 200)
     };
-    assert!((0..5).any(|_| sent_in_time()), "never in time");
+    assert!((0..5).any(|_| sent_in_time()), "too slow in all 5 tries");
 }
 
 #[test]
@@ -202,13 +203,13 @@
     let mut client = Client::new(&node);
     assert_eq!(client.send(READY).expect("answered").0, 200);
     node.terminate();
-    wait_until("its resting connection has ended", || client.has_ended());
-    // the client hands it in elsewhere
+    wait_until("its idle connection has ended", || client.has_ended());
+    // no answer may follow: the client submits the message to another sender
     let _ = client.write(&message("webhook", "m1", 7, 20_000, b"body"));
     let mut node = node;
     assert!(node.process.wait().expect("it ends").success());
     let next = node.restart().ready();
-    wait_until("it is told", || {
+    wait_until("the restart has no unfinished messages", || {
         !next.logged("unfinished messages") || next.logged(" 0 unfinished messages")
     });
     assert_eq!(next.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
@@ -240,7 +241,9 @@
     );
 }
 
-/// A sender whose keyed calls are given up after a second, and a call of it that is under way: its connection.
+/// Starts a sender that abandons calls with an idempotency key after 1 s, and submits message m1 of
+/// that kind. Returns the sender, the connection with the call, and the time at which the call was
+/// read.
 fn start_keyed_call(endpoint: &ManualEndpoint, agent: &Agent) -> (Node, TcpStream, Instant) {
     let node = Node::configured_with(agent, |text| {
         text.replace(r#""window":12.0"#, r#""window":1.0"#)
@@ -263,7 +266,7 @@
 fn answer_received_together_with_timeout_completes_message() {
     let endpoint = ManualEndpoint::new();
     let agent = endpoint.listed();
-    // a head without an end is true too, by its first line
+    // a complete status line counts even if the rest of the head is missing
     for (answer, late_bytes) in [(ANSWER, &b""[..]), (b"HTTP/1.1 200 OK\r\nX-Long: ", b"x")] {
         let (node, mut stream, sent_at) = start_keyed_call(&endpoint, &agent);
         node.at_one_moment(|| {
@@ -271,7 +274,7 @@
             stream.write_all(answer).expect("taken");
         });
         if !late_bytes.is_empty() {
-            // its connection is closed: the call is given up
+            // the sender closes the connection, as it does for an abandoned call
             while stream.read(&mut [0; 64]).expect("it ends") > 0 {}
             let _ = stream.write_all(late_bytes);
         }
@@ -292,32 +295,37 @@
     let agent = endpoint.listed();
     let reject_late = || {
         let (node, mut stream, _) = start_keyed_call(&endpoint, &agent);
-        // a first wait, so that they are listened for
+        // after a first Retry-After, the sender also reads late answers of this endpoint for
+        // another one
         stream
             .write_all(&rejection_with_retry_after("0.010"))
             .expect("taken");
         assert!(read_call(&mut stream).contains("x-request-id: m1"));
-        // the sending side is shut: the call is given up
+        // the sender shuts its sending side down when it abandons the call
         assert_eq!(stream.read(&mut [0]).expect("it ends"), 0);
         let rejected_at = Instant::now();
         let written = stream.write_all(&rejection_with_retry_after("3"));
-        wait_until("it is read", || pools(&node)["totals"]["leased"] == 0);
-        // false if the machine was so slow that nobody listened any more
+        wait_until("the late answer is read", || {
+            pools(&node)["totals"]["leased"] == 0
+        });
+        // `None` if the host was so slow that the sender had stopped reading
         (written.is_ok() && stream.take_error().expect("asked").is_none())
             .then_some((node, rejected_at))
     };
-    let (node, rejected_at) = (0..5).find_map(|_| reject_late()).expect("never in time");
+    let (node, rejected_at) = (0..5)
+        .find_map(|_| reject_late())
+        .expect("too slow in all 5 tries");
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
     let mut next = endpoint.accept();
     let delay = rejected_at.elapsed();
     assert!(read_call(&mut next).contains("x-request-id: m2"));
     assert!(
         delay >= Duration::from_millis(2900),
-        "a call {delay:?} after a wait of 3 s was told"
+        "a call came {delay:?} after a Retry-After of 3 s"
     );
 }
 
-/// An answer that tells to wait.
+/// Returns a 429 answer with this Retry-After delay.
 fn rejection_with_retry_after(seconds: &str) -> Vec<u8> {
     format!("HTTP/1.1 429 Full\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
