--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -33,14 +33,12 @@
     pub attempt: InFlightAttempt,
     /// Time in microseconds after which an answer no longer counts.
     pub expires: Micros,
-    /// Time in microseconds after which the call must not begin; `None` if there is no such
-    /// limit.
+    /// Time in microseconds after which the call must not begin; `None` without such a limit.
     pub start_by: Option<Micros>,
 }
 
 impl Driver {
-    /// Begins an attempt if the message's earlier attempts allow it and the journal has recorded
-    /// it.
+    /// Begins an attempt if the message's earlier attempts permit a call and the journal records it.
     pub(super) fn send(&mut self, now: Micros, request: SendRequest, bundles: &mut Vec<Bundle>) {
         let attempt = request.attempt;
         let Some(pending) = self.messages.get(attempt.message) else {
@@ -252,8 +250,7 @@
                 format_args!("{message:?}, attempt {number}"),
             );
         };
-        // the send fails only if the call has just ended, and then its outcome is already on the
-        // way
+        // the send fails only if the call has just ended, and then its outcome is already queued
         match (&in_flight.cancels, &self.predecessor) {
             (Some(cancels), _) => drop(cancels.send(item)),
             (None, Some(predecessor)) => {
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -178,7 +178,7 @@
                 let call = self.calls_in_flight.get(call);
                 if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
                     // the send fails only if the call has just ended, and then its outcome is
-                    // already on the way
+                    // already queued
                     let _ = cancels.send(item);
                 }
             }
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -36,7 +36,7 @@
             let found = update.version;
             let known = self.version;
             self.behind_log.log(format_args!(
-                "discovery: list version {found} rejected, {known} is in force"
+                "discovery: ignoring list version {found}, {known} is in force"
             ));
         }
         self.is_behind
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -8,8 +8,7 @@
 use tokio::time::Instant;
 
 /// Time for which an unneeded endpoint is still remembered. An endpoint that is listed again within
-/// this time keeps its number, and with it a Retry-After; delays of Retry-After are shorter than
-/// this.
+/// this time keeps its number, so that a Retry-After still applies; Retry-After delays are shorter.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 /// Driver's record of one endpoint.
@@ -18,8 +17,7 @@
     pub uid: String,
     /// Address for calls, from the latest entry; `None` if the endpoint was never listed.
     pub address: Option<SocketAddr>,
-    /// Position of the endpoint's kind in the settings; `usize::MAX` if the settings do not have
-    /// it.
+    /// Position of the endpoint's kind in the settings; `usize::MAX` for an unknown kind.
     pub kind: usize,
     /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -201,7 +201,7 @@
 
 /// Logs a client's request that was rejected before it reached the driver.
 pub fn record_refused_request(error: &dyn fmt::Display) {
-    write_line(format_args!("client request rejected: {error}"));
+    write_line(format_args!("client request failed: {error}"));
 }
 
 /// Logs why a connection was closed, if tracing is on. Reports on the control address count the
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -153,7 +153,7 @@
         assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
     }
     wait_until("the first is in flight", || endpoint.times("first") == 1);
-    // only records of at most 20 bytes fail: the ends of messages are the shortest records
+    // writes of fewer than 20 bytes fail; only the records of ends and outcomes are that short
     faults.on("journal_short", 20);
     *gate.lock().expect("not poisoned") = true;
     wait_until("writing the end fails", || {
@@ -295,7 +295,7 @@
     for id in &ids {
         assert_eq!(node.hand_in("order", id, 7, 20_000, b"x"), 202);
     }
-    // eight failed dials, more than one for each of the six messages
+    // at least 8 failed dials, so that calls of the 6 messages have been retried
     wait_until("dials have failed", || {
         node.logged("ejected") || dial_failures(&node) >= 8
     });
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -207,7 +207,7 @@
     // no answer may follow: the client submits the message to another sender
     let _ = client.write(&message("webhook", "m1", 7, 20_000, b"body"));
     let mut node = node;
-    assert!(node.process.wait().expect("it ends").success());
+    assert!(node.process.wait().expect("process status").success());
     let next = node.restart().ready();
     wait_until("the restart has no unfinished messages", || {
         !next.logged("unfinished messages") || next.logged(" 0 unfinished messages")
@@ -275,7 +275,7 @@
         });
         if !late_bytes.is_empty() {
             // the sender closes the connection, as it does for an abandoned call
-            while stream.read(&mut [0; 64]).expect("it ends") > 0 {}
+            while stream.read(&mut [0; 64]).expect("the connection is closed") > 0 {}
             let _ = stream.write_all(late_bytes);
         }
         wait_until("delivered", || {
@@ -295,14 +295,16 @@
     let agent = endpoint.listed();
     let reject_late = || {
         let (node, mut stream, _) = start_keyed_call(&endpoint, &agent);
-        // after a first Retry-After, the sender also reads late answers of this endpoint for
-        // another one
+        // the sender reads late answers only from endpoints that have sent a Retry-After before
         stream
             .write_all(&rejection_with_retry_after("0.010"))
             .expect("taken");
         assert!(read_call(&mut stream).contains("x-request-id: m1"));
         // the sender shuts its sending side down when it abandons the call
-        assert_eq!(stream.read(&mut [0]).expect("it ends"), 0);
+        assert_eq!(
+            stream.read(&mut [0]).expect("the sending side is closed"),
+            0
+        );
         let rejected_at = Instant::now();
         let written = stream.write_all(&rejection_with_retry_after("3"));
         wait_until("the late answer is read", || {
