--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -47,7 +47,7 @@
     }
 
     pub fn send(&self, notification: OutcomeNotification) {
-        // the receiving task runs until the process ends
+        // the send can't fail earlier: the receiving task runs until the process ends
         let _ = self.queue.send(notification);
     }
 
@@ -64,7 +64,7 @@
 }
 
 impl Driver {
-    /// Completes a message, as its end proof shows.
+    /// Marks a message as complete on the evidence of `proof`, and records that in the journal.
     pub(super) fn complete(&mut self, message: MessageId, proof: EndProof) {
         self.lifecycle.complete(message);
         if self.messages.close(message) {
--- a/src/net/driver/journal_state.rs
+++ b/src/net/driver/journal_state.rs
@@ -90,7 +90,8 @@
         self.log_error(written)
     }
 
-    /// Records that the attempt at this position proved to have never run at the endpoint.
+    /// Records that the outcome of the attempt at this position shows that it never ran at the
+    /// endpoint.
     pub fn attempt_never_ran(&mut self, message: MessageId, position: usize) {
         let written = self.journal.attempt_never_ran(message.0, position);
         self.log_error(written);
@@ -102,7 +103,7 @@
         self.log_error(written);
     }
 
-    /// Records that the message is complete, as its end proof shows.
+    /// Records that a message is complete, on the evidence of `proof`.
     pub fn complete(&mut self, message: MessageId, proof: EndProof) {
         let written = self.journal.complete(message.0, proof);
         self.log_error(written);
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -30,7 +30,7 @@
         let mut actions = Vec::new();
         self.sender.handle(now, &events, &mut actions);
         for applied in self.waiting_for_turn.drain(..) {
-            // the receiver is dropped only when the process ends
+            // the send fails only at the end of the process, when the receiving task is dropped
             let _ = applied.send(());
         }
         self.publish_fleet_size(&events);
--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -21,7 +21,7 @@
 /// Status in a bulk answer of a message that is gone at its endpoint and must not be sent again.
 const BULK_GONE: &[u8] = b"gone";
 
-/// Kind of evidence in an end proof.
+/// Kind of evidence that shows that a message is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Evidence {
     DeliveredByHead,
@@ -34,7 +34,7 @@
     ClientLeft,
 }
 
-/// Proof that a message is complete.
+/// Proof that a message is complete. It can only be created from the evidence itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndProof(Evidence);
 
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -114,7 +114,7 @@
     pub pool: PoolSettings,
 }
 
-/// A change of the freeze calendar or of its settings.
+/// Change of the freeze calendar or of its settings.
 #[derive(Debug)]
 pub enum FreezeChange {
     /// The freeze was switched off, and all entries held back are admitted.
@@ -127,7 +127,7 @@
         asked_at: u64,
         /// Time in microseconds for which a break-glass override in this answer stays valid.
         fresh_for: u64,
-        /// Calendar or changes of it from the registry's answer.
+        /// Content of the answer, which the freeze check applies.
         update: FreezeUpdate,
     },
 }
@@ -159,7 +159,7 @@
     },
 }
 
-/// The result of [`AdminCommand::SetDisabled`].
+/// Result of [`AdminCommand::SetDisabled`].
 ///
 /// Sent between the processes of a handover. The encoding depends on the order of the variants, so
 /// it must not change.
@@ -197,7 +197,7 @@
     pub resubmitted: bool,
     /// True if the client that first submitted the message is gone.
     pub orphan: bool,
-    /// Body of the message.
+    /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Bytes,
     /// Channel on which the client's response is sent.
     pub reply: oneshot::Sender<SubmissionResult>,
@@ -230,11 +230,11 @@
 /// must not change.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AttemptEnd {
-    /// Number of the call.
+    /// Number of the call that carried the message.
     pub call: u64,
     /// Position of the message in the call.
     pub item: usize,
-    /// Outcome of the attempt.
+    /// How the attempt ended: success, a rejection or a kind of failure.
     pub outcome: Outcome,
     /// End proof, if the answer shows that the message is complete.
     #[serde(with = "in_frame")]
@@ -283,7 +283,7 @@
 pub enum HandoverMessage {
     /// Cancels one message of a call that the predecessor has in flight; sent by the successor.
     CancelAttempt {
-        /// Number of the call.
+        /// Number of the call that carries the message.
         call: u64,
         /// Position of the message in the call.
         item: usize,
@@ -294,14 +294,14 @@
     Submitted {
         /// Number by which the predecessor matches the response to its client.
         number: u64,
-        /// Message and its terms.
+        /// Message with its class, destination and time limit.
         submission: Box<ForwardedSubmission>,
     },
     /// Returns the result of a forwarded submission; sent by the successor.
     Answered {
-        /// Number from the forwarded submission.
+        /// Number that the predecessor gave the forwarded submission.
         number: u64,
-        /// Result for the client.
+        /// Result from which the predecessor builds the client's response.
         result: SubmissionResult,
     },
     /// Reports that the client of a forwarded submission disconnected before its response. Contains
@@ -318,9 +318,9 @@
     },
     /// Returns the result of a forwarded operator command; sent by the successor.
     AdminResult {
-        /// Number from the forwarded command.
+        /// Number that the predecessor gave the forwarded command.
         number: u64,
-        /// Result for the operator.
+        /// Result that the predecessor returns to the operator.
         result: AdminResult,
     },
 }
@@ -352,6 +352,6 @@
     pub resubmitted: bool,
     /// True if the client that first submitted the message is gone.
     pub orphan: bool,
-    /// Body of the message.
+    /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Vec<u8>,
 }
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -47,7 +47,7 @@
         /// Name of the endpoint in the endpoint list; `None` if the driver has forgotten the
         /// endpoint.
         endpoint: Option<&'a str>,
-        /// Outcome of the attempt.
+        /// How the attempt ended: success, a rejection or a kind of failure.
         outcome: Outcome,
         /// End proof, if the attempt completed the message.
         proof: Option<EndProof>,
@@ -134,7 +134,7 @@
                 retry_after: Some(wait),
             } => write!(formatter, "rejected, retry after {} ms", wait / MILLISECOND),
             Outcome::Rejected { retry_after: None } => formatter.write_str("rejected"),
-            Outcome::NotSent { no_slot: true } => formatter.write_str("not sent, no call slot"),
+            Outcome::NotSent { no_slot: true } => formatter.write_str("not sent, no free slot"),
             Outcome::NotSent { no_slot: false } => formatter.write_str("not sent"),
             outcome => write!(formatter, "{outcome:?}"),
         }
@@ -148,7 +148,7 @@
     pub address: SocketAddr,
     /// Ids of the messages in the call.
     pub ids: Vec<&'a HeaderValue>,
-    /// Outcome of the call.
+    /// How the call ended, such as a reset or a timeout.
     pub outcome: Outcome,
     /// Number of bytes of an answer that were received.
     pub answer_bytes: u64,
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -120,7 +120,8 @@
     let mut ids = Vec::new();
     for destination in 0..40 {
         let id = format!("m-{destination}");
-        // half of the messages are incomplete when the client disconnects, and fail later
+        // the answers to half of the messages are cut, so that these are incomplete when the client
+        // disconnects and fail later
         if destination % 2 == 0 {
             endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -204,7 +204,7 @@
     assert_eq!(client.send(READY).expect("answered").0, 200);
     node.terminate();
     wait_until("its idle connection has ended", || client.has_ended());
-    // no answer may follow: the client submits the message to another sender
+    // the connection is closed, so a real client would submit the message to another sender
     let _ = client.write(&message("webhook", "m1", 7, 20_000, b"body"));
     let mut node = node;
     assert!(node.process.wait().expect("process status").success());
