--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -1,5 +1,6 @@
-//! Ends that no endpoint's answer proves: a notification that the platform has accepted, and a client that left before its
-//! 202. What only looks like one of them ends no message.
+//! Tests of messages that end without an answer of an endpoint: the platform has accepted the
+//! notification, or the client disconnected before its 202. A cut 204, or a disconnect after the
+//! 202, must not end a message.
 
 mod node;
 
@@ -22,45 +23,51 @@
 }
 
 #[test]
-fn notification_is_owed_until_a_whole_204_over_restarts_too() {
+fn notification_is_repeated_across_restarts_until_complete_204() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 1);
     let node = sender(&agent);
     endpoint.break_off("m1", Fragment::of_status_line(0, Then::Close));
-    // the whole answer but its last byte proves nothing either
+    // cut the response to the notification at each length; even without only its last byte it must
+    // not count
     agent.cut_notices(0..ACCEPTED.len());
     assert_eq!(node.hand_in("order", "m1", 0, LONG_MS, b"body"), 202);
-    let third = ACCEPTED.len() / 3;
-    wait_until("a third of the cuts", || {
-        notifications_of(&agent, "m1") > third
+    let third_of_cuts = ACCEPTED.len() / 3;
+    wait_until("a third of the cut responses", || {
+        notifications_of(&agent, "m1") > third_of_cuts
     });
     let mut node = node.restart().ready();
-    wait_until("two thirds of the cuts", || {
-        notifications_of(&agent, "m1") > 2 * third
+    wait_until("two thirds of the cut responses", || {
+        notifications_of(&agent, "m1") > 2 * third_of_cuts
     });
     node.terminate();
-    wait_until("it ends", || {
-        node.process.try_wait().expect("its state").is_some()
+    wait_until("the process ends", || {
+        node.process.try_wait().expect("process state").is_some()
     });
-    // the process that ends goes on posting until it is gone
+    // the terminated process posts until it exits, so either log may contain the accepted
+    // notification
     let accepted = "message m1: notification accepted";
     let earlier_log = node.log.clone();
     let node = node.restart().ready();
-    wait_until("the whole answer", || {
+    wait_until("the complete 204 is received", || {
         let earlier = earlier_log.lock().expect("not poisoned");
         node.logged(accepted) || earlier.iter().any(|line| line.contains(accepted))
     });
-    let told = notifications_of(&agent, "m1");
-    assert!(told > ACCEPTED.len(), "{told} posts");
+    let post_count = notifications_of(&agent, "m1");
+    assert!(post_count > ACCEPTED.len(), "{post_count} posts");
     let node = node.restart().ready();
     assert_eq!(node.hand_in("webhook", "m2", 0, LONG_MS, b"body"), 202);
     wait_until("a later message is served", || endpoint.has_delivered("m2"));
-    assert_eq!(notifications_of(&agent, "m1"), told, "it is over");
+    assert_eq!(
+        notifications_of(&agent, "m1"),
+        post_count,
+        "no further post"
+    );
     assert_eq!(endpoint.calls("m1"), 1);
 }
 
 #[test]
-fn unanswered_notification_holds_up_no_other() {
+fn unanswered_notification_does_not_delay_others() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 2);
     let node = sender(&agent);
@@ -70,20 +77,24 @@
     for (id, destination) in [("m1", 0), ("m2", 1)] {
         endpoint.break_off(id, Fragment::of_status_line(0, Then::Close));
         assert_eq!(node.hand_in("order", id, destination, LONG_MS, b"x"), 202);
-        wait_until("its notification", || notifications_of(&agent, id) > 0);
+        wait_until("the notification is posted", || {
+            notifications_of(&agent, id) > 0
+        });
     }
-    // the second came while the first had no answer: that is posted again only after
-    let ids: Vec<bool> = agent
+    // the second was posted while the first had no response; the first is repeated only afterwards
+    let is_second: Vec<bool> = agent
         .notices()
         .iter()
         .map(|line| line.contains("m2"))
         .collect();
-    assert_eq!(ids[..2], [false, true], "{:?}", agent.notices());
-    wait_until("the first again", || notifications_of(&agent, "m1") == 2);
+    assert_eq!(is_second[..2], [false, true], "{:?}", agent.notices());
+    wait_until("the first is posted again", || {
+        notifications_of(&agent, "m1") == 2
+    });
 }
 
-/// Hands a message in and reads its whole answer; the connection.
-fn accepted(node: &Node, text: &[u8]) -> TcpStream {
+/// Submits a message, reads the head of the 202 response, and returns the connection.
+fn submit_accepted(node: &Node, text: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(node.address).expect("the sender accepts");
     stream.write_all(text).expect("written");
     let mut answer = Vec::new();
@@ -102,19 +113,20 @@
 }
 
 #[test]
-fn client_that_goes_right_after_its_202_ends_no_message() {
+fn client_disconnect_after_202_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 40);
     let node = sender(&agent);
     let mut ids = Vec::new();
     for destination in 0..40 {
         let id = format!("m-{destination}");
-        // half of them are still owed when the client goes, and fail later
+        // the answers to half of the messages are cut, so that these are incomplete when the client
+        // disconnects and fail later
         if destination % 2 == 0 {
             endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         }
         let text = message("order", &id, destination, 1500, b"body");
-        let stream = accepted(&node, &text);
+        let stream = submit_accepted(&node, &text);
         if destination % 4 < 2 {
             reset(stream);
         }
@@ -124,7 +136,7 @@
 }
 
 #[test]
-fn second_client_with_the_same_id_that_goes_unanswered_ends_no_message() {
+fn unanswered_disconnect_of_second_client_with_same_id_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let node = sender(&agent);
@@ -133,7 +145,7 @@
         let id = format!("m-{destination}");
         endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
         let text = message("order", &id, destination, 1500, b"body");
-        let _first = accepted(&node, &text);
+        let _first = submit_accepted(&node, &text);
         let mut second = TcpStream::connect(node.address).expect("the sender accepts");
         node.at_one_moment(|| {
             second.write_all(&text).expect("written");
@@ -144,32 +156,34 @@
     assert_proved_ends(&node, &agent, &endpoint, &ids);
 }
 
-/// A record of the journal, as src/net/journal/records.rs writes it: a mark, length, checksum, payload.
+/// Size in bytes of the header of a journal record: mark, length and checksum of 4 bytes each,
+/// followed by the payload (see src/net/journal/records.rs).
 const RECORD_HEADER_BYTES: usize = 12;
 
-/// Replaces a text in the payload of each record by one of the same length, with sound checksums.
+/// Replaces a text in the payload of each journal record by one of the same length, and updates the
+/// checksums. Returns the number of records changed.
 fn replace_in_journal(journal: &mut [u8], from: &[u8], to: &[u8]) -> usize {
     let mut replaced = 0;
-    let mut at = 0;
-    while at + RECORD_HEADER_BYTES <= journal.len() {
-        let word = |at: usize| journal[at..at + 4].try_into().expect("four bytes");
-        let length = u32::from_le_bytes(word(at + 4)) as usize;
-        let payload = at + RECORD_HEADER_BYTES..at + RECORD_HEADER_BYTES + length;
+    let mut offset = 0;
+    while offset + RECORD_HEADER_BYTES <= journal.len() {
+        let field = |start: usize| journal[start..start + 4].try_into().expect("four bytes");
+        let length = u32::from_le_bytes(field(offset + 4)) as usize;
+        let payload = offset + RECORD_HEADER_BYTES..offset + RECORD_HEADER_BYTES + length;
         let mut text = journal[payload.clone()].to_vec();
         if let Some(found) = text.windows(from.len()).position(|part| part == from) {
             text[found..found + to.len()].copy_from_slice(to);
             replaced += 1;
         }
         let checksum = crc32fast::hash(&text).to_le_bytes();
-        journal[at + 8..at + 12].copy_from_slice(&checksum);
+        journal[offset + 8..offset + 12].copy_from_slice(&checksum);
         journal[payload.clone()].copy_from_slice(&text);
-        at = payload.end;
+        offset = payload.end;
     }
     replaced
 }
 
 #[test]
-fn recorded_message_that_no_call_can_carry_ends_by_a_notification() {
+fn recovered_message_with_invalid_id_ends_with_notification() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 1);
     let mut node = sender(&agent);
@@ -178,20 +192,24 @@
         node.hand_in("webhook", "id-of-m1", 0, LONG_MS, b"body"),
         202
     );
-    wait_until("its call", || endpoint.calls("id-of-m1") == 1);
+    wait_until("the endpoint receives the call", || {
+        endpoint.calls("id-of-m1") == 1
+    });
     node.kill();
-    let mut journal = std::fs::read(node.journal()).expect("a journal");
+    let mut journal = std::fs::read(node.journal()).expect("readable journal");
     assert_eq!(
         replace_in_journal(&mut journal, b"id-of-m1", b"id\x01of-m1"),
         1
     );
     std::fs::write(node.journal(), journal).expect("written");
     let node = node.restart().ready();
-    wait_until("its notification", || {
+    wait_until("the notification is posted", || {
         let notices = agent.notices();
         notices
             .iter()
             .any(|notice| notice.contains(r"id\u0001of-m1"))
     });
-    wait_until("it is over", || node.logged("notification accepted"));
+    wait_until("the notification is accepted", || {
+        node.logged("notification accepted")
+    });
 }
