--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The message sender: reads its configuration and runs until SIGTERM.
+//! The message sender's program: reads the configuration and runs until SIGTERM, or until a successor has taken over.
 
 mod net;
 
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,8 +1,10 @@
-//! Module time: a time line that goes on from one process to the next as the monotonic clock does.
+//! Module time: the time in microseconds that all processes on one state folder use for deadlines and stored
+//! timestamps.
 //!
-//! It begins with the wall clock when the state folder is new. From then on it follows the monotonic clock, which runs on
-//! over restarts of a process, so that a step of the wall clock changes no deadline, window or backoff, neither in this process
-//! nor in the next. Only a restart of the machine, which begins another monotonic clock, is bridged by the wall clock.
+//! Module time starts at the wall-clock time when the state folder is new. From then on it follows the monotonic clock,
+//! which continues over restarts of the process, so that a step of the wall clock changes no deadline, window or
+//! backoff, neither in this process nor in the next. A reboot of the host resets the monotonic clock; only then is
+//! module time set from the wall clock again.
 
 use message_sender::Micros;
 use nix::time::{ClockId, clock_gettime};
@@ -14,41 +16,44 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Where the folder keeps its anchor.
+/// Name of the file in the state folder that stores the [`Anchor`].
 const ANCHOR_FILE: &str = "clock";
-/// Tells one start of the machine from another; see `random(4)`.
+/// File with an id that the kernel creates anew at each boot; see `random(4)`.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
-/// A wall clock that is off by more is worth a line in the log.
+/// Difference between wall clock and module time above which the start logs it, in microseconds.
 const MIN_LOGGED_STEP: Micros = message_sender::SECOND;
 
-/// Why the time line can't be continued.
+/// Error of restoring module time from the state folder.
 #[derive(Debug, Error)]
 pub enum ClockError {
-    /// The folder or the system failed the reading or the writing: it is to be tried again.
-    #[error("the clock's anchor: {0}")]
+    /// Reading the clocks, or reading or writing the anchor file, failed. The operation can be retried.
+    #[error("the clock's anchor can't be read or written: {0}")]
     Io(#[from] io::Error),
-    /// The anchor can't be encoded: a defect.
+    /// The anchor can't be encoded, which is a defect of the program.
     #[error("the clock's anchor can't be encoded: {0}")]
     Encode(#[from] serde_json::Error),
 }
 
-/// A point of the time line, which all processes on the folder share. Stored as JSON.
+/// A module time with the monotonic time of the same instant, from which each process on the state folder derives
+/// module time. Stored as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Anchor {
-    /// The start of the machine that the monotonic clock belongs to.
+    /// Id of the boot during which the anchor was written.
     boot: String,
-    /// The monotonic clock then.
+    /// Time of the monotonic clock when the anchor was written, in microseconds.
     monotonic: Micros,
-    /// Module time then.
+    /// Module time when the anchor was written, in microseconds.
     time: Micros,
 }
 
-/// What the clocks say at one moment.
+/// Boot id and clock times that were read together; times in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Reading {
-    /// None where the system does not tell.
+    /// Id of the current boot; `None` if the system does not report it.
     boot: Option<String>,
+    /// Time of the monotonic clock.
     monotonic: Micros,
+    /// Wall-clock time since the Unix epoch.
     wall: Micros,
 }
 
@@ -68,49 +73,56 @@
         })
     }
 
-    /// Module time now, by an anchor of this start of the machine; none without one.
-    fn by(&self, anchor: &Anchor) -> Option<Micros> {
-        let passed = self.monotonic - anchor.monotonic;
-        let same = self.boot.as_ref() == Some(&anchor.boot) && passed >= 0;
-        same.then_some(anchor.time + passed)
+    /// Returns the module time of this reading according to the anchor, or `None` if the anchor was written during
+    /// another boot.
+    fn module_time_from(&self, anchor: &Anchor) -> Option<Micros> {
+        let elapsed = self.monotonic - anchor.monotonic;
+        let same_boot = self.boot.as_ref() == Some(&anchor.boot) && elapsed >= 0;
+        same_boot.then_some(anchor.time + elapsed)
     }
 }
 
-fn micros(span: Duration) -> Micros {
-    Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX)
+fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// Module time, as one process continues it.
+/// Converts between instants of this process and module time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
+    /// Instant at which the process read the clocks.
     start: Instant,
-    unix: Micros,
+    /// Module time at `start`, in microseconds.
+    start_time: Micros,
 }
 
 impl Clock {
-    /// The time line of the folder, which is anchored there if it is not yet.
+    /// Continues the module time of the state folder. Starts a new one and writes its anchor if the folder has no
+    /// anchor of the current boot.
     ///
     /// # Errors
-    /// The anchor can't be read or written now.
+    /// Returns an error if the clocks can't be read, or the anchor can't be read or written.
     pub fn resume(folder: &Path) -> Result<Self, ClockError> {
         let start = Instant::now();
         let reading = Reading::now()?;
         let path = folder.join(ANCHOR_FILE);
         let anchor = match fs::read(&path) {
-            // what can't be understood was written by no process of this time line
+            // no process writes an invalid anchor, so such a file is replaced like a missing one
             Ok(bytes) => serde_json::from_slice::<Anchor>(&bytes).ok(),
             Err(error) if error.kind() == io::ErrorKind::NotFound => None,
             Err(error) => return Err(error.into()),
         };
-        if let Some(time) = anchor.and_then(|anchor| reading.by(&anchor)) {
-            let step = reading.wall - time;
-            if step.abs() > MIN_LOGGED_STEP {
+        if let Some(time) = anchor.and_then(|anchor| reading.module_time_from(&anchor)) {
+            let difference_us = reading.wall - time;
+            if difference_us.abs() > MIN_LOGGED_STEP {
                 super::log(format_args!(
-                    "clock: the wall clock is {:.1} s off",
-                    step as f64 / 1e6
+                    "clock: the wall clock differs from module time by {:.1} s",
+                    difference_us as f64 / 1e6
                 ));
             }
-            return Ok(Clock { start, unix: time });
+            return Ok(Clock {
+                start,
+                start_time: time,
+            });
         }
         let Reading {
             boot,
@@ -118,28 +130,31 @@
             wall,
         } = reading;
         if let Some(boot) = boot {
-            let new = path.with_extension("new");
+            let new_path = path.with_extension("new");
             fs::write(
-                &new,
+                &new_path,
                 serde_json::to_vec(&Anchor {
                     boot,
                     monotonic,
                     time: wall,
                 })?,
             )?;
-            fs::rename(&new, &path)?;
+            fs::rename(&new_path, &path)?;
         }
-        Ok(Clock { start, unix: wall })
+        Ok(Clock {
+            start,
+            start_time: wall,
+        })
     }
 
-    /// Module time of an instant.
+    /// Returns the module time of an instant, in microseconds.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.unix + micros(instant.saturating_duration_since(self.start))
+        self.start_time + micros(instant.saturating_duration_since(self.start))
     }
 
-    /// The instant of a module time; the start for all that was before it.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(u64::try_from(at - self.unix).unwrap_or(0))
+    /// Returns the instant of a module time. For times before the start of this process, returns the start.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.start + Duration::from_micros(u64::try_from(time - self.start_time).unwrap_or(0))
     }
 }
 
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The time line over restarts, and the anchor's form on disk.
+//! Tests of module time over restarts and reboots, and of the anchor's format on disk.
 
 use super::*;
 use crate::net::golden::assert_same_bytes;
@@ -12,47 +12,53 @@
 }
 
 #[test]
-fn monotonic_clock_of_same_boot_overrides_wall_clock() {
+fn module_time_follows_monotonic_clock_only_within_same_boot() {
     let anchor = Anchor {
         boot: "a".to_string(),
         monotonic: 100,
         time: 1_000_000,
     };
-    assert_eq!(reading(Some("a"), 150, 7).by(&anchor), Some(1_000_050));
-    // another start, one that is not told, a clock that began anew
-    assert_eq!(reading(Some("b"), 150, 7).by(&anchor), None);
-    assert_eq!(reading(None, 150, 7).by(&anchor), None);
-    assert_eq!(reading(Some("a"), 50, 7).by(&anchor), None);
+    assert_eq!(
+        reading(Some("a"), 150, 7).module_time_from(&anchor),
+        Some(1_000_050)
+    );
+    // another boot, an unknown boot, and a monotonic clock before the anchor's
+    assert_eq!(reading(Some("b"), 150, 7).module_time_from(&anchor), None);
+    assert_eq!(reading(None, 150, 7).module_time_from(&anchor), None);
+    assert_eq!(reading(Some("a"), 50, 7).module_time_from(&anchor), None);
 }
 
 #[test]
-fn successor_continues_time_line_and_broken_anchor_begins_another() {
+fn successor_continues_module_time_and_broken_anchor_restarts_it() {
     let folder = std::env::temp_dir().join(format!("clock-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
-    let first = Clock::resume(&folder).expect("begun");
+    let first = Clock::resume(&folder).expect("started");
     let written = fs::read(folder.join(ANCHOR_FILE)).expect("anchored");
     let mut anchor: Anchor = serde_json::from_slice(&written).expect("an anchor");
-    anchor.time -= 3_600 * message_sender::SECOND; // as if the wall clock had been stepped since
+    anchor.time -= 3_600 * message_sender::SECOND; // as if the wall clock had been stepped by 1 h since then
     fs::write(
         folder.join(ANCHOR_FILE),
         serde_json::to_vec(&anchor).expect("encoded"),
     )
     .expect("written");
-    let second = Clock::resume(&folder).expect("gone on");
+    let second = Clock::resume(&folder).expect("continued");
     let now = Instant::now();
-    let apart = first.at(now) - second.at(now) - 3_600 * message_sender::SECOND;
-    assert!(apart.abs() < message_sender::MILLISECOND, "{apart} us");
+    let difference_us = first.at(now) - second.at(now) - 3_600 * message_sender::SECOND;
+    assert!(
+        difference_us.abs() < message_sender::MILLISECOND,
+        "{difference_us} us"
+    );
     fs::write(folder.join(ANCHOR_FILE), b"{").expect("written");
-    let third = Clock::resume(&folder).expect("begun anew");
+    let third = Clock::resume(&folder).expect("started anew");
     assert!((third.at(now) - first.at(now)).abs() < message_sender::SECOND);
 }
 
-/// The anchor as an earlier program wrote it.
-const RECORDED: &[u8] = include_bytes!("../../../tests/golden/state/clock");
+/// Golden file with an anchor as an earlier program version wrote it.
+const RECORDED_ANCHOR: &[u8] = include_bytes!("../../../tests/golden/state/clock");
 
 #[test]
-fn anchor_is_decoded_and_encoded_as_recorded() {
+fn anchor_decodes_and_encodes_to_recorded_bytes() {
     let anchor = Anchor {
         boot: "5f0d1e0c-8f5e-4a57-9d0a-0c0b7a3f2b11".to_string(),
         monotonic: 123_456_789,
@@ -61,10 +67,10 @@
     assert_same_bytes(
         "anchor",
         &serde_json::to_vec(&anchor).expect("encoded"),
-        RECORDED,
+        RECORDED_ANCHOR,
     );
     assert_eq!(
-        serde_json::from_slice::<Anchor>(RECORDED).expect("decoded"),
+        serde_json::from_slice::<Anchor>(RECORDED_ANCHOR).expect("decoded"),
         anchor
     );
     assert_eq!(ANCHOR_FILE, "clock");
--- a/src/net/golden.rs
+++ b/src/net/golden.rs
@@ -1,23 +1,28 @@
-//! Comparison with bytes that an earlier program wrote. Golden files are never rewritten by a test: a difference means
-//! that a process of this program and one of an earlier program no longer read each other.
+//! Comparison with golden files: bytes that an earlier program version wrote. No test rewrites these files. A
+//! difference means that this program and an earlier version can no longer read each other's data.
 
-/// Asserts that the bytes are the recorded ones.
+/// Asserts that the written bytes equal the bytes of a golden file, and otherwise shows both around the first
+/// difference.
 pub fn assert_same_bytes(subject: &str, written: &[u8], recorded: &[u8]) {
     if written == recorded {
         return;
     }
-    let same = written
+    let first_difference = written
         .iter()
         .zip(recorded)
-        .take_while(|(one, other)| one == other)
+        .take_while(|(written, recorded)| written == recorded)
         .count();
     panic!(
-        "{subject}: differs from byte {same} on, {} bytes written, {} recorded:\nwritten  {:?}\nrecorded {:?}",
+        "{subject}: differs from byte {first_difference} on, {} bytes written, {} recorded:\nwritten  {:?}\nrecorded {:?}",
         written.len(),
         recorded.len(),
-        String::from_utf8_lossy(&written[same.saturating_sub(16)..(same + 32).min(written.len())]),
         String::from_utf8_lossy(
-            &recorded[same.saturating_sub(16)..(same + 32).min(recorded.len())]
+            &written
+                [first_difference.saturating_sub(16)..(first_difference + 32).min(written.len())]
+        ),
+        String::from_utf8_lossy(
+            &recorded
+                [first_difference.saturating_sub(16)..(first_difference + 32).min(recorded.len())]
         ),
     );
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The sender as a process round the decision module: sockets in, calls out, one subsystem a module.
+//! The sender's process around the decision module: client connections, calls to endpoints, state on disk, and the
+//! clients of discovery and the registry. Each subsystem has its own module.
 
 pub mod agreement;
 pub mod calls;
@@ -36,8 +37,8 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Writes a line to the log. A reader of the log that has gone away must not take the sender with it, as a failed
-/// `eprintln!` would.
+/// Writes a line to the log on stderr. Errors are ignored: `eprintln!` would panic and end the sender if the reader of
+/// stderr has closed the pipe.
 pub fn log(line: std::fmt::Arguments<'_>) {
     use std::io::Write;
     let _ = std::io::stderr()
@@ -45,24 +46,26 @@
         .write_all(format!("{line}\n").as_bytes());
 }
 
-/// Whether the ordinary steps of messages are logged too.
+/// Returns true if the environment variable `RELAY_TRACE` is set, so that the normal steps of each message are logged
+/// as well.
 pub fn traces() -> bool {
-    static WANTED: std::sync::OnceLock<bool> = std::sync::OnceLock::new();
-    *WANTED.get_or_init(|| std::env::var_os("RELAY_TRACE").is_some())
+    static ENABLED: std::sync::OnceLock<bool> = std::sync::OnceLock::new();
+    *ENABLED.get_or_init(|| std::env::var_os("RELAY_TRACE").is_some())
 }
 
-/// How often a fault that lasts is logged.
+/// Minimum time between two lines of one [`RateLimitedLog`].
 const RATE_LIMITED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs a fault that lasts when it begins and then once in a while, not for each message that it meets.
+/// Log for a condition that may last: limits its lines to one per [`RATE_LIMITED_LOG_INTERVAL`], so that an error that
+/// affects every message does not flood the log.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog(Cell<Option<Instant>>);
 
 impl RateLimitedLog {
-    /// Logs the line unless one was logged a short while ago.
+    /// Logs the line unless this log has written a line within [`RATE_LIMITED_LOG_INTERVAL`].
     pub fn log(&self, line: std::fmt::Arguments<'_>) {
-        let last = self.0.get();
-        if last.is_none_or(|last| last.elapsed() > RATE_LIMITED_LOG_INTERVAL) {
+        let last_logged_at = self.0.get();
+        if last_logged_at.is_none_or(|logged_at| logged_at.elapsed() > RATE_LIMITED_LOG_INTERVAL) {
             self.0.set(Some(Instant::now()));
             log(line);
         }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,7 +1,8 @@
-//! A TCP stream that waits only when the system says that it would block.
+//! A TCP stream that waits for readiness only after a read or write returned `WouldBlock`.
 //!
-//! The runtime's own stream takes a short read or write for the last one before the socket blocks, and waits for the next
-//! edge. Linux allows short reads and writes at any time, and then no edge comes.
+//! Tokio's own stream assumes after a short read or write that the next one would block, and waits for the next
+//! readiness event of the socket. Linux allows short reads and writes at any time. After one that leaves the socket
+//! ready, epoll reports no further event, so the connection would hang.
 
 use super::local_errors::{RETRY_INTERVAL, is_local};
 use socket2::SockRef;
@@ -15,21 +16,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Why no connection came up.
+/// Error of opening a connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// A fault of this machine that lasted as long as there was time; operators see to descriptors, local ports and routes.
-    #[error("this machine: {0}")]
+    /// The local host failed until the time limit. Operators must check file descriptors, local ports and routes.
+    #[error("local host: {0}")]
     Local(io::Error),
-    /// A fault of the peer or of the network.
+    /// The peer refused the connection, or the network failed.
     #[error("{0}")]
     Peer(io::Error),
-    /// No connection came up in time.
-    #[error("no answer in time")]
+    /// The peer did not answer within the time limit.
+    #[error("connect timed out")]
     Timeout,
 }
 
-/// A connected TCP stream.
+/// A connected TCP stream; see the module's documentation for the difference to [`TcpStream`].
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
@@ -40,10 +41,11 @@
 }
 
 impl Stream {
-    /// A connection to the address, made again as often as this machine fails it, within `time_limit`.
+    /// Connects to the address within the time limit. Retries after failures of the local host, for example if no local
+    /// port is free.
     ///
     /// # Errors
-    /// See [`ConnectError`].
+    /// Returns a [`ConnectError`] with the side that failed.
     pub async fn connect(address: SocketAddr, time_limit: Duration) -> Result<Self, ConnectError> {
         let deadline = Instant::now() + time_limit;
         let mut local_error = None;
@@ -59,7 +61,7 @@
                     return Err(ConnectError::Local(error));
                 }
                 Ok(Err(error)) => local_error = Some(error),
-                // how long the peer would have taken is not known where this machine used up the time
+                // after a local failure used up part of the time, the timeout does not show that the peer is slow
                 Err(_) => {
                     return Err(local_error.map_or(ConnectError::Timeout, ConnectError::Local));
                 }
@@ -68,31 +70,38 @@
         }
     }
 
-    /// Small writes go out at once; without that they still do, only later.
+    /// Disables Nagle's algorithm, so that small writes are sent without delay. Errors are ignored: data is then still
+    /// sent, only later.
     pub fn set_nodelay(&self) {
         let _ = self.0.set_nodelay(true);
     }
 
-    /// Reads what the system has now, whatever the runtime knows of that.
+    /// Reads the bytes that are in the socket's receive buffer now, without regard to the readiness that the runtime
+    /// has recorded.
     ///
     /// # Errors
-    /// [`ErrorKind::WouldBlock`] if there is nothing, [`ErrorKind::Interrupted`] if that is not known.
+    /// Returns [`ErrorKind::WouldBlock`] if there are none, [`ErrorKind::Interrupted`] if a signal interrupted the
+    /// read, and other errors of the socket.
     pub fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
         (&mut &*SockRef::from(&self.0)).read(buffer)
     }
 
-    /// Nothing more is sent; what comes can still be read.
+    /// Shuts down the sending direction. The peer's data can still be read.
     pub fn end_sending(&self) {
-        // a connection that has ended sends nothing either
+        // an error only means that the connection has ended already
         let _ = SockRef::from(&self.0).shutdown(Shutdown::Write);
     }
 
-    /// What a poll returns for the result of one system call: none if it would block, so that the poll waits.
-    fn poll_of<T>(context: &mut Context<'_>, result: io::Result<T>) -> Option<Poll<io::Result<T>>> {
+    /// Converts the result of a system call to the result of a poll. Returns `None` after `WouldBlock`, so that the
+    /// caller polls for readiness again.
+    fn poll_from<T>(
+        context: &mut Context<'_>,
+        result: io::Result<T>,
+    ) -> Option<Poll<io::Result<T>>> {
         match result {
             Err(error) if error.kind() == ErrorKind::WouldBlock => None,
             Err(error) if error.kind() == ErrorKind::Interrupted => {
-                // others have their turn first, however often it comes
+                // yields to other tasks before the retry, so that repeated interrupts can't starve them
                 context.waker().wake_by_ref();
                 Some(Poll::Pending)
             }
@@ -113,7 +122,7 @@
         loop {
             ready!(self.0.poll_read_ready(context))?;
             let read = self.0.try_read_buf(buffer);
-            if let Some(poll) = Stream::poll_of(context, read) {
+            if let Some(poll) = Stream::poll_from(context, read) {
                 return poll.map_ok(|_| ());
             }
         }
@@ -128,7 +137,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
-            if let Some(poll) = Stream::poll_of(context, self.0.try_write(bytes)) {
+            if let Some(poll) = Stream::poll_from(context, self.0.try_write(bytes)) {
                 return poll;
             }
         }
@@ -141,7 +150,7 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
-            if let Some(poll) = Stream::poll_of(context, self.0.try_write_vectored(buffers)) {
+            if let Some(poll) = Stream::poll_from(context, self.0.try_write_vectored(buffers)) {
                 return poll;
             }
         }
