--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for operators on the control address: one call a connection.
+//! The HTTP API for operators on the control address. Each connection carries one request.
 
 use super::connection::{self, ConnectionState, HttpSettings};
 use super::events::{AdminCommand, AdminResult, ReportRequest};
@@ -21,52 +21,53 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::timeout;
 
-/// Connections at once. Beyond them, those that have sent no complete call yet are closed first.
+/// Maximum number of open connections. At the limit, a connection that has sent no complete request is closed in favour
+/// of a new one.
 const MAX_CONNECTIONS: usize = 32;
-/// Longest time for a call's head.
-const HEAD_TIME: Duration = Duration::from_millis(2000);
-/// Longest time for a call's body.
-const BODY_TIME: Duration = Duration::from_millis(1000);
-/// Longest time from the accepted connection to the end of the answer.
-const CONNECTION_TIME: Duration = Duration::from_secs(5);
-/// Longest body: an id and its name.
+/// Maximum time to receive the head of a request.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Maximum time to receive the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum time from accepting a connection to the end of its response.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum size of a request body in bytes. The body holds only the uid of one endpoint.
 const MAX_BODY_BYTES: usize = 4096;
-/// Longest head of a call.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// What the calls need.
+/// Channels and flags by which the API reaches the other tasks of the process.
 pub struct Control {
-    /// Commands to the driver.
+    /// Sends commands to the driver.
     pub commands: mpsc::Sender<AdminCommand>,
-    /// Requests for the report of the membership.
+    /// Requests the report of the membership task.
     pub members: mpsc::Sender<ReportRequest>,
-    /// Requests for the report of the agreed rules.
+    /// Requests the report of the task that follows the agreed rules.
     pub agreement: mpsc::Sender<ReportRequest>,
-    /// Requests for the report of the quota ledger.
+    /// Requests the report of the task that holds the quota lease.
     pub ledger: mpsc::Sender<ReportRequest>,
     /// True once the process can accept messages.
     pub ready: watch::Receiver<bool>,
-    /// Set once the process shuts down and accepts nothing new.
+    /// True while the process accepts no new messages, for example after SIGTERM.
     pub draining: Rc<Cell<bool>>,
 }
 
-/// The body of a command about an endpoint.
+/// JSON body of a request that disables or enables an endpoint.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EndpointBody {
     target: String,
 }
 
-/// What an operator may call.
+/// An operation of the API, as given by the request's path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Operation {
     Readiness,
     Report(ReportSubject),
-    /// Disables the endpoint that the body names, or enables it.
+    /// Disables (true) or enables (false) the endpoint that the body names.
     SetDisabled(bool),
 }
 
-/// What a report is about.
+/// Subsystem that a report describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportSubject {
     Pools,
@@ -99,7 +100,7 @@
     }
 }
 
-/// Why a call fails; its text is the body of the answer.
+/// Error of a request. Its text is the body of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 enum ControlError {
     #[error("not ready")]
@@ -153,7 +154,7 @@
         }
     }
 
-    /// The method that the path allows, where another one was used.
+    /// Returns the method for the response's `Allow` header if the request used a method that the path does not allow.
     fn allowed_method(self) -> Option<&'static str> {
         match self {
             ControlError::OnlyGet => Some("GET"),
@@ -163,18 +164,18 @@
     }
 }
 
-/// Answers operators for ever.
+/// Serves the API on the listener. Never returns.
 pub async fn serve(listener: TcpListener, control: Rc<Control>) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let (_never_ends, end) = watch::channel(false);
-    accept("control", listener, permits, end, move |stream, state| {
+    let (_close_sender, close) = watch::channel(false);
+    accept("control", listener, permits, close, move |stream, state| {
         let control = control.clone();
-        async move { serve_one(stream, control, &state).await }
+        async move { serve_connection(stream, control, &state).await }
     })
     .await;
 }
 
-async fn serve_one(stream: TcpStream, control: Rc<Control>, state: &Rc<ConnectionState>) {
+async fn serve_connection(stream: TcpStream, control: Rc<Control>, state: &Rc<ConnectionState>) {
     let service = service_fn(move |request| {
         let control = control.clone();
         async move { Ok::<_, Infallible>(answer(request, &control, state).await) }
@@ -186,13 +187,13 @@
         state,
         HttpSettings {
             http,
-            idle_timeout: HEAD_TIME,
+            idle_timeout: HEAD_TIMEOUT,
         },
         service,
         std::future::pending::<()>(),
     );
-    // a caller may disconnect as it likes
-    let _ = timeout(CONNECTION_TIME, served).await;
+    // an error of the connection needs no handling: the operator has disconnected or was too slow
+    let _ = timeout(CONNECTION_TIMEOUT, served).await;
 }
 
 async fn answer(
@@ -242,10 +243,10 @@
     }
 }
 
-/// Reads which endpoint a command is about.
+/// Reads the uid of the endpoint from the request's body.
 async fn read_target(request: Request<Incoming>) -> Result<String, ControlError> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-    let body = timeout(BODY_TIME, body)
+    let body = timeout(BODY_TIMEOUT, body)
         .await
         .map_err(|_| ControlError::BodyTimeout)?
         .map_err(|_| ControlError::MalformedBody)?;
@@ -292,7 +293,7 @@
     }
 }
 
-/// Hands a command to a subsystem, if its queue has room.
+/// Sends a command to another task. Returns [`ControlError::Busy`] if the task's queue is full or closed.
 fn enqueue<T>(queue: &mpsc::Sender<T>, command: T) -> Result<(), ControlError> {
     queue.try_send(command).map_err(|_| ControlError::Busy)
 }
--- a/src/net/control/compatibility.rs
+++ b/src/net/control/compatibility.rs
@@ -1,17 +1,17 @@
-//! Every answer that an operator may get, byte for byte.
+//! Compatibility test of the control API: compares the response to each kind of request with recorded bytes.
 
 use super::*;
 use crate::net::http_golden as golden;
 use std::cell::RefCell;
 
-fn order(call: &str, body: &str) -> String {
+fn request_text(call: &str, body: &str) -> String {
     format!(
         "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-fn verdict_of(uid: &str) -> Option<AdminResult> {
+fn result_for(uid: &str) -> Option<AdminResult> {
     match uid {
         "done" => Some(AdminResult::Done),
         "unknown" => Some(AdminResult::UnknownEndpoint),
@@ -20,23 +20,26 @@
     }
 }
 
-/// Plays the driver: reports are their own names, orders are judged by the id they name.
-async fn play(mut orders: mpsc::Receiver<AdminCommand>, seen: Rc<RefCell<String>>) {
-    while let Some(order) = orders.recv().await {
-        match order {
+/// Answers commands in place of the driver: each report is a fixed text, and the uid in a command selects its result.
+async fn serve_commands(
+    mut commands: mpsc::Receiver<AdminCommand>,
+    commands_seen: Rc<RefCell<String>>,
+) {
+    while let Some(command) = commands.recv().await {
+        match command {
             AdminCommand::SetDisabled {
                 uid,
                 disabled,
                 reply,
             } => {
-                *seen.borrow_mut() += &format!("{uid} out {disabled}\n");
-                if let Some(verdict) = verdict_of(&uid) {
-                    reply.send(verdict).expect("it waits");
+                *commands_seen.borrow_mut() += &format!("{uid} out {disabled}\n");
+                if let Some(result) = result_for(&uid) {
+                    reply.send(result).expect("reply is awaited");
                 }
             }
-            AdminCommand::PoolReport { reply } => {
-                reply.send("the pools".to_string()).expect("it waits")
-            }
+            AdminCommand::PoolReport { reply } => reply
+                .send("the pools".to_string())
+                .expect("reply is awaited"),
             AdminCommand::FreezeReport { reply } => drop(reply),
         }
     }
@@ -53,34 +56,43 @@
         "/ledger",
         "/elsewhere",
     ] {
-        calls.push((format!("GET {path}"), order(&format!("GET {path}"), "")));
-        calls.push((format!("POST {path}"), order(&format!("POST {path}"), "")));
+        calls.push((
+            format!("GET {path}"),
+            request_text(&format!("GET {path}"), ""),
+        ));
+        calls.push((
+            format!("POST {path}"),
+            request_text(&format!("POST {path}"), ""),
+        ));
     }
-    for what in ["disable", "enable"] {
-        let call = format!("POST /endpoints/{what}");
+    for operation in ["disable", "enable"] {
+        let call = format!("POST /endpoints/{operation}");
         for uid in ["done", "unknown", "unwritten", "ending"] {
             let body = format!(r#"{{"target":"{uid}"}}"#);
-            calls.push((format!("{call} {uid}"), order(&call, &body)));
+            calls.push((format!("{call} {uid}"), request_text(&call, &body)));
         }
         calls.push((
-            format!("GET {what}"),
-            order(&format!("GET /endpoints/{what}"), ""),
+            format!("GET {operation}"),
+            request_text(&format!("GET /endpoints/{operation}"), ""),
         ));
         calls.push((
             format!("{call} with more"),
-            order(&call, r#"{"target":"done","more":1}"#),
+            request_text(&call, r#"{"target":"done","more":1}"#),
         ));
         calls.push((
             format!("{call} by another key"),
-            order(&call, r#"{"uid":"done"}"#),
+            request_text(&call, r#"{"uid":"done"}"#),
+        ));
+        calls.push((
+            format!("{call} too long"),
+            request_text(&call, &"x".repeat(5000)),
         ));
-        calls.push((format!("{call} too long"), order(&call, &"x".repeat(5000))));
     }
     calls
 }
 
 #[test]
-fn answers_to_operators_are_the_recorded_bytes() {
+fn responses_to_operators_equal_recorded_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -89,10 +101,11 @@
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (commands, taken) = mpsc::channel(4);
-        let (members, mut asked) = mpsc::channel::<ReportRequest>(4);
-        let ((agreement, gone), (ledger, _full)) = (mpsc::channel(4), mpsc::channel(1));
-        drop(gone);
+        let (commands, received_commands) = mpsc::channel(4);
+        let (members, mut members_requests) = mpsc::channel::<ReportRequest>(4);
+        let ((agreement, agreement_requests), (ledger, _ledger_requests)) =
+            (mpsc::channel(4), mpsc::channel(1));
+        drop(agreement_requests);
         let (set_ready, ready) = watch::channel(false);
         let control = Control {
             commands,
@@ -102,29 +115,37 @@
             ready,
             draining: Rc::default(),
         };
-        // one question waits already
-        let (wait, _waits) = oneshot::channel();
-        control.ledger.try_send(wait).expect("room");
+        // fills the ledger's queue of one, so that a further report request is rejected as busy
+        let (queued_reply, _queued_report) = oneshot::channel();
+        control.ledger.try_send(queued_reply).expect("room");
         tokio::task::spawn_local(serve(listener, Rc::new(control)));
-        let seen = Rc::new(RefCell::new(String::new()));
-        tokio::task::spawn_local(play(taken, seen.clone()));
+        let commands_seen = Rc::new(RefCell::new(String::new()));
+        tokio::task::spawn_local(serve_commands(received_commands, commands_seen.clone()));
         tokio::task::spawn_local(async move {
-            while let Some(query) = asked.recv().await {
-                query.send("the members".to_string()).expect("it waits");
+            while let Some(reply) = members_requests.recv().await {
+                reply
+                    .send("the members".to_string())
+                    .expect("reply is awaited");
             }
         });
-        let mut told = String::new();
-        let before = [("GET /ready before".to_string(), order("GET /ready", ""))];
-        for (at, (name, text)) in before.into_iter().chain(calls()).enumerate() {
-            if at == 1 {
-                set_ready.send(true).expect("it listens");
+        let mut responses = String::new();
+        let before = [(
+            "GET /ready before".to_string(),
+            request_text("GET /ready", ""),
+        )];
+        for (index, (name, text)) in before.into_iter().chain(calls()).enumerate() {
+            if index == 1 {
+                set_ready.send(true).expect("control API is running");
             }
-            let answer =
+            let response =
                 tokio::task::spawn_blocking(move || golden::answer_to(address, text.as_bytes()));
-            let answer = answer.await.expect("it ends").replace("\r\n", "\n");
-            told += &format!("--- {name}\n{answer}\n");
+            let response = response
+                .await
+                .expect("request task completes")
+                .replace("\r\n", "\n");
+            responses += &format!("--- {name}\n{response}\n");
         }
-        golden::compare("operator_answers.txt", &told);
-        golden::compare("operator_orders.txt", &seen.borrow());
+        golden::compare("operator_answers.txt", &responses);
+        golden::compare("operator_orders.txt", &commands_seen.borrow());
     });
 }
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -9,7 +9,7 @@
     AdminCommand, AdminResult, AttemptEnd, DriverInput, ForwardedSubmission, HandoverMessage,
     Submission, SubmissionResult,
 };
-use crate::net::handover::{LinkError, LinkWriter, text};
+use crate::net::handover::{LinkError, LinkWriter, header_text};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -111,7 +111,7 @@
         match input {
             DriverInput::Submitted(submission) => self.forward_submission(submission).await,
             DriverInput::ClientDisconnected(client) => {
-                let message = HandoverMessage::ClientDisconnected(text(&client.id));
+                let message = HandoverMessage::ClientDisconnected(header_text(&client.id));
                 self.writer.send_message(message).await
             }
             DriverInput::AttemptEnded(end) => self.report_attempt(end).await,
@@ -140,8 +140,8 @@
     async fn forward_submission(&mut self, submission: Submission) -> Result<(), LinkError> {
         let number = self.next_number();
         let forwarded = ForwardedSubmission {
-            id: text(&submission.id),
-            key: submission.key.as_ref().map(text),
+            id: header_text(&submission.id),
+            key: submission.key.as_ref().map(header_text),
             subject: submission.subject,
             tenant: submission.tenant,
             class: submission.class,
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -8,7 +8,7 @@
 use crate::net::calls::InFlightCall;
 use crate::net::handover::{
     AttemptState, CallItemState, CallState, EndpointState, HandoverState, Link, LinkError,
-    MessageState, SuccessorRequest, text,
+    MessageState, SuccessorRequest, header_text,
 };
 use message_sender::{EndpointId, MessageId};
 
@@ -103,7 +103,7 @@
             next_message: self.messages.next_number(),
             calls: self.calls_in_flight.iter().map(call_state).collect(),
             next_call: self.calls_in_flight.next_number(),
-            delivered: self.messages.delivered_ids().map(text).collect(),
+            delivered: self.messages.delivered_ids().map(header_text).collect(),
             list_version,
             timer: self.timer,
             client_connections: self.process.client_slots.in_use(),
@@ -138,8 +138,8 @@
 fn message_state((number, message): (MessageId, &Message)) -> MessageState {
     MessageState {
         number: number.0,
-        id: text(&message.item.id),
-        key: message.item.key.as_ref().map(text),
+        id: header_text(&message.item.id),
+        key: message.item.key.as_ref().map(header_text),
         body: message.item.body.to_vec(),
         open: message.open,
         clients: message.clients,
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -5,7 +5,7 @@
 use crate::net::calls::Item;
 use crate::net::end_proof::{DepartedClient, EndProof};
 use crate::net::events::{Submission, SubmissionResult};
-use crate::net::handover::text;
+use crate::net::handover::header_text;
 use crate::net::journal::{AcceptedMessage, ClassTerms, MessageOrigin};
 use crate::net::message_log::{self, MessageEvent};
 use hyper::header::HeaderValue;
@@ -169,8 +169,8 @@
         };
         let terms = ClassTerms::of(class, self.settings.max_attempts);
         let accepted = AcceptedMessage {
-            id: text(&submission.id),
-            key: submission.key.as_ref().map(text),
+            id: header_text(&submission.id),
+            key: submission.key.as_ref().map(header_text),
             class: class.name.clone(),
             destination: submission.destination,
             accepted_at: new.received_at,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,8 +1,9 @@
-//! The handover between the process that ends and the next one: a lock that says who owns the messages, and a local socket
-//! in the state folder over which the predecessor sends what it holds.
+//! The handover from a running process (the predecessor) to the process that replaces it (the successor). A lock in the
+//! state folder decides which process owns the messages, and the predecessor sends its state over a Unix socket in that
+//! folder.
 //!
-//! Only the holder of the lock writes the journal and starts calls. The predecessor releases the lock before it sends its
-//! state, and waits for [`Frame::Accepted`]; if the link breaks before that, it takes the lock back if it can.
+//! Only the holder of the lock writes the journal and starts calls. The predecessor releases the lock before it sends
+//! its state, and waits for [`Frame::Accepted`]. If the link breaks before that, it tries to acquire the lock again.
 
 mod link;
 mod lock;
@@ -26,38 +27,41 @@
 use std::time::Duration;
 pub use successor::{FolderOwnership, ReceivedHandover, acquire_folder};
 
-/// What the two processes send each other, the state of the decision module included. To be raised with every change
-/// of [`Frame`], of what it holds, or of anything that the decision module keeps.
+/// Version of the frames, including the encoded state of the decision module. It must be increased with every change of
+/// [`Frame`], of the types in it, or of the decision module's state.
 const VERSION: u32 = 10;
-/// Asks the predecessor to leave the journal and end, and to hand over nothing else.
+/// Version number by which a successor asks the predecessor to exit without sending its state, so that the successor
+/// restores the messages from the journal alone.
 const JOURNAL_ONLY: u32 = 0;
-/// The local socket, in the state folder.
+/// File name of the Unix socket in the state folder.
 const SOCKET: &str = "upgrade.sock";
-/// Longest time for the handover.
+/// Maximum duration of the exchange of state between the two processes.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Between two tries at a handover.
+/// Delay between two attempts to acquire the lock or to connect to the predecessor.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The outcome of calls that were in flight when the process that made them was lost: they may have run.
+/// Outcome of calls that were in flight when the process that made them ended. The endpoint may have executed them.
 pub const LOST_CALL_OUTCOME: Outcome = Outcome::Reset;
 
-/// What goes over the link. The order of the variants is their encoding.
+/// A frame that one process sends to the other over the link. The position of a variant is its encoding.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// The successor's first frame; stays the first variant for ever.
+    /// First frame, from the successor. It must stay the first variant, so that all versions can decode it.
     Request {
-        /// The version of the frames that the successor reads.
+        /// Version of the frames that the successor can decode, or 0 to ask for the journal only.
         version: u32,
     },
-    /// All that the predecessor holds; it has released the lock.
+    /// State of the predecessor, which has released the lock before it sends this frame.
     State(Box<HandoverState>),
-    /// The successor has the lock and the journal: from here on it alone owns the messages.
+    /// The successor has acquired the lock and opened the journal. From this frame on only the successor owns the
+    /// messages.
     Accepted,
-    /// Whatever the two send each other from then on.
+    /// Message between the two processes after the successor has taken over.
     Message(HandoverMessage),
 }
 
-/// The text of an id or key, which is visible ASCII.
-pub fn text(value: &HeaderValue) -> String {
+/// Returns the value of a message's id or key header as text. Such a value is always visible ASCII; for any other value
+/// the result is empty.
+pub fn header_text(value: &HeaderValue) -> String {
     value.to_str().map(str::to_string).unwrap_or_default()
 }
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -1,4 +1,4 @@
-//! The link between two processes: frames with their length before them, over a local socket.
+//! The link between predecessor and successor: frames over a Unix socket, each preceded by its length.
 
 use super::{Frame, HANDOVER_TIMEOUT, HandoverState};
 use crate::net::events::{DriverInput, HandoverMessage};
@@ -9,53 +9,53 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A longer frame is damage.
+/// Maximum length of a frame in bytes (64 MiB). A longer length is treated as a corrupt link.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Why the link does not serve.
+/// Error of the link between predecessor and successor.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The socket failed.
+    /// Reading from or writing to the socket failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// A frame can't be encoded or decoded.
-    #[error("can't be read: {0}")]
+    #[error("frame can't be encoded or decoded: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// Another frame was due, or the link is lost.
+    /// A frame of another kind or of an invalid length arrived.
     #[error("unexpected frame")]
     Unexpected,
-    /// No frame came in time.
-    #[error("no frame in time")]
+    /// The other process did not answer in time.
+    #[error("timed out waiting for the other process")]
     Timeout,
-    /// The process at the other end started later: it is the one to take over.
+    /// The process at the other end started later than this one, so this process must not take over from it.
     #[error("the other process started later")]
     NewerProcess,
 }
 
-/// The link between two processes.
+/// A connection between predecessor and successor.
 #[derive(Debug)]
 pub struct Link {
     reader: OwnedReadHalf,
     pub(super) writer: LinkWriter,
 }
 
-/// The end of the link that is written to.
+/// Writing half of a link.
 #[derive(Debug)]
 pub struct LinkWriter(OwnedWriteHalf);
 
 impl LinkWriter {
-    /// Sends a message.
+    /// Sends a message to the other process.
     ///
     /// # Errors
-    /// The link is lost.
+    /// Returns an error if the link is lost or the frame is too long.
     pub async fn send_message(&mut self, message: HandoverMessage) -> Result<(), LinkError> {
         self.send(&Frame::Message(message)).await
     }
 
-    /// Writes a frame, whole.
+    /// Sends a frame and waits until all its bytes are written.
     ///
     /// # Errors
-    /// The link is lost, or the frame is too long.
+    /// Returns an error if the link is lost or the frame is too long.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
         let payload = postcard::to_allocvec(frame)?;
         let length = u32::try_from(payload.len()).map_err(|_| LinkError::Unexpected)?;
@@ -63,7 +63,7 @@
         Ok(self.write_all(&payload).await?)
     }
 
-    /// Writes all bytes; waits only when the system says that it would block, see [`crate::net::stream`].
+    /// Writes all bytes, and waits only after a write that would block; see [`crate::net::stream`] for the reason.
     async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             self.0.writable().await?;
@@ -98,18 +98,18 @@
         read_frame(&self.reader).await
     }
 
-    /// Writes a frame, whole.
+    /// Sends a frame and waits until all its bytes are written.
     ///
     /// # Errors
-    /// The link is lost, or the frame is too long.
+    /// Returns an error if the link is lost or the frame is too long.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
         self.writer.send(frame).await
     }
 
-    /// The predecessor's part: sends its state, and waits until the successor owns all.
+    /// Sends the predecessor's state and waits for the successor to confirm that it owns the messages.
     ///
     /// # Errors
-    /// The successor did not take over.
+    /// Returns an error if the confirmation does not arrive within [`HANDOVER_TIMEOUT`].
     pub async fn send_state(&mut self, state: HandoverState) -> Result<(), LinkError> {
         let exchange = async {
             self.send(&Frame::State(Box::new(state))).await?;
@@ -123,7 +123,8 @@
             .map_err(|_| LinkError::Timeout)?
     }
 
-    /// Forwards all messages that come to the driver, and the end of the link too; the rest is for writing.
+    /// Starts a task that forwards all received messages, and finally the loss of the link, to the driver. Returns the
+    /// writing half.
     pub fn listen(self, inputs: mpsc::UnboundedSender<DriverInput>) -> LinkWriter {
         let Link { reader, writer } = self;
         tokio::task::spawn_local(async move {
@@ -153,7 +154,7 @@
     Ok(postcard::from_bytes(&payload)?)
 }
 
-/// Fills the buffer; waits only when the system says that it would block, see [`crate::net::stream`].
+/// Fills the buffer, and waits only after a read that would block; see [`crate::net::stream`] for the reason.
 async fn read_exact(reader: &OwnedReadHalf, buffer: &mut [u8]) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/src/net/handover/lock.rs
+++ b/src/net/handover/lock.rs
@@ -1,35 +1,35 @@
-//! The lock of the state folder: its holder owns the messages.
+//! The lock of the state folder. The process that holds it owns the messages.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
 use std::path::Path;
 
-/// The locked file, in the state folder.
-pub(super) const LOCK: &str = "lock";
+/// Name of the lock file in the state folder.
+pub(super) const LOCK_FILE: &str = "lock";
 
-/// The exclusive lock of the state folder.
+/// An exclusive lock on a file in the state folder. The system releases it when the process ends.
 #[derive(Debug)]
 pub struct FolderLock(File);
 
 impl FolderLock {
-    /// Opens the lock's file and does not acquire the lock.
+    /// Opens the lock file without acquiring the lock.
     ///
     /// # Errors
-    /// The folder or the file can't be made or opened.
+    /// Returns an error if the folder or the file can't be created or opened.
     pub fn open(folder: &Path) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         let file = OpenOptions::new()
             .write(true)
             .create(true)
             .truncate(false)
-            .open(folder.join(LOCK))?;
+            .open(folder.join(LOCK_FILE))?;
         Ok(FolderLock(file))
     }
 
-    /// Acquires the lock; false if another process holds it.
+    /// Tries to acquire the lock. Returns false if another process holds it.
     ///
     /// # Errors
-    /// The file system can't lock the file now.
+    /// Returns an error if the file system fails to lock the file.
     pub fn try_acquire(&self) -> io::Result<bool> {
         match self.0.try_lock() {
             Ok(()) => Ok(true),
@@ -41,7 +41,7 @@
     /// Releases the lock.
     ///
     /// # Errors
-    /// The file system can't unlock the file now.
+    /// Returns an error if the file system fails to unlock the file.
     pub fn release(&self) -> io::Result<()> {
         self.0.unlock()
     }
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The predecessor's side: it listens for processes that want to take over.
+//! The predecessor's side of the handover: listens on the Unix socket for successors.
 
 use super::{Frame, Link, RETRY_DELAY, SOCKET, VERSION};
 use crate::net;
@@ -9,21 +9,22 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
-/// Longest time for the first frame of one who connects.
+/// Maximum wait for the first frame on a new connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two tries to listen.
+/// Delay between two attempts to bind the Unix socket.
 const BIND_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a process that connects wants.
+/// A successor's request for the handover.
 #[derive(Debug)]
 pub enum SuccessorRequest {
-    /// It reads what this process hands over.
+    /// The successor uses the same version of the frames, so this process can send its state over the link.
     SameVersion(Link),
-    /// It reads another version: the journal must do.
+    /// The successor uses another version or asked for the journal only, so it restores the messages from the journal.
     OtherVersion,
 }
 
-/// Waits for successors, for ever; only the holder of the lock may.
+/// Accepts connections of successors and forwards their requests, until the receiver of the requests is dropped. Only
+/// the holder of the folder's lock may call this, because it replaces the socket's file.
 pub async fn wait_for_successors(folder: PathBuf, requests: mpsc::Sender<SuccessorRequest>) {
     let listener = listen(&folder.join(SOCKET)).await;
     loop {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Listens on the local socket, as soon as it is to be had.
+/// Binds the Unix socket, and retries until that succeeds.
 async fn listen(path: &Path) -> UnixListener {
     let _ = fs::remove_file(path);
     let mut logged = false;
@@ -53,7 +54,7 @@
             Err(error) => {
                 if !logged {
                     net::log(format_args!(
-                        "handover: off, the socket is not available: {error}"
+                        "handover: unavailable, the local socket can't be bound; retrying: {error}"
                     ));
                 }
                 logged = true;
@@ -63,7 +64,7 @@
     }
 }
 
-/// Runs the task until it ends or the process has handed over.
+/// Runs the task until it completes or a successor has taken over from this process.
 pub async fn until_handed_over<F: Future>(mut handed_over: watch::Receiver<bool>, task: F) {
     tokio::select! {
         _ = task => {}
--- a/src/net/handover/state.rs
+++ b/src/net/handover/state.rs
@@ -1,4 +1,4 @@
-//! What a predecessor hands over. The order of the fields is their encoding.
+//! The state that a predecessor sends to its successor. The order of the fields is their encoding.
 
 use crate::net::calls::Item;
 use hyper::header::HeaderValue;
@@ -7,99 +7,99 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What the driver holds, and the decision module.
+/// State of a predecessor: its decision module, encoded, and all data of its driver.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The decision module, encoded.
+    /// The decision module, encoded with postcard.
     pub sender: Vec<u8>,
-    /// The names that its settings number.
+    /// Names of zones, classes, kinds and tenants, which the decision module refers to by number.
     pub names: Names,
-    /// The endpoints that the driver knows.
+    /// All endpoints that the driver has numbered, including those that are no longer listed.
     pub endpoints: Vec<EndpointState>,
-    /// The number of the next new endpoint.
+    /// Number that the driver gives to the next new endpoint.
     pub next_endpoint: u32,
-    /// The messages that it holds.
+    /// The messages that the driver holds in memory.
     pub messages: Vec<MessageState>,
-    /// The number of the next new message.
+    /// Number that the driver gives to the next new message.
     pub next_message: u64,
-    /// Calls in flight.
+    /// Calls in flight. The predecessor completes them and sends their outcomes to the successor.
     pub calls: Vec<CallState>,
-    /// The number of the next new call.
+    /// Number that the driver gives to the next new call.
     pub next_call: u64,
-    /// Ids of delivered messages, the oldest first.
+    /// Ids of delivered messages, oldest first, by which repeated submissions are recognised.
     pub delivered: Vec<String>,
-    /// The version of the endpoint list; 0 asks for all of it.
+    /// Version of the endpoint list in force, from which discovery sends further changes. 0 requests the full list.
     pub list_version: u64,
-    /// When the decision module wants its next turn.
+    /// Time of the decision module's next timer event, in microseconds of module time.
     pub timer: Option<Micros>,
-    /// Client connections that the predecessor holds.
+    /// Number of client connections that the predecessor still holds.
     pub client_connections: usize,
 }
 
-/// An endpoint that the driver knows.
+/// An endpoint of the driver, with its entry in the endpoint list.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndpointState {
-    /// The decision module's number for it.
+    /// Number by which the decision module refers to the endpoint.
     pub endpoint: u32,
-    /// Its name in the list.
+    /// Uid of the endpoint in the endpoint list.
     pub uid: String,
-    /// Where it takes calls.
+    /// Address to which calls are sent.
     pub address: Option<SocketAddr>,
-    /// Its kind, by position in the settings.
+    /// Kind of the endpoint, as an index into the kinds of the settings.
     pub kind: usize,
-    /// The destination that it belongs to.
+    /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
-    /// The last list that named it did not say that it is gone.
+    /// True while the endpoint list contains the endpoint.
     pub listed: bool,
-    /// That list did not say either that it drains.
+    /// True while the endpoint list contains the endpoint and does not report it as draining.
     pub serving: bool,
-    /// The name of its zone.
+    /// Name of the zone in which the endpoint runs.
     pub zone: String,
-    /// Its capacity as the list has it.
+    /// Capacity of the endpoint according to the endpoint list.
     pub weight: f64,
 }
 
-/// A call in flight.
+/// A call that the predecessor has in flight.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CallState {
-    /// Its number.
+    /// Number of the call.
     pub number: u64,
-    /// The messages that it carries.
+    /// The messages in the call.
     pub items: Vec<CallItemState>,
-    /// Messages that have no outcome yet.
+    /// Number of messages in the call that have no outcome yet.
     pub left: usize,
 }
 
-/// A message in a call.
+/// A message in a call that is in flight.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CallItemState {
-    /// The message's number.
+    /// Number of the message.
     pub message: u64,
-    /// The position among its attempts.
+    /// Index of the call's attempt among the message's attempts.
     pub attempt: usize,
 }
 
-/// A message with its attempts.
+/// A message in the predecessor's memory, with its attempts.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MessageState {
-    /// Its number.
+    /// Number of the message.
     pub number: u64,
-    /// The client's id of the message.
+    /// Id that the client gave the message.
     pub id: String,
-    /// Its idempotency key.
+    /// Idempotency key that the client sent with the message.
     pub key: Option<String>,
-    /// Its body.
+    /// Body that the endpoint receives.
     pub body: Vec<u8>,
-    /// It is neither delivered nor ended undelivered.
+    /// True until the message is delivered or has ended undelivered.
     pub open: bool,
-    /// Clients that have the answer that it is accepted, or will get it.
+    /// Number of client requests that were or will be answered with the message's acceptance.
     pub clients: usize,
-    /// Its attempts.
+    /// Attempts of the message, in the order of their start.
     pub attempts: Vec<AttemptState>,
 }
 
 impl MessageState {
-    /// The message as calls carry it; none if it can't be one.
+    /// Returns the message as an item of a call, or `None` if its id or key is not a valid header value.
     pub fn item(&self) -> Option<Item> {
         let key = self.key.as_deref().map(HeaderValue::from_str);
         Some(Item {
@@ -110,19 +110,20 @@
     }
 }
 
-/// An attempt to deliver a message.
+/// An attempt to deliver a message, as the driver holds it in memory.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AttemptState {
-    /// The endpoint's number.
+    /// Number of the endpoint that the attempt was sent to.
     pub endpoint: u32,
-    /// Module time.
+    /// Time at which the attempt started, in microseconds of module time.
     pub sent_at: Micros,
-    /// The number of its call.
+    /// Number of the call that carries the attempt.
     pub call: u64,
-    /// The message's position in the call.
+    /// Index of the message in the call.
     pub item: usize,
-    /// It has no outcome yet.
+    /// True until the attempt has an outcome.
     pub in_flight: bool,
-    /// Its position in the journal.
+    /// Index of the attempt among the message's attempts in the journal. `None` if the journal does not hold the
+    /// attempt.
     pub record: Option<usize>,
 }
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The successor's side: it takes over from the process that holds the lock, if there is one.
+//! The successor's side of the handover: takes over from the process that holds the state folder's lock, if any.
 
 use super::process_age::started_after_this;
 use super::{
@@ -12,46 +12,46 @@
 use tokio::net::UnixStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A lock that fails for so long is not to be had.
+/// Time for which errors of locking are retried. After it the process starts without the lock.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a predecessor handed over.
+/// State that a predecessor has sent, and the link to it.
 pub struct ReceivedHandover {
-    /// The decision module.
+    /// The predecessor's decision module, decoded.
     pub sender: Box<Sender>,
-    /// All else that it holds.
+    /// The predecessor's other state. Its `sender` field is empty, as that is decoded already.
     pub state: HandoverState,
-    /// The link to it.
+    /// Link to the predecessor, for the messages that follow the handover.
     pub link: Link,
 }
 
-/// Who owns the state folder.
+/// Which process owns the state folder, and whether a predecessor handed over its state.
 pub enum FolderOwnership {
-    /// This process: no other held the lock, or its holder can't be known.
+    /// This process owns the folder without a handover: no other process holds the lock, or the folder can't be locked.
     Free,
-    /// This process: a predecessor handed over.
+    /// This process owns the folder after a predecessor handed over its state.
     HandedOver(Box<ReceivedHandover>),
-    /// A process that started later, which this one must not take over from.
+    /// A process that started later owns the folder, so this process must not take over.
     NewerProcess,
 }
 
-/// Waits until this process holds the lock, or a later one does.
+/// Waits until this process owns the state folder, or finds that a process that started later owns it.
 pub async fn acquire_folder(lock: &FolderLock, folder: &Path) -> FolderOwnership {
     let mut version = VERSION;
-    let mut logged = String::new();
-    let started = Instant::now();
+    let mut logged_error = String::new();
+    let started_at = Instant::now();
     loop {
         match lock.try_acquire() {
             Ok(true) => return FolderOwnership::Free,
             Ok(false) => {}
-            Err(_) if started.elapsed() < LOCK_TIMEOUT => {
+            Err(_) if started_at.elapsed() < LOCK_TIMEOUT => {
                 sleep(RETRY_DELAY).await;
                 continue;
             }
             Err(error) => {
-                // where nothing can be locked nobody hands over either, and a start does not wait for it
+                // if the folder can't be locked, no other process can hold the lock and hand over, so the start goes on
                 net::log(format_args!(
-                    "handover: off, the lock is not available: {error}"
+                    "handover: disabled, the state folder can't be locked: {error}"
                 ));
                 return FolderOwnership::Free;
             }
@@ -66,24 +66,25 @@
                 if matches!(error, LinkError::Unreadable(_)) {
                     version = JOURNAL_ONLY;
                 }
-                log_once(&mut logged, &error);
+                log_once(&mut logged_error, &error);
             }
         }
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Logs an error unless it was the last one that was logged.
-fn log_once(logged: &mut String, error: &LinkError) {
+/// Logs an error of the handover, unless the last logged error has the same text.
+fn log_once(logged_error: &mut String, error: &LinkError) {
     let error = error.to_string();
-    if error != *logged {
+    if error != *logged_error {
         net::log(format_args!(
-            "handover: the predecessor does not hand over: {error}"
+            "handover: no state received from the predecessor; retrying: {error}"
         ));
-        *logged = error;
+        *logged_error = error;
     }
 }
 
+/// Connects to the predecessor and receives its state, in the given version of the frames.
 async fn request_handover(folder: &Path, version: u32) -> Result<ReceivedHandover, LinkError> {
     let exchange = async {
         let stream = UnixStream::connect(folder.join(SOCKET)).await?;
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,6 +1,7 @@
-//! The handover between processes: what an earlier program sends is read, and sent again byte for byte.
+//! Compatibility tests of the handover: frames that an earlier program version sent are decoded, and encoded again to
+//! the same bytes.
 
-use super::lock::LOCK;
+use super::lock::LOCK_FILE;
 use super::*;
 use crate::net::end_proof::EndProof;
 use crate::net::events::{AdminResult, AttemptEnd, ForwardedSubmission, SubmissionResult};
@@ -10,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 
-/// Every frame in the order of [`every_frame`], with its length before it as on the link.
+/// Golden file with the frames of [`every_frame`] as sent over the link, each preceded by its length.
 const LINK: &[u8] = include_bytes!("../../../tests/golden/handover/link");
-/// The decision module of a sender that has just started.
+/// Golden file with the encoded decision module of a sender that has just started.
 const SENDER: &[u8] = include_bytes!("../../../tests/golden/handover/sender-at-start");
 
 fn names() -> Names {
@@ -26,7 +27,7 @@
     }
 }
 
-fn handover() -> HandoverState {
+fn handover_state() -> HandoverState {
     HandoverState {
         sender: vec![1, 2, 3, 255],
         names: names(),
@@ -126,7 +127,7 @@
     }
 }
 
-fn ended(outcome: Outcome) -> Frame {
+fn attempt_ended(outcome: Outcome) -> Frame {
     Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
         call: 41,
         item: 2,
@@ -137,7 +138,7 @@
     }))
 }
 
-fn forwarded() -> ForwardedSubmission {
+fn forwarded_submission() -> ForwardedSubmission {
     ForwardedSubmission {
         id: "m21".into(),
         key: Some("key-21".into()),
@@ -153,46 +154,46 @@
     }
 }
 
-fn answered(result: SubmissionResult) -> Frame {
+fn submission_answered(result: SubmissionResult) -> Frame {
     Frame::Message(HandoverMessage::Answered { number: 51, result })
 }
 
-fn executed(result: AdminResult) -> Frame {
+fn admin_result(result: AdminResult) -> Frame {
     Frame::Message(HandoverMessage::AdminResult { number: 61, result })
 }
 
 fn every_frame() -> Vec<Frame> {
-    let without = ForwardedSubmission {
+    let submission_without_options = ForwardedSubmission {
         key: None,
         subject: None,
         tenant: None,
         again: false,
         orphan: true,
-        ..forwarded()
+        ..forwarded_submission()
     };
     vec![
         Frame::Request { version: VERSION },
         Frame::Request {
             version: JOURNAL_ONLY,
         },
-        Frame::State(Box::new(handover())),
+        Frame::State(Box::new(handover_state())),
         Frame::State(Box::new(HandoverState {
             timer: None,
-            ..handover()
+            ..handover_state()
         })),
         Frame::Accepted,
         Frame::Message(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
-        ended(Outcome::Success),
-        ended(Outcome::Error),
-        ended(Outcome::Rejected { retry_after: None }),
-        ended(Outcome::Rejected {
+        attempt_ended(Outcome::Success),
+        attempt_ended(Outcome::Error),
+        attempt_ended(Outcome::Rejected { retry_after: None }),
+        attempt_ended(Outcome::Rejected {
             retry_after: Some(2_000_002),
         }),
-        ended(Outcome::TimedOut),
-        ended(Outcome::NoConnection),
-        ended(Outcome::Reset),
-        ended(Outcome::Cancelled),
-        ended(Outcome::NotSent { no_slot: true }),
+        attempt_ended(Outcome::TimedOut),
+        attempt_ended(Outcome::NoConnection),
+        attempt_ended(Outcome::Reset),
+        attempt_ended(Outcome::Cancelled),
+        attempt_ended(Outcome::NotSent { no_slot: true }),
         Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
             call: 1,
             item: 0,
@@ -203,20 +204,20 @@
         })),
         Frame::Message(HandoverMessage::Submitted {
             number: 51,
-            submission: Box::new(forwarded()),
+            submission: Box::new(forwarded_submission()),
         }),
         Frame::Message(HandoverMessage::Submitted {
             number: 52,
-            submission: Box::new(without),
+            submission: Box::new(submission_without_options),
         }),
-        answered(SubmissionResult::Accepted),
-        answered(SubmissionResult::AlreadyDelivered),
-        answered(SubmissionResult::Rejected { retry_after: None }),
-        answered(SubmissionResult::Rejected {
+        submission_answered(SubmissionResult::Accepted),
+        submission_answered(SubmissionResult::AlreadyDelivered),
+        submission_answered(SubmissionResult::Rejected { retry_after: None }),
+        submission_answered(SubmissionResult::Rejected {
             retry_after: Some(1_500_006),
         }),
-        answered(SubmissionResult::NotStored),
-        answered(SubmissionResult::Failed),
+        submission_answered(SubmissionResult::NotStored),
+        submission_answered(SubmissionResult::Failed),
         Frame::Message(HandoverMessage::ClientDisconnected("m21".into())),
         Frame::Message(HandoverMessage::AdminCommand {
             number: 61,
@@ -228,16 +229,16 @@
             uid: "s-4".into(),
             disabled: false,
         }),
-        executed(AdminResult::Done),
-        executed(AdminResult::UnknownEndpoint),
-        executed(AdminResult::NotWritten),
+        admin_result(AdminResult::Done),
+        admin_result(AdminResult::UnknownEndpoint),
+        admin_result(AdminResult::NotWritten),
     ]
 }
 
-/// What the other end of the link gets when these frames are sent.
-async fn sent(frames: &[Frame]) -> Vec<u8> {
-    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
-    let mut link = Link::new(here);
+/// Sends the frames over a link and returns the bytes that the other end receives.
+async fn sent_bytes(frames: &[Frame]) -> Vec<u8> {
+    let (local, mut remote) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(local);
     let send = async {
         for frame in frames {
             link.writer.send(frame).await.expect("sent");
@@ -245,30 +246,30 @@
         drop(link);
     };
     let mut bytes = Vec::new();
-    let (_, read) = tokio::join!(send, there.read_to_end(&mut bytes));
+    let (_, read) = tokio::join!(send, remote.read_to_end(&mut bytes));
     read.expect("read");
     bytes
 }
 
 #[tokio::test]
-async fn every_frame_kind_is_sent_as_recorded() {
-    let mut at = 0;
+async fn every_frame_kind_is_sent_as_recorded_bytes() {
+    let mut offset = 0;
     for frame in every_frame() {
-        let bytes = sent(std::slice::from_ref(&frame)).await;
-        let end = (at + bytes.len()).min(LINK.len());
-        assert_same_bytes(&format!("{frame:?}"), &bytes, &LINK[at..end]);
-        at = end;
+        let bytes = sent_bytes(std::slice::from_ref(&frame)).await;
+        let end = (offset + bytes.len()).min(LINK.len());
+        assert_same_bytes(&format!("{frame:?}"), &bytes, &LINK[offset..end]);
+        offset = end;
     }
-    assert_eq!(at, LINK.len());
+    assert_eq!(offset, LINK.len());
 }
 
 #[tokio::test]
-async fn every_recorded_frame_is_received_and_sent_again() {
-    let (here, mut there) = UnixStream::pair().expect("a pair of sockets");
-    let mut link = Link::new(here);
+async fn every_recorded_frame_is_decoded_and_encodes_to_same_bytes() {
+    let (local, mut remote) = UnixStream::pair().expect("a pair of sockets");
+    let mut link = Link::new(local);
     let write = async {
-        there.write_all(LINK).await.expect("written");
-        drop(there);
+        remote.write_all(LINK).await.expect("written");
+        drop(remote);
     };
     let read = async {
         let mut frames = Vec::new();
@@ -285,17 +286,17 @@
     for (frame, expected) in frames.iter().zip(every_frame()) {
         assert_eq!(format!("{frame:?}"), format!("{expected:?}"));
     }
-    assert_same_bytes("all frames", &sent(&frames).await, LINK);
+    assert_same_bytes("all frames", &sent_bytes(&frames).await, LINK);
 }
 
 #[test]
-fn version_and_file_names_are_the_recorded_ones() {
+fn version_and_file_names_are_unchanged() {
     assert_eq!((VERSION, JOURNAL_ONLY), (10, 0));
-    assert_eq!((LOCK, SOCKET), ("lock", "upgrade.sock"));
+    assert_eq!((LOCK_FILE, SOCKET), ("lock", "upgrade.sock"));
 }
 
 #[test]
-fn sender_at_start_is_decoded_and_encoded_as_recorded() {
+fn sender_at_start_decodes_and_encodes_to_recorded_bytes() {
     let mut settings = message_sender::Settings::new(8, 50);
     settings.classes.push(message_sender::Class::new(
         "order",
@@ -311,7 +312,7 @@
     );
     let read: Sender = postcard::from_bytes(SENDER).expect("decoded");
     assert_same_bytes(
-        "module read",
+        "decoded module",
         &postcard::to_allocvec(&read).expect("encoded"),
         SENDER,
     );
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -1,24 +1,26 @@
-//! What the records say in all: the messages that are not complete, and the endpoints that operators have disabled.
+//! State that results from applying all records of a journal: the incomplete messages, and the endpoints that operators
+//! have disabled.
 
 use super::records::{
     AcceptedMessage, ClassTerms, MessageOrigin, Record, RecordedAttempt, UndeliveredOutcome, encode,
 };
 use std::collections::BTreeMap;
 
-/// What the journal holds of a message that is not complete.
+/// A message that the journal holds because the sender still has to deliver it or to notify its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnfinishedMessage {
-    /// The message as it was handed in.
+    /// The message as the client submitted it.
     pub accepted: AcceptedMessage,
-    /// Whose message it is.
+    /// Subject and tenant of the message.
     pub origin: MessageOrigin,
-    /// Not known of messages that an earlier program wrote down.
+    /// Terms of the message's class at the time of acceptance. `None` for records of older program versions, which did
+    /// not store the terms.
     pub terms: Option<ClassTerms>,
-    /// All attempts, in their order.
+    /// All recorded attempts, in the order in which they started.
     pub attempts: Vec<RecordedAttempt>,
-    /// It has ended undelivered, but its notification has not been accepted.
+    /// Outcome of a message that ended undelivered. It stays here until the platform accepts the outcome notification.
     pub outcome: Option<UndeliveredOutcome>,
-    /// Bytes of the records that a compacted file needs for it.
+    /// Total size in bytes of this message's records in a compacted file.
     size: u64,
 }
 
@@ -39,7 +41,7 @@
         }
     }
 
-    /// The records that a compacted file needs for it.
+    /// Encodes the records that a compacted file needs for this message.
     fn encode(&self, number: u64) -> Result<Vec<u8>, postcard::Error> {
         let accepted = self.accepted.clone();
         let origin = self.origin.clone();
@@ -57,19 +59,20 @@
     }
 }
 
-/// All that a journal holds, and the bytes that a compacted file needs for it.
+/// Current state of the journal: incomplete messages and disabled endpoints, with the size of the records that store
+/// them.
 #[derive(Debug, Default)]
 pub struct Contents {
-    /// By number of message.
+    /// Incomplete messages by message number.
     pub unfinished: BTreeMap<u64, UnfinishedMessage>,
-    /// Endpoints that are disabled, and the bytes that each one's record takes.
+    /// Uid of each disabled endpoint, with the size in bytes of the record that disabled it.
     pub disabled: BTreeMap<String, u64>,
-    /// Bytes that a compacted file needs.
+    /// Size in bytes of a compacted file with the current state.
     pub live_bytes: u64,
 }
 
 impl Contents {
-    /// Takes in a record of this length.
+    /// Updates the state with a record; `length` is the record's size in the file, in bytes.
     pub fn apply(&mut self, record: Record, length: u64) {
         match record {
             Record::AcceptedWithoutOrigin(number, accepted) => {
@@ -107,8 +110,8 @@
                 }
             }),
             Record::EndpointDisabled(uid) => {
-                let before = self.disabled.insert(uid, length);
-                self.live_bytes += length - before.unwrap_or(0);
+                let old_length = self.disabled.insert(uid, length);
+                self.live_bytes += length - old_length.unwrap_or(0);
             }
             Record::EndpointEnabled(uid) => {
                 self.live_bytes -= self.disabled.remove(&uid).unwrap_or(0);
@@ -126,7 +129,8 @@
         }
     }
 
-    /// Changes a message by a record that a compacted file needs so many bytes for.
+    /// Applies a change to an incomplete message and adds `length` bytes to the size that its records take in a
+    /// compacted file. Does nothing if the message is complete or unknown.
     fn change(&mut self, number: u64, length: u64, change: impl FnOnce(&mut UnfinishedMessage)) {
         if let Some(message) = self.unfinished.get_mut(&number) {
             message.size += length;
@@ -135,10 +139,11 @@
         }
     }
 
-    /// A record was lost: it may have been an attempt of any unfinished message.
+    /// Adds a presumed attempt to every incomplete message. Called after damage to the file: each lost record may have
+    /// been the start of an attempt of any of these messages.
     ///
     /// # Errors
-    /// A message can't be encoded.
+    /// Returns an error if a message can't be encoded.
     pub fn presume_attempts(&mut self) -> Result<(), postcard::Error> {
         self.live_bytes = self.disabled.values().sum();
         for (&number, message) in &mut self.unfinished {
@@ -154,10 +159,10 @@
         Ok(())
     }
 
-    /// The bytes of a file that holds this and nothing of the past.
+    /// Encodes a compacted file: only the records that are needed to restore the current state.
     ///
     /// # Errors
-    /// Something can't be encoded.
+    /// Returns an error if a record can't be encoded.
     pub fn compacted(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = Vec::new();
         for uid in self.disabled.keys() {
--- a/src/net/journal/file.rs
+++ b/src/net/journal/file.rs
@@ -1,28 +1,29 @@
-//! The journal's file: whole records are appended, and half a record that a failed write left is cut off before anything
-//! follows it.
+//! The journal's file. Records are appended whole. If a failed write leaves part of a record at the end, the file is
+//! truncated to the last whole record before the next append.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The open file.
+/// The journal's file, open for appending.
 #[derive(Debug)]
 pub struct JournalFile {
     pub(super) path: PathBuf,
     pub(super) handle: File,
-    /// Bytes of whole records.
+    /// Total size in bytes of the whole records, which is the length of the file without a partial record.
     pub(super) size: u64,
-    /// Half a record may stand behind the whole ones.
+    /// True if part of a record may follow the whole records, after a failed write.
     pub(super) has_partial_record: bool,
 }
 
 impl JournalFile {
-    /// Opens the file, or makes it; returns what stands in it too.
+    /// Opens the file, or creates it if it does not exist, and returns it with its current bytes.
     ///
     /// # Errors
-    /// The file can't be opened or read.
+    /// Returns an error if the file can't be opened or read.
     pub fn open(path: PathBuf) -> io::Result<(Self, Vec<u8>)> {
-        // what a kill in the middle of a compaction left behind; one that stays is written over
+        // removes the temporary file of a compaction that was interrupted by a kill; if the removal fails, the next
+        // compaction overwrites that file
         let _ = fs::remove_file(new_path(&path));
         let bytes = match fs::read(&path) {
             Err(error) if error.kind() == ErrorKind::NotFound => Vec::new(),
@@ -38,7 +39,7 @@
         Ok((file, bytes))
     }
 
-    /// The last bytes are half a record.
+    /// Records that the last `length` bytes of the file are part of a record, so that the next append cuts them off.
     pub fn mark_partial_record(&mut self, length: usize) {
         self.size -= length as u64;
         self.has_partial_record = true;
@@ -47,14 +48,15 @@
     /// Appends whole records.
     ///
     /// # Errors
-    /// They are not written; half a record may stand behind the whole ones.
+    /// Returns an error if the write fails. The records then don't count as written, and part of them may follow the
+    /// whole records in the file.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let written = self.cut_partial_record().and_then(|()| {
             self.has_partial_record = true;
             self.handle.write_all(bytes)
         });
         if written.is_err() {
-            // what can't be cut off now is cut off before the next record
+            // if the truncation fails as well, the next append repeats it before it writes
             let _ = self.cut_partial_record();
             return written;
         }
@@ -63,10 +65,10 @@
         Ok(())
     }
 
-    /// Cuts off what a failed write may have left behind the whole records.
+    /// Truncates the file to its whole records if a failed write may have left part of a record at the end.
     ///
     /// # Errors
-    /// It still stands there.
+    /// Returns an error if the file can't be truncated; the partial record is then still there.
     pub fn cut_partial_record(&mut self) -> io::Result<()> {
         if self.has_partial_record {
             self.handle.set_len(self.size)?;
@@ -75,10 +77,10 @@
         Ok(())
     }
 
-    /// Has a new file with these records take this one's place.
+    /// Replaces the file with a new one that holds the given records.
     ///
     /// # Errors
-    /// The file is as it was.
+    /// Returns an error if the new file can't be written or renamed; the old file is then unchanged.
     pub fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         let new = new_path(&self.path);
         match write_in_place_of(&new, &self.path, bytes) {
@@ -89,7 +91,7 @@
                 Ok(())
             }
             Err(error) => {
-                // one that stays is written over by the next
+                // if the removal fails, the next compaction overwrites the temporary file
                 let _ = fs::remove_file(&new);
                 Err(error)
             }
@@ -97,6 +99,7 @@
     }
 }
 
+/// Returns the path of the temporary file that a compaction writes before it is renamed.
 fn new_path(path: &Path) -> PathBuf {
     path.with_extension("new")
 }
@@ -105,9 +108,9 @@
     OpenOptions::new().append(true).create(true).open(path)
 }
 
-/// Writes a file beside another one and has it take that one's name.
+/// Writes the bytes to the file `new` and renames it to `old`, which replaces the file of that name.
 fn write_in_place_of(new: &Path, old: &Path, bytes: &[u8]) -> io::Result<File> {
-    // a file is not opened to be appended to and cut to nothing at once
+    // `OpenOptions` allows no truncation together with append mode, so an existing file is removed or emptied first
     fs::remove_file(new).or_else(|error| match error.kind() {
         ErrorKind::NotFound => Ok(()),
         _ => File::create(new).map(drop),
@@ -115,7 +118,7 @@
     let mut file = open_to_append(new)?;
     file.write_all(bytes)?;
     match fs::rename(new, old) {
-        // it may have been carried out before it failed
+        // if `new` is gone, the rename took effect although the call returned an error
         Err(error) if new.exists() => Err(error),
         _ => Ok(file),
     }
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -1,13 +1,17 @@
-//! What the sender has accepted, in a file that outlasts the process.
+//! The journal: a file with the accepted messages and their attempts, from which the next process restores them.
 //!
-//! Records are appended whole, each by one write straight to the file: what was written outlasts a SIGKILL without a sync.
-//! Before the file could grow beyond what lets old and new stand side by side under the limit, what is not complete is
-//! written to a new file that then takes the old one's name.
+//! Each record is appended by one unbuffered write, so that written records survive a SIGKILL without a sync. The file
+//! is compacted while the old and the new file still fit together under the size limit: the records of incomplete
+//! messages are written to a new file, which is then renamed over the old one.
 //!
-//! A write may fail for a while. No record is ever written before one that failed: what has happened (an outcome, an end)
-//! is kept in its order and written first as soon as the disk takes it, and what is yet to happen (a message to be
-//! accepted, an attempt) is not written, so that it must not happen, until then. Half a record is cut off before anything
-//! follows it. So a later process reads a prefix of what happened, never a later part without an earlier one.
+//! Writes may fail for some time. Records are always written in the order of their events, also after a failure:
+//! - Records of past events (an attempt's outcome, the end of a message) wait in a queue and are written first once writes
+//!   succeed again.
+//! - Records of future events (the acceptance of a message, the start of an attempt) are not queued. The event must not
+//!   happen until its record could be written.
+//!
+//! A partial record is cut off before the next append. So a later process always reads a prefix of the history, never
+//! an event without the events before it.
 
 mod contents;
 mod file;
@@ -32,159 +36,168 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The journal, in the state folder.
-const FILE: &str = "journal";
-/// Most bytes that one attempt, outcome or end takes up.
+/// Name of the journal's file in the state folder.
+const FILE_NAME: &str = "journal";
+/// Maximum size in bytes of a record of an attempt, of an attempt's outcome or of a message's end.
 const MAX_SMALL_RECORD_BYTES: u64 = 64;
-/// The part of the limit that is kept free of new messages, at most.
-const MAX_RESERVE: u64 = 4;
-/// For the folder's own blocks, the clock's anchor, and the rounding of the files to whole 512 bytes.
-const ROUNDING_BYTES: u64 = 5 * 1024;
-/// Below this a file is not worth compacting.
-const COMPACTION_BYTES: u64 = 256 * 1024;
-/// No message has this number: that it is complete says nothing, and shows that the disk takes records.
+/// Divisor of the size limit: at most this fraction (1/4) of the limit is reserved for records other than new messages.
+const RESERVE_DIVISOR: u64 = 4;
+/// Bytes of the folder's limit that the journal leaves for the folder's own blocks, for the clock's anchor file, and
+/// for rounding the size of each file up to a multiple of 512 bytes.
+const FOLDER_OVERHEAD_BYTES: u64 = 5 * 1024;
+/// File size in bytes above which opening the journal compacts the file.
+const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
+/// Number that no message has. A `Completed` record with it has no meaning; it is written to test whether writes
+/// succeed again.
 const NO_MESSAGE: u64 = u64::MAX;
 
-/// Why a record was not written.
+/// Error of opening or writing the journal.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The folder's limit: room comes back as messages end; a larger `disk_mb` holds more of them.
+    /// The state folder's size limit is reached. Space becomes free as messages complete; a larger `disk_mb` allows
+    /// more messages.
     #[error("no room left in the journal")]
     Full,
-    /// The disk or the file system failed the write or the read: it is tried again until it succeeds.
+    /// The file system failed to read or write the file. The operation is retried until it succeeds.
     #[error("the journal can't be written: {0}")]
     Io(#[from] io::Error),
-    /// A defect: no operator can mend it.
+    /// A record can't be encoded. This is a defect of the program that operators can't repair.
     #[error("the journal can't be encoded: {0}")]
     Encode(#[from] postcard::Error),
 }
 
-/// What a journal is opened with.
+/// Parameters with which the journal is opened, and opened again by [`Journal::reopen`].
 #[derive(Debug, Clone)]
 struct OpenOptions {
     folder: PathBuf,
-    limit: u64,
+    /// Maximum size of the state folder in bytes.
+    limit_bytes: u64,
     max_records: u64,
 }
 
-/// A record that has happened and is not in the file yet.
+/// Record of a past event that is not in the file yet.
 #[derive(Debug)]
 struct PendingRecord {
-    /// The message that it is about.
+    /// Number of the message that the record belongs to.
     message: Option<u64>,
-    /// As it is to be written.
+    /// The encoded record with its header.
     bytes: Vec<u8>,
 }
 
-/// The open journal.
+/// The open journal: its file, the state that its records result in, and the records that are still to be written.
 #[derive(Debug)]
 pub struct Journal {
     file: JournalFile,
     options: OpenOptions,
-    /// Bytes that old and new file may take together.
-    limit: u64,
-    /// Kept free of new messages, for the attempts, outcomes and ends of those that were accepted.
-    reserve: u64,
-    /// All that has happened, what is pending included.
+    /// Maximum total size in bytes of the old and the new file during a compaction.
+    limit_bytes: u64,
+    /// Bytes that new messages must leave free for records of attempts, outcomes and ends of the accepted messages.
+    reserve_bytes: u64,
+    /// State after all past events, including those whose records are still pending.
     contents: Contents,
-    /// What has happened and is not in the file yet, in its order.
+    /// Records of past events that are not in the file yet, in the order of the events.
     pending: VecDeque<PendingRecord>,
-    /// The last write failed.
+    /// True if the last write failed.
     failing: bool,
 }
 
 impl Journal {
-    /// Opens the journal in the folder and reads what is not complete. `limit` is what the folder may hold in bytes,
-    /// `max_records` the attempts, outcomes and ends that the messages held at once may come to.
+    /// Opens the journal in the folder and reads the incomplete messages. `limit_bytes` is the maximum size of the
+    /// folder in bytes. `max_records` is the maximum number of records of attempts, outcomes and ends that all messages
+    /// held at one time can need.
     ///
     /// # Errors
-    /// The file can't be opened or read, or is damaged and can't be written anew. Nothing is lost by trying again.
+    /// Returns an error if the file can't be opened or read, or if it is damaged and can't be rewritten. The call can
+    /// be repeated without loss of data.
     pub fn open(
         folder: &Path,
-        limit: u64,
+        limit_bytes: u64,
         max_records: u64,
     ) -> Result<(Self, Recovery), JournalError> {
         let folder = folder.to_path_buf();
         Journal::open_with(OpenOptions {
             folder,
-            limit,
+            limit_bytes,
             max_records,
         })
     }
 
     fn open_with(options: OpenOptions) -> Result<(Self, Recovery), JournalError> {
         fs::create_dir_all(&options.folder)?;
-        let (file, bytes) = JournalFile::open(options.folder.join(FILE))?;
-        let small_records = options.max_records.saturating_mul(MAX_SMALL_RECORD_BYTES);
+        let (file, bytes) = JournalFile::open(options.folder.join(FILE_NAME))?;
+        let small_record_bytes = options.max_records.saturating_mul(MAX_SMALL_RECORD_BYTES);
         let mut journal = Journal {
             file,
-            limit: options.limit.saturating_sub(ROUNDING_BYTES),
-            reserve: small_records.min(options.limit / MAX_RESERVE),
+            limit_bytes: options.limit_bytes.saturating_sub(FOLDER_OVERHEAD_BYTES),
+            reserve_bytes: small_record_bytes.min(options.limit_bytes / RESERVE_DIVISOR),
             options,
             contents: Contents::default(),
             pending: VecDeque::new(),
             failing: false,
         };
         let recovery = recovery::read(&bytes, &mut journal.contents);
-        if recovery.torn > 0 {
-            journal.file.mark_partial_record(recovery.torn);
+        if recovery.torn_bytes > 0 {
+            journal.file.mark_partial_record(recovery.torn_bytes);
         }
-        if recovery.damaged > 0 {
+        if recovery.damaged_bytes > 0 {
             journal.contents.presume_attempts()?;
-            // what is presumed has to stand in the file before anything refers to it
+            // later records refer to attempts by position, so the presumed attempts must be in the file before them
             journal.compact()?;
-        } else if journal.file.size > COMPACTION_BYTES || journal.file.cut_partial_record().is_err()
+        } else if journal.file.size > MIN_COMPACTION_BYTES
+            || journal.file.cut_partial_record().is_err()
         {
-            // the larger file serves as well
+            // a failed compaction loses nothing: the old file remains in use
             journal.failing = journal.compact().is_err();
         }
         Ok((journal, recovery))
     }
 
-    /// Reads it anew: another process had it meanwhile.
+    /// Opens and reads the file again, because another process may have written it since it was read.
     ///
     /// # Errors
-    /// As [`Journal::open`]; it is as it was then.
+    /// Returns the errors of [`Journal::open`]; this journal is then unchanged.
     pub fn reopen(&mut self) -> Result<(), JournalError> {
         let (journal, _) = Journal::open_with(self.options.clone())?;
         *self = journal;
         Ok(())
     }
 
-    /// The messages that are not complete, by the numbers of [`Journal::accept`].
+    /// Returns the incomplete messages by message number, as given to [`Journal::accept`].
     pub fn unfinished(&self) -> &BTreeMap<u64, UnfinishedMessage> {
         &self.contents.unfinished
     }
 
-    /// The endpoints that operators have disabled.
+    /// Returns the uids of the endpoints that operators have disabled.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = &str> {
         self.contents.disabled.keys().map(String::as_str)
     }
 
-    /// True if operators have disabled the endpoint.
+    /// Returns true if operators have disabled the endpoint.
     pub fn is_disabled(&self, uid: &str) -> bool {
         self.contents.disabled.contains_key(uid)
     }
 
-    /// True if an earlier process, or this one, has written something down.
+    /// Returns true if the file holds at least one record, written by this or an earlier process.
     pub fn has_records(&self) -> bool {
         self.file.size > 0
     }
 
-    /// True while something that has happened is not in the file yet: a later process would not know of it.
+    /// Returns true while records of past events are not in the file yet. A later process would not know of these
+    /// events.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// True while the disk takes nothing: a message can't be accepted, and a call can't begin.
+    /// Returns true while writes to the file fail. Until they succeed, no message can be accepted and no call can
+    /// start.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
 
-    /// Writes down that an endpoint is disabled or enabled; it may be promised once this has succeeded.
+    /// Records that an endpoint is disabled or enabled. The operator may get a positive answer once this has succeeded.
     ///
     /// # Errors
-    /// It is not written.
+    /// Returns an error if the record is not written.
     pub fn set_disabled(&mut self, uid: &str, disabled: bool) -> Result<(), JournalError> {
         let uid = uid.to_string();
         let record = if disabled {
@@ -195,10 +208,10 @@
         self.write_ahead(record, 0)
     }
 
-    /// Writes a message down; it may be promised once this has succeeded.
+    /// Records an accepted message. The client may get a positive answer once this has succeeded.
     ///
     /// # Errors
-    /// It is not written.
+    /// Returns an error if the record is not written.
     pub fn accept(
         &mut self,
         number: u64,
@@ -207,14 +220,14 @@
         terms: ClassTerms,
     ) -> Result<(), JournalError> {
         let record = Record::Accepted(number, accepted, origin, terms);
-        self.write_ahead(record, self.reserve)
+        self.write_ahead(record, self.reserve_bytes)
     }
 
-    /// Writes an attempt down; its call may begin once this has succeeded. Returns its position among the message's
-    /// attempts here, which one that was not written down does not take.
+    /// Records the start of an attempt; the call may begin once this has succeeded. Returns the attempt's position
+    /// among the message's recorded attempts. An attempt whose record could not be written takes no position.
     ///
     /// # Errors
-    /// It is not written.
+    /// Returns an error if the record is not written.
     pub fn start_attempt(
         &mut self,
         number: u64,
@@ -232,10 +245,11 @@
         Ok(position)
     }
 
-    /// An attempt has proved that it never ran. That it may have run is what an attempt without outcome says.
+    /// Records that the endpoint certainly did not execute an attempt. Without this record a later process assumes that
+    /// the endpoint may have executed it.
     ///
     /// # Errors
-    /// It is pending: known here, and written as soon as the disk takes it.
+    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
     pub fn attempt_never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
         self.write_behind(Record::AttemptOutcome {
             message,
@@ -244,10 +258,10 @@
         })
     }
 
-    /// A message has ended undelivered, and a notification is pending.
+    /// Records that a message ended undelivered, so that its outcome notification is pending.
     ///
     /// # Errors
-    /// It is pending: known here, and written as soon as the disk takes it.
+    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
     pub fn end_undelivered(
         &mut self,
         number: u64,
@@ -256,26 +270,28 @@
         self.write_behind(Record::Undelivered(number, outcome))
     }
 
-    /// Nothing more is owed for a message, as the proof shows: the record itself does not hold it.
+    /// Records that a message is complete. The proof argument makes sure that callers complete a message only with an
+    /// end proof; the record does not store the proof.
     ///
     /// # Errors
-    /// It is pending: known here, and written as soon as the disk takes it.
+    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
     pub fn complete(&mut self, number: u64, _: EndProof) -> Result<(), JournalError> {
         if !self.contents.unfinished.contains_key(&number) {
             return Ok(());
         }
-        // what else is pending of it says nothing any more
+        // the message's other pending records have no meaning once it is complete
         self.pending.retain(|record| record.message != Some(number));
         self.write_behind(Record::Completed(number))
     }
 
-    /// Tries again what failed: what is pending is written, and a disk that took nothing is asked whether it does again.
+    /// Retries failed writes: writes the pending records. If none is pending, writes a record without meaning to find
+    /// out whether writes succeed again.
     ///
     /// # Errors
-    /// It still fails.
+    /// Returns an error if writes still fail.
     pub fn retry_pending(&mut self) -> Result<(), JournalError> {
         if self.file.cut_partial_record().is_err() {
-            // the half may be left behind with the whole file
+            // where the file can't be truncated, a compaction replaces it together with its partial record
             self.compact()?;
         }
         self.write_pending()?;
@@ -286,16 +302,17 @@
         Ok(())
     }
 
-    /// What is yet to happen: written before it does, and after all that has happened.
-    fn write_ahead(&mut self, record: Record, reserve: u64) -> Result<(), JournalError> {
+    /// Writes the record of an event before the event happens, and after all pending records. Leaves `reserve_bytes`
+    /// bytes free.
+    fn write_ahead(&mut self, record: Record, reserve_bytes: u64) -> Result<(), JournalError> {
         self.write_pending()?;
         let bytes = encode(&record)?;
-        self.append(&bytes, reserve)?;
+        self.append(&bytes, reserve_bytes)?;
         self.contents.apply(record, bytes.len() as u64);
         Ok(())
     }
 
-    /// What has happened: true at once, and in the file now or later.
+    /// Applies the record of a past event at once, and writes it now or, if the write fails, later.
     fn write_behind(&mut self, record: Record) -> Result<(), JournalError> {
         let bytes = encode(&record)?;
         let message = record.message();
@@ -304,25 +321,26 @@
         self.write_pending()
     }
 
-    /// Writes what is pending, in its order.
+    /// Writes the pending records in order.
     fn write_pending(&mut self) -> Result<(), JournalError> {
         while let Some(record) = self.pending.front() {
             let bytes = record.bytes.clone();
             self.append(&bytes, 0)?;
-            // a compaction on the way has written all of it
+            // nothing is left to pop if `append` compacted the file, because a compaction writes all pending events
             self.pending.pop_front();
         }
         Ok(())
     }
 
-    /// Appends a record, and leaves so many bytes free.
-    fn append(&mut self, bytes: &[u8], reserve: u64) -> Result<(), JournalError> {
+    /// Appends a record if `reserve_bytes` bytes remain free after it, and compacts the file first if that makes the
+    /// space.
+    fn append(&mut self, bytes: &[u8], reserve_bytes: u64) -> Result<(), JournalError> {
         let length = bytes.len() as u64;
-        let live = self.contents.live_bytes;
-        // old and new file must fit together, also after this record
-        let fits = |size: u64| size + live + 2 * length + reserve <= self.limit;
+        let live_bytes = self.contents.live_bytes;
+        // a later compaction, also one right after this record, must have space for the old and the new file together
+        let fits = |size: u64| size + live_bytes + 2 * length + reserve_bytes <= self.limit_bytes;
         if !fits(self.file.size) {
-            if !fits(live) {
+            if !fits(live_bytes) {
                 return Err(JournalError::Full);
             }
             self.compact()?;
@@ -332,10 +350,10 @@
         Ok(written?)
     }
 
-    /// Writes what is not complete to a new file in the old one's place.
+    /// Replaces the file with a new one that holds only the records of the current state.
     fn compact(&mut self) -> Result<(), JournalError> {
         let bytes = self.contents.compacted()?;
-        if self.file.size + bytes.len() as u64 > self.limit {
+        if self.file.size + bytes.len() as u64 > self.limit_bytes {
             return Err(JournalError::Full);
         }
         let replaced = self.file.replace(&bytes);
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -1,76 +1,79 @@
-//! Records of the journal and their form on disk: a mark, a length, a checksum and the encoded record.
+//! Records of the journal and their format on disk: a marker, the length, a checksum and the encoded record.
 
 use message_sender::{Class, Effect, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Each record begins with it.
+/// Marker bytes at the start of each record.
 pub const MARK: [u8; 4] = *b"MTJ1";
-/// Bytes of mark, length and checksum.
+/// Size in bytes of a record's header: marker, payload length and checksum of 4 bytes each.
 const HEADER_BYTES: usize = 12;
-/// More than any record needs; a longer length is damage.
+/// Maximum payload size of a record in bytes, larger than any record that is written. A header with a longer length is
+/// treated as damage.
 const MAX_PAYLOAD_BYTES: usize = 1 << 18;
 
-/// How a message that was not delivered ended.
+/// Final outcome of a message that was not delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UndeliveredOutcome {
-    /// It can't be delivered, or may have been.
+    /// The message can't be delivered, or an attempt may have delivered it without a confirmation.
     Failed,
-    /// It was never delivered: the client may hand it in again.
+    /// The message was certainly not delivered, so the client may submit it again.
     Returned {
-        /// Not before so many milliseconds.
+        /// Delay in milliseconds after which the client may submit the message again.
         after_ms: Option<u64>,
     },
 }
 
-/// A message as a client handed it in.
+/// A message as a client submitted it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
-    /// The client's id of the message.
+    /// Id that the client gave the message.
     pub id: String,
-    /// Its idempotency key.
+    /// Idempotency key that the client sent with the message.
     pub key: Option<String>,
-    /// The name of its class.
+    /// Name of the message's class.
     pub class: String,
-    /// Where it goes.
+    /// Number of the destination that the message is for.
     pub destination: u64,
-    /// When its request began, in module time.
+    /// Time at which the client's request began, in microseconds of module time.
     pub accepted_at: Micros,
-    /// No longer delivered after this module time.
+    /// Time after which the message is no longer delivered, in microseconds of module time.
     pub deadline: Micros,
-    /// Its body.
+    /// Body that the endpoint receives.
     pub body: Vec<u8>,
 }
 
-/// Whose message it is, which the ordering and the shares of a later process need.
+/// Subject and tenant of a message. A later process needs them to keep the order of a subject's messages and to count
+/// the message for its tenant.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageOrigin {
-    /// What the message is about.
+    /// Subject by which an ordered class delivers messages in order, for example an account.
     pub subject: Option<String>,
-    /// The tenant that it counts for.
+    /// Tenant whose allowance the message counts against.
     pub tenant: Option<String>,
 }
 
-/// What its class allowed when the message was accepted.
+/// Delivery terms that the message's class had when the message was accepted. They hold for the message even if the
+/// class changes later.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassTerms {
-    /// What a repeat does.
+    /// Effect of a repeated delivery, which decides whether a message may be sent again.
     pub effect: Effect,
-    /// Full priority weight when delivered within this time.
+    /// Latency in microseconds up to which a delivery has its full priority weight.
     pub latency_objective: Micros,
-    /// No longer delivered after this time.
+    /// Age in microseconds after which a message is no longer delivered.
     pub deadline: Micros,
-    /// The weight of one message.
+    /// Priority weight of one message that is delivered within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that is left at the deadline.
+    /// Fraction of the priority weight that remains at the deadline.
     pub late_share: f64,
-    /// Messages of one subject go one at a time, in order.
+    /// Whether messages of one subject are delivered one at a time, in order.
     pub ordered: bool,
-    /// Attempts that the message has.
+    /// Maximum number of attempts for the message.
     pub max_attempts: u32,
 }
 
 impl ClassTerms {
-    /// The terms of a class, with the attempts that a message has now.
+    /// Returns the current terms of a class, with the maximum number of attempts that the settings allow now.
     pub fn of(class: &Class, max_attempts: usize) -> Self {
         ClassTerms {
             effect: class.effect,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// The class that they are the terms of.
+    /// Returns a class of the given name with these terms.
     pub fn class(&self, name: &str) -> Class {
         Class {
             name: name.to_string(),
@@ -97,49 +100,50 @@
     }
 }
 
-/// One attempt to deliver a message.
+/// One attempt to deliver a message, as the journal stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAttempt {
-    /// The endpoint's name in the list.
+    /// Uid of the endpoint in the endpoint list.
     pub uid: String,
-    /// Module time.
+    /// Time at which the attempt started, in microseconds of module time.
     pub sent_at: Micros,
-    /// An outcome has proved that it never ran.
+    /// True once the attempt's outcome has proved that the endpoint never executed the call.
     pub never_ran: bool,
 }
 
-/// One record. The order of the variants is their form on disk: new ones come last.
+/// One record of the journal. The position of a variant is its encoding on disk, so new variants are added at the end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Record {
-    /// Read only: as messages were written down before their origin was.
+    /// A client's message was accepted, without its origin. Older program versions wrote this record; it is only read.
     AcceptedWithoutOrigin(u64, AcceptedMessage),
-    /// An attempt to deliver the message begins.
+    /// An attempt to deliver the message starts.
     AttemptStarted(u64, RecordedAttempt),
-    /// What an attempt's outcome has proved.
+    /// The outcome of an attempt shows whether the endpoint can have executed the call.
     AttemptOutcome {
-        /// The message's number.
+        /// Number of the message.
         message: u64,
-        /// The position among the message's attempts.
+        /// Position of the attempt among the message's recorded attempts, from 0.
         attempt: u32,
-        /// It never ran.
+        /// Whether the endpoint certainly did not execute the call.
         never_ran: bool,
     },
-    /// The message ended undelivered, and a notification is pending.
+    /// The message ended undelivered, and its outcome notification is pending.
     Undelivered(u64, UndeliveredOutcome),
-    /// Nothing more is to be done for the message.
+    /// The message is complete: it needs no further attempt and no notification.
     Completed(u64),
-    /// Read only: as messages were written down before their terms were.
+    /// A client's message was accepted, without the terms of its class. Older program versions wrote this record; it is
+    /// only read.
     AcceptedWithoutTerms(u64, AcceptedMessage, MessageOrigin),
-    /// Operators disabled this endpoint.
+    /// Operators disabled the endpoint with this uid.
     EndpointDisabled(String),
-    /// Operators enabled this endpoint again.
+    /// Operators enabled the endpoint with this uid again.
     EndpointEnabled(String),
-    /// A client's message was accepted.
+    /// A client's message was accepted, with its origin and the terms of its class.
     Accepted(u64, AcceptedMessage, MessageOrigin, ClassTerms),
 }
 
 impl Record {
-    /// The message that it is about.
+    /// Returns the number of the message that the record belongs to; `None` for records about endpoints.
     pub fn message(&self) -> Option<u64> {
         match *self {
             Record::AcceptedWithoutOrigin(number, _)
@@ -156,10 +160,10 @@
     }
 }
 
-/// The bytes of a record.
+/// Encodes a record with its header.
 ///
 /// # Errors
-/// The record can't be encoded.
+/// Returns an error if the record can't be encoded.
 pub fn encode(record: &Record) -> Result<Vec<u8>, postcard::Error> {
     let payload = postcard::to_allocvec(record)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -170,13 +174,14 @@
     Ok(bytes)
 }
 
-/// The record at the start of the bytes and its length, if a sound one stands there.
+/// Decodes the record at the start of the bytes. Returns it with its length in bytes, or `None` if the bytes don't
+/// start with a valid record.
 pub fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
     if !bytes.starts_with(&MARK) {
         return None;
     }
-    let length = word_at(bytes, 4)? as usize;
-    let checksum = word_at(bytes, 8)?;
+    let length = u32_at(bytes, 4)? as usize;
+    let checksum = u32_at(bytes, 8)?;
     if length > MAX_PAYLOAD_BYTES {
         return None;
     }
@@ -189,7 +194,8 @@
     Some((record, end))
 }
 
-fn word_at(bytes: &[u8], at: usize) -> Option<u32> {
-    let word = bytes.get(at..at + 4)?.try_into().ok()?;
+/// Reads the little-endian number in the 4 bytes at the offset.
+fn u32_at(bytes: &[u8], offset: usize) -> Option<u32> {
+    let word = bytes.get(offset..offset + 4)?.try_into().ok()?;
     Some(u32::from_le_bytes(word))
 }
--- a/src/net/journal/recovery.rs
+++ b/src/net/journal/recovery.rs
@@ -1,45 +1,47 @@
-//! Reading a journal that an earlier process wrote, also one that was cut short or damaged.
+//! Reading a journal file that an earlier process wrote, including a file that was truncated or damaged.
 
 use super::contents::Contents;
 use super::records::{MARK, decode};
 
-/// What was found at the start.
+/// Result of reading the journal file when the process starts.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Sound records.
+    /// Number of valid records.
     pub records: usize,
-    /// Bytes dropped at the end: a record that a kill cut short.
-    pub torn: usize,
-    /// Bytes skipped before sound records: real damage.
-    pub damaged: usize,
+    /// Size in bytes of an incomplete record at the end, which a kill during a write leaves behind. It is dropped.
+    pub torn_bytes: usize,
+    /// Number of unreadable bytes that can't come from a single interrupted write, and so show that the file is
+    /// damaged.
+    pub damaged_bytes: usize,
 }
 
-/// Takes all sound records in.
+/// Applies all valid records in the bytes to the contents, and skips bytes that are no record.
 pub fn read(bytes: &[u8], contents: &mut Contents) -> Recovery {
     let mut recovery = Recovery::default();
-    let mut at = 0;
-    let mut unreadable = 0;
-    while at < bytes.len() {
-        let Some((record, length)) = decode(&bytes[at..]) else {
-            at += 1;
-            unreadable += 1;
+    let mut offset = 0;
+    let mut unreadable_bytes = 0;
+    while offset < bytes.len() {
+        let Some((record, length)) = decode(&bytes[offset..]) else {
+            offset += 1;
+            unreadable_bytes += 1;
             continue;
         };
-        recovery.damaged += std::mem::take(&mut unreadable);
+        recovery.damaged_bytes += std::mem::take(&mut unreadable_bytes);
         recovery.records += 1;
-        at += length;
+        offset += length;
         contents.apply(record, length as u64);
     }
-    let tail = &bytes[bytes.len() - unreadable..];
+    let tail = &bytes[bytes.len() - unreadable_bytes..];
     if has_further_mark(tail) {
-        recovery.damaged += unreadable;
+        recovery.damaged_bytes += unreadable_bytes;
     } else {
-        recovery.torn = unreadable;
+        recovery.torn_bytes = unreadable_bytes;
     }
     recovery
 }
 
-/// A kill cuts one record short; more than one lost at the end is damage.
+/// Returns true if another record starts inside the unreadable end of the file. A kill during a write leaves at most
+/// one incomplete record, so a further marker means damage.
 fn has_further_mark(tail: &[u8]) -> bool {
-    (1..tail.len()).any(|from| tail[from..].starts_with(&MARK))
+    (1..tail.len()).any(|start| tail[start..].starts_with(&MARK))
 }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -1,4 +1,4 @@
-//! Records that fail to be written, and what a next life reads.
+//! Tests of failed and interrupted writes: which records a later process reads.
 
 mod format;
 
@@ -11,7 +11,7 @@
     let folder = std::env::temp_dir().join(format!("journal-positions-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let (mut journal, _) = Journal::open(&folder, 16 * 1024, 0).expect("opened");
-    let taken = AcceptedMessage {
+    let accepted = AcceptedMessage {
         id: "m".into(),
         key: None,
         class: "order".into(),
@@ -32,12 +32,12 @@
     journal
         .accept(
             5,
-            taken,
+            accepted,
             MessageOrigin::default(),
             ClassTerms::of(&class, 12),
         )
         .expect("room");
-    // the first is larger than the room there is, the second may have run, the third never did
+    // the first attempt's record does not fit, the second attempt may have run, the third never ran
     assert!(matches!(
         journal.start_attempt(5, &"x".repeat(20_000), 1),
         Err(JournalError::Full)
@@ -46,17 +46,17 @@
     assert_eq!(journal.start_attempt(5, "b", 3).expect("room"), 1);
     journal.attempt_never_ran(5, 1).expect("room");
     journal.reopen().expect("opened");
-    let sends: Vec<_> = journal.unfinished()[&5]
+    let attempts: Vec<_> = journal.unfinished()[&5]
         .attempts
         .iter()
-        .map(|sent| (sent.uid.as_str(), sent.never_ran))
+        .map(|attempt| (attempt.uid.as_str(), attempt.never_ran))
         .collect();
-    assert_eq!(sends, [("a", false), ("b", true)]);
+    assert_eq!(attempts, [("a", false), ("b", true)]);
     fs::remove_dir_all(&folder).expect("removed");
 }
 
 fn message(id: u64) -> (AcceptedMessage, MessageOrigin, ClassTerms) {
-    let taken = AcceptedMessage {
+    let accepted = AcceptedMessage {
         id: format!("m{id}"),
         key: None,
         class: "order".into(),
@@ -66,68 +66,74 @@
         body: vec![b'x'; 100],
     };
     (
-        taken,
+        accepted,
         MessageOrigin::default(),
         ClassTerms::of(&Class::new("order", Effect::NonIdempotent, 1, 1), 12),
     )
 }
 
-fn fresh(name: &str) -> PathBuf {
+fn fresh_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     folder
 }
 
-/// Draws that follow from a seed alone.
-struct Draws(u64);
+/// Deterministic pseudo-random numbers, generated from a seed.
+struct SeededNumbers(u64);
 
-impl Draws {
-    fn below(&mut self, most: u64) -> u64 {
+impl SeededNumbers {
+    /// Returns a number below the bound.
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % most
+        (self.0 >> 33) % bound
     }
 }
 
-/// Something is written down or has happened; true if it was acknowledged as durable.
-fn step(journal: &mut Journal, draws: &mut Draws, next: &mut u64) -> bool {
-    let owed: Vec<u64> = journal.unfinished().keys().copied().collect();
-    let one = (!owed.is_empty()).then(|| owed[draws.below(owed.len() as u64) as usize]);
-    match (draws.below(5), one) {
+/// Performs a random operation of the journal. Returns true if the journal confirmed the operation as durable.
+fn random_operation(
+    journal: &mut Journal,
+    numbers: &mut SeededNumbers,
+    next_number: &mut u64,
+) -> bool {
+    let unfinished: Vec<u64> = journal.unfinished().keys().copied().collect();
+    let number = (!unfinished.is_empty())
+        .then(|| unfinished[numbers.below(unfinished.len() as u64) as usize]);
+    match (numbers.below(5), number) {
         (0, _) | (_, None) => {
-            let (taken, origin, terms) = message(*next);
-            let written = journal.accept(*next, taken, origin, terms);
-            *next += u64::from(written.is_ok());
+            let (accepted, origin, terms) = message(*next_number);
+            let written = journal.accept(*next_number, accepted, origin, terms);
+            *next_number += u64::from(written.is_ok());
             written.is_ok()
         }
-        (1, Some(one)) => journal.start_attempt(one, "s-1", 5).is_ok(),
-        (2, Some(one)) => journal.attempt_never_ran(one, 0).is_ok(),
-        (3, Some(one)) => journal
-            .end_undelivered(one, UndeliveredOutcome::Failed)
+        (1, Some(number)) => journal.start_attempt(number, "s-1", 5).is_ok(),
+        (2, Some(number)) => journal.attempt_never_ran(number, 0).is_ok(),
+        (3, Some(number)) => journal
+            .end_undelivered(number, UndeliveredOutcome::Failed)
             .is_ok(),
-        (_, Some(one)) => journal.complete(one, accepted_notification()).is_ok(),
+        (_, Some(number)) => journal.complete(number, accepted_notification()).is_ok(),
     }
 }
 
-/// Writes with a disk that fails and recovers; a next life at any moment reads a prefix of what happened, with all that
-/// was acknowledged.
+/// Guards against lost or reordered records when writes fail and succeed again. A process that opens a copy of the file
+/// after any operation must find the state after some earlier operation, at or after the last durable one.
 #[test]
 fn reopened_journal_holds_prefix_of_history_after_failed_writes() {
     for seed in 0..40 {
-        let folder = fresh("journal-prefix");
-        // half of them are compacted on the way
+        let folder = fresh_folder("journal-prefix");
+        // the smaller limit makes the journal compact its file, for half of the seeds
         let limit = if seed % 2 == 0 { 1 << 20 } else { 16 * 1024 };
         let (mut journal, _) = Journal::open(&folder, limit, 16).expect("opened");
-        let (mut draws, mut next) = (Draws(seed), 0);
+        let (mut numbers, mut next_number) = (SeededNumbers(seed), 0);
         let mut states = vec![journal.unfinished().clone()];
-        let mut durable = 0;
+        let mut durable_step = 0;
         for _ in 0..150 {
-            match draws.below(8) {
-                // a handle that takes nothing, neither records nor to be cut
+            match numbers.below(8) {
+                // writing and truncating fail through a read-only handle
                 0 => journal.file.handle = File::open(&journal.file.path).expect("opened"),
-                // half a record gets out before the disk fails
+                // a failed write leaves half a record in the file
                 1 => {
                     use std::io::Write;
                     let mut file = File::options()
@@ -146,70 +152,70 @@
                         .append(true)
                         .open(&journal.file.path)
                         .expect("opened");
-                    journal.retry_pending().expect("the disk is well");
-                    durable = states.len() - 1;
+                    journal.retry_pending().expect("writes succeed");
+                    durable_step = states.len() - 1;
                 }
                 _ => {}
             }
-            let acknowledged = step(&mut journal, &mut draws, &mut next);
+            let confirmed = random_operation(&mut journal, &mut numbers, &mut next_number);
             states.push(journal.unfinished().clone());
-            if acknowledged {
+            if confirmed {
                 assert!(
                     !journal.has_pending(),
-                    "acknowledged before what was to be written first"
+                    "confirmed while earlier records are pending"
                 );
-                durable = states.len() - 1;
+                durable_step = states.len() - 1;
             }
-            let (life, recovery) = {
-                let copy = fresh("journal-prefix-copy");
+            let (reopened, recovery) = {
+                let copy = fresh_folder("journal-prefix-copy");
                 fs::create_dir_all(&copy).expect("a folder");
                 fs::copy(&journal.file.path, copy.join("journal")).expect("copied");
                 Journal::open(&copy, limit, 16).expect("opened")
             };
-            assert_eq!(recovery.damaged, 0, "seed {seed}");
-            let found = states[durable..]
+            assert_eq!(recovery.damaged_bytes, 0, "seed {seed}");
+            let found = states[durable_step..]
                 .iter()
-                .any(|state| state == life.unfinished());
+                .any(|state| state == reopened.unfinished());
             assert!(
                 found,
-                "seed {seed}: {:?} is no state since {durable}: {:?}",
-                life.unfinished(),
-                &states[durable..]
+                "seed {seed}: {:?} is no state since step {durable_step}: {:?}",
+                reopened.unfinished(),
+                &states[durable_step..]
             );
         }
     }
 }
 
 #[test]
-fn truncated_journal_holds_records_before_the_cut() {
-    let folder = fresh("journal-cut");
+fn truncated_journal_holds_all_whole_records_before_truncation() {
+    let folder = fresh_folder("journal-cut");
     let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
-    let (mut draws, mut next) = (Draws(3), 0);
+    let (mut numbers, mut next_number) = (SeededNumbers(3), 0);
     let mut states = vec![(0, journal.unfinished().clone())];
     for _ in 0..40 {
-        step(&mut journal, &mut draws, &mut next);
+        random_operation(&mut journal, &mut numbers, &mut next_number);
         states.push((journal.file.size, journal.unfinished().clone()));
     }
     let bytes = fs::read(&journal.file.path).expect("read");
     for length in 0..=bytes.len() {
-        let copy = fresh("journal-cut-copy");
+        let copy = fresh_folder("journal-cut-copy");
         fs::create_dir_all(&copy).expect("a folder");
         fs::write(copy.join("journal"), &bytes[..length]).expect("written");
-        let (life, recovery) = Journal::open(&copy, 1 << 20, 16).expect("opened");
+        let (reopened, recovery) = Journal::open(&copy, 1 << 20, 16).expect("opened");
         let last = states
             .iter()
             .rev()
             .find(|(size, _)| *size <= length as u64)
-            .expect("the empty one");
+            .expect("the empty state");
         assert_eq!(
-            (life.unfinished(), recovery.damaged),
+            (reopened.unfinished(), recovery.damaged_bytes),
             (&last.1, 0),
             "{length} bytes"
         );
     }
 }
 
-/// The proof that a notification was accepted.
+/// Returns the end proof of a notification that the platform has accepted.
 fn accepted_notification() -> EndProof {
     EndProof::of_notification_answer(hyper::StatusCode::NO_CONTENT).expect("it is 204")
 }
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -1,17 +1,18 @@
-//! The journal's form on disk: files that an earlier program wrote are read, and written again byte for byte.
+//! Compatibility tests of the journal's format on disk: files of an earlier program version are read, and their records
+//! are encoded again to the same bytes.
 
 use super::super::records::{Record, decode, encode};
 use super::*;
 use crate::net::golden::assert_same_bytes;
 
-/// One record of each kind, also of the kinds that are only read.
+/// Golden file with the records of [`every_record`], which include the kinds that are no longer written.
 const EVERY_RECORD: &[u8] = include_bytes!("../../../../tests/golden/state/journal-every-record");
-/// The file after [`write_through_the_interface`].
+/// Golden file as it is after [`write_through_journal`].
 const WRITTEN: &[u8] = include_bytes!("../../../../tests/golden/state/journal-written");
-/// The same journal after a compaction.
+/// Golden file as it is after the journal [`EVERY_RECORD`] was compacted.
 const COMPACTED: &[u8] = include_bytes!("../../../../tests/golden/state/journal-compacted");
 
-fn handed_in(id: &str) -> AcceptedMessage {
+fn accepted_message(id: &str) -> AcceptedMessage {
     AcceptedMessage {
         id: id.into(),
         key: Some("key-1".into()),
@@ -43,7 +44,7 @@
     ClassTerms::of(&class, 12)
 }
 
-fn keyed(same_zone_only: bool) -> Effect {
+fn key_effect(same_zone_only: bool) -> Effect {
     Effect::IdempotencyKey {
         window: 12_000_005,
         same_zone_only,
@@ -51,33 +52,43 @@
 }
 
 fn every_record() -> Vec<Record> {
-    let sent = |uid: &str, never_ran| RecordedAttempt {
+    let attempt = |uid: &str, never_ran| RecordedAttempt {
         uid: uid.into(),
         sent_at: 1_700_000_000_500_006,
         never_ran,
     };
     vec![
-        Record::AcceptedWithoutOrigin(1, handed_in("m1")),
+        Record::AcceptedWithoutOrigin(1, accepted_message("m1")),
         Record::AcceptedWithoutTerms(
             2,
             AcceptedMessage {
                 key: None,
-                ..handed_in("m2")
+                ..accepted_message("m2")
             },
             origin(),
         ),
-        Record::AcceptedWithoutTerms(3, handed_in("m3"), MessageOrigin::default()),
-        Record::Accepted(4, handed_in("m4"), origin(), terms(Effect::Idempotent)),
-        Record::Accepted(5, handed_in("m5"), origin(), terms(keyed(false))),
-        Record::Accepted(6, handed_in("m6"), origin(), terms(keyed(true))),
+        Record::AcceptedWithoutTerms(3, accepted_message("m3"), MessageOrigin::default()),
+        Record::Accepted(
+            4,
+            accepted_message("m4"),
+            origin(),
+            terms(Effect::Idempotent),
+        ),
+        Record::Accepted(
+            5,
+            accepted_message("m5"),
+            origin(),
+            terms(key_effect(false)),
+        ),
+        Record::Accepted(6, accepted_message("m6"), origin(), terms(key_effect(true))),
         Record::Accepted(
             300,
-            handed_in("m300"),
+            accepted_message("m300"),
             origin(),
             terms(Effect::NonIdempotent),
         ),
-        Record::AttemptStarted(4, sent("s-1", false)),
-        Record::AttemptStarted(4, sent("s-2", true)),
+        Record::AttemptStarted(4, attempt("s-1", false)),
+        Record::AttemptStarted(4, attempt("s-2", true)),
         Record::AttemptOutcome {
             message: 4,
             attempt: 1,
@@ -105,14 +116,14 @@
 }
 
 fn folder_with(name: &str, bytes: &[u8]) -> PathBuf {
-    let folder = fresh(name);
+    let folder = fresh_folder(name);
     fs::create_dir_all(&folder).expect("a folder");
     fs::write(folder.join("journal"), bytes).expect("written");
     folder
 }
 
 #[test]
-fn every_record_kind_is_encoded_as_recorded() {
+fn every_record_kind_encodes_to_recorded_bytes() {
     let written: Vec<u8> = every_record()
         .iter()
         .flat_map(|entry| encode(entry).expect("encoded"))
@@ -121,35 +132,35 @@
 }
 
 #[test]
-fn every_recorded_record_is_decoded_and_encoded_again() {
-    let mut at = 0;
+fn every_recorded_record_decodes_and_encodes_to_same_bytes() {
+    let mut offset = 0;
     for expected in every_record() {
-        let (entry, length) = decode(&EVERY_RECORD[at..]).expect("a record");
+        let (entry, length) = decode(&EVERY_RECORD[offset..]).expect("a record");
         assert_eq!(
             format!("{entry:?}"),
             format!("{expected:?}"),
-            "at byte {at}"
+            "at byte {offset}"
         );
         assert_same_bytes(
             "record",
             &encode(&entry).expect("encoded"),
-            &EVERY_RECORD[at..at + length],
+            &EVERY_RECORD[offset..offset + length],
         );
-        at += length;
+        offset += length;
     }
-    assert_eq!(at, EVERY_RECORD.len());
+    assert_eq!(offset, EVERY_RECORD.len());
 }
 
 #[test]
-fn recorded_journal_opens_and_compacts_as_recorded() {
+fn recorded_journal_opens_and_compacts_to_recorded_bytes() {
     let folder = folder_with("journal-golden-open", EVERY_RECORD);
     let (mut journal, recovery) = Journal::open(&folder, 1 << 20, 16).expect("opened");
     assert_eq!(
         recovery,
         Recovery {
             records: every_record().len(),
-            torn: 0,
-            damaged: 0
+            torn_bytes: 0,
+            damaged_bytes: 0
         }
     );
     assert_eq!(
@@ -159,12 +170,12 @@
     let first = &journal.unfinished()[&1];
     assert_eq!(
         (&first.accepted, &first.origin, &first.terms),
-        (&handed_in("m1"), &MessageOrigin::default(), &None)
+        (&accepted_message("m1"), &MessageOrigin::default(), &None)
     );
     let attempts: Vec<_> = journal.unfinished()[&4]
         .attempts
         .iter()
-        .map(|sent| (sent.uid.as_str(), sent.never_ran))
+        .map(|attempt| (attempt.uid.as_str(), attempt.never_ran))
         .collect();
     assert_eq!(attempts, [("s-1", false), ("s-2", true)]);
     assert_eq!(
@@ -187,19 +198,19 @@
     fs::remove_dir_all(&folder).expect("removed");
 }
 
-fn write_through_the_interface(journal: &mut Journal) {
+fn write_through_journal(journal: &mut Journal) {
     journal.set_disabled("s-7", true).expect("room");
     journal.set_disabled("s-8", true).expect("room");
     journal.set_disabled("s-7", false).expect("room");
     for (number, effect) in [
         (4, Effect::Idempotent),
-        (5, keyed(true)),
+        (5, key_effect(true)),
         (6, Effect::NonIdempotent),
     ] {
         journal
             .accept(
                 number,
-                handed_in(&format!("m{number}")),
+                accepted_message(&format!("m{number}")),
                 origin(),
                 terms(effect),
             )
@@ -235,10 +246,10 @@
 }
 
 #[test]
-fn journal_is_written_as_recorded_and_recorded_one_is_continued() {
-    let folder = fresh("journal-golden-written");
+fn journal_writes_recorded_bytes_and_appends_to_recorded_file() {
+    let folder = fresh_folder("journal-golden-written");
     let (mut journal, _) = Journal::open(&folder, 1 << 20, 16).expect("opened");
-    write_through_the_interface(&mut journal);
+    write_through_journal(&mut journal);
     assert_same_bytes(
         "written file",
         &fs::read(&journal.file.path).expect("read"),
@@ -248,14 +259,18 @@
     let other = folder_with("journal-golden-read", WRITTEN);
     let (mut found, recovery) = Journal::open(&other, 1 << 20, 16).expect("opened");
     assert_eq!(
-        (found.unfinished(), recovery.torn, recovery.damaged),
+        (
+            found.unfinished(),
+            recovery.torn_bytes,
+            recovery.damaged_bytes
+        ),
         (&state, 0, 0)
     );
     assert_eq!(found.disabled_endpoints().collect::<Vec<_>>(), ["s-8"]);
-    // what is written next stands behind what stood there
+    // the next record is appended after the recorded bytes, which stay unchanged
     found.complete(5, accepted_notification()).expect("written");
     let file = fs::read(&found.file.path).expect("read");
-    assert_same_bytes("file gone on with", &file[..WRITTEN.len()], WRITTEN);
+    assert_same_bytes("start of continued file", &file[..WRITTEN.len()], WRITTEN);
     assert_same_bytes(
         "last record",
         &file[WRITTEN.len()..],
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -1,5 +1,5 @@
-//! One process of the sender, from its configuration to its end: the channels between its tasks, the state folder, the
-//! driver, the tasks, and a graceful shutdown.
+//! One process of the sender, from its start with a configuration to its graceful shutdown: opens the state folder,
+//! creates the driver and starts all tasks.
 
 mod channels;
 mod part_settings;
@@ -22,7 +22,7 @@
 use crate::net::{agreement, ledger};
 use channels::{Channels, Flags, Receivers, Senders};
 use message_sender::{Sender, SettingsError};
-use part_settings::PartSettings;
+use part_settings::SubsystemSettings;
 use state_folder::{StateFolder, open_state_folder};
 use std::cell::Cell;
 use std::io;
@@ -35,29 +35,30 @@
 use tokio::task::JoinError;
 use tokio::time::{Instant, sleep};
 
-/// From SIGTERM to the end of idle client connections.
+/// Time from SIGTERM until idle client connections are closed.
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2500);
-/// From SIGTERM to the end of the process. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+/// Time from SIGTERM until the process exits. The platform sends SIGKILL no sooner than 3.7 s after SIGTERM.
 const EXIT_AFTER: Duration = Duration::from_millis(3300);
-/// The part of all descriptors that clients may hold; calls, idle connections and files share the rest.
-const CLIENT_DESCRIPTORS: usize = 3;
+/// Divisor of the descriptor limit: client connections may use this fraction (1/3) of all descriptors. Calls, idle
+/// connections and files share the rest.
+const CLIENT_DESCRIPTOR_DIVISOR: usize = 3;
 
-/// Why the process could not start, or ended.
+/// Error with which the process fails to start, or ends.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// A signal handler, the lock or the listening socket is not to be had.
+    /// Installing a signal handler, opening the lock file or binding the listening socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The clock's anchor can't be used.
+    /// The clock's anchor can't be read or written.
     #[error(transparent)]
     Clock(#[from] ClockError),
-    /// The journal can't be used.
+    /// The journal can't be opened.
     #[error(transparent)]
     Journal(#[from] JournalError),
-    /// The settings make no sense.
+    /// The decision module rejects the settings as invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The driver panicked.
+    /// The driver's task panicked.
     #[error(transparent)]
     Driver(#[from] JoinError),
 }
@@ -65,17 +66,17 @@
 /// Runs the sender until SIGTERM, or until a successor has taken over and nothing is left to do.
 ///
 /// # Errors
-/// What the process needs is not to be had, or the driver panicked.
+/// Returns an error if a resource that the process needs is permanently unavailable, or if the driver panics.
 pub async fn run(config: Config) -> Result<(), ProcessError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
     let Channels { senders, receivers } = Channels::new();
     if let Some(settings) = &config.freeze {
-        // the first list is filtered by it
+        // sent before the tasks start, so that the freeze filter applies to the first endpoint list already
         let change = FreezeChange::On(settings.clone());
         let _ = senders.inputs.send(DriverInput::Freeze(change));
     }
-    let parts = PartSettings::new(&config);
+    let subsystem_settings = SubsystemSettings::new(&config);
     let flags = Flags::new();
     start_control(&config, &senders, &flags).await;
     let opened = tokio::select! {
@@ -84,7 +85,7 @@
     };
     let Some(folder) = opened else {
         net::log(format_args!(
-            "{}: handover: a process that started later owns the folder, this one ends",
+            "{}: handover: a process that started later owns the folder, this process exits",
             config.name
         ));
         return Ok(());
@@ -93,12 +94,12 @@
         config,
         senders,
         flags,
-        parts,
+        subsystem_settings,
     };
     process.run(folder, receivers, terminate, hangup).await
 }
 
-/// Serves operators, as soon as their address is to be had.
+/// Starts the control API for operators. If its address can't be bound yet, retries in the background.
 async fn start_control(config: &Config, senders: &Senders, flags: &Flags) {
     let Some(address) = config.control else {
         return;
@@ -119,32 +120,32 @@
             None => startup::wait_for_operators_address(address).await,
         };
         let address = listener.local_addr().unwrap_or(address);
-        net::log(format_args!("{name}: operators at {address}"));
+        net::log(format_args!("{name}: control API at {address}"));
         control::serve(listener, Rc::new(control)).await;
     });
 }
 
-/// What the parts of the process are made from.
+/// Configuration, channels and flags from which the subsystems of the process are created.
 struct Process {
     config: Config,
     senders: Senders,
     flags: Flags,
-    parts: PartSettings,
+    subsystem_settings: SubsystemSettings,
 }
 
-/// The connections that clients may hold.
+/// Limits of client connections, divided between this process and its predecessor.
 struct ClientCapacity {
-    /// Those of this process.
+    /// Connection slots of this process.
     slots: ClientSlots,
-    /// Those that a predecessor still holds.
-    of_predecessor: usize,
+    /// Number of client connections that the predecessor still holds.
+    held_by_predecessor: usize,
 }
 
-/// What the driver publishes of the fleet.
+/// Values about the fleet that the driver and the other tasks share.
 struct FleetState {
-    /// The number of senders that the decisions scale by.
+    /// Number of senders that the decision module assumes in the fleet.
     size: Rc<Cell<u32>>,
-    /// The version of the list that they go by.
+    /// Version of the endpoint list that the decision module uses.
     list_version: Rc<Cell<u64>>,
 }
 
@@ -169,12 +170,12 @@
         let fleet = FleetState::new(self.config.settings.senders);
         let ClientCapacity {
             slots,
-            of_predecessor,
+            held_by_predecessor,
         } = self.client_capacity(folder.received.as_ref());
         let server = self.server(&slots);
         let (mut driver, link) = self.driver(folder, slots, server.classes.clone(), &fleet)?;
         if let Some(link) = link {
-            self.follow_predecessor(&mut driver, link, of_predecessor)
+            self.follow_predecessor(&mut driver, link, held_by_predecessor)
                 .await;
         }
         let listener = self.listen().await?;
@@ -189,14 +190,14 @@
         tokio::task::spawn_local(serve(listener, Rc::new(server)));
         let driver = tokio::task::spawn_local(driver.run(receivers.driver));
         tokio::select! {
-            // it ends by itself only once another process has all
+            // without SIGTERM the driver ends only after a successor has taken over all its work
             ended = driver => ended?,
             () = self.shut_down_on(terminate) => {}
         }
         Ok(())
     }
 
-    /// The driver, and the link to a predecessor that handed over.
+    /// Creates the driver, and returns it with the link to the predecessor, if one handed over.
     fn driver(
         &self,
         folder: StateFolder,
@@ -236,8 +237,8 @@
 
     fn initial_state(&self, sender: Sender, handover: Option<HandoverState>) -> InitialState {
         let config = &self.config;
-        let agreement = self.parts.agreement.borrow();
-        let ledger = self.parts.ledger.borrow();
+        let agreement = self.subsystem_settings.agreement.borrow();
+        let ledger = self.subsystem_settings.ledger.borrow();
         InitialState {
             sender,
             handover,
@@ -265,14 +266,15 @@
         Calls::new(self.senders.inputs.clone(), connections)
     }
 
-    /// The slots of this process, without those that a predecessor's clients hold.
+    /// Calculates the client connections that this process may accept: the limit of the descriptors, minus the
+    /// connections that the predecessor still holds. At least one slot remains.
     fn client_capacity(&self, received: Option<&ReceivedHandover>) -> ClientCapacity {
-        let total = (self.config.max_descriptors / CLIENT_DESCRIPTORS).max(1);
+        let total = (self.config.max_descriptors / CLIENT_DESCRIPTOR_DIVISOR).max(1);
         let held = received.map_or(0, |received| received.state.client_connections);
-        let of_predecessor = held.min(total - 1);
+        let held_by_predecessor = held.min(total - 1);
         ClientCapacity {
-            slots: ClientSlots::new(total - of_predecessor),
-            of_predecessor,
+            slots: ClientSlots::new(total - held_by_predecessor),
+            held_by_predecessor,
         }
     }
 
@@ -288,15 +290,21 @@
         }
     }
 
-    /// Tells the predecessor that this process owns the messages; one that is gone leaves all to it just the same.
-    async fn follow_predecessor(&self, driver: &mut Driver, mut link: Link, connections: usize) {
+    /// Notifies the predecessor that this process owns the messages, and connects the driver to it. If the link is
+    /// lost, this process owns the messages as well, because it holds the lock.
+    async fn follow_predecessor(
+        &self,
+        driver: &mut Driver,
+        mut link: Link,
+        client_connections: usize,
+    ) {
         let accepted = link.send(&Frame::Accepted).await;
         net::log(format_args!(
             "{}: handover: taken over ({})",
             self.config.name,
             describe_link(&accepted)
         ));
-        driver.set_predecessor(link.listen(self.senders.inputs.clone()), connections);
+        driver.set_predecessor(link.listen(self.senders.inputs.clone()), client_connections);
     }
 
     async fn listen(&self) -> Result<TcpListener, io::Error> {
@@ -307,7 +315,8 @@
         Ok(listener)
     }
 
-    /// Waits for SIGTERM and shuts down gracefully.
+    /// Waits for SIGTERM, then stops accepting messages, closes idle client connections after [`CLOSE_IDLE_AFTER`] and
+    /// returns after [`EXIT_AFTER`].
     async fn shut_down_on(&self, mut terminate: Signal) {
         terminate.recv().await;
         let name = &self.config.name;
@@ -319,14 +328,14 @@
         sleep(CLOSE_IDLE_AFTER).await;
         let _ = self.flags.close_clients.send(true);
         sleep(EXIT_AFTER - CLOSE_IDLE_AFTER).await;
-        net::log(format_args!("{name}: ends"));
+        net::log(format_args!("{name}: exiting"));
     }
 }
 
-/// What became of the link to a predecessor, for the log.
+/// Describes for the log whether the predecessor could be notified of the takeover.
 fn describe_link(accepted: &Result<(), LinkError>) -> String {
     match accepted {
         Ok(()) => "complete".into(),
-        Err(error) => format!("the predecessor is gone: {error}"),
+        Err(error) => format!("lost the link to the predecessor: {error}"),
     }
 }
--- a/src/net/process/channels.rs
+++ b/src/net/process/channels.rs
@@ -1,4 +1,4 @@
-//! The channels and flags between the tasks of the process.
+//! Channels and flags by which the tasks of the process communicate.
 
 use crate::net::discovery::OutcomeNotification;
 use crate::net::driver::DriverChannels;
@@ -8,16 +8,16 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// Commands and report requests of operators that may wait in one channel.
+/// Maximum number of operators' commands or report requests that wait in one channel.
 const MAX_WAITING_COMMANDS: usize = 64;
 
-/// Both ends of all channels.
+/// Sending and receiving ends of all channels.
 pub(super) struct Channels {
     pub senders: Senders,
     pub receivers: Receivers,
 }
 
-/// The ends that are written to.
+/// Sending ends of the channels.
 pub(super) struct Senders {
     pub inputs: mpsc::UnboundedSender<DriverInput>,
     pub notifications: mpsc::UnboundedSender<OutcomeNotification>,
@@ -28,13 +28,13 @@
     pub ledger_reports: mpsc::Sender<ReportRequest>,
 }
 
-/// The ends that are read, by owner.
+/// Receiving ends of the channels, grouped by the task that reads them.
 pub(super) struct Receivers {
     pub driver: DriverChannels,
     pub tasks: TaskReceivers,
 }
 
-/// What the tasks beside the driver read.
+/// Receiving ends for the tasks other than the driver.
 pub(super) struct TaskReceivers {
     pub notifications: mpsc::UnboundedReceiver<OutcomeNotification>,
     pub membership_reports: mpsc::Receiver<ReportRequest>,
@@ -78,22 +78,22 @@
     }
 }
 
-/// What the tasks know of the state of the process.
+/// Flags with the state of the process, which all tasks can read.
 pub(super) struct Flags {
-    /// Endpoints are known.
+    /// True once the driver has an endpoint list, so that the process can accept messages.
     pub ready: watch::Sender<bool>,
-    /// The process takes nothing new.
+    /// True while the process accepts no new messages: before it owns the state folder, and after SIGTERM.
     pub draining: Rc<Cell<bool>>,
-    /// The process shuts down.
+    /// True after SIGTERM, so that tasks can release their leases.
     pub stopping: watch::Sender<bool>,
-    /// Idle client connections are to close.
+    /// True once the server must close idle client connections.
     pub close_clients: watch::Sender<bool>,
-    /// A successor has taken over.
+    /// True once a successor has taken over from this process.
     pub handed_over: watch::Sender<bool>,
 }
 
 impl Flags {
-    /// Those of a process that takes nothing before the messages are its own.
+    /// Returns the flags of a process that does not yet own the state folder. It counts as draining until then.
     pub fn new() -> Self {
         Flags {
             ready: watch::Sender::new(false),
--- a/src/net/process/part_settings.rs
+++ b/src/net/process/part_settings.rs
@@ -1,4 +1,5 @@
-//! Settings that a new configuration changes while the process runs, each for the task that follows it.
+//! Settings of the subsystems that a new configuration can change while the process runs. Each subsystem's task watches
+//! its settings.
 
 use crate::net::agreement::settings::AgreementSettings;
 use crate::net::config::Config;
@@ -8,10 +9,10 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-/// The settings in force, by part.
+/// The settings in force, with one watch channel per subsystem.
 #[derive(Clone)]
-pub(super) struct PartSettings {
-    /// The address of discovery.
+pub(super) struct SubsystemSettings {
+    /// Address of discovery and the registry.
     pub discovery: watch::Sender<SocketAddr>,
     pub membership: watch::Sender<Option<MembershipSettings>>,
     pub agreement: watch::Sender<Option<AgreementSettings>>,
@@ -19,9 +20,9 @@
     pub freeze: watch::Sender<Option<FreezeSettings>>,
 }
 
-impl PartSettings {
+impl SubsystemSettings {
     pub fn new(config: &Config) -> Self {
-        PartSettings {
+        SubsystemSettings {
             discovery: watch::Sender::new(config.discovery),
             membership: watch::Sender::new(config.membership.clone()),
             agreement: watch::Sender::new(config.agreement.clone()),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Puts the settings of a new configuration in force; a part whose settings stay is not notified.
+    /// Publishes the settings of a new configuration. A subsystem whose settings are unchanged is not notified.
     pub fn update(&self, config: &Config) {
         replace(&self.membership, config.membership.clone());
         replace(&self.agreement, config.agreement.clone());
@@ -40,8 +41,8 @@
     }
 }
 
-fn replace<T: PartialEq>(part: &watch::Sender<T>, new: T) {
-    part.send_if_modified(|old| {
+fn replace<T: PartialEq>(settings: &watch::Sender<T>, new: T) {
+    settings.send_if_modified(|old| {
         let changed = *old != new;
         *old = new;
         changed
--- a/src/net/process/reload.rs
+++ b/src/net/process/reload.rs
@@ -1,7 +1,8 @@
-//! A new configuration on SIGHUP: settings come from a file that is complete, or stay as they were.
+//! Reload of the configuration on SIGHUP. A complete and valid configuration is applied; otherwise all settings stay
+//! unchanged.
 
 use super::Process;
-use super::part_settings::PartSettings;
+use super::part_settings::SubsystemSettings;
 use crate::net::config::{Config, ConfigError};
 use crate::net::events::{DriverInput, SettingsUpdate};
 use crate::net::local_errors::RETRY_INTERVAL;
@@ -11,22 +12,22 @@
 use tokio::task::JoinError;
 use tokio::time::sleep;
 
-/// Starts the task that reads the configuration anew on each SIGHUP.
+/// Starts the task that reloads the configuration on each SIGHUP.
 pub(super) fn start(hangup: Signal, process: &Process) {
     let reload = Reload {
         text: process.config.text.clone(),
-        parts: process.parts.clone(),
+        subsystem_settings: process.subsystem_settings.clone(),
         inputs: process.senders.inputs.clone(),
         log: RateLimitedLog::default(),
     };
     tokio::task::spawn_local(reload.run(hangup));
 }
 
-/// Reads the configuration anew on each SIGHUP.
+/// Task that reloads the configuration on each SIGHUP.
 struct Reload {
-    /// The text in force.
+    /// Text of the configuration in force.
     text: Vec<u8>,
-    parts: PartSettings,
+    subsystem_settings: SubsystemSettings,
     inputs: mpsc::UnboundedSender<DriverInput>,
     log: RateLimitedLog,
 }
@@ -42,16 +43,17 @@
         }
     }
 
-    /// The new configuration, as soon as this machine can read it: the platform has sent SIGHUP once, and does not send it
-    /// again.
+    /// Reads the new configuration. Errors of the local host are retried until the file can be read, because the
+    /// platform sends SIGHUP only once for a change.
     async fn read(&self) -> Result<Result<Config, ConfigError>, JoinError> {
         loop {
-            let before = self.text.clone();
-            let read = tokio::task::spawn_blocking(move || Config::reread(&before)).await;
+            let current_text = self.text.clone();
+            let read = tokio::task::spawn_blocking(move || Config::reread(&current_text)).await;
             match read {
                 Ok(Err(error)) if error.is_of_this_machine() => {
-                    self.log
-                        .log(format_args!("SIGHUP: configuration not read yet: {error}"));
+                    self.log.log(format_args!(
+                        "SIGHUP: configuration can't be read yet; retrying: {error}"
+                    ));
                     sleep(RETRY_INTERVAL).await;
                 }
                 read => return read,
@@ -63,7 +65,7 @@
         let classes = config.settings.classes.iter();
         let classes: Vec<&str> = classes.map(|class| class.name.as_str()).collect();
         net::log(format_args!(
-            "SIGHUP: classes {}; discovery at {}",
+            "SIGHUP: configuration applied: classes {}; discovery at {}",
             classes.join(", "),
             config.discovery
         ));
@@ -75,7 +77,7 @@
         let _ = self
             .inputs
             .send(DriverInput::SettingsChanged(Box::new(update)));
-        self.parts.update(&config);
+        self.subsystem_settings.update(&config);
         self.text = config.text;
     }
 }
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -1,4 +1,4 @@
-//! The state folder: who owns it, the time line, and the journal.
+//! Opening the state folder: acquires its ownership, continues module time and reads the journal.
 
 use super::ProcessError;
 use crate::net;
@@ -11,22 +11,22 @@
 /// The open state folder, owned by this process.
 pub(super) struct StateFolder {
     pub lock: FolderLock,
-    /// What a predecessor handed over; none where none did.
+    /// State that a predecessor handed over; `None` after a start without a handover.
     pub received: Option<ReceivedHandover>,
     pub clock: Clock,
     pub journal: Journal,
 }
 
-/// Opens the state folder, as soon as this process owns it and the machine can read it; none where a process that started
-/// later owns it.
+/// Opens the state folder. Waits until this process owns it, and retries while errors of the local host may be
+/// temporary. Returns `None` if a process that started later owns the folder.
 ///
 /// # Errors
-/// It fails in a way that does not pass by itself.
+/// Returns the first error that a retry can't resolve.
 pub(super) async fn open_state_folder(
     config: &Config,
 ) -> Result<Option<StateFolder>, ProcessError> {
     let open_lock = || FolderLock::open(&config.state_folder);
-    let lock = retry_until_available("the folder's lock", open_lock).await?;
+    let lock = retry_until_available("the state folder's lock", open_lock).await?;
     let received = match acquire_folder(&lock, &config.state_folder).await {
         FolderOwnership::Free => None,
         FolderOwnership::HandedOver(received) => Some(*received),
@@ -51,7 +51,8 @@
     }))
 }
 
-/// Sends, outcomes and ends that the messages held at once may come to.
+/// Returns the maximum number of journal records that all pending messages can need after their acceptance: for each
+/// message, the start and the outcome of each attempt, and one end.
 fn max_records(config: &Config) -> u64 {
     let settings = &config.settings;
     settings
@@ -62,18 +63,18 @@
 fn log_recovery(name: &str, journal: &Journal, recovery: &Recovery) {
     let Recovery {
         records,
-        torn,
-        damaged,
+        torn_bytes,
+        damaged_bytes,
     } = recovery;
-    if *records + *torn + *damaged > 0 {
+    if *records + *torn_bytes + *damaged_bytes > 0 {
         let unfinished = journal.unfinished().len();
         net::log(format_args!(
-            "{name}: journal has {records} records, {unfinished} unfinished messages, {torn} bytes torn off"
+            "{name}: journal has {records} records, {unfinished} unfinished messages, {torn_bytes} bytes of an incomplete record dropped"
         ));
     }
-    if *damaged > 0 {
+    if *damaged_bytes > 0 {
         net::log(format_args!(
-            "{name}: journal damaged, {damaged} bytes skipped; all it holds may have run"
+            "{name}: journal damaged, {damaged_bytes} bytes skipped; each unfinished message may have been sent"
         ));
     }
 }
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks beside the driver. Each ends once a successor has taken over.
+//! Starts the tasks other than the driver. Each task ends once a successor has taken over.
 
 use super::channels::TaskReceivers;
 use super::{FleetState, Process};
@@ -15,21 +15,21 @@
 
 type ReportRequests = mpsc::Receiver<ReportRequest>;
 
-/// What the tasks are started with.
+/// Shared inputs from which the tasks are started.
 pub(super) struct Tasks<'a> {
     pub process: &'a Process,
     pub clock: Clock,
     pub fleet: FleetState,
 }
 
-fn span(micros: Micros) -> Duration {
+fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
 impl Tasks<'_> {
-    /// Starts all tasks; discovery's begins with the list of this version.
+    /// Starts all tasks. The discovery task requests changes from `list_version` on.
     pub fn start(self, list_version: u64, receivers: TaskReceivers) {
-        let discovery = self.process.parts.discovery.subscribe();
+        let discovery = self.process.subsystem_settings.discovery.subscribe();
         self.start_discovery(list_version);
         self.start_agreement(receivers.agreement_reports);
         self.start_ledger(receivers.ledger_reports);
@@ -52,28 +52,29 @@
         tokio::task::spawn_local(until_handed_over(handed_over, task));
     }
 
-    /// What all clients of discovery and the registry know of the fleet.
+    /// Returns the settings that all clients of discovery and the registry share.
     fn discovery_clients(&self) -> discovery::Shared {
         let settings = &self.process.config.settings;
         discovery::Shared {
             senders: settings.senders,
             asked: settings.list_by_subscription,
-            ask_every: span(settings.safety.poll_interval),
+            ask_every: to_duration(settings.safety.poll_interval),
         }
     }
 
     fn start_discovery(&self, list_version: u64) {
         let config = &self.process.config;
         let inputs = &self.process.senders.inputs;
-        // a call that is decided may be written once its connection is up
-        let drain_grace = span(config.settings.safety.drain_grace);
-        let grace = drain_grace.saturating_sub(span(config.names.dial_timeout));
+        // a call that was decided before an endpoint left the list may still wait for its connection, so the time for
+        // dialling is subtracted from the drain grace
+        let drain_grace = to_duration(config.settings.safety.drain_grace);
+        let grace = drain_grace.saturating_sub(to_duration(config.names.dial_timeout));
         let pushed = !config.settings.list_by_subscription;
         let (freshness, staleness) = Freshness::new(pushed, grace, inputs.clone());
         self.spawn(staleness);
         let clients = self.discovery_clients();
         self.spawn(discovery::watch(
-            self.process.parts.discovery.subscribe(),
+            self.process.subsystem_settings.discovery.subscribe(),
             list_version,
             clients,
             Backoff::new(clients, config.seed),
@@ -88,7 +89,7 @@
             clock: self.clock,
             name: process.config.name.clone(),
             driver: process.senders.inputs.clone(),
-            registry: process.parts.discovery.subscribe(),
+            registry: process.subsystem_settings.discovery.subscribe(),
         }
     }
 
@@ -100,7 +101,7 @@
             backoff: Backoff::new(self.discovery_clients(), !process.config.seed),
         };
         let channels = lease_client::Channels {
-            settings: process.parts.agreement.subscribe(),
+            settings: process.subsystem_settings.agreement.subscribe(),
             reports,
             shutdown: process.flags.stopping.subscribe(),
         };
@@ -117,7 +118,7 @@
             zone: zone.cloned().unwrap_or_default(),
         };
         let channels = lease_client::Channels {
-            settings: process.parts.ledger.subscribe(),
+            settings: process.subsystem_settings.ledger.subscribe(),
             reports,
             shutdown: process.flags.stopping.subscribe(),
         };
@@ -130,9 +131,9 @@
             clock: self.clock,
             seed: process.config.seed,
             driver: process.senders.inputs.clone(),
-            registry: process.parts.discovery.subscribe(),
+            registry: process.subsystem_settings.discovery.subscribe(),
         };
-        let settings = process.parts.freeze.subscribe();
+        let settings = process.subsystem_settings.freeze.subscribe();
         let shutdown = process.flags.stopping.subscribe();
         self.spawn(freeze::run(dependencies, settings, shutdown));
     }
@@ -147,7 +148,7 @@
             fleet_size: self.fleet.size.clone(),
         };
         let channels = membership::Channels {
-            settings: process.parts.membership.subscribe(),
+            settings: process.subsystem_settings.membership.subscribe(),
             reports,
             shutdown: process.flags.stopping.subscribe(),
         };
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -1,4 +1,4 @@
-//! What a start needs of this machine, asked for until it is to be had.
+//! Resources that a start needs from the local host, such as listening sockets. Temporary errors are retried.
 
 use super::clock::ClockError;
 use super::journal::JournalError;
@@ -12,16 +12,17 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep};
 
-/// Longest time in which a listening address must fall free: a predecessor ends within it.
+/// Time for which an address that is in use is retried. A predecessor exits and releases the address within it.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time in which this machine must have the address: a sender has to be ready by then.
+/// Time for which other local errors of binding the address are retried, for example while the host does not have the
+/// address. A sender has to be ready by then.
 const ADDRESS_MISSING_TIMEOUT: Duration = Duration::from_secs(30);
-/// Between two tries to have the operators' address.
+/// Delay between two attempts to bind the operators' address.
 const OPERATORS_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// An error that a failing machine may be the cause of.
+/// An error that may be caused by a failure of the local host.
 pub trait LocalError: Display {
-    /// The system's error in it, if there is one.
+    /// Returns the I/O error that this error contains, if any.
     fn io(&self) -> Option<&io::Error>;
 }
 
@@ -49,17 +50,17 @@
     }
 }
 
-/// Repeats an attempt for as long as its error is transient, and reports each such error.
+/// Repeats an operation while it fails with a transient error, and reports each of these errors.
 ///
 /// # Errors
-/// The first one that is not transient.
+/// Returns the first error that is not transient.
 pub async fn retry_while<T, E>(
-    mut attempt: impl FnMut() -> Result<T, E>,
+    mut operation: impl FnMut() -> Result<T, E>,
     is_transient: impl Fn(&E) -> bool,
     report: impl Fn(&E),
 ) -> Result<T, E> {
     loop {
-        match attempt() {
+        match operation() {
             Err(error) if is_transient(&error) => {
                 report(&error);
                 sleep(RETRY_INTERVAL).await;
@@ -69,57 +70,59 @@
     }
 }
 
-/// Repeats an attempt until it succeeds, or fails in a way that does not pass by itself.
+/// Repeats an operation until it succeeds or fails with a permanent error. Logs temporary errors with the name of the
+/// resource.
 ///
 /// # Errors
-/// The last one.
+/// Returns the first permanent error.
 pub async fn retry_until_available<T, E: LocalError>(
     resource: &str,
-    attempt: impl FnMut() -> Result<T, E>,
+    operation: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
     let errors = RateLimitedLog::default();
     retry_while(
-        attempt,
+        operation,
         |error| error.io().is_some_and(|error| !is_permanent(error)),
-        |error| errors.log(format_args!("start: {resource} is waited for: {error}")),
+        |error| errors.log(format_args!("start: waiting for {resource}: {error}")),
     )
     .await
 }
 
-/// The socket that clients connect to: the one that the platform passed, or one bound here.
+/// Returns the listening socket for clients: the socket that the platform passed to the process or, if there is none or
+/// it is unusable, a socket bound to the address.
 ///
 /// # Errors
-/// The address is not to be had in time.
+/// Returns an error if the address can't be bound in time.
 pub async fn client_listener(
-    passed: Option<RawFd>,
+    passed_socket: Option<RawFd>,
     address: SocketAddr,
 ) -> Result<TcpListener, io::Error> {
-    if let Some(descriptor) = passed {
+    if let Some(descriptor) = passed_socket {
         match inherit_listener(descriptor) {
             Ok(listener) => return Ok(listener),
             Err(error) => log(format_args!(
-                "passed socket {descriptor}: off, one is bound here: {error}"
+                "passed socket {descriptor}: unusable, binding {address} instead: {error}"
             )),
         }
     }
     listen(address).await
 }
 
-/// A copy of the listening socket that every process inherits under this number.
+/// Duplicates the listening socket that the process has inherited under this descriptor number.
 #[allow(unsafe_code)]
 fn inherit_listener(descriptor: RawFd) -> io::Result<TcpListener> {
-    // SAFETY: the number is the platform's promise that the descriptor is open for the whole life of the process;
-    // nothing here closes it, since only a copy is kept. A number that is not open makes the copy fail.
+    // SAFETY: the platform guarantees that the descriptor stays open as long as the process runs, and this function
+    // closes only its duplicate. If no descriptor is open under the number, duplicating it fails.
     let passed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let listener = std::net::TcpListener::from(passed.try_clone_to_owned()?);
-    listener.local_addr()?; // not a socket: an error now, not at the first client
+    listener.local_addr()?; // fails now if the descriptor is not a socket, not only at the first client
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Listens on the address, as soon as a predecessor has left it and this machine has it.
+/// Binds the address. Retries local errors: a predecessor may still use the address, or the host may not have it yet.
 async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     let errors = RateLimitedLog::default();
     loop {
         let error = match TcpListener::bind(address).await {
@@ -132,28 +135,33 @@
         } else {
             ADDRESS_MISSING_TIMEOUT
         };
-        if !is_local(&error) || started.elapsed() >= timeout {
+        if !is_local(&error) || started_at.elapsed() >= timeout {
             return Err(error);
         }
         if !in_use {
-            errors.log(format_args!("start: {address} is waited for: {error}"));
+            errors.log(format_args!(
+                "start: waiting for address {address}: {error}"
+            ));
         }
         sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Listens for operators at once, if the address is to be had; messages are served without them too.
+/// Binds the operators' address once. Returns `None` after an error, because the sender serves messages without
+/// operators as well.
 pub async fn listen_for_operators(name: &str, address: SocketAddr) -> Option<TcpListener> {
     match TcpListener::bind(address).await {
         Ok(listener) => Some(listener),
         Err(error) => {
-            log(format_args!("{name}: operators off, {address}: {error}"));
+            log(format_args!(
+                "{name}: control API unavailable at {address}; retrying: {error}"
+            ));
             None
         }
     }
 }
 
-/// Listens for operators, however long the address takes to be had.
+/// Binds the operators' address, and retries until that succeeds.
 pub async fn wait_for_operators_address(address: SocketAddr) -> TcpListener {
     loop {
         sleep(OPERATORS_RETRY_DELAY).await;
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -44,7 +44,8 @@
 }
 
 fn acts_on(node: &Node) -> Value {
-    let report: Value = serde_json::from_str(&told(node, "GET /agreement")).expect("JSON");
+    let report: Value =
+        serde_json::from_str(&operator_response(node, "GET /agreement")).expect("JSON");
     report["acts_on"].clone()
 }
 
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -233,7 +233,8 @@
         PERIOD.as_millis()
     );
     let node = one_of_many(&agent, &object).ready();
-    let report = || serde_json::from_str::<Value>(&told(&node, "GET /members")).expect("JSON");
+    let report =
+        || serde_json::from_str::<Value>(&operator_response(&node, "GET /members")).expect("JSON");
     wait_until("all senders are known", || report()["living"] == MANY);
     assert_eq!(report()["scaled_by"], MANY);
     assert_eq!(report()["members"].as_array().map(Vec::len), Some(MANY - 1));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,19 +1,26 @@
-//! A hand-driven host: scripted events in, actions out, timers rung when due.
+//! A host for tests of the decision module: passes scripted events to it, records its actions and expires its timers.
 #![allow(dead_code)]
 
 use message_sender::*;
 
+/// Module time in microseconds at which each test starts.
 pub const START: Micros = 100 * SECOND;
 
+/// Runs a decision module without sockets, with a module time that only the test advances.
 pub struct TestHost {
     pub sender: Sender,
+    /// Current module time in microseconds.
     pub now: Micros,
+    /// Times of the timers that the decision module has set, in microseconds of module time.
     pub timers: Vec<Micros>,
-    /// Every send so far: time, message, endpoint, attempt number.
+    /// All sends so far: time, message, endpoint and attempt number, counted from 0 for each message.
     pub sends: Vec<(Micros, u64, u32, usize)>,
+    /// All actions so far, with their time.
     pub log: Vec<(Micros, Action)>,
 }
 
+/// Returns settings with four classes, whose indexes are the constants below, and three kinds: plain, with separate
+/// routes, and with bundles of up to 5 messages.
 pub fn settings(slots: usize) -> Settings {
     let mut settings = Settings::new(slots, 1000);
     settings.classes.push(Class::new(
@@ -57,6 +64,7 @@
     settings
 }
 
+/// Indexes of the classes of [`settings`].
 pub const IDEMPOTENT: usize = 0;
 pub const WITH_IDEMPOTENCY_KEY: usize = 1;
 pub const NON_IDEMPOTENT: usize = 2;
@@ -95,7 +103,7 @@
 
 impl TestHost {
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
-        let sender = Sender::new(settings, 11).expect("settings make sense");
+        let sender = Sender::new(settings, 11).expect("valid settings");
         let mut host = TestHost {
             sender,
             now: START,
@@ -129,7 +137,7 @@
         actions
     }
 
-    /// Rings the timers up to `until`, then stands there.
+    /// Advances the time to `until`, and sends a timer event at each timer that is due on the way.
     pub fn run(&mut self, until: Micros) {
         loop {
             self.timers.sort_unstable();
@@ -145,6 +153,7 @@
         self.now = until;
     }
 
+    /// Returns the times of the message's sends, in microseconds after [`START`].
     pub fn sends_of(&self, message: u64) -> Vec<Micros> {
         self.sends
             .iter()
@@ -153,24 +162,29 @@
             .collect()
     }
 
+    /// Returns the endpoint and the attempt number of the message's last send.
     pub fn last_send(&self, message: u64) -> (u32, usize) {
         let send = self
             .sends
             .iter()
             .rev()
             .find(|send| send.1 == message)
-            .expect("was sent");
+            .expect("message was sent");
         (send.2, send.3)
     }
 
-    /// Ends the latest attempt of the message.
+    /// Ends the latest attempt of the message with an outcome, and returns the resulting actions.
     pub fn end(&mut self, message: u64, outcome: Outcome, latency: Micros) -> Vec<Action> {
         let (endpoint, attempt) = self.last_send(message);
         self.handle(vec![ended(message, attempt, endpoint, outcome, latency)])
     }
 
-    pub fn count(&self, wanted: impl Fn(&Action) -> bool) -> usize {
-        self.log.iter().filter(|(_, action)| wanted(action)).count()
+    /// Returns the number of actions so far that match.
+    pub fn count(&self, matches: impl Fn(&Action) -> bool) -> usize {
+        self.log
+            .iter()
+            .filter(|(_, action)| matches(action))
+            .count()
     }
 
     pub fn failed(&self, message: u64) -> bool {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -36,7 +36,7 @@
 /// No open watch tells anything more; the number of watches so far.
 fn mute(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.muted.store(watches, Ordering::SeqCst);
+    agent.muted_watches.store(watches, Ordering::SeqCst);
     watches
 }
 
@@ -45,7 +45,7 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
     let node = asking(&agent, 300);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     let (watches, silent) = (mute(&agent), Instant::now());
     replace(&agent, &old, "draining", &new);
     wait_until("a new watch", || {
@@ -59,12 +59,12 @@
     let mut tried = 0;
     wait_until("the new list binds", || {
         tried += 1;
-        sent(&node, &format!("t{tried}"), 7);
+        deliver(&node, &format!("t{tried}"), 7);
         new.count() > 0
     });
     let calls = old.count();
     for n in 0..6 {
-        sent(&node, &format!("m{n}"), 7);
+        deliver(&node, &format!("m{n}"), 7);
     }
     assert_eq!((old.count(), new.count()), (calls, 7));
 }
@@ -74,10 +74,10 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
     let node = asking(&agent, 1);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
     // new watches open and tell nothing
-    agent.muted.store(usize::MAX, Ordering::SeqCst);
+    agent.muted_watches.store(usize::MAX, Ordering::SeqCst);
     wait_until("it says so", || {
         node.logged("nothing is sent until it tells")
     });
@@ -87,7 +87,7 @@
         (old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")),
         (1, 202)
     );
-    agent.muted.store(0, Ordering::SeqCst);
+    agent.muted_watches.store(0, Ordering::SeqCst);
     wait_until("all is delivered", || {
         new.times("m1") + new.times("m2") == 2
     });
@@ -111,7 +111,7 @@
     node.kill();
     let tried = old.count();
     replace(&agent, &old, "draining", &new);
-    *agent.late.lock().expect("not poisoned") = Duration::from_millis(150);
+    *agent.watch_delay.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
     wait_until("delivered", || new.times("m1") == 1);
     assert_eq!(
@@ -136,7 +136,7 @@
     });
     node.move_discovery(&agent);
     let node = node.ready();
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
 }
 
 #[test]
@@ -146,20 +146,20 @@
         serde_json::from_str(&one_of("s-1", endpoint.address, "up")).expect("JSON");
     let agent = Agent::new(vec![format!("{value:#}")]);
     let node = asking(&agent, 1);
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.tell("{\"rev\":9,\n \"all\":fals}".to_string());
+    agent.announce("{\"rev\":9,\n \"all\":fals}".to_string());
     wait_until("the list is asked for anew", || {
         agent.watches.load(Ordering::SeqCst) > watches
     });
     wait_until("it says why", || node.logged("the whole list is asked for"));
-    sent(&node, "m2", 7);
+    deliver(&node, "m2", 7);
 }
 
 /// All open watches end.
 fn end_watches(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.ended.store(watches, Ordering::SeqCst);
+    agent.closed_watches.store(watches, Ordering::SeqCst);
     watches
 }
 
@@ -168,15 +168,15 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
     let node = asking(&agent, 300);
-    sent(&node, "before", 7);
-    agent.down.store(true, Ordering::SeqCst);
+    deliver(&node, "before", 7);
+    agent.rejects_watches.store(true, Ordering::SeqCst);
     let watches = end_watches(&agent);
     // its rests have grown by then
     wait_until("two calls are refused", || {
-        agent.refused.load(Ordering::SeqCst) >= 2
+        agent.rejected_watches.load(Ordering::SeqCst) >= 2
     });
     replace(&agent, &old, "draining", &new);
-    agent.down.store(false, Ordering::SeqCst);
+    agent.rejects_watches.store(false, Ordering::SeqCst);
     let back = Instant::now();
     wait_until("a new watch", || {
         agent.watches.load(Ordering::SeqCst) > watches
@@ -187,7 +187,7 @@
         "a new watch after {after:?}"
     );
     wait_until("the new list binds", || {
-        sent(&node, &format!("t{}", old.count()), 7);
+        deliver(&node, &format!("t{}", old.count()), 7);
         new.count() > 0
     });
 }
@@ -197,9 +197,9 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
     let node = asking(&agent, 1);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
-    agent.held.store(true, Ordering::SeqCst);
+    agent.holds_watches.store(true, Ordering::SeqCst);
     end_watches(&agent);
     wait_until("it says so", || {
         node.logged("nothing is sent until it tells")
@@ -207,7 +207,7 @@
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(old.count(), 1);
-    agent.held.store(false, Ordering::SeqCst);
+    agent.holds_watches.store(false, Ordering::SeqCst);
     wait_until("all is delivered", || new.times("m1") == 1);
     assert_eq!(old.count(), 1);
 }
@@ -217,12 +217,12 @@
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = Agent::new(vec![one_of("s-1", endpoint.address, "up")]);
     let node = asking(&agent, 1);
-    sent(&node, "before", 7);
-    agent.down.store(true, Ordering::SeqCst);
+    deliver(&node, "before", 7);
+    agent.rejects_watches.store(true, Ordering::SeqCst);
     end_watches(&agent);
     let (down, mut sent_so_far) = (Instant::now(), 0);
     while down.elapsed() < Duration::from_secs(9) {
-        sent(&node, &format!("m{sent_so_far}"), 7);
+        deliver(&node, &format!("m{sent_so_far}"), 7);
         sent_so_far += 1;
         std::thread::sleep(Duration::from_millis(100));
     }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -29,7 +29,7 @@
 
     /// One with this endpoint, which is listed for destination 7.
     fn with_endpoint(endpoint: Endpoint) -> Self {
-        let agent = one(&endpoint);
+        let agent = agent_with_one_endpoint(&endpoint);
         FaultySender::with_agent(endpoint, agent)
     }
 
@@ -143,7 +143,11 @@
     } = &sender;
     let node = sender.start();
     for id in ["first", "second"] {
-        assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
+        assert_eq!(
+            node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
+                .0,
+            202
+        );
     }
     wait_until("the first is out", || endpoint.times("first") == 1);
     // ends are the shortest records
@@ -153,13 +157,21 @@
         node.logged("the journal can't be written")
     });
     // nothing is written after the end that failed, and so nothing is taken on or sent
-    assert_eq!(node.raw(&about("b", "charge", "other", 7, 20_000)).0, 503);
+    assert_eq!(
+        node.raw(&message_with_subject("b", "charge", "other", 7, 20_000))
+            .0,
+        503
+    );
     assert_eq!(endpoint.count(), 1);
     drop(node);
     faults.off("journal_short");
     let node = sender.start();
     wait_until("the second is delivered", || endpoint.times("second") >= 1);
-    assert_eq!(node.raw(&about("a", "charge", "third", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "third", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("the third is delivered", || endpoint.times("third") >= 1);
     let calls: Vec<String> = endpoint
         .seen
@@ -392,7 +404,7 @@
     let FaultySender {
         endpoint, faults, ..
     } = &sender;
-    let next = one(endpoint);
+    let next = agent_with_one_endpoint(endpoint);
     let node = sender.start();
     faults.on("config_read", EIO);
     node.move_discovery(&next);
@@ -499,7 +511,7 @@
     let mut earlier = faults.start_unseen();
     let log = earlier.stderr.take().expect("piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log)).map_while(Result::ok);
-    let waits = lines.find(|line| line.contains("the folder's lock is waited for"));
+    let waits = lines.find(|line| line.contains("waiting for the state folder's lock"));
     assert!(waits.is_some(), "it waits for the lock");
     signal(&earlier, "STOP");
     faults.off("lock_open");
--- a/tests/freeze.rs
+++ b/tests/freeze.rs
@@ -60,7 +60,7 @@
 }
 
 fn report(node: &Node) -> Value {
-    serde_json::from_str(&told(node, "GET /freeze")).unwrap_or_default()
+    serde_json::from_str(&operator_response(node, "GET /freeze")).unwrap_or_default()
 }
 
 /// A sender whose lists come from an agent, and its calendar from the registry.
@@ -116,7 +116,7 @@
     );
     // at each sender: the new endpoint is held, the drain in the same news is obeyed
     let three = Endpoint::new(|_, _| OK);
-    agent.tell(changes(
+    agent.announce(changes(
         8,
         &[entry("s-3", &three, "up"), entry("s-1", &one, "draining")],
     ));
@@ -127,7 +127,7 @@
     });
     let before = one.count();
     for (n, node) in (0..8).zip(nodes.iter().cycle()) {
-        sent(node, &format!("m{n}"), 7);
+        deliver(node, &format!("m{n}"), 7);
     }
     assert_eq!((one.count() - before, three.count()), (0, 0));
     assert!(two.count() >= 8);
@@ -165,7 +165,7 @@
             .all(|node| report(node)["held"] == json!([]))
     });
     wait_until("used", || {
-        sent(&next, &format!("g{}", three.count() + two.count()), 7);
+        deliver(&next, &format!("g{}", three.count() + two.count()), 7);
         three.count() > 0
     });
     assert_eq!(
@@ -201,14 +201,14 @@
     wait_until("the window begins without a word", || {
         report(&node)["on"]["term"].is_object()
     });
-    agent.tell(changes(8, &[("s-2", one.address, "one", 7, "up")]));
+    agent.announce(changes(8, &[("s-2", one.address, "one", 7, "up")]));
     wait_until("held", || report(&node)["held"] == json!(["s-2"]));
     wait_until("it says so", || node.logged("freeze: s-2 is held"));
     // one that starts now knows none: it serves with what it has, and holds what widens for its time
     let more = changes(8, &[("s-2", one.address, "one", 7, "up")]);
     let agent = Agent::new(vec![list(&[("s-1", one.address, "one", 7, "up")]), more]);
     let new = sender(&agent, &registry);
-    sent(&new, "m1", 7);
+    deliver(&new, "m1", 7);
     wait_until("held at first", || new.logged("freeze: s-2 is held"));
     wait_until("admitted after its time", || {
         new.logged("freeze: s-2 is admitted")
@@ -232,14 +232,14 @@
         ),
         (404, 405)
     );
-    agent.tell(changes(
+    agent.announce(changes(
         8,
         &[
             ("s-1", one.address, "one", 7, "draining"),
             ("s-2", one.address, "one", 7, "up"),
         ],
     ));
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     assert!(!node.logged("freeze"));
 }
 
@@ -256,11 +256,11 @@
     wait_until("it knows the window", || {
         report(&node)["on"]["term"].is_object()
     });
-    agent.tell(changes(8, &[("s-2", one.address, "one", 7, "up")]));
+    agent.announce(changes(8, &[("s-2", one.address, "one", 7, "up")]));
     wait_until("an entry is held", || {
         report(&node)["held"] == json!(["s-2"])
     });
-    let text = told(&node, "GET /freeze");
+    let text = operator_response(&node, "GET /freeze");
     let report: Value = serde_json::from_str(&text).expect("JSON");
     let until_ms = report["on"]["term"]["until_ms"].as_u64().expect("a time");
     let on = json!({ "term": { "until_ms": until_ms, "reason": "first days of term", "owner": "lan", "holds": [],
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -35,7 +35,7 @@
 }
 
 fn report(node: &Node) -> Value {
-    serde_json::from_str(&told(node, "GET /ledger")).expect("JSON")
+    serde_json::from_str(&operator_response(node, "GET /ledger")).expect("JSON")
 }
 
 /// The part of destination 7's rate that a sender has.
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -272,14 +272,14 @@
                 .map(|uid| (uid.as_str(), endpoint.address, "one", 2, state))
                 .collect()
         };
-        agent.tell(changes(version, &entries("up")));
+        agent.announce(changes(version, &entries("up")));
         wait_until("they are known", || {
             pools(&node)["totals"]["endpoints"] == BATCH as u64 + 1
         });
         for n in 0..10 {
-            sent(&node, &format!("m{round}-{n}"), 2);
+            deliver(&node, &format!("m{round}-{n}"), 2);
         }
-        agent.tell(changes(version + 1, &entries("removed")));
+        agent.announce(changes(version + 1, &entries("removed")));
         wait_until("they are gone", || pools(&node)["totals"]["endpoints"] == 1);
         sleep(millis(300));
         if round % 10 == 9 {
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -33,7 +33,7 @@
 }
 
 fn members(node: &Node) -> Value {
-    serde_json::from_str(&told(node, "GET /members")).expect("JSON")
+    serde_json::from_str(&operator_response(node, "GET /members")).expect("JSON")
 }
 
 fn state(node: &Node, of: &str) -> String {
@@ -49,7 +49,7 @@
 #[test]
 fn no_object_starts_no_membership() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(
         (
             node.operate("GET /members", ""),
@@ -77,7 +77,7 @@
 #[test]
 fn two_members_find_each_other_and_shutdown_is_seen_as_left() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let (a, b) = (free(), free());
     let one = member(&agent, "a", &object(a, &[b], ""));
     let mut other = member(&agent, "b", &object(b, &[], ""));
@@ -106,7 +106,7 @@
 #[test]
 fn handover_keeps_the_member_alive() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let (a, b) = (free(), free());
     let other = member(&agent, "b", &object(b, &[], ""));
     let membership = format!(r#""name":"a",{}"#, object(a, &[b], ""));
@@ -128,7 +128,7 @@
 #[test]
 fn faulty_object_stops_start_and_is_rejected_at_sighup() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let address = free();
     for (more, told) in [
         (
@@ -189,11 +189,11 @@
 #[test]
 fn taken_address_is_logged_once_and_messages_are_served() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let taken = UdpSocket::bind("127.0.0.1:0").expect("an address");
     let address = taken.local_addr().expect("bound");
     let node = Node::configured(&agent, 5.0, 8, &object(address, &[], "")).ready();
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     wait_until("it is told", || node.logged("members: off until"));
     drop(taken);
     wait_until("it is on", || node.operate("GET /members", "") == 200);
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -194,7 +194,7 @@
             endpoint.break_off(&pair[0], Fragment { bytes, then });
             let destination = cases.len() as u64;
             let mut clients = [Client::new(&node), Client::new(&node)];
-            node.at_one_moment(|| {
+            node.while_stopped(|| {
                 for (client, id) in clients.iter_mut().zip(&pair) {
                     let text = message("webhook", id, destination, LONG_MS, b"body");
                     client.write(&text).expect("written");
--- a/tests/node/agent.rs
+++ b/tests/node/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery and the platform: lists, watches and notifications.
+//! A stand-in for discovery and the platform: serves endpoint lists to watches and accepts outcome notifications.
 
 use super::endpoint::Endpoint;
 use super::http::read_http;
@@ -10,32 +10,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery: tells one list to each watch and what changes after it, and takes notices.
+/// A stand-in for discovery and the platform. It sends one endpoint list and all later changes to each watch, and
+/// accepts outcome notifications.
 #[derive(Clone)]
 pub struct Agent {
     pub address: SocketAddr,
+    /// Accepted outcome notifications, one line of JSON each.
     pub notices: Arc<Mutex<Vec<String>>>,
-    /// Lines for the next watch; empty: a silent one, as while discovery is down.
+    /// Lines that are sent to each new watch. If there are none, the watch gets no data at all, not even keep-alive
+    /// lines.
     pub lines: Arc<Mutex<Vec<String>>>,
-    /// Lines for the watches that are open.
+    /// Lines that are sent to all open watches, in order.
     changes: Arc<Mutex<Vec<String>>>,
+    /// Number of watches that were opened.
     pub watches: Arc<AtomicUsize>,
-    /// So many of the first watches tell nothing more.
-    pub muted: Arc<AtomicUsize>,
-    /// So many of the first watches have ended.
-    pub ended: Arc<AtomicUsize>,
-    /// Further watches are answered 503, as while discovery is down, and how many were.
-    pub down: Arc<AtomicBool>,
-    pub refused: Arc<AtomicUsize>,
-    /// Further watches are accepted and not answered, as by one that is cut off.
-    pub held: Arc<AtomicBool>,
-    /// How long a watch waits before it tells anything.
-    pub late: Arc<Mutex<Duration>>,
-    /// So many requests with notices are answered 500 first.
-    pub faults: Arc<AtomicUsize>,
-    /// So many of the next requests with notices get no answer, on connections that stay open.
+    /// This number of watches, counted from the first, send nothing more and stay open.
+    pub muted_watches: Arc<AtomicUsize>,
+    /// This number of watches, counted from the first, are closed.
+    pub closed_watches: Arc<AtomicUsize>,
+    /// If true, new watches are answered with status 503, as while discovery is down.
+    pub rejects_watches: Arc<AtomicBool>,
+    /// Number of watches that were answered with status 503.
+    pub rejected_watches: Arc<AtomicUsize>,
+    /// If true, new watches are accepted but get no response, as while discovery is cut off from the network.
+    pub holds_watches: Arc<AtomicBool>,
+    /// Delay before the response to a new watch.
+    pub watch_delay: Arc<Mutex<Duration>>,
+    /// Number of further notification requests that are answered with status 500.
+    pub failing_posts: Arc<AtomicUsize>,
+    /// Number of further notification requests that get no response while their connections stay open.
     pub silent_posts: Arc<AtomicUsize>,
-    /// The next answers to notices break off after so many bytes.
+    /// Lengths in bytes after which the responses to the next notification requests break off.
     notice_cuts: Arc<Mutex<VecDeque<usize>>>,
 }
 
@@ -48,34 +53,35 @@
             lines: Arc::new(Mutex::new(lines)),
             changes: Arc::default(),
             watches: Arc::default(),
-            muted: Arc::default(),
-            ended: Arc::default(),
-            down: Arc::default(),
-            refused: Arc::default(),
-            held: Arc::default(),
-            late: Arc::default(),
-            faults: Arc::default(),
+            muted_watches: Arc::default(),
+            closed_watches: Arc::default(),
+            rejects_watches: Arc::default(),
+            rejected_watches: Arc::default(),
+            holds_watches: Arc::default(),
+            watch_delay: Arc::default(),
+            failing_posts: Arc::default(),
             silent_posts: Arc::default(),
             notice_cuts: Arc::default(),
         };
-        let here = agent.clone();
+        let shared = agent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let here = here.clone();
-                thread::spawn(move || serve_agent(stream, &here));
+                let shared = shared.clone();
+                thread::spawn(move || serve_agent(stream, &shared));
             }
         });
         agent
     }
 
-    /// The next answers to notices break off after so many bytes, one after another.
+    /// Truncates the responses to the next notification requests to the given lengths in bytes, one length per
+    /// response.
     pub fn cut_notices(&self, lengths: impl IntoIterator<Item = usize>) {
         let mut cuts = self.notice_cuts.lock().expect("not poisoned");
         cuts.extend(lengths);
     }
 
-    /// Tells a change to the watches that are open.
-    pub fn tell(&self, line: String) {
+    /// Sends a line with a change of the endpoint list to all open watches.
+    pub fn announce(&self, line: String) {
         self.changes.lock().expect("not poisoned").push(line);
     }
 
@@ -89,7 +95,7 @@
         notices,
         lines,
         watches,
-        faults,
+        failing_posts,
         changes,
         ..
     } = agent;
@@ -98,7 +104,7 @@
         return;
     };
     if request.line.starts_with("POST /v1/outcomes ") {
-        let faulty = faults
+        let faulty = failing_posts
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
                 left.checked_sub(1)
             })
@@ -117,7 +123,7 @@
                 left.checked_sub(1)
             });
         if silent.is_ok() {
-            // until the sender leaves
+            // keeps the connection open until the sender closes it
             let _ = std::io::copy(&mut reader, &mut std::io::sink());
             return;
         }
@@ -128,7 +134,7 @@
         return;
     }
     if request.line.starts_with("GET /v1/freeze ") {
-        // a discovery that knows no calendar
+        // this stand-in has no freeze calendar
         let _ = stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         return;
     }
@@ -137,65 +143,69 @@
         "{}",
         request.line
     );
-    if agent.down.load(Ordering::SeqCst) {
-        agent.refused.fetch_add(1, Ordering::SeqCst);
+    if agent.rejects_watches.load(Ordering::SeqCst) {
+        agent.rejected_watches.fetch_add(1, Ordering::SeqCst);
         let _ = stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
         return;
     }
-    while agent.held.load(Ordering::SeqCst) {
+    while agent.holds_watches.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(10));
     }
-    let number = watches.fetch_add(1, Ordering::SeqCst);
-    thread::sleep(*agent.late.lock().expect("not poisoned"));
-    let mut told = lines.lock().expect("not poisoned").clone();
-    let mut seen = changes.lock().expect("not poisoned").len();
+    let watch_number = watches.fetch_add(1, Ordering::SeqCst);
+    thread::sleep(*agent.watch_delay.lock().expect("not poisoned"));
+    let mut unsent_lines = lines.lock().expect("not poisoned").clone();
+    let mut changes_seen = changes.lock().expect("not poisoned").len();
     if stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .is_err()
     {
         return;
     }
-    let silent = told.is_empty();
+    let silent = unsent_lines.is_empty();
     loop {
-        while number < agent.muted.load(Ordering::SeqCst) {
+        while watch_number < agent.muted_watches.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(10));
         }
-        for line in told.drain(..) {
+        for line in unsent_lines.drain(..) {
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             if stream.write_all(chunk.as_bytes()).is_err() {
                 return;
             }
         }
-        let until = Instant::now() + Duration::from_millis(500);
-        while told.is_empty() && Instant::now() < until {
-            if number < agent.ended.load(Ordering::SeqCst) {
+        let keep_alive_at = Instant::now() + Duration::from_millis(500);
+        while unsent_lines.is_empty() && Instant::now() < keep_alive_at {
+            if watch_number < agent.closed_watches.load(Ordering::SeqCst) {
                 return;
             }
             thread::sleep(Duration::from_millis(10));
-            told.extend(
-                changes.lock().expect("not poisoned")[seen..]
+            unsent_lines.extend(
+                changes.lock().expect("not poisoned")[changes_seen..]
                     .iter()
                     .cloned(),
             );
         }
-        seen += told.len();
-        if !silent && told.is_empty() {
-            told.push(String::new());
+        changes_seen += unsent_lines.len();
+        if !silent && unsent_lines.is_empty() {
+            unsent_lines.push(String::new());
         }
     }
 }
 
-/// A list for discovery's form: each endpoint's uid, address, kind, destination and state.
+/// Returns a line with a full endpoint list. Each entry holds an endpoint's uid, address, kind, destination and state.
 pub fn list(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
-    lines_of(7, true, entries)
+    list_line(7, true, entries)
 }
 
-/// Changes that make a further version.
+/// Returns a line with changes of the endpoint list that result in the given version. The entries are as in [`list`].
 pub fn changes(version: u64, entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
-    lines_of(version, false, entries)
+    list_line(version, false, entries)
 }
 
-fn lines_of(version: u64, all: bool, entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
+fn list_line(
+    version: u64,
+    is_full: bool,
+    entries: &[(&str, SocketAddr, &str, u64, &str)],
+) -> String {
     let targets: Vec<String> = entries
         .iter()
         .map(|(uid, address, kind, destination, state)| {
@@ -205,12 +215,12 @@
         })
         .collect();
     format!(
-        r#"{{"rev":{version},"all":{all},"targets":[{}]}}"#,
+        r#"{{"rev":{version},"all":{is_full},"targets":[{}]}}"#,
         targets.join(",")
     )
 }
 
-/// Discovery with one endpoint, of destination 7.
-pub fn one(endpoint: &Endpoint) -> Agent {
+/// Starts a stand-in for discovery whose list holds one endpoint, of destination 7.
+pub fn agent_with_one_endpoint(endpoint: &Endpoint) -> Agent {
     Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
 }
--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -1,4 +1,4 @@
-//! Clients and operators of a sender, and the messages that clients hand in.
+//! Clients and operators of a sender, and the requests that they send.
 
 use super::http::{Request, read_http};
 use super::process::Node;
@@ -6,6 +6,8 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
+/// Returns a client's request with a message that has an idempotency key. `time_ms` is the message's time limit in
+/// milliseconds.
 pub fn message(class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{class} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
@@ -15,21 +17,27 @@
     [head.as_bytes(), body].concat()
 }
 
-/// A message about a subject.
-pub fn about(subject: &str, class: &str, id: &str, dest: u64, time_ms: u64) -> Vec<u8> {
+/// Returns a client's request with a message that has a subject, by which an ordered class keeps its order.
+pub fn message_with_subject(
+    subject: &str,
+    class: &str,
+    id: &str,
+    dest: u64,
+    time_ms: u64,
+) -> Vec<u8> {
     let text = String::from_utf8(message(class, id, dest, time_ms, b"x")).expect("text");
     text.replacen(" HTTP/1.1", &format!("?subject={subject} HTTP/1.1"), 1)
         .into_bytes()
 }
 
-/// A message of a tenant.
-pub fn of_tenant(tenant: &str, class: &str, id: &str, dest: u64, time_ms: u64) -> Vec<u8> {
+/// Returns a client's request with a message of a tenant.
+pub fn message_of_tenant(tenant: &str, class: &str, id: &str, dest: u64, time_ms: u64) -> Vec<u8> {
     let text = String::from_utf8(message(class, id, dest, time_ms, b"x")).expect("text");
     text.replacen("\r\n", &format!("\r\nX-Tenant-Id: {tenant}\r\n"), 1)
         .into_bytes()
 }
 
-/// A connection of a client.
+/// A client's connection to a sender. Reads time out after [`PATIENCE`].
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
@@ -43,7 +51,7 @@
         Client(BufReader::new(stream))
     }
 
-    /// True if the sender has ended the connection.
+    /// Returns true if the sender has closed the connection.
     pub fn has_ended(&mut self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).expect("set");
@@ -52,7 +60,7 @@
         ended
     }
 
-    /// The answer's status and head; none if the connection ends first.
+    /// Sends the bytes and returns the status and the whole response, or `None` if the connection ends first.
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.write(bytes).ok()?;
         self.answer()
@@ -62,7 +70,7 @@
         self.0.get_mut().write_all(bytes)
     }
 
-    /// The next answer's status and head; none if the connection ends first.
+    /// Reads the next response and returns its status and the whole response, or `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<(u16, Request)> {
         let answer = read_http(&mut self.0)?;
         let status = answer.line.split(' ').nth(1)?.parse().ok()?;
@@ -70,8 +78,8 @@
     }
 }
 
-/// A text answer of an operator's call.
-pub fn told(node: &Node, call: &str) -> String {
+/// Sends an operator's request (method and path) to the control address and returns the body of the response.
+pub fn operator_response(node: &Node, call: &str) -> String {
     let mut stream = TcpStream::connect(node.control).expect("the sender accepts");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     stream
@@ -84,15 +92,16 @@
         .unwrap_or_default()
 }
 
-/// What the sender tells of its connections.
+/// Returns the sender's report of its connection pools.
 pub fn pools(node: &Node) -> serde_json::Value {
-    serde_json::from_str(&told(node, "GET /pools")).expect("JSON")
+    serde_json::from_str(&operator_response(node, "GET /pools")).expect("JSON")
 }
 
-/// Hands a message in and waits until the sender knows its end: its connection is free again by then.
-pub fn sent(node: &Node, id: &str, dest: u64) {
+/// Submits a message and waits until a repeated submission is answered as already delivered. The connection of its call
+/// is idle again by then.
+pub fn deliver(node: &Node, id: &str, dest: u64) {
     assert_eq!(node.hand_in("webhook", id, dest, 20_000, b"x"), 202);
-    wait_until("its end is known", || {
+    wait_until("the message is delivered", || {
         node.hand_in("webhook", id, dest, 20_000, b"x") == 200
     });
 }
--- a/tests/node/config.rs
+++ b/tests/node/config.rs
@@ -1,14 +1,15 @@
-//! The configuration of a sender and the folder that it lies in.
+//! The configuration of a sender under test, and the folder for it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-static FOLDERS: AtomicUsize = AtomicUsize::new(0);
+static FOLDER_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// An empty folder: process ids come again, and with them what an earlier run has left.
+/// Creates an empty folder with an empty `state` folder in it. Removes an existing folder first, because process ids
+/// are reused and an earlier run may have left files under the same name.
 pub fn fresh_folder() -> PathBuf {
-    let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
+    let number = FOLDER_COUNT.fetch_add(1, Ordering::SeqCst);
     let name = format!("node-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
@@ -16,7 +17,8 @@
     folder
 }
 
-/// A configuration for one sender, with a port of its own for clients and one for operators.
+/// Returns the configuration of one sender, which listens on free ports for clients and operators. `idle_s` is the idle
+/// timeout of connections to endpoints in seconds, `sockets` the limit of file descriptors.
 pub fn config(discovery: SocketAddr, disk_mb: f64, idle_s: f64, sockets: usize) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","control":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f",
@@ -37,7 +39,7 @@
     )
 }
 
-/// The configuration with a further part.
-pub fn with_part(config: &str, more: &str) -> String {
-    config.replacen(r#""known":"#, &format!(r#"{more}"known":"#), 1)
+/// Returns the configuration with further members, which must be JSON text that ends with a comma.
+pub fn with_part(config: &str, members: &str) -> String {
+    config.replacen(r#""known":"#, &format!(r#"{members}"known":"#), 1)
 }
--- a/tests/node/endpoint.rs
+++ b/tests/node/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint whose script says what it does with each call.
+//! An endpoint that replies to each call as a script of the test decides.
 
 use super::http::{Request, read_http};
 use std::io::{BufReader, Write};
@@ -7,28 +7,31 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What an endpoint does with a call.
+/// Reaction of an endpoint to a call.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Status line and headers, without the last empty line, and the body.
+    /// Sends a response: the status and headers, without the empty line after them, and the body.
     Answer(&'static str, String),
-    /// Nothing, while the connection stays open.
+    /// Sends no response and keeps the connection open.
     Silence,
-    /// The connection ends.
+    /// Closes the connection without a response.
     Close,
-    /// An answer, and then the connection ends.
+    /// Sends a response with an empty body and closes the connection.
     Last(&'static str),
 }
 
+/// Response with status 200 and an empty body.
 pub const OK: Reply = Reply::Answer("200 OK", String::new());
 
 type Script = Arc<dyn Fn(&Request, usize) -> Reply + Send + Sync>;
 
-/// A server whose script gets each request and its number.
+/// A server that replies as its script decides. The script gets each request and its number, counted from 0.
 #[derive(Clone)]
 pub struct Endpoint {
     pub address: SocketAddr,
+    /// All requests received so far.
     pub seen: Arc<Mutex<Vec<Request>>>,
+    /// Number of connections accepted so far.
     pub connections: Arc<AtomicUsize>,
 }
 
@@ -40,12 +43,12 @@
             seen: Arc::default(),
             connections: Arc::default(),
         };
-        let (here, script): (_, Script) = (endpoint.clone(), Arc::new(script));
+        let (shared, script): (_, Script) = (endpoint.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (here, script) = (here.clone(), script.clone());
-                let connection = here.connections.fetch_add(1, Ordering::SeqCst);
-                thread::spawn(move || here.serve(stream, connection, &script));
+                let (shared, script) = (shared.clone(), script.clone());
+                let connection = shared.connections.fetch_add(1, Ordering::SeqCst);
+                thread::spawn(move || shared.serve(stream, connection, &script));
             }
         });
         endpoint
@@ -63,7 +66,7 @@
                 seen.push(request.clone());
                 seen.len() - 1
             };
-            let (head, body, last) = match script(&request, number) {
+            let (head, body, closes) = match script(&request, number) {
                 Reply::Answer(head, body) => (head, body, false),
                 Reply::Last(head) => (head, String::new(), true),
                 Reply::Silence => continue,
@@ -73,12 +76,13 @@
                 "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            if stream.write_all(text.as_bytes()).is_err() || last {
+            if stream.write_all(text.as_bytes()).is_err() || closes {
                 return;
             }
         }
     }
 
+    /// Returns the number of requests received so far.
     pub fn count(&self) -> usize {
         self.seen.lock().expect("not poisoned").len()
     }
@@ -87,7 +91,7 @@
         self.seen.lock().expect("not poisoned")[number].clone()
     }
 
-    /// How often a message came.
+    /// Returns how many times the message with this id was received.
     pub fn times(&self, id: &str) -> usize {
         let seen = self.seen.lock().expect("not poisoned");
         seen.iter()
