--- a/tests/node/fragments.rs
+++ b/tests/node/fragments.rs
@@ -1,4 +1,4 @@
-//! An endpoint that breaks its answers off as it is told, and keeps its own record of what it has written.
+//! An endpoint that breaks off its responses as a test plans it, and records which deliveries it has confirmed.
 
 use super::http::read_http;
 use super::{Agent, Node, Request, list};
@@ -10,24 +10,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The status line of a delivery.
+/// Status line by which the endpoint confirms a delivery.
 pub const STATUS_LINE: &[u8] = b"HTTP/1.1 200 OK\r\n";
-const WHOLE_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// Long enough for any case that does not wait for it.
+/// Complete response to a call with one message.
+const WHOLE_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+/// Time limit of messages in milliseconds that no test case reaches.
 pub const LONG_MS: u64 = 20_000;
 
-/// What an endpoint does after a part of an answer.
+/// What the endpoint does with the connection after it has sent part of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Then {
-    /// Ends the connection in order.
+    /// Closes the connection normally, with a FIN.
     Close,
-    /// Resets the connection.
+    /// Resets the connection, with an RST.
     Reset,
-    /// Leaves it open and writes nothing more.
+    /// Keeps the connection open and sends nothing more.
     Silence,
 }
 
-/// The answer to one call.
+/// The response to one call: the bytes that are sent, and what happens to the connection then.
 #[derive(Debug, Clone)]
 pub struct Fragment {
     pub bytes: Vec<u8>,
@@ -35,6 +36,7 @@
 }
 
 impl Fragment {
+    /// Returns the first `length` bytes of the status line.
     pub fn of_status_line(length: usize, then: Then) -> Self {
         Fragment {
             bytes: STATUS_LINE[..length].to_vec(),
@@ -43,18 +45,20 @@
     }
 }
 
-/// What a fragmenting endpoint has seen and written.
+/// Planned responses of a fragmenting endpoint, and the calls and deliveries that it has seen.
 #[derive(Debug, Default)]
 struct FragmentRecord {
-    /// Answers to the first calls with each message; all others are whole.
+    /// Planned responses by the id of a call's first message. A planned response is used once, the last one first; all
+    /// other responses are complete.
     fragments: HashMap<String, Vec<Fragment>>,
-    /// Calls with each message that came whole.
+    /// Number of completely received calls by the id of each message in them.
     calls: HashMap<String, usize>,
-    /// Messages for which a whole first line 200 was written.
+    /// Ids of messages whose delivery was confirmed: a complete status line 200 or, in a bulk response, a complete line
+    /// was sent for them.
     delivered: HashSet<String>,
 }
 
-/// An endpoint that breaks its answers off as it is told.
+/// An endpoint that breaks off its responses as planned by [`FragmentingEndpoint::break_off`].
 #[derive(Clone)]
 pub struct FragmentingEndpoint {
     pub address: SocketAddr,
@@ -68,17 +72,17 @@
             address: listener.local_addr().expect("bound"),
             record: Arc::default(),
         };
-        let here = endpoint.clone();
+        let shared = endpoint.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let here = here.clone();
-                thread::spawn(move || here.serve(stream));
+                let shared = shared.clone();
+                thread::spawn(move || shared.serve(stream));
             }
         });
         endpoint
     }
 
-    /// The first call with the message is answered so.
+    /// Plans the response to the next call whose first message has this id.
     pub fn break_off(&self, id: &str, fragment: Fragment) {
         let mut record = self.record.lock().expect("not poisoned");
         record
@@ -91,7 +95,7 @@
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some(request) = read_http(&mut reader) {
-            let fragment = self.answer_to(&request);
+            let fragment = self.response_to(&request);
             if stream.write_all(&fragment.bytes).is_err() {
                 return;
             }
@@ -106,15 +110,16 @@
         }
     }
 
-    /// Records the call and what is written for it: before that, so that the record is never behind the sender.
-    fn answer_to(&self, request: &Request) -> Fragment {
+    /// Returns the response to a call, and records the call and the deliveries that the response confirms. The record
+    /// is made before the response is sent, so that the sender never knows of a delivery that is not recorded yet.
+    fn response_to(&self, request: &Request) -> Fragment {
         let ids = request.ids();
         let mut record = self.record.lock().expect("not poisoned");
         for id in &ids {
             *record.calls.entry(id.clone()).or_default() += 1;
         }
         let planned = record.fragments.get_mut(&ids[0]).and_then(Vec::pop);
-        let fragment = planned.unwrap_or_else(|| whole_answer(&ids));
+        let fragment = planned.unwrap_or_else(|| whole_response(&ids));
         let delivered = match &ids[..] {
             [id] if fragment.bytes.starts_with(STATUS_LINE) => vec![id.clone()],
             [_] => Vec::new(),
@@ -135,9 +140,9 @@
     }
 }
 
-fn whole_answer(ids: &[String]) -> Fragment {
+fn whole_response(ids: &[String]) -> Fragment {
     let bytes = match ids {
-        [_] => WHOLE_ANSWER.to_vec(),
+        [_] => WHOLE_RESPONSE.to_vec(),
         _ => {
             let body: String = ids.iter().map(|id| format!("{id} ok\r\n")).collect();
             let length = body.len();
@@ -150,9 +155,9 @@
     }
 }
 
-/// The messages that whole lines of a bulk answer say are delivered.
-fn delivered_in_bulk(answer: &[u8]) -> Vec<String> {
-    let text = String::from_utf8_lossy(answer);
+/// Returns the ids of the messages that complete lines of a bulk response confirm as delivered.
+fn delivered_in_bulk(response: &[u8]) -> Vec<String> {
+    let text = String::from_utf8_lossy(response);
     let Some((_, body)) = text.split_once("\r\n\r\n") else {
         return Vec::new();
     };
@@ -162,7 +167,7 @@
     whole_lines.map(str::to_string).collect()
 }
 
-/// Discovery with one endpoint that serves so many destinations.
+/// Starts a stand-in for discovery that lists one address as the endpoint of `count` destinations, numbered from 0.
 pub fn destinations_at(address: SocketAddr, kind: &str, count: u64) -> Agent {
     let uids: Vec<String> = (0..count).map(|number| format!("s-{number}")).collect();
     let entries: Vec<_> = uids
@@ -173,7 +178,8 @@
     Agent::new(vec![list(&entries)])
 }
 
-/// A sender with slots for all cases at once and a short window of the class with a key.
+/// Starts a sender with 400 call slots, enough to run all test cases concurrently, and a deduplication window of 1 s
+/// for the class with idempotency keys.
 pub fn sender(agent: &Agent) -> Node {
     let change = |text: String| {
         text.replace(r#""callSlots":8"#, r#""callSlots":400"#)
@@ -191,17 +197,17 @@
         .any(|notice| notice.starts_with(&prefix))
 }
 
-/// Asserts that each message has an end that the record of its endpoint or of the platform proves: a delivery the
-/// sender knows of and notifies nobody of, or a notification.
+/// Asserts that within 8 s each message is either recorded as delivered by the endpoint or notified to the platform as
+/// undelivered, and that no message is both.
 pub fn assert_proved_ends(
     node: &Node,
     agent: &Agent,
     endpoint: &FragmentingEndpoint,
     ids: &[String],
 ) {
-    let until = Instant::now() + Duration::from_secs(8);
+    let deadline = Instant::now() + Duration::from_secs(8);
     let has_end = |id: &String| is_notified(agent, id) || endpoint.has_delivered(id);
-    while Instant::now() < until && !ids.iter().all(has_end) {
+    while Instant::now() < deadline && !ids.iter().all(has_end) {
         thread::sleep(Duration::from_millis(5));
     }
     let lost: Vec<&String> = ids.iter().filter(|id| !has_end(id)).collect();
--- a/tests/node/http.rs
+++ b/tests/node/http.rs
@@ -1,14 +1,18 @@
-//! Requests and answers as the stand-ins read them.
+//! Reading of HTTP requests and responses by the stand-ins for endpoints, clients and discovery.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
+/// An HTTP request or response that was read from a connection.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
+    /// Request line or status line.
     pub line: String,
+    /// Headers by lowercase name.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
+    /// Number of the connection on which an endpoint received the request, counted from 0.
     pub connection: usize,
 }
 
@@ -17,7 +21,7 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Ids of the messages in a call, single or bulk.
+    /// Returns the ids of the messages in a call, which carries one message or is a bulk call with several.
     pub fn ids(&self) -> Vec<String> {
         if self.line.starts_with("POST /inbox ") {
             return vec![self.header("x-request-id").to_string()];
@@ -36,7 +40,7 @@
     }
 }
 
-/// Reads one request or answer; none at the end of the connection.
+/// Reads one request or response. Returns `None` if the connection ends first.
 pub(super) fn read_http(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut request = Request::default();
     loop {
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -1,4 +1,4 @@
-//! A real sender as a process of its own, with a scripted agent and scripted endpoints on loopback sockets.
+//! Runs a real sender as a separate process against scripted stand-ins for discovery and endpoints on loopback sockets.
 #![allow(dead_code, unused_imports)]
 
 mod agent;
@@ -20,13 +20,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition: far beyond what any takes.
+/// Maximum wait for a condition, far longer than any condition takes when the sender works.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !holds() {
-        assert!(Instant::now() < until, "never came: {what}");
+/// Polls the condition until it holds. Panics with its description if it does not hold within [`PATIENCE`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + PATIENCE;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out: {description}");
         thread::sleep(Duration::from_millis(3));
     }
 }
--- a/tests/node/process.rs
+++ b/tests/node/process.rs
@@ -1,4 +1,4 @@
-//! The sender's process: starts, signals, and what it shows of itself.
+//! Starts processes of a sender, sends them signals and requests, and reads their log.
 
 use super::agent::Agent;
 use super::client::{Client, message};
@@ -14,20 +14,26 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The sender and what outlasts its processes.
+/// A running process of a sender, with the folder and the settings from which further processes of the sender can be
+/// started.
 pub struct Node {
+    /// Folder with the configuration and the state folder.
     pub folder: PathBuf,
     discovery: SocketAddr,
     disk_mb: f64,
     idle_s: f64,
     sockets: usize,
     pub process: Child,
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where it answers operators.
+    /// Address for operators.
     pub control: SocketAddr,
+    /// Lines that the process has logged so far.
     pub log: Arc<Mutex<Vec<String>>>,
-    reading: Arc<AtomicBool>,
-    passed: Option<Arc<TcpListener>>,
+    /// Cleared to close the reading end of the log after the next line.
+    reads_log: Arc<AtomicBool>,
+    /// Listening socket that is passed to each process.
+    passed_socket: Option<Arc<TcpListener>>,
 }
 
 impl Node {
@@ -44,32 +50,32 @@
         Node::start(folder, discovery, disk_mb, idle_s, sockets, None)
     }
 
-    /// One whose listening socket the platform holds and passes to every process.
+    /// Starts a sender that inherits its listening socket, as from a platform that passes one socket to every process.
     pub fn on_a_passed_socket(agent: &Agent) -> Self {
         let listener = Arc::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
         let folder = fresh_folder();
         Node::start(folder, agent.address, 3.0, 5.0, 1024, Some(listener))
     }
 
-    /// Starts a further process on the same folder and socket.
+    /// Starts another process on the same folder, with the original configuration and the same passed socket.
     pub fn successor(&self) -> Self {
-        let passed = self.passed.clone();
+        let passed_socket = self.passed_socket.clone();
         Node::start(
             self.folder.clone(),
             self.discovery,
             self.disk_mb,
             self.idle_s,
             self.sockets,
-            passed,
+            passed_socket,
         )
     }
 
-    /// One with further parts of the configuration, and other call slots.
-    pub fn configured(agent: &Agent, idle_s: f64, slots: usize, more: &str) -> Self {
+    /// Starts a sender with further members of the configuration (see [`with_part`]) and another number of call slots.
+    pub fn configured(agent: &Agent, idle_s: f64, slots: usize, members: &str) -> Self {
         let folder = fresh_folder();
         let config = config(agent.address, 3.0, idle_s, 1024)
             .replace(r#""callSlots":8"#, &format!(r#""callSlots":{slots}"#));
-        std::fs::write(folder.join("config.json"), with_part(&config, more)).expect("written");
+        std::fs::write(folder.join("config.json"), with_part(&config, members)).expect("written");
         Node::spawn(
             command(&folder),
             folder,
@@ -81,7 +87,7 @@
         )
     }
 
-    /// One whose configuration is changed as the caller likes.
+    /// Starts a sender with a configuration that the caller has changed.
     pub fn configured_with(agent: &Agent, change: impl FnOnce(String) -> String) -> Self {
         let folder = fresh_folder();
         let text = change(config(agent.address, 3.0, 5.0, 1024));
@@ -97,10 +103,10 @@
         )
     }
 
-    /// Starts a further process on the same folder, with the configuration as it stands there.
+    /// Starts another process on the same folder, with the configuration that the folder holds now.
     pub fn successor_as_configured(&self) -> Self {
         let (disk_mb, idle_s, sockets) = (self.disk_mb, self.idle_s, self.sockets);
-        let (folder, passed) = (self.folder.clone(), self.passed.clone());
+        let (folder, passed_socket) = (self.folder.clone(), self.passed_socket.clone());
         Node::spawn(
             command(&folder),
             folder,
@@ -108,11 +114,11 @@
             disk_mb,
             idle_s,
             sockets,
-            passed,
+            passed_socket,
         )
     }
 
-    /// Another build of the program, to be measured beside this one.
+    /// Starts a sender from another build of the program, to compare measurements with this build.
     pub fn of_program(program: &std::path::Path, agent: &Agent, idle_s: f64) -> Self {
         let folder = fresh_folder();
         let text = config(agent.address, 3.0, idle_s, 1024);
@@ -134,7 +140,7 @@
         disk_mb: f64,
         idle_s: f64,
         sockets: usize,
-        passed: Option<Arc<TcpListener>>,
+        passed_socket: Option<Arc<TcpListener>>,
     ) -> Self {
         let text = config(discovery, disk_mb, idle_s, sockets);
         std::fs::write(folder.join("config.json"), text).expect("written");
@@ -145,7 +151,7 @@
             disk_mb,
             idle_s,
             sockets,
-            passed,
+            passed_socket,
         )
     }
 
@@ -156,10 +162,10 @@
         disk_mb: f64,
         idle_s: f64,
         sockets: usize,
-        passed: Option<Arc<TcpListener>>,
+        passed_socket: Option<Arc<TcpListener>>,
     ) -> Self {
-        if let Some(listener) = &passed {
-            // the shell gives the socket, which comes as its input, the number that is told
+        if let Some(listener) = &passed_socket {
+            // the socket is passed to a shell as its standard input, and the shell duplicates it to descriptor 7
             let mut shell = Command::new("/bin/sh");
             shell
                 .args(["-c", r#"exec "$0" 7<&0 0</dev/null"#])
@@ -179,29 +185,32 @@
             .spawn();
         let mut process = started.expect("the sender starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (here, errors) = (log.clone(), process.stderr.take().expect("piped"));
-        let reading = Arc::new(AtomicBool::new(true));
-        let read = reading.clone();
+        let (shared_log, errors) = (log.clone(), process.stderr.take().expect("piped"));
+        let reads_log = Arc::new(AtomicBool::new(true));
+        let continues = reads_log.clone();
         thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                here.lock().expect("not poisoned").push(line);
-                if !read.load(Ordering::SeqCst) {
+                shared_log.lock().expect("not poisoned").push(line);
+                if !continues.load(Ordering::SeqCst) {
                     return;
                 }
             }
         });
-        let logged = |what: &str| {
+        let logged_address = |prefix: &str| {
             let mut address = None;
-            wait_until(what, || {
+            wait_until(prefix, || {
                 let log = log.lock().expect("not poisoned");
                 address = log
                     .iter()
-                    .find_map(|line| line.split_once(what)?.1.trim().parse().ok());
+                    .find_map(|line| line.split_once(prefix)?.1.trim().parse().ok());
                 address.is_some()
             });
             address.expect("found")
         };
-        let (address, control) = (logged("listening on "), logged("operators at "));
+        let (address, control) = (
+            logged_address("listening on "),
+            logged_address("control API at "),
+        );
         Node {
             folder,
             discovery,
@@ -212,23 +221,24 @@
             address,
             control,
             log,
-            reading,
-            passed,
+            reads_log,
+            passed_socket,
         }
     }
 
-    /// Waits until it is ready.
+    /// Waits until the process reports that it is ready for messages.
     pub fn ready(self) -> Self {
         wait_until("ready", || self.get_ready() == 200);
         self
     }
 
+    /// Returns the status of the readiness request on the clients' address.
     pub fn get_ready(&self) -> u16 {
         self.raw("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
             .0
     }
 
-    /// An operator's call; the status of its answer.
+    /// Sends an operator's request (method and path) and returns the status of the response.
     pub fn operate(&self, call: &str, body: &str) -> u16 {
         let text = format!(
             "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
@@ -240,26 +250,26 @@
             .0
     }
 
-    /// Takes an endpoint out (`disable`) or puts it back (`enable`).
-    pub fn order(&self, what: &str, uid: &str) -> u16 {
+    /// Disables or enables an endpoint; `operation` is `disable` or `enable`. Returns the status of the response.
+    pub fn admin_command(&self, operation: &str, uid: &str) -> u16 {
         self.operate(
-            &format!("POST /endpoints/{what}"),
+            &format!("POST /endpoints/{operation}"),
             &format!(r#"{{"target":"{uid}"}}"#),
         )
     }
 
-    /// Sends the bytes on a connection of their own; the status and head of the answer, 0 if none comes.
+    /// Sends the bytes on a new connection. Returns the status and the response; status 0 if the connection ends first.
     pub fn raw(&self, bytes: &[u8]) -> (u16, Request) {
         let mut client = Client::new(self);
         client.send(bytes).unwrap_or_default()
     }
 
-    /// Hands a message in.
+    /// Submits a message and returns the status of the response.
     pub fn hand_in(&self, class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> u16 {
         self.raw(&message(class, id, dest, time_ms, body)).0
     }
 
-    /// Ends the process with no warning.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.process.kill();
         self.process.wait().expect("ended");
@@ -269,7 +279,7 @@
         self.signal("TERM");
     }
 
-    /// Sends the process a signal, by its name.
+    /// Sends a signal to the process, given by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
         let name = format!("-{name}");
@@ -282,21 +292,22 @@
         );
     }
 
-    /// Has all of this meet the process at one moment: it stands still meanwhile.
-    pub fn at_one_moment(&self, all: impl FnOnce()) {
+    /// Runs the action while the process is stopped by SIGSTOP, so that the process finds all resulting events at the
+    /// same time when it continues.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
-        wait_until("it stands still", || {
-            let stat = std::fs::read_to_string(&stat).expect("it runs");
+        wait_until("the process is stopped", || {
+            let stat = std::fs::read_to_string(&stat).expect("process is running");
             stat.rsplit(") ")
                 .next()
                 .is_some_and(|rest| rest.starts_with('T'))
         });
-        all();
+        action();
         self.signal("CONT");
     }
 
-    /// Has the configuration name another address for discovery, and tells the process.
+    /// Changes the address of discovery in the configuration and sends SIGHUP to the process.
     pub fn move_discovery(&self, agent: &Agent) {
         let path = self.folder.join("config.json");
         let text = std::fs::read_to_string(&path).expect("the configuration");
@@ -309,23 +320,23 @@
         self.signal("HUP");
     }
 
-    /// Kills it if it runs, and starts it again with the same folder.
+    /// Kills the process and starts another one on the same folder.
     pub fn restart(mut self) -> Self {
         self.kill();
         self.successor()
     }
 
-    /// Descriptors that the process holds.
+    /// Returns the number of file descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
-            .expect("it runs")
+            .expect("process is running")
             .count()
     }
 
-    /// Memory of the process that no file backs, in bytes.
+    /// Returns the resident anonymous memory of the process in bytes.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))
-            .expect("it runs");
+            .expect("process is running");
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("RssAnon:"))
@@ -337,15 +348,17 @@
             * 1024
     }
 
+    /// Returns the path of the journal's file.
     pub fn journal(&self) -> PathBuf {
         self.folder.join("state/journal")
     }
 
-    /// The log is read up to its next line, then its pipe is closed.
+    /// Closes the reading end of the log's pipe after the next line.
     pub fn log_closes(&mut self) {
-        self.reading.store(false, Ordering::SeqCst);
+        self.reads_log.store(false, Ordering::SeqCst);
     }
 
+    /// Returns true if a logged line contains the text.
     pub fn logged(&self, text: &str) -> bool {
         self.log
             .lock()
@@ -371,7 +384,8 @@
     }
 }
 
-/// The program with the variables that name its configuration and its lasting folder.
+/// Returns a command that runs the sender with the configuration and the state folder in the given folder. Its log is
+/// piped.
 pub fn command(folder: &std::path::Path) -> Command {
     command_of(env!("CARGO_BIN_EXE_message-sender").as_ref(), folder)
 }
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -1,4 +1,4 @@
-//! The registry's own program, one replica, which `cargo test --workspace` builds beside the sender's.
+//! Runs the real registry program with one replica. `cargo test --workspace` builds it next to the sender's program.
 
 use super::{Agent, Endpoint, Node, fresh_folder, wait_until, with_part};
 use serde_json::{Value, json};
@@ -7,15 +7,17 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A registry of one replica; killed when dropped.
+/// A running registry with one replica. Its process is killed on drop.
 pub struct Registry {
+    /// Folder with the registry's settings and log.
     pub folder: PathBuf,
     pub address: SocketAddr,
     pub process: Child,
 }
 
 impl Registry {
-    /// With these files beside its settings, and these tables in them.
+    /// Starts a registry. `files` are names and contents of files that are written next to its settings file, `tables`
+    /// is TOML text that is appended to the settings.
     pub fn new(files: &[(&str, String)], tables: &str) -> Self {
         let folder = fresh_folder();
         let address = TcpListener::bind("127.0.0.1:0")
@@ -54,6 +56,8 @@
             .expect("the registry starts")
     }
 
+    /// Sends a request and returns the status and the JSON body of the response, which is null if the body is not JSON.
+    /// Returns `None` if the registry can't be reached.
     pub fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         let body = if body.is_null() {
@@ -75,6 +79,7 @@
         ))
     }
 
+    /// Repeats a request until the response has status 200.
     pub fn request_until_ok(&self, method: &str, path: &str, body: &Value) {
         wait_until(path, || {
             self.request(method, path, body)
@@ -82,6 +87,7 @@
         });
     }
 
+    /// Adds an endpoint to the registry's endpoint list.
     pub fn add_endpoint(&self, uid: &str, endpoint: &Endpoint, dest: u64) {
         let target =
             json!({ "endpoint": endpoint.address, "pod_group": dest, "az": "a", "model": "one" });
@@ -95,17 +101,19 @@
             .expect("killed");
     }
 
+    /// Starts the registry again after [`Registry::kill`], on the same folder.
     pub fn start(&mut self) {
         self.process = Registry::run(&self.folder);
     }
 
-    /// A sender that finds it, with a further part of the configuration.
-    pub fn sender(&self, name: &str, part: &str) -> Node {
+    /// Starts a sender that uses this registry for discovery, with further members of the configuration (see
+    /// [`with_part`]).
+    pub fn sender(&self, name: &str, members: &str) -> Node {
         let mut agent = Agent::new(Vec::new());
         agent.address = self.address;
-        let part = format!(r#""name":"{name}",{part}"#);
+        let members = format!(r#""name":"{name}",{members}"#);
         Node::configured_with(&agent, |text| {
-            with_part(&text.replace(r#""name":"n1","#, ""), &part)
+            with_part(&text.replace(r#""name":"n1","#, ""), &members)
         })
         .ready()
     }
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -1,4 +1,5 @@
-//! A preloaded library that makes system calls of one sender fail, switched on and off by files (`failing_calls.c`).
+//! Runs a sender with a preloaded library (`failing_calls.c`) that makes system calls fail. Each kind of failure is
+//! switched on and off by a file.
 
 use super::{Agent, Node, command, config, fresh_folder};
 use std::path::{Path, PathBuf};
@@ -7,7 +8,7 @@
 
 const SOURCE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/lab/shim/failing_calls.c");
 
-/// Numbers that Linux gives its errors.
+/// Error numbers of Linux, see `errno(3)`.
 pub const EINTR: i32 = 4;
 pub const EIO: i32 = 5;
 pub const ENFILE: i32 = 23;
@@ -17,7 +18,7 @@
 pub const ECONNABORTED: i32 = 103;
 pub const ENOBUFS: i32 = 105;
 
-/// The library, built once for each test program by the compiler driver that Rust links with.
+/// Returns the path of the preloaded library. It is compiled with `cc` on the first call in each test program.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -35,7 +36,7 @@
     })
 }
 
-/// The faults of one sender, over all its processes.
+/// A sender whose system calls can be made to fail, with the faults that are on for all its processes.
 pub struct Faults {
     folder: PathBuf,
     switches: PathBuf,
@@ -43,7 +44,7 @@
 }
 
 impl Faults {
-    /// None yet, for a sender whose configuration is changed as the caller likes.
+    /// Creates the folder of a sender with a configuration that the caller has changed. No fault is on yet.
     pub fn new(agent: &Agent, change: impl FnOnce(String) -> String) -> Self {
         let folder = fresh_folder();
         let switches = folder.join("faults");
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Starts a process of the sender.
+    /// Starts a process of the sender and waits until it listens.
     pub fn start(&self) -> Node {
         let mut command = command(&self.folder);
         self.load(&mut command);
@@ -75,7 +76,7 @@
         )
     }
 
-    /// Starts one that may end before it listens.
+    /// Starts a process of the sender without waiting until it listens, for starts that may fail.
     pub fn start_unseen(&self) -> Child {
         let mut command = command(&self.folder);
         self.load(&mut command);
@@ -91,16 +92,16 @@
             .env("FAULT_DIR", &self.switches);
     }
 
-    /// From now on calls of this kind fail with this number, see `failing_calls.c`.
-    pub fn on(&self, fault: &str, number: i32) {
-        // whole from the first moment on
-        let new = self.switches.join(".new");
-        std::fs::write(&new, number.to_string()).expect("written");
-        std::fs::rename(new, self.switches.join(fault)).expect("switched");
+    /// Makes system calls of this kind fail with the error number. `failing_calls.c` lists the kinds.
+    pub fn on(&self, fault: &str, error_number: i32) {
+        // written under another name and renamed, so that the library never reads an incomplete file
+        let new_path = self.switches.join(".new");
+        std::fs::write(&new_path, error_number.to_string()).expect("written");
+        std::fs::rename(new_path, self.switches.join(fault)).expect("switched");
     }
 
-    /// Calls of this kind succeed again.
+    /// Lets system calls of this kind succeed again.
     pub fn off(&self, fault: &str) {
-        std::fs::remove_file(self.switches.join(fault)).expect("it was on");
+        std::fs::remove_file(self.switches.join(fault)).expect("fault was on");
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,5 @@
-//! What operators do to the real sender from day to day, over loopback sockets.
+//! Tests of operators' actions on a real sender process: disabling endpoints, handovers, new settings and faulty
+//! starts.
 
 mod node;
 
@@ -8,7 +9,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn two(first: &Endpoint, second: &Endpoint) -> Agent {
+/// Starts a stand-in for discovery that lists two endpoints of destination 7.
+fn agent_with_two_endpoints(first: &Endpoint, second: &Endpoint) -> Agent {
     Agent::new(vec![list(&[
         ("s-1", first.address, "one", 7, "up"),
         ("s-2", second.address, "one", 7, "up"),
@@ -18,35 +20,36 @@
 #[test]
 fn operator_is_answered_beside_callers_with_incomplete_requests() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&two(&endpoint, &endpoint)).ready();
+    let node = Node::new(&agent_with_two_endpoints(&endpoint, &endpoint)).ready();
     let parts = [
         "",
         "GET /rea",
         "POST /endpoints/disable HTTP/1.1\r\nHost: a\r\nContent-Length: 30\r\n\r\n{",
     ];
-    let held: Vec<TcpStream> = (0..90)
+    let incomplete_requests: Vec<TcpStream> = (0..90)
         .map(|n| {
             let mut stream = TcpStream::connect(node.control).expect("accepts");
             stream.write_all(parts[n % 3].as_bytes()).expect("written");
             stream
         })
         .collect();
-    // the held ones leave by themselves only after 2 s or more
-    let began = Instant::now();
+    // the sender closes connections with incomplete requests only after a timeout of 2 s, so a faster response does not
+    // wait for them
+    let started_at = Instant::now();
     assert_eq!(node.operate("GET /ready", ""), 200);
-    assert_eq!(node.order("disable", "s-1"), 200);
+    assert_eq!(node.admin_command("disable", "s-1"), 200);
     assert!(
-        began.elapsed() < Duration::from_millis(1900),
+        started_at.elapsed() < Duration::from_millis(1900),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
-    drop(held);
+    drop(incomplete_requests);
 }
 
 #[test]
 fn invalid_admin_request_is_rejected() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&two(&endpoint, &endpoint)).ready();
+    let node = Node::new(&agent_with_two_endpoints(&endpoint, &endpoint)).ready();
     for (call, body, status) in [
         ("GET /endpoints/disable", r#"{"target":"s-1"}"#, 405),
         ("POST /ready", "", 405),
@@ -67,7 +70,7 @@
     ] {
         assert_eq!(node.operate(call, body), status, "{call} {body}");
     }
-    // clients' paths are not answered here, nor operators' ones there
+    // the control address serves no clients' paths, and the clients' address no operators' paths
     let text = String::from_utf8(message("webhook", "m1", 7, 20_000, b"x")).expect("text");
     assert_eq!(
         Client::to(node.control)
@@ -87,7 +90,7 @@
 #[test]
 fn disabled_endpoint_gets_no_calls_until_enabled_over_lists_and_restart() {
     let (first, second) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = two(&first, &second);
+    let agent = agent_with_two_endpoints(&first, &second);
     let node = Node::new(&agent).ready();
     let sends = |node: &Node, prefix: &str| {
         for n in 0..8 {
@@ -97,25 +100,29 @@
         }
     };
     assert_eq!(
-        (node.order("disable", "s-1"), node.order("disable", "s-1")),
+        (
+            node.admin_command("disable", "s-1"),
+            node.admin_command("disable", "s-1")
+        ),
         (200, 200)
     );
     sends(&node, "out");
     assert_eq!(first.count(), 0);
-    // killed at once, and listed anew to the next life
+    // the next process reads the command from the journal, and gets the endpoint from a new list
     let node = node.restart().ready();
     sends(&node, "still");
     assert_eq!(first.count(), 0);
-    assert_eq!(node.order("enable", "s-1"), 200);
-    assert_eq!(node.order("disable", "s-2"), 200);
+    assert_eq!(node.admin_command("enable", "s-1"), 200);
+    assert_eq!(node.admin_command("disable", "s-2"), 200);
     assert_eq!(node.hand_in("webhook", "back", 7, 20_000, b"x"), 202);
-    wait_until("the one put back is used", || first.times("back") == 1);
+    wait_until("the enabled endpoint is used", || first.times("back") == 1);
     let node = node.restart().ready();
     assert_eq!(node.hand_in("webhook", "again", 7, 20_000, b"x"), 202);
-    wait_until("it stays back", || first.times("again") == 1);
+    wait_until("the endpoint stays enabled", || first.times("again") == 1);
 }
 
-/// An endpoint that answers the messages with this prefix once the gate is open, and others at once.
+/// Starts an endpoint that holds back its response to messages whose id has the prefix until the returned gate is set
+/// to true. It answers all other messages at once.
 fn gated(prefix: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
@@ -138,10 +145,14 @@
     ])]);
     let mut old = Node::on_a_passed_socket(&agent).ready();
     let charge = |node: &Node, id: &str| {
-        assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
+        assert_eq!(
+            node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
+                .0,
+            202
+        );
     };
     assert_eq!(old.hand_in("webhook", "done", 7, 20_000, b"x"), 202);
-    wait_until("its end is known", || {
+    wait_until("the message is delivered", || {
         old.hand_in("webhook", "done", 7, 20_000, b"x") == 200
     });
     let mut client = Client::new(&old);
@@ -153,22 +164,22 @@
         202
     );
     charge(&old, "held");
-    wait_until("a call is out", || endpoint.times("held") == 1);
+    wait_until("the call is in flight", || endpoint.times("held") == 1);
     charge(&old, "next");
-    assert_eq!(old.order("disable", "s-3"), 200);
+    assert_eq!(old.admin_command("disable", "s-3"), 200);
     assert_eq!(old.hand_in("webhook", "kept", 9, 20_000, b"x"), 202);
     let new = old.successor();
-    wait_until("it is handed over", || {
+    wait_until("the handover is complete", || {
         new.logged("taken over") && old.logged("handed over")
     });
     wait_until("ready", || new.operate("GET /ready", "") == 200);
     assert_eq!(old.operate("GET /ready", ""), 503);
-    // what still comes to the old process is answered by what the new one knows
+    // the old process forwards new messages to the new one and returns the answers of the new one
     let (status, answer) = client
         .send(&message("webhook", "crossing", 8, 20_000, b"x"))
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
-    wait_until("it is delivered", || endpoint.times("crossing") == 1);
+    wait_until("the message is sent", || endpoint.times("crossing") == 1);
     assert_eq!(
         new.hand_in("webhook", "done", 7, 20_000, b"x"),
         200,
@@ -178,7 +189,7 @@
     assert_eq!(
         endpoint.times("next") + endpoint.times("kept"),
         0,
-        "the key's call is out, the endpoint too"
+        "the key's call is in flight, and the other endpoint is disabled"
     );
     old.terminate();
     wait_until("draining", || old.logged("draining"));
@@ -188,18 +199,20 @@
         "the call still runs in the old process"
     );
     *gate.lock().expect("not poisoned") = true;
-    wait_until("the key goes on", || {
+    wait_until("the next messages of the key are sent", || {
         endpoint.times("next") == 1 && endpoint.times("last") == 1
     });
-    assert!(old.process.wait().expect("it ends").success());
-    assert_eq!(new.order("enable", "s-3"), 200);
-    wait_until("what waited for the endpoint goes", || {
+    assert!(old.process.wait().expect("process has ended").success());
+    assert_eq!(new.admin_command("enable", "s-3"), 200);
+    wait_until("the message that waited for the endpoint is sent", || {
         endpoint.times("kept") == 1
     });
     let ids = ["done", "first", "held", "next", "kept", "crossing", "last"];
-    // an endpoint sees a call before the sender sees its answer
-    wait_until("every end is known", || {
-        let last = new.raw(&about("a", "charge", "last", 7, 20_000)).0;
+    // an endpoint receives a call before the sender receives the response, so the outcomes may not be known yet
+    wait_until("all messages are delivered", || {
+        let last = new
+            .raw(&message_with_subject("a", "charge", "last", 7, 20_000))
+            .0;
         let others = [("crossing", 8), ("kept", 9)];
         last == 200
             && others
@@ -208,7 +221,7 @@
     });
     assert!(ids.iter().all(|id| endpoint.times(id) == 1), "each once");
     let new = new.restart().ready();
-    wait_until("it is told", || new.logged("0 unfinished messages"));
+    wait_until("the line is logged", || new.logged("0 unfinished messages"));
 }
 
 #[test]
@@ -218,7 +231,7 @@
     let mut old = Node::on_a_passed_socket(&agent).ready();
     assert_eq!(old.hand_in("order", "held-once", 7, 20_000, b"x"), 202);
     assert_eq!(old.hand_in("webhook", "held-keyed", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || {
+    wait_until("both calls are in flight", || {
         endpoint.times("held-once") == 1 && endpoint.times("held-keyed") == 1
     });
     let new = old.successor().ready();
@@ -227,16 +240,16 @@
         (1, 1)
     );
     old.kill();
-    wait_until("the keyed one goes again", || {
+    wait_until("the message with a key is sent again", || {
         endpoint.times("held-keyed") == 2
     });
-    wait_until("the other one fails", || {
+    wait_until("the message without a key fails", || {
         agent
             .notices()
             .contains(&r#"{"id":"held-once","state":"failed"}"#.to_string())
     });
     assert_eq!(endpoint.times("held-once"), 1);
-    wait_until("it is told", || {
+    wait_until("the line is logged", || {
         new.logged("the predecessor has ended, 2 calls with it")
     });
 }
@@ -244,20 +257,23 @@
 #[test]
 fn predecessor_continues_after_failed_handover() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = two(&endpoint, &endpoint);
+    let agent = agent_with_two_endpoints(&endpoint, &endpoint);
     let old = Node::on_a_passed_socket(&agent).ready();
-    // one that asks, is told all, and is gone before it owns anything
-    let mut asks = std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
-        .expect("it waits");
-    asks.write_all(&[2, 0, 0, 0, 0, 10]).expect("written");
+    // a successor that requests the state, receives it, and disconnects before it confirms the takeover
+    let mut successor =
+        std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
+            .expect("predecessor listens");
+    successor.write_all(&[2, 0, 0, 0, 0, 10]).expect("written");
     let mut length = [0; 4];
-    std::io::Read::read_exact(&mut asks, &mut length).expect("it hands over");
-    drop(asks);
-    wait_until("it takes all back", || old.logged("this process continues"));
+    std::io::Read::read_exact(&mut successor, &mut length).expect("state is sent");
+    drop(successor);
+    wait_until("the predecessor continues", || {
+        old.logged("this process continues")
+    });
     assert_eq!(old.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.times("m1") == 1);
     assert_eq!(old.operate("GET /ready", ""), 200);
-    // and hands over to one that stays
+    // a later handover to a successor that stays succeeds
     let new = old.successor().ready();
     assert_eq!(new.hand_in("webhook", "m1", 7, 20_000, b"x"), 200);
 }
@@ -265,37 +281,39 @@
 #[test]
 fn successor_of_other_version_gets_only_the_journal() {
     let (endpoint, gate) = gated("held");
-    let agent = two(&endpoint, &endpoint);
+    let agent = agent_with_two_endpoints(&endpoint, &endpoint);
     let mut old = Node::on_a_passed_socket(&agent).ready();
     assert_eq!(old.hand_in("webhook", "held", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("held") == 1);
-    let mut asks = std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
-        .expect("it waits");
-    asks.write_all(&[2, 0, 0, 0, 0, 99]).expect("written");
-    wait_until("it ends", || {
+    wait_until("the call is in flight", || endpoint.times("held") == 1);
+    let mut successor =
+        std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
+            .expect("predecessor listens");
+    successor.write_all(&[2, 0, 0, 0, 0, 99]).expect("written");
+    wait_until("the predecessor has ended", || {
         old.process.try_wait().expect("asked").is_some()
     });
     *gate.lock().expect("not poisoned") = true;
     let new = old.successor().ready();
-    wait_until("it is told", || new.logged("1 unfinished messages"));
-    wait_until("it goes again", || endpoint.times("held") == 2);
+    wait_until("the line is logged", || new.logged("1 unfinished messages"));
+    wait_until("the message is sent again", || endpoint.times("held") == 2);
 }
 
-/// The configuration with a part replaced.
-fn changed(node: &Node, from: &str, to: &str) -> String {
+/// Returns the text of the sender's configuration with `from` replaced by `to`.
+fn config_with(node: &Node, from: &str, to: &str) -> String {
     let text = std::fs::read_to_string(node.folder.join("config.json")).expect("the configuration");
     assert!(text.contains(from), "{from}");
     text.replace(from, to)
 }
 
-fn bring(node: &Node, text: &str) {
+/// Writes a new configuration and sends SIGHUP to the process.
+fn reload(node: &Node, text: &str) {
     std::fs::write(node.folder.join("config.json"), text).expect("written");
     node.hang_up();
 }
 
 #[test]
 fn new_settings_apply_to_new_messages_only_also_over_restart() {
-    // each first call fails: what may be repeated goes again, what may not fails
+    // the first call with each message fails: only messages that may be repeated are sent again
     let endpoint = Endpoint::new({
         let seen: Mutex<Vec<String>> = Mutex::default();
         move |request, _| {
@@ -315,13 +333,13 @@
         .collect();
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::new(&agent).ready();
-    // the endpoints are out, so that all is still open when the settings change
+    // all endpoints are disabled, so that the messages are still pending when the settings change
     uids.iter()
-        .for_each(|uid| assert_eq!(node.order("disable", uid), 200));
+        .for_each(|uid| assert_eq!(node.admin_command("disable", uid), 200));
     assert_eq!(node.hand_in("webhook", "old-a", 1, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "old-b", 2, 20_000, b"x"), 202);
-    // the effects change places, one class comes and one goes
-    let text = changed(
+    // the new settings swap the effects of two classes, add one class and remove one
+    let text = config_with(
         &node,
         r#""effect":"deduplicated","group":"all","window":12.0"#,
         r#""effect":"EFFECT""#,
@@ -332,8 +350,8 @@
     )
     .replace("EFFECT", "at_most_once")
     .replace(r#""name":"charge""#, r#""name":"charge-ii""#);
-    bring(&node, &text);
-    wait_until("the new class is known", || {
+    reload(&node, &text);
+    wait_until("the new class is accepted", || {
         node.hand_in("charge-ii", "new-c", 3, 20_000, b"x") == 202
     });
     assert_eq!(node.hand_in("charge", "gone", 7, 20_000, b"x"), 400);
@@ -349,20 +367,23 @@
         journal.windows(4).filter(|mark| mark == b"MTJ1").count()
     };
     let before = records();
-    assert_eq!(node.order("enable", "s-2"), 200);
-    wait_until("an open one keeps its effect", || failed("old-b"));
-    // discovery sees a notice before the sender sees that it was taken
-    wait_until("put back, sent, ended and over are written", || {
-        records() == before + 4
-    });
+    assert_eq!(node.admin_command("enable", "s-2"), 200);
+    wait_until("a pending message keeps its effect", || failed("old-b"));
+    // the platform receives a notification before the sender receives its acceptance
+    wait_until(
+        "the records for enabled, started, undelivered and completed are written",
+        || records() == before + 4,
+    );
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("4 unfinished messages"));
+    wait_until("the line is logged", || {
+        node.logged("4 unfinished messages")
+    });
     uids.iter()
-        .for_each(|uid| assert_eq!(node.order("enable", uid), 200));
-    wait_until("what may not be repeated fails", || {
+        .for_each(|uid| assert_eq!(node.admin_command("enable", uid), 200));
+    wait_until("messages that may not be repeated fail", || {
         failed("new-a") && failed("new-c")
     });
-    wait_until("what may be goes again", || {
+    wait_until("messages that may be repeated are sent again", || {
         endpoint.times("old-a") == 2 && endpoint.times("new-b") == 2
     });
     assert!(
@@ -375,7 +396,10 @@
 #[test]
 fn broken_configuration_changes_nothing_and_start_uses_last_good_one() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let (agent, elsewhere) = (two(&endpoint, &endpoint), Agent::new(Vec::new()));
+    let (agent, elsewhere) = (
+        agent_with_two_endpoints(&endpoint, &endpoint),
+        Agent::new(Vec::new()),
+    );
     let node = Node::new(&agent).ready();
     let good = std::fs::read_to_string(node.folder.join("config.json")).expect("the configuration");
     let moved = good
@@ -398,8 +422,8 @@
         moved.replace(r#""classes""#, r#""class""#),
     ];
     for (number, text) in broken.iter().enumerate() {
-        bring(&node, text);
-        wait_until("it is told why", || {
+        reload(&node, text);
+        wait_until("the error is logged", || {
             let log = node.log.lock().expect("not poisoned");
             log.iter()
                 .filter(|line| line.contains("configuration left as it was"))
@@ -437,16 +461,16 @@
 #[test]
 fn sender_serves_without_handover_socket() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = two(&endpoint, &endpoint);
+    let agent = agent_with_two_endpoints(&endpoint, &endpoint);
     let mut node = Node::new(&agent).ready();
     node.kill();
     let socket = node.journal().with_file_name("upgrade.sock");
     let _ = std::fs::remove_file(&socket);
-    // what is no socket and can't be removed as a file stands where it belongs
+    // a folder stands at the socket's path, which the sender can't remove as a file
     std::fs::create_dir(&socket).expect("a folder in its place");
     let node = node.restart().ready();
-    wait_until("one line tells what is off", || {
-        node.logged("handover: off, the socket is not available")
+    wait_until("the missing socket is logged", || {
+        node.logged("handover: unavailable, the local socket can't be bound")
     });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.times("m1") == 1);
@@ -455,8 +479,8 @@
 #[test]
 fn sender_serves_without_operators_address_and_passed_socket() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = two(&endpoint, &endpoint);
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let agent = agent_with_two_endpoints(&endpoint, &endpoint);
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = Node::new(&agent);
     let config = other.journal().with_file_name("../config.json");
     let folder = fresh_folder();
@@ -465,7 +489,7 @@
         .env("RELAY_DISCOVERY", agent.address.to_string())
         .env(
             "RELAY_CONTROL",
-            taken.local_addr().expect("bound").to_string(),
+            occupied.local_addr().expect("bound").to_string(),
         )
         .env("RELAY_PASSED_SOCKET", "999")
         .spawn()
@@ -493,11 +517,11 @@
     let _ = process.kill();
     let _ = process.wait();
     assert_eq!(answer.flatten(), Some(202), "{log:?}");
-    for off in ["operators off", "passed socket 999: off"] {
+    for line_part in ["control API unavailable", "passed socket 999: unusable"] {
         assert_eq!(
-            log.iter().filter(|line| line.contains(off)).count(),
+            log.iter().filter(|line| line.contains(line_part)).count(),
             1,
-            "{off}: {log:?}"
+            "{line_part}: {log:?}"
         );
     }
 }
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -135,7 +135,7 @@
         let text = message("order", &id, destination, 1500, b"body");
         let _first = accepted(&node, &text);
         let mut second = TcpStream::connect(node.address).expect("the sender accepts");
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             second.write_all(&text).expect("written");
             reset(second);
         });
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -30,8 +30,10 @@
 #[test]
 fn operators_see_how_the_connections_stand() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
-    ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
+    ["m0", "m1", "m2"]
+        .iter()
+        .for_each(|id| deliver(&node, id, 7));
     wait_for_total(&node, "/idle", 1);
     let told = pools(&node);
     let only = &told["endpoints"][0];
@@ -70,7 +72,7 @@
         .map(|uid| (uid.as_str(), endpoint.address, "one", 7, "up"))
         .collect();
     let node = Node::with(Agent::new(vec![list(&entries)]).address, 3.0, 60.0).ready();
-    let text = told(&node, "GET /pools");
+    let text = operator_response(&node, "GET /pools");
     assert!(text.len() < 450_000, "{} bytes", text.len());
     let told: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(
@@ -93,15 +95,15 @@
         .collect();
     let agent = Agent::new(vec![list(&up)]);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
-    (1..=3).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
+    (1..=3).for_each(|dest| deliver(&node, &format!("m{dest}"), dest));
     wait_for_total(&node, "/idle", 3);
     for (version, (uid, dest, state)) in (8..).zip(entries) {
-        agent.tell(changes(
+        agent.announce(changes(
             version,
             &[(uid, endpoint.address, "one", dest, state)],
         ));
         if state == "up" {
-            assert_eq!(node.order("disable", uid), 200);
+            assert_eq!(node.admin_command("disable", uid), 200);
         }
         wait_for_total(&node, "/counts/closes/retired", version - 7);
     }
@@ -111,10 +113,10 @@
 #[test]
 fn an_id_that_moves_and_an_address_under_another_id_share_no_connection() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = one(&old);
+    let agent = agent_with_one_endpoint(&old);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
-    sent(&node, "m1", 7);
-    agent.tell(changes(
+    deliver(&node, "m1", 7);
+    agent.announce(changes(
         8,
         &[
             ("s-1", new.address, "one", 7, "up"),
@@ -122,8 +124,8 @@
         ],
     ));
     wait_for_total(&node, "/endpoints", 2);
-    sent(&node, "m2", 7);
-    sent(&node, "m3", 8);
+    deliver(&node, "m2", 7);
+    deliver(&node, "m3", 8);
     assert_eq!((new.times("m2"), old.times("m3")), (1, 1));
     assert_eq!(old.request(1).connection, 1, "the first was the other id's");
     assert_eq!(pools(&node)["totals"]["counts"]["reuses"], 0);
@@ -132,7 +134,7 @@
 #[test]
 fn smaller_caps_by_sighup_close_idle_connections_and_bad_ones_change_nothing() {
     let (endpoint, gate) = gated();
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
         assert_eq!(
@@ -352,7 +354,7 @@
         for &cut in &cuts {
             let id = format!("cut-{dest:08}");
             if reused {
-                sent(&node, &format!("pre-{dest:08}"), dest);
+                deliver(&node, &format!("pre-{dest:08}"), dest);
                 // this one's, and that of the measurement
                 wait_for_total(&node, "/idle", 2);
             }
@@ -423,7 +425,7 @@
     wait_until("new connections are turned away", || full.count() >= 6);
     deliver("d");
     wait_until("it is closed", || {
-        told(&node, "GET /pools").contains(r#""scarce":1"#)
+        operator_response(&node, "GET /pools").contains(r#""scarce":1"#)
     });
     deliver("e");
     assert!(
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -99,7 +99,7 @@
 }
 
 fn report(node: &Node) -> Value {
-    serde_json::from_str(&told(node, "GET /ledger")).expect("JSON")
+    serde_json::from_str(&operator_response(node, "GET /ledger")).expect("JSON")
 }
 
 fn quota(node: &Node) -> Option<u64> {
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -84,7 +84,7 @@
     let (sent, window) = (Instant::now(), Duration::from_secs(1));
     // m1 may have run: a repeat is dropped until a second after its sending, and may be made for so long, but
     // rests a while before it; another message has the one connection by then
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         drop(first);
         client
             .write(&message("order", "m2", 7, 20_000, b"body"))
@@ -123,7 +123,7 @@
         // all have been idle for so long that each may be closed
         std::thread::sleep(Duration::from_millis(300));
         let mut next = None;
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             next = Some(Client::new(&node));
             clients
                 .iter_mut()
@@ -147,7 +147,7 @@
 /// machine was so slow that they had ended before.
 fn meet_the_end(node: &Node, clients: &mut [Client], status: u16) -> bool {
     let mut in_time = false;
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         in_time = !clients.iter_mut().any(Client::has_ended);
         std::thread::sleep(Duration::from_millis(600));
         clients
@@ -225,7 +225,7 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         stream.write_all(head).expect("written");
         stream.write_all(&vec![b'x'; 90_000]).expect("written");
     });
@@ -266,7 +266,7 @@
     // a head without an end is true too, by its first line
     for (answer, rest) in [(ANSWER, &b""[..]), (b"HTTP/1.1 200 OK\r\nX-Long: ", b"x")] {
         let (node, mut stream, sent) = under_way(&gate, &agent);
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             std::thread::sleep(Duration::from_millis(1300).saturating_sub(sent.elapsed()));
             stream.write_all(answer).expect("taken");
         });
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_message_goes_on_unchanged_and_is_over() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.count() == 1);
@@ -47,8 +47,10 @@
 fn connections_are_kept() {
     // guards against a handshake for each call; none grows old here, however slow the machine is
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
-    ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
+    ["m0", "m1", "m2"]
+        .iter()
+        .for_each(|id| deliver(&node, id, 7));
     assert_eq!(
         (
             endpoint.count(),
@@ -76,7 +78,7 @@
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with_sockets(agent.address, 3.0, 60.0, 60).ready();
     let before = node.descriptors();
-    (0..30).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
+    (0..30).for_each(|dest| deliver(&node, &format!("m{dest}"), dest));
     // a client's connection may still be closing
     wait_until("20 are kept", || node.descriptors() <= before + 20);
     assert!(endpoints.iter().all(|endpoint| endpoint.count() == 1));
@@ -86,10 +88,10 @@
 fn connections_are_left_before_the_endpoint_closes_them() {
     // guards against writing to a connection about to close
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
-    sent(&node, "m0", 7);
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 1.0).ready();
+    deliver(&node, "m0", 7);
     std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
-    sent(&node, "late", 7);
+    deliver(&node, "late", 7);
     assert_eq!((endpoint.count(), endpoint.request(1).connection), (2, 1));
 }
 
@@ -103,16 +105,16 @@
             OK
         }
     });
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
     let began = Instant::now();
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     std::thread::sleep(Duration::from_millis(400));
-    sent(&node, "m2", 7);
+    deliver(&node, "m2", 7);
     assert_eq!(endpoint.times("m2"), 2, "sent again");
     assert_eq!(endpoint.request(1).connection, 0, "the first is reused");
     // no shorter a rest than the first one was
     std::thread::sleep(began.elapsed());
-    sent(&node, "m3", 7);
+    deliver(&node, "m3", 7);
     assert_eq!(
         endpoint.request(3).connection,
         2,
@@ -123,7 +125,7 @@
 #[test]
 fn bad_input_is_answered_and_harms_nobody() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let good = String::from_utf8(message("webhook", "m1", 7, 9000, b"x")).expect("text");
     let without = |name: &str| {
         let lines = good
@@ -195,7 +197,7 @@
 #[test]
 fn what_is_remembered_of_a_message_is_not_all_that_came_with_it() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let mut client = Client::new(&node);
     let before = node.memory();
     let pad = format!("Host: app.svc\r\nX-Pad: {}", "p".repeat(20_000));
@@ -213,7 +215,7 @@
 #[test]
 fn the_same_id_while_held_is_one_message() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
@@ -238,7 +240,11 @@
     ])]);
     let node = Node::new(&agent).ready();
     let charge = |node: &Node, subject: &str, id: &str, dest: u64| {
-        assert_eq!(node.raw(&about(subject, "charge", id, dest, 20_000)).0, 202);
+        assert_eq!(
+            node.raw(&message_with_subject(subject, "charge", id, dest, 20_000))
+                .0,
+            202
+        );
     };
     charge(&node, "a", "a1", 7);
     wait_until("the first is out", || endpoint.times("a1") == 1);
@@ -264,7 +270,14 @@
         "sent while the first of its subject is owed"
     );
     assert_eq!(
-        node.raw(&about("e&subject=f", "charge", "e1", 8, 20_000)).0,
+        node.raw(&message_with_subject(
+            "e&subject=f",
+            "charge",
+            "e1",
+            8,
+            20_000
+        ))
+        .0,
         400
     );
 }
@@ -278,11 +291,19 @@
             OK
         }
     });
-    let agent = one(&endpoint);
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    let agent = agent_with_one_endpoint(&endpoint);
+    agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.raw(&about("a", "charge", "a1", 7, 20_000)).0, 202);
-    assert_eq!(node.raw(&about("a", "charge", "a2", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "a1", 7, 20_000))
+            .0,
+        202
+    );
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "a2", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("the first one's notice fails", || {
         node.logged("notices answered 500")
     });
@@ -291,10 +312,14 @@
     wait_until("its notice fails again", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(node.raw(&about("b", "charge", "b1", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("b", "charge", "b1", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("another subject's is out", || endpoint.times("b1") == 1);
     assert_eq!(endpoint.times("a2"), 0);
-    agent.faults.store(0, Ordering::SeqCst);
+    agent.failing_posts.store(0, Ordering::SeqCst);
     wait_until("the second follows", || endpoint.times("a2") == 1);
     assert_eq!(agent.notices(), [failed("a1")]);
 }
@@ -311,9 +336,14 @@
         }
         _ => Reply::Silence,
     });
-    let node = Node::new(&one(&endpoint)).ready();
-    let hand_in =
-        |tenant, id| assert_eq!(node.raw(&of_tenant(tenant, "order", id, 7, 20_000)).0, 202);
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
+    let hand_in = |tenant, id| {
+        assert_eq!(
+            node.raw(&message_of_tenant(tenant, "order", id, 7, 20_000))
+                .0,
+            202
+        )
+    };
     for id in ["first0", "first1"] {
         hand_in("beta", id);
     }
@@ -337,7 +367,7 @@
 fn peers_that_send_no_whole_request_are_left() {
     // guards against peers that hold clients' places: the half body's end comes first, whatever the load
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
     let (order, ends) = std::sync::mpsc::channel();
     for (name, part) in [
@@ -373,7 +403,7 @@
 #[test]
 fn clients_hold_a_third_of_the_descriptors_at_most() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with_sockets(one(&endpoint).address, 3.0, 5.0, 60).ready();
+    let node = Node::with_sockets(agent_with_one_endpoint(&endpoint).address, 3.0, 5.0, 60).ready();
     let mut clients: Vec<Client> = (0..25).map(|_| Client::new(&node)).collect();
     let ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
     for client in &mut clients {
@@ -405,7 +435,7 @@
         failed.push(id);
         first.clone()
     });
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("keyed is out", || endpoint.times("keyed") > 0);
@@ -502,7 +532,7 @@
 #[test]
 fn a_message_that_is_gone_is_over_without_a_notice() {
     let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("it is out", || endpoint.count() == 1);
@@ -546,7 +576,7 @@
             OK
         }
     });
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.count() == 1);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
@@ -631,7 +661,7 @@
             OK
         }
     });
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
@@ -642,12 +672,12 @@
         node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("its notice fails", || node.logged("notices answered 500"));
     let mut node = node;
     node.kill();
-    agent.faults.store(0, Ordering::SeqCst);
+    agent.failing_posts.store(0, Ordering::SeqCst);
     let other = Endpoint::new(|_, _| OK);
     let lines = list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
@@ -673,7 +703,7 @@
 #[test]
 fn a_deadline_that_passed_while_down_ends_by_a_notice_at_once() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 3_000, b"x"), 202);
     node.kill();
@@ -716,7 +746,7 @@
 #[test]
 fn a_full_journal_refuses_and_stays_within_its_limit() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
@@ -754,7 +784,7 @@
 #[test]
 fn a_folder_that_fills_up_and_empties_takes_messages_again() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
@@ -771,7 +801,7 @@
 fn sigterm_drains_with_an_answer_for_every_client() {
     // guards against connections that end with a request on them, and against an exit with calls out
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     let mut client = Client::new(&node);
     assert_eq!(
@@ -810,7 +840,7 @@
 #[test]
 fn near_the_end_of_a_drain_no_call_starts_that_would_be_cut_off() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
     wait_until("draining", || node.logged("draining"));
@@ -875,7 +905,7 @@
 fn sighup_moves_discovery_and_ends_nothing() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let (before, after) = (
-        one(&old),
+        agent_with_one_endpoint(&old),
         Agent::new(vec![list(&[("s-2", new.address, "one", 8, "up")])]),
     );
     let node = Node::new(&before).ready();
@@ -902,7 +932,7 @@
 fn a_log_that_nobody_reads_does_not_end_the_sender() {
     // guards against eprintln, which panics when its pipe is gone
     let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.log_closes();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
@@ -915,7 +945,7 @@
 #[test]
 fn a_client_that_leaves_before_its_answer_is_no_client() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
