--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -63,7 +63,8 @@
         Ok(self.write_all(&payload).await?)
     }
 
-    /// Writes all bytes, and waits only after a write that would block; see [`crate::net::stream`] for the reason.
+    /// Writes all bytes. Tries again at once after a short write, and waits only after a write that would block; see
+    /// [`crate::net::stream`] for the reason.
     async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             self.0.writable().await?;
@@ -154,7 +155,8 @@
     Ok(postcard::from_bytes(&payload)?)
 }
 
-/// Fills the buffer, and waits only after a read that would block; see [`crate::net::stream`] for the reason.
+/// Fills the buffer. Tries again at once after a short read, and waits only after a read that would block; see
+/// [`crate::net::stream`] for the reason.
 async fn read_exact(reader: &OwnedReadHalf, buffer: &mut [u8]) -> io::Result<()> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -40,7 +40,8 @@
 const FILE_NAME: &str = "journal";
 /// Maximum size in bytes of a record of an attempt, of an attempt's outcome or of a message's end.
 const MAX_SMALL_RECORD_BYTES: u64 = 64;
-/// Divisor of the size limit: at most this fraction (1/4) of the limit is reserved for records other than new messages.
+/// Divisor of the size limit: at most a quarter of the limit is kept free of new messages, for records of attempts,
+/// outcomes and ends.
 const RESERVE_DIVISOR: u64 = 4;
 /// Bytes of the folder's limit that the journal leaves for the folder's own blocks, for the clock's anchor file, and
 /// for rounding the size of each file up to a multiple of 512 bytes.
@@ -72,6 +73,7 @@
     folder: PathBuf,
     /// Maximum size of the state folder in bytes.
     limit_bytes: u64,
+    /// Maximum number of records of attempts, outcomes and ends that the messages held at one time can need.
     max_records: u64,
 }
 
@@ -312,7 +314,7 @@
         Ok(())
     }
 
-    /// Applies the record of a past event at once, and writes it now or, if the write fails, later.
+    /// Updates the contents with the record of a past event, and writes the record now or, if the write fails, later.
     fn write_behind(&mut self, record: Record) -> Result<(), JournalError> {
         let bytes = encode(&record)?;
         let message = record.message();
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -39,8 +39,8 @@
 const CLOSE_IDLE_AFTER: Duration = Duration::from_millis(2500);
 /// Time from SIGTERM until the process exits. The platform sends SIGKILL no sooner than 3.7 s after SIGTERM.
 const EXIT_AFTER: Duration = Duration::from_millis(3300);
-/// Divisor of the descriptor limit: client connections may use this fraction (1/3) of all descriptors. Calls, idle
-/// connections and files share the rest.
+/// Divisor of the descriptor limit: client connections may use a third of all descriptors. Calls, idle connections and
+/// files share the rest.
 const CLIENT_DESCRIPTOR_DIVISOR: usize = 3;
 
 /// Error with which the process fails to start, or ends.
@@ -63,7 +63,8 @@
     Driver(#[from] JoinError),
 }
 
-/// Runs the sender until SIGTERM, or until a successor has taken over and nothing is left to do.
+/// Runs the sender until SIGTERM, or until a successor has taken over and the calls and clients of this process are
+/// complete.
 ///
 /// # Errors
 /// Returns an error if a resource that the process needs is permanently unavailable, or if the driver panics.
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -46,7 +46,7 @@
         self.start_membership(receivers.membership_reports);
     }
 
-    /// Spawns a task that ends once a successor has taken over.
+    /// Spawns a task that is dropped once a successor has taken over.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let handed_over = self.process.flags.handed_over.subscribe();
         tokio::task::spawn_local(until_handed_over(handed_over, task));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -19,8 +19,8 @@
     pub log: Vec<(Micros, Action)>,
 }
 
-/// Returns settings with four classes, whose indexes are the constants below, and three kinds: plain, with separate
-/// routes, and with bundles of up to 5 messages.
+/// Returns settings with four classes, whose indexes are [`IDEMPOTENT`] to [`ORDERED`], and three kinds: plain, with
+/// separate routes, and with bundles of up to 5 messages.
 pub fn settings(slots: usize) -> Settings {
     let mut settings = Settings::new(slots, 1000);
     settings.classes.push(Class::new(
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -345,7 +345,7 @@
                     _ => EIO,
                 };
                 faults.on(fault, number);
-                let mut process = faults.start_unseen();
+                let mut process = faults.start_without_waiting();
                 let log = process.stderr.take().expect("piped");
                 let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log));
                 let said = lines
@@ -508,7 +508,7 @@
     let sender = FaultySender::new();
     let faults = &sender.faults;
     faults.on("lock_open", EIO);
-    let mut earlier = faults.start_unseen();
+    let mut earlier = faults.start_without_waiting();
     let log = earlier.stderr.take().expect("piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log)).map_while(Result::ok);
     let waits = lines.find(|line| line.contains("waiting for the state folder's lock"));
--- a/tests/node/endpoint.rs
+++ b/tests/node/endpoint.rs
@@ -17,7 +17,7 @@
     /// Closes the connection without a response.
     Close,
     /// Sends a response with an empty body and closes the connection.
-    Last(&'static str),
+    AnswerAndClose(&'static str),
 }
 
 /// Response with status 200 and an empty body.
@@ -68,7 +68,7 @@
             };
             let (head, body, closes) = match script(&request, number) {
                 Reply::Answer(head, body) => (head, body, false),
-                Reply::Last(head) => (head, String::new(), true),
+                Reply::AnswerAndClose(head) => (head, String::new(), true),
                 Reply::Silence => continue,
                 Reply::Close => return,
             };
--- a/tests/node/process.rs
+++ b/tests/node/process.rs
@@ -51,7 +51,7 @@
     }
 
     /// Starts a sender that inherits its listening socket, as from a platform that passes one socket to every process.
-    pub fn on_a_passed_socket(agent: &Agent) -> Self {
+    pub fn with_passed_socket(agent: &Agent) -> Self {
         let listener = Arc::new(TcpListener::bind("127.0.0.1:0").expect("a port"));
         let folder = fresh_folder();
         Node::start(folder, agent.address, 3.0, 5.0, 1024, Some(listener))
@@ -354,7 +354,7 @@
     }
 
     /// Closes the reading end of the log's pipe after the next line.
-    pub fn log_closes(&mut self) {
+    pub fn close_log(&mut self) {
         self.reads_log.store(false, Ordering::SeqCst);
     }
 
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -77,7 +77,7 @@
     }
 
     /// Starts a process of the sender without waiting until it listens, for starts that may fail.
-    pub fn start_unseen(&self) -> Child {
+    pub fn start_without_waiting(&self) -> Child {
         let mut command = command(&self.folder);
         self.load(&mut command);
         command
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -143,7 +143,7 @@
         ("s-2", endpoint.address, "one", 8, "up"),
         ("s-3", endpoint.address, "one", 9, "up"),
     ])]);
-    let mut old = Node::on_a_passed_socket(&agent).ready();
+    let mut old = Node::with_passed_socket(&agent).ready();
     let charge = |node: &Node, id: &str| {
         assert_eq!(
             node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
@@ -228,7 +228,7 @@
 fn calls_of_killed_predecessor_may_have_run() {
     let (endpoint, _gate) = gated("held");
     let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
-    let mut old = Node::on_a_passed_socket(&agent).ready();
+    let mut old = Node::with_passed_socket(&agent).ready();
     assert_eq!(old.hand_in("order", "held-once", 7, 20_000, b"x"), 202);
     assert_eq!(old.hand_in("webhook", "held-keyed", 7, 20_000, b"x"), 202);
     wait_until("both calls are in flight", || {
@@ -258,7 +258,7 @@
 fn predecessor_continues_after_failed_handover() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = agent_with_two_endpoints(&endpoint, &endpoint);
-    let old = Node::on_a_passed_socket(&agent).ready();
+    let old = Node::with_passed_socket(&agent).ready();
     // a successor that requests the state, receives it, and disconnects before it confirms the takeover
     let mut successor =
         std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
@@ -282,7 +282,7 @@
 fn successor_of_other_version_gets_only_the_journal() {
     let (endpoint, gate) = gated("held");
     let agent = agent_with_two_endpoints(&endpoint, &endpoint);
-    let mut old = Node::on_a_passed_socket(&agent).ready();
+    let mut old = Node::with_passed_socket(&agent).ready();
     assert_eq!(old.hand_in("webhook", "held", 7, 20_000, b"x"), 202);
     wait_until("the call is in flight", || endpoint.times("held") == 1);
     let mut successor =
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -398,7 +398,7 @@
 #[test]
 fn where_endpoints_have_room_for_few_connections_a_sender_of_many_keeps_none_idle() {
     let served = Endpoint::new(|_, _| OK);
-    let full = Endpoint::new(|_, _| Reply::Last("503 Service Unavailable"));
+    let full = Endpoint::new(|_, _| Reply::AnswerAndClose("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
     let mut entries = vec![("s-1", served.address, "one", 7, "up")];
     entries.extend(
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -462,7 +462,7 @@
 #[test]
 fn success_ends_a_message() {
     assert_eq!(fares(OK), (1, 1, vec![]));
-    assert_eq!(fares(Reply::Last("200 OK")), (1, 1, vec![]));
+    assert_eq!(fares(Reply::AnswerAndClose("200 OK")), (1, 1, vec![]));
 }
 
 #[test]
@@ -480,7 +480,7 @@
 #[test]
 fn a_malformed_answer_fails_that_call_only() {
     assert_eq!(
-        fares(Reply::Last("nonsense\r\n\x01")),
+        fares(Reply::AnswerAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -499,7 +499,10 @@
             "{head}"
         );
     }
-    assert_eq!(fares(Reply::Last("2x0 OK")), (2, 1, vec![failed("unsafe")]));
+    assert_eq!(
+        fares(Reply::AnswerAndClose("2x0 OK")),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
@@ -934,7 +937,7 @@
     let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
     let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
-    node.log_closes();
+    node.close_log();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("its notice", || agent.notices().contains(&failed("m1")));
     wait_until("the last line that is read", || node.logged("418"));
