--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -202,7 +202,7 @@
             endpoint.break_off(&pair[0], Fragment { bytes, then });
             let destination = cases.len() as u64;
             let mut clients = [Client::new(&node), Client::new(&node)];
-            node.at_one_moment(|| {
+            node.while_stopped(|| {
                 for (client, id) in clients.iter_mut().zip(&pair) {
                     let text = message("webhook", id, destination, LONG_MS, b"body");
                     client.write(&text).expect("written");
