--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -203,8 +203,8 @@
             Event::Disabled(endpoint) => self.disable_endpoint(*endpoint, actions),
             Event::Enabled(endpoint) => self.enable_endpoint(*endpoint, actions),
             Event::ShuttingDown { at } => self.shutdown_at = Some(*at),
-            Event::RetryAfter { endpoint, wait } => {
-                self.apply_retry_after(self.route_of(*endpoint), *wait, actions);
+            Event::RetryAfter { endpoint, delay } => {
+                self.apply_retry_after(self.route_of(*endpoint), *delay, actions);
             }
             Event::AttemptEnded {
                 message,
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -77,7 +77,9 @@
             .into_iter()
             .map(|id| (id, self.demand_of(id)))
             .collect();
-        let current = demand.iter().filter(|(_, demand)| demand.is_current());
+        let current = demand
+            .iter()
+            .filter(|(_, demand)| demand.must_be_repeated());
         self.index.changed_destinations = Some(current.map(|(id, _)| *id).collect());
         (listed, demand)
     }
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -37,7 +37,7 @@
         let objective = class.map_or(1, |class| class.latency_objective);
         GroupOrder {
             urgency,
-            peak: self.now - oldest_rising_age(objective),
+            peak_created_at: self.now - oldest_rising_age(objective),
         }
     }
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -82,7 +82,7 @@
         /// The endpoint that answered.
         endpoint: EndpointId,
         /// Retry-After in microseconds: how long to send no further calls.
-        wait: Micros,
+        delay: Micros,
     },
     /// An attempt has its outcome.
     AttemptEnded {
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -23,7 +23,7 @@
     pub resubmitted: bool,
     /// The client resubmits the message because the sender that had accepted the message
     /// failed.
-    pub orphan: bool,
+    pub accepted_by_failed_sender: bool,
     /// Maximum number of attempts that held when the message was accepted. `None` means
     /// [`Settings::max_attempts`](super::Settings::max_attempts).
     pub max_attempts: Option<usize>,
@@ -40,7 +40,7 @@
             key: None,
             tenant: None,
             resubmitted: false,
-            orphan: false,
+            accepted_by_failed_sender: false,
             max_attempts: None,
         }
     }
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -151,7 +151,7 @@
 impl Demand {
     /// Returns true if the demand must be reported again at the next poll even if nothing changes
     /// until then, because parts of it, such as `alive`, change with time alone.
-    pub fn is_current(&self) -> bool {
+    pub fn must_be_repeated(&self) -> bool {
         self.waiting > 0 || self.in_flight > 0 || self.unhealthy || self.alive
     }
 }
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -153,7 +153,7 @@
         if let Some(key) = message.guarantee.key.filter(|_| may_run_on) {
             self.back_off_key(key, now, backoff);
         }
-        self.forget_if_done(id);
+        self.remove_if_complete(id);
     }
 
     /// Records that no further call with the message may begin. The message still blocks later
@@ -171,7 +171,7 @@
             message.open = false;
             message.complete = true;
         }
-        self.forget_if_done(id);
+        self.remove_if_complete(id);
     }
 
     fn back_off_key(&mut self, key: u64, now: Micros, backoff: Micros) {
@@ -182,7 +182,7 @@
         *until = (*until).max(now + backoff);
     }
 
-    fn forget_if_done(&mut self, id: MessageId) {
+    fn remove_if_complete(&mut self, id: MessageId) {
         let Some(message) = self
             .messages
             .get(&id)
--- a/src/message_index/group_order.rs
+++ b/src/message_index/group_order.rs
@@ -42,25 +42,25 @@
 
 impl Eq for Rank {}
 
-/// One of the two parts of a group, split at [`GroupOrder::peak`]. In the order given for each
+/// One of the two parts of a group, split at [`GroupOrder::peak_created_at`]. In the order given for each
 /// part, the urgency never rises, so the first member is among the most urgent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// Messages created at [`GroupOrder::peak`] or later, the oldest first: their urgency still
+    /// Messages created at [`GroupOrder::peak_created_at`] or later, the oldest first: their urgency still
     /// rises with age.
     Rising,
-    /// Messages created before [`GroupOrder::peak`], the youngest first: their urgency no longer
+    /// Messages created before [`GroupOrder::peak_created_at`], the youngest first: their urgency no longer
     /// rises with age.
     Falling,
 }
 
 /// The order of the messages in a group. Urgency depends on the time of creation only: it rises
-/// with age up to the messages created at `peak`, and never rises for older ones.
+/// with age up to the messages created at `peak_created_at`, and never rises for older ones.
 pub struct GroupOrder<F> {
     /// Returns the urgency of a message created at the given time in microseconds.
     pub urgency: F,
     /// Time of creation, in microseconds, of the most urgent message that there could be.
-    pub peak: Micros,
+    pub peak_created_at: Micros,
 }
 
 impl<F: Fn(Micros) -> f64> GroupOrder<F> {
@@ -68,7 +68,7 @@
     pub(super) fn first_of(&self, members: &Members, side: Side) -> Option<Rank> {
         let member = match side {
             Side::Rising => *members.range(self.range(side)).next()?,
-            Side::Falling => youngest_before(members, self.peak)?,
+            Side::Falling => youngest_before(members, self.peak_created_at)?,
         };
         let rank = self.rank(&member);
         if self.is_tied(members, side, rank) {
@@ -84,7 +84,7 @@
         }
         let created_together = (
             Bound::Excluded((last.created_at, last.id)),
-            Bound::Excluded(first_at(last.created_at.saturating_add(1))),
+            Bound::Excluded(lowest_member_at(last.created_at.saturating_add(1))),
         );
         if let Some(member) = members.range(created_together).next() {
             return Some(self.rank(member));
@@ -121,10 +121,10 @@
     }
 
     fn range(&self, side: Side) -> (Bound<Member>, Bound<Member>) {
-        let peak = first_at(self.peak);
+        let first_at_peak = lowest_member_at(self.peak_created_at);
         match side {
-            Side::Rising => (Bound::Included(peak), Bound::Unbounded),
-            Side::Falling => (Bound::Unbounded, Bound::Excluded(peak)),
+            Side::Rising => (Bound::Included(first_at_peak), Bound::Unbounded),
+            Side::Falling => (Bound::Unbounded, Bound::Excluded(first_at_peak)),
         }
     }
 
@@ -147,7 +147,7 @@
     fn following(&self, members: &Members, side: Side, created_at: Micros) -> Option<Member> {
         match side {
             Side::Rising => {
-                let later = first_at(created_at.saturating_add(1));
+                let later = lowest_member_at(created_at.saturating_add(1));
                 members.range(later..).next().copied()
             }
             Side::Falling => youngest_before(members, created_at),
@@ -157,12 +157,14 @@
     /// Returns a member that directly precedes all those created at `created_at` in the order of
     /// `side`; if several were created at the same time, any of them.
     fn preceding(&self, members: &Members, side: Side, created_at: Micros) -> Option<Member> {
-        let peak = first_at(self.peak);
+        let first_at_peak = lowest_member_at(self.peak_created_at);
         let found = match side {
-            Side::Rising => members.range(peak..first_at(created_at)).next_back(),
+            Side::Rising => members
+                .range(first_at_peak..lowest_member_at(created_at))
+                .next_back(),
             Side::Falling => {
-                let later = first_at(created_at.saturating_add(1));
-                members.range(later..peak).next()
+                let later = lowest_member_at(created_at.saturating_add(1));
+                members.range(later..first_at_peak).next()
             }
         };
         found.copied()
@@ -172,11 +174,11 @@
 /// Returns the youngest member created before `created_at`; if several were created at that time,
 /// the one with the lowest id.
 fn youngest_before(members: &Members, created_at: Micros) -> Option<Member> {
-    let (youngest, _) = members.range(..first_at(created_at)).next_back()?;
-    members.range(first_at(*youngest)..).next().copied()
+    let (youngest, _) = members.range(..lowest_member_at(created_at)).next_back()?;
+    members.range(lowest_member_at(*youngest)..).next().copied()
 }
 
 /// Returns the lowest possible member created at `created_at`, as a bound for ranges.
-fn first_at(created_at: Micros) -> Member {
+fn lowest_member_at(created_at: Micros) -> Member {
     (created_at, MessageId(0))
 }
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -160,7 +160,10 @@
     /// Applies a Retry-After from an answer that came after its attempt had ended.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
-        self.events.push(Event::RetryAfter { endpoint, wait });
+        self.events.push(Event::RetryAfter {
+            endpoint,
+            delay: wait,
+        });
     }
 
     /// Applies a Retry-After delay to connections. If the destination is one route, the delay holds
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -84,7 +84,7 @@
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
             resubmitted: submission.resubmitted,
-            orphan: submission.orphan,
+            accepted_by_failed_sender: submission.orphan,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
         let item = Item {
--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -70,7 +70,7 @@
     /// Returns the state and the counters of all endpoints, for operators. `now` is in
     /// microseconds.
     pub fn report(&self, now: Micros) -> PoolReport {
-        let mut totals = self.forgotten_counters.clone();
+        let mut totals = self.removed_endpoint_counters.clone();
         let mut endpoints = Vec::new();
         for (target, endpoint) in &self.endpoints {
             add(&mut totals, &endpoint.counters);
@@ -131,7 +131,7 @@
             }
             ConnectionState::Leased { .. } => {
                 endpoint.leased -= 1;
-                endpoint.leased_proven -= usize::from(record.is_proven);
+                endpoint.leased_with_served_call -= usize::from(record.has_served_call);
             }
             ConnectionState::Dialling { .. } => endpoint.dialling -= 1,
         }
--- a/src/pool/dials.rs
+++ b/src/pool/dials.rs
@@ -87,10 +87,10 @@
         }
         // a dial was refused while connections were open: until an answer shows whether these work
         // (a cap) or they break (an outage), no further connection is dialled
-        let awaits_proof = endpoint
+        let awaits_answer = endpoint
             .refused_dial
             .is_some_and(|refused| endpoint.open() >= refused.established);
-        if awaits_proof {
+        if awaits_answer {
             return None;
         }
         match &endpoint.cap {
@@ -126,7 +126,7 @@
             last_received_at: now,
             connected_at: now,
             calls: 0,
-            is_proven: false,
+            has_served_call: false,
             is_trial,
         };
         self.connections.insert(connection, new);
@@ -166,7 +166,7 @@
         let Some(record) = self.connections.get(&connection) else {
             return;
         };
-        let ConnectionState::Dialling { since } = record.state else {
+        let ConnectionState::Dialling { since: began_at } = record.state else {
             return;
         };
         let target = record.target;
@@ -178,7 +178,7 @@
         }
         let dial = FailedDial {
             target,
-            since,
+            began_at,
             is_trial,
             failure,
         };
@@ -191,7 +191,7 @@
         self.deny_beyond_dials(target, commands);
         self.dial_for_waiting(now, target, commands);
         self.run_dial_queue(now, commands);
-        self.forget_if_done(target);
+        self.remove_if_retired_and_unused(target);
     }
 
     /// Counts a failed dial at its endpoint. Returns false if the pool has no record of the
@@ -238,7 +238,7 @@
             || dial.is_trial && has_established;
         let oldest = endpoint.waiting.front();
         let affects_oldest = dial.failure != DialFailure::TimedOut
-            || oldest.is_some_and(|waiter| waiter.since <= dial.since);
+            || oldest.is_some_and(|waiter| waiter.since <= dial.began_at);
         !may_get_another && affects_oldest
     }
 }
@@ -247,7 +247,7 @@
 struct FailedDial {
     target: EndpointAddress,
     /// Time in microseconds at which the dial began.
-    since: Micros,
+    began_at: Micros,
     /// The dial was a trial above the endpoint's learned cap.
     is_trial: bool,
     failure: DialFailure,
--- a/src/pool/endpoint.rs
+++ b/src/pool/endpoint.rs
@@ -26,7 +26,7 @@
         since: Micros,
         /// Number of connections to the endpoint that were leased at that time and had served a
         /// call before, including this one if it had.
-        leased_proven: usize,
+        leased_with_served_call: usize,
         /// Time in microseconds for which the connection had been idle before; `None` if this is
         /// its first call.
         idle_for: Option<Micros>,
@@ -46,7 +46,7 @@
     /// Number of calls that the connection has carried, including a present one.
     pub(super) calls: u64,
     /// At least one call on the connection was served, so the endpoint accepts the connection.
-    pub(super) is_proven: bool,
+    pub(super) has_served_call: bool,
     /// The connection was dialled as a trial above the endpoint's learned cap, and its first call
     /// has not been answered yet.
     pub(super) is_trial: bool,
@@ -75,7 +75,7 @@
     /// Number of leased connections.
     pub(super) leased: usize,
     /// Number of leased connections on which a call has been served.
-    pub(super) leased_proven: usize,
+    pub(super) leased_with_served_call: usize,
     /// Number of dials in flight.
     pub(super) dialling: usize,
     /// Recent peak of concurrent calls.
@@ -107,7 +107,7 @@
             is_in_dial_queue: false,
             idle: Vec::new(),
             leased: 0,
-            leased_proven: 0,
+            leased_with_served_call: 0,
             dialling: 0,
             demand_peak: DemandPeak {
                 calls: 0.0,
@@ -136,7 +136,7 @@
 
     /// Returns true if the endpoint is retired and has neither connections nor waiting calls, so
     /// that only its counters have to be kept.
-    pub(super) fn is_done(&self) -> bool {
+    pub(super) fn is_retired_and_unused(&self) -> bool {
         !self.is_serving && self.open() == 0 && self.waiting.is_empty()
     }
 
--- a/src/pool/endpoints.rs
+++ b/src/pool/endpoints.rs
@@ -32,7 +32,7 @@
         for connection in idle {
             self.close(connection, CloseReason::Retired, commands);
         }
-        self.forget_if_done(target);
+        self.remove_if_retired_and_unused(target);
     }
 
     /// Closes the idle connections to an endpoint. The decision module asks for this where
@@ -73,11 +73,14 @@
 
     /// Removes the record of a retired endpoint without connections and waiting calls. Its counters
     /// are added to the pool's totals.
-    pub(super) fn forget_if_done(&mut self, target: EndpointAddress) {
-        if self.endpoints.get(&target).is_some_and(Endpoint::is_done)
+    pub(super) fn remove_if_retired_and_unused(&mut self, target: EndpointAddress) {
+        if self
+            .endpoints
+            .get(&target)
+            .is_some_and(Endpoint::is_retired_and_unused)
             && let Some(endpoint) = self.endpoints.remove(&target)
         {
-            accounting::add(&mut self.forgotten_counters, &endpoint.counters);
+            accounting::add(&mut self.removed_endpoint_counters, &endpoint.counters);
         }
     }
 }
--- a/src/pool/idle.rs
+++ b/src/pool/idle.rs
@@ -89,7 +89,7 @@
             self.lease(now, target, connection, commands);
         } else if !endpoint.is_serving {
             self.close(connection, CloseReason::Retired, commands);
-            self.forget_if_done(target);
+            self.remove_if_retired_and_unused(target);
         } else if self.is_shutting_down {
             self.close(connection, CloseReason::ShuttingDown, commands);
         } else if self.closes_idle_at_once() {
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -37,14 +37,14 @@
     /// Backoff in microseconds that was last used; it doubles with each trial that fails.
     backoff: Micros,
     /// Number of trials, dials above the cap, that may be in flight at the same time.
-    allowed_trials: usize,
+    max_trials_now: usize,
     /// Number of trials, dials above the cap, that are in flight.
     pub(super) trials: usize,
 }
 
 impl LearnedCap {
     pub(super) fn allows_trial(&self, now: Micros) -> bool {
-        now >= self.next_trial_at && self.trials < self.allowed_trials
+        now >= self.next_trial_at && self.trials < self.max_trials_now
     }
 
     /// Records that a trial, a dial above the cap, has ended.
@@ -59,7 +59,7 @@
         self.connections += 1;
         self.backoff = first_backoff;
         if self.trials == 0 {
-            self.allowed_trials = (self.allowed_trials * 2).min(max_trials);
+            self.max_trials_now = (self.max_trials_now * 2).min(max_trials);
         }
         first_backoff / 2
     }
@@ -67,7 +67,7 @@
     /// Doubles the backoff after a trial that failed, and allows one trial at a time. Returns the
     /// time in microseconds until the next trial, before jitter.
     fn back_off(&mut self, first_backoff: Micros) -> Micros {
-        self.allowed_trials = 1;
+        self.max_trials_now = 1;
         self.backoff = (self.backoff * 2).min(first_backoff.max(MAX_TRIAL_BACKOFF));
         self.backoff
     }
@@ -92,7 +92,7 @@
     began_at: Micros,
     /// Number of connections to the endpoint that were leased at that time and had served a call
     /// before.
-    leased_proven: usize,
+    leased_with_served_call: usize,
 }
 
 /// Rejections of first calls on new connections. Such a rejection shows a cap on connections only
@@ -119,7 +119,7 @@
             (AnswerKind::Rejected, true) => {
                 self.unconfirmed = Some(RejectedCall {
                     began_at: call.began_at,
-                    leased_proven: call.leased_proven,
+                    leased_with_served_call: call.leased_with_served_call,
                 });
             }
             (AnswerKind::Rejected, false) | (AnswerKind::Served, true) => {
@@ -128,7 +128,7 @@
             (AnswerKind::Served, false) => {
                 let confirmed = self.unconfirmed.take_if(|rejected| {
                     call.began_at >= rejected.began_at
-                        && call.leased_proven >= rejected.leased_proven
+                        && call.leased_with_served_call >= rejected.leased_with_served_call
                 });
                 self.confirmations += u32::from(confirmed.is_some());
             }
@@ -151,7 +151,7 @@
     pub(super) began_at: Micros,
     /// Number of connections to the endpoint that were leased when the call began and had served a
     /// call before.
-    pub(super) leased_proven: usize,
+    pub(super) leased_with_served_call: usize,
     /// The call was the first one on its connection.
     pub(super) is_first: bool,
     /// Time in microseconds at which the connection was established.
@@ -172,10 +172,10 @@
         }
     }
 
-    /// Ends a trial above the learned cap. `works` says whether the first call on the new
+    /// Ends a trial above the learned cap. `succeeded` says whether the first call on the new
     /// connection was answered without a rejection. The cap is dropped once it reaches the
     /// configured limit.
-    pub(super) fn finish_trial(&mut self, now: Micros, target: EndpointAddress, works: bool) {
+    pub(super) fn finish_trial(&mut self, now: Micros, target: EndpointAddress, succeeded: bool) {
         let first_backoff = self.first_trial_backoff();
         let jitter = self.with_jitter(SECOND) as f64 / SECOND as f64;
         let max_trials = self.max_concurrent_trials();
@@ -187,7 +187,7 @@
             return;
         };
         cap.end_trial();
-        let backoff = if works {
+        let backoff = if succeeded {
             cap.raise(first_backoff, max_trials)
         } else {
             cap.back_off(first_backoff)
@@ -219,12 +219,12 @@
         endpoint.rejected_first_calls.record(call);
         if self.limits.learn_caps && endpoint.rejected_first_calls.shows_a_cap() {
             endpoint.rejected_first_calls = RejectedFirstCalls::default();
-            let proven = self
+            let with_served_call = self
                 .connections
                 .values()
-                .filter(|other| other.target == target && other.is_proven)
+                .filter(|other| other.target == target && other.has_served_call)
                 .count();
-            self.learn_cap(now, target, proven);
+            self.learn_cap(now, target, with_served_call);
         }
     }
 
@@ -254,7 +254,7 @@
                 connections: connections.max(1),
                 next_trial_at,
                 backoff,
-                allowed_trials: 1,
+                max_trials_now: 1,
                 trials,
             });
         }
--- a/src/pool/leases.rs
+++ b/src/pool/leases.rs
@@ -89,13 +89,13 @@
         };
         endpoint.idle.retain(|idle| *idle != connection);
         endpoint.leased += 1;
-        endpoint.leased_proven += usize::from(record.is_proven);
+        endpoint.leased_with_served_call += usize::from(record.has_served_call);
         let idle_for = (record.calls > 0).then_some(now - since);
         endpoint.counters.reuses += u64::from(idle_for.is_some());
         record.calls += 1;
         record.state = ConnectionState::Leased {
             since: now,
-            leased_proven: endpoint.leased_proven,
+            leased_with_served_call: endpoint.leased_with_served_call,
             idle_for,
         };
         self.idle.remove(&(since, connection));
@@ -116,7 +116,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
             endpoint.waiting.retain(|queued| queued.number != waiter);
         }
-        self.forget_if_done(target);
+        self.remove_if_retired_and_unused(target);
     }
 
     /// Records the answer to a call on a leased connection. Returns true if the call was rejected
@@ -128,7 +128,7 @@
         };
         let ConnectionState::Leased {
             since,
-            leased_proven,
+            leased_with_served_call,
             ..
         } = record.state
         else {
@@ -137,18 +137,18 @@
         let call = AnsweredCall {
             answer,
             began_at: since,
-            leased_proven,
+            leased_with_served_call,
             is_first: record.calls == 1,
             connected_at: record.connected_at,
         };
         record.last_received_at = now;
         self.scarcity.record(answer, call.is_first);
-        let newly_proven = answer == AnswerKind::Served && !record.is_proven;
-        record.is_proven |= newly_proven;
+        let is_first_served_call = answer == AnswerKind::Served && !record.has_served_call;
+        record.has_served_call |= is_first_served_call;
         let target = record.target;
         let was_trial = std::mem::take(&mut record.is_trial);
         if let Some(endpoint) = self.endpoints.get_mut(&target) {
-            endpoint.leased_proven += usize::from(newly_proven);
+            endpoint.leased_with_served_call += usize::from(is_first_served_call);
         }
         let is_rejected = answer == AnswerKind::Rejected;
         if was_trial {
@@ -170,7 +170,7 @@
         record.last_received_at = now;
         record.state = ConnectionState::Idle { since: now };
         let target = record.target;
-        let is_proven = record.is_proven;
+        let has_served_call = record.has_served_call;
         self.idle.insert((now, connection));
         let half_life = self.limits.demand_half_life;
         let Some(endpoint) = self.endpoints.get_mut(&target) else {
@@ -178,7 +178,7 @@
         };
         endpoint.update_demand(now, half_life);
         endpoint.leased -= 1;
-        endpoint.leased_proven -= usize::from(is_proven);
+        endpoint.leased_with_served_call -= usize::from(has_served_call);
         endpoint.idle.push(connection);
         self.assign_idle(now, target, connection, commands);
     }
@@ -215,7 +215,7 @@
         }
         self.dial_for_waiting(now, target, commands);
         self.run_dial_queue(now, commands);
-        self.forget_if_done(target);
+        self.remove_if_retired_and_unused(target);
     }
 
     fn update_endpoint_after_discard(
--- a/src/pool/mod.rs
+++ b/src/pool/mod.rs
@@ -61,7 +61,7 @@
     is_shutting_down: bool,
     scarcity: Scarcity,
     /// Sum of the counters of endpoints that have been removed from `endpoints`.
-    forgotten_counters: PoolCounters,
+    removed_endpoint_counters: PoolCounters,
 }
 
 impl Pool {
@@ -81,7 +81,7 @@
             predecessor_connections: 0,
             is_shutting_down: false,
             scarcity: Scarcity::default(),
-            forgotten_counters: PoolCounters::default(),
+            removed_endpoint_counters: PoolCounters::default(),
         }
     }
 
--- a/src/pool/scarcity.rs
+++ b/src/pool/scarcity.rs
@@ -11,12 +11,12 @@
 /// last ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
 /// Share of rejected calls on new connections from which on connections count as scarce.
-const SCARCE_SHARE: f64 = 0.5;
+const SCARCITY_START_SHARE: f64 = 0.5;
 /// Share of rejected calls on new connections at which connections no longer count as scarce.
-const AMPLE_SHARE: f64 = 0.2;
+const SCARCITY_END_SHARE: f64 = 0.2;
 /// Minimum ratio of the share of rejected calls on new connections to the share on reused ones. A
 /// smaller difference may come from a limit on calls.
-const REJECTION_RATIO: f64 = 4.0;
+const MIN_REJECTION_RATIO: f64 = 4.0;
 /// Minimum number of calls on new connections before their share of rejections is used.
 const MIN_NEW_CALLS: u32 = 4;
 /// Minimum number of calls on reused connections before their share of rejections is used. It is
@@ -66,11 +66,11 @@
         share.record(is_rejected);
         let has_enough_calls =
             self.new.calls >= MIN_NEW_CALLS && self.reused.calls >= MIN_REUSED_CALLS;
-        let is_specific_to_new = self.new.share >= REJECTION_RATIO * self.reused.share;
+        let is_specific_to_new = self.new.share >= MIN_REJECTION_RATIO * self.reused.share;
         self.scarce = if self.scarce {
-            self.new.share > AMPLE_SHARE && is_specific_to_new
+            self.new.share > SCARCITY_END_SHARE && is_specific_to_new
         } else {
-            has_enough_calls && self.new.share >= SCARCE_SHARE && is_specific_to_new
+            has_enough_calls && self.new.share >= SCARCITY_START_SHARE && is_specific_to_new
         };
     }
 
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -203,7 +203,7 @@
         key,
         tenant,
         resubmitted: bits & RESUBMITTED_BIT != 0,
-        orphan: bits & ORPHAN_BIT != 0,
+        accepted_by_failed_sender: bits & ORPHAN_BIT != 0,
         ..new
     }))
 }
--- a/src/wire/reading/tests.rs
+++ b/src/wire/reading/tests.rs
@@ -44,7 +44,7 @@
         key: Some(77),
         tenant: Some(1),
         resubmitted: true,
-        orphan: true,
+        accepted_by_failed_sender: true,
         max_attempts: None,
     }
 }
@@ -56,7 +56,7 @@
         Event::Accepted(new_message())
     );
     let again = NewMessage {
-        orphan: false,
+        accepted_by_failed_sender: false,
         ..new_message()
     };
     assert_eq!(
@@ -75,7 +75,7 @@
         key: None,
         tenant: None,
         resubmitted: false,
-        orphan: false,
+        accepted_by_failed_sender: false,
         ..new_message()
     };
     assert_eq!(
--- a/tests/backlog.rs
+++ b/tests/backlog.rs
@@ -176,7 +176,7 @@
             4..=6 => Event::Enabled(EndpointId(endpoint)),
             7 => Event::RetryAfter {
                 endpoint: EndpointId(endpoint),
-                wait: SECOND,
+                delay: SECOND,
             },
             8 => {
                 let status = if self.below(2) == 0 {
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -299,10 +299,10 @@
                 report,
             });
             if self.random_below(40) == 0 {
-                let wait = Micros::from(self.random_below(6_000_000));
+                let delay = Micros::from(self.random_below(6_000_000));
                 self.events.push(Event::RetryAfter {
                     endpoint: EndpointId(attempt_in_flight.endpoint),
-                    wait,
+                    delay,
                 });
             }
         }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -295,14 +295,17 @@
 /// Returns the violations found.
 fn run_random_events(seed: u64, fault: Fault) -> Vec<String> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let mut below = |bound: usize| random.next_u32() as usize % bound.max(1);
+    let mut random_below = |bound: usize| random.next_u32() as usize % bound.max(1);
     let mut limits = limits();
-    (limits.per_endpoint, limits.concurrent_dials, limits.total) =
-        (1 + below(6), 1 + below(8), 6 + below(12));
-    (limits.idle, limits.idle_per_endpoint) = (1 + below(limits.total), 1 + below(5));
+    (limits.per_endpoint, limits.concurrent_dials, limits.total) = (
+        1 + random_below(6),
+        1 + random_below(8),
+        6 + random_below(12),
+    );
+    (limits.idle, limits.idle_per_endpoint) = (1 + random_below(limits.total), 1 + random_below(5));
     limits.per_endpoint = limits.per_endpoint.min(limits.total);
-    limits.prewarm_share = [0.0, 0.3, 1.0][below(3)];
-    limits.senders = [1, 30][below(2)];
+    limits.prewarm_share = [0.0, 0.3, 1.0][random_below(3)];
+    limits.senders = [1, 30][random_below(2)];
     let mut model = Model::new(limits.clone(), seed, fault);
     let targets: Vec<EndpointAddress> = (0..5)
         .map(|n| endpoint_at_port(n, n.min(3) as u16))
@@ -316,7 +319,7 @@
         if !model.violations.is_empty() {
             return model.violations;
         }
-        model.now += [0, MILLISECOND, 40 * MILLISECOND, 3 * SECOND][below(4)];
+        model.now += [0, MILLISECOND, 40 * MILLISECOND, 3 * SECOND][random_below(4)];
         let pick_connection = |model: &Model, state: State, choice: usize| {
             let all: Vec<u64> = model
                 .connections
@@ -326,7 +329,7 @@
                 .collect();
             (!all.is_empty()).then(|| all[choice % all.len()])
         };
-        let (event, choice) = (below(24), below(1000));
+        let (event, choice) = (random_below(24), random_below(1000));
         match event {
             0..=6 => {
                 let target = targets[choice % targets.len()];
@@ -335,12 +338,12 @@
                 model.apply(|pool, now, commands| pool.acquire(now, target, last_waiter, commands));
             }
             7..=9 => {
-                if let Some(dial) = pick_connection(&model, State::Dialling, choice) {
+                if let Some(dialled) = pick_connection(&model, State::Dialling, choice) {
                     model
                         .connections
-                        .entry(dial)
+                        .entry(dialled)
                         .and_modify(|known| known.1 = State::Idle);
-                    model.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
+                    model.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands));
                 }
             }
             10 | 11 => {
@@ -349,26 +352,26 @@
                     DialFailure::TimedOut,
                     DialFailure::Other,
                 ];
-                if let Some(dial) = pick_connection(&model, State::Dialling, choice) {
-                    model.connections.remove(&dial);
+                if let Some(dialled) = pick_connection(&model, State::Dialling, choice) {
+                    model.connections.remove(&dialled);
                     if fault != Fault::DialFailureNotReported {
                         model.apply(|pool, now, commands| {
-                            pool.dial_failed(now, dial, failures[choice % 3], commands)
+                            pool.dial_failed(now, dialled, failures[choice % 3], commands)
                         });
                     }
                 }
             }
             12..=15 => {
                 let answers = [AnswerKind::Served, AnswerKind::Rejected, AnswerKind::Other];
-                if let Some(lease) = pick_connection(&model, State::Leased, choice) {
+                if let Some(leased) = pick_connection(&model, State::Leased, choice) {
                     model.apply(|pool, now, _| {
-                        pool.record_answer(now, lease, answers[choice % 3]);
+                        pool.record_answer(now, leased, answers[choice % 3]);
                     });
                     model
                         .connections
-                        .entry(lease)
+                        .entry(leased)
                         .and_modify(|known| known.1 = State::Idle);
-                    model.apply(|pool, now, commands| pool.release(now, lease, commands));
+                    model.apply(|pool, now, commands| pool.release(now, leased, commands));
                 }
             }
             16 | 17 => {
@@ -379,10 +382,10 @@
                     CloseReason::Unreadable,
                     CloseReason::ClosedByPeer,
                 ];
-                if let Some(lease) = pick_connection(&model, State::Leased, choice) {
-                    model.connections.remove(&lease);
+                if let Some(leased) = pick_connection(&model, State::Leased, choice) {
+                    model.connections.remove(&leased);
                     model.apply(|pool, now, commands| {
-                        pool.discard(now, lease, causes[choice % 5], commands)
+                        pool.discard(now, leased, causes[choice % 5], commands)
                     });
                 }
             }
@@ -622,21 +625,21 @@
 }
 
 fn dialled_connections(commands: &[Command]) -> Vec<u64> {
-    let dial = |command: &Command| match command {
+    let dialled_connection = |command: &Command| match command {
         Command::Dial { connection, .. } => Some(*connection),
         _ => None,
     };
-    commands.iter().filter_map(dial).collect()
+    commands.iter().filter_map(dialled_connection).collect()
 }
 
 fn granted_leases(commands: &[Command]) -> Vec<(u64, u64)> {
-    let lease = |command: &Command| match command {
+    let granted_lease = |command: &Command| match command {
         Command::Lease {
             waiter, connection, ..
         } => Some((*waiter, *connection)),
         _ => None,
     };
-    commands.iter().filter_map(lease).collect()
+    commands.iter().filter_map(granted_lease).collect()
 }
 
 #[test]
@@ -674,21 +677,21 @@
 #[test]
 fn waiting_call_gets_the_first_of_its_dial_and_a_released_connection() {
     let mut fixture = Fixture::new(limits());
-    let first = fixture.connect();
+    let busy = fixture.connect();
     let (waiter, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
+    let dialled = dialled_connections(&commands)[0];
     assert_eq!(
-        granted_leases(&fixture.answer_and_release(first, AnswerKind::Served)),
-        [(waiter, first)]
+        granted_leases(&fixture.answer_and_release(busy, AnswerKind::Served)),
+        [(waiter, busy)]
     );
     // the dial in flight goes to the next call, without a further dial
     let (second_waiter, commands) = fixture.acquire();
     assert_eq!(commands, []);
     assert_eq!(
         granted_leases(
-            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands))
+            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands))
         ),
-        [(second_waiter, dial)]
+        [(second_waiter, dialled)]
     );
 }
 
@@ -697,9 +700,9 @@
     let mut fixture = Fixture::new(limits());
     let (waiter, commands) = fixture.acquire();
     fixture.apply(|pool, _, _| pool.cancel_wait(waiter));
-    let dial = dialled_connections(&commands)[0];
+    let dialled = dialled_connections(&commands)[0];
     assert_eq!(
-        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands)),
         []
     );
     assert_eq!(fixture.report().idle, 1);
@@ -708,7 +711,7 @@
         commands,
         [Command::Lease {
             waiter,
-            connection: dial,
+            connection: dialled,
             idle_for: None
         }]
     );
@@ -717,24 +720,25 @@
 #[test]
 fn dial_timeout_denies_only_a_call_that_waited_since_the_dial_began() {
     let mut fixture = Fixture::new(limits());
-    let (first, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
-    fixture.apply(|pool, _, _| pool.cancel_wait(first));
+    let (cancelled_waiter, commands) = fixture.acquire();
+    let dialled = dialled_connections(&commands)[0];
+    fixture.apply(|pool, _, _| pool.cancel_wait(cancelled_waiter));
     fixture.now += SECOND / 2;
     let (_, commands) = fixture.acquire();
     assert_eq!(commands, [], "the dial in flight is for this call now");
     fixture.now += SECOND / 2;
-    let commands = fixture
-        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::TimedOut, commands));
+    let commands = fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, dialled, DialFailure::TimedOut, commands)
+    });
     assert_eq!(
         dialled_connections(&commands).len(),
         1,
         "the call gets a dial of its own: {commands:?}"
     );
     fixture.now += SECOND;
-    let second_dial = dialled_connections(&commands)[0];
+    let second_dialled = dialled_connections(&commands)[0];
     let commands = fixture.apply(|pool, now, commands| {
-        pool.dial_failed(now, second_dial, DialFailure::TimedOut, commands)
+        pool.dial_failed(now, second_dialled, DialFailure::TimedOut, commands)
     });
     assert_eq!(
         commands,
@@ -750,9 +754,10 @@
 fn learn_cap_from_refused_dial(fixture: &mut Fixture, open: usize) -> Vec<u64> {
     let held: Vec<u64> = (0..open).map(|_| fixture.connect()).collect();
     let (waiter, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
-    let commands = fixture
-        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    let dialled = dialled_connections(&commands)[0];
+    let commands = fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, dialled, DialFailure::Refused, commands)
+    });
     assert_eq!(
         (commands, fixture.report().waiting),
         (vec![], 1),
@@ -765,9 +770,9 @@
         "no cap is learned before an open connection brings an answer"
     );
     fixture.now += 10 * MILLISECOND;
-    let first = held[0];
+    let answering = held[0];
     fixture.apply(|pool, now, _| {
-        pool.record_answer(now, first, AnswerKind::Served);
+        pool.record_answer(now, answering, AnswerKind::Served);
     });
     assert_eq!(fixture.report().learned_cap, Some(open));
     held
@@ -794,11 +799,12 @@
     // the endpoint is down: first a dial is refused, then the open connections break
     let mut fixture = Fixture::new(limits());
     let held: Vec<u64> = (0..3).map(|_| fixture.connect()).collect();
-    let (first, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
-    fixture
-        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
-    let (second, commands) = fixture.acquire();
+    let (first_waiter, commands) = fixture.acquire();
+    let dialled = dialled_connections(&commands)[0];
+    fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, dialled, DialFailure::Refused, commands)
+    });
+    let (second_waiter, commands) = fixture.acquire();
     assert_eq!(
         commands,
         [],
@@ -812,12 +818,12 @@
         });
     }
     // now each call gets a dial, and is denied when the dial is refused
-    for (dial, waiter) in dialled_connections(&commands)
+    for (dialled, waiter) in dialled_connections(&commands)
         .into_iter()
-        .zip([first, second])
+        .zip([first_waiter, second_waiter])
     {
         let commands = fixture.apply(|pool, now, commands| {
-            pool.dial_failed(now, dial, DialFailure::Refused, commands)
+            pool.dial_failed(now, dialled, DialFailure::Refused, commands)
         });
         assert_eq!(
             commands,
@@ -836,9 +842,10 @@
     // a refused dial without any open connection does not show a cap either
     fixture.apply(|pool, _, commands| pool.peer_closed(reconnected, commands));
     let (_, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
-    fixture
-        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    let dialled = dialled_connections(&commands)[0];
+    fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, dialled, DialFailure::Refused, commands)
+    });
     let reconnected = fixture.connect();
     fixture.answer_and_release(reconnected, AnswerKind::Served);
     assert_eq!(fixture.report().learned_cap, None);
@@ -855,12 +862,13 @@
         "no trial while no call waits"
     );
     let (_, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
+    let dialled = dialled_connections(&commands)[0];
     fixture.acquire();
     assert_eq!(fixture.report().dialling, 1, "one trial at a time");
     // the trial is refused: the calls go on waiting, and the next trial comes later
-    let commands = fixture
-        .apply(|pool, now, commands| pool.dial_failed(now, dial, DialFailure::Refused, commands));
+    let commands = fixture.apply(|pool, now, commands| {
+        pool.dial_failed(now, dialled, DialFailure::Refused, commands)
+    });
     assert_eq!((commands, fixture.report().waiting), (vec![], 2));
     fixture.now += 2 * SECOND - 1;
     assert_eq!(
@@ -868,15 +876,15 @@
         []
     );
     fixture.now += 4 * SECOND;
-    let dial =
+    let dialled =
         dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands)))[0];
-    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
+    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands));
     assert_eq!(
         fixture.report().learned_cap,
         Some(3),
         "the cap stays until the first call on the new connection is answered"
     );
-    fixture.answer_and_release(dial, AnswerKind::Served);
+    fixture.answer_and_release(dialled, AnswerKind::Served);
     assert_eq!(fixture.report().learned_cap, Some(4));
     // the endpoint accepts more: soon the next trials follow, two at once
     fixture.acquire();
@@ -908,12 +916,12 @@
         fixture.acquire();
         for _ in 0..1200 {
             fixture.now += 250 * MILLISECOND;
-            for dial in
+            for dialled in
                 dialled_connections(&fixture.apply(|pool, now, commands| pool.tick(now, commands)))
             {
                 trial_times.push(fixture.now - START);
                 fixture.apply(|pool, now, commands| {
-                    pool.dial_failed(now, dial, DialFailure::Refused, commands)
+                    pool.dial_failed(now, dialled, DialFailure::Refused, commands)
                 });
             }
         }
@@ -963,9 +971,10 @@
                 dialled_connections(&commands).first(),
             ) {
                 (Some(&(_, connection)), _) => held.push((connection, false)),
-                (_, Some(&dial)) => {
-                    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
-                    held.push((dial, true));
+                (_, Some(&dialled)) => {
+                    fixture
+                        .apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands));
+                    held.push((dialled, true));
                 }
                 // the pool has learned a cap, so the call waits
                 _ => fixture.apply(|pool, _, _| pool.cancel_wait(waiter)).clear(),
@@ -1063,10 +1072,10 @@
     });
     let (idle, busy) = (fixture.connect(), fixture.connect());
     fixture.answer_and_release(idle, AnswerKind::Served);
-    let (first, _) = fixture.acquire();
-    assert_eq!(first, 3);
+    let (first_waiter, _) = fixture.acquire();
+    assert_eq!(first_waiter, 3);
     let (_, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
+    let dialled = dialled_connections(&commands)[0];
     let (late, commands) = fixture.acquire();
     assert_eq!(
         commands,
@@ -1088,8 +1097,10 @@
         [(4, busy)]
     );
     assert_eq!(
-        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
-        [Command::Close { connection: dial }]
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands)),
+        [Command::Close {
+            connection: dialled
+        }]
     );
     let (waiter, commands) = fixture.acquire();
     assert_eq!(
@@ -1114,8 +1125,8 @@
 fn retry_after_denies_waiting_calls_a_connection() {
     let mut fixture = Fixture::new(limits());
     let busy = fixture.connect();
-    let ((first, commands), (second, _)) = (fixture.acquire(), fixture.acquire());
-    let dial = dialled_connections(&commands)[0];
+    let ((first_waiter, commands), (second_waiter, _)) = (fixture.acquire(), fixture.acquire());
+    let dialled = dialled_connections(&commands)[0];
     let (target, until) = (fixture.target, fixture.now + SECOND);
     let commands =
         fixture.apply(|pool, _, commands| pool.apply_retry_after(target, until, commands));
@@ -1123,10 +1134,10 @@
         waiter,
         reason: LeaseDenied::RetryAfter,
     };
-    assert_eq!(commands, [denied(second), denied(first)]);
+    assert_eq!(commands, [denied(second_waiter), denied(first_waiter)]);
     // connections that come up or are released later are kept for later calls
     assert_eq!(
-        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands)),
         []
     );
     assert_eq!(fixture.answer_and_release(busy, AnswerKind::Served), []);
@@ -1141,7 +1152,7 @@
     fixture.answer_and_release(idle, AnswerKind::Served);
     fixture.acquire();
     let (waiter, commands) = fixture.acquire();
-    let dial = dialled_connections(&commands)[0];
+    let dialled = dialled_connections(&commands)[0];
     assert_eq!(
         fixture.apply(|pool, _, commands| pool.shut_down(commands)),
         [Command::Deny {
@@ -1150,8 +1161,10 @@
         }]
     );
     assert_eq!(
-        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands)),
-        [Command::Close { connection: dial }]
+        fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands)),
+        [Command::Close {
+            connection: dialled
+        }]
     );
     assert_eq!(
         fixture.answer_and_release(busy, AnswerKind::Served),
@@ -1252,8 +1265,8 @@
     );
     for _ in 0..40 {
         fixture.now += 250 * MILLISECOND;
-        for dial in prewarm_dials(&mut fixture) {
-            fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
+        for dialled in prewarm_dials(&mut fixture) {
+            fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands));
         }
     }
     let report = fixture.report();
@@ -1327,23 +1340,23 @@
     fixture.answer_and_release(idle, AnswerKind::Served);
     fixture.target = target(2);
     fixture.pool.enable_endpoint(fixture.now, fixture.target);
-    let first = fixture.connect();
+    let busy = fixture.connect();
     fixture.connect();
     let (_, commands) = fixture.acquire();
     assert_eq!(commands[0], Command::Close { connection: idle });
-    let dial = dialled_connections(&commands)[0];
-    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands));
+    let dialled = dialled_connections(&commands)[0];
+    fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands));
     // no connection is idle any more: the next call waits until any connection is closed
     let (waiter, commands) = fixture.acquire();
     assert_eq!(commands, []);
     let commands =
-        fixture.apply(|pool, now, commands| pool.discard(now, first, CloseReason::Reset, commands));
-    let dial = dialled_connections(&commands)[0];
+        fixture.apply(|pool, now, commands| pool.discard(now, busy, CloseReason::Reset, commands));
+    let dialled = dialled_connections(&commands)[0];
     assert_eq!(
         granted_leases(
-            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dial, commands))
+            &fixture.apply(|pool, now, commands| pool.dial_succeeded(now, dialled, commands))
         ),
-        [(waiter, dial)]
+        [(waiter, dialled)]
     );
     // connections that a predecessor still holds count too
     fixture.apply(|pool, now, commands| pool.set_predecessor_connections(now, 2, commands));
