--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -267,12 +267,12 @@
     }
 
     /// Returns a random fraction of a token, from 0 to 1, so that senders do not all start at once.
-    fn random_phase(&mut self) -> f64 {
+    fn random_tokens(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 }
 
 /// Returns `share` of `count`, rounded down to a whole number but at least 1.
-fn share_of(count: usize, share: f64) -> usize {
+fn count_for_share(count: usize, share: f64) -> usize {
     ((count as f64 * share).floor() as usize).max(1)
 }
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Concurrency limit of a route, the number of calls that may be in flight: additive increase,
 //! multiplicative decrease.
 
-use super::share_of;
+use super::count_for_share;
 use super::state::Route;
 use crate::interface::Micros;
 
@@ -20,17 +20,17 @@
 
 /// Returns the concurrency limit of a new route.
 pub(super) fn initial(call_slots: usize) -> f64 {
-    share_of(call_slots, INITIAL_SHARE) as f64
+    count_for_share(call_slots, INITIAL_SHARE) as f64
 }
 
 /// Returns the maximum number of calls in flight to one destination.
 pub(super) fn max_calls(call_slots: usize) -> usize {
-    share_of(call_slots, MAX_SHARE)
+    count_for_share(call_slots, MAX_SHARE)
 }
 
 /// Returns the maximum number of calls in flight on all ejected and lagging routes together.
 pub(super) fn max_unhealthy_calls(call_slots: usize) -> usize {
-    share_of(call_slots, UNHEALTHY_SHARE)
+    count_for_share(call_slots, UNHEALTHY_SHARE)
 }
 
 impl Route {
--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -17,7 +17,7 @@
         &mut self,
         endpoint: EndpointId,
         outcome: Outcome,
-        others_succeed: bool,
+        route_succeeds: bool,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -26,7 +26,7 @@
         for score in [kind_scarcity, &mut endpoint.connection_scarcity] {
             match outcome {
                 // where no call succeeds the endpoint is unavailable, not short of connections
-                Outcome::NoConnection if others_succeed => {
+                Outcome::NoConnection if route_succeeds => {
                     *score += SCARCITY_WEIGHT * (1.0 - *score);
                 }
                 Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCITY_THRESHOLD * *score,
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -96,11 +96,11 @@
 
     fn add_demand_of(&self, route: &Route, demand: &mut Demand) {
         let overload_span = self.settings.safety.overload_span;
-        let own_calls_fail = route.failed_at > route.alive_at || route.unanswered > 0;
+        let own_calls_fail = route.failed_at > route.last_answer_at || route.unanswered > 0;
         demand.in_flight += route.in_flight as u64;
         demand.sent += route.sent;
         demand.unhealthy |= route.health != Health::Healthy;
         demand.failing |= route.is_ejected() && own_calls_fail;
-        demand.alive |= route.succeeded && self.now - route.alive_at < overload_span;
+        demand.alive |= route.succeeded && self.now - route.last_answer_at < overload_span;
     }
 }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -50,9 +50,10 @@
     }
 
     fn wake_for_next_message(&mut self) {
-        let is_served =
-            |(_, id): &(Micros, MessageId)| self.is_served(self.messages[id].destination);
-        let next = self.index.upcoming().find(is_served);
+        let has_endpoint = |(_, id): &(Micros, MessageId)| {
+            self.has_available_endpoint(self.messages[id].destination)
+        };
+        let next = self.index.upcoming().find(has_endpoint);
         if let Some((at, _)) = next {
             self.wake_by(at);
         }
@@ -72,7 +73,7 @@
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
         for group_side in self.index.ready() {
-            if self.is_served(group_side.destination) {
+            if self.has_available_endpoint(group_side.destination) {
                 candidates.push(self.index.first(group_side, &self.order(group_side.group)));
             }
         }
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -1,7 +1,7 @@
 //! Ends messages that can no longer be delivered, and sheds load when too many are pending.
 
 use super::state::{Health, PendingMessage, Route};
-use super::{Sender, share_of};
+use super::{Sender, count_for_share};
 use crate::interface::{Action, Effect, EndpointId, MILLISECOND, MessageId, Micros};
 use std::collections::BTreeSet;
 
@@ -39,7 +39,7 @@
     /// Returns the messages to reject when too many are pending: of those that can't be sent now,
     /// the ones with the lowest priority weights, as many as exceed the capacity.
     fn messages_to_shed(&self, expired: &BTreeSet<MessageId>) -> Vec<MessageId> {
-        let capacity = share_of(self.settings.max_pending, SHEDDING_SHARE);
+        let capacity = count_for_share(self.settings.max_pending, SHEDDING_SHARE);
         let excess = self.index.open().saturating_sub(capacity);
         if excess == 0 {
             return Vec::new();
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -1,7 +1,7 @@
 //! Hedged requests: further attempts of a message while an earlier one is in flight.
 
 use super::Sender;
-use super::share_of;
+use super::count_for_share;
 use super::state::{PendingMessage, Route};
 use crate::interface::{Effect, MILLISECOND, Micros, SECOND};
 
@@ -25,7 +25,7 @@
 impl Sender {
     /// Returns true if hedges hold as many call slots as they may.
     pub(super) fn are_hedges_full(&self) -> bool {
-        self.hedges_in_flight >= share_of(self.settings.call_slots, MAX_HEDGE_SHARE)
+        self.hedges_in_flight >= count_for_share(self.settings.call_slots, MAX_HEDGE_SHARE)
     }
 }
 
--- a/src/decisions/message_index.rs
+++ b/src/decisions/message_index.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns true if at least one endpoint of the destination may receive calls.
-    pub(super) fn is_served(&self, destination: DestinationId) -> bool {
+    pub(super) fn has_available_endpoint(&self, destination: DestinationId) -> bool {
         let endpoints = self.endpoints_by_destination.get(&destination);
         endpoints.is_some_and(|ids| ids.iter().any(|id| self.is_available(*id)))
     }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -45,7 +45,7 @@
     pub outcome: Outcome,
     pub latency: Micros,
     /// Random fraction of a token, from 0 to 1; drawn once for each observation.
-    pub random_phase: f64,
+    pub random_tokens: f64,
 }
 
 impl Sender {
@@ -86,7 +86,7 @@
             sent: attempt.sent,
             outcome: result.outcome,
             latency: result.latency,
-            random_phase: self.random_phase(),
+            random_tokens: self.random_tokens(),
         };
         self.observe_endpoint(&observation);
         self.observe_route(&observation, actions);
@@ -141,15 +141,15 @@
     fn observe_endpoint(&mut self, observation: &Observation) {
         let route = self.route_mut(observation.route);
         let response_limit = route.response_limit();
-        let others_succeed = route.succeeded;
-        self.record_connection(observation.endpoint, observation.outcome, others_succeed);
+        let route_succeeds = route.succeeded;
+        self.record_connection(observation.endpoint, observation.outcome, route_succeeds);
         self.record_class_outcome(observation, response_limit);
     }
 
     fn observe_route(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
         let now = self.now;
         let route = self.route_mut(observation.route);
-        route.record_signs_of_life(observation.outcome, now);
+        route.record_outcome_times(observation.outcome, now);
         match observation.outcome {
             Outcome::Success => self.observe_success(observation, actions),
             Outcome::Rejected { retry_after } => {
@@ -203,7 +203,7 @@
                 } else {
                     contention
                 },
-                random_phase: observation.random_phase,
+                random_tokens: observation.random_tokens,
             };
             route.decrease_rate_limit(&decrease);
         }
@@ -234,7 +234,7 @@
                 success_rate: success_rate * (1.0 - contention),
                 senders,
                 contention,
-                random_phase: observation.random_phase,
+                random_tokens: observation.random_tokens,
             };
             route.decrease_rate_limit(&decrease);
         }
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -37,17 +37,17 @@
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
-        let random_phase = self.random_phase();
+        let random_tokens = self.random_tokens();
         let route = self.route_mut(id);
         if !route.is_ejected() {
-            route.bucket.tokens = random_phase;
+            route.bucket.tokens = random_tokens;
             // from here on the recovery budget sets the rate, not a limit that failures have
             // lowered
             if reason != EjectionReason::Closed {
                 route.rate_limit = route.rate_limit.max(route.best_rate);
             }
             route.health = Health::Ejected {
-                unresponsive: is_for_missing_answers(reason),
+                unresponsive: may_be_merely_slow(reason),
                 since: route.ejected_since(now),
             };
             actions.push(Action::Log(RouteEvent::Ejected {
@@ -84,7 +84,7 @@
         for id in routes.map(|(id, _)| *id).collect::<Vec<_>>() {
             let route = self.route_mut(id);
             match route.health {
-                Health::Healthy if unavailable && now - route.alive_at > span => {
+                Health::Healthy if unavailable && now - route.last_answer_at > span => {
                     self.eject(id, EjectionReason::FleetHealth, actions);
                 }
                 Health::Ejected { .. } if !unavailable => {
@@ -113,7 +113,7 @@
         let is_unanswered = outcome == Outcome::Cancelled && observation.latency > response_limit;
         if outcome == Outcome::Success {
             record.consecutive_failures = 0;
-            record.alive_at = now;
+            record.last_success_at = now;
         } else if outcome.failed() || is_unanswered {
             record.consecutive_failures += 1;
             let doublings = record.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
@@ -124,7 +124,7 @@
 
 /// Returns true if a route ejected for this reason may be merely slow; it becomes healthy with its
 /// first answer.
-fn is_for_missing_answers(reason: EjectionReason) -> bool {
+fn may_be_merely_slow(reason: EjectionReason) -> bool {
     matches!(
         reason,
         EjectionReason::Unresponsive | EjectionReason::FleetHealth
@@ -132,10 +132,10 @@
 }
 
 impl Route {
-    pub(super) fn record_signs_of_life(&mut self, outcome: Outcome, now: Micros) {
+    pub(super) fn record_outcome_times(&mut self, outcome: Outcome, now: Micros) {
         let is_rejected = matches!(outcome, Outcome::Rejected { .. });
         if is_rejected || matches!(outcome, Outcome::Success | Outcome::Error) {
-            self.alive_at = now;
+            self.last_answer_at = now;
         }
         if is_rejected || outcome.failed() {
             self.failed_at = now;
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -1,8 +1,8 @@
 //! Cancels attempts that are presumed lost, so that their call slots become free.
 
 use super::Sender;
-use super::unresponsive::OVERTAKEN_HEDGE_DELAYS;
-use crate::decisions::share_of;
+use super::unresponsive::LOST_HEDGE_DELAYS;
+use crate::decisions::count_for_share;
 use crate::decisions::state::{Attempt, PendingMessage, Route};
 use crate::interface::{Action, Effect, MessageId, Micros};
 
@@ -28,7 +28,7 @@
 impl Sender {
     /// Cancels attempts that are presumed lost, where cancelling is safe.
     pub(in crate::decisions) fn cancel_lost_attempts(&mut self, actions: &mut Vec<Action>) {
-        let scarce_calls = share_of(self.settings.call_slots, SCARCE_SLOTS_SHARE);
+        let scarce_calls = count_for_share(self.settings.call_slots, SCARCE_SLOTS_SHARE);
         let pressure = SlotPressure {
             is_scarce: self.calls.len() >= scarce_calls,
             is_full: self.are_slots_full(),
@@ -73,49 +73,49 @@
             return false;
         };
         let age = self.now - attempt.sent;
-        let may_be_overtaken = pressure.is_full && is_repeatable;
+        let may_cancel_early = pressure.is_full && is_repeatable;
         age > LOST_RESPONSE_LIMITS * route.response_limit()
-            || may_be_overtaken && route.is_overtaken(attempt, age)
-            || self.is_lost_with_others(message, attempt, route, pressure)
+            || may_cancel_early && route.is_lost_on_answering_route(attempt, age)
+            || self.is_lost_on_silent_route_or_class(message, attempt, route, pressure)
     }
 
     /// Returns true if the attempt is late and, since it was sent, either the ejected route has
     /// answered nothing or its class has had no success at its endpoint.
-    fn is_lost_with_others(
+    fn is_lost_on_silent_route_or_class(
         &self,
         message: &PendingMessage,
         attempt: &Attempt,
         route: &Route,
         pressure: &SlotPressure,
     ) -> bool {
-        let is_route_silent = route.alive_at < attempt.sent && route.is_ejected();
-        let pressure_limits = if pressure.is_scarce {
+        let is_route_silent = route.last_answer_at < attempt.sent && route.is_ejected();
+        let base_multiple = if pressure.is_scarce {
             1
         } else {
             EJECTED_RESPONSE_LIMITS
         };
-        let limits = if is_route_silent {
-            pressure_limits
+        let multiple = if is_route_silent {
+            base_multiple
         } else {
-            pressure_limits * CLASS_LIMIT_FACTOR
+            base_multiple * CLASS_LIMIT_FACTOR
         };
-        let is_late = self.now - attempt.sent > limits * route.response_limit();
-        is_late && (is_route_silent || self.class_alive_at(message, attempt) < attempt.sent)
+        let is_late = self.now - attempt.sent > multiple * route.response_limit();
+        is_late && (is_route_silent || self.last_class_success(message, attempt) < attempt.sent)
     }
 
     /// Returns the time of the last success of the message's class at the endpoint of the attempt;
     /// 0 if there was none.
-    fn class_alive_at(&self, message: &PendingMessage, attempt: &Attempt) -> Micros {
+    fn last_class_success(&self, message: &PendingMessage, attempt: &Attempt) -> Micros {
         let endpoint = self.endpoints.get(&attempt.endpoint);
         let record = endpoint.and_then(|endpoint| endpoint.classes.get(&message.class));
-        record.map_or(0, |record| record.alive_at)
+        record.map_or(0, |record| record.last_success_at)
     }
 }
 
 impl Route {
     /// Returns true if the attempt is several hedge delays old and the route has answered other
     /// calls since it was sent.
-    fn is_overtaken(&self, attempt: &Attempt, age: Micros) -> bool {
-        self.alive_at > attempt.sent && age > OVERTAKEN_HEDGE_DELAYS * self.hedge_delay()
+    fn is_lost_on_answering_route(&self, attempt: &Attempt, age: Micros) -> bool {
+        self.last_answer_at > attempt.sent && age > LOST_HEDGE_DELAYS * self.hedge_delay()
     }
 }
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -18,7 +18,7 @@
 /// Number of hedge delays after which a call counts as lost if no call slot is free and the route
 /// has answered other calls meanwhile. No event occurs at that time, so a turn has to be scheduled
 /// for it.
-pub(super) const OVERTAKEN_HEDGE_DELAYS: i64 = 5;
+pub(super) const LOST_HEDGE_DELAYS: i64 = 5;
 /// Multiples of the response limit at which a call is looked at again: its route may have to be
 /// ejected, or the call cancelled.
 const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
@@ -77,10 +77,10 @@
     /// Returns the times at which a turn has to look at the call again.
     fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
         let response_limit = self.response_limit();
-        let overtaken_at = call.sent + OVERTAKEN_HEDGE_DELAYS * self.hedge_delay();
+        let lost_at = call.sent + LOST_HEDGE_DELAYS * self.hedge_delay();
         let sent = call.sent;
-        let limits = OBSERVED_RESPONSE_LIMITS.map(|limits| sent + limits * response_limit);
-        let times = limits.into_iter().chain(is_full.then_some(overtaken_at));
+        let limit_times = OBSERVED_RESPONSE_LIMITS.map(|multiple| sent + multiple * response_limit);
+        let times = limit_times.into_iter().chain(is_full.then_some(lost_at));
         times.map(|at| at + MILLISECOND)
     }
 
@@ -88,7 +88,7 @@
         let age = now - call.sent;
         let usual_latency = self.usual_latency.unwrap_or(INITIAL_HEDGE_DELAY);
         self.is_lagging |= age > MIN_RESPONSE_LIMIT.max(usual_latency * LAGGING_LATENCIES);
-        if self.alive_at < call.sent {
+        if self.last_answer_at < call.sent {
             let is_unanswered = age > self.response_limit() && !call.is_hedge;
             self.unanswered += usize::from(is_unanswered);
             self.oldest_unanswered = self.oldest_unanswered.max(age);
--- a/src/decisions/quotas.rs
+++ b/src/decisions/quotas.rs
@@ -40,7 +40,7 @@
         let bucket = self.quota_buckets.entry(destination);
         let bucket = bucket.or_insert(QuotaBucket::new(now));
         bucket.refill(now, rate, BURST);
-        if bucket.has_call() {
+        if bucket.has_tokens_for_call() {
             return true;
         }
         if rate > 0 {
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -50,7 +50,7 @@
 /// Largest multiple of a listed rate that a warm destination may take, since the listed rate may be
 /// half too low. Higher works off backlogs sooner; lower spares a destination whose listed rate is
 /// too high.
-const MAX_LISTED_FRACTION: f64 = 1.5;
+const MAX_LISTED_MULTIPLE: f64 = 1.5;
 /// Largest remaining fraction of a reported limit that is taken into account. Higher lets a lone
 /// sender use more of the limit at once.
 const MAX_REMAINING: f64 = 0.9;
@@ -70,7 +70,7 @@
     /// Estimated fraction of the fleet that has not noticed the limit yet, from 0 to 1.
     pub contention: f64,
     /// Random fraction of a token, from 0 to 1, so that senders do not retry at the same time.
-    pub random_phase: f64,
+    pub random_tokens: f64,
 }
 
 impl Sender {
@@ -139,7 +139,7 @@
             if !waiting.contains(&id.destination) || !is_limited {
                 continue;
             }
-            let backlog_rate = route.best_rate.max(route.listed_rate * MAX_LISTED_FRACTION);
+            let backlog_rate = route.best_rate.max(route.listed_rate * MAX_LISTED_MULTIPLE);
             route.rate_limit = route.rate_limit.min(backlog_rate);
             route.bucket.tokens = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
             route.bucket.refilled_at = self.now;
@@ -166,15 +166,15 @@
     /// the larger of the sender's own rate so far and the middle between the listed rate and the
     /// fraction of it that is certain.
     pub(super) fn known_rate(&self, now: Micros, contention: f64) -> f64 {
-        let listed = self.listed_rate * (1.0 + CERTAIN_LISTED_FRACTION) / 2.0;
-        let certain = self.own_rate(now).max(listed);
-        self.best_rate * (1.0 - contention) + certain.min(self.best_rate) * contention
+        let listed_estimate = self.listed_rate * (1.0 + CERTAIN_LISTED_FRACTION) / 2.0;
+        let certain_rate = self.own_rate(now).max(listed_estimate);
+        self.best_rate * (1.0 - contention) + certain_rate.min(self.best_rate) * contention
     }
 
     /// Counts a call that succeeded at `now`, and raises the best rate if successes are now more
     /// frequent.
     pub(super) fn record_best_rate(&mut self, now: Micros, span: Micros, contention: f64) {
-        self.served.push(now, usize::MAX);
+        self.success_times.push(now, usize::MAX);
         // a sender of a large fleet makes too few calls in an overload span to measure a rate
         let success_rate = self.success_rate(now, span);
         let rate = success_rate * (1.0 - contention) + self.own_rate(now) * contention;
@@ -212,7 +212,7 @@
         self.rate_limit = decreased
             .max(MIN_FLEET_RATE / decrease.senders)
             .max(MIN_RATE);
-        self.spend_tokens_of_rejection(decrease.random_phase);
+        self.reduce_tokens(decrease.random_tokens);
         // calls of senders that have not noticed the limit yet are rejected and still use it up:
         // this sender pauses meanwhile
         self.bucket.tokens -= contention * kept_fraction / full_factor;
@@ -233,12 +233,12 @@
         decrease.known_rate.max(first_rate / DECREASE_FACTOR)
     }
 
-    fn spend_tokens_of_rejection(&mut self, random_phase: f64) {
+    fn reduce_tokens(&mut self, random_tokens: f64) {
         let tokens = self.bucket.tokens;
         self.bucket.tokens = if tokens < f64::MAX {
-            tokens.min(random_phase.max(tokens - 1.0))
+            tokens.min(random_tokens.max(tokens - 1.0))
         } else {
-            random_phase
+            random_tokens
         };
     }
 
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -183,7 +183,8 @@
         let route = self.route_mut(id);
         let rate = route.allowed_rate(&safety, senders, now);
         route.refill_tokens(now, rate);
-        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.may_risk(call) {
+        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.health_allows(call)
+        {
             return false;
         }
         let is_advised = route.has_room_for(call, are_unhealthy_full);
@@ -221,23 +222,24 @@
             return 0;
         }
         let calls = self.calls.values();
-        let here = calls.filter(|call| call.endpoint == option.endpoint);
-        here.count() + usize::from(route.endpoint.is_none())
+        let calls_to_endpoint = calls.filter(|call| call.endpoint == option.endpoint);
+        calls_to_endpoint.count() + usize::from(route.endpoint.is_none())
     }
 }
 
 impl Route {
     /// Returns false if the health of the route speaks against the call, even if the route has
     /// tokens for it.
-    fn may_risk(&self, call: ProposedCall) -> bool {
+    fn health_allows(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
                 // a non-idempotent message that may be lost on a failing route could not be sent
                 // again
                 let may_be_failing = self.oldest_unanswered > self.hedge_delay();
                 let is_risky = call.is_non_idempotent && may_be_failing;
-                let spares_hedge = call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
-                !is_risky && !spares_hedge
+                let lacks_tokens_for_hedge =
+                    call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
+                !is_risky && !lacks_tokens_for_hedge
             }
             Health::Recovering { .. } => {
                 let is_risky = call.is_non_idempotent && self.failure_score > TRUSTED_SCORE;
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -74,7 +74,7 @@
     pub(super) fn is_warm_enough(&mut self, id: EndpointId, route: RouteId) -> bool {
         let now = self.now;
         let siblings = self.available_endpoints(route);
-        let known_rate = self.route_mut(route).rate_when_warm();
+        let known_rate = self.route_mut(route).capacity_for_warm_up();
         let safety = &self.settings.safety;
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return true;
@@ -131,7 +131,7 @@
         let warm_up_time = safety.warm_up_time.max(1);
         let warmth = (now - since) as f64 / warm_up_time as f64;
         let level = capacity_level(safety, warmth.min(1.0));
-        let budget = self.capacity(warm_up_time, senders, now)
+        let budget = self.capacity_for_recovery(warm_up_time, senders, now)
             * safety.overload_multiple
             * BUDGET_SHARE
             * level;
@@ -150,16 +150,17 @@
 
     /// Returns the rate in calls per second that the warm destination takes from this sender, as
     /// far as it is known.
-    fn capacity(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
+    fn capacity_for_recovery(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
-        let listed = self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
+        let certain_listed_rate =
+            self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
         self.best_rate
             .clamp(usual_rate, 2.0 * usual_rate)
             .max(self.fair_share)
-            .max(listed)
+            .max(certain_listed_rate)
     }
 
-    fn rate_when_warm(&self) -> f64 {
+    fn capacity_for_warm_up(&self) -> f64 {
         if self.best_rate > 0.0 {
             self.best_rate.max(self.fair_share)
         } else {
--- a/src/decisions/state/endpoint.rs
+++ b/src/decisions/state/endpoint.rs
@@ -65,5 +65,5 @@
     /// Time until which messages of the class avoid the endpoint because of their failures there.
     pub avoided_until: Micros,
     /// Time of the last success of the class at the endpoint.
-    pub alive_at: Micros,
+    pub last_success_at: Micros,
 }
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -100,11 +100,11 @@
 
     /// Returns how many attempts of the message were sent to `endpoint`.
     pub fn attempts_at(&self, endpoint: EndpointId) -> usize {
-        let here = self
+        let at_endpoint = self
             .attempts
             .iter()
             .filter(|past| past.endpoint == endpoint);
-        here.count()
+        at_endpoint.count()
     }
 
     /// Returns the attempts that may run or may have run. If there are any, also returns those that
--- a/src/decisions/state/quota_bucket.rs
+++ b/src/decisions/state/quota_bucket.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns true if the bucket holds a whole call.
-    pub fn has_call(&self) -> bool {
+    pub fn has_tokens_for_call(&self) -> bool {
         self.tokens >= QuotaBucket::TOKENS_PER_CALL
     }
 
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -73,7 +73,7 @@
     pub failure_score: f64,
     /// Time of the last success, error or rejection: any answer that shows that the destination is
     /// alive.
-    pub alive_at: Micros,
+    pub last_answer_at: Micros,
     /// Time of the last failure or rejection.
     pub failed_at: Micros,
     /// Time of the first rejection since the last success.
@@ -91,7 +91,7 @@
     /// turn.
     pub is_lagging: bool,
     /// Times of the successful calls within the last overload span.
-    pub served: Samples,
+    pub success_times: Samples,
     /// Highest rate of successes seen, in calls per second.
     pub best_rate: f64,
     /// Number of calls sent since the route was first seen.
@@ -164,7 +164,7 @@
 
     /// Returns the rate of successful calls over the last `span`, in calls per second.
     pub fn success_rate(&mut self, now: Micros, span: Micros) -> f64 {
-        self.served.drop_until(now - span);
-        self.served.len() as f64 / seconds(span)
+        self.success_times.drop_until(now - span);
+        self.success_times.len() as f64 / seconds(span)
     }
 }
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -48,11 +48,11 @@
         writeln!(
             lines,
             "{number} {TURNS} {:016x} {:?} {:?}",
-            host.digest.0, host.actions, host.logged
+            host.digest.0, host.actions, host.log_counts
         )
         .expect("written to a string");
         (0..10).for_each(|index| actions[index] += host.actions[index]);
-        (0..5).for_each(|index| logged[index] += host.logged[index]);
+        (0..5).for_each(|index| logged[index] += host.log_counts[index]);
     }
     let expected = String::from_utf8(expected("actions.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
@@ -87,7 +87,7 @@
             "{name}: written otherwise than read"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
-        let here = mirror.missing();
+        let here = mirror.missing_states();
         missing = Some(missing.map_or(here.clone(), |all| {
             all.into_iter().filter(|what| here.contains(what)).collect()
         }));
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -62,7 +62,7 @@
 pub struct ClassRecord {
     pub consecutive_failures: u32,
     pub avoided_until: Micros,
-    pub alive_at: Micros,
+    pub last_success_at: Micros,
 }
 
 #[derive(Deserialize)]
@@ -127,7 +127,7 @@
     pub learned_hedge_delay: Option<Micros>,
     pub usual_latency: Option<Micros>,
     pub failure_score: f64,
-    pub alive_at: Micros,
+    pub last_answer_at: Micros,
     pub failed_at: Micros,
     pub rejected_since: Micros,
     pub consecutive_rejections: u32,
@@ -135,7 +135,7 @@
     pub unanswered: usize,
     pub oldest_unanswered: Micros,
     pub is_lagging: bool,
-    pub served: VecDeque<Micros>,
+    pub success_times: VecDeque<Micros>,
     pub best_rate: f64,
     pub sent: u64,
     pub since: Micros,
@@ -156,7 +156,7 @@
 
 impl Sender {
     /// Returns the names of the states and records that a sender can hold and this one does not.
-    pub fn missing(&self) -> Vec<&'static str> {
+    pub fn missing_states(&self) -> Vec<&'static str> {
         let routes = || self.routes.values();
         let messages = || self.messages.values();
         let attempts = || messages().flat_map(|message| &message.attempts);
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -18,11 +18,11 @@
 /// Time for which a destination keeps the same fault.
 const FAULT_PERIOD: Micros = 9 * SECOND;
 /// Number of turns from one digest of the serialized state to the next.
-const STATE_EVERY: u64 = 100;
+const TURNS_PER_STATE_DIGEST: u64 = 100;
 /// Number of turns from one handover to the next.
-const HANDOVER_EVERY: u64 = 400;
+const TURNS_PER_HANDOVER: u64 = 400;
 /// Number of turns from one restart to the next.
-const RESTART_EVERY: u64 = 700;
+const TURNS_PER_RESTART: u64 = 700;
 
 /// 64-bit FNV-1a hash of all actions and states. It gives the same value on every platform, and the
 /// code for it is short.
@@ -106,7 +106,7 @@
     /// Number of actions, by the variant numbers that are used in the digest.
     pub actions: [u64; 10],
     /// Number of log actions, by the kinds that are used in the digest.
-    pub logged: [u64; 5],
+    pub log_counts: [u64; 5],
 }
 
 impl Host {
@@ -134,7 +134,7 @@
             events: Vec::new(),
             digest: Digest::default(),
             actions: [0; 10],
-            logged: [0; 5],
+            log_counts: [0; 5],
         };
         host.list(ListScope::Stale);
         host
@@ -196,11 +196,11 @@
     }
 
     fn restart_or_hand_over(&mut self) {
-        if self.turn.is_multiple_of(HANDOVER_EVERY) {
+        if self.turn.is_multiple_of(TURNS_PER_HANDOVER) {
             self.sender = postcard::from_bytes(&self.state()).expect("its own bytes");
             self.events.push(Event::HostFailing(self.host_failing));
         }
-        if !self.turn.is_multiple_of(RESTART_EVERY) || self.number.is_multiple_of(2) {
+        if !self.turn.is_multiple_of(TURNS_PER_RESTART) || self.number.is_multiple_of(2) {
             return;
         }
         self.sender =
@@ -240,11 +240,11 @@
     }
 
     fn submit_messages(&mut self) {
-        let bursts = if self.random_below(150) == 0 { 20 } else { 0 };
+        let burst_size = if self.random_below(150) == 0 { 20 } else { 0 };
         let arrivals = if self.random_below(8) == 0 {
             1 + self.random_below(3)
         } else {
-            bursts
+            burst_size
         };
         for _ in 0..arrivals {
             let class = self.random_below(CLASSES) as usize;
@@ -384,8 +384,9 @@
                 agreeing: self.settings.senders,
                 isolated: self.random_below(8) == 0,
             };
-            let known = self.random_below(6) > 0;
-            self.events.push(Event::FleetView(known.then_some(view)));
+            let is_view_known = self.random_below(6) > 0;
+            self.events
+                .push(Event::FleetView(is_view_known.then_some(view)));
         }
         if self.random_below(90) == 0 {
             let destination = u64::from(self.random_below(DESTINATIONS as u32));
@@ -438,7 +439,7 @@
                 self.host_failing = !self.host_failing;
                 self.events.push(Event::HostFailing(self.host_failing));
             }
-            5 if self.turn % RESTART_EVERY > RESTART_EVERY - 100 => {
+            5 if self.turn % TURNS_PER_RESTART > TURNS_PER_RESTART - 100 => {
                 self.events.push(Event::ShuttingDown {
                     at: self.now + SECOND,
                 });
@@ -541,13 +542,13 @@
             } => {
                 let (latency, outcome) = self.plan_attempt(message.0, endpoint.0);
                 let expired = self.now + latency > *expires;
-                let known = self.messages.get_mut(&message.0).expect("sent while open");
+                let sent_message = self.messages.get_mut(&message.0).expect("sent while open");
                 assert_eq!(
                     *attempt,
-                    known.attempts.len(),
+                    sent_message.attempts.len(),
                     "attempts are numbered in order"
                 );
-                known.attempts.push(SentAttempt {
+                sent_message.attempts.push(SentAttempt {
                     endpoint: endpoint.0,
                     sent: self.now,
                     may_have_run: true,
@@ -567,10 +568,10 @@
             }
             Action::Cancel { message, attempt } => {
                 let ends_at = self.now + 20 * MILLISECOND;
-                let same = |attempt_in_flight: &&mut AttemptInFlight| {
+                let is_cancelled = |attempt_in_flight: &&mut AttemptInFlight| {
                     (attempt_in_flight.message, attempt_in_flight.attempt) == (message.0, *attempt)
                 };
-                if let Some(attempt_in_flight) = self.in_flight.iter_mut().find(same)
+                if let Some(attempt_in_flight) = self.in_flight.iter_mut().find(is_cancelled)
                     && attempt_in_flight.ends_at > ends_at
                 {
                     attempt_in_flight.ends_at = ends_at;
@@ -579,11 +580,11 @@
             }
             Action::Reject { message, .. } | Action::Fail(message) => {
                 let delay = Micros::from(20_000 + self.random_below(400_000));
-                let known = self.messages.get_mut(&message.0).expect("ended while open");
-                known.ended = true;
+                let ended_message = self.messages.get_mut(&message.0).expect("ended while open");
+                ended_message.ended = true;
                 // the host owes a notification only where messages are completed by notification
                 if self.settings.completion_by_notification {
-                    known.notification_pending = true;
+                    ended_message.notification_pending = true;
                     self.notifications.insert(message.0, self.now + delay);
                 }
             }
@@ -633,8 +634,8 @@
             Action::Subscribe => vec![7],
             Action::SendNote(bytes) => vec![8, bytes.len() as i64],
             Action::Log(event) => {
-                let (kind, destination) = logged(*event);
-                self.logged[kind as usize] += 1;
+                let (kind, destination) = log_kind(*event);
+                self.log_counts[kind as usize] += 1;
                 vec![9, kind, destination]
             }
         };
@@ -653,7 +654,7 @@
         numbers
             .into_iter()
             .for_each(|number| self.digest.number(number));
-        if !self.turn.is_multiple_of(STATE_EVERY) {
+        if !self.turn.is_multiple_of(TURNS_PER_STATE_DIGEST) {
             return;
         }
         let state = self.state();
@@ -683,7 +684,7 @@
 }
 
 /// Returns the kind of a log action as a number, and the destination that it concerns.
-fn logged(event: RouteEvent) -> (i64, i64) {
+fn log_kind(event: RouteEvent) -> (i64, i64) {
     match event {
         RouteEvent::Recovering { destination } => (0, destination as i64),
         RouteEvent::Ejected {
