--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,9 +1,11 @@
 //! All decisions of a sender: which messages it accepts, where and when it sends them, and when it
 //! ends them.
 //!
-//! [`Sender::handle`] runs one turn: it applies all events, then appends the resulting actions.
-//! Each submodule makes one kind of decision; `state` holds the records that they share. Nothing
-//! here uses a socket or a clock: the same events always give the same actions.
+//! [`Sender::handle`] runs one turn: it applies all events, then cancels, ends and sends messages,
+//! and appends the actions of both steps. Most submodules make one kind of decision each. `demand`,
+//! `message_index` and `timer` support them and decide nothing; `state` holds the records that all
+//! of them share. Nothing here uses a socket or a clock: a sender with the same settings and seed
+//! that gets the same events at the same times always gives the same actions.
 
 mod admission;
 mod concurrency_limit;
@@ -57,28 +59,32 @@
     routes: BTreeMap<RouteId, Route>,
     messages: BTreeMap<MessageId, PendingMessage>,
     key_queues: BTreeMap<u64, KeyQueue>,
-    /// Time before which no message with a key gets its first attempt. After a restart, a call that
-    /// the earlier process cancelled may still run.
+    /// Time before which no message with a key gets its first attempt. After a restart, the
+    /// destination may still be processing a call that the earlier process cancelled; the next
+    /// message of the same key must not overtake that call.
     key_backoff_until: Micros,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    /// Number of calls in flight that carry hedges.
+    /// Number of calls in flight that were opened for a hedge. A hedge that joined a call of
+    /// another message is not counted.
     hedges_in_flight: usize,
-    /// Score from 0 to 1 for each kind of destination: how often recent calls found no connection.
+    /// Score from 0 to 1 for each kind of destination, by its position in the settings: how often
+    /// recent calls found no connection.
     connection_scarcity: BTreeMap<usize, f64>,
     /// Token bucket of each tenant, in the order of the settings.
     tenant_buckets: Vec<TokenBucket>,
     /// Time at which to subscribe to the endpoint list again; `None` if that is not due.
     list_retry_at: Option<Micros>,
-    /// Backoff in microseconds after the next subscription that fails.
+    /// Average backoff in microseconds after the next subscription that fails.
     list_backoff: Micros,
     /// Time at which this process ends, once it is known. It is not serialized, because it does not
     /// apply to the successor.
     #[serde(skip)]
     shutdown_at: Option<Micros>,
-    /// Earliest time at which a turn may have something to do; the timer is set to it.
+    /// Earliest time for which this turn has scheduled another turn.
     next_deadline: Micros,
-    /// Number of senders by which all rate limits are divided.
+    /// Number of senders among which shared rates are divided: listed rates, reported limits, tenant
+    /// allowances and the rates of trial calls. Quotas are not divided by it.
     fleet_size: u32,
     /// Last view of the other senders; `None` if there is none.
     fleet_view: Option<FleetView>,
@@ -100,7 +106,8 @@
     /// Index of the pending messages: tells a turn which of them may be sent or must end.
     #[serde(skip)]
     index: MessageIndex,
-    /// Number of calls in flight on lagging and ejected routes; counted again in each turn.
+    /// Number of calls in flight on lagging and ejected routes. Each turn counts them again, and
+    /// adds the calls that it opens.
     #[serde(skip)]
     unhealthy_in_flight: usize,
 }
@@ -154,8 +161,9 @@
         &self.settings
     }
 
-    /// Runs one turn at time `now`: applies all events, then appends the resulting actions. If
-    /// `now` is before the time of the last turn, that time is used instead.
+    /// Runs one turn at time `now`: applies all events, then cancels, ends and sends messages.
+    /// Appends the actions of both steps to `actions`. If `now` is before the time of the last
+    /// turn, that time is used instead.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.forget_expired_timer();
@@ -266,7 +274,9 @@
         self.routes.entry(id).or_insert_with(new)
     }
 
-    /// Returns a random fraction of a token, from 0 to 1, so that senders do not all start at once.
+    /// Returns a random number of tokens, from 0 to 1, to which a token bucket is set. The next
+    /// call has to wait until the bucket holds a whole token, so senders that limit the same route
+    /// at the same time make their next calls at different times.
     fn random_tokens(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -8,12 +8,13 @@
 use crate::interface::{Action, MessageId, Micros, NewMessage, PastAttempt};
 use crate::message_index::IndexEntry;
 
-/// Size of a tenant's token bucket, in seconds of the tenant's share. Larger lets a tenant submit
-/// more messages at once before their priority is reduced.
+/// Size of a tenant's token bucket, as the number of seconds in which the tenant's rate at this
+/// sender fills it. Larger lets a tenant submit more messages at once before their priority is
+/// reduced.
 const TENANT_BURST_SECONDS: f64 = 2.0;
-/// Additional messages in the token bucket of a tenant at one sender of a large fleet, since
-/// several messages may reach the same sender by chance. Higher detects a tenant beyond its share
-/// later; lower reduces the priority of tenants within theirs.
+/// Minimum size of a tenant's token bucket at a sender of a large fleet, in messages beyond the
+/// first, since several messages of a tenant may reach the same sender by chance. Higher detects a
+/// tenant beyond its share later; lower reduces the priority of tenants within theirs.
 const TENANT_CHANCE_BURST: f64 = 4.0;
 
 impl Sender {
@@ -65,8 +66,9 @@
         self.reindex(new.id);
     }
 
-    /// Returns the factor on the priority weight of a tenant's message: 1 while the tenant stays
-    /// within its share.
+    /// Returns the factor on the priority weight of a new message of a tenant: 1 while the tenant
+    /// stays within its share, `over_share_weight` beyond it. Each message within the share takes
+    /// one token from the tenant's bucket.
     fn tenant_factor(&mut self, position: Option<usize>) -> f64 {
         let Some(position) = position else {
             return 1.0;
@@ -90,10 +92,10 @@
         }
     }
 
-    /// Restores a pending message after a restart. Its calls ended with the earlier process; those
-    /// without a known outcome may have run. All attempts count as overlapped: the order in which
-    /// they ended is not known, and the window of an idempotency key must count from the first
-    /// attempt.
+    /// Restores a pending message after a restart. Its calls ended with the earlier process; the
+    /// destination may have processed those without a known outcome. All attempts count as
+    /// overlapped: the order in which they ended is not known, and the window of an idempotency key
+    /// must count from the first attempt.
     pub(super) fn restore(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
         self.admit(message);
         let backoff = self.key_backoff(message.class);
@@ -126,8 +128,8 @@
         self.forget_if_done(message);
     }
 
-    /// Returns the Retry-After delay for a client whose message is rejected; `None` if clients are
-    /// given none.
+    /// Returns the Retry-After delay in microseconds for a client whose message is rejected: half
+    /// of the configured maximum; `None` if that is 0.
     pub(super) fn client_retry_after(&self) -> Option<Micros> {
         Some(self.settings.max_retry_after / 2).filter(|&wait| wait > 0)
     }
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -41,9 +41,9 @@
         self.concurrency_limit = increased.min(MAX_SHARE * call_slots as f64);
     }
 
-    /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion. The
-    /// limit decreases only once for all calls that were in flight at that time; returns true if
-    /// this call is the first of them.
+    /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion, and
+    /// returns true. If the call was sent before the last decrease, leaves the limit and returns
+    /// false: that decrease counts for all calls that were in flight then.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
         let is_new = sent > self.decreased_at;
         if is_new {
--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -52,7 +52,8 @@
     /// to an endpoint of a kind whose connections are scarce, if the route makes less than one call
     /// per idle timeout: they would time out before their next use. Protects endpoints that accept
     /// few connections against hundreds of senders that each keep one idle. Drawback: where traffic
-    /// comes in bursts with long pauses, the next call pays for a handshake.
+    /// comes in bursts with long pauses, the next call needs a handshake. Closes nothing while a
+    /// call to the endpoint is in flight.
     pub(super) fn close_idle_connection(
         &mut self,
         route: RouteId,
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -9,7 +9,7 @@
 /// An attempt that has started and has no outcome yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightAttempt {
-    /// Message that the attempt delivers.
+    /// Id of the message that the attempt carries.
     pub message: MessageId,
     /// Position of the attempt among the message's attempts, starting from 0.
     pub number: usize,
@@ -18,8 +18,8 @@
 }
 
 impl Sender {
-    /// Returns the number of attempts that have started and have no outcome yet. The host has as
-    /// many in flight.
+    /// Returns the number of attempts that have started and have no outcome yet. The host must have
+    /// the same number in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.calls.values().map(|call| call.pending).sum()
     }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -7,7 +7,8 @@
 use crate::message_index::{Candidate, Candidates, GroupSide};
 use std::collections::BTreeMap;
 
-/// Timeout of an attempt of an idempotent message, in hedge delays. Lower frees call slots sooner.
+/// Timeout of an attempt of an idempotent message, in hedge delays. Lower frees call slots sooner;
+/// higher abandons fewer attempts that would still succeed.
 const TIMEOUT_HEDGE_DELAYS: i64 = 10;
 
 /// Time limits of an attempt.
@@ -68,8 +69,9 @@
         self.calls.values().filter(is_unhealthy).count()
     }
 
-    /// Returns the most urgent messages of each ready group: one of those whose urgency still rises
-    /// with age, and one of those whose urgency falls.
+    /// Returns the most urgent messages of each ready group whose destination has an available
+    /// endpoint: one of those whose urgency still rises with age, and one of those whose urgency no
+    /// longer rises.
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
         for group_side in self.index.ready() {
@@ -80,7 +82,8 @@
         candidates
     }
 
-    /// Sends the candidate if an endpoint can take it now; returns whether it was sent.
+    /// Sends the candidate if there is an endpoint to which it may be sent now; returns true if it
+    /// was sent.
     fn send_candidate(
         &mut self,
         candidate: Candidate,
@@ -106,8 +109,10 @@
         true
     }
 
-    /// Adds the skipped groups of a destination to the candidates again, after something was sent
-    /// to the destination.
+    /// Adds the groups of a destination that were skipped in this turn to the candidates again,
+    /// after a message was sent to that destination. They were skipped because no endpoint could
+    /// receive their messages, but these may now join the call that carries the sent message. Only
+    /// messages that rank after the sent one become candidates.
     fn readmit_skipped(&mut self, sent: Candidate, candidates: &mut Candidates) {
         for skipped in candidates.take_skipped(sent.group_side.destination) {
             let order = self.order(skipped.group);
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -7,11 +7,12 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Backoff after the first failed subscription to the endpoint list. Longer spares the discovery
-/// service; shorter leaves the list out of date for less time.
+/// Average backoff after the first failed subscription to the endpoint list; the actual one is
+/// random between half and one and a half times as long. Longer spares the discovery service;
+/// shorter leaves the list out of date for less time.
 pub(super) const INITIAL_BACKOFF: Micros = 300 * MILLISECOND;
-/// Maximum backoff after failed subscriptions to the endpoint list. Longer spares the discovery
-/// service; shorter leaves the list out of date for less time.
+/// Maximum of the average backoff after failed subscriptions to the endpoint list. Longer spares
+/// the discovery service; shorter leaves the list out of date for less time.
 const MAX_BACKOFF: Micros = 4 * SECOND;
 
 impl Sender {
@@ -86,7 +87,7 @@
         if let Some(endpoint) = disabled {
             endpoint.disabled = false;
             endpoint.warm_up = Some(WarmUp::new(self.now));
-            endpoint.classes.clear(); // another process may serve there by now
+            endpoint.classes.clear(); // the endpoint may have been restarted meanwhile
         }
         actions.push(Action::Disconnect(id));
         self.forget_unused();
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -36,8 +36,9 @@
         }
     }
 
-    /// Returns the messages to reject when too many are pending: of those that can't be sent now,
-    /// the ones with the lowest priority weights, as many as exceed the capacity.
+    /// Returns the messages to reject when more than `SHEDDING_SHARE` of the maximum number are
+    /// pending: of those that can't be sent now, the ones with the lowest priority weights, as many
+    /// as exceed that share.
     fn messages_to_shed(&self, expired: &BTreeSet<MessageId>) -> Vec<MessageId> {
         let capacity = count_for_share(self.settings.max_pending, SHEDDING_SHARE);
         let excess = self.index.open().saturating_sub(capacity);
@@ -93,8 +94,8 @@
         self.forget_if_done(id);
     }
 
-    /// Closes a message: it gets no further attempt, and its attempts in flight are cancelled where
-    /// that is allowed.
+    /// Closes a message: it gets no further attempt, and its attempts in flight are cancelled if
+    /// the settings allow cancellation.
     pub(super) fn close(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let message = self.messages.get_mut(&id).filter(|message| message.open);
         let Some(message) = message else {
@@ -112,9 +113,9 @@
         self.reindex(id);
     }
 
-    /// Returns the time from which no send of the message can be legal, because it may have run and
-    /// can't be repeated, or because no attempt is left. `Micros::MIN` means now already,
-    /// `Micros::MAX` never.
+    /// Returns the time from which the message must not be sent any more, because the destination
+    /// may have processed it and must not process it again, or because no attempt is left. Returns
+    /// `Micros::MIN` if it must not be sent now, and `Micros::MAX` if there is no such time.
     pub(super) fn no_send_after(&self, message: &PendingMessage) -> Micros {
         if message.attempts.len() >= message.max_attempts {
             return Micros::MIN;
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Returns true if every route of the message's destination is ejected, is recovering or has
-    /// failed recently.
+    /// Returns true if the message's destination has no available endpoint, or if the route of each
+    /// available endpoint is ejected, is recovering or has a failure score that is not trusted.
     fn is_stuck(&self, message: &PendingMessage) -> bool {
         let Some(endpoints) = self.endpoints_by_destination.get(&message.destination) else {
             return true;
--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -1,14 +1,17 @@
-//! The number of senders that rate limits are divided by, and the contention that follows from it.
+//! The number of senders among which shared rates are divided, and the contention that follows from
+//! it.
 
 use super::Sender;
 use crate::interface::FleetView;
 
-/// Largest fleet in which a sender notices an exceeded limit almost as soon as a single sender
-/// does. Higher lets larger fleets act as a few senders do.
+/// Largest number of senders whose contention is 0: in so small a fleet, each sender notices an
+/// exceeded limit almost as soon as a single sender does. Higher lets the senders of larger fleets
+/// act as those of a small one.
 const SMALL_FLEET: f64 = 4.0;
 
 impl Sender {
-    /// Returns the number of senders that all rate limits are divided by.
+    /// Returns the number of senders among which shared rates are divided: listed rates, reported
+    /// limits, tenant allowances and the rates of trial calls. Quotas are not divided by it.
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size
     }
@@ -37,7 +40,7 @@
     /// to hold the same view, and the view has not changed for the warm-up time. It rises at once,
     /// and is at least the configured number while this sender is isolated or in a minority.
     /// Senders that it never received anything from count as present. Drawback: after many senders
-    /// have departed, destinations get too few calls for that time.
+    /// have departed, destinations get too few calls until the number falls.
     pub(super) fn update_fleet_size(&mut self) {
         let size_before = self.fleet_size;
         let target = self.target_fleet_size();
@@ -82,8 +85,8 @@
             route.fair_share *= factor;
             route.listed_rate *= factor;
             if factor < 1.0 {
-                // senders have come back: this sender gives up their part of the learned rates, and
-                // only successes raise the rates again
+                // there are more senders now: this sender leaves their part of its learned rates to
+                // them, and only successes raise the rates again
                 route.rate_limit *= factor;
                 route.best_rate *= factor;
             }
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -18,8 +18,9 @@
 /// Number of latencies needed before the hedge delay of a route may fall below its initial value.
 /// Fewer detects slow calls sooner; more avoids needless hedges at destinations that get few calls.
 const MIN_LATENCY_SAMPLES: usize = 8;
-/// Divisor for the weight of a new latency in the usual latency of a route. With 50, the usual
-/// latency changes slowly enough to outlast a temporary slowdown.
+/// Divisor of the difference between a new latency and the usual latency of a route; the usual
+/// latency changes by the quotient. With 50, it changes so slowly that a temporary slowdown hardly
+/// affects it.
 const USUAL_LATENCY_SMOOTHING: i64 = 50;
 
 impl Sender {
@@ -51,7 +52,8 @@
 }
 
 impl PendingMessage {
-    /// Sets when the message is hedged next, after an attempt that starts now.
+    /// Sets the time of the next hedge of the message, after an attempt that starts now. The
+    /// interval doubles with each hedge.
     pub(super) fn schedule_hedge(
         &mut self,
         is_hedge: bool,
--- a/src/decisions/key_ordering.rs
+++ b/src/decisions/key_ordering.rs
@@ -29,7 +29,7 @@
         queue.messages.front().copied()
     }
 
-    /// Returns true if no earlier message of the same key is pending.
+    /// Returns true if the message has no key, or if no earlier message of its key is pending.
     pub(super) fn is_first_of_key(&self, message: MessageId, key: Option<u64>) -> bool {
         let queue = key.and_then(|key| self.key_queues.get(&key));
         queue.is_none_or(|queue| queue.messages.front() == Some(&message))
@@ -41,7 +41,8 @@
         Some(queue.backoff_until.max(self.key_backoff_until))
     }
 
-    /// Returns how long a key backs off after an attempt that may still run, in microseconds.
+    /// Returns how long a key backs off after an attempt that the destination may still be
+    /// processing, in microseconds.
     pub(super) fn key_backoff(&self, class: usize) -> Micros {
         let bounds = self.class_bounds(class);
         let by_rules = bounds.map_or(0, |bounds| bounds.key_backoff);
@@ -56,7 +57,7 @@
     }
 
     /// Makes all keys back off after a restart: the earlier process may have ended just now, and
-    /// calls that it cancelled may still run.
+    /// destinations may still be processing calls that it cancelled.
     pub(super) fn back_off_all_keys(&mut self) {
         self.key_backoff_until = self.now + self.settings.safety.key_backoff;
     }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -12,7 +12,7 @@
     /// Position of the attempt among the attempts of the message.
     pub attempt: usize,
     pub outcome: Outcome,
-    /// Time in microseconds since the attempt was sent.
+    /// Time in microseconds from the send of the attempt to its end.
     pub latency: Micros,
     /// Load report that came with the answer; empty if there was none.
     pub report: &'a [f64],
@@ -27,12 +27,12 @@
     sent: Micros,
 }
 
-/// Properties of the call whose attempt has just ended, which remain valid if the call ended with
-/// it.
+/// Copy of the properties of a call that are needed after one of its attempts has ended. The call
+/// itself is removed with its last attempt.
 struct EndedCall {
     route: RouteId,
-    /// True if no other message of the call ended before. Only the first outcome of a call is used
-    /// to judge its route.
+    /// True if no attempt of the call ended before this one. Only the first outcome of a call is
+    /// used to judge its endpoint and its route.
     is_first_outcome: bool,
 }
 
@@ -44,7 +44,8 @@
     pub sent: Micros,
     pub outcome: Outcome,
     pub latency: Micros,
-    /// Random fraction of a token, from 0 to 1; drawn once for each observation.
+    /// Random number of tokens, from 0 to 1, to which a decrease of the rate limit may set the
+    /// token bucket of the route; drawn once for each observation.
     pub random_tokens: f64,
 }
 
@@ -114,7 +115,8 @@
         Some(ended)
     }
 
-    /// Ends one message of a call, and the call itself with its last message.
+    /// Counts an ended attempt in its call, and removes the call with its last attempt. Returns
+    /// `None` if the call is not known.
     fn end_call_of(
         &mut self,
         attempt: &EndedAttempt,
@@ -196,8 +198,9 @@
                 known_rate: route.known_rate(now, contention),
                 success_rate: success_rate * (1.0 - contention),
                 senders,
-                // a Retry-After delay keeps all senders away until there is room, so this decrease
-                // is a full one
+                // contention makes a decrease smaller and adds a pause. After a Retry-After delay
+                // the decrease is a full one without that pause: this sender sends nothing until
+                // the delay ends, when the destination has room again.
                 contention: if retry_after.is_some() {
                     0.0
                 } else {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Outlier detection: routes that fail, reject everything or do not answer are ejected. An ejected
-//! route gets only single calls.
+//! route gets only a few trial calls.
 
 mod lost_attempts;
 mod unresponsive;
@@ -18,22 +18,26 @@
 /// Failure score above which a route is ejected. Higher ejects later; lower ejects because of
 /// random failures.
 const EJECTION_SCORE: f64 = 0.55;
-/// Failure score below which a route is trusted with non-idempotent messages.
+/// Failure score below which a route is trusted. A recovering route above it gets no non-idempotent
+/// messages, and an ejected route below it may become healthy without a slow start.
 pub(super) const TRUSTED_SCORE: f64 = 0.25;
 /// Number of consecutive rejections, over at least `CLOSED_SPAN`, after which a destination counts
 /// as closed: out of service rather than throttled.
 const CLOSED_REJECTIONS: u32 = 4;
 /// Minimum time from the first to the last of the consecutive rejections after which a destination
-/// counts as closed: out of service rather than throttled.
+/// counts as closed: out of service rather than throttled. Their number must have reached
+/// `CLOSED_REJECTIONS` too.
 const CLOSED_SPAN: Micros = SECOND;
-/// Maximum number of doublings of the time for which failures of one class count against an
-/// endpoint. That time starts from a quarter of the overload span. Higher saves more messages from
-/// failing there; lower returns sooner to an endpoint that is healthy again.
+/// Maximum number of doublings of the time for which messages of one class avoid an endpoint after
+/// failures there. That time is a quarter of the overload span, doubled for each consecutive
+/// failure. Higher saves more messages from failing there; lower returns sooner to an endpoint that
+/// is healthy again.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 impl Sender {
-    /// Ejects a route. Until it is healthy again, its call rate follows from the recovery budget:
-    /// what it can take while it recovers.
+    /// Ejects a route, unless it is ejected already, and lowers its concurrency limit. Until the
+    /// route is healthy again, its call rate follows from the recovery budget: the rate that it can
+    /// presumably serve while it recovers.
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
@@ -122,8 +126,8 @@
     }
 }
 
-/// Returns true if a route ejected for this reason may be merely slow; it becomes healthy with its
-/// first answer.
+/// Returns true if a route that is ejected for this reason may be merely slow. If few of its calls
+/// failed, its first success then makes it healthy at once, without a slow start.
 fn may_be_merely_slow(reason: EjectionReason) -> bool {
     matches!(
         reason,
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -7,13 +7,14 @@
 use crate::interface::{Action, Effect, MessageId, Micros};
 
 /// Number of response limits after which an attempt on an ejected route is cancelled if the route
-/// has answered nothing since. Lower frees slots sooner; higher waits for late answers.
+/// has answered nothing since the attempt was sent. While call slots are scarce, one response limit
+/// is enough. Lower frees slots sooner; higher waits for late answers.
 const EJECTED_RESPONSE_LIMITS: i64 = 2;
-/// Factor on the time until an attempt is cancelled, where not the whole route is silent but only
-/// the class of the message at its endpoint.
+/// Factor on the time until an attempt is cancelled, if not the whole route is silent, but only the
+/// message's class has had no success at the endpoint since the attempt was sent.
 const CLASS_LIMIT_FACTOR: i64 = 2;
-/// Number of response limits after which an attempt counts as lost even if other calls are
-/// answered. Lower frees slots sooner.
+/// Number of response limits after which an attempt counts as lost even if its route answers. Lower
+/// frees slots sooner; higher waits for late answers.
 const LOST_RESPONSE_LIMITS: i64 = 3;
 /// Share of the call slots in use above which attempts of non-idempotent messages are cancelled
 /// too. Lower abandons more attempts; higher frees fewer slots.
@@ -26,7 +27,9 @@
 }
 
 impl Sender {
-    /// Cancels attempts that are presumed lost, where cancelling is safe.
+    /// Cancels attempts that are presumed lost, if the settings allow cancellation. Attempts of
+    /// non-idempotent messages, which then can't be sent again, are cancelled only while call slots
+    /// are scarce.
     pub(in crate::decisions) fn cancel_lost_attempts(&mut self, actions: &mut Vec<Action>) {
         let scarce_calls = count_for_share(self.settings.call_slots, SCARCE_SLOTS_SHARE);
         let pressure = SlotPressure {
@@ -113,8 +116,8 @@
 }
 
 impl Route {
-    /// Returns true if the attempt is several hedge delays old and the route has answered other
-    /// calls since it was sent.
+    /// Returns true if the attempt is several hedge delays old and the route has answered since the
+    /// attempt was sent, to another call or for another message of the same call.
     fn is_lost_on_answering_route(&self, attempt: &Attempt, age: Micros) -> bool {
         self.last_answer_at > attempt.sent && age > LOST_HEDGE_DELAYS * self.hedge_delay()
     }
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -15,16 +15,16 @@
 /// All lagging and ejected routes together may hold only a part of the call slots. Lower isolates
 /// slow routes sooner; higher leaves room for long but healthy calls.
 const LAGGING_LATENCIES: i64 = 4;
-/// Number of hedge delays after which a call counts as lost if no call slot is free and the route
-/// has answered other calls meanwhile. No event occurs at that time, so a turn has to be scheduled
-/// for it.
+/// Number of hedge delays after which an attempt counts as lost if no call slot is free, its
+/// message may be repeated and its route has answered meanwhile. No event occurs at that time, so a
+/// turn has to be scheduled for it.
 pub(super) const LOST_HEDGE_DELAYS: i64 = 5;
-/// Multiples of the response limit at which a call is looked at again: its route may have to be
-/// ejected, or the call cancelled.
+/// Ages of a call, as multiples of the response limit, at which a turn is scheduled to check it:
+/// its route may have to be ejected, or its attempts cancelled.
 const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
 
 impl Sender {
-    /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Protects
+    /// Ejects routes that answer nothing while calls wait longer than the response limit. Protects
     /// call slots against hung, vanished or very slow destinations that would fill the slots of
     /// healthy ones. Since it could eject a route whose only traffic is one long call, a single
     /// call gets twice the time.
@@ -74,7 +74,8 @@
         (self.hedge_delay() * RESPONSE_LIMIT_HEDGE_DELAYS).max(MIN_RESPONSE_LIMIT)
     }
 
-    /// Returns the times at which a turn has to look at the call again.
+    /// Returns the times at which a turn has to check the call: its route may have to be ejected,
+    /// or its attempts cancelled.
     fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
         let response_limit = self.response_limit();
         let lost_at = call.sent + LOST_HEDGE_DELAYS * self.hedge_delay();
--- a/src/decisions/permission.rs
+++ b/src/decisions/permission.rs
@@ -1,5 +1,5 @@
-//! Permission: what the rules and limits allow now. No other module knows them; code that proposes
-//! to send or to end a message asks here.
+//! Permission: whether the rules and limits allow a message to be accepted, sent or rejected now.
+//! Whether a send that is allowed is also advisable is decided elsewhere.
 
 use super::concurrency_limit::max_calls;
 use super::state::{PendingMessage, RouteId};
@@ -27,7 +27,9 @@
         self.list_stale || self.host_failing
     }
 
-    /// Returns true if the message may have one more attempt.
+    /// Returns true if the message is open and may have one more attempt: it has attempts and
+    /// enough time left, sending is not suspended, and hedging is allowed if the attempt is a
+    /// hedge.
     fn may_start_attempt(&self, message: &PendingMessage) -> bool {
         let bounds = self.class_bounds(message.class);
         let allowed = bounds.map_or(usize::MAX, |bounds| bounds.max_attempts);
@@ -46,7 +48,8 @@
         })
     }
 
-    /// Returns true if the effect of the message allows it to run once more, at this endpoint.
+    /// Returns true if the effect of the message allows the destination to process it once more,
+    /// and this endpoint to receive it.
     fn may_be_repeated_at(&self, message: &PendingMessage, endpoint: EndpointId) -> bool {
         let effect = self.effect(message.class);
         if !self.may_run_again(message, effect) {
@@ -100,7 +103,9 @@
         }
     }
 
-    /// Returns true if the message may run once more now: it never ran, or a repeat has no effect.
+    /// Returns true if the destination may process the message now even if it was sent before: the
+    /// destination has certainly not processed it yet, or to process it again has no further
+    /// effect.
     fn may_run_again(&self, message: &PendingMessage, effect: Effect) -> bool {
         match effect {
             Effect::Idempotent => true,
@@ -127,15 +132,16 @@
     }
 
     /// Returns the configured effect of messages of the class; a class that the settings do not
-    /// name must not run twice.
+    /// name counts as non-idempotent.
     pub(super) fn configured_effect(&self, class: usize) -> Effect {
         let class = self.settings.classes.get(class);
         class.map_or(Effect::NonIdempotent, |class| class.effect)
     }
 
     /// Returns what agreed rules allow a class now; `None` if there are no agreed rules. A class
-    /// that the rules do not name is allowed nothing. This protects against senders that contradict
-    /// each other, but could starve such a class.
+    /// that the rules do not name is allowed nothing: if each sender treated it by its own
+    /// settings, senders with different settings could contradict each other. Drawback: no message
+    /// of such a class is accepted or sent until rules name it.
     pub(super) fn class_bounds(&self, class: usize) -> Option<ClassBounds> {
         let rules = self.agreed_rules.as_ref()?.at(self.now);
         let class = self.settings.classes.get(class);
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -12,9 +12,10 @@
 const LATE_FACTOR: f64 = 0.8;
 
 impl Sender {
-    /// Returns the urgency of a message: the priority weight that can still be earned by sending it
-    /// now, where within the latency objective the oldest messages come first. The index relies on
-    /// the urgency to rise with age up to a fraction of the objective, and never to rise after it.
+    /// Returns the urgency of a message; the most urgent is sent first. It follows from the
+    /// priority weight that can still be earned by sending the message now. The index relies on two
+    /// properties: the urgency rises with age up to `RISING_FRACTION` of the latency objective, and
+    /// never rises after it.
     fn urgency(&self, class: usize, priority_weight: f64, created_at: Micros) -> f64 {
         let age = self.now - created_at;
         let Some(class) = self.settings.classes.get(class) else {
@@ -42,8 +43,10 @@
     }
 }
 
-/// Returns the greatest age, in microseconds, up to which the urgency of a message rises. Rounds as
-/// the computation of the urgency does.
+/// Returns the greatest age, in microseconds, up to which the urgency of a message rises. Compares
+/// with the same division as the computation of the urgency: a result that is rounded otherwise
+/// would tell the index that a message is still becoming more urgent when it is not, or the
+/// reverse.
 fn oldest_rising_age(objective: Micros) -> Micros {
     let mut age = (objective as f64 * RISING_FRACTION) as Micros + 1;
     while age as f64 / objective as f64 > RISING_FRACTION {
--- a/src/decisions/quotas.rs
+++ b/src/decisions/quotas.rs
@@ -4,8 +4,9 @@
 use super::state::{Health, QuotaBucket, RouteId};
 use crate::interface::{DestinationId, MILLISECOND, Micros, Quota, QuotaShare, Quotas};
 
-/// Time span of a rate whose calls may be made at once; it is the same for all senders that share a
-/// limit. Longer serves bursts faster; shorter keeps the sum of all senders closer to the limit.
+/// Size of a quota bucket, as the time in which its rate fills it, but at least one call. The time
+/// is the same for all senders that share a limit. Longer serves bursts faster; shorter keeps the
+/// sum of all senders closer to the limit.
 const BURST: Micros = 400 * MILLISECOND;
 
 impl Sender {
@@ -59,8 +60,8 @@
         allowed.unwrap_or(u64::MAX)
     }
 
-    /// Returns how long a call to the destination may last, in microseconds; `None` if the limits
-    /// do not say.
+    /// Returns how long a call to the destination may last, in microseconds; `None` if its calls in
+    /// flight have no quota.
     pub(super) fn max_call_duration(&self, destination: DestinationId) -> Option<Micros> {
         let in_flight = self.quota_of(destination)?.in_flight?;
         Some(in_flight.max_duration)
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -15,8 +15,8 @@
 /// Lowest rate in calls per second that rejections leave to one sender in a fleet of any size: one
 /// call per minute, so that no message waits forever.
 const MIN_RATE: f64 = 1.0 / 60.0;
-/// Size of the token bucket, in seconds of the rate limit. Longer serves bursts faster; shorter
-/// causes fewer rejections.
+/// Size of a route's token bucket, as the number of seconds in which its rate fills it, but at
+/// least one token. Longer serves bursts faster; shorter causes fewer rejections.
 const BURST_SECONDS: f64 = 0.4;
 /// Factor on the rate limit after a rejection, if a call has succeeded since the last decrease.
 /// Lower causes fewer rejections; higher keeps more of a limit shared with other senders.
@@ -43,13 +43,13 @@
 /// Number of calls that the listed rate counts for in the estimate of the sender's own rate, so
 /// that a few first calls do not decide it.
 const LISTED_RATE_CALLS: f64 = 3.0;
-/// Fraction of a listed rate that a warm destination certainly takes; the listed rate may be half
-/// too high or half too low. Higher recovers and works off backlogs sooner; lower spares a
+/// Fraction of a listed rate that a warm destination can certainly serve; the listed rate may be
+/// half too high or half too low. Higher recovers and works off backlogs sooner; lower spares a
 /// destination whose listed rate is too high.
 pub(super) const CERTAIN_LISTED_FRACTION: f64 = 0.75;
-/// Largest multiple of a listed rate that a warm destination may take, since the listed rate may be
-/// half too low. Higher works off backlogs sooner; lower spares a destination whose listed rate is
-/// too high.
+/// Largest multiple of a listed rate that a warm destination may be able to serve, since the listed
+/// rate may be half too low. Higher works off backlogs sooner; lower spares a destination whose
+/// listed rate is too high.
 const MAX_LISTED_MULTIPLE: f64 = 1.5;
 /// Largest remaining fraction of a reported limit that is taken into account. Higher lets a lone
 /// sender use more of the limit at once.
@@ -60,8 +60,8 @@
 
 /// Inputs of a decrease of the rate limit.
 pub(super) struct RateDecrease {
-    /// Rate in calls per second that the destination is known to take; used if the route has no
-    /// rate limit yet.
+    /// Rate in calls per second at which the destination is known to serve this sender; used if the
+    /// route has no rate limit yet.
     pub known_rate: f64,
     /// Rate of successful calls over the last overload span, in calls per second.
     pub success_rate: f64,
@@ -69,7 +69,8 @@
     pub senders: f64,
     /// Estimated fraction of the fleet that has not noticed the limit yet, from 0 to 1.
     pub contention: f64,
-    /// Random fraction of a token, from 0 to 1, so that senders do not retry at the same time.
+    /// Random number of tokens, from 0 to 1, to which the token bucket may be set, so that senders
+    /// do not retry at the same time.
     pub random_tokens: f64,
 }
 
@@ -83,7 +84,11 @@
         actions: &mut Vec<Action>,
     ) {
         if delay > 2 * self.settings.safety.overload_span {
-            self.eject_closed(id, actions); // closed rather than throttled, so it starts cold
+            // so long a delay means that the destination is out of service rather than throttled,
+            // so its route recovers with a slow start. A route that is ejected already stays as it
+            // is: if it was unresponsive or reported by the fleet, its first success may make it
+            // healthy at once.
+            self.eject_closed(id, actions);
         }
         let until = self.now + delay + MILLISECOND;
         let route = self.route_mut(id);
@@ -160,7 +165,7 @@
         (self.sent as f64 + prior_calls) / span.max(1.0)
     }
 
-    /// Returns the rate in calls per second that the destination is known to take from this sender.
+    /// Returns the rate in calls per second at which the destination is known to serve this sender.
     /// For a single sender this is the best rate seen. In a large fleet, the best rates of all
     /// senders add up to more than the limit: there it is at most the best rate, and within that
     /// the larger of the sender's own rate so far and the middle between the listed rate and the
@@ -233,6 +238,8 @@
         decrease.known_rate.max(first_rate / DECREASE_FACTOR)
     }
 
+    /// Takes one token from the bucket, which keeps at least `random_tokens` if it held as many.
+    /// Sets the bucket to `random_tokens` if the route had no rate limit before.
     fn reduce_tokens(&mut self, random_tokens: f64) {
         let tokens = self.bucket.tokens;
         self.bucket.tokens = if tokens < f64::MAX {
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -12,8 +12,8 @@
     /// Sets the time from which the message may be tried again, after an attempt that ended with
     /// `outcome`.
     pub(super) fn back_off(&mut self, outcome: Outcome, now: Micros) {
-        // attempts that the host could not send back off too; otherwise a lasting local fault would
-        // use up all attempts at once
+        // a message that the host could not send backs off too, unless only a call slot was
+        // missing; otherwise a lasting local fault would use up all attempts at once
         if matches!(
             outcome,
             Outcome::Success | Outcome::NotSent { no_slot: true }
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -163,8 +163,8 @@
         let route = self.route_mut(route);
         let usual_latency = route.usual_latency.unwrap_or(0);
         let slow_latency = route.hedge_delay();
-        // a call that the end of the process cuts off may have run; the successor can make a
-        // complete one instead
+        // the destination may have processed a call that is cut off by the end of this process; the
+        // successor can make a complete call instead
         let is_cut_off = self
             .shutdown_at
             .is_some_and(|at| self.now + slow_latency > at);
@@ -233,8 +233,7 @@
     fn health_allows(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
-                // a non-idempotent message that may be lost on a failing route could not be sent
-                // again
+                // a non-idempotent message that is lost on a failing route can't be sent again
                 let may_be_failing = self.oldest_unanswered > self.hedge_delay();
                 let is_risky = call.is_non_idempotent && may_be_failing;
                 let lacks_tokens_for_hedge =
@@ -253,8 +252,8 @@
     /// call.
     fn has_room_for(&self, call: ProposedCall, are_unhealthy_full: bool) -> bool {
         if self.is_ejected() {
-            // a non-idempotent message is risked on an ejected route only if the route rejects
-            // calls, or if no other message uses the tokens
+            // a non-idempotent message is sent on an ejected route only if the route rejects calls,
+            // because a rejected message can be sent again, or if no other message uses the tokens
             let is_risky = call.is_non_idempotent && self.consecutive_rejections == 0;
             let needed = if is_risky {
                 TOKENS_OF_RISKY_CALL
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -18,8 +18,8 @@
 /// Minimum number of calls that one sender tries on an ejected route per warm-up time, in a fleet
 /// of any size. With 0.5, the pause between two tries is at most twice the warm-up time.
 const MIN_TRIALS_PER_WARM_UP: f64 = 0.5;
-/// Lowest start capacity that the rate of trial calls is divided by; a smaller divisor would give
-/// rates that make no sense.
+/// Lowest start capacity by which the rate of trial calls is divided. A smaller divisor would make
+/// the minimum rate of a recovering route rise far above the rate of trial calls.
 const MIN_START_CAPACITY: f64 = 0.01;
 
 impl Sender {
@@ -32,8 +32,8 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         match route.health {
-            // a trial call succeeds after missing answers, or soon after rejections, and few calls
-            // failed: the route was throttled or slow, not unavailable
+            // a trial call succeeds, few calls failed, and the route was ejected only for a short
+            // time, for missing answers or by the fleet: it was throttled or slow, not unavailable
             Health::Ejected {
                 unresponsive,
                 since,
@@ -68,8 +68,9 @@
     }
 
     /// Returns true unless the endpoint was enabled recently and has already received the calls
-    /// that it can take. Protects a restarted endpoint whose siblings are warm: it gets its part of
-    /// the rate that the destination is known to take, reduced as for a recovering destination.
+    /// that it can serve so far. Protects a restarted endpoint while the other endpoints of its
+    /// destination are warm: it gets its part of the rate that the destination is known to serve,
+    /// reduced as for a recovering destination.
     /// Drawback: an endpoint that was never restarted is held back for a while too.
     pub(super) fn is_warm_enough(&mut self, id: EndpointId, route: RouteId) -> bool {
         let now = self.now;
@@ -109,8 +110,8 @@
     }
 }
 
-/// Returns the fraction of its capacity that a route or endpoint takes at a warmth from 0 (cold) to
-/// 1 (warm).
+/// Returns the fraction of its full capacity that a route or endpoint can serve at a warmth from 0
+/// (cold) to 1 (warm).
 fn capacity_level(safety: &Safety, warmth: f64) -> f64 {
     safety.start_capacity + (1.0 - safety.start_capacity) * warmth
 }
@@ -148,8 +149,8 @@
         budget.max(min_rate).min(max_rate)
     }
 
-    /// Returns the rate in calls per second that the warm destination takes from this sender, as
-    /// far as it is known.
+    /// Returns the rate in calls per second at which the destination, once warm, presumably serves
+    /// this sender; the budget of a recovery follows from it.
     fn capacity_for_recovery(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
         let certain_listed_rate =
@@ -160,6 +161,8 @@
             .max(certain_listed_rate)
     }
 
+    /// Returns the rate in calls per second at which the destination presumably serves this sender
+    /// through all its endpoints, for the slow start of one of them.
     fn capacity_for_warm_up(&self) -> f64 {
         if self.best_rate > 0.0 {
             self.best_rate.max(self.fair_share)
--- a/src/decisions/state/call.rs
+++ b/src/decisions/state/call.rs
@@ -15,7 +15,7 @@
     pub pending: usize,
     /// Number of all messages in the call.
     pub size: usize,
-    /// True if the call carries hedges.
+    /// True if the call was opened for a hedge. Other messages may have joined it.
     pub is_hedge: bool,
 }
 
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -17,7 +17,8 @@
     pub call: u64,
     /// True while the outcome of the attempt is not known.
     pub in_flight: bool,
-    /// True if the outcome does not prove that the destination never ran the message.
+    /// True once the attempt has an outcome that does not prove that the destination never
+    /// processed the message.
     pub may_have_run: bool,
     /// True if a later attempt of the message started while this one was in flight.
     pub overlapped: bool,
@@ -107,9 +108,10 @@
         at_endpoint.count()
     }
 
-    /// Returns the attempts that may run or may have run. If there are any, also returns those that
-    /// a later attempt overlapped: the window of an idempotency key counts from the first of them,
-    /// even if that attempt turns out never to have run.
+    /// Returns the attempts that the destination may be processing or may have processed. If there
+    /// are any, also returns the attempts that were in flight when a later one started: the window
+    /// of an idempotency key counts from the first of all these attempts, even if the destination
+    /// turns out never to have processed that one.
     pub fn attempts_at_risk(&self) -> impl Iterator<Item = &Attempt> {
         let may_run = |attempt: &Attempt| attempt.in_flight || attempt.may_have_run;
         let any = self.attempts.iter().any(may_run);
@@ -118,12 +120,13 @@
             .filter(move |attempt| any && (may_run(attempt) || attempt.overlapped))
     }
 
+    /// Returns true if the destination may be processing or may have processed the message.
     pub fn is_at_risk(&self) -> bool {
         self.attempts_at_risk().next().is_some()
     }
 
     /// Returns the time at which the window of an idempotency key ends, counted from the first
-    /// attempt that may have run; `None` if no attempt may have run.
+    /// attempt at risk; `None` if the destination can't have processed any attempt.
     pub fn window_end(&self, window: Micros) -> Option<Micros> {
         self.attempts_at_risk()
             .map(|attempt| attempt.sent.saturating_add(window))
--- a/src/decisions/state/quota_bucket.rs
+++ b/src/decisions/state/quota_bucket.rs
@@ -35,9 +35,9 @@
         self.refilled_at = now;
     }
 
-    /// Changes the share of the limit from `before` to `after`. The time up to now is refilled at
-    /// the rate of the old share. If the allocation grows, the tokens that the increase brings
-    /// until the allocation ends are added at once.
+    /// Changes the share of the limit from `before` to `after`. For the time up to now, tokens are
+    /// added at the rate of the old share. If the allocation grows, the tokens that the increase
+    /// brings until the allocation ends are added at once.
     pub fn change_share(
         &mut self,
         now: Micros,
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -44,7 +44,8 @@
     #[default]
     Healthy,
     Ejected {
-        /// True if the route was ejected only for missing answers, not for failures or rejections.
+        /// True if the route was ejected because it left calls unanswered or because the fleet
+        /// reported the destination as unavailable, not for failures or rejections of own calls.
         unresponsive: bool,
         since: Micros,
     },
@@ -71,8 +72,7 @@
     pub usual_latency: Option<Micros>,
     /// Weighted average of recent outcomes: 0 if all calls succeed, 1 if all fail.
     pub failure_score: f64,
-    /// Time of the last success, error or rejection: any answer that shows that the destination is
-    /// alive.
+    /// Time of the last answer to a call: a success, an error or a rejection.
     pub last_answer_at: Micros,
     /// Time of the last failure or rejection.
     pub failed_at: Micros,
@@ -81,8 +81,9 @@
     /// Number of rejections since the last success.
     pub consecutive_rejections: u32,
     pub in_flight: usize,
-    /// Number of calls in flight that have gone unanswered for longer than the response limit.
-    /// Observed again in each turn.
+    /// Number of calls in flight that are older than the response limit, were not opened for a
+    /// hedge, and since whose start the route has not answered any call. Observed again in each
+    /// turn.
     pub unanswered: usize,
     /// Age in microseconds of the oldest call in flight since whose start the destination has not
     /// answered any call. Observed again in each turn.
@@ -90,9 +91,11 @@
     /// True if a call has been in flight far longer than the usual latency. Observed again in each
     /// turn.
     pub is_lagging: bool,
-    /// Times of the successful calls within the last overload span.
+    /// Times of the successful calls; those before the last overload span are dropped when the rate
+    /// of successes is computed.
     pub success_times: Samples,
-    /// Highest rate of successes seen, in calls per second.
+    /// Highest rate, in calls per second, at which calls have succeeded; at least the fair shares
+    /// that were listed or reported.
     pub best_rate: f64,
     /// Number of calls sent since the route was first seen.
     pub sent: u64,
@@ -142,7 +145,8 @@
         self.is_lagging || self.is_ejected()
     }
 
-    /// Clears what calls in flight have shown, before they are observed again.
+    /// Clears the fields that follow from the calls in flight, before each of these is observed
+    /// again.
     pub fn reset_observations(&mut self) {
         self.unanswered = 0;
         self.oldest_unanswered = 0;
@@ -156,8 +160,8 @@
         self.sent += 1;
     }
 
-    /// Returns the rate of calls that this sender makes, in calls per second, averaged over the
-    /// time since the route was first seen but at least over `min_span`.
+    /// Returns the rate of calls that this sender makes on the route, in calls per second, averaged
+    /// over the time since the route was first seen but at least over `min_span`.
     pub fn usual_rate(&self, now: Micros, min_span: Micros) -> f64 {
         self.sent as f64 / seconds((now - self.since).max(min_span).max(1))
     }
--- a/src/decisions/state/token_bucket.rs
+++ b/src/decisions/state/token_bucket.rs
@@ -37,7 +37,8 @@
     }
 
     /// Returns the time in microseconds until the bucket holds a whole token, at `rate` tokens per
-    /// second.
+    /// second or at `MIN_RATE` if that is higher. The time is negative if the bucket holds more
+    /// than one token.
     pub fn time_until_token(&self, rate: f64) -> Micros {
         ((1.0 - self.tokens) / rate.max(MIN_RATE) * SECOND as f64) as Micros
     }
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -1,6 +1,8 @@
-//! The layout of a serialized sender, defined a second time independently of the program. Postcard
-//! writes no field names, so both definitions agree only while the order and the types of all
-//! fields and variants are the same.
+//! The layout of a serialized sender, defined a second time. Tests deserialize senders of the
+//! program with this definition: a sender that is handed over to a process of another version must
+//! keep its layout. Postcard writes no field names, so both definitions agree only while the order
+//! and the types of all fields and variants are the same. Types of the program's interface, such as
+//! the settings, are not defined again.
 #![allow(dead_code)]
 
 use message_sender::{AgreedRules, FleetView, Micros, Quotas, Settings};
--- a/tests/decision_record/mod.rs
+++ b/tests/decision_record/mod.rs
@@ -103,9 +103,9 @@
     host_failing: bool,
     events: Vec<Event>,
     pub digest: Digest,
-    /// Number of actions, by the variant numbers that are used in the digest.
+    /// Number of actions of each variant, by the number under which `record` adds it to the digest.
     pub actions: [u64; 10],
-    /// Number of log actions, by the kinds that are used in the digest.
+    /// Number of log actions of each kind, by the number that `log_kind` gives it.
     pub log_counts: [u64; 5],
 }
 
@@ -582,7 +582,7 @@
                 let delay = Micros::from(20_000 + self.random_below(400_000));
                 let ended_message = self.messages.get_mut(&message.0).expect("ended while open");
                 ended_message.ended = true;
-                // the host owes a notification only where messages are completed by notification
+                // a notification follows only if the settings complete messages by notification
                 if self.settings.completion_by_notification {
                     ended_message.notification_pending = true;
                     self.notifications.insert(message.0, self.now + delay);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,5 +1,5 @@
-//! Limits on the size of the files of the decision modules: a larger file holds more than one
-//! concern.
+//! Checks the source files of the decisions and of the message index: each has module
+//! documentation, no overlong line, and so few lines that it holds only one concern.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Sends random legal events with a fixed seed to a sender, and checks its actions against the
+//! Sends random valid events with a fixed seed to a sender, and checks its actions against the
 //! rules. No server is simulated.
 
 mod common;
@@ -25,7 +25,8 @@
     ended: bool,
     in_flight: usize,
     attempts: usize,
-    /// Endpoint and time of the attempts that may have run, by the position of the attempt.
+    /// Endpoint and send time of each attempt that the destination may have processed, by the
+    /// position of the attempt.
     risky: BTreeMap<usize, (u32, Micros)>,
 }
 
@@ -322,7 +323,7 @@
 }
 
 #[test]
-fn random_legal_events_break_no_rule() {
+fn random_valid_events_break_no_rule() {
     for seed in 0..6 {
         let (_, sends) = run_random_events(seed);
         assert!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -445,7 +445,7 @@
     );
     host.handle(vec![Event::NotificationDelivered(MessageId(1))]);
     assert_eq!(host.sends_of(2).len(), 1);
-    // a notification still pending from before a restart holds its key too
+    // a notification that is pending since before a restart also holds back its key
     let old = NewMessage {
         key: Some(5),
         ..NewMessage::new(MessageId(5), ORDERED, 7, SECOND)
