--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -198,9 +198,9 @@
                 known_rate: route.known_rate(now, contention),
                 success_rate: success_rate * (1.0 - contention),
                 senders,
-                // contention makes a decrease smaller and adds a pause. After a Retry-After delay
-                // the decrease is a full one without that pause: this sender sends nothing until
-                // the delay ends, when the destination has room again.
+                // contention makes a decrease smaller and adds a pause. With a Retry-After delay the
+                // decrease is a full one without that pause: this sender sends nothing on the route
+                // until the delay ends, when the destination should have room again.
                 contention: if retry_after.is_some() {
                     0.0
                 } else {
