--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -5,8 +5,8 @@
 use super::state::{RouteId, seconds};
 use crate::interface::{Action, EndpointId, Outcome};
 
-/// Weight of one call that found no connection in the scarcity scores of its endpoint and of its
-/// kind of destination.
+/// Weight that one call without a connection has in the scarcity scores of its endpoint and of its
+/// kind of destination. Higher reacts to fewer such calls.
 const SCARCITY_WEIGHT: f64 = 0.2;
 /// Scarcity score above which idle connections are closed. Lower frees connections of an endpoint
 /// sooner; higher saves handshakes.
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -57,8 +57,9 @@
 
     /// Returns the number of listed destinations, and the demand of this sender. The demand covers
     /// every destination if at most `max_complete` are listed. Otherwise it covers only those where
-    /// messages wait, calls are in flight, or something has changed since the last call of this
-    /// function.
+    /// a message has changed since the last call of this function, and those whose demand must be
+    /// returned again even without a change. While changes are not recorded, as before the first
+    /// call, it covers those where messages wait or to which calls were made.
     pub fn demand_in_use(
         &mut self,
         max_complete: usize,
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -5,13 +5,13 @@
 use super::state::{PendingMessage, Route};
 use crate::interface::{Effect, MILLISECOND, Micros, SECOND};
 
-/// Delay before an attempt is hedged while no latency of its route is known. Shorter detects slow
-/// calls sooner; longer wastes fewer attempts.
+/// Delay before an attempt is hedged while no latency of its route is known, and minimum delay while
+/// few are. Shorter detects slow calls sooner; longer wastes fewer attempts.
 pub(super) const INITIAL_HEDGE_DELAY: Micros = SECOND;
-/// Share of the call slots that hedges may hold. Higher rescues more messages; lower leaves more
-/// slots to first attempts.
+/// Share of the call slots that hedges may hold. Higher delivers more messages despite slow
+/// calls; lower leaves more slots to first attempts.
 const MAX_HEDGE_SHARE: f64 = 0.5;
-/// Number of latencies that a route keeps.
+/// Number of latencies of successful calls that a route keeps to compute its hedge delay.
 const LATENCY_SAMPLES: usize = 40;
 /// Quantile of the kept latencies that becomes the hedge delay, as numerator and denominator.
 const HEDGE_QUANTILE: (usize, usize) = (19, 20);
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
     health: HealthRank,
-    /// True if the last messages of the same class failed at the endpoint.
+    /// True if the last messages of the same class have recently failed at the endpoint.
     is_avoided: bool,
     /// Number of earlier attempts of the message at the endpoint.
     attempts: usize,
@@ -228,8 +228,8 @@
 }
 
 impl Route {
-    /// Returns false if the health of the route speaks against the call, even if the route has
-    /// tokens for it.
+    /// Returns false if the call should not be made because of the health of the route, or if it is a
+    /// hedge on a healthy route that would leave no token to other calls.
     fn health_allows(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -23,8 +23,9 @@
 const MIN_START_CAPACITY: f64 = 0.01;
 
 impl Sender {
-    /// Advances the recovery of a route after a successful call: an ejected route begins to
-    /// recover, and a route that has recovered for long enough becomes healthy.
+    /// Advances the recovery of a route after a successful call: an ejected route begins to recover,
+    /// or becomes healthy at once if it was only slow or throttled, and a route that has recovered
+    /// for long enough becomes healthy.
     pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
         let now = self.now;
         let warm_up_time = self.settings.safety.warm_up_time;
@@ -99,7 +100,8 @@
         false
     }
 
-    /// Returns the number of endpoints of the destination that may receive calls, but at least 1.
+    /// Returns the number of endpoints of the route's destination that may receive calls, but
+    /// at least 1.
     fn available_endpoints(&self, route: RouteId) -> usize {
         let is_available = |id: &&EndpointId| {
             let endpoint = self.endpoints.get(id);
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -20,7 +20,7 @@
     /// True once the attempt has an outcome that does not prove that the destination never
     /// processed the message.
     pub may_have_run: bool,
-    /// True if a later attempt of the message started while this one was in flight.
+    /// True if a later attempt of the message started while this one was in flight, or may have.
     pub overlapped: bool,
     /// True once the host was asked to cancel the attempt because it seemed lost.
     pub cancelled: bool,
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -68,7 +68,7 @@
     pub latencies: Samples,
     /// Hedge delay in microseconds that follows from the latencies of successful calls.
     pub learned_hedge_delay: Option<Micros>,
-    /// Moving average of the latency over a long time, in microseconds.
+    /// Moving average of the latencies of successful calls over a long time, in microseconds.
     pub usual_latency: Option<Micros>,
     /// Weighted average of recent outcomes: 0 if all calls succeed, 1 if all fail.
     pub failure_score: f64,
