--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,9 +1,9 @@
-//! The connections to the endpoints, from dial to close: carries out what the pool's rules say, and owns the sockets.
-//! Calls acquire a connection, use it, and release or discard it.
+//! Connection pool for the endpoints: owns the sockets and executes the commands of the pool's decision module
+//! [`message_sender::pool`]. A call acquires a connection, uses it, and releases or discards it.
 //!
-//! `state` carries out the rules' commands, `connector` makes connections, `lease` is what a call holds, `limits`
-//! derives the limits from settings and descriptors, `report` is for operators, `traffic` watches one connection's
-//! bytes, `status_line` the first line of an answer.
+//! `state` executes the commands, `connector` dials, `lease` is a call's exclusive hold on a connection, `limits`
+//! derives the pool's limits from settings and file descriptors, `report` serves operators, `traffic` tracks the bytes
+//! of one connection, and `status_line` parses the status line of an answer.
 
 mod connector;
 mod lease;
@@ -27,16 +27,16 @@
 use tokio::time::{Instant, timeout_at};
 pub use traffic::Traffic;
 
-/// What the pool is made from; the rest comes with the settings.
+/// Inputs of a new pool that no settings reload can change.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolResources {
-    /// Descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold open.
     pub descriptors: usize,
-    /// Seeds the moments of retries and of dials ahead of need.
+    /// Seed of the random delays before dials are retried and before connections are dialled ahead of demand.
     pub seed: u64,
 }
 
-/// All connections to endpoints.
+/// Pool of the connections to all endpoints. Clones share the same pool.
 #[derive(Clone)]
 pub struct ConnectionPool(Rc<PoolState>);
 
@@ -49,13 +49,13 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections that dials over TCP.
     pub fn new(limits: PoolLimits, dial_timeout: Micros, resources: PoolResources) -> Self {
         let state = PoolState::new(Connector::Tcp, limits, dial_timeout, resources);
         ConnectionPool(Rc::new(state))
     }
 
-    /// A pool without connections whose dials bring these streams, in turn.
+    /// Creates a pool whose dials return `streams` one after another instead of TCP connections.
     #[cfg(test)]
     pub fn ready(streams: Vec<tokio::io::DuplexStream>, limits: PoolLimits) -> Self {
         let resources = PoolResources {
@@ -67,14 +67,15 @@
         ConnectionPool(Rc::new(state))
     }
 
-    /// Puts other settings in force.
+    /// Applies changed settings: the pool's limits, and `dial_timeout` in microseconds.
     pub fn apply_settings(&self, pool: &PoolSettings, settings: &Settings, dial_timeout: Micros) {
         self.0.set_dial_timeout(dial_timeout);
         let limits = limits(pool, self.0.descriptors(), settings);
         self.0.set_limits(limits);
     }
 
-    /// The endpoint takes calls from now on, or takes none any more.
+    /// Opens the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
+    /// whose dial is in flight may still get their connection.
     pub fn set_serving(&self, target: EndpointAddress, is_serving: bool) {
         let now = self.0.now();
         self.0.update(|pool, commands| {
@@ -92,36 +93,39 @@
             .update(|pool, commands| pool.close_idle(target, commands));
     }
 
-    /// The endpoint's destination has sent a Retry-After: a call that waits for a connection ends without being sent.
+    /// Applies the Retry-After delay (microseconds) that the endpoint's destination has sent: a call that still waits
+    /// for a connection to the endpoint ends without being sent.
     pub fn apply_retry_after(&self, target: EndpointAddress, retry_after: Micros) {
         let until = self.0.now().saturating_add(retry_after);
         self.0
             .update(|pool, commands| pool.apply_retry_after(target, until, commands));
     }
 
-    /// The predecessor of a handover holds so many connections.
+    /// Sets the number of connections that the predecessor of a handover still holds; they count towards the limits.
     pub fn set_predecessor_connections(&self, count: usize) {
         let now = self.0.now();
         self.0
             .update(|pool, commands| pool.set_predecessor_connections(now, count, commands));
     }
 
-    /// Closes all idle connections, keeps none from now on, and ends the calls that wait for one without sending them.
+    /// Closes all idle connections, stops keeping connections idle, and ends without sending them the calls that wait
+    /// for a connection.
     pub fn shut_down(&self) {
         self.0.update(|pool, commands| pool.shut_down(commands));
     }
 
-    /// Does what time alone brings; to be called some times a second.
+    /// Does the work that is due by time: closes expired idle connections, starts queued dials and dials ahead of
+    /// demand. The caller runs this several times a second.
     pub fn run_maintenance(&self) {
         let now = self.0.now();
         self.0.update(|pool, commands| pool.tick(now, commands));
     }
 
-    /// Acquires a connection to the endpoint, ready to be written to. `reason_if_dropped` says why the connection is
-    /// closed should its call be dropped.
+    /// Acquires a connection to the endpoint that is ready for a request. If the call is dropped, the connection is
+    /// closed, and `reason_if_dropped` is the recorded reason.
     ///
     /// # Errors
-    /// None is to be had, or none came up within the dial timeout.
+    /// The pool denied the call a connection, or no connection was available within the dial timeout.
     pub async fn acquire(
         &self,
         target: EndpointAddress,
@@ -133,7 +137,8 @@
             let mut lease = self.wait_for_lease(target, asked_at, deadline).await?;
             reason_if_dropped.set(CloseReason::Cancelled);
             lease.set_reason_if_dropped(reason_if_dropped.clone());
-            // one that has closed meanwhile carried nothing: another one is asked for
+            // an idle connection may have been closed by its endpoint; it carried no byte of the call, so the call may
+            // safely use another one
             if lease.idle_for.is_none() || lease.connection().sender.ready().await.is_ok() {
                 return Ok(lease);
             }
@@ -148,7 +153,7 @@
         deadline: Instant,
     ) -> Result<ConnectionLease, LeaseError> {
         let mut wait = self.0.begin_wait(target);
-        // what is there already is taken whatever the time
+        // an answer that is ready counts even after the deadline
         let answer = match wait.receiver.try_recv() {
             Ok(answer) => answer,
             Err(_) => match timeout_at(deadline, &mut wait.receiver).await {
--- a/src/net/pool/compatibility.rs
+++ b/src/net/pool/compatibility.rs
@@ -1,4 +1,4 @@
-//! What operators see of the connections: the same keys and types as always.
+//! Compatibility test of the operators' pool report: keys and types must stay as recorded.
 
 use super::*;
 use crate::net::http_golden as golden;
@@ -17,23 +17,26 @@
             ..Settings::new(8, 100)
         };
         let limits = limits(&PoolSettings::default(), 100, &settings);
-        let (here, _there) = tokio::io::duplex(64);
-        let connections = ConnectionPool::ready(vec![here], limits);
+        let (pool_side, _endpoint_side) = tokio::io::duplex(64);
+        let connections = ConnectionPool::ready(vec![pool_side], limits);
         let target = |port, endpoint| EndpointAddress {
             address: ([127, 0, 0, 1], port).into(),
             endpoint: EndpointId(endpoint),
         };
         connections.set_serving(target(9, 0), true);
         connections.set_serving(target(10, 1), true);
-        let end = Rc::new(Cell::new(CloseReason::Cancelled));
+        let close_reason = Rc::new(Cell::new(CloseReason::Cancelled));
         let lease = connections
-            .acquire(target(9, 0), &end)
+            .acquire(target(9, 0), &close_reason)
             .await
-            .expect("it comes up");
+            .expect("the connection is established");
         lease.discard(CloseReason::Reset);
         assert!(
-            connections.acquire(target(10, 1), &end).await.is_err(),
-            "none is left"
+            connections
+                .acquire(target(10, 1), &close_reason)
+                .await
+                .is_err(),
+            "no prepared stream is left"
         );
         let report =
             connections.report(|endpoint| (endpoint == EndpointId(0)).then(|| "s-1".to_string()));
@@ -43,7 +46,7 @@
             &serde_json::to_string_pretty(&golden::kinds(&report)).expect("JSON"),
         );
     });
-    let causes = [
+    let close_reasons = [
         CloseReason::IdleTimeout,
         CloseReason::Surplus,
         CloseReason::Scarcity,
@@ -58,12 +61,12 @@
         CloseReason::TimedOut,
         CloseReason::Cancelled,
     ];
-    let failures = [
+    let dial_failures = [
         DialFailure::Refused,
         DialFailure::TimedOut,
         DialFailure::Local,
         DialFailure::Other,
     ];
-    let text = serde_json::to_string(&(causes, failures)).expect("JSON");
+    let text = serde_json::to_string(&(close_reasons, dial_failures)).expect("JSON");
     golden::compare("pool_causes.json", &text);
 }
--- a/src/net/pool/connector.rs
+++ b/src/net/pool/connector.rs
@@ -1,4 +1,4 @@
-//! Makes connections: TCP, then HTTP.
+//! Dials connections: TCP first, then the HTTP/1 client on top.
 
 use super::traffic::{ImmediateRead, Traffic, TrafficStream};
 use crate::net::events::MAX_BODY_BYTES;
@@ -14,24 +14,24 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A connection that is up.
+/// Established connection to an endpoint.
 pub struct Connection {
-    /// Sends requests on it.
+    /// Hyper's handle that sends requests over the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What has gone over it.
+    /// Byte counts of the connection, and the means to abandon its call.
     pub traffic: Arc<Traffic>,
 }
 
-/// A connection, and the future that drives it until it ends.
+/// New connection, with the hyper future that must be polled until the connection closes.
 pub(super) struct NewConnection {
     pub(super) connection: Connection,
     pub(super) driver: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-/// Where new connections come from.
+/// Source of new connections: real dials, or prepared streams in tests.
 pub(super) enum Connector {
     Tcp,
-    /// One after another from here; dials beyond them are refused.
+    /// Prepared streams, one for each dial; further dials fail as refused.
     #[cfg(test)]
     Ready(std::cell::RefCell<std::collections::VecDeque<tokio::io::DuplexStream>>),
 }
@@ -42,7 +42,7 @@
         Connector::Ready(std::cell::RefCell::new(streams.into()))
     }
 
-    /// A new connection to the address.
+    /// Dials `address` and completes the HTTP handshake.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
@@ -77,7 +77,7 @@
         .map_err(io::Error::other)?;
     Ok(NewConnection {
         connection: Connection { sender, traffic },
-        // how it ends is told to the call on it
+        // an error of the connection is also returned to the call on it, so it is dropped here
         driver: Box::pin(async move { drop(connection.await) }),
     })
 }
--- a/src/net/pool/lease.rs
+++ b/src/net/pool/lease.rs
@@ -1,5 +1,5 @@
-//! What a call holds of the pool: a wait for a connection, and then the connection itself. Both come back to the pool
-//! when they are dropped.
+//! Guards that a call holds: first a wait for a connection, then the lease of the connection. Dropping either one
+//! informs the pool.
 
 use super::connector::Connection;
 use super::state::PoolState;
@@ -10,27 +10,27 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Why a call has no connection.
+/// Reason why a call got no connection.
 #[derive(Debug, Error)]
 pub enum LeaseError {
-    /// None came up within the dial timeout.
+    /// No connection was available within the dial timeout.
     #[error("no connection came up within the dial timeout")]
     DialTimeout,
-    /// None came up before the call had to begin.
+    /// No connection was available before the latest time at which the call may begin.
     #[error("no connection came up before the call had to begin")]
     TooLate,
-    /// The pool's rules deny one.
+    /// The pool's decision module denied the call a connection, for this reason.
     #[error("no connection: {0:?}")]
     Denied(LeaseDenied),
-    /// The pool has ended.
+    /// The pool was dropped while the call waited for a connection.
     #[error("the pool has ended")]
     PoolEnded,
 }
 
-/// What the pool answers to a call that waits.
+/// Answer of the pool to a call that waits for a connection.
 pub(super) type WaitAnswer = Result<ConnectionLease, LeaseDenied>;
 
-/// A call's wait for a connection; it ends when this is dropped.
+/// Wait of a call for a connection. Dropping this guard cancels the wait.
 pub(super) struct ConnectionWait<'a> {
     pub(super) pool: &'a Rc<PoolState>,
     pub(super) waiter: u64,
@@ -43,14 +43,16 @@
     }
 }
 
-/// A connection that one call has to itself. Dropped without [`ConnectionLease::release`], it is closed.
+/// Exclusive hold of one call on a connection. The connection is closed if this is dropped without
+/// [`ConnectionLease::release`].
 pub struct ConnectionLease {
     pool: Rc<PoolState>,
     number: u64,
     connection: Option<Connection>,
-    /// How long it had been idle; none if it is new.
+    /// Time that the connection was idle before this lease; `None` if the connection is new.
     pub idle_for: Option<Duration>,
-    /// Why it is closed should its call drop it; none as long as no call has taken it up, or once it is released.
+    /// Reason recorded for the close if the call drops the lease. `None` before the call has received the connection
+    /// and after `release`; the connection then returns to the pool if it is still usable.
     reason_if_dropped: Option<Rc<Cell<CloseReason>>>,
 }
 
@@ -74,24 +76,25 @@
         self.reason_if_dropped = Some(reason);
     }
 
-    /// The connection.
+    /// Returns the leased connection.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection
             .as_mut()
-            .expect("taken only when the lease ends")
+            .expect("present until the lease is dropped")
     }
 
-    /// An answer has come; true if it was rejected because there was no room for the connection.
+    /// Records the kind of an answer on this connection. Returns true if the endpoint rejected the call because it had
+    /// no capacity for another connection.
     pub fn record_answer(&self, answer: AnswerKind) -> bool {
         self.pool.record_answer(self.number, answer)
     }
 
-    /// The call is over and the connection can carry another.
+    /// Ends the lease after a complete answer; the connection returns to the pool for another call.
     pub fn release(mut self) {
         self.reason_if_dropped = None;
     }
 
-    /// The connection is of no more use.
+    /// Ends the lease and closes the connection, for `reason`.
     pub fn discard(self, reason: CloseReason) {
         if let Some(dropped) = &self.reason_if_dropped {
             dropped.set(reason);
@@ -106,10 +109,10 @@
         };
         let reason = match &self.reason_if_dropped {
             Some(reason) => reason.get(),
-            // an answer that came too late leaves it as its call was abandoned
+            // the answer arrived after its call was abandoned, when the sending side was already shut
             None if connection.traffic.is_shut() => CloseReason::Cancelled,
             None if connection.sender.is_closed() => CloseReason::ClosedByPeer,
-            None => return self.pool.take_back(self.number, connection),
+            None => return self.pool.return_connection(self.number, connection),
         };
         self.pool.discard(self.number, reason);
     }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the pool, from settings and descriptors.
+//! Derives the limits of the connection pool from the settings and the number of file descriptors.
 
 use super::{duration, micros};
 use crate::net::config::max_pool_connections;
@@ -6,23 +6,26 @@
 use message_sender::{Micros, Settings};
 use std::time::Duration;
 
-/// Idle connections to one endpoint, and in all where the descriptors allow it: one for each of as many endpoints.
+/// Default maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
+/// Upper bound of the default maximum number of idle connections in total; enough for one to each of 1,024 endpoints.
+/// A process with few file descriptors gets a lower default.
 const MAX_IDLE: usize = 1024;
-/// Idle time that endpoints are taken to allow where the settings tell none.
+/// Time after which endpoints are assumed to close an idle connection if the settings give no time.
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The limits that settings come to. Caps that are not set follow from the descriptors.
+/// Returns the pool's limits. A limit that is missing in the settings is derived from `descriptors`, the number of file
+/// descriptors that the process may hold.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> PoolLimits {
     let endpoint_timeout = if settings.connection_idle_timeout > 0 {
         duration(settings.connection_idle_timeout)
     } else {
         DEFAULT_ENDPOINT_IDLE_TIMEOUT
     };
-    // connections are given up somewhat before the endpoint would close them
+    // close idle connections before the endpoint does, so that no request is written to a closing connection
     let idle_timeout = (endpoint_timeout * 9 / 10)
         .min(endpoint_timeout.saturating_sub(Duration::from_millis(300)));
-    // a file that was read for more descriptors than the process started with allows no more
+    // a reloaded configuration may name more descriptors than the process started with; they do not raise the limit
     let max_total = max_pool_connections(descriptors);
     let total = pool.all.unwrap_or(max_total).min(max_total);
     let cap = |set: Option<usize>, usual: usize| set.unwrap_or(usual).min(total);
--- a/src/net/pool/report.rs
+++ b/src/net/pool/report.rs
@@ -1,4 +1,4 @@
-//! What operators see of the connections.
+//! Report of the connection pool for operators.
 
 use super::ConnectionPool;
 use message_sender::pool::{EndpointReport, PoolReport};
@@ -6,13 +6,15 @@
 use serde_json::json;
 use std::cmp::Reverse;
 
-/// Endpoints in one report, so that its size is bounded: some 300 bytes each. No list of fewer is cut.
+/// Maximum number of endpoints in one report, which bounds its size: an endpoint takes about 300 bytes. Shorter
+/// lists are reported whole.
 const MAX_REPORTED_ENDPOINTS: usize = 1024;
 
 impl ConnectionPool {
-    /// Figures for operators, as JSON: the busiest endpoints and how many are left out, and the sums of all.
+    /// Returns the pool's limits and figures as JSON: the sums over all endpoints, the busiest endpoints one by one,
+    /// and the number of endpoints left out. `uid_of` maps an endpoint to its id in the endpoint list.
     pub fn report(&self, uid_of: impl Fn(EndpointId) -> Option<String>) -> String {
-        let pool = self.0.rules();
+        let pool = self.0.pool();
         let limits = pool.limits();
         let PoolReport {
             mut endpoints,
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -1,4 +1,5 @@
-//! The rules' state beside the sockets, and the carrying out of what the rules say.
+//! State of the connection pool: the decision module [`Pool`], the idle sockets and the waiting calls. Executes the
+//! commands of the decision module.
 
 use super::connector::{Connection, Connector};
 use super::lease::{ConnectionLease, ConnectionWait, WaitAnswer};
@@ -22,13 +23,13 @@
     started_at: Instant,
     connector: Connector,
     resources: PoolResources,
-    rules: RefCell<Pool>,
-    /// Connections that are up and not leased.
+    pool: RefCell<Pool>,
+    /// Established connections that no call holds, by connection number.
     idle: RefCell<HashMap<u64, Connection>>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<WaitAnswer>>>,
     next_waiter: Cell<u64>,
     dial_timeout: Cell<Duration>,
-    /// When this machine last failed a dial.
+    /// Time of the last dial that failed by an error of the local host.
     last_local_failure: Cell<Option<Instant>>,
     failure_log: RateLimitedLog,
 }
@@ -44,7 +45,7 @@
             started_at: Instant::now(),
             connector,
             resources,
-            rules: RefCell::new(Pool::new(limits, resources.seed)),
+            pool: RefCell::new(Pool::new(limits, resources.seed)),
             idle: RefCell::default(),
             waiting: RefCell::default(),
             next_waiter: Cell::default(),
@@ -54,13 +55,13 @@
         }
     }
 
-    /// Time as the rules count it.
+    /// Returns the time in microseconds since the pool was created, the clock of the decision module.
     pub(super) fn now(&self) -> Micros {
         micros(self.started_at.elapsed())
     }
 
-    pub(super) fn rules(&self) -> RefMut<'_, Pool> {
-        self.rules.borrow_mut()
+    pub(super) fn pool(&self) -> RefMut<'_, Pool> {
+        self.pool.borrow_mut()
     }
 
     pub(super) fn descriptors(&self) -> usize {
@@ -77,21 +78,21 @@
 
     pub(super) fn set_limits(self: &Rc<Self>, limits: PoolLimits) {
         let now = self.now();
-        let is_new = limits != *self.rules.borrow().limits();
-        if is_new {
+        let has_changed = limits != *self.pool.borrow().limits();
+        if has_changed {
             self.update(|pool, commands| pool.set_limits(now, limits, commands));
         }
     }
 
-    /// Whether this machine has failed a dial since then.
+    /// Returns whether a dial has failed by an error of the local host at or after `since`.
     pub(super) fn failed_locally_since(&self, since: Instant) -> bool {
         self.last_local_failure.get().is_some_and(|at| at >= since)
     }
 
-    /// Tells the rules something and carries out what they say.
-    pub(super) fn update(self: &Rc<Self>, tell: impl FnOnce(&mut Pool, &mut Vec<Command>)) {
+    /// Applies `change` to the decision module and executes the commands that it returns.
+    pub(super) fn update(self: &Rc<Self>, change: impl FnOnce(&mut Pool, &mut Vec<Command>)) {
         let mut commands = Vec::new();
-        tell(&mut self.rules.borrow_mut(), &mut commands);
+        change(&mut self.pool.borrow_mut(), &mut commands);
         for command in commands {
             self.carry_out(command);
         }
@@ -112,9 +113,10 @@
                 connection,
                 idle_for,
             } => {
-                let taken = self.idle.borrow_mut().remove(&connection);
+                let idle_connection = self.idle.borrow_mut().remove(&connection);
                 let idle_for = idle_for.map(duration);
-                let lease = ConnectionLease::new(self.clone(), connection, taken, idle_for);
+                let lease =
+                    ConnectionLease::new(self.clone(), connection, idle_connection, idle_for);
                 self.answer(waiter, Ok(lease));
             }
             Command::Deny { waiter, reason } => self.answer(waiter, Err(reason)),
@@ -123,13 +125,13 @@
 
     fn answer(&self, waiter: u64, answer: WaitAnswer) {
         let waiting = self.waiting.borrow_mut().remove(&waiter);
-        // a call that waits no more has ended its wait before, and gets nothing
+        // a call that stopped waiting has removed its entry; an unsent lease returns its connection when dropped
         if let Some(waiting) = waiting {
             drop(waiting.send(answer));
         }
     }
 
-    /// Asks the rules for a connection; the answer may be there at once.
+    /// Requests a connection from the decision module. The answer may be ready as soon as this returns.
     pub(super) fn begin_wait(self: &Rc<Self>, target: EndpointAddress) -> ConnectionWait<'_> {
         let waiter = self.next_waiter.get();
         self.next_waiter.set(waiter + 1);
@@ -147,24 +149,24 @@
 
     pub(super) fn end_wait(&self, waiter: u64) {
         self.waiting.borrow_mut().remove(&waiter);
-        self.rules.borrow_mut().cancel_wait(waiter);
+        self.pool.borrow_mut().cancel_wait(waiter);
     }
 
     pub(super) fn record_answer(&self, connection: u64, answer: AnswerKind) -> bool {
         let now = self.now();
-        self.rules
+        self.pool
             .borrow_mut()
             .record_answer(now, connection, answer)
     }
 
-    /// A lease ends and its connection can carry another call.
-    pub(super) fn take_back(self: &Rc<Self>, number: u64, connection: Connection) {
+    /// Returns a connection to the pool at the end of its lease, so that it can carry another call.
+    pub(super) fn return_connection(self: &Rc<Self>, number: u64, connection: Connection) {
         let now = self.now();
         self.idle.borrow_mut().insert(number, connection);
         self.update(|pool, commands| pool.release(now, number, commands));
     }
 
-    /// A lease ends, and its connection with it.
+    /// Ends a lease whose connection is closed, and logs `reason`.
     pub(super) fn discard(self: &Rc<Self>, number: u64, reason: CloseReason) {
         message_log::record_close(format_args!("connection {number}"), &reason);
         let now = self.now();
@@ -192,7 +194,8 @@
         self.update(|pool, commands| pool.dial_failed(now, connection, failure, commands));
     }
 
-    /// The kind of a failed dial; one that this machine failed is noted and logged.
+    /// Classifies a failed dial. An error of the local host is also logged and its time recorded, since it says nothing
+    /// of the endpoint's health.
     fn classify(&self, error: ConnectError) -> DialFailure {
         match error {
             ConnectError::Peer(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
--- a/src/net/pool/status_line.rs
+++ b/src/net/pool/status_line.rs
@@ -1,33 +1,33 @@
-//! The first line of an answer, as far as it has come: whether it says 200, and whether it is whole.
+//! Incremental parser of an answer's status line: finds out whether a complete line with status 200 has been received.
 
-/// Proof that a first line with 200 has come whole, up to its line feed.
+/// Proof that a complete status line with 200, up to its line feed, has been received. Only the parser creates it.
 #[derive(Debug, Clone, Copy)]
 pub struct SuccessLine(());
 
-/// What a first line with 200 begins with, but for the minor version.
+/// Start of an expected status line, up to the minor version.
 const VERSION: &[u8] = b"HTTP/1.";
-/// The status after the version.
+/// Status 200 as it follows the minor version, with the space between them.
 const STATUS: &[u8] = b" 200";
 
-/// How far the first line of an answer has come.
+/// State of the status line parser.
 #[derive(Debug, Clone, Copy, Default)]
 enum Progress {
-    /// So many bytes of version and status have come.
+    /// This many bytes of version and status have been received, and all are as expected.
     Prefix(usize),
-    /// The status has come; a space, a carriage return or the line feed follows.
+    /// The status 200 has been received; a space, a carriage return or the line feed must follow.
     Status,
-    /// After the space: the reason, up to the line feed.
+    /// The space after the status has been received; the reason phrase follows, up to the line feed.
     Reason,
-    /// A carriage return right after the status.
+    /// A carriage return has followed the status directly; only the line feed may follow.
     CarriageReturn,
-    /// All of it.
+    /// The whole line with status 200 has been received.
     Whole,
-    /// It says something else.
+    /// The line has another status, or is no valid status line of HTTP/1.0 or HTTP/1.1.
     #[default]
     Other,
 }
 
-/// Reads a first line byte by byte.
+/// Status line parser that accepts the bytes of an answer in pieces of any size.
 #[derive(Debug)]
 pub(super) struct StatusLineReader(Progress);
 
@@ -38,7 +38,7 @@
 }
 
 impl StatusLineReader {
-    /// Takes the next bytes of the answer.
+    /// Parses the next bytes of the answer; bytes after the line are ignored.
     pub(super) fn read(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             if matches!(self.0, Progress::Whole | Progress::Other) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The line, once it has come whole and says 200.
+    /// Returns the proof of success once a whole line with status 200 has been parsed.
     pub(super) fn success(&self) -> Option<SuccessLine> {
         matches!(self.0, Progress::Whole).then_some(SuccessLine(()))
     }
--- a/src/net/pool/status_line/tests.rs
+++ b/src/net/pool/status_line/tests.rs
@@ -1,4 +1,4 @@
-//! First lines, cut at each byte.
+//! Tests of the status line parser on lines cut at each byte.
 
 use super::*;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn line_with_200_counts_from_its_line_feed_on() {
+fn line_with_200_is_success_only_after_its_line_feed() {
     let lines: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.0 200 OK\r\n",
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn other_lines_are_no_success() {
+fn line_with_other_status_or_syntax_is_not_success() {
     let lines: [&[u8]; 9] = [
         b"HTTP/1.1 2000 OK\r\n",
         b"HTTP/1.1 201 Created\r\n",
--- a/src/net/pool/traffic.rs
+++ b/src/net/pool/traffic.rs
@@ -1,4 +1,5 @@
-//! What goes over a connection: bytes written, the start of an answer, and how a call on it is abandoned.
+//! Byte-level tracking of one connection: counts the bytes written, keeps the start of an answer for the log, and
+//! abandons a call without losing an answer that has already arrived.
 
 use super::status_line::{StatusLineReader, SuccessLine};
 use crate::net::stream::Stream;
@@ -10,43 +11,43 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// Bytes of an answer that are kept for the log.
+/// Number of bytes from the start of an answer that are kept for the log.
 const KEPT_ANSWER_BYTES: usize = 32;
 
-/// What has gone over a connection, beside what hyper tells of it.
+/// Progress of one connection that hyper does not expose, shared by the socket and the call on it.
 #[derive(Default)]
 pub struct Traffic {
     written: AtomicU64,
     answer: Mutex<AnswerProgress>,
     success_line_read: Notify,
     abandonment: Mutex<Abandonment>,
-    read_out: Notify,
+    input_drained: Notify,
 }
 
-/// What has come since the last request.
+/// Part of the current answer that has been received.
 #[derive(Default)]
 struct AnswerProgress {
     bytes: u64,
-    /// The first of them, up to [`KEPT_ANSWER_BYTES`].
+    /// First bytes of the answer, up to [`KEPT_ANSWER_BYTES`].
     start: Vec<u8>,
     status_line: StatusLineReader,
 }
 
-/// How far a call is given up. It ends at the one moment at which the system has nothing more to read: an answer that
-/// has come by then counts.
+/// Progress of abandoning a call. The call ends at the instant at which the kernel has no more bytes to read, so that
+/// an answer that has arrived by then still counts.
 #[derive(Default)]
 struct Abandonment {
-    is_wanted: bool,
-    is_read_out: bool,
+    is_requested: bool,
+    is_input_drained: bool,
     is_shut: bool,
-    /// The connection is gone: nothing more can be read.
-    has_ended: bool,
-    /// Who reads, and waits for more.
+    /// True once the connection is closed, so that nothing more can be read.
+    is_closed: bool,
+    /// Wakes the task that waits to read from the connection.
     reader: Option<Waker>,
 }
 
 impl Traffic {
-    /// Bytes written so far.
+    /// Returns the number of bytes written to the connection since it was opened.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
@@ -57,27 +58,27 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until all that is there has been read and the sending side is shut, which gives the call up: from then on
-    /// the endpoint knows of its end.
+    /// Abandons the call on this connection: waits until all received bytes have been read and the sending side is
+    /// shut. From then on the endpoint can see that the call has ended.
     pub async fn abandon_call(&self) {
         let reader = {
             let mut abandonment = self.abandonment();
-            abandonment.is_wanted = true;
-            abandonment.is_read_out = abandonment.has_ended;
+            abandonment.is_requested = true;
+            abandonment.is_input_drained = abandonment.is_closed;
             abandonment.reader.take()
         };
         reader.into_iter().for_each(Waker::wake);
-        while !self.abandonment().is_read_out {
-            self.read_out.notified().await;
+        while !self.abandonment().is_input_drained {
+            self.input_drained.notified().await;
         }
     }
 
-    /// An answer has come first: the connection goes on.
+    /// Withdraws the request to abandon the call, since its answer arrived first; the connection stays open.
     pub fn keep_connection(&self) {
-        self.abandonment().is_wanted = false;
+        self.abandonment().is_requested = false;
     }
 
-    /// True if nothing can be sent any more.
+    /// Returns whether the sending side is shut, so that the connection cannot carry another call.
     pub(super) fn is_shut(&self) -> bool {
         self.abandonment().is_shut
     }
@@ -86,17 +87,17 @@
         self.answer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes of an answer that have come.
+    /// Returns the number of bytes of the current answer that have been received.
     pub fn answer_bytes(&self) -> u64 {
         self.answer().bytes
     }
 
-    /// The first bytes of the answer.
+    /// Returns the first bytes of the current answer, up to `KEPT_ANSWER_BYTES`.
     pub fn answer_start(&self) -> Vec<u8> {
         self.answer().start.clone()
     }
 
-    /// What comes from now on is another answer.
+    /// Discards the record of the previous answer; bytes received from now on belong to the next call's answer.
     pub fn reset_answer(&self) {
         *self.answer() = AnswerProgress::default();
     }
@@ -104,22 +105,22 @@
     fn record_answer_bytes(&self, bytes: &[u8]) {
         let mut answer = self.answer();
         answer.bytes += bytes.len() as u64;
-        let room = KEPT_ANSWER_BYTES.saturating_sub(answer.start.len());
+        let capacity_left = KEPT_ANSWER_BYTES.saturating_sub(answer.start.len());
         answer
             .start
-            .extend_from_slice(&bytes[..bytes.len().min(room)]);
+            .extend_from_slice(&bytes[..bytes.len().min(capacity_left)]);
         answer.status_line.read(bytes);
         if answer.status_line.success().is_some() {
             self.success_line_read.notify_one();
         }
     }
 
-    /// The answer's first line, once it has come whole and says 200, whatever follows it.
+    /// Returns proof of a status line with 200 once the whole line has been received, whatever follows it.
     pub fn success_line(&self) -> Option<SuccessLine> {
         self.answer().status_line.success()
     }
 
-    /// Waits for a whole first line that says 200.
+    /// Waits until a whole status line with 200 has been received.
     pub async fn wait_for_success_line(&self) -> SuccessLine {
         loop {
             if let Some(line) = self.success_line() {
@@ -130,7 +131,8 @@
     }
 }
 
-/// Counts what has been written: a call whose last byte was not can't have run. Keeps the start of what is read.
+/// Stream that records its bytes in [`Traffic`]. The count of written bytes shows whether a call may have run: the
+/// endpoint cannot have run a request whose last byte was never written.
 pub(super) struct TrafficStream<S> {
     pub(super) stream: S,
     pub(super) traffic: Arc<Traffic>,
@@ -149,27 +151,28 @@
 
 impl<S> Drop for TrafficStream<S> {
     fn drop(&mut self) {
-        // what has ended needs no giving up
+        // a closed connection needs no further reads: whoever waits to abandon its call is released
         let mut abandonment = self.traffic.abandonment();
-        abandonment.is_read_out = true;
-        abandonment.has_ended = true;
+        abandonment.is_input_drained = true;
+        abandonment.is_closed = true;
         drop(abandonment);
-        self.traffic.read_out.notify_one();
+        self.traffic.input_drained.notify_one();
     }
 }
 
-/// What the system itself tells of a socket. The runtime asks it only between turns, in which a timer may come first.
+/// Reads from the kernel directly. The runtime polls sockets only between task turns, so a timer may fire before the
+/// runtime has noticed bytes that have already arrived.
 pub(super) trait ImmediateRead {
-    /// Reads what is there.
-    fn read_now(&self, room: &mut [u8]) -> io::Result<usize>;
+    /// Reads received bytes without waiting; fails with `WouldBlock` if there are none.
+    fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// Nothing more is sent; what comes can still be read.
+    /// Shuts the sending side of the connection; the receiving side stays open.
     fn end_sending(&self);
 }
 
 impl ImmediateRead for Stream {
-    fn read_now(&self, room: &mut [u8]) -> io::Result<usize> {
-        Stream::read_now(self, room)
+    fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        Stream::read_now(self, buffer)
     }
 
     fn end_sending(&self) {
@@ -192,35 +195,37 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let mut result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if result.is_pending() {
             let mut abandonment = self.traffic.abandonment();
             abandonment.reader = Some(context.waker().clone());
-            if std::mem::take(&mut abandonment.is_wanted) {
+            if std::mem::take(&mut abandonment.is_requested) {
                 match self.stream.read_now(buffer.initialize_unfilled()) {
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                        // its end at the endpoint comes before anything that follows from it here
+                        // the endpoint must be able to see the end before this process acts on it, for example by
+                        // sending the next message of the same key
                         self.stream.end_sending();
                         abandonment.is_shut = true;
-                        abandonment.is_read_out = true;
-                        self.traffic.read_out.notify_one();
+                        abandonment.is_input_drained = true;
+                        self.traffic.input_drained.notify_one();
                     }
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                        abandonment.is_wanted = true;
+                        abandonment.is_requested = true;
                         context.waker().wake_by_ref();
                     }
                     Err(error) => result = Poll::Ready(Err(error)),
                     Ok(read) => {
                         buffer.advance(read);
-                        // there may be more, and the reader comes again
-                        abandonment.is_wanted = true;
+                        // more bytes may follow: the reader polls again, and the request to abandon stays
+                        abandonment.is_requested = true;
                         result = Poll::Ready(Ok(()));
                     }
                 }
             }
         }
-        self.traffic.record_answer_bytes(&buffer.filled()[before..]);
+        self.traffic
+            .record_answer_bytes(&buffer.filled()[filled_before..]);
         result
     }
 }
--- a/src/net/pool/traffic/tests.rs
+++ b/src/net/pool/traffic/tests.rs
@@ -1,10 +1,11 @@
-//! A call that is abandoned while its answer comes.
+//! Tests of abandoning a call while its answer is arriving.
 
 use super::*;
 use std::io::Write;
 use tokio::io::AsyncReadExt;
 
-/// A call that was given up is looked at once more before its connection closes: what has come by then was told.
+/// Guards against losing an answer that arrives between two requests to abandon its call: the second request must read
+/// what was received after the first, although the sending side is shut already.
 #[test]
 fn abandon_call_twice_reads_what_came_in_between() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -24,17 +25,17 @@
             traffic: traffic.clone(),
         };
         tokio::task::spawn_local(async move {
-            let mut room = [0; 64];
-            while stream.read(&mut room).await.is_ok_and(|read| read > 0) {}
+            let mut buffer = [0; 64];
+            while stream.read(&mut buffer).await.is_ok_and(|read| read > 0) {}
         });
         traffic.abandon_call().await;
         peer.write_all(b"HTTP/1.1 200 OK\r\n").expect("written");
         traffic.abandon_call().await;
         assert!(
             traffic.success_line().is_some(),
-            "the second look ended before what had come was read"
+            "the second abandon_call ended before the received bytes were read"
         );
-        // one that has ended needs no look
+        // on a closed connection `abandon_call` must return without waiting for a read
         drop(peer);
         traffic.abandon_call().await;
         traffic.abandon_call().await;
