--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,10 +1,10 @@
-//! Calls to endpoints: time-outs, and what each answer means. The connections are the pool's.
+//! Calls to endpoints: sends the request over a pooled connection, enforces the time limit and interprets the answer.
 //!
-//! Nothing here sends a call again by itself: a retry that the decisions do not know of would be a duplicate. Where it
-//! is not known whether a call may have run, its outcome says so.
+//! This module never retries a call by itself: a retry that the decision module does not know of could deliver a
+//! message twice. If it is unknown whether the endpoint ran a call, the reported outcome says so.
 //!
-//! `run` races a call with its time limit and its cancellations, `exchange` makes it on one connection, `request`
-//! writes the request, `answer` reads the answer.
+//! `run` races a call against its time limit and its cancellations, `exchange` makes the call on one connection,
+//! `request` builds the request, `answer` interprets the answer.
 
 mod answer;
 mod exchange;
@@ -27,73 +27,75 @@
 /// One message in a call.
 #[derive(Debug, Clone)]
 pub struct Item {
-    /// The client's id of the message.
+    /// Message id that the client chose; sent as `X-Request-ID`, or in the item's line of a bulk request.
     pub id: HeaderValue,
-    /// Its idempotency key.
+    /// Idempotency key that the client gave with the message, if any.
     pub key: Option<HeaderValue>,
-    /// Its body.
+    /// Message body, sent unchanged.
     pub body: Bytes,
 }
 
-/// A call that has not ended.
+/// Driver's record of a call that has not ended.
 pub struct InFlightCall {
-    /// Takes the positions that are cancelled; none where the predecessor of a handover has the call in flight.
+    /// Sends the positions of cancelled messages to the task of the call. `None` if the predecessor of a handover made
+    /// the call and still has it in flight.
     pub cancels: Option<mpsc::UnboundedSender<usize>>,
-    /// The message and attempt of each position.
+    /// Message and attempt number at each position of the call.
     pub items: Vec<(MessageId, usize)>,
-    /// Positions that have not ended.
+    /// Number of positions whose attempt has not ended.
     pub left: usize,
 }
 
-/// A call to make.
+/// Call to be made to one endpoint.
 #[derive(Debug)]
 pub struct Call {
-    /// The driver's number of the call.
+    /// Number by which the driver identifies the call.
     pub number: u64,
-    /// The endpoint.
+    /// Address and id of the endpoint to call.
     pub target: EndpointAddress,
-    /// The messages; several go as one bulk request.
+    /// Messages of the call; two or more are sent as one bulk request.
     pub items: Vec<Item>,
-    /// When its time is over.
+    /// Time limit of the call: it is abandoned at this instant.
     pub expires: Instant,
-    /// The call must begin by then: a retry whose connection comes up only later would leave the window in which the
-    /// endpoint drops repeats.
+    /// Latest time at which the call may begin. A retry that began later, after a slow dial, could reach the endpoint
+    /// after its deduplication window and be run twice.
     pub start_by: Option<Instant>,
 }
 
-/// Makes calls over the connections of the pool.
+/// Starts calls over the connections of the pool. Clones share the same state.
 #[derive(Clone)]
 pub struct Calls(Rc<CallContext>);
 
-/// What all calls share.
+/// State shared by all calls.
 struct CallContext {
     connections: ConnectionPool,
-    /// The fields of a load report, in the order of the settings.
+    /// Names of the fields of an endpoint's load report, in the order of the settings.
     report_fields: RefCell<Vec<String>>,
     failure_log: RateLimitedLog,
-    /// Some endpoint has sent a Retry-After.
+    /// True once any endpoint has sent a Retry-After; abandoned calls then wait for a late one.
     sees_retry_after: Cell<bool>,
     inputs: mpsc::UnboundedSender<DriverInput>,
 }
 
 impl CallContext {
-    /// The Retry-After of an answer, which is noted: abandoned calls are listened to from the first one on.
+    /// Returns the Retry-After delay of an answer in microseconds, and records that endpoints send the header: from the
+    /// first one on, abandoned calls wait for a late answer.
     fn note_retry_after(&self, headers: &HeaderMap) -> Option<Micros> {
         let wait = answer::read_retry_after(headers)?;
         self.sees_retry_after.set(true);
         Some(wait)
     }
 
-    /// Reports a Retry-After that came after its call's end.
+    /// Reports to the driver a Retry-After delay (microseconds) that arrived after the end of its call.
     fn report_retry_after(&self, target: EndpointAddress, wait: Micros) {
         let endpoint = target.endpoint;
-        // nobody listens any more only when the process ends
+        // the receiver is dropped only when the process ends
         let _ = self.inputs.send(DriverInput::RetryAfter { endpoint, wait });
     }
 }
 
 impl Calls {
-    /// Calls that go over these connections and report to the driver.
+    /// Creates the state for calls over `connections` that report their results to the driver through `inputs`.
     pub fn new(inputs: mpsc::UnboundedSender<DriverInput>, connections: ConnectionPool) -> Self {
         Calls(Rc::new(CallContext {
             connections,
@@ -104,19 +106,19 @@
         }))
     }
 
-    /// Load reports have these fields from now on.
+    /// Sets the field names expected in the load reports of endpoints.
     pub fn set_report_fields(&self, report_fields: Vec<String>) {
         self.0.report_fields.replace(report_fields);
     }
 
-    /// Starts a call; the ends of its attempts come as inputs of the driver. `cancellations` brings the positions that
-    /// are cancelled.
+    /// Starts a call in a task of its own. The end of each attempt is sent to the driver; `cancellations` receives the
+    /// positions of messages to cancel.
     pub fn start(&self, call: Call, cancellations: mpsc::UnboundedReceiver<usize>) {
         let context = self.0.clone();
         tokio::task::spawn_local(async move { run::run(context, call, cancellations).await });
     }
 
-    /// The connections that the calls go over.
+    /// Returns the pool whose connections the calls use.
     pub fn connections(&self) -> &ConnectionPool {
         &self.0.connections
     }
--- a/src/net/calls/answer.rs
+++ b/src/net/calls/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to a call, and what it means for each of its messages.
+//! Interprets the answer to a call: the outcome of each of its messages, the load report and the Retry-After.
 
 use super::{Call, CallContext, Item};
 use crate::net::end_proof::{BulkLine, EndProof};
@@ -17,25 +17,26 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest time for the rest of an answer whose first line has come.
-pub(super) const REST_OF_ANSWER_TIME: Duration = Duration::from_secs(1);
-/// A 503 with this header is for want of a call slot: 1 where all slots of this sender are taken.
+/// Maximum time for the remainder of an answer after the results of its messages are known.
+pub(super) const ANSWER_REMAINDER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Header of a 503 answer that was sent because no call slot was free. Value 1 means that this sender itself occupies
+/// all of its slots at the endpoint.
 const SLOTS_TAKEN: &str = "slots-taken";
-/// A longer Retry-After is cut to a day, in milliseconds.
+/// Maximum Retry-After delay in milliseconds, one day; longer ones are cut to it.
 const MAX_RETRY_AFTER_MS: Micros = 86_400_000;
-/// The endpoint says that the call did not run its message.
+/// Outcome of a message that the endpoint says it did not run.
 const NOT_SENT: Outcome = Outcome::NotSent { no_slot: false };
 
-/// How the attempt to deliver one message ended.
+/// Result of the attempt to deliver one message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
-    /// Where nothing more is owed for the message: what proves that.
+    /// Proof that the message is complete and needs no further attempt; `None` if the answer proves no such thing.
     pub(super) proof: Option<EndProof>,
 }
 
 impl AttemptResult {
-    /// The message was delivered.
+    /// Creates the result of a delivered message.
     fn delivered(proof: EndProof) -> Self {
         AttemptResult {
             outcome: Outcome::Success,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The message is over at its endpoint, which did not run it.
+    /// Creates the result of a message that the endpoint declares gone: it did not run, and it must not be sent again.
     fn gone(proof: EndProof) -> Self {
         AttemptResult {
             outcome: NOT_SENT,
@@ -61,16 +62,17 @@
     }
 }
 
-/// The results of a call's messages.
+/// Results of the messages of one call.
 pub(super) enum CallResults {
-    /// The same for all of them.
+    /// One result that applies to every message.
     Same(AttemptResult),
-    /// By position.
+    /// One result for each message, by its position in the call.
     Each(Vec<AttemptResult>),
 }
 
 impl CallResults {
-    /// The result of the message at this position; one that is not named may have run.
+    /// Returns the result of the message at position `item`. A position without a result counts as an error, after
+    /// which the message may have run.
     pub(super) fn of_item(&self, item: usize) -> AttemptResult {
         match self {
             CallResults::Same(result) => *result,
@@ -81,25 +83,27 @@
     }
 }
 
-/// What came of a whole call.
+/// Results of a whole call, with the further fields of its answer.
 pub(super) struct CallAnswer {
-    /// The endpoint has answered it.
+    /// True if the results come from the endpoint's answer, not from a time-out or failure on this side.
     pub(super) is_from_endpoint: bool,
-    /// The whole head of that answer has come.
-    pub(super) is_whole: bool,
+    /// True if the whole head of the answer was received.
+    pub(super) is_head_complete: bool,
     pub(super) results: CallResults,
-    /// The fields of the endpoint's load report.
+    /// Values of the endpoint's load report, in the order of the settings; empty without a valid report.
     pub(super) load_report: Vec<f64>,
+    /// Retry-After delay of the answer, in microseconds.
     pub(super) retry_after: Option<Micros>,
 }
 
 impl CallAnswer {
-    /// The one message of a call was delivered, whatever else its answer was to tell.
+    /// Creates the answer of a call with a single message whose status line says 200. That line alone proves the
+    /// delivery, whatever the remainder of the answer holds.
     pub(super) fn of_status_line(line: &SuccessLine) -> Self {
         let proof = EndProof::of_status_line(line);
         CallAnswer {
             is_from_endpoint: true,
-            is_whole: false,
+            is_head_complete: false,
             results: CallResults::Same(AttemptResult::delivered(proof)),
             load_report: Vec::new(),
             retry_after: None,
@@ -111,7 +115,7 @@
     fn from(outcome: Outcome) -> Self {
         CallAnswer {
             is_from_endpoint: false,
-            is_whole: false,
+            is_head_complete: false,
             results: CallResults::Same(outcome.into()),
             load_report: Vec::new(),
             retry_after: None,
@@ -119,7 +123,7 @@
     }
 }
 
-/// Reads the answer to a call; its connection is released once nothing more comes.
+/// Reads the answer to a call. The connection is released once the whole answer has been read.
 pub(super) async fn read_answer(
     context: &Rc<CallContext>,
     call: &Call,
@@ -127,43 +131,43 @@
     response: Response<Incoming>,
 ) -> CallAnswer {
     let (head, body) = response.into_parts();
-    let no_room = lease.record_answer(answer_kind(&head));
+    let connection_rejected = lease.record_answer(answer_kind(&head));
     let load_report = read_load_report(&head.headers, &context.report_fields.borrow());
     let retry_after = context.note_retry_after(&head.headers);
     let is_bulk = call.items.len() > 1;
     let results = if is_bulk && head.status == StatusCode::OK {
-        let is_length_told = is_length_told(&head.headers);
+        let is_length_known = is_length_known(&head.headers);
         match read_bulk_text(body, lease).await {
             Some(text) => {
                 let text = BulkText {
                     text: &text,
-                    is_length_told,
+                    is_length_known,
                 };
                 CallResults::Each(bulk_results(text, &call.items, retry_after))
             }
             None => CallResults::Same(Outcome::Reset.into()),
         }
     } else {
-        // the result is known; the rest of the answer only frees the connection
-        tokio::task::spawn_local(read_rest(body, lease));
+        // the results are known; the remainder of the answer is read only to free the connection
+        tokio::task::spawn_local(read_remainder(body, lease));
         log_unexpected(context, call, head.status);
-        let rejected = rejection(no_room, retry_after);
+        let rejected = rejection(connection_rejected, retry_after);
         CallResults::Same(result_of_status(&head, is_bulk, rejected))
     };
     CallAnswer {
         is_from_endpoint: true,
-        is_whole: true,
+        is_head_complete: true,
         results,
         load_report,
         retry_after,
     }
 }
 
-/// What the answer tells the connection pool.
+/// Returns the kind of an answer, from which the connection pool learns whether the endpoint accepts connections.
 pub(super) fn answer_kind(head: &Parts) -> AnswerKind {
     match head.status {
         StatusCode::OK => AnswerKind::Served,
-        // all slots of this sender taken has nothing to do with its connections
+        // a lack of call slots says nothing about the number of connections that the endpoint accepts
         StatusCode::SERVICE_UNAVAILABLE if !head.headers.contains_key(SLOTS_TAKEN) => {
             AnswerKind::Rejected
         }
@@ -171,16 +175,17 @@
     }
 }
 
-/// The outcome of a rejection. One that found no room for its connection says nothing of a limit on calls.
-fn rejection(no_room: bool, retry_after: Option<Micros>) -> Outcome {
-    if no_room && retry_after.is_none() {
+/// Returns the outcome of a rejected call. A call that was rejected for lack of connection capacity, without a
+/// Retry-After, counts as not sent, since it says nothing about the endpoint's limit on calls.
+fn rejection(connection_rejected: bool, retry_after: Option<Micros>) -> Outcome {
+    if connection_rejected && retry_after.is_none() {
         Outcome::NotSent { no_slot: false }
     } else {
         Outcome::Rejected { retry_after }
     }
 }
 
-/// The result that an answer's status tells for all messages of a call.
+/// Returns the result that an answer's status gives to every message of the call.
 fn result_of_status(head: &Parts, is_bulk: bool, rejected: Outcome) -> AttemptResult {
     if let Some(proof) = EndProof::of_gone_head(head) {
         return AttemptResult::gone(proof);
@@ -204,7 +209,7 @@
     }
 }
 
-/// Logs a status that an endpoint should not answer with.
+/// Logs an answer whose status the protocol with endpoints does not define.
 fn log_unexpected(context: &CallContext, call: &Call, status: StatusCode) {
     let address = call.target.address;
     match status {
@@ -225,12 +230,13 @@
     }
 }
 
-/// Whether a head says where its body ends; without that the end of the connection does, which may cut it short.
-fn is_length_told(headers: &HeaderMap) -> bool {
+/// Returns whether the head says where the body ends. Without that the end of the connection ends the body, so a cut
+/// body cannot be told from a whole one.
+fn is_length_known(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// The body of an answer to a bulk request; none if it does not come as the head says.
+/// Reads the body of an answer to a bulk request; `None` if the body is cut short, invalid or too long.
 async fn read_bulk_text(body: Incoming, lease: ConnectionLease) -> Option<Bytes> {
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(text) => {
@@ -244,30 +250,32 @@
     }
 }
 
-/// Reads the rest of an answer that has told all it had to, so that its connection can carry another call.
-pub(super) async fn read_rest(body: Incoming, lease: ConnectionLease) {
-    let rest = Limited::new(body, MAX_BODY_BYTES).collect();
-    match timeout(REST_OF_ANSWER_TIME, rest).await {
+/// Reads and discards the remainder of an answer whose results are known, so that its connection can carry another
+/// call. A connection whose answer does not end in time is closed.
+pub(super) async fn read_remainder(body: Incoming, lease: ConnectionLease) {
+    let remainder = Limited::new(body, MAX_BODY_BYTES).collect();
+    match timeout(ANSWER_REMAINDER_TIMEOUT, remainder).await {
         Ok(Ok(_)) => lease.release(),
         _ => lease.discard(CloseReason::Unreadable),
     }
 }
 
-/// The body of an answer to a bulk request.
+/// Body of an answer to a bulk request: one line for each message.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BulkText<'a> {
     pub(super) text: &'a [u8],
-    /// The answer's head said where it ends.
-    pub(super) is_length_told: bool,
+    /// True if the head of the answer says where the body ends; a last line without line feed is then complete.
+    pub(super) is_length_known: bool,
 }
 
-/// Each message's result; one that the answer does not name, or names in no known word, may have run.
+/// Returns the result of each message of a bulk call. A message without a line in the answer, or with an unknown result
+/// word, counts as an error, after which it may have run.
 pub(super) fn bulk_results(
     answer: BulkText<'_>,
     items: &[Item],
     retry_after: Option<Micros>,
 ) -> Vec<AttemptResult> {
-    let lines: HashMap<&[u8], BulkLine<'_>> = BulkLine::all_in(answer.text, answer.is_length_told)
+    let lines: HashMap<&[u8], BulkLine<'_>> = BulkLine::all_in(answer.text, answer.is_length_known)
         .map(|line| (line.id(), line))
         .collect();
     let result = |item: &Item| match lines.get(item.id.as_bytes()) {
@@ -277,7 +285,7 @@
     items.iter().map(result).collect()
 }
 
-/// The result that a line of a bulk answer tells.
+/// Returns the result that one line of a bulk answer gives to its message.
 fn result_of_line(line: &BulkLine<'_>, retry_after: Option<Micros>) -> AttemptResult {
     if let Some(proof) = EndProof::of_delivered_line(line) {
         return AttemptResult::delivered(proof);
@@ -292,18 +300,20 @@
     }
 }
 
-/// The time of a `Retry-After` in seconds, with or without decimals; none where it cannot be read.
+/// Parses a `Retry-After` in seconds, with or without decimals, and rounds it up to a whole millisecond. Returns
+/// microseconds, or `None` if the value is no positive number.
 pub(super) fn read_retry_after(headers: &HeaderMap) -> Option<Micros> {
     let text = headers.get(RETRY_AFTER)?.to_str().ok()?;
     let seconds: f64 = text.trim().parse().ok()?;
     if !seconds.is_finite() || seconds <= 0.0 {
         return None;
     }
-    let millis = ((seconds * 1e3).ceil() as Micros).min(MAX_RETRY_AFTER_MS);
-    Some(millis * MILLISECOND)
+    let delay_ms = ((seconds * 1e3).ceil() as Micros).min(MAX_RETRY_AFTER_MS);
+    Some(delay_ms * MILLISECOND)
 }
 
-/// The load report in the order of the settings; empty unless it is complete and sound.
+/// Returns the values of the endpoint's load report in the order of `fields`. The result is empty if a field is missing
+/// or its value is no finite number.
 pub(super) fn read_load_report(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
     let header = headers.get("x-server-load");
     let Some(text) = header.and_then(|value| value.to_str().ok()) else {
--- a/src/net/calls/compatibility.rs
+++ b/src/net/calls/compatibility.rs
@@ -1,4 +1,5 @@
-//! Requests to endpoints, byte for byte, and what their answers come to.
+//! Compatibility tests: requests to endpoints must match the recorded bytes, and recorded answers must be interpreted
+//! as before.
 
 use super::Item;
 use super::answer::{AttemptResult, BulkText, bulk_results, read_load_report, read_retry_after};
@@ -18,50 +19,49 @@
     }
 }
 
-/// The request as hyper writes it.
-fn written(items: &[Item]) -> String {
+/// Returns the bytes of the request as hyper writes them, with the lower bound that the request claims.
+fn written_request(items: &[Item]) -> String {
     let address = ([10, 1, 2, 3], 8000).into();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    let (least, bytes) = runtime.expect("a runtime").block_on(async move {
+    let (min_bytes, bytes) = runtime.expect("a runtime").block_on(async move {
         let expires = Instant::now() + Duration::from_millis(1234);
-        let CallRequest {
-            request,
-            min_bytes: least,
-        } = call_request(address, items, expires).expect("it can be written");
-        let (here, mut there) = tokio::io::duplex(4096);
-        let shake = hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(here));
-        let (mut sender, connection) = shake.await.expect("a connection");
+        let CallRequest { request, min_bytes } =
+            call_request(address, items, expires).expect("it can be written");
+        let (sender_side, mut endpoint_side) = tokio::io::duplex(4096);
+        let handshake =
+            hyper::client::conn::http1::handshake(hyper_util::rt::TokioIo::new(sender_side));
+        let (mut sender, connection) = handshake.await.expect("a connection");
         tokio::spawn(connection);
         tokio::spawn(async move { sender.send_request(request).await });
-        let mut bytes = vec![0; usize::try_from(least).expect("short")];
-        tokio::io::AsyncReadExt::read_exact(&mut there, &mut bytes)
+        let mut bytes = vec![0; usize::try_from(min_bytes).expect("short")];
+        tokio::io::AsyncReadExt::read_exact(&mut endpoint_side, &mut bytes)
             .await
-            .expect("so much at least");
-        (least, bytes)
+            .expect("at least min_bytes are written");
+        (min_bytes, bytes)
     });
     format!(
-        "{least} bytes\n{}\n",
+        "{min_bytes} bytes\n{}\n",
         String::from_utf8(bytes)
             .expect("text")
             .replace("\r\n", "\n")
     )
 }
 
-fn told(ends: &[AttemptResult]) -> String {
-    let encoded = |end: &AttemptResult| {
+fn encoded_results(results: &[AttemptResult]) -> String {
+    let encoded = |result: &AttemptResult| {
         format!(
             "{:?}",
-            postcard::to_allocvec(&(end.outcome, end.proof.is_some())).expect("encoded")
+            postcard::to_allocvec(&(result.outcome, result.proof.is_some())).expect("encoded")
         )
     };
-    ends.iter().map(encoded).collect::<Vec<_>>().join(" ")
+    results.iter().map(encoded).collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn requests_to_endpoints_are_the_recorded_bytes() {
+fn requests_to_endpoints_match_recorded_bytes() {
     let mut text = String::new();
     for items in [
         vec![item("m1", Some("key-1"), b"body\n")],
@@ -71,26 +71,26 @@
             item("m2", None, b"more"),
         ],
     ] {
-        text += &written(&items);
+        text += &written_request(&items);
     }
     golden::compare("endpoint_requests.txt", &text);
 }
 
 #[test]
-fn answers_of_endpoints_are_read_as_recorded() {
+fn answers_of_endpoints_are_interpreted_as_recorded() {
     let items = ["m1", "m2", "m3", "m4", "m5", "m6"].map(|id| item(id, None, b""));
     let text = b"m2 later\r\nm1 ok\nm3 gone\nm4 exhausted \nm6 what\nm9 ok\n";
     let answer = BulkText {
         text,
-        is_length_told: true,
+        is_length_known: true,
     };
-    let mut read = told(&bulk_results(answer, &items, Some(5000)))
+    let mut results = encoded_results(&bulk_results(answer, &items, Some(5000)))
         + "\n"
-        + &told(&bulk_results(answer, &items, None))
+        + &encoded_results(&bulk_results(answer, &items, None))
         + "\n";
     for wait in ["1", "0.0015", " 3 ", "-1", "soon", "99999999", "nan", "0"] {
         let headers = HeaderMap::from_iter([(RETRY_AFTER, HeaderValue::from_static(wait))]);
-        read += &format!("Retry-After {wait}: {:?}\n", read_retry_after(&headers));
+        results += &format!("Retry-After {wait}: {:?}\n", read_retry_after(&headers));
     }
     let fields = ["x0".to_string(), "x1".to_string()];
     for report in [
@@ -102,7 +102,7 @@
     ] {
         let name = hyper::header::HeaderName::from_static("x-server-load");
         let headers = HeaderMap::from_iter([(name, HeaderValue::from_static(report))]);
-        read += &format!("{report}: {:?}\n", read_load_report(&headers, &fields));
+        results += &format!("{report}: {:?}\n", read_load_report(&headers, &fields));
     }
-    golden::compare("endpoint_answers.txt", &read);
+    golden::compare("endpoint_answers.txt", &results);
 }
--- a/src/net/calls/exchange.rs
+++ b/src/net/calls/exchange.rs
@@ -1,6 +1,8 @@
-//! One call on one connection: the request goes out, and its answer is read.
+//! One call on one connection: sends the request and reads its answer.
 
-use super::answer::{CallAnswer, REST_OF_ANSWER_TIME, answer_kind, read_answer, read_rest};
+use super::answer::{
+    ANSWER_REMAINDER_TIMEOUT, CallAnswer, answer_kind, read_answer, read_remainder,
+};
 use super::request::call_request;
 use super::{Call, CallContext};
 use crate::net::pool::{ConnectionLease, LeaseError, SuccessLine, Traffic};
@@ -14,18 +16,19 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How long the rest of a head is waited for once its first line has told the end of the message: it comes with that line
-/// as a rule, and so much is the slack of the protocol's time limits.
-const REST_OF_HEAD_TIME: Duration = Duration::from_millis(50);
+/// Time to wait for the remainder of a head once its status line has proven the delivery. The remainder usually arrives
+/// together with that line; the protocol's time limits leave 50 ms of slack, so a longer wait could exceed them.
+const HEAD_REMAINDER_WAIT: Duration = Duration::from_millis(50);
 
-/// What others see of a call in flight.
+/// State of a call in flight that the task racing it with its time limit can see.
 #[derive(Default)]
 pub(super) struct CallProgress {
-    /// The connection that it is on, once it has one.
+    /// Traffic of the connection that carries the call; `None` before a connection is acquired.
     pub(super) traffic: RefCell<Option<Arc<Traffic>>>,
 }
 
-/// Makes the call on one connection and reads its answer. Dropping this closes the connection, for `close_reason`.
+/// Makes the call on one connection and reads its answer. If the future is dropped earlier, the connection is closed
+/// and `close_reason` is the recorded reason.
 pub(super) async fn exchange(
     context: &Rc<CallContext>,
     call: &Call,
@@ -51,7 +54,7 @@
         let sent = tokio::select! {
             biased;
             sent = &mut answer => sent,
-            line = head_is_overdue(&traffic), if call.items.len() == 1 => {
+            line = wait_until_head_overdue(&traffic), if call.items.len() == 1 => {
                 let late = LateAnswer { context: context.clone(), target: call.target, lease };
                 tokio::task::spawn_local(late.read(answer));
                 return CallAnswer::of_status_line(&line);
@@ -60,13 +63,14 @@
         if let Ok(response) = sent {
             return read_answer(context, call, lease, response).await;
         }
-        // what makes the rest unreadable takes nothing from a first line that tells the one message's end
+        // the status line alone proves the delivery of a single message, even if the remainder is unreadable
         if let Some(line) = traffic.success_line().filter(|_| call.items.len() == 1) {
             lease.discard(CloseReason::Unreadable);
             return CallAnswer::of_status_line(&line);
         }
         let written = traffic.written() - written_before;
-        // an idle connection that had closed before a byte was written carried no call at all
+        // no byte was written to an idle connection that had closed, so another one can carry the call without any risk
+        // of running it twice
         if lease.idle_for.is_some() && written == 0 {
             progress.traffic.take();
             lease.discard(CloseReason::ClosedByPeer);
@@ -82,14 +86,16 @@
     }
 }
 
-/// Waits until the rest of a head whose first line says 200 has had its time.
-async fn head_is_overdue(traffic: &Traffic) -> SuccessLine {
+/// Waits for a status line with 200 and then [`HEAD_REMAINDER_WAIT`] longer, and returns the line. The caller races
+/// this against the whole head, which wins if it arrives in time.
+async fn wait_until_head_overdue(traffic: &Traffic) -> SuccessLine {
     let line = traffic.wait_for_success_line().await;
-    sleep(REST_OF_HEAD_TIME).await;
+    sleep(HEAD_REMAINDER_WAIT).await;
     line
 }
 
-/// The rest of an answer whose message is known to be delivered: it frees the connection, and a Retry-After in it holds.
+/// Remainder of an answer whose message is known to be delivered. Reading it frees the connection, and a Retry-After
+/// in it is still applied.
 struct LateAnswer {
     context: Rc<CallContext>,
     target: EndpointAddress,
@@ -98,7 +104,7 @@
 
 impl LateAnswer {
     async fn read<E>(self, answer: impl Future<Output = Result<Response<Incoming>, E>>) {
-        let Ok(Ok(response)) = timeout(REST_OF_ANSWER_TIME, answer).await else {
+        let Ok(Ok(response)) = timeout(ANSWER_REMAINDER_TIMEOUT, answer).await else {
             return self.lease.discard(CloseReason::Unreadable);
         };
         let (head, body) = response.into_parts();
@@ -106,11 +112,11 @@
         if let Some(wait) = self.context.note_retry_after(&head.headers) {
             self.context.report_retry_after(self.target, wait);
         }
-        read_rest(body, self.lease).await;
+        read_remainder(body, self.lease).await;
     }
 }
 
-/// Acquires a connection, in time for the call to begin.
+/// Acquires a connection for the call, and fails if the call can no longer begin by its `start_by`.
 async fn acquire(
     context: &CallContext,
     call: &Call,
@@ -132,7 +138,8 @@
 
 fn outcome_without_connection(error: &LeaseError) -> Outcome {
     match error {
-        // this machine and the list say nothing of the endpoint's health
+        // errors of the local host, changes of the endpoint list, waits and the shutdown say nothing about the
+        // endpoint's health
         LeaseError::TooLate
         | LeaseError::Denied(
             LeaseDenied::RetryAfter
--- a/src/net/calls/request.rs
+++ b/src/net/calls/request.rs
@@ -1,4 +1,4 @@
-//! The request of a call: one message as it is, several as a bulk request.
+//! Builds the HTTP request of a call: a single message is sent as it is, several are sent as a bulk request.
 
 use super::Item;
 use bytes::Bytes;
@@ -8,18 +8,18 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Bytes of a bulk item beside its id, its key and its body, at most.
+/// Upper bound of the bytes that separators and the length field add to an item of a bulk request.
 const BULK_ITEM_OVERHEAD: usize = 16;
 
-/// A request that is ready to be sent.
+/// Request that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct CallRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// The fewest bytes that it takes on the wire.
+    /// Lower bound of the request's size on the wire, in bytes. If fewer were written, the endpoint cannot have run it.
     pub(super) min_bytes: u64,
 }
 
-/// The request of a call; none if it cannot be written.
+/// Builds the request of a call; `None` if its parts do not form a valid HTTP request.
 pub(super) fn call_request(
     address: SocketAddr,
     items: &[Item],
@@ -47,18 +47,18 @@
     Some(CallRequest { request, min_bytes })
 }
 
-/// The fewest bytes that a request's head takes.
+/// Returns a lower bound of the bytes that the request's head takes on the wire.
 fn head_bytes(request: &Request<Full<Bytes>>) -> u64 {
-    let line = "POST  HTTP/1.1\r\n\r\n".len() + request.uri().path().len();
-    let headers: usize = request
+    let line_bytes = "POST  HTTP/1.1\r\n\r\n".len() + request.uri().path().len();
+    let header_bytes: usize = request
         .headers()
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
         .sum();
-    (line + headers) as u64
+    (line_bytes + header_bytes) as u64
 }
 
-/// Bytes that a message takes in the body of a bulk request, at most.
+/// Returns an upper bound of the bytes that a message takes in the body of a bulk request.
 pub fn bulk_size(item: &Item) -> usize {
     let key = item.key.as_ref().map_or("-".len(), HeaderValue::len);
     item.id.len() + key + item.body.len() + BULK_ITEM_OVERHEAD
--- a/src/net/calls/run.rs
+++ b/src/net/calls/run.rs
@@ -1,4 +1,5 @@
-//! One call from its start to the last report: its answer, its time limit and its cancellations race.
+//! Runs one call from its start to the last reported attempt, racing its answer against its time limit and its
+//! cancellations.
 
 use super::answer::{AttemptResult, CallAnswer};
 use super::exchange::{CallProgress, exchange};
@@ -16,15 +17,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// How long an abandoned call is listened to where endpoints send Retry-After: calls within so long of one are let
-/// through, and its connection holds a slot meanwhile.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(100);
+/// Time to wait for a late answer to an abandoned call if endpoints send Retry-After. Calls that begin within 100 ms of
+/// a Retry-After are still let through, so a delay learned within that time is early enough. The connection occupies a
+/// call slot meanwhile.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(100);
 
-/// Reports the ends of a call's attempts: each once, and what is left when the call is dropped may have run.
+/// Reports the end of each attempt of a call to the driver exactly once. Attempts that are unreported when this is
+/// dropped end as `Reset`, since they may have run.
 struct AttemptReporter<'a> {
     inputs: &'a mpsc::UnboundedSender<DriverInput>,
     call: u64,
-    /// Whether the attempt at each position is still to be reported.
+    /// For each position of the call: true until the end of its attempt is reported.
     unreported: Vec<bool>,
 }
 
@@ -38,11 +41,16 @@
     }
 
     fn is_unreported(&self, item: usize) -> bool {
-        self.unreported.get(item).is_some_and(|left| *left)
+        self.unreported
+            .get(item)
+            .is_some_and(|is_pending| *is_pending)
     }
 
     fn unreported_count(&self) -> usize {
-        self.unreported.iter().filter(|left| **left).count()
+        self.unreported
+            .iter()
+            .filter(|is_pending| **is_pending)
+            .count()
     }
 
     fn report(
@@ -61,7 +69,7 @@
             report: load_report,
             retry_after,
         };
-        // nobody listens any more only when the process ends
+        // the receiver is dropped only when the process ends
         let _ = self.inputs.send(DriverInput::AttemptEnded(end));
     }
 
@@ -69,8 +77,9 @@
         self.report(item, Outcome::Cancelled.into(), Vec::new(), None);
     }
 
-    /// Reports all attempts that are left. A Retry-After that no outcome carries goes with the first of them.
-    fn report_rest(&mut self, answer: &CallAnswer) {
+    /// Reports all attempts that are still unreported. A Retry-After delay that is not part of an outcome is sent with
+    /// the first of them.
+    fn report_remaining(&mut self, answer: &CallAnswer) {
         let mut retry_after = answer.retry_after;
         for item in 0..self.unreported.len() {
             if !self.is_unreported(item) {
@@ -99,21 +108,21 @@
     }
 }
 
-/// What ended a call first.
+/// First event that ended a call: its answer, or its time limit or cancellation.
 enum FirstEnd {
     Answered(CallAnswer),
-    /// Its time is over, or its last message was cancelled.
+    /// The time limit has passed, or the last unreported message was cancelled; the outcome says which.
     Abandoned(Outcome),
 }
 
-/// A call whose attempts can be reported.
+/// Ended call whose remaining attempts can be reported.
 struct FinishedCall {
     answer: CallAnswer,
-    /// The connection on which a Retry-After may still come.
+    /// Traffic of the connection on which a Retry-After may still arrive; `None` if there is no need to wait for one.
     late_answer: Option<Arc<Traffic>>,
 }
 
-/// Makes a call and reports the end of each of its attempts.
+/// Makes a call, and reports the end of each of its attempts to the driver.
 pub(super) async fn run(
     context: Rc<CallContext>,
     call: Call,
@@ -126,7 +135,7 @@
     tokio::pin!(exchange);
     let first_end = loop {
         tokio::select! {
-            // an answer that is there counts more than a cancellation
+            // an answer that has arrived takes precedence over the time limit and cancellations
             biased;
             answer = &mut exchange => break FirstEnd::Answered(answer),
             () = sleep_until(call.expires) => {
@@ -138,7 +147,7 @@
                     continue;
                 }
                 if reporter.unreported_count() == 1 {
-                    // the call ends with its last message
+                    // no message of the call is left, so the whole call is abandoned
                     break FirstEnd::Abandoned(Outcome::Cancelled);
                 }
                 reporter.report_cancelled(item);
@@ -154,16 +163,17 @@
             abandon(&context, &call, &progress, outcome, exchange.as_mut()).await
         }
     };
-    if !finished.answer.is_whole {
+    if !finished.answer.is_head_complete {
         log_incomplete(&call, &progress, &finished.answer);
     }
-    reporter.report_rest(&finished.answer);
+    reporter.report_remaining(&finished.answer);
     if let Some(traffic) = finished.late_answer {
         listen_for_retry_after(&context, &call, &traffic, exchange.as_mut()).await;
     }
 }
 
-/// Logs a call that ended without a whole answer; one that was cancelled before any answer tells nothing.
+/// Logs a call that ended without a complete answer head, unless it was cancelled before a byte of the answer arrived:
+/// nothing can be learned from such a call.
 fn log_incomplete(call: &Call, progress: &CallProgress, answer: &CallAnswer) {
     let outcome = answer.results.of_item(0).outcome;
     let traffic = progress.traffic.borrow().clone();
@@ -180,7 +190,8 @@
     });
 }
 
-/// Abandons a call: an answer that had come before counts, and any other end is what it is abandoned for.
+/// Abandons a call. An answer that had arrived before counts; otherwise the call ends with `outcome`, the reason for
+/// which it is abandoned.
 async fn abandon(
     context: &CallContext,
     call: &Call,
@@ -189,12 +200,12 @@
     mut exchange: Pin<&mut impl Future<Output = CallAnswer>>,
 ) -> FinishedCall {
     let traffic = progress.traffic.borrow().clone();
-    let heeds_retry_after = context.sees_retry_after.get();
-    // a message that is cancelled has no use for an answer, but where endpoints send Retry-After these hold
-    let needs_answer = outcome != Outcome::Cancelled || heeds_retry_after;
+    let endpoints_send_retry_after = context.sees_retry_after.get();
+    // a cancelled message needs no answer, but an answer's Retry-After applies to the destination
+    let needs_answer = outcome != Outcome::Cancelled || endpoints_send_retry_after;
     let abandoned = async {
         if let Some(traffic) = &traffic {
-            let _ = timeout(LATE_ANSWER_TIME, traffic.abandon_call()).await;
+            let _ = timeout(LATE_ANSWER_WAIT, traffic.abandon_call()).await;
         }
     };
     let answer = tokio::select! {
@@ -214,7 +225,7 @@
             late_answer: None,
         };
     }
-    // a whole first line is true also where its head never ends, and whatever the call was given up for
+    // a whole status line with 200 proves the delivery, even if the head never ends and whatever ended the call
     let line = traffic.as_ref().and_then(|traffic| traffic.success_line());
     if let Some(line) = line.filter(|_| call.items.len() == 1) {
         return FinishedCall {
@@ -224,26 +235,27 @@
     }
     FinishedCall {
         answer: outcome.into(),
-        late_answer: traffic.filter(|_| heeds_retry_after),
+        late_answer: traffic.filter(|_| endpoints_send_retry_after),
     }
 }
 
-/// What comes after a call was abandoned changes nothing for its messages, but a Retry-After in it holds.
+/// Waits for a late answer to an abandoned call. Its messages already have their outcomes, but a Retry-After in the
+/// answer is still reported.
 async fn listen_for_retry_after(
     context: &CallContext,
     call: &Call,
     traffic: &Traffic,
     mut exchange: Pin<&mut impl Future<Output = CallAnswer>>,
 ) {
-    let time_is_over = async {
-        sleep(LATE_ANSWER_TIME).await;
-        let _ = timeout(LATE_ANSWER_TIME, traffic.abandon_call()).await;
+    let late_answer_timeout = async {
+        sleep(LATE_ANSWER_WAIT).await;
+        let _ = timeout(LATE_ANSWER_WAIT, traffic.abandon_call()).await;
     };
     tokio::select! {
         biased;
         late = &mut exchange => if let Some(wait) = late.retry_after {
             context.report_retry_after(call.target, wait);
         },
-        () = time_is_over => {}
+        () = late_answer_timeout => {}
     }
 }
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -1,7 +1,7 @@
-//! A call cut at any byte.
+//! Tests of calls whose connection is cut at any byte, and of abandoned calls.
 
 use super::super::pool::limits;
-use super::answer::{AttemptResult, CallResults, REST_OF_ANSWER_TIME};
+use super::answer::{ANSWER_REMAINDER_TIMEOUT, AttemptResult, CallResults};
 use super::exchange::{CallProgress, exchange};
 use super::*;
 use message_sender::Outcome;
@@ -14,18 +14,19 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-fn shared(streams: Vec<DuplexStream>) -> (Rc<CallContext>, Call) {
+/// Returns a context whose pool dials `streams` in turn, and a call of one message to its only endpoint.
+fn context_and_call(streams: Vec<DuplexStream>) -> (Rc<CallContext>, Call) {
     let settings = Settings {
         connection_idle_timeout: 60 * SECOND,
         ..Settings::new(8, 100)
     };
     let limits = limits(&PoolSettings::default(), 100, &settings);
     let connections = ConnectionPool::ready(streams, limits);
-    let place = EndpointAddress {
+    let target = EndpointAddress {
         address: ([127, 0, 0, 1], 9).into(),
         endpoint: EndpointId(0),
     };
-    connections.set_serving(place, true);
+    connections.set_serving(target, true);
     let calls = Calls::new(mpsc::unbounded_channel().0, connections);
     let id = HeaderValue::from_static("m1");
     let items = vec![Item {
@@ -38,7 +39,7 @@
         calls.0,
         Call {
             number: 0,
-            target: place,
+            target,
             items,
             expires,
             start_by: None,
@@ -46,10 +47,10 @@
     )
 }
 
-/// Reads up to so many bytes, one at a time, so that the other side has written one more at most.
-async fn read_bytes(stream: &mut DuplexStream, most: usize) -> Vec<u8> {
+/// Reads up to `max_bytes`, one at a time, so that the other side has written at most one byte more.
+async fn read_bytes(stream: &mut DuplexStream, max_bytes: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    while bytes.len() < most && !bytes.ends_with(b"\r\n\r\nbody") {
+    while bytes.len() < max_bytes && !bytes.ends_with(b"\r\n\r\nbody") {
         match stream.read_u8().await {
             Ok(byte) => bytes.push(byte),
             Err(_) => break,
@@ -58,36 +59,38 @@
     bytes
 }
 
-/// A call whose endpoint reads so many bytes of the request and writes so many of the answer, on a new
-/// connection or on one that has carried a call; its outcome and all that the endpoint and a spare one saw.
-fn cut(reused: bool, request: usize, answer: &[u8]) -> (Outcome, Vec<u8>, Vec<u8>) {
+/// Makes a call whose endpoint reads at most `request_bytes` of the request, writes `answer` and closes the connection.
+/// The connection is new, or has carried a call before if `reused` is set. Returns the outcome and the bytes that were
+/// received over this connection and over a spare one, which a further dial would use.
+fn cut(reused: bool, request_bytes: usize, answer: &[u8]) -> (Outcome, Vec<u8>, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async move {
-        let ((here, mut there), (spare, mut beyond)) = (duplex(1), duplex(1));
-        let (shared, mut call) = shared(vec![here, spare]);
-        let end = Rc::new(Cell::new(CloseReason::Cancelled));
+        let ((pool_side, mut endpoint_side), (spare_pool_side, mut spare_endpoint)) =
+            (duplex(1), duplex(1));
+        let (context, mut call) = context_and_call(vec![pool_side, spare_pool_side]);
+        let close_reason = Rc::new(Cell::new(CloseReason::Cancelled));
         let answer = answer.to_vec();
-        let endpoint = tokio::task::spawn_local(async move {
+        let endpoint_task = tokio::task::spawn_local(async move {
             if reused {
-                read_bytes(&mut there, usize::MAX).await;
-                there.write_all(ANSWER).await.expect("taken");
+                read_bytes(&mut endpoint_side, usize::MAX).await;
+                endpoint_side.write_all(ANSWER).await.expect("written");
             }
-            let seen = read_bytes(&mut there, request).await;
-            let _ = there.write_all(&answer).await;
+            let seen = read_bytes(&mut endpoint_side, request_bytes).await;
+            let _ = endpoint_side.write_all(&answer).await;
             seen
         });
-        let other = tokio::task::spawn_local(async move {
-            let seen = read_bytes(&mut beyond, usize::MAX).await;
-            let _ = beyond.write_all(ANSWER).await;
+        let spare_task = tokio::task::spawn_local(async move {
+            let seen = read_bytes(&mut spare_endpoint, usize::MAX).await;
+            let _ = spare_endpoint.write_all(ANSWER).await;
             seen
         });
         if reused {
             assert!(matches!(
-                exchange(&shared, &call, &end, &CallProgress::default())
+                exchange(&context, &call, &close_reason, &CallProgress::default())
                     .await
                     .results,
                 CallResults::Same(AttemptResult {
@@ -95,31 +98,35 @@
                     proof: Some(_)
                 })
             ));
-            // the rest of that answer is read and its connection given back
+            // let the pool read the remainder of the first answer and take the connection back
             tokio::time::sleep(Duration::from_millis(1)).await;
-            call.expires += Duration::from_millis(1); // the request says how long is left
+            call.expires += Duration::from_millis(1); // the request states the time left, so both requests are equal
         }
         let CallResults::Same(AttemptResult { outcome, .. }) =
-            exchange(&shared, &call, &end, &CallProgress::default())
+            exchange(&context, &call, &close_reason, &CallProgress::default())
                 .await
                 .results
         else {
-            panic!("one message has one end");
+            panic!("a call of one message has a single result");
         };
-        drop(shared);
-        let seen = endpoint.await.expect("it ends");
+        drop(context);
+        let seen = endpoint_task
+            .await
+            .expect("the endpoint task does not panic");
         (
             outcome,
             seen,
-            timeout(REST_OF_ANSWER_TIME, other)
+            timeout(ANSWER_REMAINDER_TIMEOUT, spare_task)
                 .await
-                .map_or(Vec::new(), |seen| seen.expect("it ends")),
+                .map_or(Vec::new(), |seen| {
+                    seen.expect("the spare task does not panic")
+                }),
         )
     })
 }
 
 #[test]
-fn a_call_cut_at_any_byte_has_the_tables_outcome_and_goes_over_one_connection() {
+fn call_cut_at_any_byte_ends_by_bytes_exchanged_and_uses_one_connection() {
     let (_, whole, _) = cut(false, usize::MAX, ANSWER);
     assert!(whole.starts_with(b"POST /inbox HTTP/1.1\r\n") && whole.ends_with(b"body"));
     for reused in [false, true] {
@@ -130,7 +137,8 @@
                 (whole[..length].to_vec(), vec![]),
                 "reused {reused}, {length}"
             );
-            // whoever read less than all can't have run it, and one byte more was on its way at most
+            // an endpoint that read less than the whole request cannot have run it; the sender has written at most one
+            // byte more than was read
             match outcome {
                 Outcome::NoConnection => assert!(length < whole.len(), "reused {reused}, {length}"),
                 Outcome::Reset => assert!(length + 1 >= whole.len(), "reused {reused}, {length}"),
@@ -144,39 +152,42 @@
                 (whole.clone(), vec![]),
                 "reused {reused}, answer {length}"
             );
-            let is_line_whole = length >= b"HTTP/1.1 200 OK\r\n".len();
-            let wanted = if is_line_whole {
+            let is_line_complete = length >= b"HTTP/1.1 200 OK\r\n".len();
+            let expected = if is_line_complete {
                 Outcome::Success
             } else {
                 Outcome::Reset
             };
-            assert_eq!(outcome, wanted, "reused {reused}, answer {length}");
+            assert_eq!(outcome, expected, "reused {reused}, answer {length}");
         }
     }
 }
 
 #[test]
-fn a_call_without_a_connection_ends_unsent_once_its_destination_tells_to_wait() {
+fn call_waiting_for_connection_ends_unsent_on_retry_after() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime.expect("a runtime"), async move {
-        let (here, mut there) = duplex(1);
-        let (shared, call) = shared(vec![here]);
-        let end = Rc::new(Cell::new(CloseReason::Cancelled));
-        let under = CallProgress::default();
-        let told = async {
-            // the call has asked, its dial is under way
-            shared.connections.apply_retry_after(call.target, SECOND);
+        let (pool_side, mut endpoint_side) = duplex(1);
+        let (context, call) = context_and_call(vec![pool_side]);
+        let close_reason = Rc::new(Cell::new(CloseReason::Cancelled));
+        let progress = CallProgress::default();
+        let retry_after = async {
+            // the call waits for a connection, whose dial is in progress
+            context.connections.apply_retry_after(call.target, SECOND);
             tokio::time::sleep(Duration::from_millis(10)).await;
         };
         let (answer, ()) = tokio::join!(
-            timeout(REST_OF_ANSWER_TIME, exchange(&shared, &call, &end, &under)),
-            told
+            timeout(
+                ANSWER_REMAINDER_TIMEOUT,
+                exchange(&context, &call, &close_reason, &progress)
+            ),
+            retry_after
         );
-        let answer = answer.expect("it has its end at once");
+        let answer = answer.expect("the call ends at once");
         assert!(matches!(
             answer.results,
             CallResults::Same(AttemptResult {
@@ -184,14 +195,19 @@
                 proof: None
             })
         ));
-        // the connection came up and stays idle, with nothing written
-        assert!(timeout(REST_OF_ANSWER_TIME, there.read_u8()).await.is_err());
+        // the dialled connection stays idle in the pool, and nothing was written to it
+        assert!(
+            timeout(ANSWER_REMAINDER_TIMEOUT, endpoint_side.read_u8())
+                .await
+                .is_err()
+        );
     });
 }
 
 #[test]
-fn a_call_on_a_connection_that_closed_before_its_first_byte_takes_another() {
-    // nothing of it was written, so this is no second time; a new one that closes so is none to be had
+fn call_on_idle_connection_closed_before_first_byte_uses_another() {
+    // no byte of the call was written, so another connection cannot deliver it twice; a new connection that closes the
+    // same way ends the call without a further dial
     let (outcome, seen, spare) = cut(true, 0, b"");
     assert_eq!((outcome, seen.len()), (Outcome::Success, 0));
     assert!(spare.ends_with(b"body"));
@@ -202,17 +218,17 @@
     );
 }
 
-/// Fails where the endpoint could still take the call for being under way once its end is told: what follows in the order
-/// of a key, or rests from that end on, would come too early by as long as this process is held up.
+/// Guards against reporting the end of an abandoned call before its endpoint can see that end. The next message of the
+/// same key, or a backoff counted from that end, would then start too early, by as long as this process is delayed.
 #[test]
-fn a_given_up_call_has_ended_at_its_endpoint_before_that_is_told() {
+fn abandoned_call_has_ended_at_endpoint_before_it_is_reported() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let local = tokio::task::LocalSet::new();
-    // a task beside the call's, as the driver is
-    let listening = local.spawn_local(async move {
-        for give_up in [Outcome::Cancelled, Outcome::TimedOut] {
+    // receives the inputs in a task other than that of the call, as the driver does
+    let driver = local.spawn_local(async move {
+        for abandoned_as in [Outcome::Cancelled, Outcome::TimedOut] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("bound");
             let settings = Settings {
@@ -220,17 +236,17 @@
                 ..Settings::new(8, 100)
             };
             let limits = limits(&PoolSettings::default(), 100, &settings);
-            let means = crate::net::pool::PoolResources {
+            let resources = crate::net::pool::PoolResources {
                 descriptors: 100,
                 seed: 1,
             };
-            let connections = ConnectionPool::new(limits, SECOND, means);
-            let place = EndpointAddress {
+            let connections = ConnectionPool::new(limits, SECOND, resources);
+            let target = EndpointAddress {
                 address,
                 endpoint: EndpointId(0),
             };
-            connections.set_serving(place, true);
-            let (inputs, mut told) = mpsc::unbounded_channel();
+            connections.set_serving(target, true);
+            let (inputs, mut driver_inputs) = mpsc::unbounded_channel();
             let calls = Calls::new(inputs, connections);
             let id = HeaderValue::from_static("m1");
             let items = vec![Item {
@@ -238,22 +254,22 @@
                 key: None,
                 body: Bytes::from_static(b"body"),
             }];
-            let left = if give_up == Outcome::TimedOut {
+            let time_limit_ms = if abandoned_as == Outcome::TimedOut {
                 200
             } else {
                 20_000
             };
-            let expires = Instant::now() + Duration::from_millis(left);
-            let (cancels, cancelled) = mpsc::unbounded_channel();
+            let expires = Instant::now() + Duration::from_millis(time_limit_ms);
+            let (cancels, cancellations) = mpsc::unbounded_channel();
             calls.start(
                 Call {
                     number: 0,
-                    target: place,
+                    target,
                     items,
                     expires,
                     start_by: None,
                 },
-                cancelled,
+                cancellations,
             );
             let accepted =
                 tokio::task::spawn_blocking(move || listener.accept().expect("a call").0);
@@ -264,26 +280,26 @@
                 let mut byte = [0];
                 match std::io::Read::read(&mut endpoint, &mut byte) {
                     Ok(1) => seen.push(byte[0]),
-                    Ok(_) => panic!("it ended before its last byte"),
+                    Ok(_) => panic!("the connection ended before the whole request was read"),
                     Err(_) => tokio::time::sleep(Duration::from_millis(1)).await,
                 }
             }
-            if give_up == Outcome::Cancelled {
-                cancels.send(0).expect("it is out");
+            if abandoned_as == Outcome::Cancelled {
+                cancels.send(0).expect("the call is in flight");
             }
-            let Some(DriverInput::AttemptEnded(ended)) = told.recv().await else {
-                panic!("no end")
+            let Some(DriverInput::AttemptEnded(ended)) = driver_inputs.recv().await else {
+                panic!("the end of the attempt is not reported")
             };
-            assert_eq!(ended.outcome, give_up);
+            assert_eq!(ended.outcome, abandoned_as);
             let read = std::io::Read::read(&mut endpoint, &mut [0]).map_err(|error| error.kind());
             assert_eq!(
                 read,
                 Ok(0),
-                "{give_up:?} was told before the call had ended"
+                "{abandoned_as:?} was reported before the call had ended"
             );
         }
     });
     local
-        .block_on(&runtime.expect("a runtime"), listening)
-        .expect("it held");
+        .block_on(&runtime.expect("a runtime"), driver)
+        .expect("the driver task does not panic");
 }
