--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,8 +1,8 @@
-//! One accepted connection from its first byte to its close: requests are served until it is asked to close, and a
-//! close never meets bytes that nobody read, since those would reset the connection and take answers with them.
+//! Serves one accepted connection from its first byte to its close. A socket is never closed while it has unread bytes,
+//! since the kernel would then reset the connection, and answers in flight would be lost.
 //!
-//! Whether a connection may end is decided at the one moment at which the system has nothing more to read: what came
-//! before that is a request and is answered, what comes after it crosses the close and is read by nobody.
+//! A closing connection ends at an instant at which the kernel has no more bytes to read. Bytes that arrived before are
+//! a request and are answered; bytes that arrive later cross the close on the network and are discarded.
 
 use super::events::MAX_BODY_BYTES;
 use super::stream::Stream;
@@ -24,47 +24,48 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// A connection without a request for this long may be closed to make room: the last answer has arrived at its client
-/// by then, and a new connection's first request here too. A head that takes longer is no client's. After the sending
-/// side is shut, late bytes are read for as long.
+/// Minimum time without a request before a connection may be closed to make room. By then the last answer has arrived
+/// at its client, and the first request of a new connection has arrived here. A request head that takes longer does not
+/// come from a proper client. Late bytes are read for the same time after the sending side is shut.
 pub const CLOSE_GRACE: Duration = Duration::from_millis(250);
-/// So many late bytes are read at most.
+/// Maximum number of bytes that are read and discarded after the sending side is shut.
 const MAX_LATE_BYTES: usize = 4 * MAX_BODY_BYTES;
 
-/// How far the life of a connection is.
+/// Phase in the lifetime of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// It takes requests.
+    /// The connection accepts requests.
     Open,
-    /// It closes as soon as no request is open on it.
+    /// The connection closes as soon as no request is open on it.
     Closing,
-    /// Its sending side is shut; late bytes are read and discarded.
+    /// The sending side is shut; late bytes are read and discarded.
     HalfClosed,
-    /// It is closed at once, since its permit is needed.
+    /// The connection is closed at once, since a new connection needs its permit.
     Evicted,
 }
 
-/// The order in which connections are closed to make room: the least first.
+/// Sort key of the connections that may be closed to make room; the smallest is closed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClosePriority {
-    /// It still takes requests.
+    /// True if the connection still accepts requests, false if its sending side is shut already.
     pub is_open: bool,
+    /// Time since which no request has been open on the connection; the longest idle connection is closed first.
     pub idle_since: Instant,
 }
 
-/// The state of one accepted connection, shared with those that may close it.
+/// State of one accepted connection, shared by the task that serves it and those that may ask it to close.
 #[derive(Debug)]
 pub struct ConnectionState {
-    /// Since when no request is open on it.
+    /// Time since which no request has been open; `None` while one is.
     idle_since: Cell<Option<Instant>>,
-    /// When the first byte of a request came that is not complete.
+    /// Time at which the first byte of a request was received whose head is still incomplete.
     request_began: Cell<Option<Instant>>,
     phase: Cell<Phase>,
     close_requested: Notify,
 }
 
 impl ConnectionState {
-    /// That of a connection that was accepted now.
+    /// Creates the state of a connection that was accepted at `now`.
     pub fn new(now: Instant) -> Self {
         ConnectionState {
             idle_since: Cell::new(Some(now)),
@@ -74,18 +75,18 @@
         }
     }
 
-    /// A request is open from now on, or its answer is sent.
+    /// Records that a request is open from now on (false), or that its answer has been produced (true).
     pub fn set_idle(&self, idle: bool) {
         self.set_idle_since(idle.then(Instant::now));
     }
 
-    /// No request has been open on it since then; none: there is one.
+    /// Sets the time since which no request has been open; `None` while one is.
     pub fn set_idle_since(&self, since: Option<Instant>) {
         self.idle_since.set(since);
         self.request_began.set(None);
     }
 
-    /// In which order it is closed to make room; none if it can't be.
+    /// Returns the sort key for closing this connection to make room; `None` if it may not be closed now.
     pub fn close_priority(&self, now: Instant) -> Option<ClosePriority> {
         let (is_open, is_closable) = match self.phase.get() {
             Phase::Open => (true, self.may_close(now)),
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Closes it once no request is open on it, or at once if its sending side is shut.
+    /// Asks the connection to close: as soon as no request is open, or at once if its sending side is already shut.
     pub fn request_close(&self) {
         self.phase.set(match self.phase.get() {
             Phase::Open | Phase::Closing => Phase::Closing,
@@ -112,23 +113,24 @@
         self.phase.get() != Phase::Open
     }
 
-    /// Waits until it is to be closed at once.
+    /// Waits until the connection is evicted.
     async fn evicted(&self) {
         while self.phase.get() != Phase::Evicted {
             self.close_requested.notified().await;
         }
     }
 
-    /// From when it may be closed as far as time goes; none while a request is open.
+    /// Returns the time from which the connection has been without a request for [`CLOSE_GRACE`]; `None` while one is
+    /// open.
     fn closable_from(&self) -> Option<Instant> {
         let idle = self.idle_since.get()?;
         Some(self.request_began.get().unwrap_or(idle).max(idle) + CLOSE_GRACE)
     }
 
-    /// When the connection is to be looked at again; one that has been idle for too long is asked to close.
+    /// Returns the time of the next check, and asks the connection to close if it has been idle for `idle_timeout`.
     fn next_check(&self, now: Instant, idle_timeout: Duration) -> Instant {
         match self.idle_since.get() {
-            // a request that is open takes no less than this
+            // an open request delays the close by at least this, since its answer is followed by a grace period
             None if self.is_closing() => now + CLOSE_GRACE,
             None => now + idle_timeout,
             Some(_) if self.is_closing() => self
@@ -154,12 +156,12 @@
     }
 }
 
-/// The socket, which outlasts what serves it.
+/// Socket shared with hyper; it stays open after hyper has finished, so that late bytes can be read.
 #[derive(Clone)]
 struct Socket {
     stream: Rc<RefCell<Stream>>,
     state: Rc<ConnectionState>,
-    /// The system takes no more of the answers for now.
+    /// True while the kernel's send buffer accepts no more bytes of the answers.
     write_blocked: Rc<Cell<bool>>,
 }
 
@@ -168,13 +170,14 @@
         poll(Pin::new(&mut *self.stream.borrow_mut()))
     }
 
-    /// Whether the input may end here, if the system has nothing more to read.
+    /// Returns whether the connection may end now, provided that the kernel has no more bytes to read.
     fn may_end_input(&self) -> bool {
         self.state.is_closing() && !self.write_blocked.get() && self.state.may_close(Instant::now())
     }
 
-    /// Reads past the runtime, which looks at the system only between turns, in which a timer may come first. Where
-    /// nothing is there to read, this is an end between requests.
+    /// Reads from the kernel directly, since the runtime polls the socket only between task turns and a timer may fire
+    /// before it has noticed received bytes. If there are none, reports the end of the input to hyper, which then ends
+    /// the connection between requests.
     fn read_before_end(
         &self,
         context: &mut Context<'_>,
@@ -203,12 +206,12 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         match self.with(|stream| stream.poll_read(context, buffer)) {
             Poll::Pending if self.may_end_input() => self.read_before_end(context, buffer),
             Poll::Pending => Poll::Pending,
             Poll::Ready(result) => {
-                if buffer.filled().len() > before {
+                if buffer.filled().len() > filled_before {
                     self.state.record_read();
                 }
                 Poll::Ready(result)
@@ -237,16 +240,16 @@
     }
 }
 
-/// How a kind of connection is served.
+/// HTTP settings of one kind of connection (clients or operators).
 pub struct HttpSettings {
-    /// The settings of HTTP; [`serve`] adds the time for a head.
+    /// Hyper's server settings; [`serve`] adds the time limit for receiving a request head.
     pub http: http1::Builder,
-    /// Longest time without a request.
+    /// Time without a request after which the connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Serves the connection until it ends: by its peer, by an invalid request, by `idle_timeout`, when it is asked to
-/// close, or once `closing` is ready.
+/// Serves a connection until its peer closes it, an invalid request or the idle timeout ends it, it is asked to close
+/// through `state`, or `closing` completes.
 pub async fn serve<S>(
     stream: TcpStream,
     state: &Rc<ConnectionState>,
@@ -267,7 +270,7 @@
         state: state.clone(),
         write_blocked: Rc::default(),
     };
-    // the time of a head that comes slowly; a connection without one ends before that, by `idle_timeout`
+    // limits a head that arrives slowly; a connection on which no head has begun ends earlier, by `idle_timeout`
     http.timer(TokioTimer::new())
         .header_read_timeout(idle_timeout + CLOSE_GRACE);
     {
@@ -276,9 +279,11 @@
         loop {
             let next_check = state.next_check(Instant::now(), idle_timeout);
             tokio::select! {
-                // what has come goes before an end; and it is the connection that finds whether it may end
+                // poll the connection first: received requests take precedence over a close, and only its read finds
+                // out whether the connection may end
                 biased;
-                // a client may disconnect as it likes; a message it left behind is withdrawn by its guard
+                // the result is ignored, since clients may disconnect at any time; the guard of an unanswered request
+                // informs the driver
                 _ = &mut connection => break,
                 () = state.close_requested.notified(), if !state.is_closing() => {}
                 _ = &mut closing, if !state.is_closing() => state.request_close(),
@@ -290,7 +295,7 @@
     state.phase.set(Phase::HalfClosed);
     let Socket { stream, .. } = socket;
     if let Some(stream) = Rc::into_inner(stream) {
-        // whoever needs this connection's permit gets it at once
+        // an eviction interrupts the reading, so that a new connection gets this one's permit at once
         tokio::select! {
             _ = timeout(CLOSE_GRACE, discard_late_bytes(stream.into_inner())) => {}
             () = state.evicted() => {}
@@ -298,11 +303,12 @@
     }
 }
 
-/// Shuts the sending side and reads on until the peer has done so too, or has sent too much.
+/// Shuts the sending side, then reads and discards until the peer has shut its side too or has sent
+/// [`MAX_LATE_BYTES`].
 async fn discard_late_bytes(mut stream: Stream) -> io::Result<()> {
     stream.shutdown().await?;
-    let mut left = MAX_LATE_BYTES;
-    while left > 0 {
+    let mut remaining_bytes = MAX_LATE_BYTES;
+    while remaining_bytes > 0 {
         let mut bytes = Discarded {
             stream: &mut stream,
         };
@@ -310,12 +316,12 @@
         if read == 0 {
             return Ok(());
         }
-        left = left.saturating_sub(read);
+        remaining_bytes = remaining_bytes.saturating_sub(read);
     }
     Ok(())
 }
 
-/// Reads and discards, with a buffer on the stack alone.
+/// Reads and discards bytes with a buffer on the stack, so that no memory is held while the read waits.
 struct Discarded<'a> {
     stream: &'a mut Stream,
 }
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP requests to discovery and to the registry, each on a connection of its own.
+//! HTTP client for discovery and the registry; each request uses a new connection.
 
 use super::stream::{ConnectError, Stream};
 use bytes::Bytes;
@@ -18,15 +18,14 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// Media type of JSON bodies.
 const JSON_MEDIA_TYPE: &str = "application/json";
-/// Of the message of a rejection this many characters are kept.
+/// Maximum number of characters kept of a rejection's message.
 const MAX_MESSAGE_CHARS: usize = 300;
 
-/// Why a call got no response.
+/// Reason why a call got no response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection came up.
+    /// The connection could not be established.
     #[error("no connection: {0}")]
     Connect(#[from] ConnectError),
     /// The connection failed, or the response is not HTTP.
@@ -35,14 +34,15 @@
     /// The request could not be built.
     #[error("bad request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The time for the call is over.
+    /// No response arrived within the time limit.
     #[error("no answer in time")]
     Timeout,
 }
 
 impl CallError {
-    /// The server itself rejected the call, or nobody listens there: so a call ends while the server is down. One that
-    /// had no response may have met a server that others reach, and one that never left says nothing of it.
+    /// Returns whether the failure shows that the server is down: its host refused or reset the connection, or closed
+    /// it without a response. After a time-out the server may still be reachable by others, and a call that was never
+    /// sent says nothing about the server.
     pub fn is_rejection(&self) -> bool {
         match self {
             CallError::Connect(ConnectError::Peer(error)) => {
@@ -56,28 +56,28 @@
         }
     }
 
-    /// A fault of this machine, not of the peer.
+    /// Returns whether the call failed by an error of the local host, not of the server.
     pub fn is_local(&self) -> bool {
         matches!(self, CallError::Connect(ConnectError::Local(_)))
     }
 }
 
-/// Why a request to the registry has no usable answer, and where to look.
+/// Reason why a request to the registry got no usable answer. The texts tell operators where to look.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There is no response.
+    /// The call got no response.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The status is not 200; with the first line of the body.
+    /// The status of the answer is not 200; the message is the first line of its body.
     #[error("{status}: {message}")]
     Rejected { status: StatusCode, message: String },
-    /// The body is not the JSON that was expected.
+    /// The body is not JSON of the expected form.
     #[error("the answer can't be read: {0}; is the registry of this version?")]
     Json(#[from] serde_json::Error),
-    /// The body is not the compact form that was expected.
+    /// The body is no valid message of the compact quota format.
     #[error("the answer can't be read: {0}; is the registry of this version?")]
     Compact(#[from] CompactError),
-    /// The body is too long or did not come in time.
+    /// The body is too long or was incomplete at the time limit.
     #[error("the answer did not come whole in time; see GET /v1/status of each replica")]
     IncompleteBody,
     /// The request could not be built.
@@ -85,16 +85,16 @@
     Request(#[from] hyper::http::Error),
 }
 
-/// How long a request may take and how long its answer may be.
+/// Limits on the duration of a request and on the size of its answer.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLimits {
-    /// For everything, from the connection to the end of the body.
+    /// Time limit from the start of the connection to the end of the answer's body.
     pub timeout: Duration,
-    /// Longest body of the answer.
+    /// Maximum size of the answer's body, in bytes.
     pub max_answer_bytes: usize,
 }
 
-/// A request to one replica of the registry.
+/// HTTP request to one replica of the registry.
 #[derive(Debug)]
 pub struct RegistryRequest<'a> {
     pub method: Method,
@@ -104,10 +104,10 @@
     pub limits: RequestLimits,
 }
 
-/// Sends a request with a JSON body, if any, to one replica and reads its JSON answer.
+/// Sends a request with an optional JSON body to one replica, and parses its JSON answer.
 ///
 /// # Errors
-/// There is no answer in time, it is a rejection, or it can't be read.
+/// The replica does not answer in time, rejects the request, or its answer is not JSON of the expected form.
 pub async fn round_trip_json<T: DeserializeOwned>(
     replica: SocketAddr,
     method: Method,
@@ -127,10 +127,10 @@
     Ok(serde_json::from_slice(&answer)?)
 }
 
-/// Sends a request to one replica and reads the body of its answer.
+/// Sends a request to one replica and returns the body of its answer.
 ///
 /// # Errors
-/// There is no answer in time, or it is a rejection.
+/// The replica does not answer in time, rejects the request, or its answer exceeds the size limit.
 pub async fn round_trip(
     replica: SocketAddr,
     request: RegistryRequest<'_>,
@@ -166,14 +166,15 @@
     Ok(body)
 }
 
-/// The first line of a rejection's body, cut to [`MAX_MESSAGE_CHARS`].
+/// Returns the first line of a rejection's body, cut to [`MAX_MESSAGE_CHARS`].
 fn first_line(body: &[u8]) -> String {
     let text = String::from_utf8_lossy(body);
     let line = text.lines().next().unwrap_or_default();
     line.chars().take(MAX_MESSAGE_CHARS).collect()
 }
 
-/// The replica for a request by its turn: the one at discovery's address, or one of the others.
+/// Returns the replica to ask in the given turn: turns go round `first`, the replica at discovery's address, and the
+/// `others`.
 pub fn replica_for_turn(turn: usize, first: SocketAddr, others: &[SocketAddr]) -> SocketAddr {
     match turn % (1 + others.len()) {
         0 => first,
@@ -181,10 +182,11 @@
     }
 }
 
-/// Sends one request on a connection of its own, since the server is near and older connections may have gone silent.
+/// Sends one request on a new connection. The server is near, so a new connection costs little, while an older one may
+/// have been cut without notice.
 ///
 /// # Errors
-/// There is no response within `time_limit`; see [`CallError`].
+/// No response arrives within `time_limit`, or the call fails earlier; see [`CallError`].
 pub async fn call<B>(
     server: SocketAddr,
     request: Request<B>,
--- a/src/net/http_golden/mod.rs
+++ b/src/net/http_golden/mod.rs
@@ -1,11 +1,11 @@
-//! What others see on the wire, held against recorded files beside this one. With `WRITE_GOLDEN` set they are written
-//! anew, for a change of form that is meant.
+//! Golden files of the HTTP interfaces. Tests compare the bytes on the wire with the recorded files beside this one;
+//! with `WRITE_GOLDEN` set the files are rewritten, for an intended change of an interface.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Holds a text against the recorded one.
+/// Asserts that `text` equals the golden file `name`.
 pub fn compare(name: &str, text: &str) {
     let path = format!("{}/src/net/http_golden/{name}", env!("CARGO_MANIFEST_DIR"));
     if std::env::var_os("WRITE_GOLDEN").is_some() {
@@ -18,7 +18,8 @@
     );
 }
 
-/// All that comes in answer to these bytes until the connection ends or nothing more comes, the date replaced.
+/// Sends `bytes` to `address` and returns the answer with its date replaced. Reads until the answer is complete, the
+/// connection ends, or nothing is received for 10 s.
 pub fn answer_to(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
     stream
@@ -27,7 +28,7 @@
     stream.write_all(bytes).expect("written");
     let mut answer = Vec::new();
     let mut byte = [0];
-    while !is_whole(&answer) && matches!(stream.read(&mut byte), Ok(1)) {
+    while !is_complete(&answer) && matches!(stream.read(&mut byte), Ok(1)) {
         answer.push(byte[0]);
     }
     let text = String::from_utf8(answer).expect("text");
@@ -43,8 +44,8 @@
         .collect()
 }
 
-/// Whether an answer has come to the end that its head tells.
-fn is_whole(answer: &[u8]) -> bool {
+/// Returns whether an answer has as many body bytes as its `Content-Length` states.
+fn is_complete(answer: &[u8]) -> bool {
     let text = String::from_utf8_lossy(answer);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -55,7 +56,7 @@
     length.and_then(|length| length.parse().ok()).unwrap_or(0) <= body.len()
 }
 
-/// JSON with the kind of each value in its place: keys and types.
+/// Replaces each JSON value by the name of its type, so that only keys and types are compared.
 pub fn kinds(value: &serde_json::Value) -> serde_json::Value {
     use serde_json::Value;
     match value {
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP server for clients: reads the messages that they submit, and answers as the driver decides.
+//! HTTP server for clients: reads the messages that they submit, passes them to the driver and answers with its
+//! decision.
 
 mod accept;
 mod error;
@@ -27,49 +28,51 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-/// Longest time without a request: such a connection may be closed after 2 s. A head that has begun by then gets
-/// [`connection::CLOSE_GRACE`] more, and with what a body may take after it, a peer that sends no proper request must have
-/// its end within 3 s.
-const IDLE_TIME: Duration = Duration::from_millis(2100);
-/// Longest time for a body: clients wait 400 ms for their answer.
-const BODY_TIME: Duration = Duration::from_millis(600);
-/// Size of a connection's read buffer, and so of the longest head.
+/// Time without a request after which a connection is closed; 2 s is the minimum. A head that has begun by then gets
+/// [`connection::CLOSE_GRACE`] more, and a body [`BODY_TIMEOUT`] more: the sum must stay below 3 s, the limit for
+/// closing the connection of a peer that sends no complete request.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// Maximum time for receiving a body. Clients wait only 400 ms for their answer.
+const BODY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Size of a connection's read buffer in bytes, which also bounds the length of a request's head.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Where clients ask whether the process is ready.
+/// Path of the readiness check.
 const READINESS_PATH: &str = "/ready";
 
-/// A class that messages may name.
+/// Message class that requests may name.
 #[derive(Debug, Clone)]
 pub struct ClassEntry {
+    /// Name of the class, as the request's path and `X-Priority-Class` give it.
     pub name: String,
-    /// Its position in the settings of the decision module.
+    /// Position of the class in the settings of the decision module.
     pub index: usize,
-    /// Its messages must carry an idempotency key.
+    /// True if messages of the class must carry an idempotency key.
     pub key_required: bool,
 }
 
-/// The current classes, which change with the settings.
+/// Current message classes, replaced when the settings change.
 pub type Classes = Rc<RefCell<Vec<ClassEntry>>>;
 
-/// What all connections of clients share.
+/// State shared by all connections of clients.
 pub struct Server {
-    /// The classes that messages may name now.
+    /// Message classes that requests may name at present.
     pub classes: Classes,
-    /// Submitted messages and disconnected clients, to the driver.
+    /// Channel to the driver for submitted messages and for clients that disconnect.
     pub inputs: mpsc::UnboundedSender<DriverInput>,
-    /// True once the process can accept messages.
+    /// Turns true once the process can accept messages.
     pub ready: watch::Receiver<bool>,
-    /// Set once the process shuts down: each answer then closes its connection.
+    /// True once the process drains; each answer then closes its connection.
     pub draining: Rc<Cell<bool>>,
-    /// One for each connection that may be open at once.
+    /// One permit for each client connection that may be open at once.
     pub connection_permits: Arc<Semaphore>,
-    /// Turns true when another process has taken over: none is accepted here any more.
+    /// Turns true when the successor has taken over the listening socket; this process then stops accepting
+    /// connections.
     pub handed_over: watch::Receiver<bool>,
-    /// Turns true when idle connections are to be closed too.
+    /// Turns true when the shutdown closes all connections as soon as they carry no request.
     pub closing: watch::Receiver<bool>,
 }
 
-/// Accepts clients for ever.
+/// Accepts and serves client connections until the successor takes over.
 pub async fn serve(listener: TcpListener, server: Rc<Server>) {
     let permits = server.connection_permits.clone();
     let handed_over = server.handed_over.clone();
@@ -80,17 +83,18 @@
         handed_over,
         move |stream, state| {
             let server = server.clone();
-            async move { serve_one(stream, server, &state).await }
+            async move { serve_connection(stream, server, &state).await }
         },
     )
     .await;
 }
 
-async fn serve_one(stream: TcpStream, server: Rc<Server>, state: &Rc<ConnectionState>) {
+async fn serve_connection(stream: TcpStream, server: Rc<Server>, state: &Rc<ConnectionState>) {
     let mut closing = server.closing.clone();
     let service = service_fn(move |request| {
         let server = server.clone();
-        // at once: no end may come between a head and its handling
+        // mark the connection as busy before the handler is first polled: it must not be closed between the head of a
+        // request and its handling
         state.set_idle(false);
         async move {
             let answer = answer(request, server).await;
@@ -105,7 +109,7 @@
         state,
         HttpSettings {
             http,
-            idle_timeout: IDLE_TIME,
+            idle_timeout: IDLE_TIMEOUT,
         },
         service,
         closing.wait_for(|closing| *closing),
@@ -143,7 +147,7 @@
     response
 }
 
-/// Closes the connection after this response.
+/// Marks the response with `Connection: close`, so that the connection closes after it.
 fn close_after(response: &mut Response<Full<Bytes>>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
@@ -172,8 +176,8 @@
         destination: head.destination,
         time_limit: head.time_limit,
         received_at,
-        again: head.again,
-        orphan: head.orphan,
+        again: head.resubmitted,
+        orphan: head.client_departed,
         body,
         reply,
     };
@@ -203,21 +207,23 @@
     }
 }
 
-/// Reads a message's body into memory of its own.
+/// Reads a message's body and copies it, so that a pending message does not keep the connection's read buffer in
+/// memory.
 async fn read_body(request: Request<Incoming>) -> Result<Bytes, RequestError> {
-    // hyper drops the length beside a Transfer-Encoding, so two ends of the body can't be told from one
-    let no_length = request.headers().contains_key(TRANSFER_ENCODING);
+    // hyper removes Content-Length if Transfer-Encoding is present, so a request with both, whose body has two possible
+    // ends, cannot be recognised: every Transfer-Encoding is rejected
+    let has_transfer_encoding = request.headers().contains_key(TRANSFER_ENCODING);
     if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLong);
     }
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-    let body = match timeout(BODY_TIME, body).await {
+    let body = match timeout(BODY_TIMEOUT, body).await {
         Err(_) => return Err(RequestError::BodyTimeout),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(RequestError::BodyTooLong),
         Ok(Err(_)) => return Err(RequestError::MalformedBody),
         Ok(Ok(body)) => Bytes::copy_from_slice(&body.to_bytes()),
     };
-    if no_length {
+    if has_transfer_encoding {
         return Err(RequestError::LengthRequired);
     }
     Ok(body)
@@ -244,17 +250,18 @@
     response
 }
 
-/// Notifies the driver of a client that disconnects before its answer, since it submits its message again elsewhere:
-/// hyper drops the request then.
+/// Guard of a client's request that notifies the driver if the client disconnects before its answer, since such a
+/// client submits its message again to another sender. The notification is sent when the guard is dropped: hyper drops
+/// the request's future when the connection closes.
 struct DisconnectGuard<'a> {
     id: HeaderValue,
-    /// The driver's answer, as long as it has not been taken for the client.
+    /// Receives the driver's decision; `None` once the decision has been handed on to the client.
     result: Option<oneshot::Receiver<SubmissionResult>>,
     inputs: &'a mpsc::UnboundedSender<DriverInput>,
 }
 
 impl DisconnectGuard<'_> {
-    /// The driver's answer, which goes to the client from then on.
+    /// Waits for the driver's decision. From then on the client counts as answered.
     async fn result(&mut self) -> SubmissionResult {
         let Some(result) = &mut self.result else {
             return SubmissionResult::NotStored;
@@ -270,15 +277,15 @@
         let Some(mut result) = self.result.take() else {
             return;
         };
-        // a message that was refused is none that this client could withdraw: its id may name another's by now
-        let is_refused = |result: SubmissionResult| result != SubmissionResult::Accepted;
-        if result.try_recv().is_ok_and(is_refused) {
+        // a message that was not accepted must not be withdrawn: its id may by now name another client's message
+        let is_not_accepted = |result: SubmissionResult| result != SubmissionResult::Accepted;
+        if result.try_recv().is_ok_and(is_not_accepted) {
             return;
         }
         let client = DepartedClient {
             id: self.id.clone(),
         };
-        // nobody listens any more only when the process ends
+        // the receiver is dropped only when the process ends
         let _ = self.inputs.send(DriverInput::ClientDisconnected(client));
     }
 }
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, no more at once than there are permits, and closes idle ones to make room.
+//! Accepts connections, limits how many are open by permits, and closes idle ones when no permit is free.
 
 use crate::net::RateLimitedLog;
 use crate::net::connection::ConnectionState;
@@ -12,31 +12,33 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Until the next connection is accepted where only one of them failed.
+/// Delay before the next accept after an error that concerns only a single connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// How often an idle connection is looked for while a client waits for a permit.
+/// Interval between searches for an idle connection to close while a new connection waits for a permit.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Accepts connections until `end` turns true, as many at once as there are permits, and has each handled.
+/// Accepts connections until `stop` turns true and runs `handle` on each in a task of its own. The number of permits
+/// limits the connections that are open at once; `subsystem` is the prefix of log lines.
 pub async fn accept<F>(
-    who: &'static str,
+    subsystem: &'static str,
     listener: TcpListener,
     permits: Arc<Semaphore>,
-    mut end: watch::Receiver<bool>,
+    mut stop: watch::Receiver<bool>,
     handle: impl Fn(TcpStream, Rc<ConnectionState>) -> F,
 ) where
     F: Future<Output = ()> + 'static,
 {
-    let faults = RateLimitedLog::default();
+    let error_log = RateLimitedLog::default();
     let connections = Rc::new(OpenConnections::default());
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            Ok(_) = end.wait_for(|end| *end) => return,
+            Ok(_) = stop.wait_for(|stop| *stop) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                let Some(permit) = acquire_permit(who, &permits, &connections, &faults).await
+                let Some(permit) =
+                    acquire_permit(subsystem, &permits, &connections, &error_log).await
                 else {
                     return;
                 };
@@ -50,35 +52,36 @@
                 });
             }
             Err(error) => {
-                faults.log(format_args!("{who}: no connection accepted: {error}"));
-                let pause = if concerns_one_connection(&error) {
+                error_log.log(format_args!("{subsystem}: no connection accepted: {error}"));
+                let delay = if concerns_one_connection(&error) {
                     ACCEPT_RETRY_INTERVAL
                 } else {
                     RETRY_INTERVAL
                 };
-                sleep(pause).await;
+                sleep(delay).await;
             }
         }
     }
 }
 
-/// A permit for one more connection; none if there will be none any more.
+/// Acquires the permit of one more connection; `None` if the semaphore is closed.
 ///
-/// One connection beyond the limit waits here and more in the kernel's queue, so that calls never lack descriptors;
-/// peers that ask for nothing must not keep it waiting.
+/// At the limit one accepted connection waits here and further ones wait in the kernel's queue, so that calls to
+/// endpoints never lack file descriptors. Idle connections are closed to free a permit, so that peers without requests
+/// cannot block the waiting one.
 async fn acquire_permit(
-    who: &'static str,
+    subsystem: &'static str,
     permits: &Arc<Semaphore>,
     connections: &OpenConnections,
-    faults: &RateLimitedLog,
+    error_log: &RateLimitedLog,
 ) -> Option<OwnedSemaphorePermit> {
     loop {
         if let Ok(permit) = permits.clone().try_acquire_owned() {
             return Some(permit);
         }
         if let Some(state) = connections.longest_idle(Instant::now()) {
-            faults.log(format_args!(
-                "{who}: connection limit reached, idle connections are closed"
+            error_log.log(format_args!(
+                "{subsystem}: connection limit reached, idle connections are closed"
             ));
             state.request_close();
         }
@@ -88,7 +91,7 @@
     }
 }
 
-/// The connections that are open, in the order in which they came.
+/// Open connections by number, in the order in which they were accepted.
 #[derive(Default)]
 struct OpenConnections {
     by_number: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
@@ -108,7 +111,8 @@
         self.by_number.borrow_mut().remove(&number);
     }
 
-    /// The connection that may be closed soonest: one that is closing already, or has been idle the longest.
+    /// Returns the connection to close first: one whose sending side is already shut, or else the one that has been
+    /// idle the longest. `None` if no connection may be closed yet.
     fn longest_idle(&self, now: Instant) -> Option<Rc<ConnectionState>> {
         let by_number = self.by_number.borrow();
         let closable = by_number
--- a/src/net/server/accept/tests.rs
+++ b/src/net/server/accept/tests.rs
@@ -1,27 +1,27 @@
-//! Which connection is closed to make room.
+//! Tests of the choice of the connection that is closed when no permit is free.
 
 use super::*;
 use crate::net::connection::CLOSE_GRACE;
 
 #[test]
-fn longest_idle_connection_makes_room_and_one_with_a_request_never_does() {
+fn longest_idle_connection_is_closed_first_and_busy_one_never() {
     let (connections, start) = (OpenConnections::default(), Instant::now());
-    let at = |ms| start + Duration::from_millis(ms);
-    let (_, busy) = connections.insert(at(0));
+    let at_ms = |ms| start + Duration::from_millis(ms);
+    let (_, busy) = connections.insert(at_ms(0));
     busy.set_idle_since(None);
-    let (number, first) = connections.insert(at(10));
-    let (_, second) = connections.insert(at(20));
-    first.set_idle_since(Some(at(30))); // it has had an answer
+    let (number, first) = connections.insert(at_ms(10));
+    let (_, second) = connections.insert(at_ms(20));
+    first.set_idle_since(Some(at_ms(30))); // its first request has been answered
     assert!(
         connections
-            .longest_idle(at(20) + CLOSE_GRACE - IDLE_CHECK_INTERVAL)
+            .longest_idle(at_ms(20) + CLOSE_GRACE - IDLE_CHECK_INTERVAL)
             .is_none(),
-        "its first request may be on the way"
+        "the first request of a new connection may still be arriving"
     );
-    let leaves = |at| connections.longest_idle(at).expect("room");
-    assert!(Rc::ptr_eq(&leaves(at(1000)), &second));
+    let longest_idle = |at| connections.longest_idle(at).expect("a closable connection");
+    assert!(Rc::ptr_eq(&longest_idle(at_ms(1000)), &second));
     second.request_close();
-    assert!(Rc::ptr_eq(&leaves(at(1000)), &first));
+    assert!(Rc::ptr_eq(&longest_idle(at_ms(1000)), &first));
     connections.remove(number);
-    assert!(connections.longest_idle(at(1000)).is_none());
+    assert!(connections.longest_idle(at_ms(1000)).is_none());
 }
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -1,9 +1,10 @@
-//! Every answer that a client may get, byte for byte, and what is read of its request.
+//! Compatibility test of the client interface: answers must match the recorded bytes, and requests must be parsed as
+//! recorded.
 
 use super::*;
 use crate::net::http_golden as golden;
 
-/// The driver's part, played: each message is answered by its id.
+/// Plays the driver: returns the result that the message id asks for.
 fn answer_of(id: &str) -> SubmissionResult {
     match id {
         "taken" => SubmissionResult::Accepted,
@@ -17,20 +18,20 @@
     }
 }
 
-fn described(arrival: &Submission) -> String {
+fn described(submission: &Submission) -> String {
     let text = |value: &HeaderValue| value.to_str().expect("text").to_string();
     format!(
         "id {}, key {:?}, subject {:?}, tenant {:?}, class {}, destination {}, time {}, again {}, orphan {}, body {:?}\n",
-        text(&arrival.id),
-        arrival.key.as_ref().map(text),
-        arrival.subject,
-        arrival.tenant,
-        arrival.class,
-        arrival.destination,
-        arrival.time_limit,
-        arrival.again,
-        arrival.orphan,
-        arrival.body
+        text(&submission.id),
+        submission.key.as_ref().map(text),
+        submission.subject,
+        submission.tenant,
+        submission.class,
+        submission.destination,
+        submission.time_limit,
+        submission.again,
+        submission.orphan,
+        submission.body
     )
 }
 
@@ -41,7 +42,7 @@
     )
 }
 
-/// Requests by name, each of which has a connection of its own.
+/// Returns the requests to make, each with its name in the golden file. Each goes over a connection of its own.
 fn requests() -> Vec<(String, String)> {
     let mut requests = Vec::new();
     let mut add = |name: &str, text: String| requests.push((name.to_string(), text));
@@ -136,17 +137,20 @@
     requests
 }
 
-async fn asked(address: std::net::SocketAddr, name: &str, text: &str) -> String {
+async fn named_answer(address: std::net::SocketAddr, name: &str, text: &str) -> String {
     let bytes = text.as_bytes().to_vec();
     let answer = tokio::task::spawn_blocking(move || golden::answer_to(address, &bytes));
     format!(
         "--- {name}\n{}\n",
-        answer.await.expect("it ends").replace("\r\n", "\n")
+        answer
+            .await
+            .expect("the request task does not panic")
+            .replace("\r\n", "\n")
     )
 }
 
 #[test]
-fn answers_to_clients_are_the_recorded_bytes() {
+fn answers_to_clients_match_recorded_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -155,11 +159,11 @@
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (inputs, mut taken) = mpsc::unbounded_channel();
+        let (inputs, mut driver_inputs) = mpsc::unbounded_channel();
         let (set_ready, ready) = watch::channel(false);
-        let (_hand, handed_over) = watch::channel(false);
-        let (_close, closing) = watch::channel(false);
-        let named = |name: &str, index, key_required| ClassEntry {
+        let (_set_handed_over, handed_over) = watch::channel(false);
+        let (_set_closing, closing) = watch::channel(false);
+        let class = |name: &str, index, key_required| ClassEntry {
             name: name.to_string(),
             index,
             key_required,
@@ -167,8 +171,8 @@
         let draining = Rc::new(Cell::new(false));
         let server = Server {
             classes: Rc::new(RefCell::new(vec![
-                named("webhook", 0, true),
-                named("order", 3, false),
+                class("webhook", 0, true),
+                class("order", 3, false),
             ])),
             inputs,
             ready,
@@ -178,30 +182,30 @@
             closing,
         };
         tokio::task::spawn_local(serve(listener, Rc::new(server)));
-        let arrivals = Rc::new(RefCell::new(String::new()));
-        let seen = arrivals.clone();
+        let submissions = Rc::new(RefCell::new(String::new()));
+        let recorded = submissions.clone();
         tokio::task::spawn_local(async move {
-            while let Some(input) = taken.recv().await {
-                let DriverInput::Submitted(arrival) = input else {
+            while let Some(input) = driver_inputs.recv().await {
+                let DriverInput::Submitted(submission) = input else {
                     panic!("{input:?}")
                 };
-                *seen.borrow_mut() += &described(&arrival);
-                let answer = answer_of(arrival.id.to_str().expect("text"));
-                arrival.reply.send(answer).expect("it waits");
+                *recorded.borrow_mut() += &described(&submission);
+                let answer = answer_of(submission.id.to_str().expect("text"));
+                submission.reply.send(answer).expect("the server waits");
             }
         });
-        let mut told = String::new();
+        let mut answers = String::new();
         let probe = "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
-        told += &asked(address, "before it is ready", probe).await;
-        told += &asked(address, "a message before it is ready", &message("taken")).await;
-        set_ready.send(true).expect("it listens");
+        answers += &named_answer(address, "before it is ready", probe).await;
+        answers += &named_answer(address, "a message before it is ready", &message("taken")).await;
+        set_ready.send(true).expect("the server runs");
         for (name, text) in requests() {
-            told += &asked(address, &name, &text).await;
+            answers += &named_answer(address, &name, &text).await;
         }
         draining.set(true);
-        told += &asked(address, "ready while it ends", probe).await;
-        told += &asked(address, "a message while it ends", &message("taken")).await;
-        golden::compare("client_answers.txt", &told);
-        golden::compare("client_messages.txt", &arrivals.borrow());
+        answers += &named_answer(address, "ready while it ends", probe).await;
+        answers += &named_answer(address, "a message while it ends", &message("taken")).await;
+        golden::compare("client_answers.txt", &answers);
+        golden::compare("client_messages.txt", &submissions.borrow());
     });
 }
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -1,9 +1,9 @@
-//! Why a client's request fails before the driver decides on it.
+//! Errors of client requests that fail without a decision of the driver.
 
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why a client's request fails; its text is the body of the answer.
+/// Reason why a client's request fails. The error text is sent as the body of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum RequestError {
     #[error("not ready")]
@@ -16,10 +16,10 @@
     OnlyGet,
     #[error("only POST")]
     OnlyPost,
-    /// The header of this name came more than once.
+    /// The named header is present more than once.
     #[error("{0}")]
     RepeatedHeader(&'static str),
-    /// The header of this name did not come.
+    /// The named header is required but missing.
     #[error("{0} is missing")]
     MissingHeader(&'static str),
     #[error("unknown class")]
@@ -45,7 +45,7 @@
 }
 
 impl RequestError {
-    /// The status of the answer.
+    /// Returns the HTTP status with which the request is answered.
     pub(super) fn status(self) -> StatusCode {
         match self {
             RequestError::NotReady | RequestError::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The method that the path allows, where another one was used.
+    /// Returns the method for the `Allow` header, if the request used one that the path does not allow.
     pub(super) fn allowed_method(self) -> Option<&'static str> {
         match self {
             RequestError::OnlyGet => Some("GET"),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the rest of the body stays unread, so that the connection can't be used again.
+    /// Returns whether part of the request's body stays unread, so that the connection must be closed after the answer.
     pub(super) fn leaves_body_unread(self) -> bool {
         matches!(self, RequestError::BodyTooLong | RequestError::BodyTimeout)
     }
--- a/src/net/server/headers.rs
+++ b/src/net/server/headers.rs
@@ -1,4 +1,4 @@
-//! What a client's request says of its message, read from its path, query and headers.
+//! Parses the path, query and headers of a client's request.
 
 use super::ClassEntry;
 use super::error::RequestError;
@@ -6,34 +6,35 @@
 use hyper::{Method, Request};
 use message_sender::{MILLISECOND, Micros};
 
-/// Longest id, key, subject or name of a tenant.
+/// Maximum length in bytes of a message id, idempotency key, subject or tenant name.
 const MAX_IDENTIFIER_BYTES: usize = 256;
-/// A longer time to deliver is cut to this, in microseconds.
-const MAX_TIME_LIMIT: u64 = 7 * 86_400_000_000;
+/// Maximum time limit of a message in microseconds, seven days; longer ones are cut to it.
+const MAX_TIME_LIMIT_US: u64 = 7 * 86_400_000_000;
 
-/// A message as its request's head describes it.
+/// Properties of a message that its request gives beside the body.
 #[derive(Debug)]
 pub(super) struct MessageHead {
     pub(super) id: HeaderValue,
     pub(super) key: Option<HeaderValue>,
     pub(super) subject: Option<String>,
     pub(super) tenant: Option<String>,
-    /// Position of its class in the settings.
+    /// Position of the message's class in the settings.
     pub(super) class: usize,
     pub(super) destination: u64,
-    /// Time to deliver it, from when the request came.
+    /// Time for the delivery in microseconds, from the arrival of the request.
     pub(super) time_limit: Micros,
-    /// The client submits it once more.
-    pub(super) again: bool,
-    /// The client that first submitted it is gone.
-    pub(super) orphan: bool,
+    /// True if the client has submitted the message before (`X-Retried` is present).
+    pub(super) resubmitted: bool,
+    /// True if `X-Retried` is `again`: the client that submitted the message first has departed.
+    pub(super) client_departed: bool,
 }
 
 impl MessageHead {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
-    /// The first thing that is missing, repeated or invalid, in the order of the checks below.
+    /// Names the first header or parameter that is missing, repeated or invalid. The order of the checks decides which
+    /// error a client gets for a request with several.
     pub(super) fn read<B>(
         request: &Request<B>,
         classes: &[ClassEntry],
@@ -67,23 +68,23 @@
             class: class.index,
             destination,
             time_limit,
-            again: retried.is_some(),
-            orphan: retried.is_some_and(|value| value == "again"),
+            resubmitted: retried.is_some(),
+            client_departed: retried.is_some_and(|value| value == "again"),
         })
     }
 }
 
-/// The class that the path and the header both name.
+/// Returns the message class, which the request's path and its `X-Priority-Class` header must both name.
 fn read_class<'a, B>(
     request: &Request<B>,
     classes: &'a [ClassEntry],
 ) -> Result<&'a ClassEntry, RequestError> {
     let path = request.uri().path();
-    let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
-    let named = single(request.headers(), "x-priority-class", "X-Priority-Class")?;
-    let is_named = named.is_some_and(|name| name == first);
-    let Some(class) = classes.iter().find(|class| class.name == first) else {
-        return Err(if is_named {
+    let path_class = path.trim_start_matches('/').split('/').next().unwrap_or("");
+    let header_class = single(request.headers(), "x-priority-class", "X-Priority-Class")?;
+    let header_matches = header_class.is_some_and(|name| name == path_class);
+    let Some(class) = classes.iter().find(|class| class.name == path_class) else {
+        return Err(if header_matches {
             RequestError::UnknownClass
         } else {
             RequestError::UnknownPath
@@ -92,13 +93,13 @@
     if request.method() != Method::POST {
         return Err(RequestError::OnlyPost);
     }
-    if !is_named {
+    if !header_matches {
         return Err(RequestError::ClassMismatch);
     }
     Ok(class)
 }
 
-/// The tenant; one that can't be read is none.
+/// Returns the tenant of the message. An overlong or non-text value counts as no tenant.
 fn read_tenant(headers: &HeaderMap) -> Result<Option<String>, RequestError> {
     let tenant = single(headers, "x-tenant-id", "X-Tenant-Id")?;
     Ok(tenant
@@ -107,48 +108,51 @@
         .map(str::to_string))
 }
 
-/// The header's only value, which must be there.
+/// Returns the single value of a required header; `display_name` is its name in error texts.
 fn required<'a>(
     headers: &'a HeaderMap,
     name: &str,
-    shown: &'static str,
+    display_name: &'static str,
 ) -> Result<&'a HeaderValue, RequestError> {
-    single(headers, name, shown)?.ok_or(RequestError::MissingHeader(shown))
+    single(headers, name, display_name)?.ok_or(RequestError::MissingHeader(display_name))
 }
 
-/// The header's only value; a repeated one is rejected, since nobody can tell which was meant.
+/// Returns the value of an optional header. A repeated header is rejected, since its values may contradict each other;
+/// `display_name` is its name in error texts.
 fn single<'a>(
     headers: &'a HeaderMap,
     name: &str,
-    shown: &'static str,
+    display_name: &'static str,
 ) -> Result<Option<&'a HeaderValue>, RequestError> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     if values.next().is_some() {
-        Err(RequestError::RepeatedHeader(shown))
+        Err(RequestError::RepeatedHeader(display_name))
     } else {
         Ok(value)
     }
 }
 
-/// An id or key goes into the lines of bulk calls, so it is visible text without spaces.
+/// Checks a message id or idempotency key. Both are written into the space-separated item lines of bulk requests, so
+/// only visible ASCII without spaces is valid.
 fn identifier(value: Option<&HeaderValue>) -> Result<Option<&HeaderValue>, RequestError> {
     let Some(value) = value else { return Ok(None) };
-    let visible = value.as_bytes().iter().all(u8::is_ascii_graphic);
-    if visible && (1..=MAX_IDENTIFIER_BYTES).contains(&value.len()) {
+    let is_visible = value.as_bytes().iter().all(u8::is_ascii_graphic);
+    if is_visible && (1..=MAX_IDENTIFIER_BYTES).contains(&value.len()) {
         Ok(Some(value))
     } else {
         Err(RequestError::InvalidIdentifier)
     }
 }
 
-/// A copy of its own: what came is a part of the connection's read buffer and would keep all of it in memory
-/// for as long as the message is pending, and its id for long after.
+/// Copies a header value. The original shares the connection's read buffer and would keep all of it in memory while the
+/// message is pending, and in the case of its id for long after.
 fn detached(value: &HeaderValue) -> HeaderValue {
     HeaderValue::from_bytes(value.as_bytes()).unwrap_or_else(|_| value.clone())
 }
 
-/// A number and a unit: `m` milliseconds or `u` microseconds.
+/// Parses the value of `X-Timeout`, a number with the unit `m` (milliseconds) or `u` (microseconds), and returns
+/// microseconds.
 fn parse_time_limit(text: &str) -> Option<Micros> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let unit = match unit {
@@ -160,10 +164,11 @@
         return None;
     }
     let value: u64 = digits.parse().ok()?;
-    Micros::try_from(value.saturating_mul(unit).min(MAX_TIME_LIMIT)).ok()
+    Micros::try_from(value.saturating_mul(unit).min(MAX_TIME_LIMIT_US)).ok()
 }
 
-/// The query's `subject`, by which ordered classes order their messages; an empty one is none.
+/// Returns the `subject` parameter of the query, the key by which ordered classes order their messages. An empty value
+/// counts as none.
 fn parse_subject(query: Option<&str>) -> Result<Option<&str>, RequestError> {
     let mut values = query
         .unwrap_or("")
@@ -176,7 +181,8 @@
     Ok(value)
 }
 
-/// Destinations have small numbers: one beyond 16 bits is none that a list will ever name.
+/// Parses the destination from the `dest=` parameter of the `Envelope` header. Numbers of more than 16 bits are
+/// invalid, since no endpoint list contains one.
 fn parse_destination(text: &str) -> Option<u64> {
     let mut values = text
         .split([';', ','])
