--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -1,5 +1,6 @@
-//! No cap under 1,024 on endpoints or senders: the real program reads a list of 1,024 endpoints from discovery over
-//! loopback as one of 1,024 senders, calls each of them, and knows 1,023 other members, within a stated memory.
+//! Guards against caps below 1,024 on endpoints or senders. The real program, as one of 1,024 senders, reads a list of
+//! 1,024 endpoints from discovery over loopback, calls each of them and knows the 1,023 other members, within a memory
+//! bound.
 
 mod node;
 
@@ -12,18 +13,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Endpoints, destinations and senders: the size that no cap may be under.
+/// Number of endpoints, of destinations and of senders that every cap must allow.
 const MANY: usize = 1024;
-/// Servers that the endpoints share: threads of this process are counted by them.
+/// Number of servers that the endpoints share, which bounds the threads of this process.
 const SERVERS: usize = 32;
-/// Descriptors of the sender: a third of them for clients, half for endpoints, as many as there are.
+/// File descriptors of the sender: a third of them serve clients, and half serve endpoints, enough for a connection to
+/// each.
 const SOCKETS: usize = 4096;
-/// Resident memory that the sender may have, bytes: a quarter of the `memory_mb` of its configuration, and half as much
-/// again as it takes.
-const MEMORY_MOST: usize = 48 << 20;
+/// Maximum resident memory of the sender in bytes: a quarter of `memory_mb` in its configuration, and 1.5 times what it
+/// usually takes.
+const MAX_RESIDENT_BYTES: usize = 48 << 20;
 
-/// The sender's resident memory as the system has it, bytes.
-fn resident(node: &Node) -> usize {
+/// Returns the sender's resident memory in bytes, as the kernel reports it.
+fn resident_bytes(node: &Node) -> usize {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", node.process.id())).expect("it runs");
     let line = status
@@ -37,15 +39,19 @@
         * 1024
 }
 
-/// States the memory and holds it against the bound.
+/// Prints the sender's resident memory and asserts that it is within the bound.
 fn check_memory(node: &Node, when: &str) {
-    let bytes = resident(node);
+    let bytes = resident_bytes(node);
     println!("VmRSS {when}: {:.1} MiB", bytes as f64 / f64::from(1 << 20));
-    assert!(bytes <= MEMORY_MOST, "{bytes} bytes are resident {when}");
+    assert!(
+        bytes <= MAX_RESIDENT_BYTES,
+        "{bytes} bytes are resident {when}"
+    );
 }
 
-/// A sender of a group of [`MANY`], with room, call slots and descriptors for as many endpoints at once: nothing is
-/// refused at the door, however slow the machine is.
+/// Starts a sender of a fleet of [`MANY`] whose limits on messages, call slots and descriptors allow calls to all
+/// endpoints at once, so that no message is rejected on arrival even on a slow host. `more` is added to the
+/// configuration.
 fn one_of_many(agent: &Agent, more: &str) -> Node {
     let configured = |text: String| {
         let text = text.replace(r#""balancers":1,"#, &format!(r#""balancers":{MANY},"#));
@@ -61,7 +67,7 @@
     format!("srv-{number:05}")
 }
 
-/// The list of [`MANY`] endpoints, each of a destination of its own.
+/// Returns a list of [`MANY`] endpoints, each of a destination of its own.
 fn list_of_many(servers: &[Endpoint]) -> String {
     let uids: Vec<String> = (0..MANY).map(uid).collect();
     let entry = |number: usize| {
@@ -77,11 +83,11 @@
 }
 
 #[test]
-fn a_list_of_1024_endpoints_is_read_served_and_reported_whole_by_one_of_1024_senders() {
+fn sender_in_fleet_of_1024_reads_calls_and_reports_1024_endpoints() {
     let servers: Vec<Endpoint> = (0..SERVERS).map(|_| Endpoint::new(|_, _| OK)).collect();
     let agent = Agent::new(vec![list_of_many(&servers)]);
     let node = one_of_many(&agent, "").ready();
-    wait_until("all endpoints are known", || {
+    wait_until("the report lists all endpoints", || {
         pools(&node)["totals"]["endpoints"] == MANY
     });
     check_memory(&node, "with the list");
@@ -107,7 +113,7 @@
     let count = |value: &Value| value.as_u64().unwrap_or(0) as usize;
     let (dials, closes) = (count(&counts["dials"]), &counts["closes"]);
     assert!(dials >= MANY, "{counts}");
-    // a connection for each endpoint stays idle: only one beside it may be too many
+    // one idle connection to each endpoint is kept; only connections beyond these may be closed as surplus
     assert!(
         count(&closes["surplus"]) + count(&closes["evicted"]) <= dials - MANY,
         "{counts}"
@@ -115,23 +121,25 @@
     check_memory(&node, "once each endpoint has been called");
 }
 
-/// Members that answer whatever reaches them, each at an address of its own, on one thread.
+/// Fleet members on one thread, each with a socket of its own, that answer every datagram.
 struct Members {
+    /// Address of the first member, at which senders join.
     seed: SocketAddr,
-    ends: Arc<AtomicBool>,
+    /// Set to end the thread.
+    should_stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 const FLEET: &str = "test";
-/// The protocol's period: a probe waits for about as long.
+/// Protocol period of the membership, which is also about the time that a probe waits for its answer.
 const PERIOD: Duration = Duration::from_millis(200);
-/// Time between two looks at all sockets: far shorter than a probe may take.
-const LOOK: Duration = Duration::from_millis(2);
-/// Longer than any datagram of the protocol.
-const DATAGRAM_MOST: usize = 2048;
+/// Interval between reads of all sockets, far shorter than the time that a probe waits for its answer.
+const READ_INTERVAL: Duration = Duration::from_millis(2);
+/// Receive buffer size in bytes, larger than any datagram of the protocol.
+const MAX_DATAGRAM_BYTES: usize = 2048;
 
 impl Members {
-    /// So many of one fleet. The first knows all and is the seed of whoever joins.
+    /// Starts `count` members of one fleet. The first one knows all others and is the seed for senders that join.
     fn new(count: usize) -> Self {
         let start = Instant::now();
         let mut members: Vec<(UdpSocket, Member)> = Vec::new();
@@ -153,17 +161,17 @@
         }
         let seed = members[0].1.settings().advertise;
         introduce(&mut members);
-        let ends = Arc::new(AtomicBool::new(false));
-        let stops = ends.clone();
+        let should_stop = Arc::new(AtomicBool::new(false));
+        let stop_flag = should_stop.clone();
         let thread = thread::spawn(move || {
-            while !stops.load(Ordering::SeqCst) {
+            while !stop_flag.load(Ordering::SeqCst) {
                 answer_all(&mut members, start);
-                thread::sleep(LOOK);
+                thread::sleep(READ_INTERVAL);
             }
         });
         Members {
             seed,
-            ends,
+            should_stop,
             thread: Some(thread),
         }
     }
@@ -171,37 +179,37 @@
 
 impl Drop for Members {
     fn drop(&mut self) {
-        self.ends.store(true, Ordering::SeqCst);
+        self.should_stop.store(true, Ordering::SeqCst);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// Hands the seed what each other member says when it begins.
+/// Delivers the first datagrams of all other members to the seed, so that it knows them.
 fn introduce(members: &mut [(UdpSocket, Member)]) {
     let (seed, others) = members.split_first_mut().expect("a seed");
     let seed_address = seed.1.settings().advertise;
     for (_, member) in others {
-        let (mut said, mut answers) = (Output::default(), Output::default());
+        let (mut join_requests, mut responses) = (Output::default(), Output::default());
         let source = member.settings().advertise;
-        member.tick(member.next_deadline(), &mut said);
+        member.tick(member.next_deadline(), &mut join_requests);
         for Datagram {
             destination,
             payload,
-        } in said.datagrams
+        } in join_requests.datagrams
         {
             assert_eq!(destination, seed_address);
-            seed.1.handle_datagram(0, source, &payload, &mut answers);
+            seed.1.handle_datagram(0, source, &payload, &mut responses);
         }
     }
 }
 
-/// Takes in what has come to each member, and sends what it answers.
+/// Handles the datagrams that each member has received, and sends the responses.
 fn answer_all(members: &mut [(UdpSocket, Member)], start: Instant) {
     let now = start.elapsed().as_micros() as u64;
-    let mut datagram = [0; DATAGRAM_MOST];
+    let mut datagram = [0; MAX_DATAGRAM_BYTES];
     for (number, (socket, member)) in members.iter_mut().enumerate() {
         let mut output = Output::default();
-        // the seed lives on, so that it may answer anew in each period; the others only answer
+        // only the seed runs its timers, since it limits its responses per period; the others only respond
         if number == 0 && now >= member.next_deadline() {
             member.tick(now, &mut output);
         }
@@ -213,14 +221,14 @@
             payload,
         } in output.datagrams
         {
-            // one that is lost is as good as any other that is
+            // a failed send counts as a lost datagram, which the protocol tolerates
             let _ = socket.send_to(&payload, destination);
         }
     }
 }
 
 #[test]
-fn a_fleet_of_1024_senders_is_known_whole() {
+fn sender_knows_all_members_of_fleet_of_1024() {
     let members = Members::new(MANY - 1);
     let servers: Vec<Endpoint> = (0..SERVERS).map(|_| Endpoint::new(|_, _| OK)).collect();
     let agent = Agent::new(vec![list_of_many(&servers)]);
@@ -234,20 +242,22 @@
     );
     let node = one_of_many(&agent, &object).ready();
     let report = || serde_json::from_str::<Value>(&told(&node, "GET /members")).expect("JSON");
-    wait_until("all senders are known", || report()["living"] == MANY);
+    wait_until("the report counts all senders as present", || {
+        report()["living"] == MANY
+    });
     assert_eq!(report()["scaled_by"], MANY);
     assert_eq!(report()["members"].as_array().map(Vec::len), Some(MANY - 1));
     check_memory(&node, "with the list and all senders");
 }
 
 #[test]
-fn a_table_of_members_has_room_for_1024_however_few_are_configured() {
+fn member_table_allows_1024_members_for_any_configured_size() {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
-    for configured in [1, 3, 300, MANY as u32] {
-        let settings = Settings::new("member", address, configured);
+    for expected_members in [1, 3, 300, MANY as u32] {
+        let settings = Settings::new("member", address, expected_members);
         assert!(
             settings.max_members >= MANY,
-            "{} of {configured}",
+            "{} for {expected_members} expected members",
             settings.max_members
         );
     }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,4 +1,4 @@
-//! The real sender's connections to its endpoints, over loopback sockets.
+//! Tests of the real sender's connection pool over loopback sockets.
 
 mod node;
 
@@ -9,15 +9,15 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-/// Waits for a figure of all endpoints together.
-fn wait_for_total(node: &Node, path: &str, wanted: u64) {
-    wait_until(&format!("{path} {wanted}"), || {
-        pools(node)["totals"].pointer(path).and_then(Value::as_u64) == Some(wanted)
+/// Waits until the pool report's total at the JSON pointer `path` is `expected`.
+fn wait_for_total(node: &Node, path: &str, expected: u64) {
+    wait_until(&format!("{path} {expected}"), || {
+        pools(node)["totals"].pointer(path).and_then(Value::as_u64) == Some(expected)
     });
 }
 
-/// An endpoint that answers nothing until the gate is open.
-fn gated() -> (Endpoint, Arc<Mutex<bool>>) {
+/// Returns an endpoint that delays all answers until the returned gate is set to true.
+fn gated_endpoint() -> (Endpoint, Arc<Mutex<bool>>) {
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |_, _| {
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn operators_see_how_the_connections_stand() {
+fn pool_report_states_connections_of_endpoint_and_limits() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
     ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
     wait_for_total(&node, "/idle", 1);
-    let told = pools(&node);
-    let only = &told["endpoints"][0];
+    let report = pools(&node);
+    let endpoint_report = &report["endpoints"][0];
     assert_eq!(
-        (&only["uid"], &only["address"]),
+        (&endpoint_report["uid"], &endpoint_report["address"]),
         (&"s-1".into(), &endpoint.address.to_string().into())
     );
-    for (path, wanted) in [
+    for (path, expected) in [
         ("/open", 1),
         ("/leased", 0),
         ("/dialling", 0),
@@ -49,20 +49,20 @@
         ("/counts/dials", 1),
     ] {
         assert_eq!(
-            only.pointer(path).and_then(Value::as_u64),
-            Some(wanted),
-            "{path} in {told}"
+            endpoint_report.pointer(path).and_then(Value::as_u64),
+            Some(expected),
+            "{path} in {report}"
         );
     }
     assert_eq!(
-        (&told["limits"]["all"], &told["left_out"]),
+        (&report["limits"]["all"], &report["left_out"]),
         (&512.into(), &0.into())
     );
     assert_eq!(node.operate("POST /pools", ""), 405);
 }
 
 #[test]
-fn a_report_is_bounded_however_many_endpoints_there_are() {
+fn pool_report_of_3000_endpoints_is_bounded_in_size() {
     let endpoint = Endpoint::new(|_, _| OK);
     let uids: Vec<String> = (0..3000).map(|n| format!("s-{n:060}")).collect();
     let entries: Vec<_> = uids
@@ -72,15 +72,15 @@
     let node = Node::with(Agent::new(vec![list(&entries)]).address, 3.0, 60.0).ready();
     let text = told(&node, "GET /pools");
     assert!(text.len() < 450_000, "{} bytes", text.len());
-    let told: Value = serde_json::from_str(&text).expect("JSON");
+    let report: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(
-        (&told["left_out"], &told["totals"]["endpoints"]),
+        (&report["left_out"], &report["totals"]["endpoints"]),
         (&1976.into(), &3000.into())
     );
 }
 
 #[test]
-fn an_endpoint_that_drains_goes_or_is_out_has_its_idle_connections_closed() {
+fn idle_connections_of_draining_removed_or_disabled_endpoint_are_closed() {
     let endpoint = Endpoint::new(|_, _| OK);
     let entries = [
         ("s-1", 1, "draining"),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_id_that_moves_and_an_address_under_another_id_share_no_connection() {
+fn endpoint_with_changed_address_and_new_endpoint_at_old_address_share_no_connection() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = one(&old);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
@@ -125,13 +125,17 @@
     sent(&node, "m2", 7);
     sent(&node, "m3", 8);
     assert_eq!((new.times("m2"), old.times("m3")), (1, 1));
-    assert_eq!(old.request(1).connection, 1, "the first was the other id's");
+    assert_eq!(
+        old.request(1).connection,
+        1,
+        "connection 0 belonged to the endpoint that had this address before"
+    );
     assert_eq!(pools(&node)["totals"]["counts"]["reuses"], 0);
 }
 
 #[test]
-fn smaller_caps_by_sighup_close_idle_connections_and_bad_ones_change_nothing() {
-    let (endpoint, gate) = gated();
+fn sighup_with_smaller_caps_closes_idle_connections_and_with_invalid_ones_changes_nothing() {
+    let (endpoint, gate) = gated_endpoint();
     let agent = one(&endpoint);
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
@@ -140,33 +144,33 @@
             202
         );
     }
-    wait_until("all are out", || endpoint.count() == 6);
+    wait_until("all calls are in flight", || endpoint.count() == 6);
     *gate.lock().expect("not poisoned") = true;
     wait_for_total(&node, "/idle", 6);
     let path = node.folder.join("config.json");
     let text = std::fs::read_to_string(&path).expect("the configuration");
-    let bring = |pool: &str| {
+    let reload_with = |pool: &str| {
         let text = text.replace(r#""pool":{"idle_per_endpoint":9},"#, pool);
         std::fs::write(&path, text).expect("written");
         node.hang_up();
     };
-    bring(r#""pool":{"idle":2},"#);
+    reload_with(r#""pool":{"idle":2},"#);
     wait_for_total(&node, "/idle", 2);
     wait_for_total(&node, "/counts/closes/surplus", 4);
-    bring(r#""pool":{"idle":1,"dials":0},"#);
-    wait_until("it is refused", || {
+    reload_with(r#""pool":{"idle":1,"dials":0},"#);
+    wait_until("the configuration is rejected", || {
         node.logged("left as it was: pool.dials is '0'")
     });
     assert_eq!(pools(&node)["limits"]["idle"], 2);
-    bring("");
-    wait_until("the defaults are back", || {
+    reload_with("");
+    wait_until("the default is in force", || {
         pools(&node)["limits"]["idle"] == 1024 / 3
     });
 }
 
 #[test]
-fn a_pool_that_makes_no_sense_stops_a_start_with_the_key_named() {
-    for (pool, said) in [
+fn invalid_pool_settings_stop_start_with_error_that_names_key() {
+    for (pool, error_text) in [
         (
             r#"{"per_endpoint":0}"#,
             "pool.per_endpoint is '0', not a whole number from 1 to pool.all",
@@ -213,30 +217,30 @@
             with_part(&text, &format!(r#""pool":{pool},"#)),
         )
         .expect("written");
-        let ended = command(&folder)
+        let output = command(&folder)
             .env("RELAY_DISCOVERY", "127.0.0.1:9")
             .output()
-            .expect("it ends");
-        let log = String::from_utf8_lossy(&ended.stderr).into_owned();
+            .expect("the process ends");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !ended.status.success() && log.lines().count() == 1 && log.contains(said),
+            !output.status.success() && log.lines().count() == 1 && log.contains(error_text),
             "{pool}: {log}"
         );
     }
 }
 
-/// Where the endpoint cuts the connection, once it is to.
+/// Point at which an endpoint cuts a connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Cut {
-    /// Once it has read so much of the request.
+    /// The endpoint cuts the connection after reading this many bytes of the request.
     Request(usize),
-    /// Once it has written so much of the answer.
+    /// The endpoint reads the whole request and cuts the connection after writing this many bytes of the answer.
     Answer(usize),
 }
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Reads one request; its head, and its length.
+/// Reads one request, and returns its head and its total length in bytes.
 fn read_request(stream: &mut std::net::TcpStream) -> Option<(String, usize)> {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -254,13 +258,16 @@
     Some((head, text.len() + length))
 }
 
-/// An endpoint that serves until it is told to cut; then it does that to the next request, by a reset where asked.
-/// It tells the ids and lengths of the whole requests that it has read, and how many connections brought any byte.
+/// Endpoint that answers all requests, except that it cuts the connection of the next one after a cut is set. A cut
+/// within the request leaves bytes unread, which resets the connection.
 #[derive(Clone)]
 struct Cutter {
     address: SocketAddr,
+    /// Cut to apply to the next request.
     cut: Arc<Mutex<Option<Cut>>>,
+    /// Message ids and lengths in bytes of all requests that were read whole.
     whole: Arc<Mutex<Vec<(String, usize)>>>,
+    /// Number of requests of which at least one byte was received.
     begun: Arc<Mutex<usize>>,
 }
 
@@ -285,13 +292,13 @@
     }
 
     fn serve(&self, mut stream: std::net::TcpStream) {
-        // what is to be done is looked up once the request begins: the connection may have waited long for it
+        // the cut is read only when the request begins, since the connection may have been idle for long before
         while matches!(stream.peek(&mut [0]), Ok(1)) {
             *self.begun.lock().expect("not poisoned") += 1;
             let cut = self.cut.lock().expect("not poisoned").take();
             if let Some(Cut::Request(length)) = cut {
                 let _ = stream.read_exact(&mut vec![0; length]);
-                return; // what is not read makes it a reset
+                return; // the unread bytes make the close a reset
             }
             let Some((head, length)) = read_request(&mut stream) else {
                 return;
@@ -327,9 +334,9 @@
 }
 
 #[test]
-fn a_message_cut_at_any_byte_is_never_written_again_and_ends_as_the_table_says() {
+fn message_cut_at_any_byte_is_sent_once_and_ends_by_bytes_exchanged() {
     let cutter = Cutter::new();
-    // a destination for each case, so that none waits for what another has made of it
+    // each case has a destination of its own, so that the failures of one case do not delay another
     let uids: Vec<String> = (0..900).map(|n| format!("s-{n}")).collect();
     let entries: Vec<_> = (0..900)
         .map(|n| (uids[n].as_str(), cutter.address, "one", n as u64, "up"))
@@ -340,8 +347,10 @@
         node.hand_in("order", "measure-0000", 899, 20_000, b"body"),
         202
     );
-    wait_until("its length is known", || cutter.whole("measure-0000") == 1);
-    // the deadline in the request may take a digit less later on
+    wait_until("the length of a request is measured", || {
+        cutter.whole("measure-0000") == 1
+    });
+    // the remaining time in a later request may take one digit less
     let length = cutter.whole.lock().expect("not poisoned")[0].1 - 1;
     let requests = (0..=length).map(Cut::Request);
     let cuts: Vec<Cut> = requests
@@ -353,13 +362,14 @@
             let id = format!("cut-{dest:08}");
             if reused {
                 sent(&node, &format!("pre-{dest:08}"), dest);
-                // this one's, and that of the measurement
+                // the connection of this destination, and the one of the measurement
                 wait_for_total(&node, "/idle", 2);
             }
             let begun = *cutter.begun.lock().expect("not poisoned");
             *cutter.cut.lock().expect("not poisoned") = Some(cut);
             assert_eq!(node.hand_in("order", &id, dest, 20_000, b"body"), 202);
-            // the table: a whole first line with 200 is a delivery, anything less may have run, and is not sent again
+            // a whole status line with 200 proves the delivery; after anything less the message may have run, and the
+            // non-idempotent message is not retried
             let delivered =
                 matches!(cut, Cut::Answer(length) if length >= "HTTP/1.1 200 OK\r\n".len());
             let notice = format!(r#"{{"id":"{id}","state":"failed"}}"#);
@@ -368,33 +378,32 @@
                     node.hand_in("order", &id, dest, 20_000, b"body") == 200
                 });
             } else {
-                wait_until("its notice", || agent.notices().contains(&notice));
+                wait_until("the failure is notified", || {
+                    agent.notices().contains(&notice)
+                });
             }
             assert!(!delivered || !agent.notices().contains(&notice), "{cut:?}");
             let seen = *cutter.begun.lock().expect("not poisoned") - begun;
-            assert_eq!(
-                seen, 1,
-                "{cut:?}, reused {reused}: begun on {seen} connections"
-            );
+            assert_eq!(seen, 1, "{cut:?}, reused {reused}: {seen} requests begun");
             assert!(
                 cutter.whole(&id) <= 1,
-                "{cut:?}, reused {reused}: seen twice"
+                "{cut:?}, reused {reused}: received twice"
             );
             dest += 1;
         }
     }
-    let told = pools(&node);
-    let reuses = told["totals"]["counts"]["reuses"].as_u64();
+    let report = pools(&node);
+    let reuses = report["totals"]["counts"]["reuses"].as_u64();
     assert_eq!(
         reuses,
         Some(cuts.len() as u64),
-        "each message of the second half went over a used connection"
+        "each message of the second half went over a reused connection"
     );
     assert_eq!(agent.watches.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn where_endpoints_have_room_for_few_connections_a_sender_of_many_keeps_none_idle() {
+fn sender_of_large_fleet_keeps_no_idle_connection_while_connections_are_scarce() {
     let served = Endpoint::new(|_, _| OK);
     let full = Endpoint::new(|_, _| Reply::Last("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
@@ -405,29 +414,29 @@
             .map(|(uid, dest)| (uid.as_str(), full.address, "one", dest, "up")),
     );
     let agent = Agent::new(vec![list(&entries)]);
-    let many = |text: String| text.replace(r#""balancers":1,"#, r#""balancers":300,"#);
-    let node = Node::configured_with(&agent, many).ready();
+    let in_large_fleet = |text: String| text.replace(r#""balancers":1,"#, r#""balancers":300,"#);
+    let node = Node::configured_with(&agent, in_large_fleet).ready();
     let deliver = |id: &str| {
         node.hand_in("webhook", id, 7, 5_000, b"x");
-        wait_until("it is served", || served.times(id) == 1);
+        wait_until("the message is delivered", || served.times(id) == 1);
     };
     ["a", "b", "c"].iter().for_each(|id| deliver(id));
     assert_eq!(
         served.connections.load(std::sync::atomic::Ordering::SeqCst),
         1,
-        "its connection is kept"
+        "the connection is kept without scarcity"
     );
     for dest in 10..16 {
         node.hand_in("webhook", &format!("t{dest}"), dest, 5_000, b"x");
     }
-    wait_until("new connections are turned away", || full.count() >= 6);
+    wait_until("new connections are rejected", || full.count() >= 6);
     deliver("d");
-    wait_until("it is closed", || {
+    wait_until("the idle connection is closed", || {
         told(&node, "GET /pools").contains(r#""scarce":1"#)
     });
     deliver("e");
     assert!(
         served.connections.load(std::sync::atomic::Ordering::SeqCst) >= 2,
-        "a new one for the next call"
+        "the next call uses a new connection"
     );
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! The real sender over loopback sockets: what its clients, its endpoints and a restart may do to it.
+//! Tests of the real sender over loopback sockets: behaviour towards clients, endpoints and discovery, across restarts
+//! and during shutdown.
 
 mod node;
 
@@ -9,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An address that refuses connections for as long as its socket is kept: bound, so that nobody else gets the
-/// port, and not listening.
-fn refusing() -> (SocketAddr, tokio::net::TcpSocket) {
+/// Returns an address that refuses connections, and the socket that must be kept meanwhile. The socket is bound, so
+/// that no other process gets the port, but does not listen.
+fn refusing_address() -> (SocketAddr, tokio::net::TcpSocket) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_message_goes_on_unchanged_and_is_over() {
+fn delivered_message_reaches_endpoint_unchanged_and_is_never_sent_again() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
@@ -34,18 +35,18 @@
     );
     assert!(call.header("x-timeout").ends_with('m'));
     assert_eq!(call.body, body);
-    // delivered: answered as such if it comes again, and not sent again, not even after a restart
-    wait_until("its end is known", || {
+    // a resubmission of the delivered message is answered 200, and the message is not sent again, even after a restart
+    wait_until("the delivery is known", || {
         node.hand_in("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("0 unfinished messages"));
+    wait_until("the startup line", || node.logged("0 unfinished messages"));
     assert_eq!(endpoint.times("m1"), 1);
 }
 
 #[test]
-fn connections_are_kept() {
-    // guards against a handshake for each call; none grows old here, however slow the machine is
+fn messages_in_sequence_share_one_connection() {
+    // guards against a new connection for each call; the idle timeout of 60 s is longer than the test takes
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
     ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn idle_connections_are_a_third_of_the_descriptors_at_most() {
+fn idle_connections_use_at_most_a_third_of_descriptors() {
     let endpoints: Vec<Endpoint> = (0..30).map(|_| Endpoint::new(|_, _| OK)).collect();
     let uids: Vec<String> = (0..30).map(|n| format!("s-{n}")).collect();
     let entries: Vec<_> = (0..30)
@@ -77,25 +78,27 @@
     let node = Node::with_sockets(agent.address, 3.0, 60.0, 60).ready();
     let before = node.descriptors();
     (0..30).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
-    // a client's connection may still be closing
-    wait_until("20 are kept", || node.descriptors() <= before + 20);
+    // wait, since a client connection may still be closing
+    wait_until("at most 20 connections are kept", || {
+        node.descriptors() <= before + 20
+    });
     assert!(endpoints.iter().all(|endpoint| endpoint.count() == 1));
 }
 
 #[test]
-fn connections_are_left_before_the_endpoint_closes_them() {
-    // guards against writing to a connection about to close
+fn idle_connection_is_closed_before_endpoint_idle_timeout() {
+    // guards against writing a request to a connection that the endpoint is about to close
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
     sent(&node, "m0", 7);
-    std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
+    std::thread::sleep(Duration::from_millis(1000)); // the endpoint's idle timeout
     sent(&node, "late", 7);
     assert_eq!((endpoint.count(), endpoint.request(1).connection), (2, 1));
 }
 
 #[test]
-fn connections_are_kept_shorter_where_idle_ones_are_reset() {
-    // the second request on the first connection, after a rest, ends it unanswered
+fn idle_time_is_shortened_after_endpoint_closes_reused_connection() {
+    // the endpoint closes the first connection without an answer when it is reused after an idle time
     let endpoint = Endpoint::new(|request, _| {
         if request.header("x-request-id") == "m2" && request.connection == 0 {
             Reply::Close
@@ -108,20 +111,24 @@
     sent(&node, "m1", 7);
     std::thread::sleep(Duration::from_millis(400));
     sent(&node, "m2", 7);
-    assert_eq!(endpoint.times("m2"), 2, "sent again");
-    assert_eq!(endpoint.request(1).connection, 0, "the first is reused");
-    // no shorter a rest than the first one was
+    assert_eq!(endpoint.times("m2"), 2, "the message is retried");
+    assert_eq!(
+        endpoint.request(1).connection,
+        0,
+        "the retried call had reused the first connection"
+    );
+    // at least as long an idle time as before
     std::thread::sleep(began.elapsed());
     sent(&node, "m3", 7);
     assert_eq!(
         endpoint.request(3).connection,
         2,
-        "after a rest like that, none is reused"
+        "no connection is reused after such an idle time"
     );
 }
 
 #[test]
-fn bad_input_is_answered_and_harms_nobody() {
+fn invalid_requests_are_rejected_and_do_no_harm() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let good = String::from_utf8(message("webhook", "m1", 7, 9000, b"x")).expect("text");
@@ -174,7 +181,8 @@
         .replace("Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nx", "\r\n\r\n");
     assert_eq!(node.raw((large + &chunks).as_bytes()).0, 413);
-    // a body with two ends is no body, whichever header comes first; neither is what hides behind it
+    // guards against request smuggling: a request with both Content-Length and Transfer-Encoding is rejected in either
+    // order, and the request hidden behind its body is not processed
     let hidden = String::from_utf8(message("webhook", "hidden", 7, 9000, b"x")).expect("text");
     let both = "Content-Length: 99\r\nTransfer-Encoding: chunked\r\n";
     let swapped = "Transfer-Encoding: chunked\r\nContent-Length: 99\r\n";
@@ -188,42 +196,45 @@
         node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
-    wait_until("the largest body goes out", || endpoint.times("most") == 1);
+    wait_until("the message with the largest body is sent", || {
+        endpoint.times("most") == 1
+    });
     assert_eq!(endpoint.count(), 1);
 }
 
 #[test]
-fn what_is_remembered_of_a_message_is_not_all_that_came_with_it() {
+fn memory_per_delivered_message_excludes_its_request_head() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let mut client = Client::new(&node);
     let before = node.memory();
-    let pad = format!("Host: app.svc\r\nX-Pad: {}", "p".repeat(20_000));
+    // guards against ids that keep the 20 KB read buffer of their request in memory
+    let padding = format!("Host: app.svc\r\nX-Pad: {}", "p".repeat(20_000));
     for n in 0..800 {
         let text =
             String::from_utf8(message("webhook", &format!("m{n}"), 7, 20_000, b"x")).expect("text");
-        let text = text.replace("Host: app.svc", &pad);
+        let text = text.replace("Host: app.svc", &padding);
         assert_eq!(client.send(text.as_bytes()).expect("answered").0, 202);
         wait_until("delivered", || endpoint.count() > n);
     }
-    let grown = node.memory().saturating_sub(before);
-    assert!(grown < 8_000_000, "{grown} bytes for 800 ids");
+    let growth_bytes = node.memory().saturating_sub(before);
+    assert!(growth_bytes < 8_000_000, "{growth_bytes} bytes for 800 ids");
 }
 
 #[test]
-fn the_same_id_while_held_is_one_message() {
+fn resubmitted_pending_message_is_sent_once() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || endpoint.times("m2") == 1);
+    wait_until("both calls are in flight", || endpoint.times("m2") == 1);
     assert_eq!(endpoint.times("m1"), 1);
 }
 
 #[test]
-fn messages_about_one_subject_take_turns_also_across_a_restart() {
-    // the first is answered once the gate is open; none of the later ones may be out before
+fn messages_of_one_subject_are_sent_in_order_across_restart() {
+    // the endpoint answers the first message once the gate is open; no later one of its subject may be sent before
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |request, _| {
@@ -241,27 +252,32 @@
         assert_eq!(node.raw(&about(subject, "charge", id, dest, 20_000)).0, 202);
     };
     charge(&node, "a", "a1", 7);
-    wait_until("the first is out", || endpoint.times("a1") == 1);
+    wait_until("the first message is sent", || endpoint.times("a1") == 1);
     charge(&node, "a", "a2", 8);
     charge(&node, "b", "b1", 8);
-    wait_until("another subject's is out", || endpoint.times("b1") == 1);
+    wait_until("a message of another subject is sent", || {
+        endpoint.times("b1") == 1
+    });
     assert_eq!(
         endpoint.times("a2"),
         0,
-        "sent while the first of its subject is out"
+        "sent while the first message of its subject is in flight"
     );
     *gate.lock().expect("not poisoned") = true;
-    wait_until("the second follows", || endpoint.times("a2") == 1);
-    // two of a subject are owed when the process dies: where the first can't go, the second doesn't either
+    wait_until("the second message is sent", || endpoint.times("a2") == 1);
+    // two messages of a subject are pending when the process is killed; the first one has no endpoint, so the second
+    // must not be sent either
     charge(&node, "c", "c1", 99);
     charge(&node, "c", "c2", 8);
     let node = node.restart().ready();
     charge(&node, "d", "d1", 8);
-    wait_until("another subject's is out", || endpoint.times("d1") == 1);
+    wait_until("a message of another subject is sent", || {
+        endpoint.times("d1") == 1
+    });
     assert_eq!(
         endpoint.times("c2"),
         0,
-        "sent while the first of its subject is owed"
+        "sent while the first message of its subject is pending"
     );
     assert_eq!(
         node.raw(&about("e&subject=f", "charge", "e1", 8, 20_000)).0,
@@ -270,7 +286,7 @@
 }
 
 #[test]
-fn a_subject_waits_for_the_notice_of_the_one_before_also_across_a_restart() {
+fn next_message_of_subject_waits_for_notification_of_previous_across_restart() {
     let endpoint = Endpoint::new(|request, _| {
         if request.ids()[0] == "a1" {
             Reply::Answer("500 Oops", String::new())
@@ -283,25 +299,28 @@
     let node = Node::new(&agent).ready();
     assert_eq!(node.raw(&about("a", "charge", "a1", 7, 20_000)).0, 202);
     assert_eq!(node.raw(&about("a", "charge", "a2", 7, 20_000)).0, 202);
-    wait_until("the first one's notice fails", || {
+    wait_until("the notification of the first message fails", || {
         node.logged("notices answered 500")
     });
     assert_eq!(endpoint.times("a2"), 0);
     let node = node.restart().ready();
-    wait_until("its notice fails again", || {
+    wait_until("the notification fails again", || {
         node.logged("notices answered 500")
     });
     assert_eq!(node.raw(&about("b", "charge", "b1", 7, 20_000)).0, 202);
-    wait_until("another subject's is out", || endpoint.times("b1") == 1);
+    wait_until("a message of another subject is sent", || {
+        endpoint.times("b1") == 1
+    });
     assert_eq!(endpoint.times("a2"), 0);
     agent.faults.store(0, Ordering::SeqCst);
-    wait_until("the second follows", || endpoint.times("a2") == 1);
+    wait_until("the second message is sent", || endpoint.times("a2") == 1);
     assert_eq!(agent.notices(), [failed("a1")]);
 }
 
 #[test]
-fn what_is_over_its_tenants_share_waits_for_what_is_inside() {
-    // the first two fill the window until the gate opens, the next two from then on
+fn messages_beyond_tenant_share_wait_for_those_within_share() {
+    // the first two calls fill the concurrency limit until the gate opens; the next two are never answered, so they
+    // fill it from then on
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |request, _| match request.ids()[0].as_str() {
@@ -317,7 +336,7 @@
     for id in ["first0", "first1"] {
         hand_in("beta", id);
     }
-    wait_until("the window is full", || endpoint.count() == 2);
+    wait_until("the concurrency limit is reached", || endpoint.count() == 2);
     for (tenant, id) in [
         ("acme", "inside"),
         ("acme", "over1"),
@@ -327,15 +346,17 @@
         hand_in(tenant, id);
     }
     *gate.lock().expect("not poisoned") = true;
-    wait_until("both inside their shares are out", || {
-        endpoint.times("inside") + endpoint.times("later") == 2
-    });
+    wait_until(
+        "both messages within their tenants' shares are sent",
+        || endpoint.times("inside") + endpoint.times("later") == 2,
+    );
     assert_eq!(endpoint.times("over1") + endpoint.times("over2"), 0);
 }
 
 #[test]
-fn peers_that_send_no_whole_request_are_left() {
-    // guards against peers that hold clients' places: the half body's end comes first, whatever the load
+fn connections_with_incomplete_requests_are_closed() {
+    // guards against peers that occupy client connections without a request; the time limit of a body is shorter than
+    // that of a head, so the connection with half a body is closed first under any load
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
@@ -366,12 +387,14 @@
     assert!(ends.iter().all(|(_, ended, _)| *ended), "{ends:?}");
     assert_eq!(ends[0], ("half body", true, true), "{ends:?}");
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the next one is delivered", || endpoint.times("m2") == 1);
+    wait_until("a complete message is delivered", || {
+        endpoint.times("m2") == 1
+    });
     assert_eq!(endpoint.times("m1"), 0);
 }
 
 #[test]
-fn clients_hold_a_third_of_the_descriptors_at_most() {
+fn clients_use_at_most_a_third_of_descriptors() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::with_sockets(one(&endpoint).address, 3.0, 5.0, 60).ready();
     let mut clients: Vec<Client> = (0..25).map(|_| Client::new(&node)).collect();
@@ -379,22 +402,23 @@
     for client in &mut clients {
         assert_eq!(client.send(ready).expect("answered").0, 200);
     }
-    // the last ones' turn came only as places fell free
-    let left = clients
+    // the last clients were served only because earlier idle connections were closed
+    let closed_count = clients
         .iter_mut()
         .map(Client::has_ended)
         .filter(|&ended| ended)
         .count();
     assert!(
-        left >= 5,
-        "{left} of 25 have ended, so {} were open at once",
-        25 - left
+        closed_count >= 5,
+        "{closed_count} of 25 have ended, so {} were open at once",
+        25 - closed_count
     );
 }
 
-/// One keyed and one unsafe message whose first call fares as given: how often each comes in all. An unsafe
-/// one is sent again only if it never ran; a keyed one in any case that leaves it undelivered.
-fn fares(first: Reply) -> (usize, usize, Vec<String>) {
+/// Submits one message with an idempotency key and one non-idempotent message, and answers the first call of each with
+/// `first`. Returns how often each message was received, and the outcome notifications. A non-idempotent message is
+/// retried only if it cannot have run; one with a key is retried whenever it was not delivered.
+fn sends_after_first_reply(first: Reply) -> (usize, usize, Vec<String>) {
     let failed: Arc<Mutex<Vec<String>>> = Arc::default();
     let endpoint = Endpoint::new(move |request, _| {
         let id = request.header("x-request-id").to_string();
@@ -408,15 +432,23 @@
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
-    wait_until("keyed is out", || endpoint.times("keyed") > 0);
-    let settled =
+    wait_until("the message with a key is sent", || {
+        endpoint.times("keyed") > 0
+    });
+    let retried_or_notified =
         |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
-    let over = |id: &str| settled(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200;
-    wait_until("keyed is settled", || over("keyed"));
+    let is_complete = |id: &str| {
+        retried_or_notified(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200
+    };
+    wait_until("the message with a key is retried or complete", || {
+        is_complete("keyed")
+    });
     assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
-    wait_until("unsafe is out", || endpoint.times("unsafe") > 0);
-    wait_until("unsafe is settled", || {
-        settled("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
+    wait_until("the non-idempotent message is sent", || {
+        endpoint.times("unsafe") > 0
+    });
+    wait_until("the non-idempotent message is retried or complete", || {
+        retried_or_notified("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
     });
     (
         endpoint.times("keyed"),
@@ -425,38 +457,42 @@
     )
 }
 
+/// Returns the outcome notification of a failed message.
 fn failed(id: &str) -> String {
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
 #[test]
-fn success_ends_a_message() {
-    assert_eq!(fares(OK), (1, 1, vec![]));
-    assert_eq!(fares(Reply::Last("200 OK")), (1, 1, vec![]));
+fn message_answered_200_is_complete() {
+    assert_eq!(sends_after_first_reply(OK), (1, 1, vec![]));
+    assert_eq!(
+        sends_after_first_reply(Reply::Last("200 OK")),
+        (1, 1, vec![])
+    );
 }
 
 #[test]
-fn an_error_may_have_run() {
+fn message_answered_with_error_is_retried_only_with_key() {
     assert_eq!(
-        fares(Reply::Answer("500 Oops", String::new())),
+        sends_after_first_reply(Reply::Answer("500 Oops", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
     assert_eq!(
-        fares(Reply::Answer("418 Teapot", String::new())),
+        sends_after_first_reply(Reply::Answer("418 Teapot", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
 }
 
 #[test]
-fn a_malformed_answer_fails_that_call_only() {
+fn message_with_malformed_answer_is_retried_only_with_key() {
     assert_eq!(
-        fares(Reply::Last("nonsense\r\n\x01")),
+        sends_after_first_reply(Reply::Last("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
 
 #[test]
-fn an_answer_whose_first_line_says_200_is_true_whatever_follows() {
+fn status_line_200_completes_message_whatever_follows() {
     for head in [
         "200 OK\r\nno colon here",
         "200 OK\r\nContent-Length: 3",
@@ -464,27 +500,33 @@
         "200 OK\r\nBad Name: x",
     ] {
         assert_eq!(
-            fares(Reply::Answer(head, "a body".to_string())),
+            sends_after_first_reply(Reply::Answer(head, "a body".to_string())),
             (1, 1, vec![]),
             "{head}"
         );
     }
-    assert_eq!(fares(Reply::Last("2x0 OK")), (2, 1, vec![failed("unsafe")]));
+    assert_eq!(
+        sends_after_first_reply(Reply::Last("2x0 OK")),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
-fn a_reset_may_have_run() {
-    assert_eq!(fares(Reply::Close), (2, 1, vec![failed("unsafe")]));
+fn message_whose_connection_is_closed_is_retried_only_with_key() {
+    assert_eq!(
+        sends_after_first_reply(Reply::Close),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
-fn silence_may_have_run_and_ends_in_time() {
-    let (_, times, notices) = fares(Reply::Silence);
+fn unanswered_non_idempotent_message_fails_without_retry() {
+    let (_, times, notices) = sends_after_first_reply(Reply::Silence);
     assert_eq!((times, notices), (1, vec![failed("unsafe")]));
 }
 
 #[test]
-fn what_was_turned_away_never_ran() {
+fn rejected_messages_are_retried_with_or_without_key() {
     for head in [
         "429 No\r\nRetry-After: 0.05",
         "503 Full",
@@ -492,7 +534,7 @@
         "504 Spent",
     ] {
         assert_eq!(
-            fares(Reply::Answer(head, String::new())),
+            sends_after_first_reply(Reply::Answer(head, String::new())),
             (2, 2, vec![]),
             "{head}"
         );
@@ -500,27 +542,30 @@
 }
 
 #[test]
-fn a_message_that_is_gone_is_over_without_a_notice() {
+fn message_answered_410_ends_without_notification() {
     let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
-    wait_until("it is out", || endpoint.count() == 1);
-    // a later message's notice shows that none came for the first, whose time was up before
+    wait_until("the message is sent", || endpoint.count() == 1);
+    // the first message's deadline passes before the later one's, so the later one's notification shows that none was
+    // sent for the first
     assert_eq!(node.hand_in("webhook", "m2", 99, 900, b"x"), 202);
-    wait_until("the later one's notice", || !agent.notices().is_empty());
+    wait_until("the notification of the later message", || {
+        !agent.notices().is_empty()
+    });
     assert_eq!(endpoint.count(), 1);
     assert!(agent.notices().iter().all(|line| line.contains("m2")));
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
-    let (address, _kept) = refusing();
+fn non_idempotent_message_with_refused_connection_is_returned() {
+    let (address, _kept) = refusing_address();
     let agent = Agent::new(vec![list(&[("s-1", address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
-    wait_until("its notice", || !agent.notices().is_empty());
-    // an unsafe message may be returned only if none of its calls ran
+    wait_until("the notification", || !agent.notices().is_empty());
+    // a non-idempotent message may be returned only if none of its calls ran
     assert!(
         agent.notices()[0].contains("returned"),
         "{:?}",
@@ -534,12 +579,12 @@
 }
 
 #[test]
-fn a_told_wait_is_heeded() {
-    // when each call came, by the endpoint's own clock: the first before its answer is written
-    let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let here = came.clone();
+fn retry_after_delays_further_calls() {
+    // receive time of each call at the endpoint; the first one is recorded before its answer is written
+    let received_at: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let recorded = received_at.clone();
     let endpoint = Endpoint::new(move |_, number| {
-        here.lock().expect("not poisoned").push(Instant::now());
+        recorded.lock().expect("not poisoned").push(Instant::now());
         if number == 0 {
             Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new())
         } else {
@@ -548,25 +593,26 @@
     });
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.count() == 1);
+    wait_until("the message is sent", || endpoint.count() == 1);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("both are delivered", || {
-        came.lock().expect("not poisoned").len() == 3
+        received_at.lock().expect("not poisoned").len() == 3
     });
-    // the second may have been out already
-    let came = came.lock().expect("not poisoned");
+    // the second call may have been in flight before the Retry-After was received
+    let received_at = received_at.lock().expect("not poisoned");
     assert!(
-        came[2] - came[0] >= Duration::from_millis(1200),
+        received_at[2] - received_at[0] >= Duration::from_millis(1200),
         "{:?}",
-        came[2] - came[0]
+        received_at[2] - received_at[0]
     );
 }
 
 #[test]
-fn a_bulk_answer_tells_each_messages_end() {
-    // the first call holds the destination's window, so that the rest gathers and travels together
-    let held: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
-    let gate = held.clone();
+fn bulk_answer_decides_each_message_by_its_line() {
+    // the first calls fill the destination's concurrency limit, so that the further messages collect and are sent as
+    // one bulk request
+    let is_gate_closed: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
+    let gate = is_gate_closed.clone();
     let endpoint = Endpoint::new(move |request, _| {
         if request.line.starts_with("POST /inbox ") {
             if request.ids()[0].starts_with("first") {
@@ -575,11 +621,11 @@
             return OK;
         }
         let ids = request.ids();
-        let ends = ["ok", "error", "later", "gone", "exhausted"];
+        let results = ["ok", "error", "later", "gone", "exhausted"];
         let word = |id: &String| {
             id.strip_prefix('b')
                 .and_then(|n| n.parse().ok())
-                .map_or("ok", |n: usize| ends[n])
+                .map_or("ok", |n: usize| results[n])
         };
         Reply::Answer(
             "200 OK",
@@ -596,18 +642,18 @@
             202
         );
     }
-    wait_until("the window is full", || endpoint.count() == 2);
+    wait_until("the concurrency limit is reached", || endpoint.count() == 2);
     for n in 0..5 {
         assert_eq!(node.hand_in("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
-    *held.lock().expect("not poisoned") = false;
+    *is_gate_closed.lock().expect("not poisoned") = false;
     wait_until("a bulk call", || {
         (0..endpoint.count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
     });
-    wait_until("the error's notice", || {
+    wait_until("the notification of the message with an error", || {
         agent.notices().contains(&failed("b1"))
     });
-    wait_until("what never ran goes again", || {
+    wait_until("messages that never ran are retried", || {
         endpoint.times("b2") > 1 && endpoint.times("b4") > 1
     });
     for id in ["b0", "b1", "b3"] {
@@ -622,8 +668,9 @@
 }
 
 #[test]
-fn a_killed_sender_resumes_what_it_owes() {
-    // each step: taken on and not sent; sent with no outcome, keyed and unsafe; its notice owed
+fn restarted_sender_resumes_pending_messages_after_kill() {
+    // one message in each state: accepted and not sent; in flight, with a key and non-idempotent; complete with its
+    // notification pending
     let endpoint = Endpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
             Reply::Silence
@@ -635,7 +682,7 @@
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || {
+    wait_until("both calls are in flight", || {
         endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1
     });
     assert_eq!(
@@ -644,7 +691,9 @@
     );
     agent.faults.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
-    wait_until("its notice fails", || node.logged("notices answered 500"));
+    wait_until("the notification fails", || {
+        node.logged("notices answered 500")
+    });
     let mut node = node;
     node.kill();
     agent.faults.store(0, Ordering::SeqCst);
@@ -655,38 +704,41 @@
     ]);
     *agent.lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
-    wait_until("it is told", || node.logged("4 unfinished messages"));
-    wait_until("the unsent one goes out", || other.times("unsent") == 1);
+    wait_until("the startup line", || node.logged("4 unfinished messages"));
+    wait_until("the unsent message is sent", || other.times("unsent") == 1);
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
-    wait_until("the keyed one goes out again", || {
+    wait_until("the message with a key is retried", || {
         endpoint.times("sent") >= 2
     });
-    wait_until("the unsafe one's and the owed one's notices", || {
-        let notices = agent.notices();
-        notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
-    });
+    wait_until(
+        "the non-idempotent message and the pending notification are notified",
+        || {
+            let notices = agent.notices();
+            notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
+        },
+    );
     assert_eq!(endpoint.times("unsafe"), 1);
     assert_eq!(agent.notices().len(), 2, "{:?}", agent.notices());
 }
 
 #[test]
-fn a_deadline_that_passed_while_down_ends_by_a_notice_at_once() {
+fn message_whose_deadline_passed_while_down_is_notified_at_restart() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 3_000, b"x"), 202);
     node.kill();
-    std::thread::sleep(Duration::from_millis(3_100)); // until its time is up
+    std::thread::sleep(Duration::from_millis(3_100)); // until the deadline has passed
     assert!(agent.notices().is_empty());
     let _node = node.restart();
-    wait_until("its notice", || {
+    wait_until("the notification", || {
         agent.notices().iter().any(|line| line.contains("m1"))
     });
 }
 
 #[test]
-fn a_torn_record_is_dropped_and_damage_keeps_what_is_sound() {
+fn journal_recovery_drops_torn_record_and_keeps_sound_records_beside_damage() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = Agent::new(vec![list(&[("s-9", endpoint.address, "one", 5, "up")])]);
     let mut node = Node::new(&agent).ready();
@@ -697,7 +749,7 @@
     let sound = std::fs::read(node.journal()).expect("the journal");
     std::fs::write(node.journal(), &sound[..sound.len() - 3]).expect("torn");
     let mut node = node.restart().ready();
-    wait_until("it is told", || node.logged("1 unfinished messages"));
+    wait_until("the startup line", || node.logged("1 unfinished messages"));
     assert!(!node.logged("damaged"));
     node.kill();
     let mut damaged = sound.clone();
@@ -706,15 +758,17 @@
     *agent.lines.lock().expect("not poisoned") =
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
-    wait_until("it is told", || {
+    wait_until("the startup line and the damage are logged", || {
         node.logged("1 unfinished messages") && node.logged("damaged")
     });
-    wait_until("the sound one is delivered", || endpoint.times("m2") == 1);
+    wait_until("the message of the sound record is delivered", || {
+        endpoint.times("m2") == 1
+    });
     assert_eq!(endpoint.times("m1"), 0);
 }
 
 #[test]
-fn a_full_journal_refuses_and_stays_within_its_limit() {
+fn full_journal_rejects_messages_and_stays_within_its_limit() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
@@ -734,13 +788,13 @@
         statuses.contains(&202) && statuses.last() == Some(&503),
         "{statuses:?}"
     );
-    // small ones that come and go are compacted away, so that the room is never used up by the past
+    // records of small complete messages are removed by compaction, so old messages never fill the journal
     for n in 0..400 {
         let status = node.hand_in("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
-    // once for the fault, not once for each message
+    // the full journal is logged once, not once per message
     let lines = node
         .log
         .lock()
@@ -752,7 +806,7 @@
 }
 
 #[test]
-fn a_folder_that_fills_up_and_empties_takes_messages_again() {
+fn full_journal_accepts_messages_again_after_pending_ones_end() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
@@ -761,15 +815,18 @@
         full |= node.hand_in("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
     assert!(full);
-    wait_until("they have ended", || {
-        node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
+    wait_until(
+        "a new message is accepted once the pending ones have ended",
+        || node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202,
+    );
+    wait_until("the new message is delivered", || {
+        endpoint.times("after") == 1
     });
-    wait_until("the new one is delivered", || endpoint.times("after") == 1);
 }
 
 #[test]
-fn sigterm_drains_with_an_answer_for_every_client() {
-    // guards against connections that end with a request on them, and against an exit with calls out
+fn sigterm_drains_and_answers_every_client() {
+    // guards against closing connections with an unanswered request, and against an exit with calls in flight
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
@@ -791,40 +848,42 @@
     assert_eq!(
         node.hand_in("webhook", "m3", 7, 20_000, b"x"),
         202,
-        "connections come for a while"
+        "new connections are accepted for a while"
     );
     assert_eq!(node.get_ready(), 503);
     wait_until("all are delivered", || {
         ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1)
     });
-    let status = node.process.wait().expect("it ends");
+    let status = node.process.wait().expect("the process ends");
     assert!(
         status.success() && began.elapsed() < Duration::from_millis(3700),
         "{status} {:?}",
         began.elapsed()
     );
     let node = node.restart();
-    wait_until("it is told", || node.logged("0 unfinished messages"));
+    wait_until("the startup line", || node.logged("0 unfinished messages"));
 }
 
 #[test]
-fn near_the_end_of_a_drain_no_call_starts_that_would_be_cut_off() {
+fn message_accepted_at_end_of_drain_is_sent_after_restart() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
     wait_until("draining", || node.logged("draining"));
-    std::thread::sleep(Duration::from_millis(2450)); // into the last second, which an unknown latency needs
+    std::thread::sleep(Duration::from_millis(2450)); // into the last second, reserved for calls of unknown latency
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
-    assert!(node.process.wait().expect("it ends").success());
+    assert!(node.process.wait().expect("the process ends").success());
     assert_eq!(endpoint.count(), 0);
     let _node = node.restart();
-    wait_until("the next life sends it", || endpoint.times("m1") == 1);
+    wait_until("the restarted sender delivers the message", || {
+        endpoint.times("m1") == 1
+    });
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_new_and_bad_lines_are_skipped() {
+fn draining_endpoint_gets_no_new_messages_and_invalid_list_lines_are_skipped() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![
         list(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
@@ -834,7 +893,7 @@
         list(&[("s-1", old.address, "one", 7, "draining")]).replace("true", "false"),
     ]);
     let node = Node::new(&agent).ready();
-    wait_until("both lines are skipped", || {
+    wait_until("both invalid lines are skipped", || {
         node.logged("text skipped") && node.logged("entry skipped")
     });
     for n in 0..6 {
@@ -844,24 +903,30 @@
     }
     assert!(
         new.count() >= 5,
-        "the change may come after the first message: {}",
+        "only the first message may be sent before the change arrives: {}",
         new.count()
     );
 }
 
 #[test]
-fn a_silent_watch_is_left_for_a_new_one() {
+fn silent_list_watch_is_replaced_by_new_one() {
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = Agent::new(Vec::new());
     let node = Node::new(&agent);
-    wait_until("a watch", || agent.watches.load(Ordering::SeqCst) > 0);
+    wait_until("a watch is open", || {
+        agent.watches.load(Ordering::SeqCst) > 0
+    });
     let began = Instant::now();
-    assert_eq!(node.get_ready(), 503, "no list is known");
+    assert_eq!(
+        node.get_ready(),
+        503,
+        "the sender is not ready without an endpoint list"
+    );
     assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
     *agent.lines.lock().expect("not poisoned") =
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
-    // what was missed counts as told after 6 s
+    // the silent watch must be replaced well before 6 s, after which missed list changes count as received
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -872,7 +937,7 @@
 }
 
 #[test]
-fn sighup_moves_discovery_and_ends_nothing() {
+fn sighup_with_new_discovery_address_keeps_sender_running() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let (before, after) = (
         one(&old),
@@ -880,40 +945,52 @@
     );
     let node = Node::new(&before).ready();
     node.move_discovery(&after);
-    wait_until("the watch moves", || {
+    wait_until("a watch is open at the new address", || {
         after.watches.load(Ordering::SeqCst) > 0
     });
     assert_eq!(node.hand_in("webhook", "m1", 8, 20_000, b"x"), 202);
-    wait_until("delivered by the new list", || new.times("m1") == 1);
+    wait_until(
+        "the message is delivered to the endpoint of the new list",
+        || new.times("m1") == 1,
+    );
     assert_eq!(node.hand_in("webhook", "m2", 9, 100, b"x"), 202);
-    wait_until("its notice comes to the new address", || {
+    wait_until("the notification is sent to the new address", || {
         after.notices().iter().any(|line| line.contains("m2"))
     });
     assert!(before.notices().is_empty());
-    // a file that can't be read changes nothing
+    // an invalid configuration file changes nothing
     std::fs::write(node.folder.join("config.json"), "{").expect("written");
     node.hang_up();
-    wait_until("it is told", || node.logged("configuration left as it was"));
+    wait_until("the rejected configuration is logged", || {
+        node.logged("configuration left as it was")
+    });
     assert_eq!(node.hand_in("webhook", "m3", 8, 20_000, b"x"), 202);
-    wait_until("delivered all the same", || new.times("m3") == 1);
+    wait_until(
+        "the message is delivered by the previous configuration",
+        || new.times("m3") == 1,
+    );
 }
 
 #[test]
-fn a_log_that_nobody_reads_does_not_end_the_sender() {
-    // guards against eprintln, which panics when its pipe is gone
+fn closed_log_pipe_does_not_end_sender() {
+    // guards against eprintln!, which panics when its pipe is closed
     let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.log_closes();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    wait_until("its notice", || agent.notices().contains(&failed("m1")));
-    wait_until("the last line that is read", || node.logged("418"));
-    node.terminate(); // which logs two lines more
-    assert!(node.process.wait().expect("it ends").success());
+    wait_until("the notification", || {
+        agent.notices().contains(&failed("m1"))
+    });
+    wait_until("the last log line before the pipe is closed", || {
+        node.logged("418")
+    });
+    node.terminate(); // logs two more lines into the closed pipe
+    assert!(node.process.wait().expect("the process ends").success());
 }
 
 #[test]
-fn a_client_that_leaves_before_its_answer_is_no_client() {
+fn message_of_client_that_disconnects_before_its_answer_is_not_sent() {
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
@@ -921,12 +998,14 @@
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the other is delivered", || endpoint.times("m2") == 1);
+    wait_until("the message of the other client is delivered", || {
+        endpoint.times("m2") == 1
+    });
     assert_eq!(endpoint.times("m1"), 0);
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_no_success() {
+fn invalid_configuration_stops_start_with_one_error_line() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-config");
     std::fs::create_dir_all(&folder).expect("a folder");
     for text in [
