--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -1,6 +1,6 @@
-//! Many senders share the limit of one destination that tells nothing of it: how much of what they are handed is
-//! delivered in time, in passed-in time over the real module. The destination counts calls in a token bucket;
-//! nothing of it is fitted to a deployment.
+//! Simulates 300 senders that share the rate limit of one destination, which does not report the limit. The tests run
+//! the real decision module on simulated time, and check which share of the submitted messages is delivered in time and
+//! how many calls are rejected. The destination counts calls in a token bucket that models no particular deployment.
 
 mod common;
 
@@ -10,30 +10,34 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Simulated time between two turns of all senders, in microseconds.
 const STEP: Micros = 10 * MILLISECOND;
+/// Time from a call to its outcome, in microseconds.
 const LATENCY: Micros = 50 * MILLISECOND;
-const AIM: Micros = 2 * SECOND;
+/// Latency objective of the message class, in microseconds: a later delivery counts as late.
+const LATENCY_OBJECTIVE: Micros = 2 * SECOND;
 const DEADLINE: Micros = 9 * SECOND;
 const SENDERS: usize = 300;
 const DESTINATION: u64 = 7;
-const LENGTH: Micros = 24 * SECOND;
-/// How long a restarted sender takes nothing in.
-const DOWN: Micros = 2 * SECOND;
+/// Length of one simulated run, in microseconds.
+const RUN_TIME: Micros = 24 * SECOND;
+/// Time in microseconds that a restarted sender is down and handles no events.
+const DOWNTIME: Micros = 2 * SECOND;
 
-/// One simulated run.
+/// Conditions of one simulated run.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
-    /// Calls a second that the destination takes from all senders together.
+    /// Calls per second that the destination accepts from all senders together.
     limit: f64,
-    /// What the list says of that, as a share of it.
+    /// Rate that the endpoint list states, as a fraction of the real limit.
     listed: f64,
-    /// Messages handed in, as a share of the limit.
+    /// Rate of submitted messages, as a fraction of the limit.
     demand: f64,
-    /// Refused calls use the limit up too.
-    refusals_count: bool,
-    /// From when to when the senders may not send by their lists.
+    /// True if rejected calls use up the limit as well.
+    rejections_count: bool,
+    /// Start and end of the time in which the senders' endpoint lists are stale, in microseconds of the run.
     stale: (Micros, Micros),
-    /// When all senders are back from a restart, with what they held.
+    /// Time in microseconds of the run at which all senders return from a restart with their pending messages.
     restart: Option<Micros>,
     seed: u64,
 }
@@ -43,7 +47,7 @@
         limit: 60.0,
         listed: 1.0,
         demand: 0.8,
-        refusals_count: false,
+        rejections_count: false,
         stale: (0, 0),
         restart: None,
         seed: 1,
@@ -51,58 +55,61 @@
 }
 
 #[derive(Debug, Default)]
-struct Served {
-    handed_in: usize,
+struct Deliveries {
+    submitted: usize,
     in_time: usize,
     late: usize,
-    refused_calls: usize,
+    rejected_calls: usize,
 }
 
-impl Served {
+impl Deliveries {
     fn share_in_time(&self) -> f64 {
-        self.in_time as f64 / self.handed_in as f64
+        self.in_time as f64 / self.submitted as f64
     }
 
     fn share_delivered(&self) -> f64 {
-        (self.in_time + self.late) as f64 / self.handed_in as f64
+        (self.in_time + self.late) as f64 / self.submitted as f64
     }
 
-    fn refused_share(&self) -> f64 {
-        self.refused_calls as f64 / self.handed_in as f64
+    fn rejected_share(&self) -> f64 {
+        self.rejected_calls as f64 / self.submitted as f64
     }
 }
 
-/// A limit in calls a second: a bucket that holds half a second of it, in debt by as much at most.
+/// Rate limit of the destination as a token bucket. It holds at most the calls of half a second, and its debt is
+/// bounded by the same amount.
 struct Limit {
     tokens: f64,
-    at: Micros,
+    /// Simulated time in microseconds at which `tokens` was last updated.
+    refilled_at: Micros,
 }
 
 impl Limit {
     const DEPTH_SECONDS: f64 = 0.5;
 
-    fn takes(&mut self, now: Micros, rate: f64, refusals_count: bool) -> bool {
+    fn accepts(&mut self, now: Micros, rate: f64, rejections_count: bool) -> bool {
         let depth = rate * Self::DEPTH_SECONDS;
-        self.tokens = (self.tokens + rate * (now - self.at) as f64 / SECOND as f64).min(depth);
-        self.at = now;
-        let taken = self.tokens >= 1.0;
-        if taken || refusals_count {
+        self.tokens =
+            (self.tokens + rate * (now - self.refilled_at) as f64 / SECOND as f64).min(depth);
+        self.refilled_at = now;
+        let accepted = self.tokens >= 1.0;
+        if accepted || rejections_count {
             self.tokens = (self.tokens - 1.0).max(-depth);
         }
-        taken
+        accepted
     }
 }
 
 struct Message {
     sender: usize,
-    born: Micros,
+    submitted_at: Micros,
     attempts: usize,
-    open: bool,
+    is_pending: bool,
 }
 
-/// A call whose outcome has not come.
+/// Call in flight, with the outcome that the sender will receive.
 struct Call {
-    ends: Micros,
+    ends_at: Micros,
     sender: usize,
     message: u64,
     attempt: usize,
@@ -120,8 +127,8 @@
     limit: Limit,
     random: Pcg32,
     now: Micros,
-    due: f64,
-    served: Served,
+    messages_due: f64,
+    served: Deliveries,
 }
 
 impl Fleet {
@@ -129,7 +136,7 @@
         let mut settings = settings(6);
         settings.senders = SENDERS as u32;
         settings.weight_trust = 0.5;
-        settings.classes[0] = Class::new("free", Effect::Idempotent, AIM, DEADLINE);
+        settings.classes[0] = Class::new("free", Effect::Idempotent, LATENCY_OBJECTIVE, DEADLINE);
         let mut fleet = Fleet {
             scenario,
             settings,
@@ -139,18 +146,18 @@
             calls: Vec::new(),
             limit: Limit {
                 tokens: 0.0,
-                at: START,
+                refilled_at: START,
             },
             random: Pcg32::seed_from_u64(scenario.seed),
             now: START,
-            due: 0.0,
-            served: Served::default(),
+            messages_due: 0.0,
+            served: Deliveries::default(),
         };
         fleet.start(0);
         fleet
     }
 
-    /// All senders start, each for so many times before.
+    /// Replaces all senders by new ones. `starts`, the number of starts before, makes their random seeds differ.
     fn start(&mut self, starts: u64) {
         let seeds =
             (0..SENDERS as u64).map(|number| number + 1000 * (self.scenario.seed + 100 * starts));
@@ -173,17 +180,22 @@
         }
     }
 
-    /// What the senders hold once they are back; their calls ended unheard.
+    /// Returns the events with which the senders recover after a restart: the endpoint list and their pending messages.
+    /// Calls that were in flight ended without the senders learning the outcomes.
     fn resume(&mut self) -> Vec<Vec<Event>> {
         self.calls.clear();
         self.start(1);
         let mut events = vec![vec![self.listed()]; SENDERS];
-        for (&id, message) in self.messages.iter().filter(|(_, message)| message.open) {
-            let left = message.born + DEADLINE - self.now;
-            let new = NewMessage::new(MessageId(id), 0, DESTINATION, left);
+        for (&id, message) in self
+            .messages
+            .iter()
+            .filter(|(_, message)| message.is_pending)
+        {
+            let time_left = message.submitted_at + DEADLINE - self.now;
+            let new = NewMessage::new(MessageId(id), 0, DESTINATION, time_left);
             let past = |_| PastAttempt {
                 endpoint: EndpointId(1),
-                sent: self.now - DOWN,
+                sent: self.now - DOWNTIME,
                 may_have_run: false,
             };
             let attempts = (0..message.attempts).map(past).collect();
@@ -195,11 +207,12 @@
         events
     }
 
-    fn hand_in(&mut self, events: &mut [Vec<Event>]) {
-        self.due += self.scenario.limit * self.scenario.demand * STEP as f64 / SECOND as f64;
-        while self.due >= 1.0 {
-            self.due -= 1.0;
-            // some senders are handed in several times what others are
+    fn submit(&mut self, events: &mut [Vec<Event>]) {
+        self.messages_due +=
+            self.scenario.limit * self.scenario.demand * STEP as f64 / SECOND as f64;
+        while self.messages_due >= 1.0 {
+            self.messages_due -= 1.0;
+            // the minimum of two random numbers gives some senders several times the messages of others
             let [first, second] = [0, 1].map(|_| self.random.next_u32() as usize % SENDERS);
             let (sender, id) = (first.min(second), self.messages.len() as u64);
             let new = NewMessage::new(MessageId(id), 0, DESTINATION, DEADLINE);
@@ -208,22 +221,22 @@
                 id,
                 Message {
                     sender,
-                    born: self.now,
+                    submitted_at: self.now,
                     attempts: 0,
-                    open: true,
+                    is_pending: true,
                 },
             );
-            self.served.handed_in += 1;
+            self.served.submitted += 1;
         }
     }
 
     fn end_calls(&mut self, events: &mut [Vec<Event>]) {
         let now = self.now;
-        for call in self.calls.extract_if(.., |call| call.ends <= now) {
-            let message = self.messages.get_mut(&call.message).expect("was handed in");
+        for call in self.calls.extract_if(.., |call| call.ends_at <= now) {
+            let message = self.messages.get_mut(&call.message).expect("was submitted");
             if call.outcome == Outcome::Success {
-                message.open = false;
-                let in_time = now - message.born <= AIM;
+                message.is_pending = false;
+                let in_time = now - message.submitted_at <= LATENCY_OBJECTIVE;
                 self.served.in_time += usize::from(in_time);
                 self.served.late += usize::from(!in_time);
             }
@@ -238,7 +251,7 @@
         }
     }
 
-    /// One sender's turn, if it has an event or its alarm rings.
+    /// Runs one sender's turn if it has an event or its timer has expired, and carries out its actions.
     fn turn(&mut self, sender: usize, mut events: Vec<Event>) {
         if self.timers[sender]
             .first()
@@ -261,7 +274,7 @@
                 Action::Reject { message, .. } | Action::Fail(message) => {
                     self.messages
                         .entry(message.0)
-                        .and_modify(|message| message.open = false);
+                        .and_modify(|message| message.is_pending = false);
                 }
                 _ => {}
             }
@@ -269,20 +282,22 @@
     }
 
     fn call(&mut self, sender: usize, id: u64, endpoint: u32) {
-        let message = self.messages.get_mut(&id).expect("was handed in");
-        let taken = self
-            .limit
-            .takes(self.now, self.scenario.limit, self.scenario.refusals_count);
-        let outcome = if taken {
+        let message = self.messages.get_mut(&id).expect("was submitted");
+        let accepted = self.limit.accepts(
+            self.now,
+            self.scenario.limit,
+            self.scenario.rejections_count,
+        );
+        let outcome = if accepted {
             Outcome::Success
         } else {
             Outcome::Rejected { retry_after: None }
         };
-        self.served.refused_calls += usize::from(!taken);
-        let (ends, attempt) = (self.now + LATENCY, message.attempts);
+        self.served.rejected_calls += usize::from(!accepted);
+        let (ends_at, attempt) = (self.now + LATENCY, message.attempts);
         message.attempts += 1;
         self.calls.push(Call {
-            ends,
+            ends_at,
             sender,
             message: id,
             attempt,
@@ -292,32 +307,32 @@
     }
 
     fn is_down(&self) -> bool {
-        let passed = self.now - START;
+        let run_time = self.now - START;
         self.scenario
             .restart
-            .is_some_and(|back| (back - DOWN..back).contains(&passed))
+            .is_some_and(|returns_at| (returns_at - DOWNTIME..returns_at).contains(&run_time))
     }
 }
 
-fn run(scenario: Scenario) -> Served {
+fn run(scenario: Scenario) -> Deliveries {
     let mut fleet = Fleet::new(scenario);
-    let first = vec![vec![fleet.listed()]; SENDERS];
-    let (mut waiting, mut was_stale) = (first, false);
-    while fleet.now < START + LENGTH {
+    let first_events = vec![vec![fleet.listed()]; SENDERS];
+    let (mut pending_events, mut was_stale) = (first_events, false);
+    while fleet.now < START + RUN_TIME {
         if scenario.restart == Some(fleet.now - START) {
-            waiting = fleet.resume();
+            pending_events = fleet.resume();
         }
         let stale = (START + scenario.stale.0..START + scenario.stale.1).contains(&fleet.now);
         if stale != was_stale {
-            waiting
+            pending_events
                 .iter_mut()
                 .for_each(|events| events.push(Event::EndpointListStale(stale)));
             was_stale = stale;
         }
-        fleet.hand_in(&mut waiting);
+        fleet.submit(&mut pending_events);
         if !fleet.is_down() {
-            fleet.end_calls(&mut waiting);
-            for (sender, events) in waiting.iter_mut().enumerate() {
+            fleet.end_calls(&mut pending_events);
+            for (sender, events) in pending_events.iter_mut().enumerate() {
                 fleet.turn(sender, std::mem::take(events));
             }
         }
@@ -326,8 +341,8 @@
     fleet.served
 }
 
-/// The same run with three seeds.
-fn runs(scenario: Scenario) -> impl Iterator<Item = Served> {
+/// Runs the scenario with three random seeds.
+fn runs(scenario: Scenario) -> impl Iterator<Item = Deliveries> {
     (1..=3).map(move |seed| run(Scenario { seed, ..scenario }))
 }
 
@@ -339,47 +354,50 @@
             ..Scenario::STEADY
         }) {
             assert!(served.share_in_time() > 0.95, "{listed} {served:?}");
-            assert!(served.refused_share() < 0.02, "{listed} {served:?}");
+            assert!(served.rejected_share() < 0.02, "{listed} {served:?}");
         }
     }
 }
 
 #[test]
-fn backlog_of_stale_list_is_not_sent_at_once() {
+fn backlog_of_stale_list_is_sent_gradually() {
     let stale = (6 * SECOND, 9 * SECOND);
-    for (limit, refusals_count) in [(60.0, false), (60.0, true), (600.0, false), (600.0, true)] {
+    for (limit, rejections_count) in [(60.0, false), (60.0, true), (600.0, false), (600.0, true)] {
         for served in runs(Scenario {
             limit,
-            refusals_count,
+            rejections_count,
             stale,
             ..Scenario::STEADY
         }) {
             assert!(
-                served.refused_share() < 0.04,
-                "{limit} {refusals_count} {served:?}"
+                served.rejected_share() < 0.04,
+                "{limit} {rejections_count} {served:?}"
             );
             assert!(
                 served.share_delivered() > 0.88,
-                "{limit} {refusals_count} {served:?}"
+                "{limit} {rejections_count} {served:?}"
             );
         }
     }
 }
 
 #[test]
-fn backlog_of_restart_is_not_sent_at_once() {
+fn backlog_of_restart_is_sent_gradually() {
     let restart = Some(8 * SECOND);
-    for refusals_count in [false, true] {
+    for rejections_count in [false, true] {
         for served in runs(Scenario {
             limit: 60.0,
-            refusals_count,
+            rejections_count,
             restart,
             ..Scenario::STEADY
         }) {
-            assert!(served.refused_share() < 0.04, "{refusals_count} {served:?}");
+            assert!(
+                served.rejected_share() < 0.04,
+                "{rejections_count} {served:?}"
+            );
             assert!(
                 served.share_delivered() > 0.88,
-                "{refusals_count} {served:?}"
+                "{rejections_count} {served:?}"
             );
         }
     }
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -1,4 +1,5 @@
-//! One test for each failure found on the bench; none needs it.
+//! Regression tests of the decision module, one for each failure that load tests of the whole sender have shown. They
+//! run the module alone, on simulated time.
 
 mod common;
 use common::*;
@@ -8,7 +9,8 @@
     vec![entry(1, 7), entry(2, 8)]
 }
 
-/// Teaches the sender that both destinations answer in 100 ms.
+/// Makes ten calls to each of both destinations that are answered after 100 ms, from which the sender learns that
+/// latency.
 fn warm(host: &mut TestHost) {
     for id in 1000..1020 {
         host.handle(vec![message(id, IDEMPOTENT, 7 + id % 2)]);
@@ -19,7 +21,7 @@
 
 #[test]
 fn unresponsive_destination_calls_are_cancelled() {
-    // Round 1: hung calls, each out to the end of its window, filled all slots.
+    // guards against hung calls that stay in flight until their deadline and fill all call slots
     let mut host = TestHost::new(settings(8), two_destinations());
     warm(&mut host);
     host.handle((0..8).map(|id| message(id, IDEMPOTENT, 7)).collect());
@@ -33,7 +35,7 @@
     host.run(host.now + 4 * SECOND);
     assert!(
         sent.iter().all(|&id| host.cancels(id) == 1),
-        "all calls without a sign of life are called off"
+        "all calls to the unresponsive destination are cancelled"
     );
 }
 
@@ -54,23 +56,24 @@
         host.run(host.now + 200 * MILLISECOND);
         host.end(id, Outcome::Success, 200 * MILLISECOND);
         if host.now < START + 2 * SECOND {
-            assert_eq!(host.cancels(1), 0, "a long call is let be");
+            assert_eq!(host.cancels(1), 0, "a slow call is not cancelled early");
         }
     }
     assert_eq!(
         (host.cancels(1), host.cancels(2)),
         (1, 0),
-        "an unsafe one only when slots are scarce"
+        "a non-idempotent call is cancelled only when call slots are scarce"
     );
     host.end(1, Outcome::Cancelled, 3 * SECOND);
     host.run(host.now + SECOND);
-    assert_eq!(host.sends_of(1).len(), 2, "it goes again");
+    assert_eq!(host.sends_of(1).len(), 2, "the message is retried");
 }
 
 #[test]
 fn overtaken_idempotent_call_is_cancelled_early_when_slots_are_full() {
-    // single calls that were never answered held most of ten slots for three seconds each
-    for (slots, scarce) in [(4, true), (40, false)] {
+    // guards against single unanswered calls that occupy most of the call slots: once they held most of ten slots for
+    // three seconds each
+    for (slots, is_scarce) in [(4, true), (40, false)] {
         let mut host = TestHost::new(settings(slots), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
         warm(&mut host);
         host.handle(vec![
@@ -85,26 +88,26 @@
             host.run(host.now + 100 * MILLISECOND);
             host.end(id, Outcome::Success, 100 * MILLISECOND);
             if host.now <= sent + 400 * MILLISECOND {
-                assert_eq!(host.cancels(1), 0, "a long call is let be");
+                assert_eq!(host.cancels(1), 0, "a slow call is not cancelled early");
             }
         }
         assert_eq!(
             host.cancels(1) == 1,
-            scarce,
+            is_scarce,
             "{slots} slots, five times the usual latency"
         );
         assert_eq!(
             (host.cancels(2), host.cancels(3)),
             (0, 0),
-            "an unsafe one, and one that none overtook"
+            "neither the non-idempotent call nor the one that no later call overtook is cancelled"
         );
     }
 }
 
 #[test]
 fn non_idempotent_calls_are_cancelled_only_when_slots_are_scarce() {
-    // Round 2: unsafe calls to a silent destination held their slots to long deadlines.
-    for (slots, scarce) in [(4, true), (40, false)] {
+    // guards against non-idempotent calls to a silent destination that occupy call slots until their long deadlines
+    for (slots, is_scarce) in [(4, true), (40, false)] {
         let mut host = TestHost::new(
             settings(slots),
             (1..=3).map(|n| entry(n, u64::from(n))).collect(),
@@ -112,14 +115,14 @@
         host.handle((1..=3).map(|n| message(n, NON_IDEMPOTENT, n)).collect());
         assert_eq!(host.sends.len(), 3);
         host.run(START + 10 * SECOND);
-        let off: usize = (1..=3).map(|id| host.cancels(id)).sum();
-        assert_eq!(off > 0, scarce, "{slots} slots");
+        let cancelled: usize = (1..=3).map(|id| host.cancels(id)).sum();
+        assert_eq!(cancelled > 0, is_scarce, "{slots} slots");
     }
 }
 
 #[test]
 fn non_idempotent_messages_wait_while_route_is_unanswered() {
-    // Round 2: what was sent in the first second of a silence was lost.
+    // guards against losing the messages that are sent in the first second in which a destination has stopped answering
     let mut host = TestHost::new(settings(40), two_destinations());
     warm(&mut host);
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
@@ -131,7 +134,7 @@
     assert_eq!(
         host.sends_of(2).len(),
         0,
-        "destination 7 has answered nothing for long"
+        "destination 7 has not answered for 500 ms"
     );
     assert_eq!(host.sends_of(3).len(), 1);
     host.end(1, Outcome::Success, 500 * MILLISECOND);
@@ -140,7 +143,7 @@
 
 #[test]
 fn lagging_destination_leaves_half_of_the_slots() {
-    // Round 4 (id0c300): a destination that answered now and then came to hold every slot.
+    // guards against a destination that answers only now and then and so comes to occupy every call slot
     let mut host = TestHost::new(settings(8), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
     warm(&mut host);
     host.handle(
@@ -150,16 +153,16 @@
     );
     for step in 0..40 {
         host.run(host.now + 300 * MILLISECOND);
-        // of each destination, one call in a while is answered: never silent, only slow
+        // every fifth step answers one call of each destination, so that both are slow but never silent
         if step % 5 == 4 {
             for endpoint in [1, 2] {
-                let out = host
+                let in_flight = host
                     .sends
                     .iter()
                     .filter(|s| s.1 < 30 && s.2 == endpoint)
                     .map(|s| s.1)
                     .next_back();
-                if let Some(id) = out {
+                if let Some(id) = in_flight {
                     host.end(id, Outcome::Success, 1_500 * MILLISECOND);
                 }
             }
@@ -169,7 +172,7 @@
     assert_eq!(
         host.sends_of(90).len(),
         1,
-        "a healthy destination finds a slot"
+        "a call slot is left for the healthy destination"
     );
 }
 
@@ -191,27 +194,27 @@
 
 #[test]
 fn one_rejected_burst_does_not_keep_rate_low() {
-    // Round 5 (i8e33e4): the pace fell to the demand of that moment and stayed there.
+    // guards against a rejection that cuts the rate limit to the demand at that time, from which it did not recover
     let mut host = TestHost::new(settings(40), two_destinations());
     for id in 1000..1040 {
         host.handle(vec![message(id, IDEMPOTENT, 7)]);
         host.now += 100 * MILLISECOND;
         host.end(id, Outcome::Success, 100 * MILLISECOND);
     }
-    host.run(host.now + 5 * SECOND); // a pause: nothing was served lately
+    host.run(host.now + 5 * SECOND); // idle time, after which no recent call counts as served
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
     host.end(1, Outcome::Rejected { retry_after: None }, MILLISECOND);
     let start = host.now;
     host.handle((100..140).map(|id| message(id, IDEMPOTENT, 7)).collect());
     while host.now < start + 3 * SECOND {
-        let out: Vec<_> = host
+        let calls: Vec<_> = host
             .sends
             .iter()
             .filter(|s| s.0 == host.now && s.1 < 1000)
             .copied()
             .collect();
         host.now += 20 * MILLISECOND;
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, Outcome::Success, 20 * MILLISECOND))
             .collect();
@@ -230,24 +233,25 @@
 
 #[test]
 fn sender_short_of_reported_limit_grows_beyond_fair_share() {
-    // Round 7 (i0671ac): one sender had most of the traffic and kept to its even share.
-    let mut told = settings(40);
-    told.senders = 8;
-    told.report_limit = Some(0);
-    let mut host = TestHost::new(told, two_destinations());
+    // guards against a sender that has most of the fleet's traffic but never sends more than its fair share of the
+    // limit
+    let mut settings = settings(40);
+    settings.senders = 8;
+    settings.report_limit = Some(0);
+    let mut host = TestHost::new(settings, two_destinations());
     host.handle((0..400).map(|id| message(id, IDEMPOTENT, 7)).collect());
     let mut counts = [0usize; 2];
     for step in 0..500 {
-        let out: Vec<_> = host
+        let calls: Vec<_> = host
             .sends
             .iter()
             .filter(|s| s.0 == host.now)
             .copied()
             .collect();
         counts[usize::from(step >= 50)] +=
-            usize::from((25..50).contains(&step) || step >= 475) * out.len();
+            usize::from((25..50).contains(&step) || step >= 475) * calls.len();
         host.now += 40 * MILLISECOND;
-        let ends = out.iter().map(|s| {
+        let ends = calls.iter().map(|s| {
             let mut end = ended(s.1, s.3, s.2, Outcome::Success, 40 * MILLISECOND);
             if let Event::AttemptEnded { report, .. } = &mut end {
                 report.push(16.0);
@@ -257,11 +261,12 @@
         let ends = ends.collect();
         host.handle(ends);
     }
-    // in the second second still near its share of two a second, in the last one near the whole limit
-    assert!(counts[0] <= 8, "starts from the even share: {counts:?}");
+    // counts[0] is the second second, still near the fair share of 2 calls per second; counts[1] is the last second,
+    // near the whole limit of 16
+    assert!(counts[0] <= 8, "starts near the fair share: {counts:?}");
     assert!(
         counts[1] >= 10 && counts[1] <= 17,
-        "grows, but not past the limit: {counts:?}"
+        "grows towards the limit, but not beyond it: {counts:?}"
     );
 }
 
@@ -271,9 +276,9 @@
     warm(&mut host);
     host.handle((0..200).map(|id| message(id, IDEMPOTENT, 7)).collect());
     let fail_until = host.now + 10 * SECOND;
-    let heal = fail_until + 20 * SECOND;
-    while host.now < heal {
-        let out: Vec<_> = host
+    let end = fail_until + 20 * SECOND;
+    while host.now < end {
+        let calls: Vec<_> = host
             .sends
             .iter()
             .filter(|s| s.0 == host.now && s.1 < 200)
@@ -285,7 +290,7 @@
         } else {
             Outcome::Success
         };
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
             .collect();
@@ -297,14 +302,17 @@
             .filter(|s| s.1 < 200 && s.0 >= from && s.0 < to)
             .count()
     };
-    let sick = within(fail_until - 6 * SECOND, fail_until);
+    let while_failing = within(fail_until - 6 * SECOND, fail_until);
+    assert!(
+        (2..=4).contains(&while_failing),
+        "one call per overload span while failing: {while_failing}"
+    );
+    let during_slow_start = within(fail_until, fail_until + 4 * SECOND);
+    let after_slow_start = within(fail_until + 10 * SECOND, fail_until + 14 * SECOND);
     assert!(
-        (2..=4).contains(&sick),
-        "one call in each fall span: {sick}"
+        during_slow_start <= 16 && after_slow_start > 2 * during_slow_start,
+        "during slow start {during_slow_start}, after it {after_slow_start}"
     );
-    let cold = within(fail_until, fail_until + 4 * SECOND);
-    let warm = within(fail_until + 10 * SECOND, fail_until + 14 * SECOND);
-    assert!(cold <= 16 && warm > 2 * cold, "cold {cold}, warm {warm}");
 }
 
 #[test]
@@ -316,8 +324,8 @@
     host.run(START + 6 * SECOND);
     host.handle((20..34).map(|id| message(id, IDEMPOTENT, 7)).collect());
     host.run(host.now + SECOND);
-    let refused = (0..40).filter(|&id| host.rejected(id)).count();
-    assert!(refused >= 4, "{refused}");
+    let rejected = (0..40).filter(|&id| host.rejected(id)).count();
+    assert!(rejected >= 4, "{rejected}");
 }
 
 #[test]
@@ -330,14 +338,19 @@
         }],
     );
     host.handle((0..5).map(|id| message(id, IDEMPOTENT, 7)).collect());
-    assert_eq!(host.sends.len(), 5, "window 1, one call of five");
+    assert_eq!(
+        host.sends.len(),
+        5,
+        "a concurrency limit of 1 allows one call, which bundles five messages"
+    );
     host.handle((5..8).map(|id| message(id, IDEMPOTENT, 7)).collect());
     assert_eq!(host.sends.len(), 5);
 }
 
 #[test]
-fn throttled_destination_is_not_taken_for_closed() {
-    // Round 8 (i58e456): after a run of refusals a throttled destination was held to a cold start.
+fn throttled_destination_recovers_without_slow_start() {
+    // guards against holding a throttled destination, which has only rejected a series of calls, to the slow start of a
+    // destination that was closed
     let mut host = TestHost::new(settings(40), two_destinations());
     for id in 1000..1080 {
         host.handle(vec![message(id, IDEMPOTENT, 7)]);
@@ -345,27 +358,27 @@
         host.end(id, Outcome::Success, 50 * MILLISECOND);
     }
     host.handle((0..300).map(|id| message(id, IDEMPOTENT, 7)).collect());
-    let open = host.now + 2 * SECOND;
+    let rejects_until = host.now + 2 * SECOND;
     let mut sent = 0;
-    while host.now < open + 6 * SECOND {
-        let out: Vec<_> = host
+    while host.now < rejects_until + 6 * SECOND {
+        let calls: Vec<_> = host
             .sends
             .iter()
             .filter(|s| s.0 == host.now && s.1 < 300)
             .copied()
             .collect();
         host.now += 20 * MILLISECOND;
-        let result = if host.now < open {
+        let result = if host.now < rejects_until {
             Outcome::Rejected { retry_after: None }
         } else {
             Outcome::Success
         };
-        sent += if host.now > open + 2 * SECOND {
-            out.len()
+        sent += if host.now > rejects_until + 2 * SECOND {
+            calls.len()
         } else {
             0
         };
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
             .collect();
@@ -389,7 +402,7 @@
 
 #[test]
 fn bundle_is_filled_before_another_endpoint_gets_a_call() {
-    // Round 9 (i8e33e4): with two endpoints the second message opened a call of its own.
+    // guards against opening a second call at another endpoint while the bundle of the first call has room
     let entries = (1..=3)
         .map(|n| EndpointEntry {
             kind: 2,
@@ -403,17 +416,18 @@
 
 #[test]
 fn class_unanswered_at_one_endpoint_goes_to_the_other() {
-    // Round 25: the other class answered there, so neither endpoint nor destination looked ill.
+    // guards against a class that fails at one endpoint and goes unnoticed, because the answers to the other class make
+    // endpoint and destination look healthy
     let mut host = TestHost::new(settings(8), vec![entry(1, 7), entry(2, 7)]);
     for id in 1000..1012 {
         host.handle(vec![message(id, IDEMPOTENT, 7)]);
         host.now += 100 * MILLISECOND;
         host.end(id, Outcome::Success, 100 * MILLISECOND);
     }
-    let (bad, mut answered) = (host.sends[0].2, host.sends.len());
+    let (failing_endpoint, mut answered) = (host.sends[0].2, host.sends.len());
     let mut lost = [0, 0];
     for step in 0..80u64 {
-        // endpoint `bad` fails each unsafe message and takes the others
+        // the failing endpoint fails each non-idempotent message and accepts the others
         host.handle(vec![
             message(step, NON_IDEMPOTENT, 7),
             message(500 + step, IDEMPOTENT, 7),
@@ -421,7 +435,7 @@
         let calls = host.sends[answered..].to_vec();
         answered = host.sends.len();
         host.run(host.now + 100 * MILLISECOND);
-        let fails = |call: &(Micros, u64, u32, usize)| call.1 < 500 && call.2 == bad;
+        let fails = |call: &(Micros, u64, u32, usize)| call.1 < 500 && call.2 == failing_endpoint;
         lost[usize::from(step >= 40)] += calls.iter().filter(|call| fails(call)).count();
         let outcome = |call| {
             if fails(call) {
@@ -437,8 +451,11 @@
                 .collect(),
         );
     }
-    let unsafe_sends = host.sends.iter().filter(|send| send.1 < 500).count();
-    assert!(unsafe_sends >= 60, "{unsafe_sends} unsafe messages sent");
+    let non_idempotent_sends = host.sends.iter().filter(|send| send.1 < 500).count();
+    assert!(
+        non_idempotent_sends >= 60,
+        "{non_idempotent_sends} non-idempotent messages sent"
+    );
     assert!(
         lost[0] >= 1 && lost[1] <= 8,
         "lost to the failing endpoint: {lost:?}"
@@ -447,7 +464,8 @@
 
 #[test]
 fn turn_examines_only_messages_that_may_be_sent() {
-    // with hundreds held for endpoints that were out, turns took all of the CPU
+    // guards against turns that examine every pending message: with hundreds of messages pending for disabled
+    // endpoints, the turns took all of the CPU time
     let mut host = TestHost::new(settings(4), two_destinations());
     host.sender = {
         let mut settings = settings(4);
@@ -465,10 +483,10 @@
         (0, 0)
     );
     host.handle((300..303).map(|id| message(id, IDEMPOTENT, 8)).collect());
-    // one goes, and the next, which finds no room, speaks for the third
+    // the first message is sent; the second is blocked by the limit, which also blocks the third without examining it
     assert_eq!(host.sender.candidates_examined(), 2);
     assert!(!host.sends.is_empty());
-    // back in, all are looked at again
+    // once the endpoint is enabled, its pending messages are examined again
     host.handle(vec![Event::Enabled(EndpointId(1))]);
     assert!(host.sends.iter().any(|send| send.2 == 1));
 }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -1,9 +1,11 @@
-//! Connections that endpoints have too few of: when the pool keeps none idle, and when it does.
+//! Tests of connection scarcity: endpoints that serve existing connections and reject new ones for lack of connection
+//! capacity. The pool of a sender in a large fleet must then keep no idle connections, so that other senders get some.
 
 use message_sender::pool::{AnswerKind, CloseReason, Command, EndpointAddress, Pool, PoolLimits};
 use message_sender::{EndpointId, Micros, SECOND};
 
-const T0: Micros = 100 * SECOND;
+/// Start of each test, in microseconds of the pool's clock.
+const START: Micros = 100 * SECOND;
 
 fn limits() -> PoolLimits {
     PoolLimits {
@@ -21,13 +23,13 @@
     }
 }
 
-/// A pool with endpoints whose calls end one after the other.
-struct Rig {
+/// Connection pool of 20 endpoints on which calls are made one after another.
+struct PoolHarness {
     pool: Pool,
     now: Micros,
     waiter: u64,
-    /// Whether the last call was turned away for want of room for its connection.
-    no_room: bool,
+    /// True if the pool attributed the last call's rejection to a lack of connection capacity at the endpoint.
+    was_connection_rejected: bool,
 }
 
 fn target(number: u32) -> EndpointAddress {
@@ -37,47 +39,53 @@
     }
 }
 
-impl Rig {
+impl PoolHarness {
     fn new() -> Self {
         let mut pool = Pool::new(limits(), 7);
-        (0..20).for_each(|number| pool.enable_endpoint(T0, target(number)));
-        Rig {
+        (0..20).for_each(|number| pool.enable_endpoint(START, target(number)));
+        PoolHarness {
             pool,
-            now: T0,
+            now: START,
             waiter: 0,
-            no_room: false,
+            was_connection_rejected: false,
         }
     }
 
-    /// A call to an endpoint, on an idle connection or a new one; true if its connection is kept afterwards. One that is
-    /// turned away on a new connection loses it, as its endpoint closes it.
-    fn call(&mut self, endpoint: u32, answered: AnswerKind) -> bool {
+    /// Makes a call over an idle or a new connection, and returns true if the pool keeps the connection afterwards. If
+    /// the call is rejected on a new connection, the endpoint closes that connection.
+    fn call(&mut self, endpoint: u32, answer: AnswerKind) -> bool {
         self.now += SECOND / 10;
         self.waiter += 1;
-        let mut out = Vec::new();
+        let mut commands = Vec::new();
         self.pool
-            .acquire(self.now, target(endpoint), self.waiter, &mut out);
-        if let Some(Command::Dial { connection, .. }) = out.first().copied() {
-            out.clear();
-            self.pool.dial_succeeded(self.now, connection, &mut out);
+            .acquire(self.now, target(endpoint), self.waiter, &mut commands);
+        if let Some(Command::Dial { connection, .. }) = commands.first().copied() {
+            commands.clear();
+            self.pool
+                .dial_succeeded(self.now, connection, &mut commands);
         }
         let Some(&Command::Lease {
             connection,
             idle_for,
             ..
-        }) = out.first()
+        }) = commands.first()
         else {
-            panic!("no connection: {out:?}")
+            panic!("no connection: {commands:?}")
         };
-        self.no_room = self.pool.record_answer(self.now, connection, answered);
-        let mut out = Vec::new();
-        if answered == AnswerKind::Rejected && idle_for.is_none() {
-            self.pool
-                .discard(self.now, connection, CloseReason::ClosedByPeer, &mut out);
+        self.was_connection_rejected = self.pool.record_answer(self.now, connection, answer);
+        let mut commands = Vec::new();
+        if answer == AnswerKind::Rejected && idle_for.is_none() {
+            self.pool.discard(
+                self.now,
+                connection,
+                CloseReason::ClosedByPeer,
+                &mut commands,
+            );
             return false;
         }
-        self.pool.release(self.now, connection, &mut out);
-        out.iter()
+        self.pool.release(self.now, connection, &mut commands);
+        commands
+            .iter()
             .all(|command| *command != Command::Close { connection })
     }
 
@@ -92,58 +100,64 @@
     }
 }
 
-/// One connection that serves, and new ones to others that are turned away.
-fn scarce() -> Rig {
-    let mut rig = Rig::new();
+/// Creates a state of scarcity: calls on one kept connection are served, and all new connections are rejected.
+fn scarce_pool() -> PoolHarness {
+    let mut harness = PoolHarness::new();
     for number in 1..3 {
         assert!(
-            rig.call(0, AnswerKind::Served),
-            "kept as long as too little is known: {number}"
+            harness.call(0, AnswerKind::Served),
+            "call {number}: the connection is kept until there is enough evidence of scarcity"
         );
-        rig.call(2 * number, AnswerKind::Rejected);
-        rig.call(2 * number + 1, AnswerKind::Rejected);
+        harness.call(2 * number, AnswerKind::Rejected);
+        harness.call(2 * number + 1, AnswerKind::Rejected);
     }
-    rig
+    harness
 }
 
 #[test]
 fn idle_connections_are_closed_where_only_new_ones_are_rejected() {
-    let mut rig = scarce();
-    assert!(!rig.no_room, "it is not known yet");
-    assert!(!rig.call(0, AnswerKind::Served));
-    assert_eq!(rig.closed_as_scarce(), 1);
-    rig.call(11, AnswerKind::Rejected);
-    assert!(rig.no_room, "it says nothing of a limit on calls");
-    // new ones are served now and then: still scarce
-    assert!(!rig.call(9, AnswerKind::Served));
-    rig.call(10, AnswerKind::Rejected);
-    assert!(!rig.call(0, AnswerKind::Served));
+    let mut harness = scarce_pool();
+    assert!(
+        !harness.was_connection_rejected,
+        "scarcity is not established yet"
+    );
+    assert!(!harness.call(0, AnswerKind::Served));
+    assert_eq!(harness.closed_as_scarce(), 1);
+    harness.call(11, AnswerKind::Rejected);
+    assert!(
+        harness.was_connection_rejected,
+        "a rejection under scarcity is not attributed to a limit on calls"
+    );
+    // occasional service on a new connection does not end the scarcity
+    assert!(!harness.call(9, AnswerKind::Served));
+    harness.call(10, AnswerKind::Rejected);
+    assert!(!harness.call(0, AnswerKind::Served));
 }
 
 #[test]
-fn idle_connections_are_closed_at_next_tick_after_scarcity() {
-    let mut rig = Rig::new();
+fn idle_connections_are_closed_at_next_tick_once_scarce() {
+    let mut harness = PoolHarness::new();
     assert!(
-        rig.call(0, AnswerKind::Served)
-            && rig.call(9, AnswerKind::Served)
-            && rig.call(0, AnswerKind::Served)
+        harness.call(0, AnswerKind::Served)
+            && harness.call(9, AnswerKind::Served)
+            && harness.call(0, AnswerKind::Served)
     );
-    (1..9).for_each(|number| assert!(!rig.call(number, AnswerKind::Rejected)));
-    assert!(!rig.call(0, AnswerKind::Served));
-    let mut out = Vec::new();
-    rig.pool.tick(rig.now, &mut out);
+    (1..9).for_each(|number| assert!(!harness.call(number, AnswerKind::Rejected)));
+    assert!(!harness.call(0, AnswerKind::Served));
+    let mut commands = Vec::new();
+    harness.pool.tick(harness.now, &mut commands);
     assert_eq!(
-        (out.len(), rig.closed_as_scarce()),
+        (commands.len(), harness.closed_as_scarce()),
         (1, 2),
-        "the one to 9: {out:?}"
+        "the idle connection to endpoint 9 is closed: {commands:?}"
     );
 }
 
 #[test]
 fn lone_sender_keeps_idle_connections() {
-    let mut rig = Rig::new();
-    rig.pool.set_limits(
-        T0,
+    let mut harness = PoolHarness::new();
+    harness.pool.set_limits(
+        START,
         PoolLimits {
             senders: 1,
             ..limits()
@@ -151,42 +165,42 @@
         &mut Vec::new(),
     );
     for number in 1..9 {
-        assert!(rig.call(0, AnswerKind::Served));
-        rig.call(number, AnswerKind::Rejected);
+        assert!(harness.call(0, AnswerKind::Served));
+        harness.call(number, AnswerKind::Rejected);
     }
 }
 
 #[test]
 fn call_limit_rejections_on_all_connections_close_none() {
-    let mut rig = Rig::new();
+    let mut harness = PoolHarness::new();
     for round in 0..40 {
-        let answered = if round % 2 == 0 {
+        let answer = if round % 2 == 0 {
             AnswerKind::Rejected
         } else {
             AnswerKind::Served
         };
-        rig.call(0, answered);
-        rig.call(1 + round % 19, answered);
-        assert!(!rig.no_room);
+        harness.call(0, answer);
+        harness.call(1 + round % 19, answer);
+        assert!(!harness.was_connection_rejected);
     }
-    assert_eq!(rig.closed_as_scarce(), 0);
+    assert_eq!(harness.closed_as_scarce(), 0);
 }
 
 #[test]
-fn start_with_all_connections_rejected_closes_none() {
-    let mut rig = Rig::new();
-    (0..20).for_each(|number| assert!(!rig.call(number, AnswerKind::Rejected)));
-    assert!(rig.call(3, AnswerKind::Served));
-    assert_eq!(rig.closed_as_scarce(), 0);
+fn rejection_of_all_first_connections_closes_none() {
+    let mut harness = PoolHarness::new();
+    (0..20).for_each(|number| assert!(!harness.call(number, AnswerKind::Rejected)));
+    assert!(harness.call(3, AnswerKind::Served));
+    assert_eq!(harness.closed_as_scarce(), 0);
 }
 
 #[test]
-fn connections_are_kept_once_new_ones_are_served_again() {
-    let mut rig = scarce();
-    let kept = (0..40).find(|_| rig.call(0, AnswerKind::Served));
+fn connections_are_kept_again_once_new_ones_are_served() {
+    let mut harness = scarce_pool();
+    let calls_until_kept = (0..40).find(|_| harness.call(0, AnswerKind::Served));
     assert!(
-        kept.is_some_and(|calls| (5..30).contains(&calls)),
-        "{kept:?}"
+        calls_until_kept.is_some_and(|calls| (5..30).contains(&calls)),
+        "{calls_until_kept:?}"
     );
-    assert!(rig.call(0, AnswerKind::Served) && rig.call(1, AnswerKind::Served));
+    assert!(harness.call(0, AnswerKind::Served) && harness.call(1, AnswerKind::Served));
 }
