--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -72,13 +72,15 @@
     #[error("{status}: {message}")]
     Rejected { status: StatusCode, message: String },
     /// The body is not JSON of the expected form.
-    #[error("the answer can't be read: {0}; is the registry of this version?")]
+    #[error("the answer can't be read: {0}; does the registry run the same version?")]
     Json(#[from] serde_json::Error),
     /// The body is no valid message of the compact quota format.
-    #[error("the answer can't be read: {0}; is the registry of this version?")]
+    #[error("the answer can't be read: {0}; does the registry run the same version?")]
     Compact(#[from] CompactError),
     /// The body is too long or was incomplete at the time limit.
-    #[error("the answer did not come whole in time; see GET /v1/status of each replica")]
+    #[error(
+        "the answer was too long or incomplete at the time limit; see GET /v1/status of each replica"
+    )]
     IncompleteBody,
     /// The request could not be built.
     #[error("bad request: {0}")]
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint, which stays open for calls over new connections.
     pub fn close_idle(&self, target: EndpointAddress) {
         self.0
             .update(|pool, commands| pool.close_idle(target, commands));
--- a/src/net/pool/lease.rs
+++ b/src/net/pool/lease.rs
@@ -14,23 +14,24 @@
 #[derive(Debug, Error)]
 pub enum LeaseError {
     /// No connection was available within the dial timeout.
-    #[error("no connection came up within the dial timeout")]
+    #[error("no connection was available within the dial timeout")]
     DialTimeout,
     /// No connection was available before the latest time at which the call may begin.
-    #[error("no connection came up before the call had to begin")]
+    #[error("no connection was available before the call had to begin")]
     TooLate,
     /// The pool's decision module denied the call a connection, for this reason.
     #[error("no connection: {0:?}")]
     Denied(LeaseDenied),
     /// The pool was dropped while the call waited for a connection.
-    #[error("the pool has ended")]
+    #[error("the connection pool has ended")]
     PoolEnded,
 }
 
-/// Answer of the pool to a call that waits for a connection.
+/// Answer of the pool to a call that waits for a connection: its lease, or the reason for denying one.
 pub(super) type WaitAnswer = Result<ConnectionLease, LeaseDenied>;
 
-/// Wait of a call for a connection. Dropping this guard cancels the wait.
+/// Registered wait of a call for a connection; `receiver` yields the pool's answer. Dropping this guard cancels the
+/// wait.
 pub(super) struct ConnectionWait<'a> {
     pub(super) pool: &'a Rc<PoolState>,
     pub(super) waiter: u64,
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -205,7 +205,7 @@
             ConnectError::Timeout => DialFailure::TimedOut,
             ConnectError::Local(error) => {
                 self.failure_log
-                    .log(format_args!("calls: no connection made: {error}"));
+                    .log(format_args!("calls: dial failed: {error}"));
                 self.last_local_failure.set(Some(Instant::now()));
                 DialFailure::Local
             }
--- a/src/net/pool/traffic.rs
+++ b/src/net/pool/traffic.rs
@@ -37,8 +37,11 @@
 /// an answer that has arrived by then still counts.
 #[derive(Default)]
 struct Abandonment {
+    /// True while the call is to be abandoned at the next read that finds no more bytes.
     is_requested: bool,
+    /// True once all bytes received before the end of the call have been read, or the connection has closed.
     is_input_drained: bool,
+    /// True once the sending side of the connection is shut.
     is_shut: bool,
     /// True once the connection is closed, so that nothing more can be read.
     is_closed: bool,
@@ -160,8 +163,8 @@
     }
 }
 
-/// Reads from the kernel directly. The runtime polls sockets only between task turns, so a timer may fire before the
-/// runtime has noticed bytes that have already arrived.
+/// Socket operations that ask the kernel directly. The runtime polls sockets only between task turns, so a timer may
+/// fire before the runtime has noticed bytes that have already arrived.
 pub(super) trait ImmediateRead {
     /// Reads received bytes without waiting; fails with `WouldBlock` if there are none.
     fn read_now(&self, buffer: &mut [u8]) -> io::Result<usize>;
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -52,7 +52,7 @@
                 });
             }
             Err(error) => {
-                error_log.log(format_args!("{subsystem}: no connection accepted: {error}"));
+                error_log.log(format_args!("{subsystem}: accept failed: {error}"));
                 let delay = if concerns_one_connection(&error) {
                     ACCEPT_RETRY_INTERVAL
                 } else {
@@ -81,7 +81,7 @@
         }
         if let Some(state) = connections.longest_idle(Instant::now()) {
             error_log.log(format_args!(
-                "{subsystem}: connection limit reached, idle connections are closed"
+                "{subsystem}: connection limit reached; closing idle connections"
             ));
             state.request_close();
         }
