--- a/src/net/calls/compatibility.rs
+++ b/src/net/calls/compatibility.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Returns the bytes of the request as hyper writes them, with the lower bound that the request claims.
+/// Returns the bytes that hyper writes for a call of these items, after the computed lower bound of their number.
 fn written_request(items: &[Item]) -> String {
     let address = ([10, 1, 2, 3], 8000).into();
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -39,7 +39,7 @@
 /// Path of the readiness check.
 const READINESS_PATH: &str = "/ready";
 
-/// Message class that requests may name.
+/// Message class of the settings, with what the server must know to check a request.
 #[derive(Debug, Clone)]
 pub struct ClassEntry {
     /// Name of the class, as the request's path and `X-Priority-Class` give it.
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -125,7 +125,7 @@
 struct Members {
     /// Address of the first member, at which senders join.
     seed: SocketAddr,
-    /// Set to end the thread.
+    /// Set to true to stop the thread that runs the members.
     should_stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
