--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -1,14 +1,16 @@
-//! Endpoints that take few connections: idle ones are closed, so that other senders get through.
+//! Detects endpoints that accept few connections, and closes idle connections to them so that other
+//! senders can connect.
 
 use super::Sender;
 use super::state::{RouteId, seconds};
 use crate::interface::{Action, EndpointId, Outcome};
 
-/// Weight of one call that found no connection in the score of its endpoint and of its kind.
+/// Weight of one call that found no connection in the scarcity scores of its endpoint and of its
+/// kind of destination.
 const SCARCITY_WEIGHT: f64 = 0.2;
-/// The score above which idle connections are closed. Lower frees endpoints sooner, higher saves
-/// handshakes.
-const SCARCE: f64 = 0.1;
+/// Scarcity score above which idle connections are closed. Lower frees connections of an endpoint
+/// sooner; higher saves handshakes.
+const SCARCITY_THRESHOLD: f64 = 0.1;
 
 impl Sender {
     pub(super) fn record_connection(
@@ -20,21 +22,21 @@
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else {
             return;
         };
-        let of_kind = self.connection_scarcity.entry(endpoint.kind).or_default();
-        for score in [of_kind, &mut endpoint.connection_scarcity] {
+        let kind_scarcity = self.connection_scarcity.entry(endpoint.kind).or_default();
+        for score in [kind_scarcity, &mut endpoint.connection_scarcity] {
             match outcome {
-                // where nothing else succeeds the endpoint is unavailable, not short of connections
+                // where no call succeeds the endpoint is unavailable, not short of connections
                 Outcome::NoConnection if others_succeed => {
                     *score += SCARCITY_WEIGHT * (1.0 - *score);
                 }
-                Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCE * *score,
+                Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCITY_THRESHOLD * *score,
                 _ => {}
             }
         }
     }
 
-    /// A route that recovers: what found no connection before says nothing of how scarce they are
-    /// now.
+    /// Resets the scarcity scores of the endpoints of a route that begins to recover: calls that
+    /// found no connection during the outage do not show how scarce connections are now.
     pub(super) fn forget_connection_scarcity(&mut self, route: RouteId) {
         let ids = self.endpoints_by_destination.get(&route.destination);
         for id in ids.into_iter().flatten() {
@@ -46,9 +48,11 @@
         }
     }
 
-    /// Closes a connection that would sooner close by itself than be used again. Guards endpoints
-    /// that take few connections against hundreds of senders that each keep one idle. Could harm
-    /// where traffic comes in bursts with long pauses: the next call pays a handshake.
+    /// Closes the idle connections to an endpoint whose connections are scarce. Also closes those
+    /// to an endpoint of a kind whose connections are scarce, if the route makes less than one call
+    /// per idle timeout: they would time out before their next use. Protects endpoints that accept
+    /// few connections against hundreds of senders that each keep one idle. Drawback: where traffic
+    /// comes in bursts with long pauses, the next call pays for a handshake.
     pub(super) fn close_idle_connection(
         &mut self,
         route: RouteId,
@@ -62,9 +66,9 @@
             return;
         };
         let is_seldom_used = usual_rate * seconds(idle_timeout) < 1.0;
-        let of_kind = self.connection_scarcity.get(&endpoint.kind).copied();
-        let is_scarce = endpoint.connection_scarcity > SCARCE
-            || is_seldom_used && of_kind.unwrap_or(0.0) > SCARCE;
+        let kind_scarcity = self.connection_scarcity.get(&endpoint.kind).copied();
+        let is_scarce = endpoint.connection_scarcity > SCARCITY_THRESHOLD
+            || is_seldom_used && kind_scarcity.unwrap_or(0.0) > SCARCITY_THRESHOLD;
         if is_scarce && self.calls.values().all(|call| call.endpoint != id) {
             actions.push(Action::Disconnect(id));
         }
