--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -1,4 +1,5 @@
-//! What an earlier process had accepted: handed back to the decision module from the journal.
+//! Recovery of messages that an earlier process accepted: they are read from the journal and passed
+//! to the decision module.
 
 use super::Driver;
 use super::messages::{Attempt, Message, NO_CALL};
@@ -13,11 +14,13 @@
 use message_sender::{Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt};
 use tokio::time::Instant;
 
-/// An endpoint that no list has.
+/// Number that stands for the endpoint of a recorded attempt if the driver does not know that
+/// endpoint.
 const UNKNOWN_ENDPOINT: EndpointId = EndpointId(u32::MAX);
 
 impl Driver {
-    /// Hands back what an earlier process had accepted; what had ended is notified again.
+    /// Passes the unfinished messages of the journal to the decision module. For messages that had
+    /// ended undelivered, the notification is sent again.
     pub(super) fn recover_messages(&mut self, taken_over: bool) {
         if !taken_over && self.journal.has_records() {
             self.events.push(Event::Restarted);
@@ -25,7 +28,7 @@
         let unfinished = self.journal.unfinished().clone();
         let now = self.clock.at(Instant::now());
         for message in unfinished.values() {
-            self.place_recorded_class(message);
+            self.restore_class_position(message);
         }
         if self.settings != *self.sender.settings() {
             let settings = Box::new(self.settings.clone());
@@ -38,8 +41,9 @@
         }
     }
 
-    /// The position of the class that a message was accepted with; none where its terms were not written down.
-    fn place_recorded_class(&mut self, message: &UnfinishedMessage) -> Option<usize> {
+    /// Returns the position of the class with the terms under which a message was accepted, and
+    /// adds that class to the settings if needed. `None` if the terms were not recorded.
+    fn restore_class_position(&mut self, message: &UnfinishedMessage) -> Option<usize> {
         let terms = message.terms.as_ref()?;
         Some(
             self.settings
@@ -54,7 +58,7 @@
         now: Micros,
         taken_over: bool,
     ) {
-        let new = self.recovered(number, &message, now);
+        let new = self.restored_message(number, &message, now);
         self.recover_lifecycle(number, &message);
         if let Some(outcome) = message.outcome {
             self.lifecycle.close(number);
@@ -67,20 +71,21 @@
                 outcome,
             });
         }
-        // one that was handed over came with all that the journal does not hold
+        // a message that was handed over is already present, with state that the journal does not
+        // hold
         if self.messages.get(number).is_none() {
             self.recover_open_message(number, message, new);
         }
     }
 
-    /// The message as the decision module gets it.
-    fn recovered(
+    /// Builds the message that is passed to the decision module.
+    fn restored_message(
         &mut self,
         number: MessageId,
         message: &UnfinishedMessage,
         now: Micros,
     ) -> NewMessage {
-        let class = self.place_recorded_class(message).unwrap_or_else(|| {
+        let class = self.restore_class_position(message).unwrap_or_else(|| {
             let is_named = |class: &Class| class.name == message.accepted.class;
             let position = self.settings.classes.iter().rposition(is_named);
             position.unwrap_or(usize::MAX)
@@ -122,7 +127,7 @@
     ) {
         let accepted = message.accepted;
         let Ok(id) = HeaderValue::from_str(&accepted.id) else {
-            return self.end_unreadable(number, new, accepted.id);
+            return self.end_message_with_invalid_id(number, new, accepted.id);
         };
         let key = accepted.key.as_deref();
         let key = key.and_then(|key| HeaderValue::from_str(key).ok());
@@ -159,8 +164,9 @@
         self.messages.insert(number, recovered);
     }
 
-    /// A message that no call can carry ends undelivered: its id, as it is recorded, makes no header.
-    fn end_unreadable(&mut self, number: MessageId, new: NewMessage, id: String) {
+    /// Ends a message undelivered because its recorded id is not a valid header value, so no call
+    /// can carry it.
+    fn end_message_with_invalid_id(&mut self, number: MessageId, new: NewMessage, id: String) {
         let outcome = UndeliveredOutcome::Failed;
         message_log::record_text(&id, &MessageEvent::EndedUndelivered(outcome));
         self.journal.end_undelivered(number, outcome);
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -176,7 +176,7 @@
         destination: head.destination,
         time_limit: head.time_limit,
         received_at,
-        again: head.resubmitted,
+        resubmitted: head.resubmitted,
         orphan: head.client_departed,
         body,
         reply,
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -29,7 +29,7 @@
         submission.class,
         submission.destination,
         submission.time_limit,
-        submission.again,
+        submission.resubmitted,
         submission.orphan,
         submission.body
     )
