--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -241,7 +241,8 @@
         PERIOD.as_millis()
     );
     let node = one_of_many(&agent, &object).ready();
-    let report = || serde_json::from_str::<Value>(&told(&node, "GET /members")).expect("JSON");
+    let report =
+        || serde_json::from_str::<Value>(&operator_response(&node, "GET /members")).expect("JSON");
     wait_until("the report counts all senders as present", || {
         report()["living"] == MANY
     });
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -30,7 +30,7 @@
 
     /// Creates a sender whose endpoint list contains this endpoint for destination 7.
     fn with_endpoint(endpoint: Endpoint) -> Self {
-        let agent = one(&endpoint);
+        let agent = agent_with_one_endpoint(&endpoint);
         FaultySender::with_agent(endpoint, agent)
     }
 
@@ -150,7 +150,11 @@
     } = &sender;
     let node = sender.start();
     for id in ["first", "second"] {
-        assert_eq!(node.raw(&about("a", "charge", id, 7, 20_000)).0, 202);
+        assert_eq!(
+            node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
+                .0,
+            202
+        );
     }
     wait_until("the first is in flight", || endpoint.times("first") == 1);
     // writes of fewer than 20 bytes fail; only the records of ends and outcomes are that short
@@ -160,13 +164,21 @@
         node.logged("the journal can't be written")
     });
     // no record may follow the one that failed, so no message is accepted or sent
-    assert_eq!(node.raw(&about("b", "charge", "other", 7, 20_000)).0, 503);
+    assert_eq!(
+        node.raw(&message_with_subject("b", "charge", "other", 7, 20_000))
+            .0,
+        503
+    );
     assert_eq!(endpoint.count(), 1);
     drop(node);
     faults.off("journal_short");
     let node = sender.start();
     wait_until("the second is delivered", || endpoint.times("second") >= 1);
-    assert_eq!(node.raw(&about("a", "charge", "third", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "third", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("the third is delivered", || endpoint.times("third") >= 1);
     let calls: Vec<String> = endpoint
         .seen
@@ -344,7 +356,7 @@
                     _ => EIO,
                 };
                 faults.on(fault, errno);
-                let mut process = faults.start_unseen();
+                let mut process = faults.start_without_waiting();
                 let log = process.stderr.take().expect("piped");
                 let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log));
                 let error_line = lines
@@ -411,7 +423,7 @@
     let FaultySender {
         endpoint, faults, ..
     } = &sender;
-    let next = one(endpoint);
+    let next = agent_with_one_endpoint(endpoint);
     let node = sender.start();
     faults.on("config_read", EIO);
     node.move_discovery(&next);
@@ -519,10 +531,10 @@
     let sender = FaultySender::new();
     let faults = &sender.faults;
     faults.on("lock_open", EIO);
-    let mut earlier = faults.start_unseen();
+    let mut earlier = faults.start_without_waiting();
     let log = earlier.stderr.take().expect("piped");
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(log)).map_while(Result::ok);
-    let waiting_line = lines.find(|line| line.contains("the folder's lock is waited for"));
+    let waiting_line = lines.find(|line| line.contains("waiting for the state folder's lock"));
     assert!(
         waiting_line.is_some(),
         "no log line about the wait for the lock"
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -147,7 +147,7 @@
         let text = message("order", &id, destination, 1500, b"body");
         let _first = submit_accepted(&node, &text);
         let mut second = TcpStream::connect(node.address).expect("the sender accepts");
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             second.write_all(&text).expect("written");
             reset(second);
         });
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -30,8 +30,10 @@
 #[test]
 fn pool_report_states_connections_of_endpoint_and_limits() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
-    ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
+    ["m0", "m1", "m2"]
+        .iter()
+        .for_each(|id| deliver(&node, id, 7));
     wait_for_total(&node, "/idle", 1);
     let report = pools(&node);
     let endpoint_report = &report["endpoints"][0];
@@ -70,7 +72,7 @@
         .map(|uid| (uid.as_str(), endpoint.address, "one", 7, "up"))
         .collect();
     let node = Node::with(Agent::new(vec![list(&entries)]).address, 3.0, 60.0).ready();
-    let text = told(&node, "GET /pools");
+    let text = operator_response(&node, "GET /pools");
     assert!(text.len() < 450_000, "{} bytes", text.len());
     let report: Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(
@@ -93,15 +95,15 @@
         .collect();
     let agent = Agent::new(vec![list(&up)]);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
-    (1..=3).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
+    (1..=3).for_each(|dest| deliver(&node, &format!("m{dest}"), dest));
     wait_for_total(&node, "/idle", 3);
     for (version, (uid, dest, state)) in (8..).zip(entries) {
-        agent.tell(changes(
+        agent.announce(changes(
             version,
             &[(uid, endpoint.address, "one", dest, state)],
         ));
         if state == "up" {
-            assert_eq!(node.order("disable", uid), 200);
+            assert_eq!(node.admin_command("disable", uid), 200);
         }
         wait_for_total(&node, "/counts/closes/retired", version - 7);
     }
@@ -111,10 +113,10 @@
 #[test]
 fn endpoint_with_changed_address_and_new_endpoint_at_old_address_share_no_connection() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = one(&old);
+    let agent = agent_with_one_endpoint(&old);
     let node = Node::with(agent.address, 3.0, 60.0).ready();
-    sent(&node, "m1", 7);
-    agent.tell(changes(
+    deliver(&node, "m1", 7);
+    agent.announce(changes(
         8,
         &[
             ("s-1", new.address, "one", 7, "up"),
@@ -122,8 +124,8 @@
         ],
     ));
     wait_for_total(&node, "/endpoints", 2);
-    sent(&node, "m2", 7);
-    sent(&node, "m3", 8);
+    deliver(&node, "m2", 7);
+    deliver(&node, "m3", 8);
     assert_eq!((new.times("m2"), old.times("m3")), (1, 1));
     assert_eq!(
         old.request(1).connection,
@@ -136,7 +138,7 @@
 #[test]
 fn sighup_with_smaller_caps_closes_idle_connections_and_with_invalid_ones_changes_nothing() {
     let (endpoint, gate) = gated_endpoint();
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
         assert_eq!(
@@ -361,7 +363,7 @@
         for &cut in &cuts {
             let id = format!("cut-{dest:08}");
             if reused {
-                sent(&node, &format!("pre-{dest:08}"), dest);
+                deliver(&node, &format!("pre-{dest:08}"), dest);
                 // the connection of this destination, and the one of the measurement
                 wait_for_total(&node, "/idle", 2);
             }
@@ -405,7 +407,7 @@
 #[test]
 fn sender_of_large_fleet_keeps_no_idle_connection_while_connections_are_scarce() {
     let served = Endpoint::new(|_, _| OK);
-    let full = Endpoint::new(|_, _| Reply::Last("503 Service Unavailable"));
+    let full = Endpoint::new(|_, _| Reply::AnswerAndClose("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
     let mut entries = vec![("s-1", served.address, "one", 7, "up")];
     entries.extend(
@@ -432,7 +434,7 @@
     wait_until("new connections are rejected", || full.count() >= 6);
     deliver("d");
     wait_until("the idle connection is closed", || {
-        told(&node, "GET /pools").contains(r#""scarce":1"#)
+        operator_response(&node, "GET /pools").contains(r#""scarce":1"#)
     });
     deliver("e");
     assert!(
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -87,7 +87,7 @@
     let (sent_at, window) = (Instant::now(), Duration::from_secs(1));
     // m1 may have run. The endpoint drops repeats for 1 s after the first call, so the sender may
     // retry only within that time and after a backoff. Meanwhile m2 uses the only connection.
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         drop(first_connection);
         client
             .write(&message("order", "m2", 7, 20_000, b"body"))
@@ -126,7 +126,7 @@
         // after 300 ms of idleness each connection may be closed to make room
         std::thread::sleep(Duration::from_millis(300));
         let mut next = None;
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             next = Some(Client::new(&node));
             clients
                 .iter_mut()
@@ -148,7 +148,7 @@
 /// a connection had been closed before.
 fn send_at_idle_close(node: &Node, clients: &mut [Client], status: u16) -> bool {
     let mut sent_before_close = false;
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         sent_before_close = !clients.iter_mut().any(Client::has_ended);
         std::thread::sleep(Duration::from_millis(600));
         clients
@@ -226,7 +226,7 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
-    node.at_one_moment(|| {
+    node.while_stopped(|| {
         stream.write_all(head).expect("written");
         stream.write_all(&vec![b'x'; 90_000]).expect("written");
     });
@@ -269,7 +269,7 @@
     // a complete status line counts even if the rest of the head is missing
     for (answer, late_bytes) in [(ANSWER, &b""[..]), (b"HTTP/1.1 200 OK\r\nX-Long: ", b"x")] {
         let (node, mut stream, sent_at) = start_keyed_call(&endpoint, &agent);
-        node.at_one_moment(|| {
+        node.while_stopped(|| {
             std::thread::sleep(Duration::from_millis(1300).saturating_sub(sent_at.elapsed()));
             stream.write_all(answer).expect("taken");
         });
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -23,7 +23,7 @@
 #[test]
 fn delivered_message_reaches_endpoint_unchanged_and_is_never_sent_again() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.count() == 1);
@@ -48,8 +48,10 @@
 fn messages_in_sequence_share_one_connection() {
     // guards against a new connection for each call; the idle timeout of 60 s is longer than the test takes
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
-    ["m0", "m1", "m2"].iter().for_each(|id| sent(&node, id, 7));
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
+    ["m0", "m1", "m2"]
+        .iter()
+        .for_each(|id| deliver(&node, id, 7));
     assert_eq!(
         (
             endpoint.count(),
@@ -77,7 +79,7 @@
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with_sockets(agent.address, 3.0, 60.0, 60).ready();
     let before = node.descriptors();
-    (0..30).for_each(|dest| sent(&node, &format!("m{dest}"), dest));
+    (0..30).for_each(|dest| deliver(&node, &format!("m{dest}"), dest));
     // wait, since a client connection may still be closing
     wait_until("at most 20 connections are kept", || {
         node.descriptors() <= before + 20
@@ -89,10 +91,10 @@
 fn idle_connection_is_closed_before_endpoint_idle_timeout() {
     // guards against writing a request to a connection that the endpoint is about to close
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
-    sent(&node, "m0", 7);
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 1.0).ready();
+    deliver(&node, "m0", 7);
     std::thread::sleep(Duration::from_millis(1000)); // the endpoint's idle timeout
-    sent(&node, "late", 7);
+    deliver(&node, "late", 7);
     assert_eq!((endpoint.count(), endpoint.request(1).connection), (2, 1));
 }
 
@@ -106,11 +108,11 @@
             OK
         }
     });
-    let node = Node::with(one(&endpoint).address, 3.0, 60.0).ready();
+    let node = Node::with(agent_with_one_endpoint(&endpoint).address, 3.0, 60.0).ready();
     let began = Instant::now();
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     std::thread::sleep(Duration::from_millis(400));
-    sent(&node, "m2", 7);
+    deliver(&node, "m2", 7);
     assert_eq!(endpoint.times("m2"), 2, "the message is retried");
     assert_eq!(
         endpoint.request(1).connection,
@@ -119,7 +121,7 @@
     );
     // at least as long an idle time as before
     std::thread::sleep(began.elapsed());
-    sent(&node, "m3", 7);
+    deliver(&node, "m3", 7);
     assert_eq!(
         endpoint.request(3).connection,
         2,
@@ -130,7 +132,7 @@
 #[test]
 fn invalid_requests_are_rejected_and_do_no_harm() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let good = String::from_utf8(message("webhook", "m1", 7, 9000, b"x")).expect("text");
     let without = |name: &str| {
         let lines = good
@@ -205,7 +207,7 @@
 #[test]
 fn memory_per_delivered_message_excludes_its_request_head() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let mut client = Client::new(&node);
     let before = node.memory();
     // guards against ids that keep the 20 KB read buffer of their request in memory
@@ -224,7 +226,7 @@
 #[test]
 fn resubmitted_pending_message_is_sent_once() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
@@ -249,7 +251,11 @@
     ])]);
     let node = Node::new(&agent).ready();
     let charge = |node: &Node, subject: &str, id: &str, dest: u64| {
-        assert_eq!(node.raw(&about(subject, "charge", id, dest, 20_000)).0, 202);
+        assert_eq!(
+            node.raw(&message_with_subject(subject, "charge", id, dest, 20_000))
+                .0,
+            202
+        );
     };
     charge(&node, "a", "a1", 7);
     wait_until("the first message is sent", || endpoint.times("a1") == 1);
@@ -280,7 +286,14 @@
         "sent while the first message of its subject is pending"
     );
     assert_eq!(
-        node.raw(&about("e&subject=f", "charge", "e1", 8, 20_000)).0,
+        node.raw(&message_with_subject(
+            "e&subject=f",
+            "charge",
+            "e1",
+            8,
+            20_000
+        ))
+        .0,
         400
     );
 }
@@ -294,11 +307,19 @@
             OK
         }
     });
-    let agent = one(&endpoint);
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    let agent = agent_with_one_endpoint(&endpoint);
+    agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.raw(&about("a", "charge", "a1", 7, 20_000)).0, 202);
-    assert_eq!(node.raw(&about("a", "charge", "a2", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "a1", 7, 20_000))
+            .0,
+        202
+    );
+    assert_eq!(
+        node.raw(&message_with_subject("a", "charge", "a2", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("the notification of the first message fails", || {
         node.logged("notices answered 500")
     });
@@ -307,12 +328,16 @@
     wait_until("the notification fails again", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(node.raw(&about("b", "charge", "b1", 7, 20_000)).0, 202);
+    assert_eq!(
+        node.raw(&message_with_subject("b", "charge", "b1", 7, 20_000))
+            .0,
+        202
+    );
     wait_until("a message of another subject is sent", || {
         endpoint.times("b1") == 1
     });
     assert_eq!(endpoint.times("a2"), 0);
-    agent.faults.store(0, Ordering::SeqCst);
+    agent.failing_posts.store(0, Ordering::SeqCst);
     wait_until("the second message is sent", || endpoint.times("a2") == 1);
     assert_eq!(agent.notices(), [failed("a1")]);
 }
@@ -330,9 +355,14 @@
         }
         _ => Reply::Silence,
     });
-    let node = Node::new(&one(&endpoint)).ready();
-    let hand_in =
-        |tenant, id| assert_eq!(node.raw(&of_tenant(tenant, "order", id, 7, 20_000)).0, 202);
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
+    let hand_in = |tenant, id| {
+        assert_eq!(
+            node.raw(&message_of_tenant(tenant, "order", id, 7, 20_000))
+                .0,
+            202
+        )
+    };
     for id in ["first0", "first1"] {
         hand_in("beta", id);
     }
@@ -358,7 +388,7 @@
     // guards against peers that occupy client connections without a request; the time limit of a body is shorter than
     // that of a head, so the connection with half a body is closed first under any load
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
     let (order, ends) = std::sync::mpsc::channel();
     for (name, part) in [
@@ -396,7 +426,7 @@
 #[test]
 fn clients_use_at_most_a_third_of_descriptors() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::with_sockets(one(&endpoint).address, 3.0, 5.0, 60).ready();
+    let node = Node::with_sockets(agent_with_one_endpoint(&endpoint).address, 3.0, 5.0, 60).ready();
     let mut clients: Vec<Client> = (0..25).map(|_| Client::new(&node)).collect();
     let ready = b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n";
     for client in &mut clients {
@@ -429,7 +459,7 @@
         failed.push(id);
         first.clone()
     });
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("the message with a key is sent", || {
@@ -466,7 +496,7 @@
 fn message_answered_200_is_complete() {
     assert_eq!(sends_after_first_reply(OK), (1, 1, vec![]));
     assert_eq!(
-        sends_after_first_reply(Reply::Last("200 OK")),
+        sends_after_first_reply(Reply::AnswerAndClose("200 OK")),
         (1, 1, vec![])
     );
 }
@@ -486,7 +516,7 @@
 #[test]
 fn message_with_malformed_answer_is_retried_only_with_key() {
     assert_eq!(
-        sends_after_first_reply(Reply::Last("nonsense\r\n\x01")),
+        sends_after_first_reply(Reply::AnswerAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -506,7 +536,7 @@
         );
     }
     assert_eq!(
-        sends_after_first_reply(Reply::Last("2x0 OK")),
+        sends_after_first_reply(Reply::AnswerAndClose("2x0 OK")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -544,7 +574,7 @@
 #[test]
 fn message_answered_410_ends_without_notification() {
     let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("the message is sent", || endpoint.count() == 1);
@@ -591,7 +621,7 @@
             OK
         }
     });
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message is sent", || endpoint.count() == 1);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
@@ -678,7 +708,7 @@
             OK
         }
     });
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
@@ -689,14 +719,14 @@
         node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("the notification fails", || {
         node.logged("notices answered 500")
     });
     let mut node = node;
     node.kill();
-    agent.faults.store(0, Ordering::SeqCst);
+    agent.failing_posts.store(0, Ordering::SeqCst);
     let other = Endpoint::new(|_, _| OK);
     let lines = list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
@@ -725,7 +755,7 @@
 #[test]
 fn message_whose_deadline_passed_while_down_is_notified_at_restart() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 3_000, b"x"), 202);
     node.kill();
@@ -770,7 +800,7 @@
 #[test]
 fn full_journal_rejects_messages_and_stays_within_its_limit() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
@@ -808,7 +838,7 @@
 #[test]
 fn full_journal_accepts_messages_again_after_pending_ones_end() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
@@ -828,7 +858,7 @@
 fn sigterm_drains_and_answers_every_client() {
     // guards against closing connections with an unanswered request, and against an exit with calls in flight
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     let mut client = Client::new(&node);
     assert_eq!(
@@ -867,7 +897,7 @@
 #[test]
 fn message_accepted_at_end_of_drain_is_sent_after_restart() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
     wait_until("draining", || node.logged("draining"));
@@ -940,7 +970,7 @@
 fn sighup_with_new_discovery_address_keeps_sender_running() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let (before, after) = (
-        one(&old),
+        agent_with_one_endpoint(&old),
         Agent::new(vec![list(&[("s-2", new.address, "one", 8, "up")])]),
     );
     let node = Node::new(&before).ready();
@@ -975,9 +1005,9 @@
 fn closed_log_pipe_does_not_end_sender() {
     // guards against eprintln!, which panics when its pipe is closed
     let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
-    let agent = one(&endpoint);
+    let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
-    node.log_closes();
+    node.close_log();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("the notification", || {
         agent.notices().contains(&failed("m1"))
@@ -992,7 +1022,7 @@
 #[test]
 fn message_of_client_that_disconnects_before_its_answer_is_not_sent() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let text = message("webhook", "m1", 7, 20_000, b"12345");
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
