--- a/src/decisions/connection_scarcity.rs
+++ b/src/decisions/connection_scarcity.rs
@@ -5,8 +5,8 @@
 use super::state::{RouteId, seconds};
 use crate::interface::{Action, EndpointId, Outcome};
 
-/// Weight of one call that found no connection in the scarcity scores of its endpoint and of its
-/// kind of destination.
+/// Weight that one call without a connection has in the scarcity scores of its endpoint and of its
+/// kind of destination. Higher reacts to fewer such calls.
 const SCARCITY_WEIGHT: f64 = 0.2;
 /// Scarcity score above which idle connections are closed. Lower frees connections of an endpoint
 /// sooner; higher saves handshakes.
@@ -17,7 +17,7 @@
         &mut self,
         endpoint: EndpointId,
         outcome: Outcome,
-        others_succeed: bool,
+        route_succeeds: bool,
     ) {
         let Some(endpoint) = self.endpoints.get_mut(&endpoint) else {
             return;
@@ -26,7 +26,7 @@
         for score in [kind_scarcity, &mut endpoint.connection_scarcity] {
             match outcome {
                 // where no call succeeds the endpoint is unavailable, not short of connections
-                Outcome::NoConnection if others_succeed => {
+                Outcome::NoConnection if route_succeeds => {
                     *score += SCARCITY_WEIGHT * (1.0 - *score);
                 }
                 Outcome::Success => *score -= SCARCITY_WEIGHT * SCARCITY_THRESHOLD * *score,
@@ -52,7 +52,8 @@
     /// to an endpoint of a kind whose connections are scarce, if the route makes less than one call
     /// per idle timeout: they would time out before their next use. Protects endpoints that accept
     /// few connections against hundreds of senders that each keep one idle. Drawback: where traffic
-    /// comes in bursts with long pauses, the next call pays for a handshake.
+    /// comes in bursts with long pauses, the next call needs a handshake. Closes nothing while a
+    /// call to the endpoint is in flight.
     pub(super) fn close_idle_connection(
         &mut self,
         route: RouteId,
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -9,7 +9,7 @@
 /// An attempt that has started and has no outcome yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightAttempt {
-    /// Message that the attempt delivers.
+    /// Id of the message that the attempt carries.
     pub message: MessageId,
     /// Position of the attempt among the message's attempts, starting from 0.
     pub number: usize,
@@ -18,8 +18,8 @@
 }
 
 impl Sender {
-    /// Returns the number of attempts that have started and have no outcome yet. The host has as
-    /// many in flight.
+    /// Returns the number of attempts that have started and have no outcome yet. The host must have
+    /// the same number in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.calls.values().map(|call| call.pending).sum()
     }
@@ -57,8 +57,9 @@
 
     /// Returns the number of listed destinations, and the demand of this sender. The demand covers
     /// every destination if at most `max_complete` are listed. Otherwise it covers only those where
-    /// messages wait, calls are in flight, or something has changed since the last call of this
-    /// function.
+    /// a message has changed since the last call of this function, and those whose demand must be
+    /// returned again even without a change. While changes are not recorded, as before the first
+    /// call, it covers those where messages wait or to which calls were made.
     pub fn demand_in_use(
         &mut self,
         max_complete: usize,
@@ -98,11 +99,11 @@
 
     fn add_demand_of(&self, route: &Route, demand: &mut Demand) {
         let overload_span = self.settings.safety.overload_span;
-        let own_calls_fail = route.failed_at > route.alive_at || route.unanswered > 0;
+        let own_calls_fail = route.failed_at > route.last_answer_at || route.unanswered > 0;
         demand.in_flight += route.in_flight as u64;
         demand.sent += route.sent;
         demand.unhealthy |= route.health != Health::Healthy;
         demand.failing |= route.is_ejected() && own_calls_fail;
-        demand.alive |= route.succeeded && self.now - route.alive_at < overload_span;
+        demand.alive |= route.succeeded && self.now - route.last_answer_at < overload_span;
     }
 }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -12,7 +12,7 @@
     /// Position of the attempt among the attempts of the message.
     pub attempt: usize,
     pub outcome: Outcome,
-    /// Time in microseconds since the attempt was sent.
+    /// Time in microseconds from the send of the attempt to its end.
     pub latency: Micros,
     /// Load report that came with the answer; empty if there was none.
     pub report: &'a [f64],
@@ -27,12 +27,12 @@
     sent: Micros,
 }
 
-/// Properties of the call whose attempt has just ended, which remain valid if the call ended with
-/// it.
+/// Copy of the properties of a call that are needed after one of its attempts has ended. The call
+/// itself is removed with its last attempt.
 struct EndedCall {
     route: RouteId,
-    /// True if no other message of the call ended before. Only the first outcome of a call is used
-    /// to judge its route.
+    /// True if no attempt of the call ended before this one. Only the first outcome of a call is
+    /// used to judge its endpoint and its route.
     is_first_outcome: bool,
 }
 
@@ -44,8 +44,9 @@
     pub sent: Micros,
     pub outcome: Outcome,
     pub latency: Micros,
-    /// Random fraction of a token, from 0 to 1; drawn once for each observation.
-    pub random_phase: f64,
+    /// Random number of tokens, from 0 to 1, to which a decrease of the rate limit may set the
+    /// token bucket of the route; drawn once for each observation.
+    pub random_tokens: f64,
 }
 
 impl Sender {
@@ -86,7 +87,7 @@
             sent: attempt.sent,
             outcome: result.outcome,
             latency: result.latency,
-            random_phase: self.random_phase(),
+            random_tokens: self.random_tokens(),
         };
         self.observe_endpoint(&observation);
         self.observe_route(&observation, actions);
@@ -114,7 +115,8 @@
         Some(ended)
     }
 
-    /// Ends one message of a call, and the call itself with its last message.
+    /// Counts an ended attempt in its call, and removes the call with its last attempt. Returns
+    /// `None` if the call is not known.
     fn end_call_of(
         &mut self,
         attempt: &EndedAttempt,
@@ -141,15 +143,15 @@
     fn observe_endpoint(&mut self, observation: &Observation) {
         let route = self.route_mut(observation.route);
         let response_limit = route.response_limit();
-        let others_succeed = route.succeeded;
-        self.record_connection(observation.endpoint, observation.outcome, others_succeed);
+        let route_succeeds = route.succeeded;
+        self.record_connection(observation.endpoint, observation.outcome, route_succeeds);
         self.record_class_outcome(observation, response_limit);
     }
 
     fn observe_route(&mut self, observation: &Observation, actions: &mut Vec<Action>) {
         let now = self.now;
         let route = self.route_mut(observation.route);
-        route.record_signs_of_life(observation.outcome, now);
+        route.record_outcome_times(observation.outcome, now);
         match observation.outcome {
             Outcome::Success => self.observe_success(observation, actions),
             Outcome::Rejected { retry_after } => {
@@ -196,14 +198,15 @@
                 known_rate: route.known_rate(now, contention),
                 success_rate: success_rate * (1.0 - contention),
                 senders,
-                // a Retry-After delay keeps all senders away until there is room, so this decrease
-                // is a full one
+                // contention makes a decrease smaller and adds a pause. With a Retry-After delay the
+                // decrease is a full one without that pause: this sender sends nothing on the route
+                // until the delay ends, when the destination should have room again.
                 contention: if retry_after.is_some() {
                     0.0
                 } else {
                     contention
                 },
-                random_phase: observation.random_phase,
+                random_tokens: observation.random_tokens,
             };
             route.decrease_rate_limit(&decrease);
         }
@@ -234,7 +237,7 @@
                 success_rate: success_rate * (1.0 - contention),
                 senders,
                 contention,
-                random_phase: observation.random_phase,
+                random_tokens: observation.random_tokens,
             };
             route.decrease_rate_limit(&decrease);
         }
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -15,16 +15,16 @@
 /// All lagging and ejected routes together may hold only a part of the call slots. Lower isolates
 /// slow routes sooner; higher leaves room for long but healthy calls.
 const LAGGING_LATENCIES: i64 = 4;
-/// Number of hedge delays after which a call counts as lost if no call slot is free and the route
-/// has answered other calls meanwhile. No event occurs at that time, so a turn has to be scheduled
-/// for it.
-pub(super) const OVERTAKEN_HEDGE_DELAYS: i64 = 5;
-/// Multiples of the response limit at which a call is looked at again: its route may have to be
-/// ejected, or the call cancelled.
+/// Number of hedge delays after which an attempt counts as lost if no call slot is free, its
+/// message may be repeated and its route has answered meanwhile. No event occurs at that time, so a
+/// turn has to be scheduled for it.
+pub(super) const LOST_HEDGE_DELAYS: i64 = 5;
+/// Ages of a call, as multiples of the response limit, at which a turn is scheduled to check it:
+/// its route may have to be ejected, or its attempts cancelled.
 const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
 
 impl Sender {
-    /// Ejects routes that answer nothing while calls wait far beyond the usual latency. Protects
+    /// Ejects routes that answer nothing while calls wait longer than the response limit. Protects
     /// call slots against hung, vanished or very slow destinations that would fill the slots of
     /// healthy ones. Since it could eject a route whose only traffic is one long call, a single
     /// call gets twice the time.
@@ -74,13 +74,14 @@
         (self.hedge_delay() * RESPONSE_LIMIT_HEDGE_DELAYS).max(MIN_RESPONSE_LIMIT)
     }
 
-    /// Returns the times at which a turn has to look at the call again.
+    /// Returns the times at which a turn has to check the call: its route may have to be ejected,
+    /// or its attempts cancelled.
     fn observation_times(&self, call: &Call, is_full: bool) -> impl Iterator<Item = Micros> {
         let response_limit = self.response_limit();
-        let overtaken_at = call.sent + OVERTAKEN_HEDGE_DELAYS * self.hedge_delay();
+        let lost_at = call.sent + LOST_HEDGE_DELAYS * self.hedge_delay();
         let sent = call.sent;
-        let limits = OBSERVED_RESPONSE_LIMITS.map(|limits| sent + limits * response_limit);
-        let times = limits.into_iter().chain(is_full.then_some(overtaken_at));
+        let limit_times = OBSERVED_RESPONSE_LIMITS.map(|multiple| sent + multiple * response_limit);
+        let times = limit_times.into_iter().chain(is_full.then_some(lost_at));
         times.map(|at| at + MILLISECOND)
     }
 
@@ -88,7 +89,7 @@
         let age = now - call.sent;
         let usual_latency = self.usual_latency.unwrap_or(INITIAL_HEDGE_DELAY);
         self.is_lagging |= age > MIN_RESPONSE_LIMIT.max(usual_latency * LAGGING_LATENCIES);
-        if self.alive_at < call.sent {
+        if self.last_answer_at < call.sent {
             let is_unanswered = age > self.response_limit() && !call.is_hedge;
             self.unanswered += usize::from(is_unanswered);
             self.oldest_unanswered = self.oldest_unanswered.max(age);
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
     health: HealthRank,
-    /// True if the last messages of the same class failed at the endpoint.
+    /// True if the last messages of the same class have recently failed at the endpoint.
     is_avoided: bool,
     /// Number of earlier attempts of the message at the endpoint.
     attempts: usize,
@@ -163,8 +163,8 @@
         let route = self.route_mut(route);
         let usual_latency = route.usual_latency.unwrap_or(0);
         let slow_latency = route.hedge_delay();
-        // a call that the end of the process cuts off may have run; the successor can make a
-        // complete one instead
+        // the destination may have processed a call that is cut off by the end of this process; the
+        // successor can make a complete call instead
         let is_cut_off = self
             .shutdown_at
             .is_some_and(|at| self.now + slow_latency > at);
@@ -183,7 +183,8 @@
         let route = self.route_mut(id);
         let rate = route.allowed_rate(&safety, senders, now);
         route.refill_tokens(now, rate);
-        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.may_risk(call) {
+        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.health_allows(call)
+        {
             return false;
         }
         let is_advised = route.has_room_for(call, are_unhealthy_full);
@@ -221,23 +222,23 @@
             return 0;
         }
         let calls = self.calls.values();
-        let here = calls.filter(|call| call.endpoint == option.endpoint);
-        here.count() + usize::from(route.endpoint.is_none())
+        let calls_to_endpoint = calls.filter(|call| call.endpoint == option.endpoint);
+        calls_to_endpoint.count() + usize::from(route.endpoint.is_none())
     }
 }
 
 impl Route {
-    /// Returns false if the health of the route speaks against the call, even if the route has
-    /// tokens for it.
-    fn may_risk(&self, call: ProposedCall) -> bool {
+    /// Returns false if the call should not be made because of the health of the route, or if it is a
+    /// hedge on a healthy route that would leave no token to other calls.
+    fn health_allows(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
-                // a non-idempotent message that may be lost on a failing route could not be sent
-                // again
+                // a non-idempotent message that is lost on a failing route can't be sent again
                 let may_be_failing = self.oldest_unanswered > self.hedge_delay();
                 let is_risky = call.is_non_idempotent && may_be_failing;
-                let spares_hedge = call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
-                !is_risky && !spares_hedge
+                let lacks_tokens_for_hedge =
+                    call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
+                !is_risky && !lacks_tokens_for_hedge
             }
             Health::Recovering { .. } => {
                 let is_risky = call.is_non_idempotent && self.failure_score > TRUSTED_SCORE;
@@ -251,8 +252,8 @@
     /// call.
     fn has_room_for(&self, call: ProposedCall, are_unhealthy_full: bool) -> bool {
         if self.is_ejected() {
-            // a non-idempotent message is risked on an ejected route only if the route rejects
-            // calls, or if no other message uses the tokens
+            // a non-idempotent message is sent on an ejected route only if the route rejects calls,
+            // because a rejected message can be sent again, or if no other message uses the tokens
             let is_risky = call.is_non_idempotent && self.consecutive_rejections == 0;
             let needed = if is_risky {
                 TOKENS_OF_RISKY_CALL
