--- a/src/net/calls/run.rs
+++ b/src/net/calls/run.rs
@@ -55,10 +55,10 @@
         self.unreported[item] = false;
         let end = AttemptEnd {
             call: self.call,
-            item,
+            position: item,
             outcome: result.outcome,
             proof: result.proof,
-            report: load_report,
+            load_report,
             retry_after,
         };
         // nobody listens any more only when the process ends
@@ -171,7 +171,7 @@
     if outcome == Outcome::Cancelled && answer_bytes == 0 {
         return;
     }
-    message_log::record_call(&IncompleteCall {
+    message_log::log_incomplete_call(&IncompleteCall {
         address: call.target.address,
         ids: call.items.iter().map(|item| &item.id).collect(),
         outcome,
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -81,11 +81,11 @@
 fn file_with_every_key_gives_known_list() {
     let known = every_key().known_list.expect("a list");
     assert_eq!(
-        (known.version, known.full, known.targets.len()),
+        (known.version, known.full, known.entries.len()),
         (9, true, 3)
     );
     let read = |at: usize| {
-        let target = &known.targets[at];
+        let target = &known.entries[at];
         let text = [
             target.uid.as_str(),
             target.zone.as_str(),
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -124,7 +124,7 @@
     let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets }))
         .expect("a list");
     let mut text = format!("version {}, full {}\n", list.version, list.full);
-    for listed in &list.targets {
+    for listed in &list.entries {
         text += &format!(
             "{} {} zone {:?} kind {:?} destination {} status {} weight {}\n",
             listed.uid,
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -67,7 +67,7 @@
     Some(ListUpdate {
         version: line.rev,
         full: line.all,
-        targets: targets.collect(),
+        entries: targets.collect(),
     })
 }
 
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -67,8 +67,8 @@
         let Some(record) = self.permit_and_record(attempt, &uid, now, open) else {
             return self.attempt_not_sent(attempt);
         };
-        if let Some(begun) = self.messages.attempt_mut(attempt.message, attempt.number) {
-            begun.record = Some(record);
+        if let Some(held_attempt) = self.messages.attempt_mut(attempt.message, attempt.number) {
+            held_attempt.record = Some(record);
         }
         let began = MessageEvent::AttemptBegan {
             number: attempt.number,
@@ -147,10 +147,10 @@
         if end.outcome != Outcome::Success || end.proof.is_some() {
             return end;
         }
-        let AttemptEnd { call, item, .. } = end;
+        let AttemptEnd { call, position, .. } = end;
         self.violations.count(
             Violation::UnprovedSuccess,
-            format_args!("call {call}, item {item}"),
+            format_args!("call {call}, position {position}"),
         );
         AttemptEnd {
             outcome: Outcome::Error,
@@ -161,11 +161,12 @@
     /// Handles the end of an attempt that its call has reported.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let end = self.with_proved_success(end);
-        let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.item) else {
-            let AttemptEnd { call, item, .. } = end;
+        let Some((message, number)) = self.calls_in_flight.attempt_at(end.call, end.position)
+        else {
+            let AttemptEnd { call, position, .. } = end;
             return self.violations.count(
                 Violation::OutcomeUnknown,
-                format_args!("call {call}, item {item}"),
+                format_args!("call {call}, position {position}"),
             );
         };
         let Some(attempt) = self.messages.end_attempt(message, number) else {
@@ -211,7 +212,7 @@
             outcome: end.outcome,
             latency: now - attempt.sent_at,
             complete: !self.messages.is_open(message),
-            report: end.report,
+            report: end.load_report,
         });
         self.messages.forget_if_done(message);
     }
@@ -219,7 +220,7 @@
     /// Finds attempts that the decision module counts as in flight and the driver does not. Their
     /// outcome would never come, so each gets the outcome of a lost call. Returns false if there
     /// are none.
-    pub(super) fn find_lost_attempts(&mut self) -> bool {
+    pub(super) fn end_lost_attempts(&mut self) -> bool {
         if self.sender.attempts_in_flight() == self.messages.attempts_in_flight() {
             return false;
         }
@@ -242,7 +243,7 @@
             return;
         };
         let call = attempt.call;
-        let item = attempt.item;
+        let position = attempt.position;
         self.log_event(message, &MessageEvent::AttemptCancelled { number });
         let Some(in_flight) = self.calls_in_flight.get(call) else {
             return self.violations.count(
@@ -252,9 +253,9 @@
         };
         // the send fails only if the call has just ended, and then its outcome is already queued
         match (&in_flight.cancels, &self.predecessor) {
-            (Some(cancels), _) => drop(cancels.send(item)),
+            (Some(cancels), _) => drop(cancels.send(position)),
             (None, Some(predecessor)) => {
-                predecessor.send(HandoverMessage::CancelAttempt { call, item });
+                predecessor.send(HandoverMessage::CancelAttempt { call, position });
             }
             (None, None) => {}
         }
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -93,8 +93,8 @@
     }
 
     /// Returns the message and attempt number at a position of a call.
-    pub fn attempt_at(&self, call: u64, item: usize) -> Option<(MessageId, usize)> {
-        self.calls.get(&call)?.items.get(item).copied()
+    pub fn attempt_at(&self, call: u64, position: usize) -> Option<(MessageId, usize)> {
+        self.calls.get(&call)?.items.get(position).copied()
     }
 
     /// Returns the number that the next new call will get.
@@ -149,7 +149,7 @@
             items.push(held.item.clone());
             if let Some(attempt) = held.attempts.get_mut(attempt) {
                 attempt.call = number;
-                attempt.item = position;
+                attempt.position = position;
             }
         }
         let (cancels, cancelled) = mpsc::unbounded_channel();
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -83,7 +83,7 @@
         let id = pending.item.id.clone();
         let unfinished = self.journal.unfinished().get(&message.0);
         let deadline = unfinished.map_or(Micros::MIN, |unfinished| unfinished.accepted.deadline);
-        message_log::record(&id, &MessageEvent::EndedUndelivered(outcome));
+        message_log::log_event(&id, &MessageEvent::EndedUndelivered(outcome));
         self.journal.end_undelivered(message, outcome);
         self.lifecycle.close(message);
         self.messages.close(message);
@@ -112,7 +112,7 @@
         let AcceptedNotifications { numbers, proof } = accepted;
         for message in numbers.into_iter().map(MessageId) {
             if let Some(held) = self.journal.unfinished().get(&message.0) {
-                message_log::record_text(&held.accepted.id, &MessageEvent::Notified);
+                message_log::log_event_of_id(&held.accepted.id, &MessageEvent::Notified);
             }
             self.end_counts.count(proof);
             self.journal.complete(message, proof);
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -174,12 +174,12 @@
 
     fn receive_from_successor(&mut self, message: HandoverMessage) {
         match message {
-            HandoverMessage::CancelAttempt { call, item } => {
+            HandoverMessage::CancelAttempt { call, position } => {
                 let call = self.calls_in_flight.get(call);
                 if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
                     // the send fails only if the call has just ended, and then its outcome is
                     // already queued
-                    let _ = cancels.send(item);
+                    let _ = cancels.send(position);
                 }
             }
             HandoverMessage::Answered { number, result } => {
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -16,7 +16,7 @@
     pub version: u64,
     /// True if agreement is on. The list then comes from the registry, and versions below the one
     /// in force are rejected.
-    pub rules_agreed: bool,
+    pub is_agreement_on: bool,
     /// True since an older version was received. Later changes build on that older list and are
     /// rejected as well.
     is_behind: bool,
@@ -28,15 +28,15 @@
     /// That happens after a registry was restored from an older folder. Updates are accepted again
     /// from the first full list that is not older.
     fn rejects(&mut self, update: &ListUpdate) -> bool {
-        if !self.rules_agreed {
+        if !self.is_agreement_on {
             return false;
         }
         self.is_behind = update.version < self.version || self.is_behind && !update.full;
         if self.is_behind {
-            let found = update.version;
-            let known = self.version;
+            let rejected = update.version;
+            let in_force = self.version;
             self.behind_log.log(format_args!(
-                "discovery: ignoring list version {found}, {known} is in force"
+                "discovery: ignoring list version {rejected}, {in_force} is in force"
             ));
         }
         self.is_behind
@@ -65,9 +65,9 @@
     }
 
     /// Applies the list of the configuration file, which may be older than discovery's.
-    pub(super) fn apply_known_list(&mut self, update: ListUpdate) {
+    pub(super) fn apply_configured_list(&mut self, update: ListUpdate) {
         // an empty list sets no version, so that the first request to discovery gets the full list
-        if !update.targets.is_empty() {
+        if !update.entries.is_empty() {
             self.set_list_version(update.version);
         }
         self.apply_entries(update, ListScope::Stale);
@@ -82,8 +82,8 @@
         if update.full {
             self.endpoints.unlist_all();
         }
-        let mut entries = Vec::with_capacity(update.targets.len());
-        for listed in update.targets {
+        let mut entries = Vec::with_capacity(update.entries.len());
+        for listed in update.entries {
             let entry = self.apply_entry(listed);
             if !update.full {
                 self.update_pool(entry.endpoint);
@@ -108,9 +108,9 @@
         let zone = position(&self.names.zones, &listed.zone) as u16;
         let endpoint = self.endpoints.id_or_new(&listed.uid);
         if let Some(record) = self.endpoints.get_mut(endpoint) {
-            if let Some(address) = record.address.filter(|&before| before != listed.address) {
-                let before = EndpointAddress { address, endpoint };
-                self.calls.connections().set_serving(before, false);
+            if let Some(address) = record.address.filter(|&old| old != listed.address) {
+                let old_address = EndpointAddress { address, endpoint };
+                self.calls.connections().set_serving(old_address, false);
             }
             record.address = Some(listed.address);
             record.listed = listed.status != EndpointStatus::Removed;
@@ -174,8 +174,8 @@
         let separate_routes = kind.is_some_and(|kind| kind.separate_routes);
         for (other, record) in self.endpoints.iter() {
             let same_route = !separate_routes && record.destination == origin.destination;
-            let concerned = other == endpoint || same_route;
-            if let Some(address) = record.address.filter(|_| concerned) {
+            let is_delayed = other == endpoint || same_route;
+            if let Some(address) = record.address.filter(|_| is_delayed) {
                 let endpoint_address = EndpointAddress {
                     address,
                     endpoint: other,
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -61,7 +61,7 @@
 }
 
 /// Returns the current state of an endpoint; `None` if it is not listed.
-fn known_snapshot(record: &EndpointRecord) -> Option<EndpointSnapshot> {
+fn current_snapshot(record: &EndpointRecord) -> Option<EndpointSnapshot> {
     record.listed.then(|| EndpointSnapshot {
         up: record.serving,
         destination: record.destination,
@@ -89,34 +89,34 @@
     }
 
     /// Returns the entry with only the changes that are allowed now; `None` if nothing of it may be
-    /// used. `before` is the current state of the endpoint.
+    /// used. `current` is the current state of the endpoint.
     fn filter(
         &mut self,
         now: u64,
         mut entry: ListedEndpoint,
-        before: Option<EndpointSnapshot>,
+        current: Option<EndpointSnapshot>,
     ) -> Option<ListedEndpoint> {
         self.held_back.remove(&entry.uid);
-        let resource = resource_change(before.as_ref(), &listed_snapshot(&entry));
-        let verdict = resource.map(|resource| self.check.check_changes(now, &resource));
-        let Some(Err(error)) = verdict else {
+        let resource = resource_change(current.as_ref(), &listed_snapshot(&entry));
+        let check_result = resource.map(|resource| self.check.check_changes(now, &resource));
+        let Some(Err(error)) = check_result else {
             return Some(entry);
         };
         self.held_back_count += 1;
         net::log(format_args!("freeze: {} is held: {error}", entry.uid));
         self.held_back.insert(entry.uid.clone(), entry.clone());
-        let before = before?;
-        if before.destination == entry.destination && before.zone == entry.zone {
+        let current = current?;
+        if current.destination == entry.destination && current.zone == entry.zone {
             // keep the endpoint's current weight and status
-            entry.weight = before.weight;
-            entry.status = if before.up {
+            entry.weight = current.weight;
+            entry.status = if current.up {
                 EndpointStatus::Serving
             } else {
                 EndpointStatus::Draining
             };
         } else {
-            entry.destination = before.destination;
-            entry.zone = before.zone;
+            entry.destination = current.destination;
+            entry.zone = current.zone;
             entry.status = EndpointStatus::Removed;
         }
         Some(entry)
@@ -150,12 +150,14 @@
                 None => self.freeze = Some(Box::new(FreezeFilter::new(now, settings))),
             },
             FreezeChange::Calendar {
-                asked_at,
-                fresh_for,
+                polled_at,
+                override_valid_for,
                 update,
             } => {
                 if let Some(filter) = &mut self.freeze {
-                    filter.check.apply_update(asked_at, now, fresh_for, update);
+                    filter
+                        .check
+                        .apply_update(polled_at, now, override_valid_for, update);
                 }
             }
         }
@@ -174,37 +176,37 @@
             return update;
         };
         if update.full {
-            filter.retain_listed(&update.targets);
+            filter.retain_listed(&update.entries);
         }
         // without any listed endpoint the sender could not serve, so the update applies in full
         if !self.endpoints.is_any_listed() {
             return update;
         }
         let endpoints = &self.endpoints;
-        let usable = update.targets.into_iter().filter_map(|entry| {
-            let before = endpoints.by_uid(&entry.uid).and_then(known_snapshot);
-            filter.filter(now, entry, before)
+        let usable = update.entries.into_iter().filter_map(|entry| {
+            let current = endpoints.by_uid(&entry.uid).and_then(current_snapshot);
+            filter.filter(now, entry, current)
         });
-        update.targets = usable.collect();
+        update.entries = usable.collect();
         update
     }
 
     /// Admits one entry that the freeze no longer forbids, if the time for the next admission has
     /// come. Returns true if an entry was admitted.
     pub(super) fn admit_unfrozen(&mut self) -> bool {
-        let now = self.freeze_time();
-        let now_us = self.clock.at(Instant::now());
+        let freeze_now = self.freeze_time();
+        let now = self.clock.at(Instant::now());
         let Some(filter) = &mut self.freeze else {
             return false;
         };
-        if filter.held_back.is_empty() || now_us < filter.next_admission {
+        if filter.held_back.is_empty() || now < filter.next_admission {
             return false;
         }
         let endpoints = &self.endpoints;
         let released = filter.held_back.iter().find(|(uid, entry)| {
-            let before = endpoints.by_uid(uid).and_then(known_snapshot);
-            resource_change(before.as_ref(), &listed_snapshot(entry))
-                .is_none_or(|resource| filter.check.check_changes(now, &resource).is_ok())
+            let current = endpoints.by_uid(uid).and_then(current_snapshot);
+            resource_change(current.as_ref(), &listed_snapshot(entry))
+                .is_none_or(|resource| filter.check.check_changes(freeze_now, &resource).is_ok())
         });
         let Some(uid) = released.map(|(uid, _)| uid.clone()) else {
             return false;
@@ -215,19 +217,19 @@
         // random delays keep senders whose freeze ends at the same time from admitting the same
         // entry together
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
-        filter.next_admission = now_us + interval / 2 + self.admission_jitter.next_delay(interval);
+        filter.next_admission = now + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
         net::log(format_args!("freeze: {uid} is admitted"));
         self.admit_entries(vec![entry]);
         true
     }
 
-    fn admit_entries(&mut self, targets: Vec<ListedEndpoint>) {
-        if !targets.is_empty() {
+    fn admit_entries(&mut self, entries: Vec<ListedEndpoint>) {
+        if !entries.is_empty() {
             self.apply_list(ListUpdate {
                 version: self.list.version,
                 full: false,
-                targets,
+                entries,
             });
         }
     }
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -158,7 +158,7 @@
         endpoint: attempt.endpoint.0,
         sent_at: attempt.sent_at,
         call: attempt.call,
-        item: attempt.item,
+        item: attempt.position,
         in_flight: attempt.in_flight,
         record: attempt.record,
     }
--- a/src/net/driver/messages.rs
+++ b/src/net/driver/messages.rs
@@ -21,7 +21,7 @@
     /// journal.
     pub call: u64,
     /// Position of the message in the call.
-    pub item: usize,
+    pub position: usize,
     /// True until the attempt has an outcome.
     pub in_flight: bool,
     /// Position of the attempt among the message's journal records; `None` if it was not recorded,
@@ -170,7 +170,7 @@
             endpoint,
             sent_at: now,
             call: NO_CALL,
-            item: 0,
+            position: 0,
             in_flight: true,
             record: None,
         });
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -85,7 +85,7 @@
     /// Settings read from the configuration file.
     pub settings: SettingsUpdate,
     /// Endpoint list from the configuration file, used until discovery sends one.
-    pub known_list: Option<ListUpdate>,
+    pub configured_list: Option<ListUpdate>,
     /// Fallback rules, in force until rules are leased; `None` if agreement is off.
     pub fallback_rules: Option<RuleBounds>,
     /// Fallback quotas, in force until quotas are leased; `None` if the ledger is off.
@@ -149,14 +149,14 @@
         let InitialState {
             sender,
             settings,
-            known_list,
+            configured_list,
             fallback_rules,
             fallback_quotas,
             handover,
         } = initial;
         let names = settings.names.clone();
         let mut driver = Driver::empty(dependencies, sender, names);
-        driver.list.rules_agreed = fallback_rules.is_some();
+        driver.list.is_agreement_on = fallback_rules.is_some();
         let taken_over = handover.is_some();
         if let Some(state) = handover {
             driver.take_over(state);
@@ -165,8 +165,8 @@
         }
         driver.push_fallbacks(fallback_rules, fallback_quotas, taken_over);
         driver.apply_settings(settings);
-        if let Some(known) = known_list.filter(|_| !taken_over) {
-            driver.apply_known_list(known);
+        if let Some(list) = configured_list.filter(|_| !taken_over) {
+            driver.apply_configured_list(list);
         }
         driver.push_disabled_endpoints();
         driver.recover_messages(taken_over);
@@ -340,7 +340,7 @@
             DriverInput::ListStale(stale) => self.events.push(Event::EndpointListStale(stale)),
             DriverInput::NotificationsAccepted(accepted) => self.notifications_accepted(accepted),
             DriverInput::AgreedRules { rules, applied } => {
-                self.list.rules_agreed = rules.is_some();
+                self.list.is_agreement_on = rules.is_some();
                 self.events.push(Event::AgreedRules(rules));
                 self.waiting_for_turn.push(applied);
             }
@@ -357,10 +357,10 @@
                 unavailable,
             }),
             DriverInput::Demand {
-                complete_up_to,
+                max_fully_reported,
                 reply,
             } => {
-                let (listed, by_destination) = self.sender.demand_in_use(complete_up_to);
+                let (listed, by_destination) = self.sender.demand_in_use(max_fully_reported);
                 // the send fails only if the ledger client was switched off meanwhile
                 let _ = reply.send(DemandReport {
                     listed,
@@ -377,7 +377,7 @@
     /// Logs an event of a message, if the driver still holds the message.
     fn log_event(&self, message: MessageId, event: &MessageEvent<'_>) {
         if let Some(held) = self.messages.get(message) {
-            message_log::record(&held.item.id, event);
+            message_log::log_event(&held.item.id, event);
         }
     }
 }
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -140,13 +140,13 @@
             endpoint: past.endpoint,
             sent_at: past.sent,
             call: NO_CALL,
-            item: 0,
+            position: 0,
             in_flight: false,
             record: Some(record),
         });
         let attempts = attempts.collect();
         let attempts_before = past.len();
-        message_log::record(
+        message_log::log_event(
             &id,
             &MessageEvent::Recovered {
                 attempts: attempts_before,
@@ -168,7 +168,7 @@
     /// can carry it.
     fn end_message_with_invalid_id(&mut self, number: MessageId, new: NewMessage, id: String) {
         let outcome = UndeliveredOutcome::Failed;
-        message_log::record_text(&id, &MessageEvent::EndedUndelivered(outcome));
+        message_log::log_event_of_id(&id, &MessageEvent::EndedUndelivered(outcome));
         self.journal.end_undelivered(number, outcome);
         self.lifecycle.close(number);
         self.events.push(Event::NotificationPending(new));
--- a/src/net/driver/settings.rs
+++ b/src/net/driver/settings.rs
@@ -9,8 +9,8 @@
 
 /// Returns the position of a name, and adds it at the end if it is missing.
 fn position_or_push(names: &mut Vec<String>, name: &str) -> usize {
-    let known = names.iter().position(|known| known == name);
-    known.unwrap_or_else(|| {
+    let position = names.iter().position(|existing| existing == name);
+    position.unwrap_or_else(|| {
         names.push(name.to_string());
         names.len() - 1
     })
@@ -19,7 +19,7 @@
 /// Replaces the item at a position, or adds it if the position is the end of the list.
 fn replace_or_push<T>(items: &mut Vec<T>, position: usize, item: T) {
     match items.get_mut(position) {
-        Some(known) => *known = item,
+        Some(existing) => *existing = item,
         None => items.push(item),
     }
 }
@@ -30,8 +30,8 @@
 fn keep_positions(
     new: &mut Settings,
     old: Settings,
-    known: &mut Names,
-    names: Names,
+    known_names: &mut Names,
+    new_names: Names,
 ) -> Vec<usize> {
     let classes = std::mem::replace(&mut new.classes, old.classes);
     let positions = classes
@@ -39,29 +39,29 @@
         .map(|class| new.class_position(class))
         .collect();
     for kind in std::mem::replace(&mut new.kinds, old.kinds) {
-        let position = position_or_push(&mut known.kinds, &kind.name);
+        let position = position_or_push(&mut known_names.kinds, &kind.name);
         replace_or_push(&mut new.kinds, position, kind);
     }
     for tenant in std::mem::replace(&mut new.tenants, old.tenants) {
-        let position = position_or_push(&mut known.tenants, &tenant.name);
+        let position = position_or_push(&mut known_names.tenants, &tenant.name);
         replace_or_push(&mut new.tenants, position, tenant);
     }
     let fees = std::mem::replace(&mut new.zone_fees, old.zone_fees);
-    for (index, name) in names.zones.iter().enumerate() {
-        let position = position_or_push(&mut known.zones, name);
+    for (index, name) in new_names.zones.iter().enumerate() {
+        let position = position_or_push(&mut known_names.zones, name);
         if let Some(&fee) = fees.get(index) {
             let zones = new.zone_fees.len().max(position + 1);
             new.zone_fees.resize(zones, 0.0);
             new.zone_fees[position] = fee;
         }
     }
-    let own_zone = names.zones.get(usize::from(new.zone));
+    let own_zone = new_names.zones.get(usize::from(new.zone));
     new.zone = own_zone.map_or(u16::MAX, |zone| {
-        position_or_push(&mut known.zones, zone) as u16
+        position_or_push(&mut known_names.zones, zone) as u16
     });
-    known.classes = new.classes.iter().map(|class| class.name.clone()).collect();
-    known.report_fields = names.report_fields;
-    known.dial_timeout = names.dial_timeout;
+    known_names.classes = new.classes.iter().map(|class| class.name.clone()).collect();
+    known_names.report_fields = new_names.report_fields;
+    known_names.dial_timeout = new_names.dial_timeout;
     positions
 }
 
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -112,7 +112,7 @@
         };
         pending.clients = pending.clients.saturating_sub(1);
         if pending.clients == 0 {
-            message_log::record(id, &MessageEvent::ClientLeft);
+            message_log::log_event(id, &MessageEvent::ClientLeft);
             self.events.push(Event::MessageAbandoned(message));
             self.complete(message, EndProof::of_departed_client(client));
         }
@@ -145,7 +145,7 @@
             _ => None,
         });
         let result = ended.unwrap_or_else(|| self.accept(message, &new));
-        message_log::record(&new.submission.id, &MessageEvent::Answered(result));
+        message_log::log_event(&new.submission.id, &MessageEvent::Answered(result));
         if result != SubmissionResult::Accepted {
             self.messages.close(message);
             if result == SubmissionResult::NotStored {
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -208,13 +208,13 @@
             "handover: the predecessor has ended, {} calls with it",
             lost.len()
         ));
-        for (call, item) in lost {
+        for (call, position) in lost {
             self.attempt_ended(AttemptEnd {
                 call,
-                item,
+                position,
                 outcome: LOST_CALL_OUTCOME,
                 proof: None,
-                report: Vec::new(),
+                load_report: Vec::new(),
                 retry_after: None,
             });
         }
@@ -240,7 +240,7 @@
         endpoint: EndpointId(state.endpoint),
         sent_at: state.sent_at,
         call: state.call,
-        item: state.item,
+        position: state.item,
         in_flight: state.in_flight,
         record: state.record,
     }
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -14,7 +14,7 @@
     /// Runs turns until no event is queued: carrying out actions can queue events of its own.
     pub(super) fn take_turns(&mut self) {
         self.take_turn();
-        while !self.events.is_empty() || self.find_lost_attempts() {
+        while !self.events.is_empty() || self.end_lost_attempts() {
             self.take_turn();
         }
         self.send_final_notifications();
@@ -62,11 +62,12 @@
     /// limits.
     fn publish_fleet_size(&self, events: &[Event]) {
         let size = self.sender.fleet_size();
-        let before = self.process.fleet_size.replace(size);
-        let by_fleet = |event: &Event| matches!(event, Event::FleetView(_) | Event::TimerExpired);
-        if size != before && events.iter().any(by_fleet) {
+        let previous_size = self.process.fleet_size.replace(size);
+        let may_change_size =
+            |event: &Event| matches!(event, Event::FleetView(_) | Event::TimerExpired);
+        if size != previous_size && events.iter().any(may_change_size) {
             net::log(format_args!(
-                "members: limits are divided among {size} senders, previously {before}"
+                "members: limits are divided among {size} senders, previously {previous_size}"
             ));
         }
     }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -71,7 +71,7 @@
     Demand {
         /// Number of listed destinations up to which the report names all of them. If more are
         /// listed, it names only those in use.
-        complete_up_to: usize,
+        max_fully_reported: usize,
         /// Channel on which the report is sent.
         reply: oneshot::Sender<DemandReport>,
     },
@@ -124,9 +124,9 @@
     /// The registry answered a poll of the freeze calendar.
     Calendar {
         /// Time in microseconds at which the poll was sent.
-        asked_at: u64,
+        polled_at: u64,
         /// Time in microseconds for which a break-glass override in this answer stays valid.
-        fresh_for: u64,
+        override_valid_for: u64,
         /// Content of the answer, which the freeze check applies.
         update: FreezeUpdate,
     },
@@ -233,14 +233,14 @@
     /// Number of the call that carried the message.
     pub call: u64,
     /// Position of the message in the call.
-    pub item: usize,
+    pub position: usize,
     /// How the attempt ended: success, a rejection or a kind of failure.
     pub outcome: Outcome,
     /// End proof, if the answer shows that the message is complete.
     #[serde(with = "in_frame")]
     pub proof: Option<EndProof>,
     /// Values of the load report in the endpoint's answer; empty without a report.
-    pub report: Vec<f64>,
+    pub load_report: Vec<f64>,
     /// Retry-After delay in microseconds, if the answer carried one that `outcome` does not
     /// contain.
     pub retry_after: Option<Micros>,
@@ -270,10 +270,10 @@
 pub struct ListUpdate {
     /// Version of the list, including these changes.
     pub version: u64,
-    /// True if `targets` is the full list, false if it contains changes only.
+    /// True if `entries` is the full list, false if it contains changes only.
     pub full: bool,
     /// Entries of the list, or those that changed.
-    pub targets: Vec<ListedEndpoint>,
+    pub entries: Vec<ListedEndpoint>,
 }
 
 /// Message between the two processes of a handover, after all state is handed over.
@@ -286,7 +286,7 @@
         /// Number of the call that carries the message.
         call: u64,
         /// Position of the message in the call.
-        item: usize,
+        position: usize,
     },
     /// Reports how one message of the predecessor's calls ended; sent by the predecessor.
     AttemptEnded(AttemptEnd),
--- a/src/net/freeze/mod.rs
+++ b/src/net/freeze/mod.rs
@@ -131,8 +131,8 @@
                 }
                 let fresh_for = (interval * OVERRIDE_POLLS).as_micros();
                 self.dependencies.notify(FreezeChange::Calendar {
-                    asked_at: u64::try_from(asked_at).unwrap_or(0),
-                    fresh_for: u64::try_from(fresh_for).unwrap_or(u64::MAX),
+                    polled_at: u64::try_from(asked_at).unwrap_or(0),
+                    override_valid_for: u64::try_from(fresh_for).unwrap_or(u64::MAX),
                     update,
                 })
             }
--- a/src/net/freeze/tests.rs
+++ b/src/net/freeze/tests.rs
@@ -36,14 +36,14 @@
         assert!(body.is_empty());
         let input = within(received.recv()).await;
         let Some(DriverInput::Freeze(FreezeChange::Calendar {
-            asked_at,
-            fresh_for,
+            polled_at,
+            override_valid_for,
             update,
         })) = input
         else {
             panic!("{input:?}")
         };
-        assert_eq!((asked_at, fresh_for), (0, 3 * 700_000));
+        assert_eq!((polled_at, override_valid_for), (0, 3 * 700_000));
         check(&update);
     };
     tokio::task::LocalSet::new().run_until(test).await;
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -130,10 +130,10 @@
 fn attempt_ended(outcome: Outcome) -> Frame {
     Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
         call: 41,
-        item: 2,
+        position: 2,
         outcome,
         proof: Some(EndProof::REPORTED),
-        report: vec![0.25, 1e9],
+        load_report: vec![0.25, 1e9],
         retry_after: Some(3_000_003),
     }))
 }
@@ -182,7 +182,10 @@
             ..handover_state()
         })),
         Frame::Accepted,
-        Frame::Message(HandoverMessage::CancelAttempt { call: 41, item: 1 }),
+        Frame::Message(HandoverMessage::CancelAttempt {
+            call: 41,
+            position: 1,
+        }),
         attempt_ended(Outcome::Success),
         attempt_ended(Outcome::Error),
         attempt_ended(Outcome::Rejected { retry_after: None }),
@@ -196,10 +199,10 @@
         attempt_ended(Outcome::NotSent { no_slot: true }),
         Frame::Message(HandoverMessage::AttemptEnded(AttemptEnd {
             call: 1,
-            item: 0,
+            position: 0,
             outcome: Outcome::NotSent { no_slot: false },
             proof: None,
-            report: Vec::new(),
+            load_report: Vec::new(),
             retry_after: None,
         })),
         Frame::Message(HandoverMessage::Submitted {
--- a/src/net/ledger/mod.rs
+++ b/src/net/ledger/mod.rs
@@ -40,7 +40,7 @@
     async fn demand(&self, complete_up_to: usize) -> DemandReport {
         let (reply, report) = oneshot::channel();
         let _ = self.dependencies.driver.send(DriverInput::Demand {
-            complete_up_to,
+            max_fully_reported: complete_up_to,
             reply,
         });
         report.await.unwrap_or_default()
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -183,30 +183,30 @@
 }
 
 /// Logs an event of a message, unless it is ordinary and tracing is off.
-pub fn record(id: &HeaderValue, event: &MessageEvent<'_>) {
-    record_text(&String::from_utf8_lossy(id.as_bytes()), event);
+pub fn log_event(id: &HeaderValue, event: &MessageEvent<'_>) {
+    log_event_of_id(&String::from_utf8_lossy(id.as_bytes()), event);
 }
 
 /// Logs an event of a message whose id is given as text, unless it is ordinary and tracing is off.
-pub fn record_text(id: &str, event: &MessageEvent<'_>) {
+pub fn log_event_of_id(id: &str, event: &MessageEvent<'_>) {
     if traces() || !event.is_ordinary() {
         write_line(format_args!("message {id}: {event}"));
     }
 }
 
 /// Logs a call that ended before the head of an answer was received in full.
-pub fn record_call(call: &IncompleteCall<'_>) {
+pub fn log_incomplete_call(call: &IncompleteCall<'_>) {
     write_line(format_args!("{call}"));
 }
 
 /// Logs a client's request that was rejected before it reached the driver.
-pub fn record_refused_request(error: &dyn fmt::Display) {
+pub fn log_failed_request(error: &dyn fmt::Display) {
     write_line(format_args!("client request failed: {error}"));
 }
 
 /// Logs why a connection was closed, if tracing is on. Reports on the control address count the
 /// closes by reason.
-pub fn record_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
+pub fn log_connection_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
     if traces() {
         log(format_args!("{connection} closed: {reason:?}"));
     }
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -166,7 +166,7 @@
 
     /// A lease ends, and its connection with it.
     pub(super) fn discard(self: &Rc<Self>, number: u64, reason: CloseReason) {
-        message_log::record_close(format_args!("connection {number}"), &reason);
+        message_log::log_connection_close(format_args!("connection {number}"), &reason);
         let now = self.now();
         self.update(|pool, commands| pool.discard(now, number, reason, commands));
     }
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -248,7 +248,7 @@
                 names: config.names.clone(),
                 pool: config.pool.clone(),
             },
-            known_list: config.known_list.clone(),
+            configured_list: config.known_list.clone(),
             fallback_rules: agreement
                 .as_ref()
                 .map(|agreement| agreement::bounds(&agreement.fallback)),
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -120,7 +120,7 @@
     let mut response = match handle(request, &server).await {
         Ok(response) => response,
         Err(error) => {
-            message_log::record_refused_request(&error);
+            message_log::log_failed_request(&error);
             error_response(error)
         }
     };
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -56,18 +56,20 @@
     }
 }
 
-/// Returns an endpoint that delays its answer to the message `held_id` until the returned gate is
-/// set to true.
-fn gated_endpoint(held_id: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
-    let gate: Arc<Mutex<bool>> = Arc::default();
-    let opened = gate.clone();
+/// Returns an endpoint that does not answer a call with the message `held_id` first until the
+/// returned flag is set to true. It answers all other calls at once.
+fn endpoint_that_waits_at(held_id: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
+    let may_answer: Arc<Mutex<bool>> = Arc::default();
+    let answer_allowed = may_answer.clone();
     let endpoint = Endpoint::new(move |request, _| {
         if request.ids()[0] == held_id {
-            wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
+            wait_until("the answer is allowed", || {
+                *answer_allowed.lock().expect("not poisoned")
+            });
         }
         OK
     });
-    (endpoint, gate)
+    (endpoint, may_answer)
 }
 
 #[test]
@@ -135,7 +137,7 @@
 
 #[test]
 fn ordered_message_waits_until_end_of_previous_one_is_durable() {
-    let (endpoint, gate) = gated_endpoint("first");
+    let (endpoint, may_answer) = endpoint_that_waits_at("first");
     // the ordered class is idempotent here, so messages that a restarted process sends again show
     // at the endpoint
     let repeatable = |text: String| {
@@ -159,7 +161,7 @@
     wait_until("the first is in flight", || endpoint.times("first") == 1);
     // writes of fewer than 20 bytes fail; only the records of ends and outcomes are that short
     faults.on("journal_short", 20);
-    *gate.lock().expect("not poisoned") = true;
+    *may_answer.lock().expect("not poisoned") = true;
     wait_until("writing the end fails", || {
         node.logged("the journal can't be written")
     });
@@ -194,12 +196,14 @@
 
 #[test]
 fn failure_before_deadline_is_notified_only_once_durable() {
-    // the message fails as soon as the gate opens; a restarted process without a record of that
+    // the message fails as soon as the endpoint may answer; a restarted process without a record of that
     // would notify again
-    let gate: Arc<Mutex<bool>> = Arc::default();
-    let opened = gate.clone();
+    let may_answer: Arc<Mutex<bool>> = Arc::default();
+    let answer_allowed = may_answer.clone();
     let endpoint = Endpoint::new(move |_, _| {
-        wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
+        wait_until("the answer is allowed", || {
+            *answer_allowed.lock().expect("not poisoned")
+        });
         Reply::Answer("500 Oops", String::new())
     });
     let sender = FaultySender::with_endpoint(endpoint);
@@ -212,7 +216,7 @@
     assert_eq!(node.hand_in("order", "one", 7, 20_000, b"x"), 202);
     wait_until("the call is in flight", || endpoint.times("one") == 1);
     faults.on("journal_write", EIO);
-    *gate.lock().expect("not poisoned") = true;
+    *may_answer.lock().expect("not poisoned") = true;
     wait_until("writing its end fails", || {
         node.logged("the journal can't be written")
     });
@@ -438,7 +442,7 @@
 
 #[test]
 fn handover_over_partial_sends_waits_for_durable_journal() {
-    let (endpoint, gate) = gated_endpoint("held");
+    let (endpoint, may_answer) = endpoint_that_waits_at("held");
     let sender = FaultySender::with_endpoint(endpoint);
     let FaultySender {
         endpoint, faults, ..
@@ -455,7 +459,7 @@
     // the end of "held" is known but not on the disk; a successor that reads the journal now would
     // take it as incomplete
     faults.on("journal_write", EIO);
-    *gate.lock().expect("not poisoned") = true;
+    *may_answer.lock().expect("not poisoned") = true;
     wait_until("writing its end fails", || {
         old.logged("the journal can't be written")
     });
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -40,7 +40,7 @@
             assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"body"), 202);
             let stream = stream.get_or_insert_with(|| self.accept());
             assert!(read_call(stream).contains(&id));
-            stream.write_all(ANSWER).expect("taken");
+            stream.write_all(ANSWER).expect("written");
             wait_until("it counts as delivered", || {
                 node.hand_in("webhook", &id, 7, 20_000, b"body") == 200
             });
@@ -84,7 +84,7 @@
         202
     );
     assert!(read_call(&mut first_connection).contains("x-request-id: m1"));
-    let (sent_at, window) = (Instant::now(), Duration::from_secs(1));
+    let (sent_at, idempotency_window) = (Instant::now(), Duration::from_secs(1));
     // m1 may have run. The endpoint drops repeats for 1 s after the first call, so the sender may
     // retry only within that time and after a backoff. Meanwhile m2 uses the only connection.
     node.while_stopped(|| {
@@ -98,8 +98,8 @@
     wait_until("the retry waits for a connection", || {
         pools(&node)["totals"]["waiting"] == 1
     });
-    std::thread::sleep(window.saturating_sub(sent_at.elapsed()));
-    second_connection.write_all(ANSWER).expect("taken");
+    std::thread::sleep(idempotency_window.saturating_sub(sent_at.elapsed()));
+    second_connection.write_all(ANSWER).expect("written");
     wait_until("m1 is notified as failed", || {
         agent
             .notices()
@@ -271,7 +271,7 @@
         let (node, mut stream, sent_at) = start_keyed_call(&endpoint, &agent);
         node.while_stopped(|| {
             std::thread::sleep(Duration::from_millis(1300).saturating_sub(sent_at.elapsed()));
-            stream.write_all(answer).expect("taken");
+            stream.write_all(answer).expect("written");
         });
         if !late_bytes.is_empty() {
             // the sender closes the connection, as it does for an abandoned call
@@ -298,7 +298,7 @@
         // the sender reads late answers only from endpoints that have sent a Retry-After before
         stream
             .write_all(&rejection_with_retry_after("0.010"))
-            .expect("taken");
+            .expect("written");
         assert!(read_call(&mut stream).contains("x-request-id: m1"));
         // the sender shuts its sending side down when it abandons the call
         assert_eq!(
