--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -31,7 +31,8 @@
 /// Attempt that the decision module asks the driver to send.
 pub(super) struct SendRequest {
     pub attempt: InFlightAttempt,
-    /// Time in microseconds after which an answer no longer counts.
+    /// Time in microseconds until which the attempt waits for an answer. A call with several
+    /// messages waits until the latest of their times.
     pub expires: Micros,
     /// Time in microseconds after which the call must not begin; `None` without such a limit.
     pub start_by: Option<Micros>,
@@ -102,7 +103,7 @@
             }
             return None;
         }
-        // a message that is no longer open was dropped in this turn, so its attempt is not recorded
+        // the attempt of a message that has already ended is not recorded, and so not sent
         let record = open
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
@@ -217,9 +218,9 @@
         self.messages.forget_if_done(message);
     }
 
-    /// Finds attempts that the decision module counts as in flight and the driver does not. Their
-    /// outcome would never come, so each gets the outcome of a lost call. Returns false if there
-    /// are none.
+    /// Ends attempts that the decision module counts as in flight and the driver does not. No call
+    /// would report an outcome of such an attempt, so the decision module gets the outcome of a
+    /// lost call for it. Returns false if there are no such attempts.
     pub(super) fn end_lost_attempts(&mut self) -> bool {
         if self.sender.attempts_in_flight() == self.messages.attempts_in_flight() {
             return false;
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -13,11 +13,11 @@
 /// Attempts of one turn at the same endpoint that are sent in one call.
 pub(super) struct Bundle {
     endpoint: EndpointId,
-    /// Time in microseconds after which an answer no longer counts: the latest of all
+    /// Time in microseconds at which the call is abandoned: the latest `expires` among its
     /// attempts.
     expires: Micros,
-    /// Time in microseconds after which the call must not begin: the earliest of all
-    /// attempts.
+    /// Time in microseconds after which the call must not begin: the earliest `start_by` among its
+    /// attempts; `None` if no attempt has one.
     start_by: Option<Micros>,
     /// Message and attempt number at each position of the call.
     attempts: Vec<(MessageId, usize)>,
@@ -28,7 +28,9 @@
 /// Attempt that is permitted and recorded, and not yet part of a call.
 pub(super) struct PermittedAttempt {
     pub attempt: InFlightAttempt,
+    /// Time in microseconds until which the attempt waits for an answer.
     pub expires: Micros,
+    /// Time in microseconds after which the call must not begin; `None` without such a limit.
     pub start_by: Option<Micros>,
     /// Size in bytes that the message takes in a bulk call.
     pub size_bytes: usize,
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -47,11 +47,12 @@
     }
 
     pub fn send(&self, notification: OutcomeNotification) {
-        // the send can't fail earlier: the receiving task runs until the process ends
+        // the send fails only at the end of the process, because the receiving task runs until then
         let _ = self.queue.send(notification);
     }
 
-    /// Sends the pending notifications whose messages no later process can send.
+    /// Sends the pending notifications whose messages no later process would send: the end of the
+    /// message is durable, or its deadline is too near.
     fn send_final(&mut self, now: Micros, all_durable: bool) {
         let is_final = |end: &PendingNotification| all_durable || end.no_send_after <= now;
         let pending = std::mem::take(&mut self.pending);
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -1,6 +1,7 @@
 //! Predecessor after a handover: it reports the ends of its calls to the successor, and forwards
-//! submissions and commands that still arrive. It makes no decisions, writes no journal records and
-//! starts no calls.
+//! clients' submissions and disconnects, and operators' commands that disable or enable an
+//! endpoint. Operators' requests for reports get none. The predecessor makes no decisions, writes
+//! no journal records and starts no calls.
 
 use super::ClientSlots;
 use super::calls_in_flight::CallsInFlight;
@@ -100,6 +101,7 @@
             reply,
         } = command
         else {
+            // requests for reports are not forwarded; dropping the reply channel ends them
             return Ok(());
         };
         let number = self.next_number();
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -14,19 +14,19 @@
 pub(super) struct ListState {
     /// Version of the list that is in force.
     pub version: u64,
-    /// True if agreement is on. The list then comes from the registry, and versions below the one
-    /// in force are rejected.
+    /// True if agreement is on: the senders agree on rules through the registry, which then also
+    /// serves the endpoint list. Versions of the list below the one in force are then rejected.
     pub is_agreement_on: bool,
-    /// True since an older version was received. Later changes build on that older list and are
-    /// rejected as well.
+    /// True after a list with an older version was rejected, until a list is accepted again.
+    /// Changes that arrive meanwhile build on the older list, so they are rejected as well.
     is_behind: bool,
     behind_log: RateLimitedLog,
 }
 
 impl ListState {
     /// Returns true if an update must be rejected because its list is older than the one in force.
-    /// That happens after a registry was restored from an older folder. Updates are accepted again
-    /// from the first full list that is not older.
+    /// The registry serves such a list after it was restored from an older state folder. Updates
+    /// are accepted again from the first full list that is not older.
     fn rejects(&mut self, update: &ListUpdate) -> bool {
         if !self.is_agreement_on {
             return false;
@@ -64,7 +64,8 @@
         self.apply_entries(update, scope);
     }
 
-    /// Applies the list of the configuration file, which may be older than discovery's.
+    /// Applies the endpoint list of the configuration file. The decision module receives it with
+    /// [`ListScope::Stale`], because discovery may have a newer list.
     pub(super) fn apply_configured_list(&mut self, update: ListUpdate) {
         // an empty list sets no version, so that the first request to discovery gets the full list
         if !update.entries.is_empty() {
@@ -130,8 +131,9 @@
         }
     }
 
-    /// Removes endpoints that have been unlisted for a while, are not disabled, and have no attempt
-    /// of a held message.
+    /// Removes the records of endpoints that have not been needed for some time. An endpoint is
+    /// needed while it is listed or disabled, or while a message that the driver holds has an
+    /// attempt there.
     fn forget_unneeded_endpoints(&mut self) {
         if self.endpoints.are_all_listed() {
             return;
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Applies a Retry-After from an answer that came after its attempt had ended.
+    /// Applies a Retry-After that is not part of an attempt's outcome, for example from an answer
+    /// that came after its call was abandoned.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
         self.events.push(Event::RetryAfter { endpoint, wait });
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -8,7 +8,8 @@
 use tokio::time::Instant;
 
 /// Time for which an unneeded endpoint is still remembered. An endpoint that is listed again within
-/// this time keeps its number, so that a Retry-After still applies; Retry-After delays are shorter.
+/// this time keeps its number, so that a Retry-After still applies; usual Retry-After delays are
+/// shorter.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
 /// Driver's record of one endpoint.
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -1,6 +1,6 @@
 //! Filter of the endpoint list during a freeze. Entries that a freeze forbids are held back,
-//! counted and reported, and admitted one after another once the freeze ends. Removals from the
-//! list always apply.
+//! counted and reported, and admitted one after another once the freeze allows them. Removals from
+//! the list always apply.
 
 use super::Driver;
 use super::endpoints::EndpointRecord;
@@ -50,7 +50,8 @@
     admitted_count: u64,
 }
 
-/// Returns the state of a list entry that the freeze compares with the endpoint's current state.
+/// Returns the values of a list entry that [`resource_change`] compares with the endpoint's current
+/// state.
 fn listed_snapshot(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
         up: listed.status == EndpointStatus::Serving,
@@ -89,7 +90,7 @@
     }
 
     /// Returns the entry with only the changes that are allowed now; `None` if nothing of it may be
-    /// used. `current` is the current state of the endpoint.
+    /// used. `current` is the endpoint's current state, or `None` if the endpoint is not listed.
     fn filter(
         &mut self,
         now: u64,
@@ -115,6 +116,7 @@
                 EndpointStatus::Draining
             };
         } else {
+            // an endpoint whose move is held back is removed from its current destination
             entry.destination = current.destination;
             entry.zone = current.zone;
             entry.status = EndpointStatus::Removed;
@@ -247,7 +249,8 @@
     }
 }
 
-/// Generator of random delays between admissions. Its seed differs from sender to sender.
+/// Generator of random delays between admissions. Senders with different seeds get different
+/// delays.
 pub(super) struct AdmissionJitter(u64);
 
 impl AdmissionJitter {
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,10 +1,12 @@
 //! The event loop: the only owner of the decision module and of the messages.
 //!
-//! In each turn the driver turns all waiting input into events, passes them to the decision module
-//! in one call, and carries out the actions that it returns. Each kind of state has a module of its
-//! own ([`endpoints`], [`messages`], [`calls_in_flight`], [`journal_state`], [`completion`],
-//! [`submissions`]); the other modules each do one job, such as a handover or the recovery from the
-//! journal.
+//! In each turn the driver converts queued inputs into events, passes them to the decision module
+//! in one call, and carries out the actions that the decision module returns. The number of inputs
+//! in one turn is limited by [`MAX_INPUTS_PER_TURN`].
+//!
+//! The main state is in the modules [`endpoints`], [`messages`], [`calls_in_flight`],
+//! [`journal_state`], [`completion`] and [`submissions`]. Most other modules contain one operation
+//! of the driver, such as a handover or the recovery from the journal.
 
 mod admin;
 mod attempts;
@@ -58,8 +60,9 @@
 /// Interval at which idle connections are closed and endpoints held back by a freeze are checked
 /// for admission.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum number of queued inputs handled in one turn, which keeps a turn short. 1024 covers the
-/// end of one call to each of 1024 endpoints.
+/// Maximum number of queued inputs that are handled in one turn, in addition to the input that
+/// started the turn. The limit keeps a turn short. 1024 covers the end of one call to each of 1024
+/// endpoints.
 const MAX_INPUTS_PER_TURN: usize = 1024;
 
 /// Components and channels that the driver uses while it runs.
@@ -133,7 +136,8 @@
     events: Vec<Event>,
     /// Time in microseconds at which the decision module requested its next turn.
     timer: Option<Micros>,
-    /// Notified after the next turn, when the rules or quotas that a task sent are in force.
+    /// Channels to notify once the decision module has handled the queued events, among them the
+    /// rules or quotas that a task sent.
     waiting_for_turn: Vec<oneshot::Sender<()>>,
     violations: Violations,
     ready: watch::Sender<bool>,
@@ -283,7 +287,8 @@
                         continue;
                     }
                 }
-                // no message is accepted and no call begins until the journal can be written
+                // failed writes are retried at short intervals, because no message is accepted and
+                // no call begins until the journal can be written
                 _ = journal_retry.tick(), if self.journal.is_reported_failing() => {
                     if !self.journal.retry() {
                         continue;
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -11,7 +11,8 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Runs turns until no event is queued: carrying out actions can queue events of its own.
+    /// Runs turns until no event is queued and no attempt is lost; the actions of a turn can queue
+    /// events for another turn. Then sends the outcome notifications that no longer need to wait.
     pub(super) fn take_turns(&mut self) {
         self.take_turn();
         while !self.events.is_empty() || self.end_lost_attempts() {
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -1,5 +1,6 @@
-//! Run-time checks of invariants between the decision module and the driver. Violations are counted
-//! and logged, and the driver corrects their effect.
+//! Kinds of violated invariants between the decision module and the driver, with the number of
+//! violations of each kind since the process began. The invariants are checked in other modules,
+//! which count a violation here; the count is logged.
 
 use message_sender::lifecycle;
 use std::collections::BTreeMap;
--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -1,4 +1,4 @@
-//! End proofs: evidence that an accepted message is complete.
+//! End proofs: evidence that a message is complete.
 //!
 //! A message is complete only after one of these, read in full and never from a part that was cut
 //! off:
@@ -8,6 +8,8 @@
 //! - the platform's 204 to the outcome notification
 //! - a client that disconnected before its response
 //!
+//! After a handover, the successor accepts the predecessor's report that it had such evidence.
+//!
 //! Each constructor of [`EndProof`] checks the evidence itself, and every function that completes a
 //! message requires a proof. Code that completes a message without evidence does not compile.
 
@@ -39,7 +41,7 @@
 pub struct EndProof(Evidence);
 
 impl EndProof {
-    /// Proof that the predecessor had and reported to this process.
+    /// Proof that stands for the evidence that a predecessor had and reported.
     #[cfg(test)]
     pub const REPORTED: Self = EndProof(Evidence::ReportedByPredecessor);
 
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -48,14 +48,14 @@
     AgreedRules {
         /// Rules that are now in force; `None` while agreement is off.
         rules: Option<Box<AgreedRules>>,
-        /// Notified once all further calls obey these rules.
+        /// Notified once the decision module has handled the change.
         applied: oneshot::Sender<()>,
     },
     /// This sender's quotas of the limits for the whole fleet changed.
     Quotas {
         /// Quotas that are now in force; `None` while the ledger is off.
         quotas: Option<Box<Quotas>>,
-        /// Notified once all further calls obey these quotas.
+        /// Notified once the decision module has handled the change.
         applied: oneshot::Sender<()>,
     },
     /// The freeze calendar or its settings changed.
@@ -69,8 +69,9 @@
     },
     /// Requests this sender's demand for the fleet's limits.
     Demand {
-        /// Number of listed destinations up to which the report names all of them. If more are
-        /// listed, it names only those in use.
+        /// Maximum number of listed destinations at which the report covers all of them. If more
+        /// are listed, it covers only those with current demand, such as waiting messages or calls
+        /// in flight, and those whose demand has changed since the last report.
         max_fully_reported: usize,
         /// Channel on which the report is sent.
         reply: oneshot::Sender<DemandReport>,
@@ -125,7 +126,8 @@
     Calendar {
         /// Time in microseconds at which the poll was sent.
         polled_at: u64,
-        /// Time in microseconds for which a break-glass override in this answer stays valid.
+        /// Maximum time in microseconds, from `polled_at`, for which a break-glass override in this
+        /// answer is valid unless a later answer extends it.
         override_valid_for: u64,
         /// Content of the answer, which the freeze check applies.
         update: FreezeUpdate,
@@ -135,7 +137,8 @@
 /// Channel on which a task sends a requested report as JSON.
 pub type ReportRequest = oneshot::Sender<String>;
 
-/// Command of an operator. The driver handles commands before all waiting input.
+/// Command of an operator. The driver handles waiting commands before input that waits in its
+/// queue.
 #[derive(Debug)]
 pub enum AdminCommand {
     /// Disables an endpoint, or enables it again.
@@ -165,7 +168,8 @@
 /// it must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminResult {
-    /// The change was made and recorded in the journal, so it also applies after a restart.
+    /// The endpoint is in the requested state. It stays so after a restart, because the journal
+    /// records which endpoints are disabled.
     Done,
     /// The endpoint is neither listed nor disabled, so nothing was changed.
     UnknownEndpoint,
@@ -218,7 +222,8 @@
         /// Delay in microseconds after which the client may submit again, if known.
         retry_after: Option<Micros>,
     },
-    /// The journal could not record the message.
+    /// The message was not accepted, because the journal could not record it or the driver ended
+    /// without a result.
     NotStored,
     /// The message could not be delivered.
     Failed,
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -1,9 +1,12 @@
 //! Log of events of messages, by the ids that clients gave them.
 //!
-//! Unusual events are always logged: rejections, retries, hedges, and failed attempts with the
-//! bytes of their answers that were received, and how such messages end. Ordinary events are logged
-//! only if `RELAY_TRACE` is set. A rate limit keeps many failures from filling the log; the number
-//! of suppressed lines is logged.
+//! Ordinary events are logged only if `RELAY_TRACE` is set: submissions answered as accepted or
+//! already delivered, and first attempts that begin or succeed. All other events are logged without
+//! it: rejections, retries, hedges, failed attempts with the bytes of their answers that were
+//! received, and how such messages end.
+//!
+//! Without `RELAY_TRACE`, a rate limit keeps many failures from filling the log. The number of
+//! suppressed lines is logged.
 
 use super::end_proof::EndProof;
 use super::events::SubmissionResult;
@@ -28,7 +31,8 @@
 pub enum MessageEvent<'a> {
     /// The client's submission got this result.
     Answered(SubmissionResult),
-    /// The message was recovered from the journal at a start or an upgrade.
+    /// The message was recovered from the journal when the process started or took over from a
+    /// predecessor.
     Recovered {
         /// Number of recorded attempts of earlier processes.
         attempts: usize,
@@ -52,7 +56,8 @@
         /// End proof, if the attempt completed the message.
         proof: Option<EndProof>,
     },
-    /// An attempt was cancelled, because the message has ended or another attempt continues.
+    /// The decision module cancelled an attempt, for example because another attempt delivered the
+    /// message.
     AttemptCancelled {
         /// Number of the attempt, from 0.
         number: usize,
@@ -66,7 +71,9 @@
 }
 
 impl MessageEvent<'_> {
-    /// Returns true for events that are logged only if tracing is on.
+    /// Returns true for events of a delivery without problems, which are logged only if
+    /// `RELAY_TRACE` is set: the client's submission is answered as accepted or already delivered,
+    /// and the first attempt begins or succeeds.
     fn is_ordinary(&self) -> bool {
         match self {
             MessageEvent::Answered(result) => matches!(
@@ -182,12 +189,15 @@
     }
 }
 
-/// Logs an event of a message, unless it is ordinary and tracing is off.
+/// Logs an event of a message. Without `RELAY_TRACE`, accepted submissions and successful first
+/// attempts are not logged, and the rate limit may suppress the line.
 pub fn log_event(id: &HeaderValue, event: &MessageEvent<'_>) {
     log_event_of_id(&String::from_utf8_lossy(id.as_bytes()), event);
 }
 
-/// Logs an event of a message whose id is given as text, unless it is ordinary and tracing is off.
+/// Logs an event of a message whose id is given as text. Without `RELAY_TRACE`, accepted
+/// submissions and successful first attempts are not logged, and the rate limit may suppress the
+/// line.
 pub fn log_event_of_id(id: &str, event: &MessageEvent<'_>) {
     if traces() || !event.is_ordinary() {
         write_line(format_args!("message {id}: {event}"));
@@ -199,12 +209,12 @@
     write_line(format_args!("{call}"));
 }
 
-/// Logs a client's request that was rejected before it reached the driver.
+/// Logs the error with which a client's request failed.
 pub fn log_failed_request(error: &dyn fmt::Display) {
     write_line(format_args!("client request failed: {error}"));
 }
 
-/// Logs why a connection was closed, if tracing is on. Reports on the control address count the
+/// Logs why a connection was closed, if `RELAY_TRACE` is set. Reports on the control address count the
 /// closes by reason.
 pub fn log_connection_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
     if traces() {
@@ -219,8 +229,8 @@
     LOG.with_borrow_mut(|log| log.write(Instant::now(), line));
 }
 
-/// Rate-limited log of messages. Each line begins with the seconds since the process began, so that
-/// it can be compared with the records of other processes.
+/// Rate-limited log of messages. Each line begins with the seconds since the first line of this
+/// log, so that the time between lines can be compared with the records of other processes.
 struct MessageLog {
     started_at: Instant,
     budget: LineBudget,
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -220,8 +220,8 @@
     wait_until("writing its end fails", || {
         node.logged("the journal can't be written")
     });
-    // the turn with the failed end is over once a later submission was rejected, so its
-    // notification would have been posted
+    // once a later submission is rejected, the turn in which the message failed is complete; a
+    // notification that did not wait for the journal record would have been posted by then
     assert_eq!(node.hand_in("order", "refused", 7, 20_000, b"x"), 503);
     assert_eq!(agent.notices(), [""; 0]);
     faults.off("journal_write");
@@ -235,6 +235,7 @@
     let sender = FaultySender::new();
     let FaultySender { agent, faults, .. } = &sender;
     let node = sender.start();
+    // no endpoint is listed for destination 99, so both messages fail at their deadlines
     assert_eq!(node.hand_in("order", "one", 99, 1_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "two", 99, 4_000, b"x"), 202);
     faults.on("journal_write", ENOSPC);
@@ -281,7 +282,8 @@
         wait_until("it is delivered", || endpoint.times(&id) == 1);
     }
     assert_eq!(endpoint.count(), 3, "each was sent once");
-    // an outcome notification must also be posted over partial sends
+    // no endpoint is listed for destination 99, so this message ends undelivered; its outcome
+    // notification must also be posted although each send is partial
     assert_eq!(node.hand_in("order", "unsent", 99, 100, b"x"), 202);
     wait_until("its notification", || {
         agent.notices().iter().any(|line| line.contains("unsent"))
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -46,8 +46,8 @@
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
-    // an attempt with an idempotency key ends with the key's window; an attempt without one ends at
-    // the message's deadline
+    // an attempt with an idempotency key is abandoned at the end of the time for which the endpoint
+    // recognizes the key; an attempt without a key is abandoned at the message's deadline
     for (class, time_limit_ms) in [("webhook", LONG_MS), ("order", 1500)] {
         for length in 0..=STATUS_LINE.len() {
             let id = format!("{class}-{length}");
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,5 +1,5 @@
-//! Tests of races on real connections. Each test forces an event to arrive between two particular
-//! steps of the sender.
+//! Tests of races on real connections. Most tests stop the sender's process or time their input so
+//! that an event arrives between two particular steps of the sender.
 
 mod node;
 
@@ -31,8 +31,8 @@
         stream
     }
 
-    /// Returns a connection over which 8 calls were served, so that the sender treats the endpoint
-    /// as healthy and warm.
+    /// Returns the connection over which the sender has made 8 calls, each answered with 200. The
+    /// sender keeps it open for its next call to this endpoint.
     fn warm_connection(&self, node: &Node) -> TcpStream {
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
@@ -295,7 +295,8 @@
     let agent = endpoint.listed();
     let reject_late = || {
         let (node, mut stream, _) = start_keyed_call(&endpoint, &agent);
-        // the sender reads late answers only from endpoints that have sent a Retry-After before
+        // the sender reads late answers, of all endpoints, only after it has received a first
+        // Retry-After from any of them
         stream
             .write_all(&rejection_with_retry_after("0.010"))
             .expect("written");
