--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -39,7 +39,8 @@
 }
 
 impl Driver {
-    /// Begins an attempt if the message's earlier attempts permit a call and the journal records it.
+    /// Begins an attempt if the message's earlier attempts permit a call and the journal can record
+    /// the attempt.
     pub(super) fn send(&mut self, now: Micros, request: SendRequest, bundles: &mut Vec<Bundle>) {
         let attempt = request.attempt;
         let Some(pending) = self.messages.get(attempt.message) else {
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -41,7 +41,8 @@
         !self.pending.is_empty()
     }
 
-    /// Returns the earliest time at which a pending notification can be sent without a durable end.
+    /// Returns the earliest time in microseconds at which a pending notification can be sent without
+    /// a durable end.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.pending.iter().map(|end| end.no_send_after).min()
     }
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -20,12 +20,14 @@
     /// The successor owns the messages; this process ends after its last call and client
     /// connection.
     Drain(Link),
-    /// The successor owns the messages, and this process ends at once.
+    /// This process ends at once. Another process owns the messages or recovers them from the
+    /// journal.
     Exit,
 }
 
 impl Driver {
-    /// Hands all state over to the successor. No turn runs meanwhile, so the state can't change.
+    /// Hands all state over to the successor. No turn runs while the state is sent, so the
+    /// state can't change.
     pub(super) async fn hand_over(&mut self, request: SuccessorRequest) -> AfterRequest {
         let mut link = match request {
             SuccessorRequest::SameVersion(link) => link,
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -57,8 +57,8 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 use violations::Violations;
 
-/// Interval at which idle connections are closed and endpoints held back by a freeze are checked
-/// for admission.
+/// Interval of the periodic maintenance, which closes idle connections, retries failed journal
+/// writes, and checks whether endpoints that a freeze held back can be admitted.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of queued inputs that are handled in one turn, in addition to the input that
 /// started the turn. The limit keeps a turn short. 1024 covers the end of one call to each of 1024
--- a/src/net/driver/process_state.rs
+++ b/src/net/driver/process_state.rs
@@ -13,7 +13,7 @@
 /// State that the driver shares with the other tasks of the process.
 pub struct ProcessState {
     /// Clock that converts between instants and the time in microseconds that the decision module
-    /// and the journal use; it continues across restarts.
+    /// and the journal use. That time continues across restarts.
     pub clock: Clock,
     /// Sending end of the driver's input channel.
     pub inputs: mpsc::UnboundedSender<DriverInput>,
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -214,8 +214,8 @@
     write_line(format_args!("client request failed: {error}"));
 }
 
-/// Logs why a connection was closed, if `RELAY_TRACE` is set. Reports on the control address count the
-/// closes by reason.
+/// Logs why a connection was closed, if `RELAY_TRACE` is set. Reports on the control address count
+/// the closed connections by reason.
 pub fn log_connection_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
     if traces() {
         log(format_args!("{connection} closed: {reason:?}"));
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -196,8 +196,8 @@
 
 #[test]
 fn failure_before_deadline_is_notified_only_once_durable() {
-    // the message fails as soon as the endpoint may answer; a restarted process without a record of that
-    // would notify again
+    // the message fails as soon as the endpoint may answer; a restarted process without a record of
+    // that failure would notify again
     let may_answer: Arc<Mutex<bool>> = Arc::default();
     let answer_allowed = may_answer.clone();
     let endpoint = Endpoint::new(move |_, _| {
