--- a/src/net/driver/end_counts.rs
+++ b/src/net/driver/end_counts.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Minimum time between two log lines of the counts.
+/// Minimum time between two log lines of the counts while the process is not shutting down.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Number of ended messages since the process began, by kind of end proof.
--- a/src/net/driver/endpoints.rs
+++ b/src/net/driver/endpoints.rs
@@ -22,9 +22,10 @@
     pub kind: usize,
     /// Number of the destination that the endpoint belongs to.
     pub destination: u64,
-    /// True if the latest entry did not mark the endpoint as removed.
+    /// True if the endpoint list contains the endpoint and does not mark it as removed.
     pub listed: bool,
-    /// True if the latest entry marked the endpoint as serving, neither draining nor removed.
+    /// True if the endpoint list contains the endpoint and marks it as serving, neither draining nor
+    /// removed.
     pub serving: bool,
     /// Name of the zone, from the latest entry.
     pub zone: String,
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -108,7 +108,7 @@
         self.held_back.insert(entry.uid.clone(), entry.clone());
         let current = current?;
         if current.destination == entry.destination && current.zone == entry.zone {
-            // keep the endpoint's current weight and status
+            // the endpoint keeps its current weight and status until the change is allowed
             entry.weight = current.weight;
             entry.status = if current.up {
                 EndpointStatus::Serving
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -39,7 +39,8 @@
             }
         };
         if self.predecessor.is_some() {
-            // the successor asks again, after this process's own predecessor has ended
+            // this process is still connected to its own predecessor; the successor asks again
+            // later
             return AfterRequest::Continue;
         }
         self.take_turns();
--- a/src/net/driver/violations.rs
+++ b/src/net/driver/violations.rs
@@ -1,6 +1,6 @@
 //! Kinds of violated invariants between the decision module and the driver, with the number of
 //! violations of each kind since the process began. The invariants are checked in other modules,
-//! which count a violation here; the count is logged.
+//! which count a violation here. Not every violation is logged: see [`LOG_EVERY_NTH`].
 
 use message_sender::lifecycle;
 use std::collections::BTreeMap;
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -225,7 +225,7 @@
     /// The message was not accepted, because the journal could not record it or the driver ended
     /// without a result.
     NotStored,
-    /// The message could not be delivered.
+    /// The message was not accepted, because the decision module failed it at once.
     Failed,
 }
 
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -33,7 +33,7 @@
 
     /// Returns the connection over which the sender has made 8 calls, each answered with 200. The
     /// sender keeps it open for its next call to this endpoint.
-    fn warm_connection(&self, node: &Node) -> TcpStream {
+    fn used_connection(&self, node: &Node) -> TcpStream {
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
             let id = format!("warm-{served}");
@@ -74,7 +74,7 @@
         )
     });
     let node = node.ready();
-    let mut first_connection = endpoint.warm_connection(&node);
+    let mut first_connection = endpoint.used_connection(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
@@ -249,7 +249,7 @@
         text.replace(r#""window":12.0"#, r#""window":1.0"#)
     })
     .ready();
-    let mut stream = endpoint.warm_connection(&node);
+    let mut stream = endpoint.used_connection(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
