--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -1,6 +1,7 @@
 //! Predecessor after a handover: it reports the ends of its calls to the successor, and forwards
-//! submissions and commands that still arrive. It makes no decisions, writes no journal records and
-//! starts no calls.
+//! clients' submissions and disconnects, and operators' commands that disable or enable an
+//! endpoint. Operators' requests for reports get none. The predecessor makes no decisions, writes
+//! no journal records and starts no calls.
 
 use super::ClientSlots;
 use super::calls_in_flight::CallsInFlight;
@@ -100,6 +101,7 @@
             reply,
         } = command
         else {
+            // requests for reports are not forwarded; dropping the reply channel ends them
             return Ok(());
         };
         let number = self.next_number();
@@ -174,12 +176,12 @@
 
     fn receive_from_successor(&mut self, message: HandoverMessage) {
         match message {
-            HandoverMessage::CancelAttempt { call, item } => {
+            HandoverMessage::CancelAttempt { call, position } => {
                 let call = self.calls_in_flight.get(call);
                 if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
                     // the send fails only if the call has just ended, and then its outcome is
                     // already queued
-                    let _ = cancels.send(item);
+                    let _ = cancels.send(position);
                 }
             }
             HandoverMessage::Answered { number, result } => {
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,10 +1,12 @@
 //! The event loop: the only owner of the decision module and of the messages.
 //!
-//! In each turn the driver turns all waiting input into events, passes them to the decision module
-//! in one call, and carries out the actions that it returns. Each kind of state has a module of its
-//! own ([`endpoints`], [`messages`], [`calls_in_flight`], [`journal_state`], [`completion`],
-//! [`submissions`]); the other modules each do one job, such as a handover or the recovery from the
-//! journal.
+//! In each turn the driver converts queued inputs into events, passes them to the decision module
+//! in one call, and carries out the actions that the decision module returns. The number of inputs
+//! in one turn is limited by [`MAX_INPUTS_PER_TURN`].
+//!
+//! The main state is in the modules [`endpoints`], [`messages`], [`calls_in_flight`],
+//! [`journal_state`], [`completion`] and [`submissions`]. Most other modules contain one operation
+//! of the driver, such as a handover or the recovery from the journal.
 
 mod admin;
 mod attempts;
@@ -55,11 +57,12 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 use violations::Violations;
 
-/// Interval at which idle connections are closed and endpoints held back by a freeze are checked
-/// for admission.
+/// Interval of the periodic maintenance, which closes idle connections, retries failed journal
+/// writes, and checks whether endpoints that a freeze held back can be admitted.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum number of queued inputs handled in one turn, which keeps a turn short. 1024 covers the
-/// end of one call to each of 1024 endpoints.
+/// Maximum number of queued inputs that are handled in one turn, in addition to the input that
+/// started the turn. The limit keeps a turn short. 1024 covers the end of one call to each of 1024
+/// endpoints.
 const MAX_INPUTS_PER_TURN: usize = 1024;
 
 /// Components and channels that the driver uses while it runs.
@@ -85,7 +88,7 @@
     /// Settings read from the configuration file.
     pub settings: SettingsUpdate,
     /// Endpoint list from the configuration file, used until discovery sends one.
-    pub known_list: Option<ListUpdate>,
+    pub configured_list: Option<ListUpdate>,
     /// Fallback rules, in force until rules are leased; `None` if agreement is off.
     pub fallback_rules: Option<RuleBounds>,
     /// Fallback quotas, in force until quotas are leased; `None` if the ledger is off.
@@ -133,7 +136,8 @@
     events: Vec<Event>,
     /// Time in microseconds at which the decision module requested its next turn.
     timer: Option<Micros>,
-    /// Notified after the next turn, when the rules or quotas that a task sent are in force.
+    /// Channels to notify once the decision module has handled the queued events, among them the
+    /// rules or quotas that a task sent.
     waiting_for_turn: Vec<oneshot::Sender<()>>,
     violations: Violations,
     ready: watch::Sender<bool>,
@@ -149,14 +153,14 @@
         let InitialState {
             sender,
             settings,
-            known_list,
+            configured_list,
             fallback_rules,
             fallback_quotas,
             handover,
         } = initial;
         let names = settings.names.clone();
         let mut driver = Driver::empty(dependencies, sender, names);
-        driver.list.rules_agreed = fallback_rules.is_some();
+        driver.list.is_agreement_on = fallback_rules.is_some();
         let taken_over = handover.is_some();
         if let Some(state) = handover {
             driver.take_over(state);
@@ -165,8 +169,8 @@
         }
         driver.push_fallbacks(fallback_rules, fallback_quotas, taken_over);
         driver.apply_settings(settings);
-        if let Some(known) = known_list.filter(|_| !taken_over) {
-            driver.apply_known_list(known);
+        if let Some(list) = configured_list.filter(|_| !taken_over) {
+            driver.apply_configured_list(list);
         }
         driver.push_disabled_endpoints();
         driver.recover_messages(taken_over);
@@ -283,7 +287,8 @@
                         continue;
                     }
                 }
-                // no message is accepted and no call begins until the journal can be written
+                // failed writes are retried at short intervals, because no message is accepted and
+                // no call begins until the journal can be written
                 _ = journal_retry.tick(), if self.journal.is_reported_failing() => {
                     if !self.journal.retry() {
                         continue;
@@ -340,7 +345,7 @@
             DriverInput::ListStale(stale) => self.events.push(Event::EndpointListStale(stale)),
             DriverInput::NotificationsAccepted(accepted) => self.notifications_accepted(accepted),
             DriverInput::AgreedRules { rules, applied } => {
-                self.list.rules_agreed = rules.is_some();
+                self.list.is_agreement_on = rules.is_some();
                 self.events.push(Event::AgreedRules(rules));
                 self.waiting_for_turn.push(applied);
             }
@@ -357,10 +362,10 @@
                 unavailable,
             }),
             DriverInput::Demand {
-                complete_up_to,
+                max_fully_reported,
                 reply,
             } => {
-                let (listed, by_destination) = self.sender.demand_in_use(complete_up_to);
+                let (listed, by_destination) = self.sender.demand_in_use(max_fully_reported);
                 // the send fails only if the ledger client was switched off meanwhile
                 let _ = reply.send(DemandReport {
                     listed,
@@ -377,7 +382,7 @@
     /// Logs an event of a message, if the driver still holds the message.
     fn log_event(&self, message: MessageId, event: &MessageEvent<'_>) {
         if let Some(held) = self.messages.get(message) {
-            message_log::record(&held.item.id, event);
+            message_log::log_event(&held.item.id, event);
         }
     }
 }
