--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -1,5 +1,7 @@
-//! Answers of endpoints that are cut: a message ends by a whole first line 200, a whole line of a bulk answer, or else by a
-//! notification. The endpoint's own record of what it has written decides what a message's end has to be.
+//! Tests of answers that endpoints cut off at any byte. A cut answer must never count as a
+//! delivery: a message ends only with a complete 200 status line, a complete 410 head, a complete
+//! line of a bulk answer, or an outcome notification. The expected end of each message follows from
+//! what the endpoint has recorded as written.
 
 mod node;
 
@@ -9,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn answer_cut_within_its_status_line_is_no_delivery() {
+fn answer_cut_within_status_line_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
@@ -39,18 +41,19 @@
 }
 
 #[test]
-fn partial_status_line_on_an_open_connection_is_no_delivery() {
+fn partial_status_line_on_open_connection_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
-    // the attempt of a class with a key ends with its window, that of the other with its message
-    for (class, time_ms) in [("webhook", LONG_MS), ("order", 1500)] {
+    // an attempt with an idempotency key ends with the key's window; an attempt without one ends at
+    // the message's deadline
+    for (class, time_limit_ms) in [("webhook", LONG_MS), ("order", 1500)] {
         for length in 0..=STATUS_LINE.len() {
             let id = format!("{class}-{length}");
             endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
             let destination = ids.len() as u64;
-            let answer = node.hand_in(class, &id, destination, time_ms, b"body");
+            let answer = node.hand_in(class, &id, destination, time_limit_ms, b"body");
             assert_eq!(answer, 202, "{id}");
             ids.push(id);
         }
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn whole_status_line_is_a_delivery_at_once_though_the_rest_never_comes() {
+fn complete_status_line_is_a_delivery_without_the_rest_of_the_answer() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 200);
     let node = sender(&agent);
@@ -70,41 +73,46 @@
             Fragment::of_status_line(STATUS_LINE.len(), Then::Silence),
         );
         assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
-        let until = Instant::now() + Duration::from_secs(5);
-        while Instant::now() < until
+        let poll_until = Instant::now() + Duration::from_secs(5);
+        while Instant::now() < poll_until
             && node.hand_in(class, &id, destination, LONG_MS, b"body") != 200
         {
             thread::sleep(Duration::from_millis(5));
         }
-        let again = node.hand_in(class, &id, destination, LONG_MS, b"body");
-        assert_eq!(again, 200, "{id} is delivered");
+        let repeated_status = node.hand_in(class, &id, destination, LONG_MS, b"body");
+        assert_eq!(repeated_status, 200, "{id} is delivered");
         assert_eq!(endpoint.calls(&id), 1, "calls with {id}");
         assert!(!is_notified(&agent, &id));
     }
 }
 
-/// Lengths of the status line round those that were once taken for a delivery.
-const LATE_CUTS: std::ops::RangeInclusive<usize> = 11..=17;
+/// Lengths in bytes at which the status line is cut. An earlier version took some of them for a
+/// delivery.
+const CUT_LENGTHS_BYTES: std::ops::RangeInclusive<usize> = 11..=17;
 
-/// Messages whose first calls are answered in part and left open, one for each class and length.
-fn hand_in_late_cuts(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
+/// Submits a message for each class and each length of [`CUT_LENGTHS_BYTES`]. The endpoint answers
+/// its first call with that part of the status line and leaves the connection open.
+fn submit_with_cut_status_lines(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
     let mut ids = Vec::new();
     for class in ["webhook", "order"] {
-        for length in LATE_CUTS {
+        for length in CUT_LENGTHS_BYTES {
             let id = format!("{class}-{length}");
             endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
             let destination = ids.len() as u64;
             assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
-            wait_until("its call", || endpoint.calls(&id) == 1);
+            wait_until("the endpoint receives the call", || {
+                endpoint.calls(&id) == 1
+            });
             ids.push(id);
         }
     }
     let whole = STATUS_LINE.len();
     for (class, destination) in [("webhook", 6), ("order", 13)] {
         let id = format!("{class}-{whole}");
-        wait_until("the whole line is known to be a delivery", || {
-            node.hand_in(class, &id, destination, LONG_MS, b"body") == 200
-        });
+        wait_until(
+            "the message with the complete line counts as delivered",
+            || node.hand_in(class, &id, destination, LONG_MS, b"body") == 200,
+        );
     }
     ids
 }
@@ -125,31 +133,31 @@
 }
 
 #[test]
-fn partial_status_line_at_sigkill_is_no_delivery_for_the_next_process() {
+fn partial_status_line_at_sigkill_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let node = sender(&agent);
-    let ids = hand_in_late_cuts(&node, &endpoint);
+    let ids = submit_with_cut_status_lines(&node, &endpoint);
     let node = node.restart().ready();
     assert_ends_after_restart(&node, &agent, &endpoint, &ids);
 }
 
 #[test]
-fn partial_status_line_at_sigterm_is_no_delivery_for_the_next_process() {
+fn partial_status_line_at_sigterm_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 20);
     let mut node = sender(&agent);
-    let ids = hand_in_late_cuts(&node, &endpoint);
+    let ids = submit_with_cut_status_lines(&node, &endpoint);
     node.terminate();
-    wait_until("it ends", || {
-        node.process.try_wait().expect("its state").is_some()
+    wait_until("the process ends", || {
+        node.process.try_wait().expect("process state").is_some()
     });
     let node = node.restart().ready();
     assert_ends_after_restart(&node, &agent, &endpoint, &ids);
 }
 
 #[test]
-fn gone_answer_ends_its_message_only_with_its_whole_head() {
+fn answer_410_ends_message_only_with_its_complete_head() {
     const GONE: &[u8] = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n";
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "one", 100);
@@ -167,8 +175,8 @@
         );
         ids.push(id);
     }
-    let whole = ids.pop().expect("the last one");
-    // what is cut may have run, and is called again
+    let whole = ids.pop().expect("at least one message");
+    // a message whose answer was cut may have run; its class allows a second call
     assert_proved_ends(&node, &agent, &endpoint, &ids);
     assert!(ids.iter().all(|id| endpoint.calls(id) == 2));
     assert_eq!(endpoint.calls(&whole), 1);
@@ -176,7 +184,7 @@
 }
 
 #[test]
-fn bulk_answer_without_length_cut_at_any_byte_ends_only_messages_of_whole_lines() {
+fn cut_bulk_answer_without_length_ends_only_messages_of_complete_lines() {
     let endpoint = FragmentingEndpoint::new();
     let agent = destinations_at(endpoint.address, "bulk", 120);
     let node = sender(&agent);
@@ -208,9 +216,13 @@
     }
     let ids: Vec<String> = cases.concat();
     assert_proved_ends(&node, &agent, &endpoint, &ids);
-    // what the cut answer had not told in a whole line was called again; a reset may take what came before it
+    // messages without a complete line in the cut answer are called again; a reset may also discard
+    // earlier lines
     for id in ids.iter().filter(|id| id.contains("Close")) {
-        let again = endpoint.calls(id) - 1;
-        assert!(again <= 1, "{again} further calls with {id}");
+        let further_calls = endpoint.calls(id) - 1;
+        assert!(
+            further_calls <= 1,
+            "{further_calls} further calls with {id}"
+        );
     }
 }
