--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -62,7 +62,7 @@
     wait_until("both act on the first version", || {
         senders.iter().all(|node| acts_on(node) == complete(1))
     });
-    let taken = |node: &Node, class: &str, id: &str| node.hand_in(class, id, 7, 20_000, b"x");
+    let taken = |node: &Node, class: &str, id: &str| node.submit(class, id, 7, 20_000, b"x");
     assert_eq!(
         ["webhook", "order"].map(|class| taken(&senders[0], class, class)),
         [202, 429]
@@ -89,7 +89,7 @@
         ["order", "charge"].map(|class| taken(&senders[0], class, &format!("3-{class}"))),
         [429, 202]
     );
-    wait_until("delivered", || endpoint.times("3-charge") == 1);
+    wait_until("delivered", || endpoint.count_of("3-charge") == 1);
     registry.start();
     wait_until("both are back", || {
         senders.iter().all(|node| acts_on(node) == complete(2))
@@ -124,8 +124,10 @@
     // off by SIGHUP: own settings alone
     std::fs::write(&path, config(registry.address, 3.0, 5.0, 1024)).expect("written");
     node.hang_up();
-    wait_until("it is off", || node.operate("GET /agreement", "") == 404);
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    wait_until("it is off", || {
+        node.operator_status("GET /agreement", "") == 404
+    });
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
 }
 
 #[test]
@@ -138,13 +140,13 @@
     let node = Node::new(&agent).ready();
     assert_eq!(
         (
-            node.operate("GET /agreement", ""),
-            node.operate("POST /agreement", "")
+            node.operator_status("GET /agreement", ""),
+            node.operator_status("POST /agreement", "")
         ),
         (404, 405)
     );
     assert!(!node.logged("agreement"));
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     registry.request_until_ok("GET", "/v1/rules", &Value::Null);
     let leases = registry
         .request("GET", "/v1/rules", &Value::Null)
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -52,7 +52,7 @@
         let text = text.replace(r#""sockets":1024"#, &format!(r#""sockets":{SOCKETS}"#));
         let text = text.replace(r#""maxOpen":50,"#, &format!(r#""maxOpen":{},"#, 2 * MANY));
         let text = text.replace(r#""callSlots":8,"#, &format!(r#""callSlots":{MANY},"#));
-        with_part(&text, more)
+        with_members(&text, more)
     };
     Node::configured_with(agent, configured)
 }
@@ -89,13 +89,13 @@
     for number in 0..MANY {
         let id = uid(number);
         assert_eq!(
-            node.hand_in("webhook", &id, number as u64 + 1, 20_000, b"x"),
+            node.submit("webhook", &id, number as u64 + 1, 20_000, b"x"),
             202,
             "{id}"
         );
     }
     wait_until("each endpoint has been called", || {
-        (0..MANY).all(|number| servers[number % SERVERS].times(&uid(number)) > 0)
+        (0..MANY).all(|number| servers[number % SERVERS].count_of(&uid(number)) > 0)
     });
     assert_eq!(agent.notices(), Vec::<String>::new());
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -81,15 +81,15 @@
     wait_until("it says so", || {
         node.logged("nothing is sent until it tells")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        (old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")),
+        (old.count(), node.submit("webhook", "m2", 7, 20_000, b"x")),
         (1, 202)
     );
     agent.muted_watches.store(0, Ordering::SeqCst);
     wait_until("all is delivered", || {
-        new.times("m1") + new.times("m2") == 2
+        new.count_of("m1") + new.count_of("m2") == 2
     });
     assert_eq!(old.count(), 1);
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_start_with_open_messages_sends_nothing_by_an_older_list_than_its_agent_holds() {
     let (old, new) = (
-        Endpoint::new(|_, _| Reply::Answer("503 Full", String::new())),
+        Endpoint::new(|_, _| Reply::Response("503 Full", String::new())),
         Endpoint::new(|_, _| OK),
     );
     let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
@@ -106,14 +106,14 @@
         text.replace(r#""known":{"rev":0,"all":true,"targets":[]}"#, &known)
     });
     let mut node = node.ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is tried", || old.count() > 0);
     node.kill();
     let tried = old.count();
     replace(&agent, &old, "draining", &new);
     *agent.watch_delay.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
-    wait_until("delivered", || new.times("m1") == 1);
+    wait_until("delivered", || new.count_of("m1") == 1);
     assert_eq!(
         old.count(),
         tried,
@@ -204,11 +204,11 @@
     wait_until("it says so", || {
         node.logged("nothing is sent until it tells")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(old.count(), 1);
     agent.holds_watches.store(false, Ordering::SeqCst);
-    wait_until("all is delivered", || new.times("m1") == 1);
+    wait_until("all is delivered", || new.count_of("m1") == 1);
     assert_eq!(old.count(), 1);
 }
 
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -19,7 +19,7 @@
 struct FaultySender {
     endpoint: Endpoint,
     agent: Agent,
-    faults: Faults,
+    faults: FaultInjector,
 }
 
 impl FaultySender {
@@ -36,7 +36,7 @@
 
     /// Creates a sender that gets its endpoint list from this agent.
     fn with_agent(endpoint: Endpoint, agent: Agent) -> Self {
-        let faults = Faults::new(&agent, |config| config);
+        let faults = FaultInjector::new(&agent, |config| config);
         FaultySender {
             endpoint,
             agent,
@@ -46,7 +46,7 @@
 
     /// Changes the configuration of the sender.
     fn configured(mut self, change: impl FnOnce(String) -> String) -> Self {
-        self.faults = Faults::new(&self.agent, change);
+        self.faults = FaultInjector::new(&self.agent, change);
         self
     }
 
@@ -89,13 +89,13 @@
     faults.on("journal_write", EIO);
     for dest in 0..CALL_SLOTS as u64 {
         assert_eq!(
-            node.hand_in("webhook", &format!("refused-{dest}"), dest, 20_000, b"x"),
+            node.submit("webhook", &format!("refused-{dest}"), dest, 20_000, b"x"),
             503
         );
     }
     faults.off("journal_write");
-    assert_eq!(node.hand_in("webhook", "after", 0, 20_000, b"x"), 202);
-    wait_until("it is delivered", || endpoint.times("after") == 1);
+    assert_eq!(node.submit("webhook", "after", 0, 20_000, b"x"), 202);
+    wait_until("it is delivered", || endpoint.count_of("after") == 1);
     assert_eq!(endpoint.count(), 1, "rejected messages are not sent");
 }
 
@@ -110,21 +110,21 @@
     // compaction can't replace the journal file either
     faults.on("journal_rename", EIO);
     faults.on("journal_half", ENOSPC);
-    assert_eq!(node.hand_in("webhook", "refused", 7, 20_000, b"x"), 503);
+    assert_eq!(node.submit("webhook", "refused", 7, 20_000, b"x"), 503);
     faults.off("journal_half");
     assert_eq!(
-        node.hand_in("webhook", "refused-too", 7, 20_000, b"x"),
+        node.submit("webhook", "refused-too", 7, 20_000, b"x"),
         503,
         "half a record is at the end of the journal"
     );
     // compaction writes a new file without the half record, though truncation still fails
     faults.off("journal_rename");
     wait_until("messages are accepted", || {
-        node.hand_in("webhook", "after", 7, 20_000, b"x") == 202
+        node.submit("webhook", "after", 7, 20_000, b"x") == 202
     });
-    wait_until("it is delivered", || endpoint.times("after") == 1);
+    wait_until("it is delivered", || endpoint.count_of("after") == 1);
     // after a restart, messages recorded in the new file must be recovered
-    assert_eq!(node.hand_in("webhook", "owed", 99, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
     let node = sender.start();
     wait_until("the restart logs its unfinished messages", || {
@@ -151,12 +151,12 @@
     let node = sender.start();
     for id in ["first", "second"] {
         assert_eq!(
-            node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
+            node.send_bytes(&message_with_subject("a", "charge", id, 7, 20_000))
                 .0,
             202
         );
     }
-    wait_until("the first is in flight", || endpoint.times("first") == 1);
+    wait_until("the first is in flight", || endpoint.count_of("first") == 1);
     // writes of fewer than 20 bytes fail; only the records of ends and outcomes are that short
     faults.on("journal_short", 20);
     *gate.lock().expect("not poisoned") = true;
@@ -165,7 +165,7 @@
     });
     // no record may follow the one that failed, so no message is accepted or sent
     assert_eq!(
-        node.raw(&message_with_subject("b", "charge", "other", 7, 20_000))
+        node.send_bytes(&message_with_subject("b", "charge", "other", 7, 20_000))
             .0,
         503
     );
@@ -173,13 +173,15 @@
     drop(node);
     faults.off("journal_short");
     let node = sender.start();
-    wait_until("the second is delivered", || endpoint.times("second") >= 1);
+    wait_until("the second is delivered", || {
+        endpoint.count_of("second") >= 1
+    });
     assert_eq!(
-        node.raw(&message_with_subject("a", "charge", "third", 7, 20_000))
+        node.send_bytes(&message_with_subject("a", "charge", "third", 7, 20_000))
             .0,
         202
     );
-    wait_until("the third is delivered", || endpoint.times("third") >= 1);
+    wait_until("the third is delivered", || endpoint.count_of("third") >= 1);
     let calls: Vec<String> = endpoint
         .seen
         .lock()
@@ -200,7 +202,7 @@
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |_, _| {
         wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
-        Reply::Answer("500 Oops", String::new())
+        Reply::Response("500 Oops", String::new())
     });
     let sender = FaultySender::with_endpoint(endpoint);
     let FaultySender {
@@ -209,8 +211,8 @@
         faults,
     } = &sender;
     let node = sender.start();
-    assert_eq!(node.hand_in("order", "one", 7, 20_000, b"x"), 202);
-    wait_until("the call is in flight", || endpoint.times("one") == 1);
+    assert_eq!(node.submit("order", "one", 7, 20_000, b"x"), 202);
+    wait_until("the call is in flight", || endpoint.count_of("one") == 1);
     faults.on("journal_write", EIO);
     *gate.lock().expect("not poisoned") = true;
     wait_until("writing its end fails", || {
@@ -218,7 +220,7 @@
     });
     // the turn with the failed end is over once a later submission was rejected, so its
     // notification would have been posted
-    assert_eq!(node.hand_in("order", "refused", 7, 20_000, b"x"), 503);
+    assert_eq!(node.submit("order", "refused", 7, 20_000, b"x"), 503);
     assert_eq!(agent.notices(), [""; 0]);
     faults.off("journal_write");
     wait_until("the failure is notified", || {
@@ -231,8 +233,8 @@
     let sender = FaultySender::new();
     let FaultySender { agent, faults, .. } = &sender;
     let node = sender.start();
-    assert_eq!(node.hand_in("order", "one", 99, 1_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "two", 99, 4_000, b"x"), 202);
+    assert_eq!(node.submit("order", "one", 99, 1_000, b"x"), 202);
+    assert_eq!(node.submit("order", "two", 99, 4_000, b"x"), 202);
     faults.on("journal_write", ENOSPC);
     wait_until("the failure is notified", || {
         agent
@@ -246,10 +248,10 @@
             .iter()
             .all(|line| !line.contains(r#""id":"two""#))
     );
-    assert_eq!(node.hand_in("order", "refused", 7, 20_000, b"x"), 503);
+    assert_eq!(node.submit("order", "refused", 7, 20_000, b"x"), 503);
     faults.off("journal_write");
     wait_until("messages are accepted", || {
-        node.hand_in("order", "after", 7, 20_000, b"x") == 202
+        node.submit("order", "after", 7, 20_000, b"x") == 202
     });
     wait_until("the other failure is notified", || {
         agent
@@ -273,12 +275,12 @@
     faults.on("short_receive", 64);
     for number in 0..3 {
         let id = format!("m{number}");
-        assert_eq!(node.hand_in("webhook", &id, 7, 20_000, &[b'x'; 5_000]), 202);
-        wait_until("it is delivered", || endpoint.times(&id) == 1);
+        assert_eq!(node.submit("webhook", &id, 7, 20_000, &[b'x'; 5_000]), 202);
+        wait_until("it is delivered", || endpoint.count_of(&id) == 1);
     }
     assert_eq!(endpoint.count(), 3, "each was sent once");
     // an outcome notification must also be posted over partial sends
-    assert_eq!(node.hand_in("order", "unsent", 99, 100, b"x"), 202);
+    assert_eq!(node.submit("order", "unsent", 99, 100, b"x"), 202);
     wait_until("its notification", || {
         agent.notices().iter().any(|line| line.contains("unsent"))
     });
@@ -305,7 +307,7 @@
     faults.on(fault, errno);
     let ids: Vec<String> = (0..6).map(|number| format!("m{number}")).collect();
     for id in &ids {
-        assert_eq!(node.hand_in("order", id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("order", id, 7, 20_000, b"x"), 202);
     }
     // at least 8 failed dials, so that calls of the 6 messages have been retried
     wait_until("dials have failed", || {
@@ -313,7 +315,7 @@
     });
     faults.off(fault);
     wait_until("all are delivered", || {
-        ids.iter().all(|id| endpoint.times(id) == 1)
+        ids.iter().all(|id| endpoint.count_of(id) == 1)
     });
     assert!(!node.logged("ejected"), "{fault} {errno}: {:?}", node.log);
 }
@@ -346,7 +348,7 @@
                 let faults = &sender.faults;
                 let node = sender.start();
                 assert_eq!(
-                    node.hand_in("webhook", &format!("owed-{fault}"), 99, 20_000, b"x"),
+                    node.submit("webhook", &format!("owed-{fault}"), 99, 20_000, b"x"),
                     202
                 );
                 drop(node);
@@ -394,8 +396,8 @@
                 } = &sender;
                 let node = sender.start();
                 let (long, short) = (format!("long{step_s}"), format!("short{step_s}"));
-                assert_eq!(node.hand_in("webhook", &long, 8, 20_000, b"x"), 202);
-                assert_eq!(node.hand_in("webhook", &short, 9, 3_000, b"x"), 202);
+                assert_eq!(node.submit("webhook", &long, 8, 20_000, b"x"), 202);
+                assert_eq!(node.submit("webhook", &short, 9, 3_000, b"x"), 202);
                 drop(node);
                 faults.on("wall_step", step_s);
                 let lines = list(&[
@@ -405,7 +407,7 @@
                 *agent.lines.lock().expect("not poisoned") = vec![lines];
                 let node = sender.start();
                 wait_until("the message with time left is sent", || {
-                    endpoint.times(&long) == 1
+                    endpoint.count_of(&long) == 1
                 });
                 wait_until("the expired message is notified", || {
                     !agent.notices().is_empty()
@@ -445,11 +447,11 @@
     } = &sender;
     let old = sender.start();
     assert_eq!(
-        old.hand_in("order", "waits", 99, 20_000, &[b'x'; 20_000]),
+        old.submit("order", "waits", 99, 20_000, &[b'x'; 20_000]),
         202
     );
-    assert_eq!(old.hand_in("webhook", "held", 7, 20_000, b"x"), 202);
-    wait_until("the call is in flight", || endpoint.times("held") == 1);
+    assert_eq!(old.submit("webhook", "held", 7, 20_000, b"x"), 202);
+    wait_until("the call is in flight", || endpoint.count_of("held") == 1);
     faults.on("short_send", 1);
     faults.on("short_receive", 64);
     // the end of "held" is known but not on the disk; a successor that reads the journal now would
@@ -462,7 +464,7 @@
     let new = thread::scope(|scope| {
         let next = scope.spawn(|| faults.start());
         assert_eq!(
-            old.hand_in("webhook", "refused", 7, 20_000, b"x"),
+            old.submit("webhook", "refused", 7, 20_000, b"x"),
             503,
             "the old process still owns the messages"
         );
@@ -477,11 +479,11 @@
     );
     let new = new.ready();
     assert_eq!(
-        new.hand_in("webhook", "held", 7, 20_000, b"x"),
+        new.submit("webhook", "held", 7, 20_000, b"x"),
         200,
         "the message is remembered as delivered"
     );
-    assert_eq!(endpoint.times("held"), 1);
+    assert_eq!(endpoint.count_of("held"), 1);
 }
 
 #[test]
@@ -491,17 +493,17 @@
         endpoint, faults, ..
     } = &sender;
     let old = sender.start();
-    assert_eq!(old.hand_in("webhook", "first", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "first", 7, 20_000, b"x"), 202);
     wait_until("the end of the message is written", || {
-        old.hand_in("webhook", "first", 7, 20_000, b"x") == 200
+        old.submit("webhook", "first", 7, 20_000, b"x") == 200
     });
     faults.on("journal_write", EIO);
-    assert_eq!(old.hand_in("webhook", "refused", 7, 20_000, b"x"), 503);
+    assert_eq!(old.submit("webhook", "refused", 7, 20_000, b"x"), 503);
     let new = sender.start();
     assert!(new.logged("taken over (complete)"), "{:?}", new.log);
     faults.off("journal_write");
-    assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
-    wait_until("it is delivered", || endpoint.times("after") == 1);
+    assert_eq!(new.submit("webhook", "after", 7, 20_000, b"x"), 202);
+    wait_until("it is delivered", || endpoint.count_of("after") == 1);
 }
 
 #[test]
@@ -519,8 +521,8 @@
     });
     // after this time the old process has exited, so only the new one can make the call
     thread::sleep(SHUTDOWN_DURATION.saturating_sub(terminated_at.elapsed()));
-    assert_eq!(new.hand_in("webhook", "after", 7, 20_000, b"x"), 202);
-    wait_until("it is delivered", || endpoint.times("after") == 1);
+    assert_eq!(new.submit("webhook", "after", 7, 20_000, b"x"), 202);
+    wait_until("it is delivered", || endpoint.count_of("after") == 1);
 }
 
 /// Guards against two owners of one state folder. Two processes start while the lock file can't be
@@ -561,7 +563,7 @@
         exit_line.is_some(),
         "no log line with the reason for the exit"
     );
-    assert_eq!(later.hand_in("webhook", "m1", 99, 20_000, b"x"), 202);
+    assert_eq!(later.submit("webhook", "m1", 99, 20_000, b"x"), 202);
     assert!(!later.logged("handover: handed over"));
 }
 
--- a/tests/freeze.rs
+++ b/tests/freeze.rs
@@ -69,7 +69,7 @@
         r#""freeze":{{"poll_ms":200,"unknown_ms":1500,"ramp_ms":300,"others":["{}"]}},"#,
         registry.address
     );
-    Node::configured_with(agent, |text| with_part(&text, &part)).ready()
+    Node::configured_with(agent, |text| with_members(&text, &part)).ready()
 }
 
 #[test]
@@ -227,8 +227,8 @@
     let node = Node::new(&agent).ready();
     assert_eq!(
         (
-            node.operate("GET /freeze", ""),
-            node.operate("POST /freeze", "")
+            node.operator_status("GET /freeze", ""),
+            node.operator_status("POST /freeze", "")
         ),
         (404, 405)
     );
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -53,7 +53,7 @@
     while begin.elapsed() < after + time {
         for node in nodes {
             let number = MESSAGES.fetch_add(1, Ordering::SeqCst);
-            node.hand_in("webhook", &format!("p{number}"), 7, 900, b"x");
+            node.submit("webhook", &format!("p{number}"), 7, 900, b"x");
         }
         if begin.elapsed() >= after {
             before.get_or_insert_with(|| (endpoint.count(), Instant::now()));
@@ -163,8 +163,8 @@
     let off = registry.sender("b", "");
     assert_eq!(
         (
-            off.operate("GET /ledger", ""),
-            off.operate("POST /ledger", "")
+            off.operator_status("GET /ledger", ""),
+            off.operator_status("POST /ledger", "")
         ),
         (404, 405)
     );
@@ -213,7 +213,7 @@
     let fail = |nodes: &[Node]| {
         for node in nodes {
             let number = MESSAGES.fetch_add(1, Ordering::SeqCst);
-            node.hand_in("webhook", &format!("v{number}"), 7, 900, b"x");
+            node.submit("webhook", &format!("v{number}"), 7, 900, b"x");
         }
         std::thread::sleep(Duration::from_millis(40));
     };
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -27,7 +27,7 @@
 fn member(agent: &Agent, name: &str, membership: &str) -> Node {
     let membership = format!(r#""name":"{name}",{membership}"#);
     let node = Node::configured_with(agent, |text| {
-        with_part(&text.replace(r#""name":"n1","#, ""), &membership)
+        with_members(&text.replace(r#""name":"n1","#, ""), &membership)
     });
     node.ready()
 }
@@ -52,8 +52,8 @@
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     assert_eq!(
         (
-            node.operate("GET /members", ""),
-            node.operate("POST /members", "")
+            node.operator_status("GET /members", ""),
+            node.operator_status("POST /members", "")
         ),
         (404, 405)
     );
@@ -110,7 +110,8 @@
     let (a, b) = (free(), free());
     let other = member(&agent, "b", &object(b, &[], ""));
     let membership = format!(r#""name":"a",{}"#, object(a, &[b], ""));
-    let change = move |text: String| with_part(&text.replace(r#""name":"n1","#, ""), &membership);
+    let change =
+        move |text: String| with_members(&text.replace(r#""name":"n1","#, ""), &membership);
     let old = Node::configured_with(&agent, change).ready();
     wait_until("it is known", || state(&other, "a") == "alive");
     let new = old.successor_as_configured().ready();
@@ -145,7 +146,7 @@
         ),
     ] {
         let folder = fresh_folder();
-        let text = with_part(
+        let text = with_members(
             &config(agent.address, 3.0, 5.0, 1024),
             &object(address, &[], more),
         );
@@ -168,7 +169,9 @@
     }
     let good = object(address, &[], "");
     let node = Node::configured(&agent, 5.0, 8, &good).ready();
-    wait_until("it is on", || node.operate("GET /members", "") == 200);
+    wait_until("it is on", || {
+        node.operator_status("GET /members", "") == 200
+    });
     let path = node.folder.join("config.json");
     let text = std::fs::read_to_string(&path).expect("the configuration");
     let bring = |part: &str| {
@@ -179,11 +182,15 @@
     wait_until("it is refused", || {
         node.logged("configuration left as it was: membership.helpers")
     });
-    assert_eq!(node.operate("GET /members", ""), 200);
+    assert_eq!(node.operator_status("GET /members", ""), 200);
     bring("");
-    wait_until("it is off", || node.operate("GET /members", "") == 404);
+    wait_until("it is off", || {
+        node.operator_status("GET /members", "") == 404
+    });
     bring(&good);
-    wait_until("it is on again", || node.operate("GET /members", "") == 200);
+    wait_until("it is on again", || {
+        node.operator_status("GET /members", "") == 200
+    });
 }
 
 #[test]
@@ -196,7 +203,9 @@
     deliver(&node, "m1", 7);
     wait_until("it is told", || node.logged("members: off until"));
     drop(taken);
-    wait_until("it is on", || node.operate("GET /members", "") == 200);
+    wait_until("it is on", || {
+        node.operator_status("GET /members", "") == 200
+    });
     let lines = node
         .log
         .lock()
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -13,22 +13,22 @@
 #[test]
 fn answer_cut_within_status_line_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 200);
+    let agent = agent_with_destinations(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
     for class in ["order", "webhook"] {
-        for then in [Then::Close, Then::Reset] {
+        for then in [AfterFragment::Close, AfterFragment::Reset] {
             for length in 0..=STATUS_LINE.len() {
                 let id = format!("{class}-{then:?}-{length}");
                 endpoint.break_off(&id, Fragment::of_status_line(length, then));
                 let destination = ids.len() as u64;
-                let answer = node.hand_in(class, &id, destination, LONG_MS, b"body");
+                let answer = node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body");
                 assert_eq!(answer, 202, "{id}");
                 ids.push(id);
             }
         }
     }
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
     for id in &ids {
         let is_cut = !id.ends_with(&format!("-{}", STATUS_LINE.len()));
         let calls = if is_cut && id.starts_with("webhook") {
@@ -43,43 +43,50 @@
 #[test]
 fn partial_status_line_on_open_connection_is_no_delivery() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 200);
+    let agent = agent_with_destinations(endpoint.address, "one", 200);
     let node = sender(&agent);
     let mut ids = Vec::new();
     // an attempt with an idempotency key ends with the key's window; an attempt without one ends at
     // the message's deadline
-    for (class, time_limit_ms) in [("webhook", LONG_MS), ("order", 1500)] {
+    for (class, time_limit_ms) in [("webhook", UNREACHED_TIME_LIMIT_MS), ("order", 1500)] {
         for length in 0..=STATUS_LINE.len() {
             let id = format!("{class}-{length}");
-            endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
+            endpoint.break_off(
+                &id,
+                Fragment::of_status_line(length, AfterFragment::Silence),
+            );
             let destination = ids.len() as u64;
-            let answer = node.hand_in(class, &id, destination, time_limit_ms, b"body");
+            let answer = node.submit(class, &id, destination, time_limit_ms, b"body");
             assert_eq!(answer, 202, "{id}");
             ids.push(id);
         }
     }
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
 }
 
 #[test]
 fn complete_status_line_is_a_delivery_without_the_rest_of_the_answer() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 200);
+    let agent = agent_with_destinations(endpoint.address, "one", 200);
     let node = sender(&agent);
     for (class, destination) in [("order", 0), ("webhook", 1), ("charge", 2)] {
         let id = format!("{class}-whole");
         endpoint.break_off(
             &id,
-            Fragment::of_status_line(STATUS_LINE.len(), Then::Silence),
+            Fragment::of_status_line(STATUS_LINE.len(), AfterFragment::Silence),
+        );
+        assert_eq!(
+            node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body"),
+            202
         );
-        assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
         let poll_until = Instant::now() + Duration::from_secs(5);
         while Instant::now() < poll_until
-            && node.hand_in(class, &id, destination, LONG_MS, b"body") != 200
+            && node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body") != 200
         {
             thread::sleep(Duration::from_millis(5));
         }
-        let repeated_status = node.hand_in(class, &id, destination, LONG_MS, b"body");
+        let repeated_status =
+            node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body");
         assert_eq!(repeated_status, 200, "{id} is delivered");
         assert_eq!(endpoint.calls(&id), 1, "calls with {id}");
         assert!(!is_notified(&agent, &id));
@@ -97,9 +104,15 @@
     for class in ["webhook", "order"] {
         for length in CUT_LENGTHS_BYTES {
             let id = format!("{class}-{length}");
-            endpoint.break_off(&id, Fragment::of_status_line(length, Then::Silence));
+            endpoint.break_off(
+                &id,
+                Fragment::of_status_line(length, AfterFragment::Silence),
+            );
             let destination = ids.len() as u64;
-            assert_eq!(node.hand_in(class, &id, destination, LONG_MS, b"body"), 202);
+            assert_eq!(
+                node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body"),
+                202
+            );
             wait_until("the endpoint receives the call", || {
                 endpoint.calls(&id) == 1
             });
@@ -111,7 +124,7 @@
         let id = format!("{class}-{whole}");
         wait_until(
             "the message with the complete line counts as delivered",
-            || node.hand_in(class, &id, destination, LONG_MS, b"body") == 200,
+            || node.submit(class, &id, destination, UNREACHED_TIME_LIMIT_MS, b"body") == 200,
         );
     }
     ids
@@ -123,7 +136,7 @@
     endpoint: &FragmentingEndpoint,
     ids: &[String],
 ) {
-    assert_proved_ends(node, agent, endpoint, ids);
+    assert_delivered_or_notified(node, agent, endpoint, ids);
     for id in ids.iter().filter(|id| id.starts_with("order")) {
         assert_eq!(endpoint.calls(id), 1, "calls with {id}");
     }
@@ -135,7 +148,7 @@
 #[test]
 fn partial_status_line_at_sigkill_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 20);
+    let agent = agent_with_destinations(endpoint.address, "one", 20);
     let node = sender(&agent);
     let ids = submit_with_cut_status_lines(&node, &endpoint);
     let node = node.restart().ready();
@@ -145,7 +158,7 @@
 #[test]
 fn partial_status_line_at_sigterm_is_no_delivery_after_restart() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 20);
+    let agent = agent_with_destinations(endpoint.address, "one", 20);
     let mut node = sender(&agent);
     let ids = submit_with_cut_status_lines(&node, &endpoint);
     node.terminate();
@@ -160,24 +173,30 @@
 fn answer_410_ends_message_only_with_its_complete_head() {
     const GONE: &[u8] = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n";
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 100);
+    let agent = agent_with_destinations(endpoint.address, "one", 100);
     let node = sender(&agent);
     let mut ids = Vec::new();
     for length in 0..=GONE.len() {
         let id = format!("m-{length}");
         let bytes = GONE[..length].to_vec();
-        let then = Then::Close;
+        let then = AfterFragment::Close;
         endpoint.break_off(&id, Fragment { bytes, then });
         let destination = ids.len() as u64;
         assert_eq!(
-            node.hand_in("webhook", &id, destination, LONG_MS, b"body"),
+            node.submit(
+                "webhook",
+                &id,
+                destination,
+                UNREACHED_TIME_LIMIT_MS,
+                b"body"
+            ),
             202
         );
         ids.push(id);
     }
     let whole = ids.pop().expect("at least one message");
     // a message whose answer was cut may have run; its class allows a second call
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
     assert!(ids.iter().all(|id| endpoint.calls(id) == 2));
     assert_eq!(endpoint.calls(&whole), 1);
     assert!(!is_notified(&agent, &whole));
@@ -186,10 +205,10 @@
 #[test]
 fn cut_bulk_answer_without_length_ends_only_messages_of_complete_lines() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "bulk", 120);
+    let agent = agent_with_destinations(endpoint.address, "bulk", 120);
     let node = sender(&agent);
     let mut cases = Vec::new();
-    for then in [Then::Close, Then::Reset] {
+    for then in [AfterFragment::Close, AfterFragment::Reset] {
         let answer = |pair: &[String; 2]| {
             let [first, second] = pair;
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{first} ok\r\n{second} ok\r\n")
@@ -204,18 +223,19 @@
             let mut clients = [Client::new(&node), Client::new(&node)];
             node.while_stopped(|| {
                 for (client, id) in clients.iter_mut().zip(&pair) {
-                    let text = message("webhook", id, destination, LONG_MS, b"body");
+                    let text =
+                        message("webhook", id, destination, UNREACHED_TIME_LIMIT_MS, b"body");
                     client.write(&text).expect("written");
                 }
             });
             for client in &mut clients {
-                assert_eq!(client.answer().map(|(status, _)| status), Some(202));
+                assert_eq!(client.response().map(|(status, _)| status), Some(202));
             }
             cases.push(pair);
         }
     }
     let ids: Vec<String> = cases.concat();
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
     // messages without a complete line in the cut answer are called again; a reset may also discard
     // earlier lines
     for id in ids.iter().filter(|id| id.contains("Close")) {
--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -63,7 +63,7 @@
     /// Sends the bytes and returns the status and the whole response, or `None` if the connection ends first.
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.write(bytes).ok()?;
-        self.answer()
+        self.response()
     }
 
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
@@ -71,10 +71,10 @@
     }
 
     /// Reads the next response and returns its status and the whole response, or `None` if the connection ends first.
-    pub fn answer(&mut self) -> Option<(u16, Request)> {
-        let answer = read_http(&mut self.0)?;
-        let status = answer.line.split(' ').nth(1)?.parse().ok()?;
-        Some((status, answer))
+    pub fn response(&mut self) -> Option<(u16, Request)> {
+        let response = read_http(&mut self.0)?;
+        let status = response.line.split(' ').nth(1)?.parse().ok()?;
+        Some((status, response))
     }
 }
 
@@ -100,8 +100,8 @@
 /// Submits a message and waits until a repeated submission is answered as already delivered. The connection of its call
 /// is idle again by then.
 pub fn deliver(node: &Node, id: &str, dest: u64) {
-    assert_eq!(node.hand_in("webhook", id, dest, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", id, dest, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
-        node.hand_in("webhook", id, dest, 20_000, b"x") == 200
+        node.submit("webhook", id, dest, 20_000, b"x") == 200
     });
 }
--- a/tests/node/config.rs
+++ b/tests/node/config.rs
@@ -40,6 +40,6 @@
 }
 
 /// Returns the configuration with further members, which must be JSON text that ends with a comma.
-pub fn with_part(config: &str, members: &str) -> String {
+pub fn with_members(config: &str, members: &str) -> String {
     config.replacen(r#""known":"#, &format!(r#"{members}"known":"#), 1)
 }
--- a/tests/node/endpoint.rs
+++ b/tests/node/endpoint.rs
@@ -11,17 +11,17 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// Sends a response: the status and headers, without the empty line after them, and the body.
-    Answer(&'static str, String),
+    Response(&'static str, String),
     /// Sends no response and keeps the connection open.
     Silence,
     /// Closes the connection without a response.
     Close,
     /// Sends a response with an empty body and closes the connection.
-    AnswerAndClose(&'static str),
+    ResponseAndClose(&'static str),
 }
 
 /// Response with status 200 and an empty body.
-pub const OK: Reply = Reply::Answer("200 OK", String::new());
+pub const OK: Reply = Reply::Response("200 OK", String::new());
 
 type Script = Arc<dyn Fn(&Request, usize) -> Reply + Send + Sync>;
 
@@ -67,8 +67,8 @@
                 seen.len() - 1
             };
             let (head, body, closes) = match script(&request, number) {
-                Reply::Answer(head, body) => (head, body, false),
-                Reply::AnswerAndClose(head) => (head, String::new(), true),
+                Reply::Response(head, body) => (head, body, false),
+                Reply::ResponseAndClose(head) => (head, String::new(), true),
                 Reply::Silence => continue,
                 Reply::Close => return,
             };
@@ -92,7 +92,7 @@
     }
 
     /// Returns how many times the message with this id was received.
-    pub fn times(&self, id: &str) -> usize {
+    pub fn count_of(&self, id: &str) -> usize {
         let seen = self.seen.lock().expect("not poisoned");
         seen.iter()
             .flat_map(Request::ids)
--- a/tests/node/fragments.rs
+++ b/tests/node/fragments.rs
@@ -15,11 +15,11 @@
 /// Complete response to a call with one message.
 const WHOLE_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 /// Time limit of messages in milliseconds that no test case reaches.
-pub const LONG_MS: u64 = 20_000;
+pub const UNREACHED_TIME_LIMIT_MS: u64 = 20_000;
 
 /// What the endpoint does with the connection after it has sent part of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Then {
+pub enum AfterFragment {
     /// Closes the connection normally, with a FIN.
     Close,
     /// Resets the connection, with an RST.
@@ -32,12 +32,12 @@
 #[derive(Debug, Clone)]
 pub struct Fragment {
     pub bytes: Vec<u8>,
-    pub then: Then,
+    pub then: AfterFragment,
 }
 
 impl Fragment {
     /// Returns the first `length` bytes of the status line.
-    pub fn of_status_line(length: usize, then: Then) -> Self {
+    pub fn of_status_line(length: usize, then: AfterFragment) -> Self {
         Fragment {
             bytes: STATUS_LINE[..length].to_vec(),
             then,
@@ -100,9 +100,9 @@
                 return;
             }
             match fragment.then {
-                Then::Silence => {}
-                Then::Close => return,
-                Then::Reset => {
+                AfterFragment::Silence => {}
+                AfterFragment::Close => return,
+                AfterFragment::Reset => {
                     let no_linger = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     return no_linger.expect("set");
                 }
@@ -151,7 +151,7 @@
     };
     Fragment {
         bytes,
-        then: Then::Silence,
+        then: AfterFragment::Silence,
     }
 }
 
@@ -168,7 +168,7 @@
 }
 
 /// Starts a stand-in for discovery that lists one address as the endpoint of `count` destinations, numbered from 0.
-pub fn destinations_at(address: SocketAddr, kind: &str, count: u64) -> Agent {
+pub fn agent_with_destinations(address: SocketAddr, kind: &str, count: u64) -> Agent {
     let uids: Vec<String> = (0..count).map(|number| format!("s-{number}")).collect();
     let entries: Vec<_> = uids
         .iter()
@@ -199,7 +199,7 @@
 
 /// Asserts that within 8 s each message is either recorded as delivered by the endpoint or notified to the platform as
 /// undelivered, and that no message is both.
-pub fn assert_proved_ends(
+pub fn assert_delivered_or_notified(
     node: &Node,
     agent: &Agent,
     endpoint: &FragmentingEndpoint,
--- a/tests/node/process.rs
+++ b/tests/node/process.rs
@@ -2,7 +2,7 @@
 
 use super::agent::Agent;
 use super::client::{Client, message};
-use super::config::{config, fresh_folder, with_part};
+use super::config::{config, fresh_folder, with_members};
 use super::http::Request;
 use super::wait_until;
 use std::io::{BufRead, BufReader};
@@ -70,12 +70,13 @@
         )
     }
 
-    /// Starts a sender with further members of the configuration (see [`with_part`]) and another number of call slots.
+    /// Starts a sender with further members of the configuration (see [`with_members`]) and another number of call slots.
     pub fn configured(agent: &Agent, idle_s: f64, slots: usize, members: &str) -> Self {
         let folder = fresh_folder();
         let config = config(agent.address, 3.0, idle_s, 1024)
             .replace(r#""callSlots":8"#, &format!(r#""callSlots":{slots}"#));
-        std::fs::write(folder.join("config.json"), with_part(&config, members)).expect("written");
+        std::fs::write(folder.join("config.json"), with_members(&config, members))
+            .expect("written");
         Node::spawn(
             command(&folder),
             folder,
@@ -228,18 +229,18 @@
 
     /// Waits until the process reports that it is ready for messages.
     pub fn ready(self) -> Self {
-        wait_until("ready", || self.get_ready() == 200);
+        wait_until("ready", || self.readiness_status() == 200);
         self
     }
 
     /// Returns the status of the readiness request on the clients' address.
-    pub fn get_ready(&self) -> u16 {
-        self.raw("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
+    pub fn readiness_status(&self) -> u16 {
+        self.send_bytes("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
             .0
     }
 
     /// Sends an operator's request (method and path) and returns the status of the response.
-    pub fn operate(&self, call: &str, body: &str) -> u16 {
+    pub fn operator_status(&self, call: &str, body: &str) -> u16 {
         let text = format!(
             "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -252,21 +253,21 @@
 
     /// Disables or enables an endpoint; `operation` is `disable` or `enable`. Returns the status of the response.
     pub fn admin_command(&self, operation: &str, uid: &str) -> u16 {
-        self.operate(
+        self.operator_status(
             &format!("POST /endpoints/{operation}"),
             &format!(r#"{{"target":"{uid}"}}"#),
         )
     }
 
     /// Sends the bytes on a new connection. Returns the status and the response; status 0 if the connection ends first.
-    pub fn raw(&self, bytes: &[u8]) -> (u16, Request) {
+    pub fn send_bytes(&self, bytes: &[u8]) -> (u16, Request) {
         let mut client = Client::new(self);
         client.send(bytes).unwrap_or_default()
     }
 
     /// Submits a message and returns the status of the response.
-    pub fn hand_in(&self, class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> u16 {
-        self.raw(&message(class, id, dest, time_ms, body)).0
+    pub fn submit(&self, class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> u16 {
+        self.send_bytes(&message(class, id, dest, time_ms, body)).0
     }
 
     /// Kills the process with SIGKILL and waits for its end.
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -1,6 +1,6 @@
 //! Runs the real registry program with one replica. `cargo test --workspace` builds it next to the sender's program.
 
-use super::{Agent, Endpoint, Node, fresh_folder, wait_until, with_part};
+use super::{Agent, Endpoint, Node, fresh_folder, wait_until, with_members};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -107,13 +107,13 @@
     }
 
     /// Starts a sender that uses this registry for discovery, with further members of the configuration (see
-    /// [`with_part`]).
+    /// [`with_members`]).
     pub fn sender(&self, name: &str, members: &str) -> Node {
         let mut agent = Agent::new(Vec::new());
         agent.address = self.address;
         let members = format!(r#""name":"{name}",{members}"#);
         Node::configured_with(&agent, |text| {
-            with_part(&text.replace(r#""name":"n1","#, ""), &members)
+            with_members(&text.replace(r#""name":"n1","#, ""), &members)
         })
         .ready()
     }
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -37,26 +37,26 @@
 }
 
 /// A sender whose system calls can be made to fail, with the faults that are on for all its processes.
-pub struct Faults {
+pub struct FaultInjector {
     folder: PathBuf,
-    switches: PathBuf,
+    fault_folder: PathBuf,
     discovery: std::net::SocketAddr,
 }
 
-impl Faults {
+impl FaultInjector {
     /// Creates the folder of a sender with a configuration that the caller has changed. No fault is on yet.
     pub fn new(agent: &Agent, change: impl FnOnce(String) -> String) -> Self {
         let folder = fresh_folder();
-        let switches = folder.join("faults");
-        std::fs::create_dir_all(&switches).expect("a folder");
+        let fault_folder = folder.join("faults");
+        std::fs::create_dir_all(&fault_folder).expect("a folder");
         std::fs::write(
             folder.join("config.json"),
             change(config(agent.address, 3.0, 5.0, 1024)),
         )
         .expect("written");
-        Faults {
+        FaultInjector {
             folder,
-            switches,
+            fault_folder,
             discovery: agent.address,
         }
     }
@@ -89,19 +89,19 @@
     fn load(&self, command: &mut Command) {
         command
             .env("LD_PRELOAD", library())
-            .env("FAULT_DIR", &self.switches);
+            .env("FAULT_DIR", &self.fault_folder);
     }
 
     /// Makes system calls of this kind fail with the error number. `failing_calls.c` lists the kinds.
     pub fn on(&self, fault: &str, error_number: i32) {
         // written under another name and renamed, so that the library never reads an incomplete file
-        let new_path = self.switches.join(".new");
+        let new_path = self.fault_folder.join(".new");
         std::fs::write(&new_path, error_number.to_string()).expect("written");
-        std::fs::rename(new_path, self.switches.join(fault)).expect("switched");
+        std::fs::rename(new_path, self.fault_folder.join(fault)).expect("switched");
     }
 
     /// Lets system calls of this kind succeed again.
     pub fn off(&self, fault: &str) {
-        std::fs::remove_file(self.switches.join(fault)).expect("fault was on");
+        std::fs::remove_file(self.fault_folder.join(fault)).expect("fault was on");
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -36,7 +36,7 @@
     // the sender closes connections with incomplete requests only after a timeout of 2 s, so a faster response does not
     // wait for them
     let started_at = Instant::now();
-    assert_eq!(node.operate("GET /ready", ""), 200);
+    assert_eq!(node.operator_status("GET /ready", ""), 200);
     assert_eq!(node.admin_command("disable", "s-1"), 200);
     assert!(
         started_at.elapsed() < Duration::from_millis(1900),
@@ -68,7 +68,7 @@
         ("POST /endpoints/enable", r#"{"target":"s-1"}"#, 200),
         ("GET /ready", "", 200),
     ] {
-        assert_eq!(node.operate(call, body), status, "{call} {body}");
+        assert_eq!(node.operator_status(call, body), status, "{call} {body}");
     }
     // the control address serves no clients' paths, and the clients' address no operators' paths
     let text = String::from_utf8(message("webhook", "m1", 7, 20_000, b"x")).expect("text");
@@ -80,7 +80,7 @@
         404
     );
     assert_eq!(
-        node.raw(b"POST /endpoints/disable HTTP/1.1\r\nHost: a\r\n\r\n")
+        node.send_bytes(b"POST /endpoints/disable HTTP/1.1\r\nHost: a\r\n\r\n")
             .0,
         404
     );
@@ -95,8 +95,10 @@
     let sends = |node: &Node, prefix: &str| {
         for n in 0..8 {
             let id = format!("{prefix}{n}");
-            assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
-            wait_until("delivered", || first.times(&id) + second.times(&id) > 0);
+            assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
+            wait_until("delivered", || {
+                first.count_of(&id) + second.count_of(&id) > 0
+            });
         }
     };
     assert_eq!(
@@ -114,11 +116,15 @@
     assert_eq!(first.count(), 0);
     assert_eq!(node.admin_command("enable", "s-1"), 200);
     assert_eq!(node.admin_command("disable", "s-2"), 200);
-    assert_eq!(node.hand_in("webhook", "back", 7, 20_000, b"x"), 202);
-    wait_until("the enabled endpoint is used", || first.times("back") == 1);
+    assert_eq!(node.submit("webhook", "back", 7, 20_000, b"x"), 202);
+    wait_until("the enabled endpoint is used", || {
+        first.count_of("back") == 1
+    });
     let node = node.restart().ready();
-    assert_eq!(node.hand_in("webhook", "again", 7, 20_000, b"x"), 202);
-    wait_until("the endpoint stays enabled", || first.times("again") == 1);
+    assert_eq!(node.submit("webhook", "again", 7, 20_000, b"x"), 202);
+    wait_until("the endpoint stays enabled", || {
+        first.count_of("again") == 1
+    });
 }
 
 /// Starts an endpoint that holds back its response to messages whose id has the prefix until the returned gate is set
@@ -146,14 +152,14 @@
     let mut old = Node::with_passed_socket(&agent).ready();
     let charge = |node: &Node, id: &str| {
         assert_eq!(
-            node.raw(&message_with_subject("a", "charge", id, 7, 20_000))
+            node.send_bytes(&message_with_subject("a", "charge", id, 7, 20_000))
                 .0,
             202
         );
     };
-    assert_eq!(old.hand_in("webhook", "done", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "done", 7, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
-        old.hand_in("webhook", "done", 7, 20_000, b"x") == 200
+        old.submit("webhook", "done", 7, 20_000, b"x") == 200
     });
     let mut client = Client::new(&old);
     assert_eq!(
@@ -164,62 +170,62 @@
         202
     );
     charge(&old, "held");
-    wait_until("the call is in flight", || endpoint.times("held") == 1);
+    wait_until("the call is in flight", || endpoint.count_of("held") == 1);
     charge(&old, "next");
     assert_eq!(old.admin_command("disable", "s-3"), 200);
-    assert_eq!(old.hand_in("webhook", "kept", 9, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "kept", 9, 20_000, b"x"), 202);
     let new = old.successor();
     wait_until("the handover is complete", || {
         new.logged("taken over") && old.logged("handed over")
     });
-    wait_until("ready", || new.operate("GET /ready", "") == 200);
-    assert_eq!(old.operate("GET /ready", ""), 503);
+    wait_until("ready", || new.operator_status("GET /ready", "") == 200);
+    assert_eq!(old.operator_status("GET /ready", ""), 503);
     // the old process forwards new messages to the new one and returns the answers of the new one
     let (status, answer) = client
         .send(&message("webhook", "crossing", 8, 20_000, b"x"))
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
-    wait_until("the message is sent", || endpoint.times("crossing") == 1);
+    wait_until("the message is sent", || endpoint.count_of("crossing") == 1);
     assert_eq!(
-        new.hand_in("webhook", "done", 7, 20_000, b"x"),
+        new.submit("webhook", "done", 7, 20_000, b"x"),
         200,
         "delivered ids are remembered"
     );
     charge(&new, "last");
     assert_eq!(
-        endpoint.times("next") + endpoint.times("kept"),
+        endpoint.count_of("next") + endpoint.count_of("kept"),
         0,
         "the key's call is in flight, and the other endpoint is disabled"
     );
     old.terminate();
     wait_until("draining", || old.logged("draining"));
     assert_eq!(
-        endpoint.times("next"),
+        endpoint.count_of("next"),
         0,
         "the call still runs in the old process"
     );
     *gate.lock().expect("not poisoned") = true;
     wait_until("the next messages of the key are sent", || {
-        endpoint.times("next") == 1 && endpoint.times("last") == 1
+        endpoint.count_of("next") == 1 && endpoint.count_of("last") == 1
     });
     assert!(old.process.wait().expect("process has ended").success());
     assert_eq!(new.admin_command("enable", "s-3"), 200);
     wait_until("the message that waited for the endpoint is sent", || {
-        endpoint.times("kept") == 1
+        endpoint.count_of("kept") == 1
     });
     let ids = ["done", "first", "held", "next", "kept", "crossing", "last"];
     // an endpoint receives a call before the sender receives the response, so the outcomes may not be known yet
     wait_until("all messages are delivered", || {
         let last = new
-            .raw(&message_with_subject("a", "charge", "last", 7, 20_000))
+            .send_bytes(&message_with_subject("a", "charge", "last", 7, 20_000))
             .0;
         let others = [("crossing", 8), ("kept", 9)];
         last == 200
             && others
                 .iter()
-                .all(|&(id, dest)| new.hand_in("webhook", id, dest, 20_000, b"x") == 200)
+                .all(|&(id, dest)| new.submit("webhook", id, dest, 20_000, b"x") == 200)
     });
-    assert!(ids.iter().all(|id| endpoint.times(id) == 1), "each once");
+    assert!(ids.iter().all(|id| endpoint.count_of(id) == 1), "each once");
     let new = new.restart().ready();
     wait_until("the line is logged", || new.logged("0 unfinished messages"));
 }
@@ -229,26 +235,29 @@
     let (endpoint, _gate) = gated("held");
     let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
     let mut old = Node::with_passed_socket(&agent).ready();
-    assert_eq!(old.hand_in("order", "held-once", 7, 20_000, b"x"), 202);
-    assert_eq!(old.hand_in("webhook", "held-keyed", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("order", "held-once", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "held-keyed", 7, 20_000, b"x"), 202);
     wait_until("both calls are in flight", || {
-        endpoint.times("held-once") == 1 && endpoint.times("held-keyed") == 1
+        endpoint.count_of("held-once") == 1 && endpoint.count_of("held-keyed") == 1
     });
     let new = old.successor().ready();
     assert_eq!(
-        (endpoint.times("held-once"), endpoint.times("held-keyed")),
+        (
+            endpoint.count_of("held-once"),
+            endpoint.count_of("held-keyed")
+        ),
         (1, 1)
     );
     old.kill();
     wait_until("the message with a key is sent again", || {
-        endpoint.times("held-keyed") == 2
+        endpoint.count_of("held-keyed") == 2
     });
     wait_until("the message without a key fails", || {
         agent
             .notices()
             .contains(&r#"{"id":"held-once","state":"failed"}"#.to_string())
     });
-    assert_eq!(endpoint.times("held-once"), 1);
+    assert_eq!(endpoint.count_of("held-once"), 1);
     wait_until("the line is logged", || {
         new.logged("the predecessor has ended, 2 calls with it")
     });
@@ -270,12 +279,12 @@
     wait_until("the predecessor continues", || {
         old.logged("this process continues")
     });
-    assert_eq!(old.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
-    assert_eq!(old.operate("GET /ready", ""), 200);
+    assert_eq!(old.submit("webhook", "m1", 7, 20_000, b"x"), 202);
+    wait_until("delivered", || endpoint.count_of("m1") == 1);
+    assert_eq!(old.operator_status("GET /ready", ""), 200);
     // a later handover to a successor that stays succeeds
     let new = old.successor().ready();
-    assert_eq!(new.hand_in("webhook", "m1", 7, 20_000, b"x"), 200);
+    assert_eq!(new.submit("webhook", "m1", 7, 20_000, b"x"), 200);
 }
 
 #[test]
@@ -283,8 +292,8 @@
     let (endpoint, gate) = gated("held");
     let agent = agent_with_two_endpoints(&endpoint, &endpoint);
     let mut old = Node::with_passed_socket(&agent).ready();
-    assert_eq!(old.hand_in("webhook", "held", 7, 20_000, b"x"), 202);
-    wait_until("the call is in flight", || endpoint.times("held") == 1);
+    assert_eq!(old.submit("webhook", "held", 7, 20_000, b"x"), 202);
+    wait_until("the call is in flight", || endpoint.count_of("held") == 1);
     let mut successor =
         std::os::unix::net::UnixStream::connect(old.folder.join("state/upgrade.sock"))
             .expect("predecessor listens");
@@ -295,7 +304,9 @@
     *gate.lock().expect("not poisoned") = true;
     let new = old.successor().ready();
     wait_until("the line is logged", || new.logged("1 unfinished messages"));
-    wait_until("the message is sent again", || endpoint.times("held") == 2);
+    wait_until("the message is sent again", || {
+        endpoint.count_of("held") == 2
+    });
 }
 
 /// Returns the text of the sender's configuration with `from` replaced by `to`.
@@ -322,7 +333,7 @@
                 return OK;
             }
             seen.push(id);
-            Reply::Answer("500 Oops", String::new())
+            Reply::Response("500 Oops", String::new())
         }
     });
     let uids = ["s-1", "s-2", "s-3", "s-4", "s-5"];
@@ -336,8 +347,8 @@
     // all endpoints are disabled, so that the messages are still pending when the settings change
     uids.iter()
         .for_each(|uid| assert_eq!(node.admin_command("disable", uid), 200));
-    assert_eq!(node.hand_in("webhook", "old-a", 1, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "old-b", 2, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "old-a", 1, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "old-b", 2, 20_000, b"x"), 202);
     // the new settings swap the effects of two classes, add one class and remove one
     let text = config_with(
         &node,
@@ -352,11 +363,11 @@
     .replace(r#""name":"charge""#, r#""name":"charge-ii""#);
     reload(&node, &text);
     wait_until("the new class is accepted", || {
-        node.hand_in("charge-ii", "new-c", 3, 20_000, b"x") == 202
+        node.submit("charge-ii", "new-c", 3, 20_000, b"x") == 202
     });
-    assert_eq!(node.hand_in("charge", "gone", 7, 20_000, b"x"), 400);
-    assert_eq!(node.hand_in("webhook", "new-a", 4, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "new-b", 5, 20_000, b"x"), 202);
+    assert_eq!(node.submit("charge", "gone", 7, 20_000, b"x"), 400);
+    assert_eq!(node.submit("webhook", "new-a", 4, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "new-b", 5, 20_000, b"x"), 202);
     let failed = |id: &str| {
         agent
             .notices()
@@ -384,12 +395,12 @@
         failed("new-a") && failed("new-c")
     });
     wait_until("messages that may be repeated are sent again", || {
-        endpoint.times("old-a") == 2 && endpoint.times("new-b") == 2
+        endpoint.count_of("old-a") == 2 && endpoint.count_of("new-b") == 2
     });
     assert!(
         ["old-b", "new-a", "new-c"]
             .iter()
-            .all(|id| endpoint.times(id) == 1)
+            .all(|id| endpoint.count_of(id) == 1)
     );
 }
 
@@ -436,9 +447,9 @@
         0,
         "discovery has not moved"
     );
-    assert_eq!(node.hand_in("webhook-x", "m1", 7, 20_000, b"x"), 400);
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    assert_eq!(node.submit("webhook-x", "m1", 7, 20_000, b"x"), 400);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
+    wait_until("delivered", || endpoint.count_of("m1") == 1);
     let mut node = node;
     node.kill();
     let mut process = command(&node.folder).spawn().expect("it starts");
@@ -472,8 +483,8 @@
     wait_until("the missing socket is logged", || {
         node.logged("handover: unavailable, the local socket can't be bound")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
+    wait_until("delivered", || endpoint.count_of("m1") == 1);
 }
 
 #[test]
--- a/tests/other_ends.rs
+++ b/tests/other_ends.rs
@@ -25,13 +25,16 @@
 #[test]
 fn notification_is_repeated_across_restarts_until_complete_204() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 1);
+    let agent = agent_with_destinations(endpoint.address, "one", 1);
     let node = sender(&agent);
-    endpoint.break_off("m1", Fragment::of_status_line(0, Then::Close));
+    endpoint.break_off("m1", Fragment::of_status_line(0, AfterFragment::Close));
     // cut the response to the notification at each length; even without only its last byte it must
     // not count
     agent.cut_notices(0..ACCEPTED.len());
-    assert_eq!(node.hand_in("order", "m1", 0, LONG_MS, b"body"), 202);
+    assert_eq!(
+        node.submit("order", "m1", 0, UNREACHED_TIME_LIMIT_MS, b"body"),
+        202
+    );
     let third_of_cuts = ACCEPTED.len() / 3;
     wait_until("a third of the cut responses", || {
         notifications_of(&agent, "m1") > third_of_cuts
@@ -56,7 +59,10 @@
     let post_count = notifications_of(&agent, "m1");
     assert!(post_count > ACCEPTED.len(), "{post_count} posts");
     let node = node.restart().ready();
-    assert_eq!(node.hand_in("webhook", "m2", 0, LONG_MS, b"body"), 202);
+    assert_eq!(
+        node.submit("webhook", "m2", 0, UNREACHED_TIME_LIMIT_MS, b"body"),
+        202
+    );
     wait_until("a later message is served", || endpoint.has_delivered("m2"));
     assert_eq!(
         notifications_of(&agent, "m1"),
@@ -69,14 +75,17 @@
 #[test]
 fn unanswered_notification_does_not_delay_others() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 2);
+    let agent = agent_with_destinations(endpoint.address, "one", 2);
     let node = sender(&agent);
     agent
         .silent_posts
         .store(1, std::sync::atomic::Ordering::SeqCst);
     for (id, destination) in [("m1", 0), ("m2", 1)] {
-        endpoint.break_off(id, Fragment::of_status_line(0, Then::Close));
-        assert_eq!(node.hand_in("order", id, destination, LONG_MS, b"x"), 202);
+        endpoint.break_off(id, Fragment::of_status_line(0, AfterFragment::Close));
+        assert_eq!(
+            node.submit("order", id, destination, UNREACHED_TIME_LIMIT_MS, b"x"),
+            202
+        );
         wait_until("the notification is posted", || {
             notifications_of(&agent, id) > 0
         });
@@ -115,7 +124,7 @@
 #[test]
 fn client_disconnect_after_202_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 40);
+    let agent = agent_with_destinations(endpoint.address, "one", 40);
     let node = sender(&agent);
     let mut ids = Vec::new();
     for destination in 0..40 {
@@ -123,7 +132,7 @@
         // the answers to half of the messages are cut, so that these are incomplete when the client
         // disconnects and fail later
         if destination % 2 == 0 {
-            endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
+            endpoint.break_off(&id, Fragment::of_status_line(13, AfterFragment::Silence));
         }
         let text = message("order", &id, destination, 1500, b"body");
         let stream = submit_accepted(&node, &text);
@@ -132,18 +141,18 @@
         }
         ids.push(id);
     }
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
 }
 
 #[test]
 fn unanswered_disconnect_of_second_client_with_same_id_ends_no_message() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 20);
+    let agent = agent_with_destinations(endpoint.address, "one", 20);
     let node = sender(&agent);
     let mut ids = Vec::new();
     for destination in 0..20 {
         let id = format!("m-{destination}");
-        endpoint.break_off(&id, Fragment::of_status_line(13, Then::Silence));
+        endpoint.break_off(&id, Fragment::of_status_line(13, AfterFragment::Silence));
         let text = message("order", &id, destination, 1500, b"body");
         let _first = submit_accepted(&node, &text);
         let mut second = TcpStream::connect(node.address).expect("the sender accepts");
@@ -153,7 +162,7 @@
         });
         ids.push(id);
     }
-    assert_proved_ends(&node, &agent, &endpoint, &ids);
+    assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
 }
 
 /// Size in bytes of the header of a journal record: mark, length and checksum of 4 bytes each,
@@ -185,11 +194,14 @@
 #[test]
 fn recovered_message_with_invalid_id_ends_with_notification() {
     let endpoint = FragmentingEndpoint::new();
-    let agent = destinations_at(endpoint.address, "one", 1);
+    let agent = agent_with_destinations(endpoint.address, "one", 1);
     let mut node = sender(&agent);
-    endpoint.break_off("id-of-m1", Fragment::of_status_line(0, Then::Silence));
+    endpoint.break_off(
+        "id-of-m1",
+        Fragment::of_status_line(0, AfterFragment::Silence),
+    );
     assert_eq!(
-        node.hand_in("webhook", "id-of-m1", 0, LONG_MS, b"body"),
+        node.submit("webhook", "id-of-m1", 0, UNREACHED_TIME_LIMIT_MS, b"body"),
         202
     );
     wait_until("the endpoint receives the call", || {
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -60,7 +60,7 @@
         (&told["limits"]["all"], &told["left_out"]),
         (&512.into(), &0.into())
     );
-    assert_eq!(node.operate("POST /pools", ""), 405);
+    assert_eq!(node.operator_status("POST /pools", ""), 405);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     wait_for_total(&node, "/endpoints", 2);
     deliver(&node, "m2", 7);
     deliver(&node, "m3", 8);
-    assert_eq!((new.times("m2"), old.times("m3")), (1, 1));
+    assert_eq!((new.count_of("m2"), old.count_of("m3")), (1, 1));
     assert_eq!(old.request(1).connection, 1, "the first was the other id's");
     assert_eq!(pools(&node)["totals"]["counts"]["reuses"], 0);
 }
@@ -138,7 +138,7 @@
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
         assert_eq!(
-            node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"),
+            node.submit("webhook", &format!("m{n}"), 7, 20_000, b"x"),
             202
         );
     }
@@ -212,7 +212,7 @@
         let text = config("127.0.0.1:9".parse().expect("an address"), 3.0, 5.0, 1024);
         std::fs::write(
             folder.join("config.json"),
-            with_part(&text, &format!(r#""pool":{pool},"#)),
+            with_members(&text, &format!(r#""pool":{pool},"#)),
         )
         .expect("written");
         let ended = command(&folder)
@@ -339,7 +339,7 @@
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with(agent.address, 30.0, 600.0).ready();
     assert_eq!(
-        node.hand_in("order", "measure-0000", 899, 20_000, b"body"),
+        node.submit("order", "measure-0000", 899, 20_000, b"body"),
         202
     );
     wait_until("its length is known", || cutter.whole("measure-0000") == 1);
@@ -360,14 +360,14 @@
             }
             let begun = *cutter.begun.lock().expect("not poisoned");
             *cutter.cut.lock().expect("not poisoned") = Some(cut);
-            assert_eq!(node.hand_in("order", &id, dest, 20_000, b"body"), 202);
+            assert_eq!(node.submit("order", &id, dest, 20_000, b"body"), 202);
             // the table: a whole first line with 200 is a delivery, anything less may have run, and is not sent again
             let delivered =
                 matches!(cut, Cut::Answer(length) if length >= "HTTP/1.1 200 OK\r\n".len());
             let notice = format!(r#"{{"id":"{id}","state":"failed"}}"#);
             if delivered {
                 wait_until("delivered", || {
-                    node.hand_in("order", &id, dest, 20_000, b"body") == 200
+                    node.submit("order", &id, dest, 20_000, b"body") == 200
                 });
             } else {
                 wait_until("its notice", || agent.notices().contains(&notice));
@@ -398,7 +398,7 @@
 #[test]
 fn where_endpoints_have_room_for_few_connections_a_sender_of_many_keeps_none_idle() {
     let served = Endpoint::new(|_, _| OK);
-    let full = Endpoint::new(|_, _| Reply::AnswerAndClose("503 Service Unavailable"));
+    let full = Endpoint::new(|_, _| Reply::ResponseAndClose("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
     let mut entries = vec![("s-1", served.address, "one", 7, "up")];
     entries.extend(
@@ -410,8 +410,8 @@
     let many = |text: String| text.replace(r#""balancers":1,"#, r#""balancers":300,"#);
     let node = Node::configured_with(&agent, many).ready();
     let deliver = |id: &str| {
-        node.hand_in("webhook", id, 7, 5_000, b"x");
-        wait_until("it is served", || served.times(id) == 1);
+        node.submit("webhook", id, 7, 5_000, b"x");
+        wait_until("it is served", || served.count_of(id) == 1);
     };
     ["a", "b", "c"].iter().for_each(|id| deliver(id));
     assert_eq!(
@@ -420,7 +420,7 @@
         "its connection is kept"
     );
     for dest in 10..16 {
-        node.hand_in("webhook", &format!("t{dest}"), dest, 5_000, b"x");
+        node.submit("webhook", &format!("t{dest}"), dest, 5_000, b"x");
     }
     wait_until("new connections are turned away", || full.count() >= 6);
     deliver("d");
--- a/tests/quota_forms.rs
+++ b/tests/quota_forms.rs
@@ -95,7 +95,7 @@
 fn sender(proxy: &Proxy) -> Node {
     let mut agent = Agent::new(Vec::new());
     agent.address = proxy.address;
-    Node::configured_with(&agent, |text| with_part(&text, OBJECT)).ready()
+    Node::configured_with(&agent, |text| with_members(&text, OBJECT)).ready()
 }
 
 fn report(node: &Node) -> Value {
@@ -134,8 +134,8 @@
         (quota(&node), report(&node)["granted"].as_u64()),
         (None, Some(0))
     );
-    assert_eq!(node.hand_in("webhook", "m1", 7, 900, b"x"), 202);
-    wait_until("the fallback share serves", || endpoint.times("m1") == 1);
+    assert_eq!(node.submit("webhook", "m1", 7, 900, b"x"), 202);
+    wait_until("the fallback share serves", || endpoint.count_of("m1") == 1);
     proxy.mode.store(CUT, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(quota(&node), None);
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -37,12 +37,12 @@
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
             let id = format!("warm-{served}");
-            assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"body"), 202);
+            assert_eq!(node.submit("webhook", &id, 7, 20_000, b"body"), 202);
             let stream = stream.get_or_insert_with(|| self.accept());
             assert!(read_call(stream).contains(&id));
             stream.write_all(ANSWER).expect("taken");
             wait_until("it counts as delivered", || {
-                node.hand_in("webhook", &id, 7, 20_000, b"body") == 200
+                node.submit("webhook", &id, 7, 20_000, b"body") == 200
             });
             served += 1;
         }
@@ -68,7 +68,7 @@
     let agent = endpoint.listed();
     let node = Node::configured_with(&agent, |text| {
         let text = text.replace(r#""window":12.0"#, r#""window":1.0"#);
-        with_part(
+        with_members(
             &text.replace(r#""dialTimeout":0.5"#, r#""dialTimeout":4.0"#),
             r#""pool":{"per_endpoint":1},"#,
         )
@@ -106,7 +106,7 @@
             .contains(&r#"{"id":"m1","state":"failed"}"#.to_string())
     });
     // the connection that the retry waited for must carry the next message instead
-    assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"body"), 202);
+    assert_eq!(node.submit("order", "m3", 7, 20_000, b"body"), 202);
     let call = read_call(&mut second_connection);
     assert!(call.contains("x-request-id: m3"), "{call}");
 }
@@ -133,7 +133,7 @@
                 .for_each(|client| client.write(READY).expect("written"));
         });
         for (number, client) in clients.iter_mut().enumerate() {
-            let answer = client.answer().map(|(status, _)| status);
+            let answer = client.response().map(|(status, _)| status);
             assert_eq!(answer, Some(200), "round {round}, client {number}");
         }
         assert_eq!(
@@ -156,7 +156,7 @@
             .for_each(|client| drop(client.write(READY)));
     });
     for (number, client) in clients.iter_mut().enumerate().filter(|_| sent_before_close) {
-        let answer = client.answer().map(|(status, _)| status);
+        let answer = client.response().map(|(status, _)| status);
         assert_eq!(answer, Some(status), "client {number}");
     }
     sent_before_close
@@ -212,7 +212,7 @@
     wait_until("the restart has no unfinished messages", || {
         !next.logged("unfinished messages") || next.logged(" 0 unfinished messages")
     });
-    assert_eq!(next.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
+    assert_eq!(next.submit("webhook", "m2", 7, 20_000, b"body"), 202);
     assert!(read_call(&mut endpoint.accept()).contains("x-request-id: m2"));
 }
 
@@ -279,7 +279,7 @@
             let _ = stream.write_all(late_bytes);
         }
         wait_until("delivered", || {
-            node.hand_in("webhook", "m1", 7, 20_000, b"body") == 200
+            node.submit("webhook", "m1", 7, 20_000, b"body") == 200
         });
         assert!(
             !agent.notices().iter().any(|notice| notice.contains("m1")),
@@ -317,7 +317,7 @@
     let (node, rejected_at) = (0..5)
         .find_map(|_| reject_late())
         .expect("too slow in all 5 tries");
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"body"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"body"), 202);
     let mut next = endpoint.accept();
     let delay = rejected_at.elapsed();
     assert!(read_call(&mut next).contains("x-request-id: m2"));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -24,7 +24,7 @@
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.count() == 1);
     let call = endpoint.request(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
@@ -36,11 +36,11 @@
     assert_eq!(call.body, body);
     // delivered: answered as such if it comes again, and not sent again, not even after a restart
     wait_until("its end is known", || {
-        node.hand_in("webhook", "m1", 7, 20_000, body) == 200
+        node.submit("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
     wait_until("it is told", || node.logged("0 unfinished messages"));
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(endpoint.count_of("m1"), 1);
 }
 
 #[test]
@@ -110,7 +110,7 @@
     deliver(&node, "m1", 7);
     std::thread::sleep(Duration::from_millis(400));
     deliver(&node, "m2", 7);
-    assert_eq!(endpoint.times("m2"), 2, "sent again");
+    assert_eq!(endpoint.count_of("m2"), 2, "sent again");
     assert_eq!(endpoint.request(1).connection, 0, "the first is reused");
     // no shorter a rest than the first one was
     std::thread::sleep(began.elapsed());
@@ -169,13 +169,13 @@
         ("no request at all\r\n\r\n".to_string(), 400),
     ];
     for (text, expected) in cases {
-        assert_eq!(node.raw(text.as_bytes()).0, expected, "{text}");
+        assert_eq!(node.send_bytes(text.as_bytes()).0, expected, "{text}");
     }
     let chunks = format!("{:x}\r\n{}\r\n", 70_000, "y".repeat(70_000));
     let large = good
         .replace("Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nx", "\r\n\r\n");
-    assert_eq!(node.raw((large + &chunks).as_bytes()).0, 413);
+    assert_eq!(node.send_bytes((large + &chunks).as_bytes()).0, 413);
     // a body with two ends is no body, whichever header comes first; neither is what hides behind it
     let hidden = String::from_utf8(message("webhook", "hidden", 7, 9000, b"x")).expect("text");
     let both = "Content-Length: 99\r\nTransfer-Encoding: chunked\r\n";
@@ -184,13 +184,19 @@
         let text = good
             .replace("Content-Length: 1\r\n", lengths)
             .replace("\r\n\r\nx", "\r\n\r\n0\r\n\r\n");
-        assert_eq!(node.raw((text + &hidden).as_bytes()).0, 411, "{lengths}");
+        assert_eq!(
+            node.send_bytes((text + &hidden).as_bytes()).0,
+            411,
+            "{lengths}"
+        );
     }
     assert_eq!(
-        node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
+        node.submit("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
-    wait_until("the largest body goes out", || endpoint.times("most") == 1);
+    wait_until("the largest body goes out", || {
+        endpoint.count_of("most") == 1
+    });
     assert_eq!(endpoint.count(), 1);
 }
 
@@ -216,11 +222,11 @@
 fn the_same_id_while_held_is_one_message() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
+    wait_until("both are out", || endpoint.count_of("m2") == 1);
+    assert_eq!(endpoint.count_of("m1"), 1);
 }
 
 #[test]
@@ -241,36 +247,36 @@
     let node = Node::new(&agent).ready();
     let charge = |node: &Node, subject: &str, id: &str, dest: u64| {
         assert_eq!(
-            node.raw(&message_with_subject(subject, "charge", id, dest, 20_000))
+            node.send_bytes(&message_with_subject(subject, "charge", id, dest, 20_000))
                 .0,
             202
         );
     };
     charge(&node, "a", "a1", 7);
-    wait_until("the first is out", || endpoint.times("a1") == 1);
+    wait_until("the first is out", || endpoint.count_of("a1") == 1);
     charge(&node, "a", "a2", 8);
     charge(&node, "b", "b1", 8);
-    wait_until("another subject's is out", || endpoint.times("b1") == 1);
+    wait_until("another subject's is out", || endpoint.count_of("b1") == 1);
     assert_eq!(
-        endpoint.times("a2"),
+        endpoint.count_of("a2"),
         0,
         "sent while the first of its subject is out"
     );
     *gate.lock().expect("not poisoned") = true;
-    wait_until("the second follows", || endpoint.times("a2") == 1);
+    wait_until("the second follows", || endpoint.count_of("a2") == 1);
     // two of a subject are owed when the process dies: where the first can't go, the second doesn't either
     charge(&node, "c", "c1", 99);
     charge(&node, "c", "c2", 8);
     let node = node.restart().ready();
     charge(&node, "d", "d1", 8);
-    wait_until("another subject's is out", || endpoint.times("d1") == 1);
+    wait_until("another subject's is out", || endpoint.count_of("d1") == 1);
     assert_eq!(
-        endpoint.times("c2"),
+        endpoint.count_of("c2"),
         0,
         "sent while the first of its subject is owed"
     );
     assert_eq!(
-        node.raw(&message_with_subject(
+        node.send_bytes(&message_with_subject(
             "e&subject=f",
             "charge",
             "e1",
@@ -286,7 +292,7 @@
 fn a_subject_waits_for_the_notice_of_the_one_before_also_across_a_restart() {
     let endpoint = Endpoint::new(|request, _| {
         if request.ids()[0] == "a1" {
-            Reply::Answer("500 Oops", String::new())
+            Reply::Response("500 Oops", String::new())
         } else {
             OK
         }
@@ -295,32 +301,32 @@
     agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
     assert_eq!(
-        node.raw(&message_with_subject("a", "charge", "a1", 7, 20_000))
+        node.send_bytes(&message_with_subject("a", "charge", "a1", 7, 20_000))
             .0,
         202
     );
     assert_eq!(
-        node.raw(&message_with_subject("a", "charge", "a2", 7, 20_000))
+        node.send_bytes(&message_with_subject("a", "charge", "a2", 7, 20_000))
             .0,
         202
     );
     wait_until("the first one's notice fails", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.count_of("a2"), 0);
     let node = node.restart().ready();
     wait_until("its notice fails again", || {
         node.logged("notices answered 500")
     });
     assert_eq!(
-        node.raw(&message_with_subject("b", "charge", "b1", 7, 20_000))
+        node.send_bytes(&message_with_subject("b", "charge", "b1", 7, 20_000))
             .0,
         202
     );
-    wait_until("another subject's is out", || endpoint.times("b1") == 1);
-    assert_eq!(endpoint.times("a2"), 0);
+    wait_until("another subject's is out", || endpoint.count_of("b1") == 1);
+    assert_eq!(endpoint.count_of("a2"), 0);
     agent.failing_posts.store(0, Ordering::SeqCst);
-    wait_until("the second follows", || endpoint.times("a2") == 1);
+    wait_until("the second follows", || endpoint.count_of("a2") == 1);
     assert_eq!(agent.notices(), [failed("a1")]);
 }
 
@@ -339,7 +345,7 @@
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let hand_in = |tenant, id| {
         assert_eq!(
-            node.raw(&message_of_tenant(tenant, "order", id, 7, 20_000))
+            node.send_bytes(&message_of_tenant(tenant, "order", id, 7, 20_000))
                 .0,
             202
         )
@@ -358,9 +364,9 @@
     }
     *gate.lock().expect("not poisoned") = true;
     wait_until("both inside their shares are out", || {
-        endpoint.times("inside") + endpoint.times("later") == 2
+        endpoint.count_of("inside") + endpoint.count_of("later") == 2
     });
-    assert_eq!(endpoint.times("over1") + endpoint.times("over2"), 0);
+    assert_eq!(endpoint.count_of("over1") + endpoint.count_of("over2"), 0);
 }
 
 #[test]
@@ -395,9 +401,9 @@
     let ends: Vec<_> = ends.iter().collect();
     assert!(ends.iter().all(|(_, ended, _)| *ended), "{ends:?}");
     assert_eq!(ends[0], ("half body", true, true), "{ends:?}");
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the next one is delivered", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 0);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
+    wait_until("the next one is delivered", || endpoint.count_of("m2") == 1);
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
@@ -437,20 +443,22 @@
     });
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
-    wait_until("keyed is out", || endpoint.times("keyed") > 0);
-    let settled =
-        |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
-    let over = |id: &str| settled(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200;
+    assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
+    wait_until("keyed is out", || endpoint.count_of("keyed") > 0);
+    let settled = |id: &str| {
+        endpoint.count_of(id) > 1 || agent.notices().iter().any(|line| line.contains(id))
+    };
+    let over =
+        |id: &str| settled(id) || node.send_bytes(&message("webhook", id, 7, 1, b"x")).0 == 200;
     wait_until("keyed is settled", || over("keyed"));
-    assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
-    wait_until("unsafe is out", || endpoint.times("unsafe") > 0);
+    assert_eq!(node.submit("order", "unsafe", 7, 3_000, b"x"), 202);
+    wait_until("unsafe is out", || endpoint.count_of("unsafe") > 0);
     wait_until("unsafe is settled", || {
-        settled("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
+        settled("unsafe") || node.submit("order", "unsafe", 7, 1, b"x") == 200
     });
     (
-        endpoint.times("keyed"),
-        endpoint.times("unsafe"),
+        endpoint.count_of("keyed"),
+        endpoint.count_of("unsafe"),
         agent.notices(),
     )
 }
@@ -462,17 +470,17 @@
 #[test]
 fn success_ends_a_message() {
     assert_eq!(fares(OK), (1, 1, vec![]));
-    assert_eq!(fares(Reply::AnswerAndClose("200 OK")), (1, 1, vec![]));
+    assert_eq!(fares(Reply::ResponseAndClose("200 OK")), (1, 1, vec![]));
 }
 
 #[test]
 fn an_error_may_have_run() {
     assert_eq!(
-        fares(Reply::Answer("500 Oops", String::new())),
+        fares(Reply::Response("500 Oops", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
     assert_eq!(
-        fares(Reply::Answer("418 Teapot", String::new())),
+        fares(Reply::Response("418 Teapot", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -480,7 +488,7 @@
 #[test]
 fn a_malformed_answer_fails_that_call_only() {
     assert_eq!(
-        fares(Reply::AnswerAndClose("nonsense\r\n\x01")),
+        fares(Reply::ResponseAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -494,13 +502,13 @@
         "200 OK\r\nBad Name: x",
     ] {
         assert_eq!(
-            fares(Reply::Answer(head, "a body".to_string())),
+            fares(Reply::Response(head, "a body".to_string())),
             (1, 1, vec![]),
             "{head}"
         );
     }
     assert_eq!(
-        fares(Reply::AnswerAndClose("2x0 OK")),
+        fares(Reply::ResponseAndClose("2x0 OK")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -525,7 +533,7 @@
         "504 Spent",
     ] {
         assert_eq!(
-            fares(Reply::Answer(head, String::new())),
+            fares(Reply::Response(head, String::new())),
             (2, 2, vec![]),
             "{head}"
         );
@@ -534,13 +542,13 @@
 
 #[test]
 fn a_message_that_is_gone_is_over_without_a_notice() {
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
+    let endpoint = Endpoint::new(|_, _| Reply::Response("410 Gone", String::new()));
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("it is out", || endpoint.count() == 1);
     // a later message's notice shows that none came for the first, whose time was up before
-    assert_eq!(node.hand_in("webhook", "m2", 99, 900, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 99, 900, b"x"), 202);
     wait_until("the later one's notice", || !agent.notices().is_empty());
     assert_eq!(endpoint.count(), 1);
     assert!(agent.notices().iter().all(|line| line.contains("m2")));
@@ -551,7 +559,7 @@
     let (address, _kept) = refusing();
     let agent = Agent::new(vec![list(&[("s-1", address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 700, b"x"), 202);
     wait_until("its notice", || !agent.notices().is_empty());
     // an unsafe message may be returned only if none of its calls ran
     assert!(
@@ -574,15 +582,15 @@
     let endpoint = Endpoint::new(move |_, number| {
         here.lock().expect("not poisoned").push(Instant::now());
         if number == 0 {
-            Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new())
+            Reply::Response("429 Later\r\nRetry-After: 1.2", String::new())
         } else {
             OK
         }
     });
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.count() == 1);
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("both are delivered", || {
         came.lock().expect("not poisoned").len() == 3
     });
@@ -614,7 +622,7 @@
                 .and_then(|n| n.parse().ok())
                 .map_or("ok", |n: usize| ends[n])
         };
-        Reply::Answer(
+        Reply::Response(
             "200 OK",
             ids.iter()
                 .map(|id| format!("{id} {}\r\n", word(id)))
@@ -625,13 +633,13 @@
     let node = Node::new(&agent).ready();
     for n in 0..2 {
         assert_eq!(
-            node.hand_in("order", &format!("first{n}"), 7, 20_000, b"x"),
+            node.submit("order", &format!("first{n}"), 7, 20_000, b"x"),
             202
         );
     }
     wait_until("the window is full", || endpoint.count() == 2);
     for n in 0..5 {
-        assert_eq!(node.hand_in("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
+        assert_eq!(node.submit("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
     *held.lock().expect("not poisoned") = false;
     wait_until("a bulk call", || {
@@ -641,10 +649,10 @@
         agent.notices().contains(&failed("b1"))
     });
     wait_until("what never ran goes again", || {
-        endpoint.times("b2") > 1 && endpoint.times("b4") > 1
+        endpoint.count_of("b2") > 1 && endpoint.count_of("b4") > 1
     });
     for id in ["b0", "b1", "b3"] {
-        assert_eq!(endpoint.times(id), 1, "{id}");
+        assert_eq!(endpoint.count_of(id), 1, "{id}");
     }
     assert!(
         !agent
@@ -666,17 +674,17 @@
     });
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
-    assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
+    assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
     wait_until("both are out", || {
-        endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1
+        endpoint.count_of("sent") == 1 && endpoint.count_of("unsafe") == 1
     });
     assert_eq!(
-        node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
+        node.submit("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
     agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
-    assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
+    assert_eq!(node.submit("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("its notice fails", || node.logged("notices answered 500"));
     let mut node = node;
     node.kill();
@@ -689,17 +697,17 @@
     *agent.lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     wait_until("it is told", || node.logged("4 unfinished messages"));
-    wait_until("the unsent one goes out", || other.times("unsent") == 1);
+    wait_until("the unsent one goes out", || other.count_of("unsent") == 1);
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
     wait_until("the keyed one goes out again", || {
-        endpoint.times("sent") >= 2
+        endpoint.count_of("sent") >= 2
     });
     wait_until("the unsafe one's and the owed one's notices", || {
         let notices = agent.notices();
         notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
     });
-    assert_eq!(endpoint.times("unsafe"), 1);
+    assert_eq!(endpoint.count_of("unsafe"), 1);
     assert_eq!(agent.notices().len(), 2, "{:?}", agent.notices());
 }
 
@@ -708,7 +716,7 @@
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 3_000, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(3_100)); // until its time is up
     assert!(agent.notices().is_empty());
@@ -724,7 +732,7 @@
     let agent = Agent::new(vec![list(&[("s-9", endpoint.address, "one", 5, "up")])]);
     let mut node = Node::new(&agent).ready();
     for id in ["m1", "m2"] {
-        assert_eq!(node.hand_in("webhook", id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
     node.kill();
     let sound = std::fs::read(node.journal()).expect("the journal");
@@ -742,8 +750,10 @@
     wait_until("it is told", || {
         node.logged("1 unfinished messages") && node.logged("damaged")
     });
-    wait_until("the sound one is delivered", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 0);
+    wait_until("the sound one is delivered", || {
+        endpoint.count_of("m2") == 1
+    });
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
@@ -760,7 +770,7 @@
     };
     let mut statuses = Vec::new();
     for n in 0..10 {
-        statuses.push(node.hand_in("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
+        statuses.push(node.submit("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
         assert!(size() <= 300_000, "{}", size());
     }
     assert!(
@@ -769,7 +779,7 @@
     );
     // small ones that come and go are compacted away, so that the room is never used up by the past
     for n in 0..400 {
-        let status = node.hand_in("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
+        let status = node.submit("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
@@ -791,13 +801,15 @@
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
-        full |= node.hand_in("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
+        full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
     assert!(full);
     wait_until("they have ended", || {
-        node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
+        node.submit("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
+    });
+    wait_until("the new one is delivered", || {
+        endpoint.count_of("after") == 1
     });
-    wait_until("the new one is delivered", || endpoint.times("after") == 1);
 }
 
 #[test]
@@ -822,13 +834,15 @@
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
     assert_eq!(
-        node.hand_in("webhook", "m3", 7, 20_000, b"x"),
+        node.submit("webhook", "m3", 7, 20_000, b"x"),
         202,
         "connections come for a while"
     );
-    assert_eq!(node.get_ready(), 503);
+    assert_eq!(node.readiness_status(), 503);
     wait_until("all are delivered", || {
-        ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1)
+        ["m1", "m2", "m3"]
+            .iter()
+            .all(|id| endpoint.count_of(id) == 1)
     });
     let status = node.process.wait().expect("it ends");
     assert!(
@@ -848,12 +862,12 @@
     node.terminate();
     wait_until("draining", || node.logged("draining"));
     std::thread::sleep(Duration::from_millis(2450)); // into the last second, which an unknown latency needs
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
     assert!(node.process.wait().expect("it ends").success());
     assert_eq!(endpoint.count(), 0);
     let _node = node.restart();
-    wait_until("the next life sends it", || endpoint.times("m1") == 1);
+    wait_until("the next life sends it", || endpoint.count_of("m1") == 1);
 }
 
 #[test]
@@ -872,8 +886,8 @@
     });
     for n in 0..6 {
         let id = format!("m{n}");
-        assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || new.times(&id) + old.times(&id) > 0);
+        assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
+        wait_until("delivered", || new.count_of(&id) + old.count_of(&id) > 0);
     }
     assert!(
         new.count() >= 5,
@@ -889,8 +903,8 @@
     let node = Node::new(&agent);
     wait_until("a watch", || agent.watches.load(Ordering::SeqCst) > 0);
     let began = Instant::now();
-    assert_eq!(node.get_ready(), 503, "no list is known");
-    assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
+    assert_eq!(node.readiness_status(), 503, "no list is known");
+    assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
     *agent.lines.lock().expect("not poisoned") =
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
@@ -900,8 +914,8 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
+    wait_until("delivered", || endpoint.count_of("m1") == 1);
 }
 
 #[test]
@@ -916,9 +930,9 @@
     wait_until("the watch moves", || {
         after.watches.load(Ordering::SeqCst) > 0
     });
-    assert_eq!(node.hand_in("webhook", "m1", 8, 20_000, b"x"), 202);
-    wait_until("delivered by the new list", || new.times("m1") == 1);
-    assert_eq!(node.hand_in("webhook", "m2", 9, 100, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 8, 20_000, b"x"), 202);
+    wait_until("delivered by the new list", || new.count_of("m1") == 1);
+    assert_eq!(node.submit("webhook", "m2", 9, 100, b"x"), 202);
     wait_until("its notice comes to the new address", || {
         after.notices().iter().any(|line| line.contains("m2"))
     });
@@ -927,18 +941,18 @@
     std::fs::write(node.folder.join("config.json"), "{").expect("written");
     node.hang_up();
     wait_until("it is told", || node.logged("configuration left as it was"));
-    assert_eq!(node.hand_in("webhook", "m3", 8, 20_000, b"x"), 202);
-    wait_until("delivered all the same", || new.times("m3") == 1);
+    assert_eq!(node.submit("webhook", "m3", 8, 20_000, b"x"), 202);
+    wait_until("delivered all the same", || new.count_of("m3") == 1);
 }
 
 #[test]
 fn a_log_that_nobody_reads_does_not_end_the_sender() {
     // guards against eprintln, which panics when its pipe is gone
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
+    let endpoint = Endpoint::new(|_, _| Reply::Response("418 Teapot", String::new()));
     let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.close_log();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("its notice", || agent.notices().contains(&failed("m1")));
     wait_until("the last line that is read", || node.logged("418"));
     node.terminate(); // which logs two lines more
@@ -953,9 +967,9 @@
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the other is delivered", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 0);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
+    wait_until("the other is delivered", || endpoint.count_of("m2") == 1);
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
