--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -160,7 +160,7 @@
         call: attempt.call,
         item: attempt.item,
         in_flight: attempt.in_flight,
-        record: attempt.record,
+        journal_position: attempt.record,
     }
 }
 
@@ -172,6 +172,6 @@
     CallState {
         number,
         items: call.items.iter().map(item).collect(),
-        left: call.left,
+        pending_items: call.left,
     }
 }
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -47,7 +47,7 @@
         let terms = message.terms.as_ref()?;
         Some(
             self.settings
-                .class_position(terms.class(&message.accepted.class)),
+                .class_position(terms.to_class(&message.accepted.class)),
         )
     }
 
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -181,7 +181,7 @@
             key: submission.key.as_ref().map(header_text),
             class: class.name.clone(),
             destination: submission.destination,
-            accepted_at: new.received_at,
+            received_at: new.received_at,
             deadline: new.received_at + submission.time_limit,
             body: submission.body.to_vec(),
         };
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -97,7 +97,7 @@
             items: items
                 .map(|item| (MessageId(item.message), item.attempt))
                 .collect(),
-            left: state.left,
+            left: state.pending_items,
         };
         self.calls_in_flight.insert(state.number, call);
     }
@@ -242,6 +242,6 @@
         call: state.call,
         item: state.item,
         in_flight: state.in_flight,
-        record: state.record,
+        record: state.journal_position,
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -19,7 +19,7 @@
 pub use link::{Link, LinkError, LinkWriter};
 pub use lock::FolderLock;
 use message_sender::Outcome;
-pub use predecessor::{SuccessorRequest, until_handed_over, wait_for_successors};
+pub use predecessor::{SuccessorRequest, run_until_handed_over, wait_for_successors};
 use serde::{Deserialize, Serialize};
 pub use state::{
     AttemptState, CallItemState, CallState, EndpointState, HandoverState, MessageState,
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -65,7 +65,7 @@
 }
 
 /// Runs the task until it completes or a successor has taken over from this process.
-pub async fn until_handed_over<F: Future>(mut handed_over: watch::Receiver<bool>, task: F) {
+pub async fn run_until_handed_over<F: Future>(mut handed_over: watch::Receiver<bool>, task: F) {
     tokio::select! {
         _ = task => {}
         _ = handed_over.wait_for(|handed_over| *handed_over) => {}
--- a/src/net/handover/state.rs
+++ b/src/net/handover/state.rs
@@ -67,7 +67,7 @@
     /// The messages in the call.
     pub items: Vec<CallItemState>,
     /// Number of messages in the call that have no outcome yet.
-    pub left: usize,
+    pub pending_items: usize,
 }
 
 /// A message in a call that is in flight.
@@ -125,5 +125,5 @@
     pub in_flight: bool,
     /// Index of the attempt among the message's attempts in the journal. `None` if the journal does not hold the
     /// attempt.
-    pub record: Option<usize>,
+    pub journal_position: Option<usize>,
 }
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -28,7 +28,7 @@
 /// Which process owns the state folder, and whether a predecessor handed over its state.
 pub enum FolderOwnership {
     /// This process owns the folder without a handover: no other process holds the lock, or the folder can't be locked.
-    Free,
+    WithoutHandover,
     /// This process owns the folder after a predecessor handed over its state.
     HandedOver(Box<ReceivedHandover>),
     /// A process that started later owns the folder, so this process must not take over.
@@ -42,7 +42,7 @@
     let started_at = Instant::now();
     loop {
         match lock.try_acquire() {
-            Ok(true) => return FolderOwnership::Free,
+            Ok(true) => return FolderOwnership::WithoutHandover,
             Ok(false) => {}
             Err(_) if started_at.elapsed() < LOCK_TIMEOUT => {
                 sleep(RETRY_DELAY).await;
@@ -53,7 +53,7 @@
                 net::log(format_args!(
                     "handover: disabled, the state folder can't be locked: {error}"
                 ));
-                return FolderOwnership::Free;
+                return FolderOwnership::WithoutHandover;
             }
         }
         match request_handover(folder, version).await {
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -66,7 +66,7 @@
     /// Incomplete messages by message number.
     pub unfinished: BTreeMap<u64, UnfinishedMessage>,
     /// Uid of each disabled endpoint, with the size in bytes of the record that disabled it.
-    pub disabled: BTreeMap<String, u64>,
+    pub disabled_endpoints: BTreeMap<String, u64>,
     /// Size in bytes of a compacted file with the current state.
     pub live_bytes: u64,
 }
@@ -98,26 +98,26 @@
                 }
             }
             Record::AttemptStarted(number, attempt) => {
-                self.change(number, length, |message| message.attempts.push(attempt));
+                self.update_message(number, length, |message| message.attempts.push(attempt));
             }
             Record::AttemptOutcome {
                 message,
                 attempt,
                 never_ran,
-            } => self.change(message, 0, |message| {
+            } => self.update_message(message, 0, |message| {
                 if let Some(attempt) = message.attempts.get_mut(attempt as usize) {
                     attempt.never_ran = never_ran;
                 }
             }),
             Record::EndpointDisabled(uid) => {
-                let old_length = self.disabled.insert(uid, length);
+                let old_length = self.disabled_endpoints.insert(uid, length);
                 self.live_bytes += length - old_length.unwrap_or(0);
             }
             Record::EndpointEnabled(uid) => {
-                self.live_bytes -= self.disabled.remove(&uid).unwrap_or(0);
+                self.live_bytes -= self.disabled_endpoints.remove(&uid).unwrap_or(0);
             }
             Record::Undelivered(number, outcome) => {
-                self.change(number, length, |message| message.outcome = Some(outcome));
+                self.update_message(number, length, |message| message.outcome = Some(outcome));
             }
         }
     }
@@ -131,7 +131,12 @@
 
     /// Applies a change to an incomplete message and adds `length` bytes to the size that its records take in a
     /// compacted file. Does nothing if the message is complete or unknown.
-    fn change(&mut self, number: u64, length: u64, change: impl FnOnce(&mut UnfinishedMessage)) {
+    fn update_message(
+        &mut self,
+        number: u64,
+        length: u64,
+        change: impl FnOnce(&mut UnfinishedMessage),
+    ) {
         if let Some(message) = self.unfinished.get_mut(&number) {
             message.size += length;
             self.live_bytes += length;
@@ -145,11 +150,11 @@
     /// # Errors
     /// Returns an error if a message can't be encoded.
     pub fn presume_attempts(&mut self) -> Result<(), postcard::Error> {
-        self.live_bytes = self.disabled.values().sum();
+        self.live_bytes = self.disabled_endpoints.values().sum();
         for (&number, message) in &mut self.unfinished {
             let presumed = RecordedAttempt {
                 uid: String::new(),
-                sent_at: message.accepted.accepted_at,
+                sent_at: message.accepted.received_at,
                 never_ran: false,
             };
             message.attempts.insert(0, presumed);
@@ -165,7 +170,7 @@
     /// Returns an error if a record can't be encoded.
     pub fn compacted(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = Vec::new();
-        for uid in self.disabled.keys() {
+        for uid in self.disabled_endpoints.keys() {
             bytes.extend(encode(&Record::EndpointDisabled(uid.clone()))?);
         }
         for (&number, message) in &self.unfinished {
--- a/src/net/journal/file.rs
+++ b/src/net/journal/file.rs
@@ -11,7 +11,7 @@
     pub(super) path: PathBuf,
     pub(super) handle: File,
     /// Total size in bytes of the whole records, which is the length of the file without a partial record.
-    pub(super) size: u64,
+    pub(super) whole_bytes: u64,
     /// True if part of a record may follow the whole records, after a failed write.
     pub(super) has_partial_record: bool,
 }
@@ -33,7 +33,7 @@
         let file = JournalFile {
             path,
             handle,
-            size: bytes.len() as u64,
+            whole_bytes: bytes.len() as u64,
             has_partial_record: false,
         };
         Ok((file, bytes))
@@ -41,7 +41,7 @@
 
     /// Records that the last `length` bytes of the file are part of a record, so that the next append cuts them off.
     pub fn mark_partial_record(&mut self, length: usize) {
-        self.size -= length as u64;
+        self.whole_bytes -= length as u64;
         self.has_partial_record = true;
     }
 
@@ -61,7 +61,7 @@
             return written;
         }
         self.has_partial_record = false;
-        self.size += bytes.len() as u64;
+        self.whole_bytes += bytes.len() as u64;
         Ok(())
     }
 
@@ -71,7 +71,7 @@
     /// Returns an error if the file can't be truncated; the partial record is then still there.
     pub fn cut_partial_record(&mut self) -> io::Result<()> {
         if self.has_partial_record {
-            self.handle.set_len(self.size)?;
+            self.handle.set_len(self.whole_bytes)?;
             self.has_partial_record = false;
         }
         Ok(())
@@ -83,10 +83,10 @@
     /// Returns an error if the new file can't be written or renamed; the old file is then unchanged.
     pub fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         let new = new_path(&self.path);
-        match write_in_place_of(&new, &self.path, bytes) {
+        match write_and_rename(&new, &self.path, bytes) {
             Ok(handle) => {
                 self.handle = handle;
-                self.size = bytes.len() as u64;
+                self.whole_bytes = bytes.len() as u64;
                 self.has_partial_record = false;
                 Ok(())
             }
@@ -109,7 +109,7 @@
 }
 
 /// Writes the bytes to the file `new` and renames it to `old`, which replaces the file of that name.
-fn write_in_place_of(new: &Path, old: &Path, bytes: &[u8]) -> io::Result<File> {
+fn write_and_rename(new: &Path, old: &Path, bytes: &[u8]) -> io::Result<File> {
     // `OpenOptions` allows no truncation together with append mode, so an existing file is removed or emptied first
     fs::remove_file(new).or_else(|error| match error.kind() {
         ErrorKind::NotFound => Ok(()),
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -145,7 +145,7 @@
             journal.contents.presume_attempts()?;
             // later records refer to attempts by position, so the presumed attempts must be in the file before them
             journal.compact()?;
-        } else if journal.file.size > MIN_COMPACTION_BYTES
+        } else if journal.file.whole_bytes > MIN_COMPACTION_BYTES
             || journal.file.cut_partial_record().is_err()
         {
             // a failed compaction loses nothing: the old file remains in use
@@ -171,17 +171,17 @@
 
     /// Returns the uids of the endpoints that operators have disabled.
     pub fn disabled_endpoints(&self) -> impl Iterator<Item = &str> {
-        self.contents.disabled.keys().map(String::as_str)
+        self.contents.disabled_endpoints.keys().map(String::as_str)
     }
 
     /// Returns true if operators have disabled the endpoint.
     pub fn is_disabled(&self, uid: &str) -> bool {
-        self.contents.disabled.contains_key(uid)
+        self.contents.disabled_endpoints.contains_key(uid)
     }
 
     /// Returns true if the file holds at least one record, written by this or an earlier process.
     pub fn has_records(&self) -> bool {
-        self.file.size > 0
+        self.file.whole_bytes > 0
     }
 
     /// Returns true while records of past events are not in the file yet. A later process would not know of these
@@ -207,7 +207,7 @@
         } else {
             Record::EndpointEnabled(uid)
         };
-        self.write_ahead(record, 0)
+        self.write_before_event(record, 0)
     }
 
     /// Records an accepted message. The client may get a positive answer once this has succeeded.
@@ -222,7 +222,7 @@
         terms: ClassTerms,
     ) -> Result<(), JournalError> {
         let record = Record::Accepted(number, accepted, origin, terms);
-        self.write_ahead(record, self.reserve_bytes)
+        self.write_before_event(record, self.reserve_bytes)
     }
 
     /// Records the start of an attempt; the call may begin once this has succeeded. Returns the attempt's position
@@ -243,7 +243,7 @@
             sent_at,
             never_ran: false,
         };
-        self.write_ahead(Record::AttemptStarted(number, attempt), 0)?;
+        self.write_before_event(Record::AttemptStarted(number, attempt), 0)?;
         Ok(position)
     }
 
@@ -253,7 +253,7 @@
     /// # Errors
     /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
     pub fn attempt_never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
-        self.write_behind(Record::AttemptOutcome {
+        self.write_or_queue(Record::AttemptOutcome {
             message,
             attempt: position as u32,
             never_ran: true,
@@ -269,7 +269,7 @@
         number: u64,
         outcome: UndeliveredOutcome,
     ) -> Result<(), JournalError> {
-        self.write_behind(Record::Undelivered(number, outcome))
+        self.write_or_queue(Record::Undelivered(number, outcome))
     }
 
     /// Records that a message is complete. The proof argument makes sure that callers complete a message only with an
@@ -283,7 +283,7 @@
         }
         // the message's other pending records have no meaning once it is complete
         self.pending.retain(|record| record.message != Some(number));
-        self.write_behind(Record::Completed(number))
+        self.write_or_queue(Record::Completed(number))
     }
 
     /// Retries failed writes: writes the pending records. If none is pending, writes a record without meaning to find
@@ -298,15 +298,19 @@
         }
         self.write_pending()?;
         if self.failing {
-            let nothing = encode(&Record::Completed(NO_MESSAGE))?;
-            self.append(&nothing, 0)?;
+            let test_record = encode(&Record::Completed(NO_MESSAGE))?;
+            self.append(&test_record, 0)?;
         }
         Ok(())
     }
 
     /// Writes the record of an event before the event happens, and after all pending records. Leaves `reserve_bytes`
     /// bytes free.
-    fn write_ahead(&mut self, record: Record, reserve_bytes: u64) -> Result<(), JournalError> {
+    fn write_before_event(
+        &mut self,
+        record: Record,
+        reserve_bytes: u64,
+    ) -> Result<(), JournalError> {
         self.write_pending()?;
         let bytes = encode(&record)?;
         self.append(&bytes, reserve_bytes)?;
@@ -315,7 +319,7 @@
     }
 
     /// Updates the contents with the record of a past event, and writes the record now or, if the write fails, later.
-    fn write_behind(&mut self, record: Record) -> Result<(), JournalError> {
+    fn write_or_queue(&mut self, record: Record) -> Result<(), JournalError> {
         let bytes = encode(&record)?;
         let message = record.message();
         self.contents.apply(record, bytes.len() as u64);
@@ -341,7 +345,7 @@
         let live_bytes = self.contents.live_bytes;
         // a later compaction, also one right after this record, must have space for the old and the new file together
         let fits = |size: u64| size + live_bytes + 2 * length + reserve_bytes <= self.limit_bytes;
-        if !fits(self.file.size) {
+        if !fits(self.file.whole_bytes) {
             if !fits(live_bytes) {
                 return Err(JournalError::Full);
             }
@@ -355,7 +359,7 @@
     /// Replaces the file with a new one that holds only the records of the current state.
     fn compact(&mut self) -> Result<(), JournalError> {
         let bytes = self.contents.compacted()?;
-        if self.file.size + bytes.len() as u64 > self.limit_bytes {
+        if self.file.whole_bytes + bytes.len() as u64 > self.limit_bytes {
             return Err(JournalError::Full);
         }
         let replaced = self.file.replace(&bytes);
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -35,7 +35,7 @@
     /// Number of the destination that the message is for.
     pub destination: u64,
     /// Time at which the client's request began, in microseconds of module time.
-    pub accepted_at: Micros,
+    pub received_at: Micros,
     /// Time after which the message is no longer delivered, in microseconds of module time.
     pub deadline: Micros,
     /// Body that the endpoint receives.
@@ -87,7 +87,7 @@
     }
 
     /// Returns a class of the given name with these terms.
-    pub fn class(&self, name: &str) -> Class {
+    pub fn to_class(&self, name: &str) -> Class {
         Class {
             name: name.to_string(),
             effect: self.effect,
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -7,7 +7,7 @@
 use std::fs::File;
 
 #[test]
-fn attempt_not_written_takes_no_position() {
+fn unrecorded_attempt_takes_no_position() {
     let folder = std::env::temp_dir().join(format!("journal-positions-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let (mut journal, _) = Journal::open(&folder, 16 * 1024, 0).expect("opened");
@@ -16,7 +16,7 @@
         key: None,
         class: "order".into(),
         destination: 7,
-        accepted_at: 0,
+        received_at: 0,
         deadline: 1,
         body: Vec::new(),
     };
@@ -61,7 +61,7 @@
         key: None,
         class: "order".into(),
         destination: 7,
-        accepted_at: 0,
+        received_at: 0,
         deadline: 1,
         body: vec![b'x'; 100],
     };
@@ -194,7 +194,7 @@
     let mut states = vec![(0, journal.unfinished().clone())];
     for _ in 0..40 {
         random_operation(&mut journal, &mut numbers, &mut next_number);
-        states.push((journal.file.size, journal.unfinished().clone()));
+        states.push((journal.file.whole_bytes, journal.unfinished().clone()));
     }
     let bytes = fs::read(&journal.file.path).expect("read");
     for length in 0..=bytes.len() {
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -18,7 +18,7 @@
         key: Some("key-1".into()),
         class: "order".into(),
         destination: 77,
-        accepted_at: 1_700_000_000_000_001,
+        received_at: 1_700_000_000_000_001,
         deadline: 1_700_000_020_000_002,
         body: b"body \0\xff".to_vec(),
     }
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -8,7 +8,7 @@
 use super::end_proof::EndProof;
 use super::events::SubmissionResult;
 use super::journal::UndeliveredOutcome;
-use super::{log, traces};
+use super::{log, trace_enabled};
 use hyper::header::HeaderValue;
 use message_sender::{MILLISECOND, Outcome};
 use std::cell::RefCell;
@@ -189,7 +189,7 @@
 
 /// Logs an event of a message whose id is given as text, unless it is ordinary and tracing is off.
 pub fn record_text(id: &str, event: &MessageEvent<'_>) {
-    if traces() || !event.is_ordinary() {
+    if trace_enabled() || !event.is_ordinary() {
         write_line(format_args!("message {id}: {event}"));
     }
 }
@@ -207,7 +207,7 @@
 /// Logs why a connection was closed, if tracing is on. Reports on the control address count the
 /// closes by reason.
 pub fn record_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
-    if traces() {
+    if trace_enabled() {
         log(format_args!("{connection} closed: {reason:?}"));
     }
 }
@@ -235,7 +235,7 @@
     }
 
     fn write(&mut self, now: Instant, line: fmt::Arguments<'_>) {
-        let suppressed = if traces() {
+        let suppressed = if trace_enabled() {
             Some(0)
         } else {
             self.budget.take(now)
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -48,7 +48,7 @@
 
 /// Returns true if the environment variable `RELAY_TRACE` is set, so that the normal steps of each message are logged
 /// as well.
-pub fn traces() -> bool {
+pub fn trace_enabled() -> bool {
     static ENABLED: std::sync::OnceLock<bool> = std::sync::OnceLock::new();
     *ENABLED.get_or_init(|| std::env::var_os("RELAY_TRACE").is_some())
 }
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -299,11 +299,11 @@
         mut link: Link,
         client_connections: usize,
     ) {
-        let accepted = link.send(&Frame::Accepted).await;
+        let send_result = link.send(&Frame::Accepted).await;
         net::log(format_args!(
             "{}: handover: taken over ({})",
             self.config.name,
-            describe_link(&accepted)
+            describe_link(&send_result)
         ));
         driver.set_predecessor(link.listen(self.senders.inputs.clone()), client_connections);
     }
@@ -334,8 +334,8 @@
 }
 
 /// Describes for the log whether the predecessor could be notified of the takeover.
-fn describe_link(accepted: &Result<(), LinkError>) -> String {
-    match accepted {
+fn describe_link(send_result: &Result<(), LinkError>) -> String {
+    match send_result {
         Ok(()) => "complete".into(),
         Err(error) => format!("lost the link to the predecessor: {error}"),
     }
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -28,7 +28,7 @@
     let open_lock = || FolderLock::open(&config.state_folder);
     let lock = retry_until_available("the state folder's lock", open_lock).await?;
     let received = match acquire_folder(&lock, &config.state_folder).await {
-        FolderOwnership::Free => None,
+        FolderOwnership::WithoutHandover => None,
         FolderOwnership::HandedOver(received) => Some(*received),
         FolderOwnership::NewerProcess => return Ok(None),
     };
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -6,7 +6,7 @@
 use crate::net::clock::Clock;
 use crate::net::discovery::{self, Backoff, Freshness};
 use crate::net::events::ReportRequest;
-use crate::net::handover::{until_handed_over, wait_for_successors};
+use crate::net::handover::{run_until_handed_over, wait_for_successors};
 use crate::net::ledger::QuotaLease;
 use crate::net::{freeze, lease_client, membership};
 use message_sender::Micros;
@@ -49,7 +49,7 @@
     /// Spawns a task that is dropped once a successor has taken over.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         let handed_over = self.process.flags.handed_over.subscribe();
-        tokio::task::spawn_local(until_handed_over(handed_over, task));
+        tokio::task::spawn_local(run_until_handed_over(handed_over, task));
     }
 
     /// Returns the settings that all clients of discovery and the registry share.
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -113,8 +113,8 @@
 fn inherit_listener(descriptor: RawFd) -> io::Result<TcpListener> {
     // SAFETY: the platform guarantees that the descriptor stays open as long as the process runs, and this function
     // closes only its duplicate. If no descriptor is open under the number, duplicating it fails.
-    let passed = unsafe { BorrowedFd::borrow_raw(descriptor) };
-    let listener = std::net::TcpListener::from(passed.try_clone_to_owned()?);
+    let inherited = unsafe { BorrowedFd::borrow_raw(descriptor) };
+    let listener = std::net::TcpListener::from(inherited.try_clone_to_owned()?);
     listener.local_addr()?; // fails now if the descriptor is not a socket, not only at the first client
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
