--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,6 @@
-//! The message sender's program: reads the configuration and runs until SIGTERM, or until a successor has taken over.
+//! The message sender's program: reads the configuration and runs until shortly after SIGTERM, or until a successor has
+//! taken over and the calls and clients of this process are complete. Exits at once if a process that started later
+//! owns the state folder.
 
 mod net;
 
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -3,8 +3,8 @@
 //!
 //! Module time starts at the wall-clock time when the state folder is new. From then on it follows the monotonic clock,
 //! which continues over restarts of the process, so that a step of the wall clock changes no deadline, window or
-//! backoff, neither in this process nor in the next. A reboot of the host resets the monotonic clock; only then is
-//! module time set from the wall clock again.
+//! backoff, neither in this process nor in the next. A reboot of the host resets the monotonic clock; then, or if the
+//! anchor file is missing or invalid, module time is set from the wall clock again.
 
 use message_sender::Micros;
 use nix::time::{ClockId, clock_gettime};
@@ -20,7 +20,7 @@
 const ANCHOR_FILE: &str = "clock";
 /// File with an id that the kernel creates anew at each boot; see `random(4)`.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
-/// Difference between wall clock and module time above which the start logs it, in microseconds.
+/// Difference in microseconds between wall clock and module time above which a starting process logs the difference.
 const MIN_LOGGED_STEP: Micros = message_sender::SECOND;
 
 /// Error of restoring module time from the state folder.
@@ -73,8 +73,8 @@
         })
     }
 
-    /// Returns the module time of this reading according to the anchor, or `None` if the anchor was written during
-    /// another boot.
+    /// Returns the module time of this reading according to the anchor. Returns `None` if the anchor was written during
+    /// another boot or the boot is unknown, or if the anchor is later than the reading.
     fn module_time_from(&self, anchor: &Anchor) -> Option<Micros> {
         let elapsed = self.monotonic - anchor.monotonic;
         let same_boot = self.boot.as_ref() == Some(&anchor.boot) && elapsed >= 0;
@@ -147,12 +147,14 @@
         })
     }
 
-    /// Returns the module time of an instant, in microseconds.
+    /// Returns the module time of an instant, in microseconds. For instants before the start of this process, returns
+    /// the time of the start.
     pub fn at(&self, instant: Instant) -> Micros {
         self.start_time + micros(instant.saturating_duration_since(self.start))
     }
 
-    /// Returns the instant of a module time. For times before the start of this process, returns the start.
+    /// Returns the instant of a module time. For times before the start of this process, returns the instant of the
+    /// start.
     pub fn instant(&self, time: Micros) -> Instant {
         self.start + Duration::from_micros(u64::try_from(time - self.start_time).unwrap_or(0))
     }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -37,10 +37,12 @@
 const SOCKET: &str = "upgrade.sock";
 /// Maximum duration of the exchange of state between the two processes.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Delay between two attempts to acquire the lock or to connect to the predecessor.
+/// Delay after a failed attempt to acquire the lock, to connect to the predecessor or to accept a successor's
+/// connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Outcome of calls that were in flight when the process that made them ended. The endpoint may have executed them.
+/// Outcome that is assumed for calls that were in flight when the process that made them ended. The endpoint may have
+/// executed them.
 pub const LOST_CALL_OUTCOME: Outcome = Outcome::Reset;
 
 /// A frame that one process sends to the other over the link. The position of a variant is its encoding.
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -15,16 +15,16 @@
 /// Error of the link between predecessor and successor.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// Reading from or writing to the socket failed.
+    /// Connecting to the socket, reading the other process's id, or reading or writing a frame failed.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// A frame can't be encoded or decoded.
     #[error("frame can't be encoded or decoded: {0}")]
     Unreadable(#[from] postcard::Error),
-    /// A frame of another kind or of an invalid length arrived.
+    /// A frame of an unexpected kind or of an invalid length arrived, or a frame to be sent is too long.
     #[error("unexpected frame")]
     Unexpected,
-    /// The other process did not answer in time.
+    /// The exchange with the other process was not complete within [`HANDOVER_TIMEOUT`].
     #[error("timed out waiting for the other process")]
     Timeout,
     /// The process at the other end started later than this one, so this process must not take over from it.
@@ -110,7 +110,8 @@
     /// Sends the predecessor's state and waits for the successor to confirm that it owns the messages.
     ///
     /// # Errors
-    /// Returns an error if the confirmation does not arrive within [`HANDOVER_TIMEOUT`].
+    /// Returns an error if the link is lost, if another frame arrives, or if the exchange is not complete within
+    /// [`HANDOVER_TIMEOUT`].
     pub async fn send_state(&mut self, state: HandoverState) -> Result<(), LinkError> {
         let exchange = async {
             self.send(&Frame::State(Box::new(state))).await?;
--- a/src/net/handover/state.rs
+++ b/src/net/handover/state.rs
@@ -1,4 +1,6 @@
-//! The state that a predecessor sends to its successor. The order of the fields is their encoding.
+//! The state that a predecessor sends to its successor. Postcard encodes the fields without their names, in the order
+//! in which they are declared here. So every change of the fields or of their order needs a new version of the frames
+//! (`VERSION` in the parent module).
 
 use crate::net::calls::Item;
 use hyper::header::HeaderValue;
@@ -92,7 +94,7 @@
     pub body: Vec<u8>,
     /// True until the message is delivered or has ended undelivered.
     pub open: bool,
-    /// Number of client requests that were or will be answered with the message's acceptance.
+    /// Number of clients that submitted the message and did not disconnect before their response.
     pub clients: usize,
     /// Attempts of the message, in the order of their start.
     pub attempts: Vec<AttemptState>,
@@ -117,13 +119,14 @@
     pub endpoint: u32,
     /// Time at which the attempt started, in microseconds of module time.
     pub sent_at: Micros,
-    /// Number of the call that carries the attempt.
+    /// Number of the call that carries the attempt. `u64::MAX` if the predecessor knew no call of the attempt, for
+    /// example because it restored the attempt from the journal.
     pub call: u64,
     /// Index of the message in the call.
     pub item: usize,
     /// True until the attempt has an outcome.
     pub in_flight: bool,
     /// Index of the attempt among the message's attempts in the journal. `None` if the journal does not hold the
-    /// attempt.
+    /// attempt, and so the attempt was never sent.
     pub journal_position: Option<usize>,
 }
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -6,7 +6,8 @@
 };
 use std::collections::BTreeMap;
 
-/// A message that the journal holds because the sender still has to deliver it or to notify its outcome.
+/// A message that the journal holds because the sender still has to deliver it or to notify the
+/// platform of its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnfinishedMessage {
     /// The message as the client submitted it.
--- a/src/net/journal/file.rs
+++ b/src/net/journal/file.rs
@@ -20,7 +20,7 @@
     /// Opens the file, or creates it if it does not exist, and returns it with its current bytes.
     ///
     /// # Errors
-    /// Returns an error if the file can't be opened or read.
+    /// Returns an error if the file can't be created, opened or read.
     pub fn open(path: PathBuf) -> io::Result<(Self, Vec<u8>)> {
         // removes the temporary file of a compaction that was interrupted by a kill; if the removal fails, the next
         // compaction overwrites that file
@@ -39,17 +39,17 @@
         Ok((file, bytes))
     }
 
-    /// Records that the last `length` bytes of the file are part of a record, so that the next append cuts them off.
+    /// Marks the last `length` bytes of the file as an incomplete record, which is cut off before the next append.
     pub fn mark_partial_record(&mut self, length: usize) {
         self.whole_bytes -= length as u64;
         self.has_partial_record = true;
     }
 
-    /// Appends whole records.
+    /// Appends the bytes of whole records.
     ///
     /// # Errors
-    /// Returns an error if the write fails. The records then don't count as written, and part of them may follow the
-    /// whole records in the file.
+    /// Returns an error if an earlier partial record can't be cut off, or if the write fails. The records then don't
+    /// count as written, and part of them may follow the whole records in the file.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let written = self.cut_partial_record().and_then(|()| {
             self.has_partial_record = true;
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -5,10 +5,10 @@
 //! messages are written to a new file, which is then renamed over the old one.
 //!
 //! Writes may fail for some time. Records are always written in the order of their events, also after a failure:
-//! - Records of past events (an attempt's outcome, the end of a message) wait in a queue and are written first once writes
-//!   succeed again.
-//! - Records of future events (the acceptance of a message, the start of an attempt) are not queued. The event must not
-//!   happen until its record could be written.
+//! - Records of past events (an attempt's outcome, the end of a message) wait in a queue and are written first once
+//!   writes succeed again.
+//! - Records of future events (the acceptance of a message, the start of an attempt, an operator's change of an
+//!   endpoint) are not queued. The event must not happen until its record could be written.
 //!
 //! A partial record is cut off before the next append. So a later process always reads a prefix of the history, never
 //! an event without the events before it.
@@ -38,7 +38,8 @@
 
 /// Name of the journal's file in the state folder.
 const FILE_NAME: &str = "journal";
-/// Maximum size in bytes of a record of an attempt, of an attempt's outcome or of a message's end.
+/// Size in bytes that is reserved for each record of an attempt, of an attempt's outcome or of a message's end. Only a
+/// record with a long endpoint uid is larger.
 const MAX_SMALL_RECORD_BYTES: u64 = 64;
 /// Divisor of the size limit: at most a quarter of the limit is kept free of new messages, for records of attempts,
 /// outcomes and ends.
@@ -48,8 +49,8 @@
 const FOLDER_OVERHEAD_BYTES: u64 = 5 * 1024;
 /// File size in bytes above which opening the journal compacts the file.
 const MIN_COMPACTION_BYTES: u64 = 256 * 1024;
-/// Number that no message has. A `Completed` record with it has no meaning; it is written to test whether writes
-/// succeed again.
+/// Number that no message has. A `Completed` record with this number changes nothing; it is written to test whether
+/// writes succeed again.
 const NO_MESSAGE: u64 = u64::MAX;
 
 /// Error of opening or writing the journal.
@@ -59,7 +60,8 @@
     /// more messages.
     #[error("no room left in the journal")]
     Full,
-    /// The file system failed to read or write the file. The operation is retried until it succeeds.
+    /// The file system failed to open, read, write or replace the file. The driver tries to write again until it
+    /// succeeds.
     #[error("the journal can't be written: {0}")]
     Io(#[from] io::Error),
     /// A record can't be encoded. This is a defect of the program that operators can't repair.
@@ -80,7 +82,8 @@
 /// Record of a past event that is not in the file yet.
 #[derive(Debug)]
 struct PendingRecord {
-    /// Number of the message that the record belongs to.
+    /// Number of the message that the record belongs to. Always `Some`, because records about endpoints, which belong
+    /// to no message, are never pending.
     message: Option<u64>,
     /// The encoded record with its header.
     bytes: Vec<u8>,
@@ -99,7 +102,7 @@
     contents: Contents,
     /// Records of past events that are not in the file yet, in the order of the events.
     pending: VecDeque<PendingRecord>,
-    /// True if the last write failed.
+    /// True if the last append or compaction failed in the file system.
     failing: bool,
 }
 
@@ -109,8 +112,8 @@
     /// held at one time can need.
     ///
     /// # Errors
-    /// Returns an error if the file can't be opened or read, or if it is damaged and can't be rewritten. The call can
-    /// be repeated without loss of data.
+    /// Returns an error if the folder or the file can't be created, opened or read, or if the file is damaged and can't
+    /// be rewritten. The call can be repeated without loss of data.
     pub fn open(
         folder: &Path,
         limit_bytes: u64,
@@ -251,7 +254,9 @@
     /// the endpoint may have executed it.
     ///
     /// # Errors
-    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
+    /// Returns an error if the record can't be encoded; nothing is recorded then. Also returns an error if this record
+    /// or an earlier pending one can't be written, for example because the journal is full. The record is then pending
+    /// and is written once writes succeed again.
     pub fn attempt_never_ran(&mut self, message: u64, position: usize) -> Result<(), JournalError> {
         self.write_or_queue(Record::AttemptOutcome {
             message,
@@ -263,7 +268,9 @@
     /// Records that a message ended undelivered, so that its outcome notification is pending.
     ///
     /// # Errors
-    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
+    /// Returns an error if the record can't be encoded; nothing is recorded then. Also returns an error if this record
+    /// or an earlier pending one can't be written, for example because the journal is full. The record is then pending
+    /// and is written once writes succeed again.
     pub fn end_undelivered(
         &mut self,
         number: u64,
@@ -276,7 +283,9 @@
     /// end proof; the record does not store the proof.
     ///
     /// # Errors
-    /// Returns an error if the write fails. The record is then pending and is written once writes succeed again.
+    /// Returns an error if the record can't be encoded; nothing is recorded then. Also returns an error if this record
+    /// or an earlier pending one can't be written, for example because the journal is full. The record is then pending
+    /// and is written once writes succeed again.
     pub fn complete(&mut self, number: u64, _: EndProof) -> Result<(), JournalError> {
         if !self.contents.unfinished.contains_key(&number) {
             return Ok(());
@@ -286,8 +295,8 @@
         self.write_or_queue(Record::Completed(number))
     }
 
-    /// Retries failed writes: writes the pending records. If none is pending, writes a record without meaning to find
-    /// out whether writes succeed again.
+    /// Retries failed writes: cuts off a partial record and writes the pending records. If the last write failed and
+    /// none is pending, writes a record that changes nothing, to find out whether writes succeed again.
     ///
     /// # Errors
     /// Returns an error if writes still fail.
@@ -304,8 +313,8 @@
         Ok(())
     }
 
-    /// Writes the record of an event before the event happens, and after all pending records. Leaves `reserve_bytes`
-    /// bytes free.
+    /// Writes the record of an event that has not happened yet, after all pending records. Fails if fewer than
+    /// `reserve_bytes` bytes would remain free.
     fn write_before_event(
         &mut self,
         record: Record,
@@ -318,7 +327,8 @@
         Ok(())
     }
 
-    /// Updates the contents with the record of a past event, and writes the record now or, if the write fails, later.
+    /// Updates the contents with the record of a past event and adds the record to the pending ones, then writes all
+    /// pending records.
     fn write_or_queue(&mut self, record: Record) -> Result<(), JournalError> {
         let bytes = encode(&record)?;
         let message = record.message();
@@ -327,7 +337,7 @@
         self.write_pending()
     }
 
-    /// Writes the pending records in order.
+    /// Writes the pending records in order. Stops at the first failure; that record and all later ones stay pending.
     fn write_pending(&mut self) -> Result<(), JournalError> {
         while let Some(record) = self.pending.front() {
             let bytes = record.bytes.clone();
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -34,7 +34,7 @@
     pub class: String,
     /// Number of the destination that the message is for.
     pub destination: u64,
-    /// Time at which the client's request began, in microseconds of module time.
+    /// Time at which the head of the client's request was received, in microseconds of module time.
     pub received_at: Micros,
     /// Time after which the message is no longer delivered, in microseconds of module time.
     pub deadline: Micros,
@@ -103,7 +103,7 @@
 /// One attempt to deliver a message, as the journal stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAttempt {
-    /// Uid of the endpoint in the endpoint list.
+    /// Uid of the endpoint in the endpoint list. Empty for an attempt that is presumed after damage to the file.
     pub uid: String,
     /// Time at which the attempt started, in microseconds of module time.
     pub sent_at: Micros,
@@ -116,7 +116,7 @@
 pub enum Record {
     /// A client's message was accepted, without its origin. Older program versions wrote this record; it is only read.
     AcceptedWithoutOrigin(u64, AcceptedMessage),
-    /// An attempt to deliver the message starts.
+    /// An attempt to deliver the message with this number starts.
     AttemptStarted(u64, RecordedAttempt),
     /// The outcome of an attempt shows whether the endpoint can have executed the call.
     AttemptOutcome {
@@ -127,9 +127,9 @@
         /// Whether the endpoint certainly did not execute the call.
         never_ran: bool,
     },
-    /// The message ended undelivered, and its outcome notification is pending.
+    /// The message with this number ended undelivered, and its outcome notification is pending.
     Undelivered(u64, UndeliveredOutcome),
-    /// The message is complete: it needs no further attempt and no notification.
+    /// The message with this number is complete: it needs no further attempt and no notification.
     Completed(u64),
     /// A client's message was accepted, without the terms of its class. Older program versions wrote this record; it is
     /// only read.
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -49,7 +49,7 @@
     /// Installing a signal handler, opening the lock file or binding the listening socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The clock's anchor can't be read or written.
+    /// Module time can't be restored from the state folder.
     #[error(transparent)]
     Clock(#[from] ClockError),
     /// The journal can't be opened.
@@ -63,8 +63,9 @@
     Driver(#[from] JoinError),
 }
 
-/// Runs the sender until SIGTERM, or until a successor has taken over and the calls and clients of this process are
-/// complete.
+/// Runs the sender until [`EXIT_AFTER`] after SIGTERM, or until a successor has taken over and the calls and clients of
+/// this process are complete. Returns before it serves messages if SIGTERM arrives while the state folder is being
+/// opened, or if a process that started later owns the folder.
 ///
 /// # Errors
 /// Returns an error if a resource that the process needs is permanently unavailable, or if the driver panics.
@@ -291,8 +292,8 @@
         }
     }
 
-    /// Notifies the predecessor that this process owns the messages, and connects the driver to it. If the link is
-    /// lost, this process owns the messages as well, because it holds the lock.
+    /// Notifies the predecessor that this process owns the messages, and connects the driver to the predecessor. If the
+    /// link is lost, this process still owns the messages, because it holds the lock of the state folder.
     async fn follow_predecessor(
         &self,
         driver: &mut Driver,
@@ -316,8 +317,8 @@
         Ok(listener)
     }
 
-    /// Waits for SIGTERM, then stops accepting messages, closes idle client connections after [`CLOSE_IDLE_AFTER`] and
-    /// returns after [`EXIT_AFTER`].
+    /// Waits for SIGTERM, then stops accepting messages. Closes idle client connections [`CLOSE_IDLE_AFTER`] after
+    /// SIGTERM, and returns [`EXIT_AFTER`] after SIGTERM.
     async fn shut_down_on(&self, mut terminate: Signal) {
         terminate.recv().await;
         let name = &self.config.name;
--- a/src/net/process/channels.rs
+++ b/src/net/process/channels.rs
@@ -82,7 +82,8 @@
 pub(super) struct Flags {
     /// True once the driver has an endpoint list, so that the process can accept messages.
     pub ready: watch::Sender<bool>,
-    /// True while the process accepts no new messages: before it owns the state folder, and after SIGTERM.
+    /// True while the process accepts no new messages of its own: until it serves clients, after SIGTERM, and after a
+    /// successor has taken over.
     pub draining: Rc<Cell<bool>>,
     /// True after SIGTERM, so that tasks can release their leases.
     pub stopping: watch::Sender<bool>,
@@ -93,7 +94,7 @@
 }
 
 impl Flags {
-    /// Returns the flags of a process that does not yet own the state folder. It counts as draining until then.
+    /// Returns the flags of a process that is starting. It counts as draining until it serves clients.
     pub fn new() -> Self {
         Flags {
             ready: watch::Sender::new(false),
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -19,13 +19,14 @@
 /// Error of opening a connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The local host failed until the time limit. Operators must check file descriptors, local ports and routes.
+    /// At least one attempt failed because of the local host, and no later attempt succeeded within the time limit.
+    /// Operators must check file descriptors, local ports and routes.
     #[error("local host: {0}")]
     Local(io::Error),
     /// The peer refused the connection, or the network failed.
     #[error("{0}")]
     Peer(io::Error),
-    /// The peer did not answer within the time limit.
+    /// The peer did not answer within the time limit, and no attempt failed because of the local host.
     #[error("connect timed out")]
     Timeout,
 }
@@ -61,7 +62,7 @@
                     return Err(ConnectError::Local(error));
                 }
                 Ok(Err(error)) => local_error = Some(error),
-                // after a local failure used up part of the time, the timeout does not show that the peer is slow
+                // a local failure has used up part of the time, so the timeout does not show that the peer is slow
                 Err(_) => {
                     return Err(local_error.map_or(ConnectError::Timeout, ConnectError::Local));
                 }
--- a/tests/node/agent.rs
+++ b/tests/node/agent.rs
@@ -17,20 +17,20 @@
     pub address: SocketAddr,
     /// Accepted outcome notifications, one line of JSON each.
     pub notices: Arc<Mutex<Vec<String>>>,
-    /// Lines that are sent to each new watch. If there are none, the watch gets no data at all, not even keep-alive
-    /// lines.
+    /// Lines that are sent to each new watch. If there are none, the watch gets no keep-alive lines either, so no data
+    /// until a change is announced.
     pub lines: Arc<Mutex<Vec<String>>>,
     /// Lines that are sent to all open watches, in order.
     changes: Arc<Mutex<Vec<String>>>,
-    /// Number of watches that were opened.
+    /// Number of watches that were opened so far.
     pub watches: Arc<AtomicUsize>,
-    /// This number of watches, counted from the first, send nothing more and stay open.
+    /// Number of watches, counted from the first, that get no more data and stay open.
     pub muted_watches: Arc<AtomicUsize>,
-    /// This number of watches, counted from the first, are closed.
+    /// Number of watches, counted from the first, that are closed.
     pub closed_watches: Arc<AtomicUsize>,
     /// If true, new watches are answered with status 503, as while discovery is down.
     pub rejects_watches: Arc<AtomicBool>,
-    /// Number of watches that were answered with status 503.
+    /// Number of watches that were answered with status 503 so far.
     pub rejected_watches: Arc<AtomicUsize>,
     /// If true, new watches are accepted but get no response, as while discovery is cut off from the network.
     pub holds_watches: Arc<AtomicBool>,
--- a/tests/node/client.rs
+++ b/tests/node/client.rs
@@ -60,7 +60,7 @@
         ended
     }
 
-    /// Sends the bytes and returns the status and the whole response, or `None` if the connection ends first.
+    /// Sends the bytes and returns the status and the whole response, or `None` if no whole response arrives.
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.write(bytes).ok()?;
         self.response()
@@ -70,7 +70,8 @@
         self.0.get_mut().write_all(bytes)
     }
 
-    /// Reads the next response and returns its status and the whole response, or `None` if the connection ends first.
+    /// Reads the next response and returns its status and the whole response, or `None` if no whole response
+    /// arrives.
     pub fn response(&mut self) -> Option<(u16, Request)> {
         let response = read_http(&mut self.0)?;
         let status = response.line.split(' ').nth(1)?.parse().ok()?;
@@ -97,8 +98,9 @@
     serde_json::from_str(&operator_response(node, "GET /pools")).expect("JSON")
 }
 
-/// Submits a message and waits until a repeated submission is answered as already delivered. The connection of its call
-/// is idle again by then.
+/// Submits a message and waits until a repeated submission gets status 200, which means that the message is delivered.
+/// The connection on which the sender delivered the message is then normally idle again, provided that the endpoint
+/// sent its whole response at once.
 pub fn deliver(node: &Node, id: &str, dest: u64) {
     assert_eq!(node.submit("webhook", id, dest, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
--- a/tests/node/config.rs
+++ b/tests/node/config.rs
@@ -17,8 +17,9 @@
     folder
 }
 
-/// Returns the configuration of one sender, which listens on free ports for clients and operators. `idle_s` is the idle
-/// timeout of connections to endpoints in seconds, `sockets` the limit of file descriptors.
+/// Returns the configuration of one sender, which listens on free ports for clients and operators. `disk_mb` is the
+/// size limit of the state folder, `idle_s` the idle timeout of connections to endpoints in seconds, `sockets` the
+/// limit of file descriptors.
 pub fn config(discovery: SocketAddr, disk_mb: f64, idle_s: f64, sockets: usize) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","control":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f",
--- a/tests/node/fragments.rs
+++ b/tests/node/fragments.rs
@@ -1,4 +1,4 @@
-//! An endpoint that breaks off its responses as a test plans it, and records which deliveries it has confirmed.
+//! An endpoint that breaks off its responses as a test has planned, and records which deliveries it has confirmed.
 
 use super::http::read_http;
 use super::{Agent, Node, Request, list};
@@ -14,21 +14,21 @@
 pub const STATUS_LINE: &[u8] = b"HTTP/1.1 200 OK\r\n";
 /// Complete response to a call with one message.
 const WHOLE_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-/// Time limit of messages in milliseconds that no test case reaches.
+/// Time limit of messages in milliseconds, so long that no test case reaches it.
 pub const UNREACHED_TIME_LIMIT_MS: u64 = 20_000;
 
-/// What the endpoint does with the connection after it has sent part of a response.
+/// What the endpoint does with the connection after it has sent the bytes of a whole or partial response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterFragment {
     /// Closes the connection normally, with a FIN.
     Close,
     /// Resets the connection, with an RST.
     Reset,
-    /// Keeps the connection open and sends nothing more.
+    /// Keeps the connection open. Sends nothing more until the next request, which gets its own response.
     Silence,
 }
 
-/// The response to one call: the bytes that are sent, and what happens to the connection then.
+/// The whole or partial response to one call: the bytes that are sent, and what happens to the connection then.
 #[derive(Debug, Clone)]
 pub struct Fragment {
     pub bytes: Vec<u8>,
@@ -51,7 +51,7 @@
     /// Planned responses by the id of a call's first message. A planned response is used once, the last one first; all
     /// other responses are complete.
     fragments: HashMap<String, Vec<Fragment>>,
-    /// Number of completely received calls by the id of each message in them.
+    /// Number of completely received calls that contained a message, by the message's id.
     calls: HashMap<String, usize>,
     /// Ids of messages whose delivery was confirmed: a complete status line 200 or, in a bulk response, a complete line
     /// was sent for them.
@@ -178,8 +178,8 @@
     Agent::new(vec![list(&entries)])
 }
 
-/// Starts a sender with 400 call slots, enough to run all test cases concurrently, and a deduplication window of 1 s
-/// for the class with idempotency keys.
+/// Starts a sender with 400 call slots and connections, enough to run all test cases concurrently, and a deduplication
+/// window of 1 s for the class with idempotency keys.
 pub fn sender(agent: &Agent) -> Node {
     let change = |text: String| {
         text.replace(r#""callSlots":8"#, r#""callSlots":400"#)
--- a/tests/node/http.rs
+++ b/tests/node/http.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads one request or response. Returns `None` if the connection ends first.
+/// Reads one request or response. Returns `None` if the connection ends or a read times out first.
 pub(super) fn read_http(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut request = Request::default();
     loop {
--- a/tests/node/process.rs
+++ b/tests/node/process.rs
@@ -30,7 +30,7 @@
     pub control: SocketAddr,
     /// Lines that the process has logged so far.
     pub log: Arc<Mutex<Vec<String>>>,
-    /// Cleared to close the reading end of the log after the next line.
+    /// False once the test has asked to close the reading end of the log's pipe, which happens after the next line.
     reads_log: Arc<AtomicBool>,
     /// Listening socket that is passed to each process.
     passed_socket: Option<Arc<TcpListener>>,
@@ -70,7 +70,8 @@
         )
     }
 
-    /// Starts a sender with further members of the configuration (see [`with_members`]) and another number of call slots.
+    /// Starts a sender with further members of the configuration (see [`with_members`]) and another number of call
+    /// slots.
     pub fn configured(agent: &Agent, idle_s: f64, slots: usize, members: &str) -> Self {
         let folder = fresh_folder();
         let config = config(agent.address, 3.0, idle_s, 1024)
@@ -233,13 +234,15 @@
         self
     }
 
-    /// Returns the status of the readiness request on the clients' address.
+    /// Sends a readiness request to the clients' address. Returns the status of the response, or 0 if the connection
+    /// ends first.
     pub fn readiness_status(&self) -> u16 {
         self.send_bytes("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
             .0
     }
 
-    /// Sends an operator's request (method and path) and returns the status of the response.
+    /// Sends an operator's request (method and path). Returns the status of the response, or 0 if the connection ends
+    /// first.
     pub fn operator_status(&self, call: &str, body: &str) -> u16 {
         let text = format!(
             "{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
@@ -251,7 +254,8 @@
             .0
     }
 
-    /// Disables or enables an endpoint; `operation` is `disable` or `enable`. Returns the status of the response.
+    /// Disables or enables an endpoint; `operation` is `disable` or `enable`. Returns the status of the response,
+    /// or 0 if the connection ends first.
     pub fn admin_command(&self, operation: &str, uid: &str) -> u16 {
         self.operator_status(
             &format!("POST /endpoints/{operation}"),
@@ -265,7 +269,7 @@
         client.send(bytes).unwrap_or_default()
     }
 
-    /// Submits a message and returns the status of the response.
+    /// Submits a message. Returns the status of the response, or 0 if the connection ends first.
     pub fn submit(&self, class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> u16 {
         self.send_bytes(&message(class, id, dest, time_ms, body)).0
     }
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -57,7 +57,7 @@
     }
 
     /// Sends a request and returns the status and the JSON body of the response, which is null if the body is not JSON.
-    /// Returns `None` if the registry can't be reached.
+    /// Returns `None` if the registry can't be reached or its response can't be read as HTTP.
     pub fn request(&self, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         let body = if body.is_null() {
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -1,5 +1,5 @@
-//! Runs a sender with a preloaded library (`failing_calls.c`) that makes system calls fail. Each kind of failure is
-//! switched on and off by a file.
+//! Runs a sender with a preloaded library (`failing_calls.c`) that makes system calls fail. Each fault is on while a
+//! file with its name exists in a folder.
 
 use super::{Agent, Node, command, config, fresh_folder};
 use std::path::{Path, PathBuf};
@@ -36,15 +36,17 @@
     })
 }
 
-/// A sender whose system calls can be made to fail, with the faults that are on for all its processes.
+/// Starts processes of one sender whose system calls can be made to fail. A fault that is on applies to all of them.
 pub struct FaultInjector {
     folder: PathBuf,
+    /// Folder with one file for each fault that is on, which the preloaded library reads.
     fault_folder: PathBuf,
     discovery: std::net::SocketAddr,
 }
 
 impl FaultInjector {
-    /// Creates the folder of a sender with a configuration that the caller has changed. No fault is on yet.
+    /// Creates the folder of a sender with the test configuration after `change` was applied to it. Starts no process;
+    /// all faults are off.
     pub fn new(agent: &Agent, change: impl FnOnce(String) -> String) -> Self {
         let folder = fresh_folder();
         let fault_folder = folder.join("faults");
@@ -92,15 +94,16 @@
             .env("FAULT_DIR", &self.fault_folder);
     }
 
-    /// Makes system calls of this kind fail with the error number. `failing_calls.c` lists the kinds.
-    pub fn on(&self, fault: &str, error_number: i32) {
+    /// Turns a fault on. `failing_calls.c` lists the faults and what the number means for each, which is mostly the
+    /// error number with which system calls of one kind fail.
+    pub fn on(&self, fault: &str, number: i32) {
         // written under another name and renamed, so that the library never reads an incomplete file
         let new_path = self.fault_folder.join(".new");
-        std::fs::write(&new_path, error_number.to_string()).expect("written");
+        std::fs::write(&new_path, number.to_string()).expect("written");
         std::fs::rename(new_path, self.fault_folder.join(fault)).expect("switched");
     }
 
-    /// Lets system calls of this kind succeed again.
+    /// Turns a fault off, so that the system calls that it affected succeed again.
     pub fn off(&self, fault: &str) {
         std::fs::remove_file(self.fault_folder.join(fault)).expect("fault was on");
     }
