--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -37,13 +37,13 @@
 
 /// Channels and flags by which the API reaches the other tasks of the process.
 pub struct Control {
-    /// Sends commands to the driver.
+    /// Channel for commands to the driver.
     pub commands: mpsc::Sender<AdminCommand>,
-    /// Requests the report of the membership task.
+    /// Channel for requests of the membership task's report.
     pub members: mpsc::Sender<ReportRequest>,
-    /// Requests the report of the task that follows the agreed rules.
+    /// Channel for requests of the report of the task that follows the agreed rules.
     pub agreement: mpsc::Sender<ReportRequest>,
-    /// Requests the report of the task that holds the quota lease.
+    /// Channel for requests of the report of the task that holds the quota lease.
     pub ledger: mpsc::Sender<ReportRequest>,
     /// True once the process can accept messages.
     pub ready: watch::Receiver<bool>,
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -45,7 +45,7 @@
 /// executed them.
 pub const LOST_CALL_OUTCOME: Outcome = Outcome::Reset;
 
-/// A frame that one process sends to the other over the link. The position of a variant is its encoding.
+/// A frame that one process sends to the other over the link. Each variant is encoded as its position in this enum.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// First frame, from the successor. It must stay the first variant, so that all versions can decode it.
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -47,7 +47,7 @@
     /// Sends a message to the other process.
     ///
     /// # Errors
-    /// Returns an error if the link is lost or the frame is too long.
+    /// Returns an error if the link is lost, or if the frame can't be encoded or is too long.
     pub async fn send_message(&mut self, message: HandoverMessage) -> Result<(), LinkError> {
         self.send(&Frame::Message(message)).await
     }
@@ -55,7 +55,7 @@
     /// Sends a frame and waits until all its bytes are written.
     ///
     /// # Errors
-    /// Returns an error if the link is lost or the frame is too long.
+    /// Returns an error if the link is lost, or if the frame can't be encoded or is too long.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
         let payload = postcard::to_allocvec(frame)?;
         let length = u32::try_from(payload.len()).map_err(|_| LinkError::Unexpected)?;
@@ -102,7 +102,7 @@
     /// Sends a frame and waits until all its bytes are written.
     ///
     /// # Errors
-    /// Returns an error if the link is lost or the frame is too long.
+    /// Returns an error if the link is lost, or if the frame can't be encoded or is too long.
     pub async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
         self.writer.send(frame).await
     }
