--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -1,31 +1,32 @@
 //! Hedged requests: further attempts of a message while an earlier one is in flight.
 
 use super::Sender;
-use super::share_of;
+use super::count_for_share;
 use super::state::{PendingMessage, Route};
 use crate::interface::{Effect, MILLISECOND, Micros, SECOND};
 
-/// Delay before an attempt is hedged while no latency of its route is known. Shorter detects slow
-/// calls sooner; longer wastes fewer attempts.
+/// Delay before an attempt is hedged while no latency of its route is known, and minimum delay while
+/// few are. Shorter detects slow calls sooner; longer wastes fewer attempts.
 pub(super) const INITIAL_HEDGE_DELAY: Micros = SECOND;
-/// Share of the call slots that hedges may hold. Higher rescues more messages; lower leaves more
-/// slots to first attempts.
+/// Share of the call slots that hedges may hold. Higher delivers more messages despite slow
+/// calls; lower leaves more slots to first attempts.
 const MAX_HEDGE_SHARE: f64 = 0.5;
-/// Number of latencies that a route keeps.
+/// Number of latencies of successful calls that a route keeps to compute its hedge delay.
 const LATENCY_SAMPLES: usize = 40;
 /// Quantile of the kept latencies that becomes the hedge delay, as numerator and denominator.
 const HEDGE_QUANTILE: (usize, usize) = (19, 20);
 /// Number of latencies needed before the hedge delay of a route may fall below its initial value.
 /// Fewer detects slow calls sooner; more avoids needless hedges at destinations that get few calls.
 const MIN_LATENCY_SAMPLES: usize = 8;
-/// Divisor for the weight of a new latency in the usual latency of a route. With 50, the usual
-/// latency changes slowly enough to outlast a temporary slowdown.
+/// Divisor of the difference between a new latency and the usual latency of a route; the usual
+/// latency changes by the quotient. With 50, it changes so slowly that a temporary slowdown hardly
+/// affects it.
 const USUAL_LATENCY_SMOOTHING: i64 = 50;
 
 impl Sender {
     /// Returns true if hedges hold as many call slots as they may.
     pub(super) fn are_hedges_full(&self) -> bool {
-        self.hedges_in_flight >= share_of(self.settings.call_slots, MAX_HEDGE_SHARE)
+        self.hedges_in_flight >= count_for_share(self.settings.call_slots, MAX_HEDGE_SHARE)
     }
 }
 
@@ -51,7 +52,8 @@
 }
 
 impl PendingMessage {
-    /// Sets when the message is hedged next, after an attempt that starts now.
+    /// Sets the time of the next hedge of the message, after an attempt that starts now. The
+    /// interval doubles with each hedge.
     pub(super) fn schedule_hedge(
         &mut self,
         is_hedge: bool,
