--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -19,7 +19,7 @@
 pub use link::{Link, LinkError, LinkWriter};
 pub use lock::FolderLock;
 use message_sender::Outcome;
-pub use predecessor::{SuccessorRequest, until_handed_over, wait_for_successors};
+pub use predecessor::{SuccessorRequest, run_until_handed_over, wait_for_successors};
 use serde::{Deserialize, Serialize};
 pub use state::{
     AttemptState, CallItemState, CallState, EndpointState, HandoverState, MessageState,
@@ -37,13 +37,15 @@
 const SOCKET: &str = "upgrade.sock";
 /// Maximum duration of the exchange of state between the two processes.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Delay between two attempts to acquire the lock or to connect to the predecessor.
+/// Delay after a failed attempt to acquire the lock, to connect to the predecessor or to accept a successor's
+/// connection.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Outcome of calls that were in flight when the process that made them ended. The endpoint may have executed them.
+/// Outcome that is assumed for calls that were in flight when the process that made them ended. The endpoint may have
+/// executed them.
 pub const LOST_CALL_OUTCOME: Outcome = Outcome::Reset;
 
-/// A frame that one process sends to the other over the link. The position of a variant is its encoding.
+/// A frame that one process sends to the other over the link. Each variant is encoded as its position in this enum.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// First frame, from the successor. It must stay the first variant, so that all versions can decode it.
