--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -45,9 +45,9 @@
     /// returns true. If the call was sent before the last decrease, leaves the limit and returns
     /// false: that decrease counts for all calls that were in flight then.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
-        let is_new = sent > self.decreased_at;
+        let is_new = sent > self.concurrency_decreased_at;
         if is_new {
-            self.decreased_at = now;
+            self.concurrency_decreased_at = now;
             self.concurrency_limit = (self.concurrency_limit * DECREASE_FACTOR).max(1.0);
         }
         is_new
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -21,7 +21,7 @@
 
 impl Sender {
     pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
-        self.index_messages_come_due();
+        self.reindex_due_messages();
         self.wake_for_next_message();
         self.unhealthy_in_flight = self.count_unhealthy_calls();
         self.candidates_examined = 0;
@@ -35,7 +35,7 @@
             self.candidates_examined += 1;
             if self.send_candidate(candidate, &mut open_calls, actions) {
                 self.readmit_skipped(candidate, &mut candidates);
-            } else if self.holds_back_group(candidate.group_side) {
+            } else if self.holds_for_whole_group(candidate.group_side) {
                 candidates.skip(candidate.group_side);
                 continue;
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    fn index_messages_come_due(&mut self) {
+    fn reindex_due_messages(&mut self) {
         while let Some(id) = self.index.next_due(self.now) {
             self.reindex(id);
         }
@@ -122,7 +122,7 @@
 
     /// Returns true if the reason for not sending one message of a group holds for all its
     /// messages.
-    fn holds_back_group(&self, group_side: GroupSide) -> bool {
+    fn holds_for_whole_group(&self, group_side: GroupSide) -> bool {
         !group_side.group.at_risk || self.effect(group_side.group.class) == Effect::Idempotent
     }
 
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -67,7 +67,7 @@
         let Some(attempt) = self.end_attempt(result) else {
             return;
         };
-        let Some(call) = self.end_call_of(&attempt, actions) else {
+        let Some(call) = self.count_ended_attempt(&attempt, actions) else {
             return;
         };
         if let Outcome::Rejected {
@@ -117,7 +117,7 @@
 
     /// Counts an ended attempt in its call, and removes the call with its last attempt. Returns
     /// `None` if the call is not known.
-    fn end_call_of(
+    fn count_ended_attempt(
         &mut self,
         attempt: &EndedAttempt,
         actions: &mut Vec<Action>,
@@ -230,7 +230,7 @@
         let is_new = shows_congestion && route.decrease_concurrency_limit(observation.sent, now);
         // a route with a call or more per overload span is soon ejected by its failure score; one
         // that is called less often gets a lower rate limit first
-        let is_seldom_called = route.calls_in(overload_span, now, warm_up_time) < 1.0;
+        let is_seldom_called = route.usual_calls_in(overload_span, now, warm_up_time) < 1.0;
         if is_new && nothing_succeeds && is_seldom_called {
             let decrease = RateDecrease {
                 known_rate: route.best_rate,
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -51,7 +51,7 @@
                 route.rate_limit = route.rate_limit.max(route.best_rate);
             }
             route.health = Health::Ejected {
-                unresponsive: may_be_merely_slow(reason),
+                may_be_slow: may_be_merely_slow(reason),
                 since: route.ejected_since(now),
             };
             actions.push(Action::Log(RouteEvent::Ejected {
@@ -188,7 +188,7 @@
 
     /// Returns how many calls this sender makes in `span`, by its rate since the route was first
     /// seen, averaged over at least `min_span`.
-    pub(super) fn calls_in(&self, span: Micros, now: Micros, min_span: Micros) -> f64 {
+    pub(super) fn usual_calls_in(&self, span: Micros, now: Micros, min_span: Micros) -> f64 {
         self.usual_rate(now, min_span) * seconds(span)
     }
 }
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -12,7 +12,7 @@
 const EJECTED_RESPONSE_LIMITS: i64 = 2;
 /// Factor on the time until an attempt is cancelled, if not the whole route is silent, but only the
 /// message's class has had no success at the endpoint since the attempt was sent.
-const CLASS_LIMIT_FACTOR: i64 = 2;
+const SILENT_CLASS_FACTOR: i64 = 2;
 /// Number of response limits after which an attempt counts as lost even if its route answers. Lower
 /// frees slots sooner; higher waits for late answers.
 const LOST_RESPONSE_LIMITS: i64 = 3;
@@ -100,7 +100,7 @@
         let multiple = if is_route_silent {
             base_multiple
         } else {
-            base_multiple * CLASS_LIMIT_FACTOR
+            base_multiple * SILENT_CLASS_FACTOR
         };
         let is_late = self.now - attempt.sent > multiple * route.response_limit();
         is_late && (is_route_silent || self.last_class_success(message, attempt) < attempt.sent)
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -33,7 +33,7 @@
 /// Increase of the rate limit with each success, in calls per second. Increasing by successes
 /// instead of by time keeps the fraction of rejected calls the same, however few calls a sender
 /// makes.
-const INCREASE: f64 = 0.25;
+const INCREASE_PER_SUCCESS: f64 = 0.25;
 /// Maximum increase of the rate limit with one success, as a fraction of the limit. It is up to
 /// twice as large under contention, where successes are rare.
 const MAX_INCREASE: f64 = 0.5;
@@ -53,7 +53,7 @@
 const MAX_LISTED_MULTIPLE: f64 = 1.5;
 /// Largest remaining fraction of a reported limit that is taken into account. Higher lets a lone
 /// sender use more of the limit at once.
-const MAX_REMAINING: f64 = 0.9;
+const MAX_REMAINING_FRACTION: f64 = 0.9;
 /// Token bucket size of an ejected route: two tokens, so that one can be kept for a non-idempotent
 /// message, which is sent there only while the bucket holds two.
 const EJECTED_BURST: f64 = 2.0;
@@ -112,8 +112,9 @@
         route.reported_limit = Some(limit);
         route.fair_share = fair_share;
         route.best_rate = route.best_rate.max(fair_share);
-        let used_fraction =
-            remaining.map_or(0.0, |fraction| 1.0 - fraction.clamp(0.0, MAX_REMAINING));
+        let used_fraction = remaining.map_or(0.0, |fraction| {
+            1.0 - fraction.clamp(0.0, MAX_REMAINING_FRACTION)
+        });
         let max_rate = fair_share / (used_fraction * used_fraction);
         let rate_before = if route.rate_limit.is_infinite() {
             fair_share.max(MIN_FIRST_RATE)
@@ -161,7 +162,7 @@
         } else {
             (0.0, 0.0)
         };
-        let span = seconds(now - self.since) + prior_seconds;
+        let span = seconds(now - self.first_seen_at) + prior_seconds;
         (self.sent as f64 + prior_calls) / span.max(1.0)
     }
 
@@ -250,7 +251,7 @@
     }
 
     pub(super) fn increase_rate_limit(&mut self, contention: f64) {
-        let increase = INCREASE
+        let increase = INCREASE_PER_SUCCESS
             * (1.0 - CONTENDED_INCREASE_REDUCTION * contention)
             * (self.best_rate / self.rate_limit).max(1.0);
         let max_increase = MAX_INCREASE * (1.0 + contention) * self.rate_limit;
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -12,7 +12,7 @@
 const TOKENS_OF_CALL: f64 = 1.0;
 /// Tokens that must be available for a call that is better avoided: a hedge, or a non-idempotent
 /// message on an ejected route.
-const TOKENS_OF_RISKY_CALL: f64 = 2.0;
+const TOKENS_OF_AVOIDABLE_CALL: f64 = 2.0;
 
 /// Endpoint that a message is sent to, and the call that carries it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -100,7 +100,7 @@
                 endpoint,
                 joined_call,
             };
-            if self.is_option(&proposal, option) {
+            if self.is_eligible_target(&proposal, option) {
                 options.push(self.suitability(id, option));
             }
         }
@@ -121,7 +121,7 @@
     }
 
     /// Returns true if the message may be sent to the endpoint and that is advisable.
-    fn is_option(&mut self, proposal: &Proposal, option: SendTarget) -> bool {
+    fn is_eligible_target(&mut self, proposal: &Proposal, option: SendTarget) -> bool {
         let SendTarget {
             endpoint,
             joined_call,
@@ -151,10 +151,10 @@
     fn wake_when_allowed(&mut self, id: MessageId, route: RouteId) {
         let key = self.messages[&id].key;
         if let Some(backoff_end) = self.key_backoff_end(key) {
-            self.wake_by_future(backoff_end);
+            self.wake_by_unless_past(backoff_end);
         }
         let retry_after_until = self.route_mut(route).retry_after_until;
-        self.wake_by_future(retry_after_until);
+        self.wake_by_unless_past(retry_after_until);
     }
 
     /// Returns false if the process would probably end before the answer arrives, or if a hedge
@@ -178,16 +178,17 @@
         let now = self.now;
         let senders = f64::from(self.fleet_size);
         let max_unhealthy = max_unhealthy_calls(self.settings.call_slots);
-        let are_unhealthy_full = self.unhealthy_in_flight >= max_unhealthy;
+        let is_unhealthy_limit_reached = self.unhealthy_in_flight >= max_unhealthy;
         let safety = self.settings.safety.clone();
         let route = self.route_mut(id);
         let rate = route.allowed_rate(&safety, senders, now);
         route.refill_tokens(now, rate);
-        if route.is_lagging && are_unhealthy_full && !call.joins_call || !route.health_allows(call)
+        if route.is_lagging && is_unhealthy_limit_reached && !call.joins_call
+            || !route.health_allows(call)
         {
             return false;
         }
-        let is_advised = route.has_room_for(call, are_unhealthy_full);
+        let is_advised = route.has_room_for(call, is_unhealthy_limit_reached);
         if !is_advised && !route.bucket.has_token() {
             let wait = route.bucket.time_until_token(rate);
             self.wake_by(now + wait + MILLISECOND);
@@ -237,7 +238,7 @@
                 let may_be_failing = self.oldest_unanswered > self.hedge_delay();
                 let is_risky = call.is_non_idempotent && may_be_failing;
                 let lacks_tokens_for_hedge =
-                    call.is_hedge && self.bucket.tokens < TOKENS_OF_RISKY_CALL;
+                    call.is_hedge && self.bucket.tokens < TOKENS_OF_AVOIDABLE_CALL;
                 !is_risky && !lacks_tokens_for_hedge
             }
             Health::Recovering { .. } => {
@@ -250,17 +251,17 @@
 
     /// Returns true if the concurrency limit and the token bucket of the route leave room for the
     /// call.
-    fn has_room_for(&self, call: ProposedCall, are_unhealthy_full: bool) -> bool {
+    fn has_room_for(&self, call: ProposedCall, is_unhealthy_limit_reached: bool) -> bool {
         if self.is_ejected() {
             // a non-idempotent message is sent on an ejected route only if the route rejects calls,
             // because a rejected message can be sent again, or if no other message uses the tokens
             let is_risky = call.is_non_idempotent && self.consecutive_rejections == 0;
             let needed = if is_risky {
-                TOKENS_OF_RISKY_CALL
+                TOKENS_OF_AVOIDABLE_CALL
             } else {
                 TOKENS_OF_CALL
             };
-            return !call.is_hedge && self.bucket.tokens >= needed && !are_unhealthy_full;
+            return !call.is_hedge && self.bucket.tokens >= needed && !is_unhealthy_limit_reached;
         }
         call.joins_call || self.is_below_concurrency_limit() && self.bucket.has_token()
     }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -35,10 +35,9 @@
         match route.health {
             // a trial call succeeds, few calls failed, and the route was ejected only for a short
             // time, for missing answers or by the fleet: it was throttled or slow, not unavailable
-            Health::Ejected {
-                unresponsive,
-                since,
-            } if route.is_trusted() && (unresponsive || now - since < short_ejection) => {
+            Health::Ejected { may_be_slow, since }
+                if route.is_trusted() && (may_be_slow || now - since < short_ejection) =>
+            {
                 route.health = Health::Healthy;
             }
             Health::Ejected { since, .. } => self.begin_recovery(id, since, actions),
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -46,7 +46,7 @@
     Ejected {
         /// True if the route was ejected because it left calls unanswered or because the fleet
         /// reported the destination as unavailable, not for failures or rejections of own calls.
-        unresponsive: bool,
+        may_be_slow: bool,
         since: Micros,
     },
     Recovering {
@@ -61,7 +61,7 @@
     /// Maximum number of calls in flight.
     pub concurrency_limit: f64,
     /// Time at which the concurrency limit was last decreased.
-    pub decreased_at: Micros,
+    pub concurrency_decreased_at: Micros,
     /// Time at which the last Retry-After delay of the destination ends.
     pub retry_after_until: Micros,
     /// Latencies of the last successful calls, in microseconds.
@@ -100,7 +100,7 @@
     /// Number of calls sent since the route was first seen.
     pub sent: u64,
     /// Time at which the route was first seen.
-    pub since: Micros,
+    pub first_seen_at: Micros,
     /// Rate limit for all senders that the destination reports in its answers, in calls per second.
     pub reported_limit: Option<f64>,
     /// This sender's fair share of the rate that the endpoint list or load reports give, in calls
@@ -126,7 +126,7 @@
             concurrency_limit,
             rate_limit: f64::INFINITY,
             succeeded: true,
-            since: now,
+            first_seen_at: now,
             bucket: TokenBucket {
                 tokens: 1.0,
                 refilled_at: now,
@@ -163,7 +163,7 @@
     /// Returns the rate of calls that this sender makes on the route, in calls per second, averaged
     /// over the time since the route was first seen but at least over `min_span`.
     pub fn usual_rate(&self, now: Micros, min_span: Micros) -> f64 {
-        self.sent as f64 / seconds((now - self.since).max(min_span).max(1))
+        self.sent as f64 / seconds((now - self.first_seen_at).max(min_span).max(1))
     }
 
     /// Returns the rate of successful calls over the last `span`, in calls per second.
--- a/src/decisions/timer.rs
+++ b/src/decisions/timer.rs
@@ -17,7 +17,7 @@
     }
 
     /// Schedules a turn for `at` at the latest, unless `at` has passed.
-    pub(super) fn wake_by_future(&mut self, at: Micros) {
+    pub(super) fn wake_by_unless_past(&mut self, at: Micros) {
         if at > self.now {
             self.wake_by(at);
         }
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -115,7 +115,7 @@
 #[derive(Deserialize)]
 pub enum Health {
     Healthy,
-    Ejected { unresponsive: bool, since: Micros },
+    Ejected { may_be_slow: bool, since: Micros },
     Recovering { since: Micros },
 }
 
@@ -123,7 +123,7 @@
 pub struct Route {
     pub health: Health,
     pub concurrency_limit: f64,
-    pub decreased_at: Micros,
+    pub concurrency_decreased_at: Micros,
     pub retry_after_until: Micros,
     pub latencies: VecDeque<Micros>,
     pub learned_hedge_delay: Option<Micros>,
@@ -140,7 +140,7 @@
     pub success_times: VecDeque<Micros>,
     pub best_rate: f64,
     pub sent: u64,
-    pub since: Micros,
+    pub first_seen_at: Micros,
     pub reported_limit: Option<f64>,
     pub fair_share: f64,
     pub listed_rate: f64,
@@ -203,7 +203,7 @@
                     matches!(
                         route.health,
                         Health::Ejected {
-                            unresponsive: false,
+                            may_be_slow: false,
                             ..
                         }
                     )
@@ -215,7 +215,7 @@
                     matches!(
                         route.health,
                         Health::Ejected {
-                            unresponsive: true,
+                            may_be_slow: true,
                             ..
                         }
                     )
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -27,7 +27,7 @@
     attempts: usize,
     /// Endpoint and send time of each attempt that the destination may have processed, by the
     /// position of the attempt.
-    risky: BTreeMap<usize, (u32, Micros)>,
+    attempts_at_risk: BTreeMap<usize, (u32, Micros)>,
 }
 
 fn destination(endpoint: u32) -> u64 {
@@ -128,14 +128,14 @@
         let mut index = 0;
         while index < calls_in_flight.len() {
             let has_expired = now >= calls_in_flight[index].expires;
-            let pick = below(60);
-            if !has_expired && pick > 5 {
+            let outcome_draw = below(60);
+            if !has_expired && outcome_draw > 5 {
                 index += 1;
                 continue;
             }
             let call = calls_in_flight.swap_remove(index);
             let is_faulty = destination(call.endpoint) == turn / 1000 % 4;
-            let outcome = match pick {
+            let outcome = match outcome_draw {
                 _ if has_expired => Outcome::TimedOut,
                 _ if is_faulty && below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
@@ -149,7 +149,7 @@
             let record = records.get_mut(&call.message).expect("known");
             record.in_flight -= 1;
             if outcome.never_ran() {
-                record.risky.remove(&call.attempt);
+                record.attempts_at_risk.remove(&call.attempt);
             }
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (record.key, outcome)
@@ -165,8 +165,8 @@
                     .or_default();
                 *until = (*until).max(now + wait);
             }
-            let closed = record.ended || outcome == Outcome::Success;
-            record.ended = closed;
+            let is_complete = record.ended || outcome == Outcome::Success;
+            record.ended = is_complete;
             let mut event = ended(
                 call.message,
                 call.attempt,
@@ -175,12 +175,12 @@
                 now - call.sent,
             );
             if let Event::AttemptEnded {
-                complete: flag,
+                complete: reported_complete,
                 report,
                 ..
             } = &mut event
             {
-                *flag = closed;
+                *reported_complete = is_complete;
                 *report = vec![f64::from(below(11)) / 10.0, f64::from(below(30))];
             }
             if below(10) == 0 {
@@ -213,7 +213,7 @@
                         *attempt, records[&id].attempts,
                         "attempts are not numbered in order"
                     );
-                    let earlier_open = |id: u64, key: u64| {
+                    let has_incomplete_earlier_message = |id: u64, key: u64| {
                         key_queues[&key]
                             .iter()
                             .take_while(|&&other| other != id)
@@ -236,23 +236,25 @@
                         Effect::Idempotent => {}
                         Effect::NonIdempotent => {
                             assert!(
-                                record.risky.is_empty(),
+                                record.attempts_at_risk.is_empty(),
                                 "a non-idempotent message that may have run was sent again"
                             )
                         }
                         Effect::IdempotencyKey { window, .. } => assert!(
                             record
-                                .risky
+                                .attempts_at_risk
                                 .values()
-                                .all(|&(tried, at)| tried % 2 == endpoint % 2
-                                    && now < at + window
-                                    && start_by.is_some_and(|by| now < by && by < at + window)),
+                                .all(|&(earlier_endpoint, sent)| earlier_endpoint % 2
+                                    == endpoint % 2
+                                    && now < sent + window
+                                    && start_by.is_some_and(|latest_start| now < latest_start
+                                        && latest_start < sent + window)),
                             "a message with an idempotency key leaves its zone or its window, or may do so later"
                         ),
                     }
                     if let Some(key) = record.key {
                         assert!(
-                            !earlier_open(id, key),
+                            !has_incomplete_earlier_message(id, key),
                             "sent before an earlier message of its key was complete"
                         );
                         let backoff_end = key_backoff_ends.get(&key).copied().unwrap_or(0);
@@ -262,7 +264,9 @@
                         );
                     }
                     let record = records.get_mut(&id).expect("known");
-                    record.risky.insert(record.attempts, (endpoint, now));
+                    record
+                        .attempts_at_risk
+                        .insert(record.attempts, (endpoint, now));
                     let attempt = record.attempts;
                     record.attempts += 1;
                     record.in_flight += 1;
@@ -282,7 +286,7 @@
                     );
                     let is_idempotent = settings.classes[record.class].effect == Effect::Idempotent;
                     assert!(
-                        is_idempotent || record.risky.is_empty(),
+                        is_idempotent || record.attempts_at_risk.is_empty(),
                         "rejected although it may have run"
                     );
                     record.ended = true;
