--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -78,8 +78,8 @@
         };
         let senders = f64::from(self.fleet_size);
         let rate = tenant.allowance / senders;
-        // a few messages of a tenant at one of many senders come together by chance; they do not
-        // show that the tenant exceeds its share
+        // in a large fleet, a few messages of one tenant may reach the same sender within a short
+        // time by chance; that does not show that the tenant exceeds its share
         let chance_burst = 1.0 + TENANT_CHANCE_BURST * contention(senders);
         let burst = (rate * TENANT_BURST_SECONDS).max(chance_burst);
         let bucket = &mut self.tenant_buckets[position];
--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -42,8 +42,9 @@
     }
 
     /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion, and
-    /// returns true. If the call was sent before the last decrease, leaves the limit and returns
-    /// false: that decrease counts for all calls that were in flight then.
+    /// returns true. If the call was sent before or at the time of the last decrease, leaves the
+    /// limit unchanged and returns false: that decrease counts for all calls that were in flight
+    /// then.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
         let is_new = sent > self.concurrency_decreased_at;
         if is_new {
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends the messages that are ready, the most urgent first.
+//! Sends the messages whose next attempt is due, the most urgent first.
 
 use super::routing::SendTarget;
 use super::state::{Attempt, Call, Route};
@@ -69,8 +69,11 @@
         self.calls.values().filter(is_unhealthy).count()
     }
 
-    /// Returns the most urgent messages of each ready group whose destination has an available
-    /// endpoint: one of those whose urgency still rises with age, and one of those whose urgency no
+    /// Returns the candidates with which a turn begins. A group holds the messages of one
+    /// destination whose next attempt is due and that have the same class, priority weight and
+    /// number of attempts, so that the same conditions prevent all of them from being sent. From
+    /// each group whose destination has an available endpoint, the candidates are the most urgent
+    /// message whose urgency still rises with age, and the most urgent message whose urgency no
     /// longer rises.
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -9,9 +9,10 @@
 /// that a last answer can still arrive, or this close to the end of the window of an idempotency
 /// key.
 pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
-/// Share of the maximum number of pending messages above which messages that can't be sent now are
-/// rejected. Higher keeps more messages for a destination that recovers; lower leaves more capacity
-/// to the other destinations.
+/// Share of the maximum number of pending messages above which messages are rejected whose
+/// destination has no available endpoint on a healthy route with a trusted failure score. Higher
+/// keeps more messages for a destination that recovers; lower leaves more capacity to the other
+/// destinations.
 const SHEDDING_SHARE: f64 = 0.85;
 
 /// A pending message that may be rejected to make room for others.
@@ -37,8 +38,8 @@
     }
 
     /// Returns the messages to reject when more than `SHEDDING_SHARE` of the maximum number are
-    /// pending: of those that can't be sent now, the ones with the lowest priority weights, as many
-    /// as exceed that share.
+    /// pending: of those that `may_be_shed`, the ones with the lowest priority weights, the oldest
+    /// first among equal weights, as many as exceed that share.
     fn messages_to_shed(&self, expired: &BTreeSet<MessageId>) -> Vec<MessageId> {
         let capacity = count_for_share(self.settings.max_pending, SHEDDING_SHARE);
         let excess = self.index.open().saturating_sub(capacity);
--- a/src/decisions/fleet_size.rs
+++ b/src/decisions/fleet_size.rs
@@ -23,7 +23,9 @@
     }
 
     pub(super) fn apply_fleet_view(&mut self, view: Option<FleetView>) {
-        // the number of agreeing senders may grow meanwhile; all other fields must stay the same
+        // a view that differs only in the number of agreeing senders counts as unchanged, since
+        // that number changes while other senders adopt the view. Any other difference restarts the
+        // time for which the view must stay unchanged before the fleet size may fall.
         let without_agreeing = |view: FleetView| FleetView {
             agreeing: 0,
             ..view
@@ -35,11 +37,12 @@
     }
 
     /// Adopts the number of senders from the fleet view. Protects destinations against a sender
-    /// that sees too few of the others and therefore sends too much. The number falls below the
-    /// configured one only when no sender is suspect, a majority of the configured senders is known
-    /// to hold the same view, and the view has not changed for the warm-up time. It rises at once,
-    /// and is at least the configured number while this sender is isolated or in a minority.
-    /// Senders that it never received anything from count as present. Drawback: after many senders
+    /// that sees too few of the others and therefore sends too much. The number falls only when no
+    /// sender is suspect, a majority of the configured senders is known to hold the same view, and
+    /// the view has not changed for the warm-up time. It rises without such conditions, and is at
+    /// least the configured number while this sender is isolated or sees at most half of the
+    /// configured senders present. Configured senders that are not known to have departed count as
+    /// present, even if this sender never received anything from them. Drawback: after many senders
     /// have departed, destinations get too few calls until the number falls.
     pub(super) fn update_fleet_size(&mut self) {
         let size_before = self.fleet_size;
@@ -86,7 +89,8 @@
             route.listed_rate *= factor;
             if factor < 1.0 {
                 // there are more senders now: this sender leaves their part of its learned rates to
-                // them, and only successes raise the rates again
+                // them. When the fleet shrinks, the learned rates stay until successes or reports
+                // raise them.
                 route.rate_limit *= factor;
                 route.best_rate *= factor;
             }
--- a/src/decisions/hedging.rs
+++ b/src/decisions/hedging.rs
@@ -53,7 +53,7 @@
 
 impl PendingMessage {
     /// Sets the time of the next hedge of the message, after an attempt that starts now. The
-    /// interval doubles with each hedge.
+    /// interval doubles with each hedge. Non-idempotent messages are not hedged.
     pub(super) fn schedule_hedge(
         &mut self,
         is_hedge: bool,
--- a/src/decisions/key_ordering.rs
+++ b/src/decisions/key_ordering.rs
@@ -35,7 +35,8 @@
         queue.is_none_or(|queue| queue.messages.front() == Some(&message))
     }
 
-    /// Returns the time at which the backoff of a key ends; `None` if the key has no queue.
+    /// Returns the time at which the backoff of a key ends; `None` if there is no key or the key
+    /// has no queue.
     pub(super) fn key_backoff_end(&self, key: Option<u64>) -> Option<Micros> {
         let queue = key.and_then(|key| self.key_queues.get(&key))?;
         Some(queue.backoff_until.max(self.key_backoff_until))
--- a/src/decisions/message_index.rs
+++ b/src/decisions/message_index.rs
@@ -74,7 +74,8 @@
                 ..IndexEntry::default()
             };
         }
-        // the outcome of the attempt in flight may allow another attempt
+        // a message with an attempt in flight does not end for lack of further attempts: the
+        // outcome of that attempt may allow another one
         let no_send_after = if in_flight {
             Micros::MAX
         } else {
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -32,7 +32,8 @@
 struct EndedCall {
     route: RouteId,
     /// True if no attempt of the call ended before this one. Only the first outcome of a call is
-    /// used to judge its endpoint and its route.
+    /// used to judge its endpoint and its route; Retry-After delays and load reports of later ones
+    /// still apply.
     is_first_outcome: bool,
 }
 
@@ -93,7 +94,8 @@
         self.observe_route(&observation, actions);
     }
 
-    /// Marks the attempt as ended; returns `None` if it was not in flight.
+    /// Marks the attempt as ended and sets the backoffs of its message and key. Returns `None` if
+    /// the attempt was not in flight.
     fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let message = self.messages.get_mut(&result.message)?;
         let in_flight = |attempt: &&mut Attempt| attempt.in_flight;
@@ -115,8 +117,8 @@
         Some(ended)
     }
 
-    /// Counts an ended attempt in its call, and removes the call with its last attempt. Returns
-    /// `None` if the call is not known.
+    /// Counts one attempt of a call as ended, and removes the call when all its attempts have
+    /// ended. Returns `None` if the call is not known.
     fn count_ended_attempt(
         &mut self,
         attempt: &EndedAttempt,
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -35,9 +35,9 @@
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 impl Sender {
-    /// Ejects a route, unless it is ejected already, and lowers its concurrency limit. Until the
-    /// route is healthy again, its call rate follows from the recovery budget: the rate that it can
-    /// presumably serve while it recovers.
+    /// Ejects a route, unless it is ejected already, and lowers its concurrency limit to at most
+    /// the number of calls that all unhealthy routes together may hold. Until the route is healthy
+    /// again, `Route::allowed_rate` gives its call rate: a few trial calls, then a slow start.
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
@@ -45,8 +45,10 @@
         let route = self.route_mut(id);
         if !route.is_ejected() {
             route.bucket.tokens = random_tokens;
-            // from here on the recovery budget sets the rate, not a limit that failures have
-            // lowered
+            // the rate limit also bounds the rate of the recovery. Failures may have lowered it far
+            // below what the destination serves, so it is raised to the best rate. If the
+            // destination counts as closed, because of rejections or a long Retry-After delay, the
+            // rate limit stays.
             if reason != EjectionReason::Closed {
                 route.rate_limit = route.rate_limit.max(route.best_rate);
             }
@@ -74,8 +76,8 @@
 
     /// Applies the health verdict that enough other senders agree on. Protects call slots against a
     /// destination that is unavailable to others. Since it could hold back a destination that is
-    /// healthy for this sender, recent answers to own calls take precedence. A destination that is
-    /// available again is tried at once.
+    /// healthy for this sender, recent answers to own calls take precedence. If the destination is
+    /// available again, its ejected routes get a token, so that a trial call need not wait for one.
     pub(super) fn apply_fleet_health(
         &mut self,
         destination: DestinationId,
@@ -127,7 +129,7 @@
 }
 
 /// Returns true if a route that is ejected for this reason may be merely slow. If few of its calls
-/// failed, its first success then makes it healthy at once, without a slow start.
+/// failed, its first success then makes it healthy without a slow start.
 fn may_be_merely_slow(reason: EjectionReason) -> bool {
     matches!(
         reason,
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Returns how many calls this sender makes in `span`, by its rate since the route was first
-    /// seen, averaged over at least `min_span`.
+    /// Returns how many calls this sender usually makes on the route in `span`, by its rate of
+    /// calls since the route was first seen, averaged over at least `min_span`.
     pub(super) fn usual_calls_in(&self, span: Micros, now: Micros, min_span: Micros) -> f64 {
         self.usual_rate(now, min_span) * seconds(span)
     }
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -10,13 +10,14 @@
 /// has answered nothing since the attempt was sent. While call slots are scarce, one response limit
 /// is enough. Lower frees slots sooner; higher waits for late answers.
 const EJECTED_RESPONSE_LIMITS: i64 = 2;
-/// Factor on the time until an attempt is cancelled, if not the whole route is silent, but only the
-/// message's class has had no success at the endpoint since the attempt was sent.
+/// Factor on the number of response limits after which an attempt is cancelled because its
+/// message's class has had no success at the endpoint since the attempt was sent, although the
+/// route is not ejected or has answered other calls since then.
 const SILENT_CLASS_FACTOR: i64 = 2;
 /// Number of response limits after which an attempt counts as lost even if its route answers. Lower
 /// frees slots sooner; higher waits for late answers.
 const LOST_RESPONSE_LIMITS: i64 = 3;
-/// Share of the call slots in use above which attempts of non-idempotent messages are cancelled
+/// Share of the call slots in use from which on attempts of non-idempotent messages are cancelled
 /// too. Lower abandons more attempts; higher frees fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
 
@@ -82,8 +83,8 @@
             || self.is_lost_on_silent_route_or_class(message, attempt, route, pressure)
     }
 
-    /// Returns true if the attempt is late and, since it was sent, either the ejected route has
-    /// answered nothing or its class has had no success at its endpoint.
+    /// Returns true if the attempt is late and, since it was sent, either its route is ejected and
+    /// has answered nothing, or the class of its message has had no success at its endpoint.
     fn is_lost_on_silent_route_or_class(
         &self,
         message: &PendingMessage,
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -16,18 +16,20 @@
 /// slow routes sooner; higher leaves room for long but healthy calls.
 const LAGGING_LATENCIES: i64 = 4;
 /// Number of hedge delays after which an attempt counts as lost if no call slot is free, its
-/// message may be repeated and its route has answered meanwhile. No event occurs at that time, so a
-/// turn has to be scheduled for it.
+/// message is idempotent or has an idempotency key, and its route has answered since the attempt
+/// was sent. No event occurs when that time is reached, so a turn is scheduled for it.
 pub(super) const LOST_HEDGE_DELAYS: i64 = 5;
 /// Ages of a call, as multiples of the response limit, at which a turn is scheduled to check it:
 /// its route may have to be ejected, or its attempts cancelled.
 const OBSERVED_RESPONSE_LIMITS: [i64; 3] = [1, 2, 4];
 
 impl Sender {
-    /// Ejects routes that answer nothing while calls wait longer than the response limit. Protects
-    /// call slots against hung, vanished or very slow destinations that would fill the slots of
-    /// healthy ones. Since it could eject a route whose only traffic is one long call, a single
-    /// call gets twice the time.
+    /// Ejects healthy routes that leave calls unanswered: several calls for longer than the
+    /// response limit, or a single call for twice that long. Calls that were opened for a hedge,
+    /// and calls since whose start the route has answered anything, do not count as unanswered.
+    /// Protects call slots against hung, vanished or very slow destinations that would fill the
+    /// slots of healthy ones. A single call gets twice the time because the only traffic of a
+    /// healthy route may be one long call.
     pub(in crate::decisions) fn detect_unresponsive_routes(&mut self, actions: &mut Vec<Action>) {
         self.observe_calls();
         let called: BTreeSet<RouteId> = self.calls.values().map(|call| call.route).collect();
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -7,8 +7,9 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeSet;
 
-/// Lowest rate in calls per second that the first rejection leaves to a sender. Higher retries
-/// sooner; lower spares a destination that hundreds of senders share.
+/// Lowest rate in calls per second that the first rejection leaves to a sender if no call has
+/// failed before. Where the endpoint list gives a rate, this minimum is reduced by contention.
+/// Higher retries sooner; lower spares a destination that hundreds of senders share.
 const MIN_FIRST_RATE: f64 = 0.35;
 /// Lowest rate in calls per second that rejections leave to all senders together.
 const MIN_FLEET_RATE: f64 = 1.5;
@@ -18,27 +19,32 @@
 /// Size of a route's token bucket, as the number of seconds in which its rate fills it, but at
 /// least one token. Longer serves bursts faster; shorter causes fewer rejections.
 const BURST_SECONDS: f64 = 0.4;
-/// Factor on the rate limit after a rejection, if a call has succeeded since the last decrease.
-/// Lower causes fewer rejections; higher keeps more of a limit shared with other senders.
+/// Factor on the rate limit after a rejection, if a call has succeeded since the last decrease and
+/// the last failure. Lower causes fewer rejections; higher keeps more of a limit shared with other
+/// senders.
 const DECREASE_FACTOR: f64 = 0.8;
 /// Factor on the rate limit after a rejection or failure, if no call has succeeded since the last
-/// decrease. Lower causes fewer rejections; higher keeps more of a limit shared with other senders.
+/// decrease or failure. Lower causes fewer rejections; higher keeps more of a limit shared with
+/// other senders.
 const DECREASE_FACTOR_WITHOUT_SUCCESS: f64 = 0.5;
-/// Fraction of a rate decrease that a sender in a large fleet leaves out. When senders exceed a
-/// shared limit, the destination rejects every call until the excess has drained; most senders see
-/// a rejection then, and some see two. Lower makes all senders together fall far below the limit;
-/// higher keeps them hovering at it. The pause after a rejection is as long as after a full
-/// decrease.
+/// Fraction of a rate decrease that a sender leaves out at a contention of 1; lower contention
+/// reduces the fraction in proportion. When senders exceed a shared limit, the destination rejects
+/// every call until the excess has drained; most senders see a rejection then, and some see two.
+/// Lower makes all senders together fall far below the limit; higher keeps them hovering at it. The
+/// pause after a rejection is as long as after a full decrease.
 const CONTENDED_DECREASE_REDUCTION: f64 = 0.6;
-/// Increase of the rate limit with each success, in calls per second. Increasing by successes
-/// instead of by time keeps the fraction of rejected calls the same, however few calls a sender
-/// makes.
+/// Increase of the rate limit with each success, in calls per second, before it is reduced by
+/// contention, multiplied by the ratio of the best rate to the rate limit (at least 1), and capped
+/// by `MAX_INCREASE`. The limit rises with successes and not with time: otherwise the limit of a
+/// sender that makes few calls would rise far between two calls, and more of its calls would be
+/// rejected.
 const INCREASE_PER_SUCCESS: f64 = 0.25;
 /// Maximum increase of the rate limit with one success, as a fraction of the limit. It is up to
 /// twice as large under contention, where successes are rare.
 const MAX_INCREASE: f64 = 0.5;
-/// Fraction of the increase that a sender in a large fleet leaves out: all senders have increased
-/// their rates before the first one notices that the sum is too high.
+/// Fraction of the increase that a sender leaves out at a contention of 1; lower contention reduces
+/// the fraction in proportion. In a large fleet, all senders have increased their rates before the
+/// first one notices that the sum is too high.
 const CONTENDED_INCREASE_REDUCTION: f64 = 0.8;
 /// Number of calls that the listed rate counts for in the estimate of the sender's own rate, so
 /// that a few first calls do not decide it.
@@ -51,11 +57,14 @@
 /// rate may be half too low. Higher works off backlogs sooner; lower spares a destination whose
 /// listed rate is too high.
 const MAX_LISTED_MULTIPLE: f64 = 1.5;
-/// Largest remaining fraction of a reported limit that is taken into account. Higher lets a lone
-/// sender use more of the limit at once.
+/// Upper bound of the reported remaining fraction of a limit: a larger fraction counts as this one.
+/// With 0.9, the used fraction counts as at least 0.1, so that a sender may use at most 100 times
+/// (1 / 0.1 squared) its fair share of the limit, and never more than the limit itself. Higher lets
+/// a lone sender use more of the limit.
 const MAX_REMAINING_FRACTION: f64 = 0.9;
-/// Token bucket size of an ejected route: two tokens, so that one can be kept for a non-idempotent
-/// message, which is sent there only while the bucket holds two.
+/// Token bucket size of an ejected route. Unless the route rejects calls, a non-idempotent message
+/// is sent on it only while the bucket holds two tokens; a smaller bucket would never let it
+/// through.
 const EJECTED_BURST: f64 = 2.0;
 
 /// Inputs of a decrease of the rate limit.
@@ -85,9 +94,9 @@
     ) {
         if delay > 2 * self.settings.safety.overload_span {
             // so long a delay means that the destination is out of service rather than throttled,
-            // so its route recovers with a slow start. A route that is ejected already stays as it
-            // is: if it was unresponsive or reported by the fleet, its first success may make it
-            // healthy at once.
+            // so its route recovers with a slow start. The health of a route that is ejected
+            // already stays as it is: if the route was ejected as unresponsive or by the fleet's
+            // health reports, its first success may still make it healthy without a slow start.
             self.eject_closed(id, actions);
         }
         let until = self.now + delay + MILLISECOND;
@@ -95,11 +104,14 @@
         route.retry_after_until = route.retry_after_until.max(until);
     }
 
-    /// Bounds the rate by what a destination reports of its shared limit. While nothing of the
+    /// Bounds the rate limit of a route by what the destination reports of the limit that all
+    /// senders share; without a positive limit in the report, nothing changes. While nothing of the
     /// limit remains, the bound is this sender's fair share; otherwise it is the fair share divided
     /// by the square of the used fraction, since the remaining fraction is the only sign of the
-    /// load of all senders. Protects limits against which rejected calls count too. Drawback: a
-    /// sender that has most of the traffic may be held back.
+    /// load of all senders. If the report gives no remaining fraction, only the limit itself bounds
+    /// the rate. A route that had no rate limit gets its fair share or `MIN_FIRST_RATE`, whichever
+    /// is higher, within these bounds. Protects limits against which rejected calls count too.
+    /// Drawback: a sender that has most of the traffic may be held back.
     pub(super) fn apply_load_report(&mut self, id: RouteId, report: &[f64]) {
         let value_at = |at: Option<usize>| at.and_then(|position| report.get(position).copied());
         let remaining = value_at(self.settings.report_remaining);
@@ -126,10 +138,11 @@
 
     /// Limits the rate at which messages are sent that waited while sending was suspended or the
     /// process restarted: to the best known rate, or to one and a half times the fair share of the
-    /// listed rate if that is more. The first call starts after a random time. Protects the limits
-    /// of destinations against the backlogs of hundreds of senders at the same time. Drawback: a
-    /// sender that has most of the traffic may be slowed down. After a restart each route is
-    /// limited once; after a suspension, every time.
+    /// listed rate if that is more. Does so only in a fleet large enough for contention, on healthy
+    /// routes for which the endpoint list gives a rate. The first call starts after a random time.
+    /// Protects the limits of destinations against the backlogs of hundreds of senders at the same
+    /// time. Drawback: a sender that has most of the traffic may be slowed down. After a restart
+    /// only routes without a rate limit are limited; after a suspension, all are.
     pub(super) fn spread_backlog(&mut self, was_suspended: bool) {
         if self.contention() <= 0.0 {
             return;
@@ -155,7 +168,7 @@
 
 impl Route {
     /// Returns the rate of calls that this sender makes, in calls per second. While it has made
-    /// few, the estimate leans on its fair share of the listed rate.
+    /// few, the estimate leans on its fair share of the listed rate, if there is one.
     fn own_rate(&self, now: Micros) -> f64 {
         let (prior_calls, prior_seconds) = if self.listed_rate > 0.0 {
             (LISTED_RATE_CALLS, LISTED_RATE_CALLS / self.listed_rate)
@@ -177,14 +190,16 @@
         self.best_rate * (1.0 - contention) + certain_rate.min(self.best_rate) * contention
     }
 
-    /// Counts a call that succeeded at `now`, and raises the best rate if successes are now more
-    /// frequent.
+    /// Records a call that succeeded at `now`. On a healthy route, also raises the best rate to the
+    /// current rate if that is higher.
     pub(super) fn record_best_rate(&mut self, now: Micros, span: Micros, contention: f64) {
         self.success_times.push(now, usize::MAX);
-        // a sender of a large fleet makes too few calls in an overload span to measure a rate
+        // a sender of a large fleet makes too few calls in an overload span to measure a rate; its
+        // average rate of calls on the route counts instead
         let success_rate = self.success_rate(now, span);
         let rate = success_rate * (1.0 - contention) + self.own_rate(now) * contention;
-        // successes during a recovery must not raise the budget of that same recovery
+        // while the route is ejected or recovering, successes do not raise its best rate: the rate
+        // allowed during the recovery follows from the best rate, and would drive itself up
         let counted = if self.health == Health::Healthy {
             rate
         } else {
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -8,10 +8,10 @@
 use rand_pcg::rand_core::RngCore;
 use std::collections::BTreeMap;
 
-/// Tokens that the route's bucket must hold for an ordinary call.
+/// Tokens that the bucket of an ejected route must hold for an ordinary call.
 const TOKENS_OF_CALL: f64 = 1.0;
-/// Tokens that must be available for a call that is better avoided: a hedge, or a non-idempotent
-/// message on an ejected route.
+/// Tokens that must be available for a call that is better avoided: a hedge on a healthy route, or
+/// a non-idempotent message on an ejected route that does not reject calls.
 const TOKENS_OF_AVOIDABLE_CALL: f64 = 2.0;
 
 /// Endpoint that a message is sent to, and the call that carries it.
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Suitability {
     health: HealthRank,
-    /// True if the last messages of the same class have recently failed at the endpoint.
+    /// True while messages of the same class avoid the endpoint because of a failure there.
     is_avoided: bool,
     /// Number of earlier attempts of the message at the endpoint.
     attempts: usize,
@@ -120,7 +120,10 @@
         call.filter(|call| self.calls[call].size < bundle_max)
     }
 
-    /// Returns true if the message may be sent to the endpoint and that is advisable.
+    /// Returns true if the rules and limits allow the message to be sent to the endpoint now, and
+    /// the state of the endpoint and its route makes that advisable. Otherwise, if a backoff, a
+    /// Retry-After delay or a missing token holds the message back, a turn is scheduled for the end
+    /// of that wait.
     fn is_eligible_target(&mut self, proposal: &Proposal, option: SendTarget) -> bool {
         let SendTarget {
             endpoint,
@@ -174,6 +177,8 @@
     }
 
     /// Returns true if the limits, the tokens and the health of the route make the call advisable.
+    /// If they do not and the bucket lacks a token, may schedule a turn for the time at which it
+    /// holds one.
     fn is_advisable(&mut self, id: RouteId, call: ProposedCall) -> bool {
         let now = self.now;
         let senders = f64::from(self.fleet_size);
@@ -229,8 +234,8 @@
 }
 
 impl Route {
-    /// Returns false if the call should not be made because of the health of the route, or if it is a
-    /// hedge on a healthy route that would leave no token to other calls.
+    /// Returns false if the call should not be made because of the health of the route, or if it is
+    /// a hedge on a healthy route that would leave less than one token to other calls.
     fn health_allows(&self, call: ProposedCall) -> bool {
         match self.health {
             Health::Healthy => {
@@ -249,8 +254,10 @@
         }
     }
 
-    /// Returns true if the concurrency limit and the token bucket of the route leave room for the
-    /// call.
+    /// Returns true if the limits of the route leave room for the call. On an ejected route, these
+    /// are the token bucket and the limit on calls to unhealthy routes, and there is no room for
+    /// hedges. On other routes, they are the concurrency limit and the token bucket; a message that
+    /// joins an open call needs neither.
     fn has_room_for(&self, call: ProposedCall, is_unhealthy_limit_reached: bool) -> bool {
         if self.is_ejected() {
             // a non-idempotent message is sent on an ejected route only if the route rejects calls,
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -7,13 +7,13 @@
 use super::state::{Endpoint, Health, Route, RouteId, seconds};
 use crate::interface::{Action, EndpointId, MILLISECOND, Micros, RouteEvent, Safety};
 
-/// Fraction of the recovery budget that is used; the budget is the call rate above which a
-/// recovering destination would be overloaded again. Higher recovers sooner; lower leaves room for
-/// other senders.
+/// Fraction that a slow start uses of the call rate above which the destination would presumably be
+/// overloaded again. That rate is the known capacity times `overload_multiple`, reduced while the
+/// destination is cold. Higher recovers sooner; lower leaves room for other senders.
 const BUDGET_SHARE: f64 = 0.7;
-/// Number of calls per overload span that all senders together may try on an ejected route, however
-/// little each of them knows of it. Higher detects the recovery sooner; lower spares a small
-/// destination.
+/// Number of calls per overload span that all senders together may try on an ejected route even if
+/// they know no rate that it served. The rate of each sender is at most one call per overload span.
+/// Higher detects the recovery sooner; lower spares a small destination.
 const FLEET_TRIALS_PER_OVERLOAD_SPAN: f64 = 3.0;
 /// Minimum number of calls that one sender tries on an ejected route per warm-up time, in a fleet
 /// of any size. With 0.5, the pause between two tries is at most twice the warm-up time.
@@ -23,9 +23,9 @@
 const MIN_START_CAPACITY: f64 = 0.01;
 
 impl Sender {
-    /// Advances the recovery of a route after a successful call: an ejected route begins to recover,
-    /// or becomes healthy at once if it was only slow or throttled, and a route that has recovered
-    /// for long enough becomes healthy.
+    /// Advances the recovery of a route after a successful call: an ejected route begins to
+    /// recover, or becomes healthy without a slow start if it was only slow or throttled, and a
+    /// route that has recovered for long enough becomes healthy.
     pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
         let now = self.now;
         let warm_up_time = self.settings.safety.warm_up_time;
@@ -33,8 +33,9 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         match route.health {
-            // a trial call succeeds, few calls failed, and the route was ejected only for a short
-            // time, for missing answers or by the fleet: it was throttled or slow, not unavailable
+            // a trial call succeeds, few calls failed, and the route was ejected for missing
+            // answers, or by the fleet's health reports, or only for a short time: it was slow or
+            // throttled, not unavailable
             Health::Ejected { may_be_slow, since }
                 if route.is_trusted() && (may_be_slow || now - since < short_ejection) =>
             {
@@ -56,8 +57,9 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         route.limit_failure_score();
-        // the destination came back at some time between the last failure and now; one of many
-        // senders tries seldom, so the recovery is taken to have begun up to half of that time ago
+        // the destination came back at some time between its ejection, or the last failure if that
+        // is later, and now; one of many senders tries seldom, so the recovery is taken to have
+        // begun up to half of that time ago
         let unobserved_time = now - route.failed_at.max(ejected_since);
         let since = now - (unobserved_time as f64 / 2.0 * contention) as Micros;
         route.health = Health::Recovering { since };
@@ -119,11 +121,12 @@
 
 impl Route {
     /// Returns the rate in calls per second at which calls may start now. A healthy route has its
-    /// rate limit. An ejected route gets a few trial calls, and a recovering one a slow start: this
-    /// sender's share of the recovery budget, by its usual rate there or by its fair share of a
-    /// reported limit. Protects a recovering destination against the sum of hundreds of senders.
-    /// Since that could starve a destination that was seldom called, no pause is longer than twice
-    /// the warm-up time.
+    /// rate limit. An ejected route gets a few trial calls, and a recovering one a slow start: a
+    /// rising part of the rate that the destination, once warm, presumably serves this sender, but
+    /// at most the rate limit. Protects a recovering destination against the sum of hundreds of
+    /// senders. Since that could starve a destination that was seldom called, the rate is at least
+    /// one call per two warm-up times, unless the rate limit or a start capacity below
+    /// `MIN_START_CAPACITY` makes it lower.
     pub(super) fn allowed_rate(&self, safety: &Safety, senders: f64, now: Micros) -> f64 {
         let since = match self.health {
             Health::Healthy => return self.rate_limit,
@@ -151,7 +154,7 @@
     }
 
     /// Returns the rate in calls per second at which the destination, once warm, presumably serves
-    /// this sender; the budget of a recovery follows from it.
+    /// this sender; the call rates during an ejection and a recovery follow from it.
     fn capacity_for_recovery(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
         let certain_listed_rate =
@@ -174,7 +177,7 @@
 
     /// Returns how long a recovery lasts, in microseconds. The destination came back at some time
     /// between the last failure and the first success, so in a large fleet the recovery is
-    /// prolonged by up to that time until it is certainly warm.
+    /// prolonged by up to that time, at most the warm-up time, until it is certainly warm.
     fn recovery_time(&self, since: Micros, warm_up_time: Micros, contention: f64) -> Micros {
         let uncertain_time = (since - self.failed_at).clamp(0, warm_up_time);
         warm_up_time + (uncertain_time as f64 * contention) as Micros
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Returns the id of the route for one endpoint.
+    /// Returns the id of the route for one endpoint of a destination whose endpoints have separate
+    /// limits.
     pub fn of_endpoint(destination: DestinationId, endpoint: EndpointId) -> Self {
         RouteId {
             destination,
@@ -44,8 +45,9 @@
     #[default]
     Healthy,
     Ejected {
-        /// True if the route was ejected because it left calls unanswered or because the fleet
-        /// reported the destination as unavailable, not for failures or rejections of own calls.
+        /// True if the destination may be merely slow: the route was ejected because it left calls
+        /// unanswered or because the fleet reported the destination as unavailable, not for
+        /// failures or rejections of own calls.
         may_be_slow: bool,
         since: Micros,
     },
@@ -58,7 +60,7 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Route {
     pub health: Health,
-    /// Maximum number of calls in flight.
+    /// Maximum number of calls in flight on the route; not applied while the route is ejected.
     pub concurrency_limit: f64,
     /// Time at which the concurrency limit was last decreased.
     pub concurrency_decreased_at: Micros,
@@ -94,8 +96,9 @@
     /// Times of the successful calls; those before the last overload span are dropped when the rate
     /// of successes is computed.
     pub success_times: Samples,
-    /// Highest rate, in calls per second, at which calls have succeeded; at least the fair shares
-    /// that were listed or reported.
+    /// Highest rate, in calls per second, at which calls have succeeded while the route was
+    /// healthy. Also raised to each fair share that is listed or reported, and lowered when the
+    /// fleet grows.
     pub best_rate: f64,
     /// Number of calls sent since the route was first seen.
     pub sent: u64,
@@ -103,17 +106,18 @@
     pub first_seen_at: Micros,
     /// Rate limit for all senders that the destination reports in its answers, in calls per second.
     pub reported_limit: Option<f64>,
-    /// This sender's fair share of the rate that the endpoint list or load reports give, in calls
-    /// per second; 0 if there is none.
+    /// This sender's fair share, in calls per second, of the rate that the endpoint list (times the
+    /// setting `weight_trust`) or a load report gave last; 0 if there is none.
     pub fair_share: f64,
-    /// This sender's fair share of the listed rate, in calls per second, not reduced by how far the
-    /// list is trusted; 0 if there is none.
+    /// This sender's fair share, in calls per second, of the rate that the endpoint list gives,
+    /// without the factor `weight_trust` of the settings; 0 if the list gives no rate or that
+    /// factor is 0.
     pub listed_rate: f64,
-    /// Maximum rate in calls per second; infinite until something limits it, such as a first
-    /// rejection.
+    /// Maximum rate in calls per second, not applied while the route is ejected; infinite until
+    /// something limits it, such as a first rejection.
     pub rate_limit: f64,
     /// True if a call has succeeded since the last decrease of the rate limit and since the last
-    /// failed call.
+    /// failed call; also true if neither has happened yet.
     pub succeeded: bool,
     /// Token bucket of the rate limit.
     pub bucket: TokenBucket,
