--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends the messages that are ready, the most urgent first.
+//! Sends the messages whose next attempt is due, the most urgent first.
 
 use super::routing::SendTarget;
 use super::state::{Attempt, Call, Route};
@@ -21,7 +21,7 @@
 
 impl Sender {
     pub(super) fn send_ready_messages(&mut self, actions: &mut Vec<Action>) {
-        self.index_messages_come_due();
+        self.reindex_due_messages();
         self.wake_for_next_message();
         self.unhealthy_in_flight = self.count_unhealthy_calls();
         self.candidates_examined = 0;
@@ -35,7 +35,7 @@
             self.candidates_examined += 1;
             if self.send_candidate(candidate, &mut open_calls, actions) {
                 self.readmit_skipped(candidate, &mut candidates);
-            } else if self.holds_back_group(candidate.group_side) {
+            } else if self.holds_for_whole_group(candidate.group_side) {
                 candidates.skip(candidate.group_side);
                 continue;
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    fn index_messages_come_due(&mut self) {
+    fn reindex_due_messages(&mut self) {
         while let Some(id) = self.index.next_due(self.now) {
             self.reindex(id);
         }
@@ -69,8 +69,11 @@
         self.calls.values().filter(is_unhealthy).count()
     }
 
-    /// Returns the most urgent messages of each ready group whose destination has an available
-    /// endpoint: one of those whose urgency still rises with age, and one of those whose urgency no
+    /// Returns the candidates with which a turn begins. A group holds the messages of one
+    /// destination whose next attempt is due and that have the same class, priority weight and
+    /// number of attempts, so that the same conditions prevent all of them from being sent. From
+    /// each group whose destination has an available endpoint, the candidates are the most urgent
+    /// message whose urgency still rises with age, and the most urgent message whose urgency no
     /// longer rises.
     fn first_candidates(&self) -> Candidates {
         let mut candidates = Candidates::default();
@@ -122,7 +125,7 @@
 
     /// Returns true if the reason for not sending one message of a group holds for all its
     /// messages.
-    fn holds_back_group(&self, group_side: GroupSide) -> bool {
+    fn holds_for_whole_group(&self, group_side: GroupSide) -> bool {
         !group_side.group.at_risk || self.effect(group_side.group.class) == Effect::Idempotent
     }
 
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -32,7 +32,8 @@
 struct EndedCall {
     route: RouteId,
     /// True if no attempt of the call ended before this one. Only the first outcome of a call is
-    /// used to judge its endpoint and its route.
+    /// used to judge its endpoint and its route; Retry-After delays and load reports of later ones
+    /// still apply.
     is_first_outcome: bool,
 }
 
@@ -67,7 +68,7 @@
         let Some(attempt) = self.end_attempt(result) else {
             return;
         };
-        let Some(call) = self.end_call_of(&attempt, actions) else {
+        let Some(call) = self.count_ended_attempt(&attempt, actions) else {
             return;
         };
         if let Outcome::Rejected {
@@ -93,7 +94,8 @@
         self.observe_route(&observation, actions);
     }
 
-    /// Marks the attempt as ended; returns `None` if it was not in flight.
+    /// Marks the attempt as ended and sets the backoffs of its message and key. Returns `None` if
+    /// the attempt was not in flight.
     fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let message = self.messages.get_mut(&result.message)?;
         let in_flight = |attempt: &&mut Attempt| attempt.in_flight;
@@ -115,9 +117,9 @@
         Some(ended)
     }
 
-    /// Counts an ended attempt in its call, and removes the call with its last attempt. Returns
-    /// `None` if the call is not known.
-    fn end_call_of(
+    /// Counts one attempt of a call as ended, and removes the call when all its attempts have
+    /// ended. Returns `None` if the call is not known.
+    fn count_ended_attempt(
         &mut self,
         attempt: &EndedAttempt,
         actions: &mut Vec<Action>,
@@ -230,7 +232,7 @@
         let is_new = shows_congestion && route.decrease_concurrency_limit(observation.sent, now);
         // a route with a call or more per overload span is soon ejected by its failure score; one
         // that is called less often gets a lower rate limit first
-        let is_seldom_called = route.calls_in(overload_span, now, warm_up_time) < 1.0;
+        let is_seldom_called = route.usual_calls_in(overload_span, now, warm_up_time) < 1.0;
         if is_new && nothing_succeeds && is_seldom_called {
             let decrease = RateDecrease {
                 known_rate: route.best_rate,
