--- a/src/net/agreement/session.rs
+++ b/src/net/agreement/session.rs
@@ -93,7 +93,7 @@
 
     /// The pause before the next request.
     fn pause(&mut self, granted: bool) -> Duration {
-        let jitter = 0.75 + 0.5 * self.lease.backoff.part();
+        let jitter = 0.75 + 0.5 * self.lease.backoff.random_fraction();
         if granted {
             return (self.granted_for / RENEWALS_PER_LEASE).mul_f64(jitter);
         }
@@ -101,7 +101,7 @@
         if let Some(left) = self.time_left() {
             return retry_pause(left, self.granted_for).mul_f64(jitter);
         }
-        let pause = self.lease.backoff.spread();
+        let pause = self.lease.backoff.next_delay();
         self.lease.backoff.advance(true);
         pause
     }
--- a/src/net/agreement/tests.rs
+++ b/src/net/agreement/tests.rs
@@ -1,6 +1,6 @@
 use super::session::retry_pause;
 use super::*;
-use crate::net::discovery::Shared;
+use crate::net::discovery::DiscoveryClients;
 use crate::net::events::ReportRequest;
 use crate::net::lease_client::{self, Channels};
 use crate::net::stub_registry::{
@@ -43,10 +43,10 @@
         let (settings, wanted) = watch::channel(settings.expect("good"));
         let (stop, stopping) = watch::channel(false);
         let (found, agent) = watch::channel(registry);
-        let shared = Shared {
+        let shared = DiscoveryClients {
             senders: 3,
-            asked: false,
-            ask_every: Duration::from_secs(1),
+            is_common_service: false,
+            poll_interval: Duration::from_secs(1),
         };
         let lease = RulesLease {
             dependencies: Dependencies {
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -34,7 +34,7 @@
 use thiserror::Error;
 
 /// The last good file, in the state folder.
-const KEPT_FILE: &str = "config.last";
+const LAST_VALID_FILE: &str = "config.last";
 /// How long a start tries to read a file that this machine fails to read: most of the time to be ready is left.
 const READ_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 /// A block of the file system.
@@ -88,7 +88,7 @@
 
 impl ConfigError {
     /// The file is there, and this machine failed to read it.
-    pub fn is_of_this_machine(&self) -> bool {
+    pub fn is_local(&self) -> bool {
         matches!(self, ConfigError::Read { error, .. } if is_transient(error))
     }
 }
@@ -199,7 +199,7 @@
             let text = variable("RELAY_DISCOVERY").unwrap_or(file.discovery.clone());
             address("RELAY_DISCOVERY", text)
         };
-        let last = std::fs::read(state.join(KEPT_FILE)).ok();
+        let last = std::fs::read(state.join(LAST_VALID_FILE)).ok();
         let read = read_file_with_retries()
             .and_then(|text| Config::read(text, state.clone(), None, discovery));
         let config = match (read, last) {
@@ -218,10 +218,13 @@
 
     /// Keeps the text for a start beside a broken file. Without it all goes on, but for that.
     fn keep(&self) {
-        let new = self.state_folder.join(KEPT_FILE).with_extension("new");
+        let new = self
+            .state_folder
+            .join(LAST_VALID_FILE)
+            .with_extension("new");
         let written = std::fs::create_dir_all(&self.state_folder)
             .and_then(|()| std::fs::write(&new, &self.text))
-            .and_then(|()| std::fs::rename(&new, self.state_folder.join(KEPT_FILE)));
+            .and_then(|()| std::fs::rename(&new, self.state_folder.join(LAST_VALID_FILE)));
         if let Err(error) = written {
             super::log(format_args!("configuration not kept: {error}"));
         }
@@ -265,7 +268,7 @@
             0
         };
         // the last good file stands beside the journal, twice while it is replaced
-        let kept_bytes = 2 * text.len() as u64 + BLOCK_BYTES;
+        let last_valid_bytes = 2 * text.len() as u64 + BLOCK_BYTES;
         Ok(Config {
             name,
             listen,
@@ -274,7 +277,7 @@
             passed_socket,
             state_folder,
             seed,
-            journal_bytes: disk_bytes.saturating_sub(kept_bytes + members_bytes),
+            journal_bytes: disk_bytes.saturating_sub(last_valid_bytes + members_bytes),
             text,
             max_descriptors: file.limits.sockets,
             known_list: parse_list(&file.known),
@@ -353,7 +356,7 @@
     let started = std::time::Instant::now();
     loop {
         match read_file() {
-            Err(error) if error.is_of_this_machine() && started.elapsed() < READ_TIMEOUT => {
+            Err(error) if error.is_local() && started.elapsed() < READ_TIMEOUT => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             read => return read,
--- a/src/net/config/completeness.rs
+++ b/src/net/config/completeness.rs
@@ -28,8 +28,8 @@
     check_value("", before, new)
 }
 
-fn missing(path: &str, what: &str) -> Result<(), ConfigError> {
-    Err(ConfigError::Incomplete(format!("{path}{what}")))
+fn missing(path: &str, suffix: &str) -> Result<(), ConfigError> {
+    Err(ConfigError::Incomplete(format!("{path}{suffix}")))
 }
 
 fn check_value(path: &str, before: &Value, new: &Value) -> Result<(), ConfigError> {
--- a/src/net/config/pool_settings.rs
+++ b/src/net/config/pool_settings.rs
@@ -50,10 +50,10 @@
 }
 
 /// The limits; that of all connections bounds the others, whatever order they stand in.
-fn read_limits(fields: &Map<String, Value>, most: usize) -> Result<PoolSettings, ConfigError> {
+fn read_limits(fields: &Map<String, Value>, max: usize) -> Result<PoolSettings, ConfigError> {
     let within_descriptors = "a whole number from 1 to half of limits.sockets";
-    let all = read_limit(fields, "pool.all", most, within_descriptors)?;
-    let within_all = |name| read_limit(fields, name, all.unwrap_or(most), WITHIN_ALL);
+    let all = read_limit(fields, "pool.all", max, within_descriptors)?;
+    let within_all = |name| read_limit(fields, name, all.unwrap_or(max), WITHIN_ALL);
     Ok(PoolSettings {
         all,
         per_endpoint: within_all("pool.per_endpoint")?,
@@ -67,14 +67,14 @@
 fn read_limit(
     fields: &Map<String, Value>,
     name: &'static str,
-    most: usize,
+    max: usize,
     wanted: &'static str,
 ) -> Result<Option<usize>, ConfigError> {
     let Some(value) = fields.get(name.trim_start_matches("pool.")) else {
         return Ok(None);
     };
     let number = value.as_u64().and_then(|number| number.try_into().ok());
-    match number.filter(|number| (1..=most).contains(number)) {
+    match number.filter(|number| (1..=max).contains(number)) {
         Some(number) => Ok(Some(number)),
         None => Err(wrong(name, value, wanted)),
     }
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -28,21 +28,22 @@
         .expect("a runtime");
     let local = tokio::task::LocalSet::new();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (_moves, agent) = tokio::sync::watch::channel(listener.local_addr().expect("bound"));
+    let (_address_sender, agent) =
+        tokio::sync::watch::channel(listener.local_addr().expect("bound"));
     let text = local.block_on(&runtime, async {
         let (inputs, _listed) = mpsc::unbounded_channel();
-        let shared = Shared {
+        let clients = DiscoveryClients {
             senders: 1,
-            asked: false,
-            ask_every: Duration::from_secs(1),
+            is_common_service: false,
+            poll_interval: Duration::from_secs(1),
         };
-        let (freshness, telling) = Freshness::new(true, Duration::from_secs(1), inputs.clone());
-        tokio::task::spawn_local(telling);
+        let (freshness, reporting) = Freshness::new(true, Duration::from_secs(1), inputs.clone());
+        tokio::task::spawn_local(reporting);
         let watching = watch(
             agent.clone(),
             41,
-            shared,
-            Backoff::new(shared, 1),
+            clients,
+            Backoff::new(clients, 1),
             freshness,
             inputs.clone(),
         );
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -1,14 +1,14 @@
 //! How old the known list may be by what counts as told: once that is too old, the list is stale and nothing is sent
 //! by it. The rules have no sockets; the clock is passed in, but for the one task that waits for it.
 
-use super::backoff::TOLD;
+use super::backoff::BINDING_AFTER;
 use crate::net::events::DriverInput;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
 /// After a move by SIGHUP, whatever discovery has to tell counts as told so long after the signal.
-const MOVED: Duration = Duration::from_secs(4);
+const BINDING_AFTER_MOVE: Duration = Duration::from_secs(4);
 
 /// What the list that is known is worth.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Missed {
     /// From then on it may count as told.
-    counts: Instant,
+    binding_from: Instant,
     /// Discovery itself said no: it could not be reached, and what it has counts only so long after it can be again.
-    refused: bool,
+    unavailable: bool,
 }
 
 impl State {
@@ -36,29 +36,31 @@
         match self {
             State::Fresh => None,
             State::Starting => Some(now),
-            State::Missed(missed) => Some(missed.counts + grace),
+            State::Missed(missed) => Some(missed.binding_from + grace),
         }
     }
 
     /// Nothing has come since then, for no reason that discovery gave: it may have been reached by others.
     fn silent(self, since: Instant) -> Self {
-        let counts = match self {
-            State::Missed(before) => before.counts.min(since + TOLD),
-            State::Fresh | State::Starting => since + TOLD,
+        let binding_from = match self {
+            State::Missed(before) => before.binding_from.min(since + BINDING_AFTER),
+            State::Fresh | State::Starting => since + BINDING_AFTER,
         };
         State::Missed(Missed {
-            counts,
-            refused: false,
+            binding_from,
+            unavailable: false,
         })
     }
 
     /// Discovery said no then, to a watch that it ended or to a call. An earlier silence counts on.
-    fn refused(self, at: Instant) -> Self {
+    fn unavailable(self, at: Instant) -> Self {
         match self {
-            State::Missed(Missed { refused: false, .. }) => self,
+            State::Missed(Missed {
+                unavailable: false, ..
+            }) => self,
             _ => State::Missed(Missed {
-                counts: at + TOLD,
-                refused: true,
+                binding_from: at + BINDING_AFTER,
+                unavailable: true,
             }),
         }
     }
@@ -67,12 +69,12 @@
     fn moved(self, at: Instant) -> Self {
         match self {
             State::Missed(before) => State::Missed(Missed {
-                counts: before.counts.min(at + MOVED),
+                binding_from: before.binding_from.min(at + BINDING_AFTER_MOVE),
                 ..before
             }),
             State::Fresh | State::Starting => State::Missed(Missed {
-                counts: at + MOVED,
-                refused: true,
+                binding_from: at + BINDING_AFTER_MOVE,
+                unavailable: true,
             }),
         }
     }
@@ -96,10 +98,13 @@
         let start = if pushed {
             State::Starting
         } else {
-            State::Fresh.refused(Instant::now())
+            State::Fresh.unavailable(Instant::now())
         };
-        let (state, seen) = watch::channel(start);
-        (Freshness(state), tell(seen, pushed, grace, inputs))
+        let (state, state_changes) = watch::channel(start);
+        (
+            Freshness(state),
+            report_staleness(state_changes, pushed, grace, inputs),
+        )
     }
 
     /// A watch or a call is silent since then; an earlier silence that no new watch has ended counts on.
@@ -108,8 +113,8 @@
     }
 
     /// Discovery said no to a call that was made then, or ended a watch that it last told something.
-    pub fn refused(&self, at: Instant) {
-        self.0.send_modify(|state| *state = state.refused(at));
+    pub fn unavailable(&self, at: Instant) {
+        self.0.send_modify(|state| *state = state.unavailable(at));
     }
 
     /// SIGHUP has moved discovery.
@@ -119,13 +124,13 @@
     }
 
     /// A new watch has told something, which is all that was missed.
-    pub fn told(&self) {
+    pub fn received(&self) {
         self.0
             .send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
     }
 
     /// The first try has ended without a word.
-    pub fn started(&self) {
+    pub fn first_try_ended(&self) {
         self.0.send_if_modified(|state| {
             let starting = *state == State::Starting;
             *state = if starting { State::Fresh } else { *state };
@@ -134,9 +139,9 @@
     }
 
     /// From when something that was missed may count as told.
-    pub fn counts(&self) -> Option<Instant> {
+    pub fn binding_from(&self) -> Option<Instant> {
         match *self.0.borrow() {
-            State::Missed(missed) => Some(missed.counts),
+            State::Missed(missed) => Some(missed.binding_from),
             State::Fresh | State::Starting => None,
         }
     }
@@ -147,22 +152,22 @@
     }
 }
 
-async fn tell(
-    mut seen: watch::Receiver<State>,
+async fn report_staleness(
+    mut state_changes: watch::Receiver<State>,
     mut stale: bool,
     grace: Duration,
     inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
     loop {
-        let state = *seen.borrow_and_update();
+        let state = *state_changes.borrow_and_update();
         let from = state.stale_from(Instant::now(), grace);
-        let now = from.is_some_and(|from| from <= Instant::now());
-        if now != stale {
-            stale = now;
+        let is_stale = from.is_some_and(|from| from <= Instant::now());
+        if is_stale != stale {
+            stale = is_stale;
             if let State::Missed(missed) = state {
-                let counted = missed.counts.elapsed();
+                let binding_for = missed.binding_from.elapsed();
                 crate::net::log(format_args!(
-                    "discovery: changes may count as told for {counted:?}, nothing is sent until it tells"
+                    "discovery: changes may count as told for {binding_for:?}, nothing is sent until it tells"
                 ));
             }
             if inputs.send(DriverInput::ListStale(stale)).is_err() {
@@ -170,7 +175,7 @@
             }
         }
         tokio::select! {
-            changed = seen.changed() => if changed.is_err() { return },
+            changed = state_changes.changed() => if changed.is_err() { return },
             () = sleep_until(from.unwrap_or_else(Instant::now)), if from.is_some() && !stale => {}
         }
     }
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -4,7 +4,7 @@
 
 const GRACE: Duration = Duration::from_millis(1500);
 
-fn told(inputs: &mut mpsc::UnboundedReceiver<DriverInput>) -> Vec<bool> {
+fn reported(inputs: &mut mpsc::UnboundedReceiver<DriverInput>) -> Vec<bool> {
     std::iter::from_fn(|| inputs.try_recv().ok())
         .map(|input| match input {
             DriverInput::ListStale(stale) => stale,
@@ -15,8 +15,8 @@
 
 fn started(pushed: bool) -> (Freshness, mpsc::UnboundedReceiver<DriverInput>) {
     let (inputs, received) = mpsc::unbounded_channel();
-    let (freshness, tells) = Freshness::new(pushed, GRACE, inputs);
-    tokio::spawn(tells);
+    let (freshness, reporting) = Freshness::new(pushed, GRACE, inputs);
+    tokio::spawn(reporting);
     (freshness, received)
 }
 
@@ -28,62 +28,62 @@
 ) -> (Vec<bool>, Vec<bool>) {
     let slack = Duration::from_millis(20);
     tokio::time::sleep_until(from + after - slack).await;
-    let before = told(received);
+    let before = reported(received);
     tokio::time::sleep(2 * slack).await;
-    (before, told(received))
+    (before, reported(received))
 }
 
 #[tokio::test(start_paused = true)]
 async fn silences_in_a_row_count_from_the_first_and_a_word_ends_them() {
     let (freshness, mut received) = started(false);
-    freshness.told();
+    freshness.received();
     let start = Instant::now();
     freshness.silent(start);
     tokio::time::sleep(Duration::from_millis(3000)).await;
     freshness.silent(Instant::now());
-    assert_eq!(freshness.counts(), Some(start + TOLD));
+    assert_eq!(freshness.binding_from(), Some(start + BINDING_AFTER));
     assert_eq!(
-        around(&mut received, start, TOLD + GRACE).await,
+        around(&mut received, start, BINDING_AFTER + GRACE).await,
         (vec![false], vec![true])
     );
-    freshness.started();
-    freshness.refused(Instant::now());
+    freshness.first_try_ended();
+    freshness.unavailable(Instant::now());
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(
-        told(&mut received),
+        reported(&mut received),
         Vec::<bool>::new(),
         "only a word of discovery ends a silence"
     );
-    freshness.told();
+    freshness.received();
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(told(&mut received), [false]);
+    assert_eq!(reported(&mut received), [false]);
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(
-        told(&mut received),
+        reported(&mut received),
         Vec::<bool>::new(),
-        "an open watch tells all"
+        "no staleness is reported while a watch is open"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_discovery_has_counts_so_long_after_its_last_no() {
     let (freshness, mut received) = started(false);
-    freshness.told();
+    freshness.received();
     let mut last = Instant::now();
-    freshness.refused(last);
+    freshness.unavailable(last);
     // down for a minute, and asked every few seconds
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_secs(3)).await;
         last = Instant::now();
-        freshness.refused(last);
+        freshness.unavailable(last);
     }
     assert_eq!(
-        told(&mut received),
+        reported(&mut received),
         [false],
         "what can't be reached can't count"
     );
     assert_eq!(
-        around(&mut received, last, TOLD + GRACE).await,
+        around(&mut received, last, BINDING_AFTER + GRACE).await,
         (vec![], vec![true])
     );
 }
@@ -91,16 +91,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_that_was_given_up_counts_on_from_the_last_no() {
     let (freshness, mut received) = started(false);
-    freshness.told();
-    let no = Instant::now();
-    freshness.refused(no);
+    freshness.received();
+    let unavailable_at = Instant::now();
+    freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.silent(Instant::now());
     // it may have been back in between, and a later no takes nothing of that away
     tokio::time::sleep(Duration::from_secs(2)).await;
-    freshness.refused(Instant::now());
+    freshness.unavailable(Instant::now());
     assert_eq!(
-        around(&mut received, no, TOLD + GRACE).await,
+        around(&mut received, unavailable_at, BINDING_AFTER + GRACE).await,
         (vec![false], vec![true])
     );
 }
@@ -108,33 +108,33 @@
 #[tokio::test(start_paused = true)]
 async fn a_move_counts_sooner_and_a_second_one_takes_no_time_away() {
     let (freshness, mut received) = started(false);
-    freshness.told();
+    freshness.received();
     let first = Instant::now();
     freshness.moved();
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.moved();
     assert_eq!(
-        around(&mut received, first, MOVED + GRACE).await,
+        around(&mut received, first, BINDING_AFTER_MOVE + GRACE).await,
         (vec![false], vec![true])
     );
     // the new address says no: it counts so long after it can be reached
-    let no = Instant::now();
-    freshness.refused(no);
+    let unavailable_at = Instant::now();
+    freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_millis(10)).await;
-    assert_eq!(told(&mut received), [false]);
+    assert_eq!(reported(&mut received), [false]);
     assert_eq!(
-        around(&mut received, no, TOLD + GRACE).await,
+        around(&mut received, unavailable_at, BINDING_AFTER + GRACE).await,
         (vec![], vec![true])
     );
     // during a silence the sooner of both holds
-    freshness.told();
+    freshness.received();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(told(&mut received), [false]);
+    assert_eq!(reported(&mut received), [false]);
     let silent = Instant::now();
     freshness.silent(silent);
     tokio::time::sleep(Duration::from_millis(2500)).await;
     freshness.moved();
-    assert_eq!(freshness.counts(), Some(silent + TOLD));
+    assert_eq!(freshness.binding_from(), Some(silent + BINDING_AFTER));
 }
 
 #[tokio::test(start_paused = true)]
@@ -142,23 +142,23 @@
     let start = Instant::now();
     let (_freshness, mut received) = started(false);
     assert_eq!(
-        around(&mut received, start, TOLD + GRACE).await,
+        around(&mut received, start, BINDING_AFTER + GRACE).await,
         (vec![false], vec![true])
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn where_lists_are_pushed_a_start_is_stale_until_its_first_try_has_ended() {
-    for by_word in [false, true] {
+    for list_received in [false, true] {
         let (freshness, mut received) = started(true);
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert_eq!(told(&mut received), [true]);
-        if by_word {
-            freshness.told()
+        assert_eq!(reported(&mut received), [true]);
+        if list_received {
+            freshness.received()
         } else {
-            freshness.started()
+            freshness.first_try_ended()
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
-        assert_eq!(told(&mut received), [false]);
+        assert_eq!(reported(&mut received), [false]);
     }
 }
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -1,6 +1,6 @@
 //! The notices that end undelivered messages.
 
-use super::backoff::RETRY_FIRST;
+use super::backoff::INITIAL_RETRY_DELAY;
 use crate::net::end_proof::EndProof;
 use crate::net::events::{AcceptedNotifications, DriverInput};
 use crate::net::http_client::{CallError, call};
@@ -19,13 +19,13 @@
 use tokio::time::{Instant, sleep_until};
 
 /// The agent answers notices at once; one that is posted again does no harm.
-const ANSWER: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// A message's end is overdue 300 ms after its time: what fails for a moment must not delay it beyond that.
-const RETRY_MOST: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Posts on their way at once. Each may wait for its answer while others are due; a connection is a descriptor.
 const MAX_POSTS: usize = 8;
 /// Notices in one request, some 60 bytes each; the next request has the next ones.
-const BATCH: usize = 200;
+const MAX_BATCH_NOTICES: usize = 200;
 
 /// A notice that is owed, by the number of its message.
 #[derive(Debug)]
@@ -83,9 +83,9 @@
             () = sleep_until(retry_at.unwrap_or_else(Instant::now)), if retry_at.is_some() => {
                 poster.retry_at = None;
             }
-            Ok(()) = poster.agent.changed() => poster.moved(),
+            Ok(()) = poster.agent.changed() => poster.address_changed(),
         }
-        poster.post_owed();
+        poster.post_pending();
     }
 }
 
@@ -96,12 +96,12 @@
 struct Poster {
     agent: Receiver<SocketAddr>,
     /// Those that no post carries now, by number.
-    owed: BTreeMap<u64, OutcomeNotification>,
+    pending: BTreeMap<u64, OutcomeNotification>,
     posts: JoinSet<PostResult>,
     /// What each post carries, which is owed until it is accepted.
-    carried: HashMap<task::Id, Vec<OutcomeNotification>>,
+    in_flight: HashMap<task::Id, Vec<OutcomeNotification>>,
     /// The next pause after a failure.
-    delay: Duration,
+    retry_delay: Duration,
     /// Nothing is posted before; none: at once.
     retry_at: Option<Instant>,
     /// The last post failed, which is logged.
@@ -112,25 +112,25 @@
     fn new(agent: Receiver<SocketAddr>) -> Self {
         Poster {
             agent,
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             posts: JoinSet::new(),
-            carried: HashMap::new(),
-            delay: RETRY_FIRST,
+            in_flight: HashMap::new(),
+            retry_delay: INITIAL_RETRY_DELAY,
             retry_at: None,
             failing: false,
         }
     }
 
     fn add(&mut self, notice: OutcomeNotification) {
-        self.owed.insert(notice.number, notice);
+        self.pending.insert(notice.number, notice);
     }
 
     /// Posts what is owed, unless there is a pause or as many posts are on their way as may be.
-    fn post_owed(&mut self) {
-        while self.retry_at.is_none() && !self.owed.is_empty() && self.posts.len() < MAX_POSTS {
+    fn post_pending(&mut self) {
+        while self.retry_at.is_none() && !self.pending.is_empty() && self.posts.len() < MAX_POSTS {
             let mut batch = Vec::new();
-            while batch.len() < BATCH
-                && let Some((_, notice)) = self.owed.pop_first()
+            while batch.len() < MAX_BATCH_NOTICES
+                && let Some((_, notice)) = self.pending.pop_first()
             {
                 batch.push(notice);
             }
@@ -138,7 +138,7 @@
             let numbers = batch.iter().map(|notice| notice.number).collect();
             let text = batch.iter().map(line_of).collect();
             let post = self.posts.spawn_local(post(address, numbers, text));
-            self.carried.insert(post.id(), batch);
+            self.in_flight.insert(post.id(), batch);
         }
     }
 
@@ -151,10 +151,10 @@
             Ok(ended) => ended,
             Err(error) => (error.id(), Err(error.into())),
         };
-        let batch = self.carried.remove(&post).unwrap_or_default();
+        let batch = self.in_flight.remove(&post).unwrap_or_default();
         match result {
             Ok(accepted) => {
-                self.delay = RETRY_FIRST;
+                self.retry_delay = INITIAL_RETRY_DELAY;
                 self.failing = false;
                 Some(accepted)
             }
@@ -172,18 +172,18 @@
         }
         batch.into_iter().for_each(|notice| self.add(notice));
         if self.retry_at.is_none() {
-            self.retry_at = Some(Instant::now() + self.delay);
-            self.delay = if error.is_local() {
-                RETRY_FIRST
+            self.retry_at = Some(Instant::now() + self.retry_delay);
+            self.retry_delay = if error.is_local() {
+                INITIAL_RETRY_DELAY
             } else {
-                (self.delay * 2).min(RETRY_MOST)
+                (self.retry_delay * 2).min(MAX_RETRY_DELAY)
             };
         }
     }
 
     /// The platform has another address.
-    fn moved(&mut self) {
-        self.delay = RETRY_FIRST;
+    fn address_changed(&mut self) {
+        self.retry_delay = INITIAL_RETRY_DELAY;
         self.retry_at = None;
     }
 }
@@ -196,7 +196,7 @@
         .header(CONTENT_TYPE, "application/x-ndjson")
         .body(Full::new(Bytes::from(text)));
     let answer = match request {
-        Ok(request) => call(address, request, ANSWER).await,
+        Ok(request) => call(address, request, ANSWER_TIMEOUT).await,
         Err(error) => Err(CallError::from(error)),
     };
     let status = answer
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -6,10 +6,10 @@
 use serde_json::{Deserializer, Value};
 
 /// A longer value is not kept.
-const LONGEST: usize = 4 << 20;
+const MAX_VALUE_BYTES: usize = 4 << 20;
 /// A value that is not whole yet is looked at again once it has grown by such a part, or has an end in sight: looking
 /// at each piece anew would take the square of its length.
-const GROWN: usize = 64;
+const MIN_GROWTH_DIVISOR: usize = 64;
 
 #[derive(Deserialize)]
 struct Line {
@@ -73,61 +73,61 @@
 
 /// What a watch has sent so far and nobody has read yet.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct ListReader {
     buffer: Vec<u8>,
     /// Bytes that were looked at without finding a whole value.
-    looked: usize,
+    parsed_len: usize,
     /// What came is dropped until a line begins with an object.
-    lost: bool,
+    skipping: bool,
 }
 
 /// What came of some bytes.
 #[derive(Debug, Default)]
-pub struct Read {
+pub struct ReadResult {
     /// Lists, in order; none: a value that is no list.
     pub lists: Vec<Option<ListUpdate>>,
     /// The beginning of what could not be read.
     pub unreadable: Option<String>,
 }
 
-impl Reading {
+impl ListReader {
     /// Takes further bytes in.
-    pub fn take(&mut self, bytes: &[u8]) -> Read {
-        let mut read = Read::default();
+    pub fn read(&mut self, bytes: &[u8]) -> ReadResult {
+        let mut read = ReadResult::default();
         self.buffer.extend_from_slice(bytes);
         let ends = bytes.trim_ascii_end().ends_with(b"}");
         if !ends
-            && !self.lost
-            && self.looked > 0
-            && self.buffer.len() - self.looked < self.looked / GROWN
+            && !self.skipping
+            && self.parsed_len > 0
+            && self.buffer.len() - self.parsed_len < self.parsed_len / MIN_GROWTH_DIVISOR
         {
             return read;
         }
         loop {
-            if self.lost && !self.find_line() {
+            if self.skipping && !self.skip_to_object_line() {
                 break;
             }
             let (used, problem) = self.values(&mut read);
             self.buffer.drain(..used);
-            self.looked = self.buffer.len();
-            if !problem && self.buffer.len() <= LONGEST {
+            self.parsed_len = self.buffer.len();
+            if !problem && self.buffer.len() <= MAX_VALUE_BYTES {
                 break;
             }
             let start = self.buffer[..self.buffer.len().min(80)].trim_ascii();
             read.unreadable
                 .get_or_insert_with(|| String::from_utf8_lossy(start).into_owned());
-            self.lost = true;
+            self.skipping = true;
         }
         read
     }
 
     /// Whether nothing of a value has come that is not whole yet.
-    pub fn is_between(&self) -> bool {
-        self.buffer.is_empty() && !self.lost
+    pub fn is_at_value_boundary(&self) -> bool {
+        self.buffer.is_empty() && !self.skipping
     }
 
     /// Reads whole values; how many bytes they took, and whether what follows can't be read.
-    fn values(&self, read: &mut Read) -> (usize, bool) {
+    fn values(&self, read: &mut ReadResult) -> (usize, bool) {
         let mut values = Deserializer::from_slice(&self.buffer).into_iter::<Value>();
         let mut used = 0;
         loop {
@@ -143,12 +143,12 @@
     }
 
     /// Drops all up to the next line that begins with an object, but the last bytes where there is none.
-    fn find_line(&mut self) -> bool {
+    fn skip_to_object_line(&mut self) -> bool {
         let line = self.buffer.windows(2).position(|two| two == b"\n{");
         let drop = line.map_or(self.buffer.len().saturating_sub(1), |at| at + 1);
         self.buffer.drain(..drop);
-        self.looked = 0;
-        self.lost = line.is_none();
+        self.parsed_len = 0;
+        self.skipping = line.is_none();
         line.is_some()
     }
 }
@@ -164,8 +164,8 @@
     }
 
     fn versions(pieces: &[&[u8]]) -> Vec<Option<u64>> {
-        let mut reading = Reading::default();
-        let lists = pieces.iter().flat_map(|piece| reading.take(piece).lists);
+        let mut reading = ListReader::default();
+        let lists = pieces.iter().flat_map(|piece| reading.read(piece).lists);
         lists.map(|list| list.map(|list| list.version)).collect()
     }
 
@@ -202,10 +202,10 @@
             list(2, "b")
         );
         for size in [1, 7, 4096] {
-            let mut reading = Reading::default();
+            let mut reading = ListReader::default();
             let (mut lists, mut told) = (Vec::new(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
-                let read = reading.take(piece);
+                let read = reading.read(piece);
                 lists.extend(
                     read.lists
                         .into_iter()
@@ -220,13 +220,13 @@
 
     #[test]
     fn a_value_without_end_is_given_up_and_a_long_list_costs_no_square() {
-        let mut reading = Reading::default();
+        let mut reading = ListReader::default();
         let piece = vec![b'['; 1 << 16];
         let told = (0..100)
-            .filter(|_| reading.take(&piece).unreadable.is_some())
+            .filter(|_| reading.read(&piece).unreadable.is_some())
             .count();
-        assert!(told >= 1 && reading.buffer.len() <= LONGEST + piece.len());
-        let read = reading.take(format!("\n{}\n", list(4, "a")).as_bytes());
+        assert!(told >= 1 && reading.buffer.len() <= MAX_VALUE_BYTES + piece.len());
+        let read = reading.read(format!("\n{}\n", list(4, "a")).as_bytes());
         assert_eq!(read.lists.len(), 1);
         // ten thousand endpoints, in pieces of a segment
         let targets: Vec<Value> = (0..10_000)
@@ -237,21 +237,21 @@
             json!({ "rev": 9, "all": true, "targets": targets })
         )
         .into_bytes();
-        let mut reading = Reading::default();
-        let mut looks = 0;
+        let mut reading = ListReader::default();
+        let mut parses = 0;
         let lists: usize = text
             .chunks(1448)
             .map(|piece| {
-                let before = reading.looked;
-                let read = reading.take(piece);
-                looks += usize::from(reading.looked != before);
+                let before = reading.parsed_len;
+                let read = reading.read(piece);
+                parses += usize::from(reading.parsed_len != before);
                 read.lists.len()
             })
             .sum();
         assert_eq!(lists, 1);
         assert!(
-            looks < 600,
-            "looked at {looks} times in {} pieces",
+            parses < 600,
+            "parsed {parses} times in {} pieces",
             text.len() / 1448
         );
     }
--- a/src/net/process/reload.rs
+++ b/src/net/process/reload.rs
@@ -49,7 +49,7 @@
             let before = self.text.clone();
             let read = tokio::task::spawn_blocking(move || Config::reread(&before)).await;
             match read {
-                Ok(Err(error)) if error.is_of_this_machine() => {
+                Ok(Err(error)) if error.is_local() => {
                     self.log
                         .log(format_args!("SIGHUP: configuration not read yet: {error}"));
                     sleep(RETRY_INTERVAL).await;
--- a/src/net/process/tasks.rs
+++ b/src/net/process/tasks.rs
@@ -53,12 +53,12 @@
     }
 
     /// What all clients of discovery and the registry know of the fleet.
-    fn discovery_clients(&self) -> discovery::Shared {
+    fn discovery_clients(&self) -> discovery::DiscoveryClients {
         let settings = &self.process.config.settings;
-        discovery::Shared {
+        discovery::DiscoveryClients {
             senders: settings.senders,
-            asked: settings.list_by_subscription,
-            ask_every: span(settings.safety.poll_interval),
+            is_common_service: settings.list_by_subscription,
+            poll_interval: span(settings.safety.poll_interval),
         }
     }
 
--- a/src/wire/base64.rs
+++ b/src/wire/base64.rs
@@ -14,10 +14,10 @@
             .iter()
             .fold(0u32, |bits, &byte| bits << 8 | u32::from(byte))
             << (8 * (3 - chunk.len()));
-        for place in 0..4 {
-            let six = (bits >> (18 - 6 * place) & 63) as usize;
-            text.push(if place <= chunk.len() {
-                char::from(ALPHABET[six])
+        for index in 0..4 {
+            let sextet = (bits >> (18 - 6 * index) & 63) as usize;
+            text.push(if index <= chunk.len() {
+                char::from(ALPHABET[sextet])
             } else {
                 '='
             });
@@ -31,17 +31,17 @@
         return Ok(Vec::new());
     }
     let body = text.trim_end_matches('=');
-    let (mut bits, mut held, mut bytes) = (0u32, 0, Vec::new());
-    for letter in body.bytes() {
-        let Some(six) = ALPHABET.iter().position(|&known| known == letter) else {
+    let (mut bits, mut pending_bits, mut bytes) = (0u32, 0, Vec::new());
+    for character in body.bytes() {
+        let Some(sextet) = ALPHABET.iter().position(|&known| known == character) else {
             return fault("base64", text);
         };
-        bits = bits << 6 | six as u32;
-        held += 6;
-        if held >= 8 {
-            held -= 8;
-            bytes.push((bits >> held) as u8);
-            bits &= (1 << held) - 1;
+        bits = bits << 6 | sextet as u32;
+        pending_bits += 6;
+        if pending_bits >= 8 {
+            pending_bits -= 8;
+            bytes.push((bits >> pending_bits) as u8);
+            bits &= (1 << pending_bits) - 1;
         }
     }
     if text.len().is_multiple_of(4) {
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -17,37 +17,37 @@
         Fields(line.split(' '))
     }
 
-    pub(super) fn text(&mut self, what: &str) -> Result<&'a str, Fault> {
+    pub(super) fn text(&mut self, expected: &str) -> Result<&'a str, Fault> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
-            _ => fault(what, "end of line"),
+            _ => fault(expected, "end of line"),
         }
     }
 
-    pub(super) fn number(&mut self, what: &str) -> Result<f64, Fault> {
-        let text = self.text(what)?;
-        parse_number(text, what)
+    pub(super) fn number(&mut self, expected: &str) -> Result<f64, Fault> {
+        let text = self.text(expected)?;
+        parse_number(text, expected)
     }
 
-    pub(super) fn time(&mut self, what: &str) -> Result<Micros, Fault> {
-        Ok(to_micros(self.number(what)?))
+    pub(super) fn time(&mut self, expected: &str) -> Result<Micros, Fault> {
+        Ok(to_micros(self.number(expected)?))
     }
 
-    pub(super) fn whole(&mut self, what: &str) -> Result<u64, Fault> {
-        let text = self.text(what)?;
-        parse_whole(text, what)
+    pub(super) fn whole(&mut self, expected: &str) -> Result<u64, Fault> {
+        let text = self.text(expected)?;
+        parse_whole(text, expected)
     }
 
-    pub(super) fn optional(&mut self, what: &str) -> Result<Option<&'a str>, Fault> {
-        let text = self.text(what)?;
+    pub(super) fn optional(&mut self, expected: &str) -> Result<Option<&'a str>, Fault> {
+        let text = self.text(expected)?;
         Ok(if text == "-" { None } else { Some(text) })
     }
 
-    pub(super) fn flag(&mut self, what: &str) -> Result<bool, Fault> {
-        match self.text(what)? {
+    pub(super) fn flag(&mut self, expected: &str) -> Result<bool, Fault> {
+        match self.text(expected)? {
             "1" => Ok(true),
             "0" | "-" => Ok(false),
-            other => fault(what, other),
+            other => fault(expected, other),
         }
     }
 
@@ -71,20 +71,20 @@
     }
 }
 
-pub(super) fn parse_number(text: &str, what: &str) -> Result<f64, Fault> {
+pub(super) fn parse_number(text: &str, expected: &str) -> Result<f64, Fault> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
-        _ => fault(what, text),
+        _ => fault(expected, text),
     }
 }
 
-pub(super) fn parse_whole(text: &str, what: &str) -> Result<u64, Fault> {
+pub(super) fn parse_whole(text: &str, expected: &str) -> Result<u64, Fault> {
     if let Ok(value) = text.parse::<u64>() {
         return Ok(value);
     }
     match text.parse::<f64>() {
         Ok(value) if (0.0..9.1e15).contains(&value) && value.fract() == 0.0 => Ok(value as u64),
-        _ => fault(what, text),
+        _ => fault(expected, text),
     }
 }
 
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -4,7 +4,7 @@
 use super::instance::Instance;
 use super::lines::{Lines, WireError};
 use super::printing::print;
-use super::reading::{KNOWN, check_row, read_batch_head, read_event, read_list_head};
+use super::reading::{EVENT_WORDS, check_row, read_batch_head, read_event, read_list_head};
 use super::settings::{Pairs, read_settings};
 use crate::decisions::Sender;
 use crate::interface::{Action, Micros};
@@ -15,8 +15,8 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
-    lists: BTreeMap<u64, Vec<String>>,
-    order: Vec<String>,
+    endpoint_lists: BTreeMap<u64, Vec<String>>,
+    batch_order: Vec<String>,
     actions: Vec<Action>,
 }
 
@@ -45,7 +45,7 @@
                 continue;
             }
             let now = lines.check(read_batch_head)?;
-            self.order.clear();
+            self.batch_order.clear();
             loop {
                 if !lines.next(&mut input)? {
                     lines.number += 1;
@@ -92,14 +92,14 @@
             check_row(row).map_err(|(expected, found)| lines.error(&expected, &found))?;
             list.push(row.to_string());
         }
-        self.lists.insert(number, list);
+        self.endpoint_lists.insert(number, list);
         Ok(())
     }
 
     fn event(&mut self, line: &str) -> Result<(), Fault> {
         let mut fields = Fields::new(line);
         let word = fields.text("a message")?;
-        if !KNOWN.contains(&word) {
+        if !EVENT_WORDS.contains(&word) {
             return fault("a known message", word);
         }
         let id = fields.text("an instance")?;
@@ -111,13 +111,13 @@
         };
         if word == "crash_now" {
             self.instances.remove(id);
-            self.order.retain(|name| name != id);
+            self.batch_order.retain(|name| name != id);
             return Ok(());
         }
-        let event = read_event(word, &mut fields, instance, &self.lists)?;
+        let event = read_event(word, &mut fields, instance, &self.endpoint_lists)?;
         instance.events.push(event);
-        if !self.order.iter().any(|name| name == id) {
-            self.order.push(id.to_string());
+        if !self.batch_order.iter().any(|name| name == id) {
+            self.batch_order.push(id.to_string());
         }
         Ok(())
     }
@@ -137,13 +137,13 @@
             Sender::new(settings, seed).map_err(|e| (e.to_string(), "begin".to_string()))?;
         self.instances
             .insert(id.to_string(), Instance::new(sender, names));
-        self.order.retain(|name| name != id);
-        self.order.push(id.to_string());
+        self.batch_order.retain(|name| name != id);
+        self.batch_order.push(id.to_string());
         Ok(())
     }
 
     fn reply(&mut self, now: Micros, reply: &mut String) {
-        for id in &self.order {
+        for id in &self.batch_order {
             let Some(instance) = self.instances.get_mut(id) else {
                 continue;
             };
--- a/src/wire/instance.rs
+++ b/src/wire/instance.rs
@@ -1,6 +1,6 @@
 //! One instance on the wire.
 
-use super::numbered::Numbered;
+use super::numbered::NameNumbers;
 use super::settings::Names;
 use crate::decisions::Sender;
 use crate::interface::Event;
@@ -9,8 +9,8 @@
 pub(super) struct Instance {
     pub(super) sender: Sender,
     pub(super) names: Names,
-    pub(super) messages: Numbered,
-    pub(super) endpoints: Numbered,
+    pub(super) messages: NameNumbers,
+    pub(super) endpoints: NameNumbers,
     pub(super) events: Vec<Event>,
 }
 
@@ -20,8 +20,8 @@
         Instance {
             sender,
             names,
-            messages: Numbered::default(),
-            endpoints: Numbered::default(),
+            messages: NameNumbers::default(),
+            endpoints: NameNumbers::default(),
             events: Vec::new(),
         }
     }
--- a/src/wire/numbered.rs
+++ b/src/wire/numbered.rs
@@ -4,23 +4,23 @@
 
 /// Words of the host on one side, numbers of the module on the other.
 #[derive(Default)]
-pub(super) struct Numbered {
-    by_word: BTreeMap<String, u64>,
-    words: Vec<String>,
+pub(super) struct NameNumbers {
+    by_name: BTreeMap<String, u64>,
+    names: Vec<String>,
 }
 
-impl Numbered {
-    pub(super) fn number(&mut self, word: &str) -> u64 {
-        if let Some(&number) = self.by_word.get(word) {
+impl NameNumbers {
+    pub(super) fn number(&mut self, name: &str) -> u64 {
+        if let Some(&number) = self.by_name.get(name) {
             return number;
         }
-        let number = self.words.len() as u64;
-        self.words.push(word.to_string());
-        self.by_word.insert(word.to_string(), number);
+        let number = self.names.len() as u64;
+        self.names.push(name.to_string());
+        self.by_name.insert(name.to_string(), number);
         number
     }
 
-    pub(super) fn word(&self, number: u64) -> &str {
-        &self.words[number as usize]
+    pub(super) fn name(&self, number: u64) -> &str {
+        &self.names[number as usize]
     }
 }
--- a/src/wire/printing.rs
+++ b/src/wire/printing.rs
@@ -39,8 +39,8 @@
 }
 
 pub(super) fn print(reply: &mut String, id: &str, action: &Action, instance: &Instance) {
-    let message = |m: &MessageId| instance.messages.word(m.0);
-    let endpoint = |e: &EndpointId| instance.endpoints.word(u64::from(e.0));
+    let message = |m: &MessageId| instance.messages.name(m.0);
+    let endpoint = |e: &EndpointId| instance.endpoints.name(u64::from(e.0));
     let written = match action {
         Action::Send {
             message: m,
@@ -64,7 +64,7 @@
             message: m,
             retry_after,
         } => match retry_after {
-            Some(wait) => writeln!(reply, "shed {id} {} {}", message(m), Seconds(*wait)),
+            Some(delay) => writeln!(reply, "shed {id} {} {}", message(m), Seconds(*delay)),
             None => writeln!(reply, "shed {id} {} -", message(m)),
         },
         Action::Fail(m) => writeln!(reply, "report_failure {id} {}", message(m)),
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -3,7 +3,7 @@
 use super::base64::decode;
 use super::fields::{Fault, Fields, fault, outcome, parse_number, parse_whole};
 use super::instance::Instance;
-use super::numbered::Numbered;
+use super::numbered::NameNumbers;
 use super::settings::{Names, position};
 use crate::interface::{
     EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, MessageId, Micros, NewMessage,
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// The first words of all lines in a batch but those of lists.
-pub(super) const KNOWN: [&str; 10] = [
+pub(super) const EVENT_WORDS: [&str; 10] = [
     "begin",
     "crash_now",
     "announce",
@@ -46,7 +46,7 @@
 
 /// Checks a row of a list before any instance needs it.
 pub(super) fn check_row(row: &str) -> Result<(), Fault> {
-    read_row(row, &mut Numbered::default(), &Names::default()).map(drop)
+    read_row(row, &mut NameNumbers::default(), &Names::default()).map(drop)
 }
 
 /// What a line tells a running instance; the fields after its word and its instance.
@@ -57,12 +57,12 @@
     lists: &BTreeMap<u64, Vec<String>>,
 ) -> Result<Event, Fault> {
     match word {
-        "announce" => announce(fields, instance, lists),
-        "demand" => demand(fields, instance),
-        "first_byte" => first_byte(fields, instance),
-        "outcome" => ended(fields, instance),
+        "announce" => endpoint_list(fields, instance, lists),
+        "demand" => new_message(fields, instance),
+        "first_byte" => response_started(fields, instance),
+        "outcome" => attempt_ended(fields, instance),
         "dropped" => Ok(Event::MessageAbandoned(message(fields, instance)?)),
-        "echo" => probed(fields, instance),
+        "echo" => health_check_ended(fields, instance),
         "heard" => {
             let from = fields.whole("a sender's number")? as u32;
             Ok(Event::PeerNote {
@@ -89,7 +89,7 @@
     ))
 }
 
-fn first_byte(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn response_started(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let message = message(fields, instance)?;
     fields.number("a latency")?;
     let attempt = fields.whole("an attempt")? as usize;
@@ -97,7 +97,7 @@
     Ok(Event::ResponseStarted { message, attempt })
 }
 
-fn ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn attempt_ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let message = message(fields, instance)?;
     let attempt = fields.whole("an attempt")? as usize;
     let endpoint = endpoint(fields, instance)?;
@@ -120,7 +120,7 @@
     })
 }
 
-fn probed(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn health_check_ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     fields.number("a latency")?;
     let endpoint = endpoint(fields, instance)?;
     let outcome = outcome(fields.outcome_word()?, 0.0);
@@ -131,7 +131,7 @@
     })
 }
 
-fn read_row(row: &str, endpoints: &mut Numbered, names: &Names) -> Result<EndpointEntry, Fault> {
+fn read_row(row: &str, endpoints: &mut NameNumbers, names: &Names) -> Result<EndpointEntry, Fault> {
     let mut fields = Fields::new(row);
     let endpoint = EndpointId(endpoints.number(fields.text("an endpoint")?) as u32);
     let zone = position(&names.zones, fields.text("a zone")?) as u16;
@@ -156,7 +156,7 @@
     })
 }
 
-fn announce(
+fn endpoint_list(
     fields: &mut Fields,
     instance: &mut Instance,
     lists: &BTreeMap<u64, Vec<String>>,
@@ -168,9 +168,9 @@
         "failed" => return Ok(Event::EndpointListFailed),
         other => return fault("delta, full, cached or failed", other),
     };
-    let bank = fields.whole("a list number")?;
-    let Some(rows) = lists.get(&bank) else {
-        return fault("a list sent before", &bank.to_string());
+    let number = fields.whole("a list number")?;
+    let Some(rows) = lists.get(&number) else {
+        return fault("a list sent before", &number.to_string());
     };
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
@@ -179,7 +179,7 @@
     Ok(Event::EndpointList { scope, entries })
 }
 
-fn demand(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn new_message(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let id = message(fields, instance)?;
     let time_left = fields.time("time left")?;
     let tenant = fields
--- a/src/wire/reading/tests.rs
+++ b/src/wire/reading/tests.rs
@@ -55,13 +55,13 @@
         read("demand m1 2.5 tin 77 18 40 0.5 order"),
         Event::Accepted(new_message())
     );
-    let again = NewMessage {
+    let resubmitted = NewMessage {
         orphan: false,
         ..new_message()
     };
     assert_eq!(
         read("demand m1 2.5 tin 77 2 40 - order"),
-        Event::Accepted(again)
+        Event::Accepted(resubmitted)
     );
     let orphan = NewMessage {
         resubmitted: false,
@@ -191,18 +191,18 @@
         }
     );
     assert_eq!(read("tick_due wake"), Event::TimerExpired);
-    let probed = |outcome, report| Event::HealthCheckEnded {
+    let health_check_ended = |outcome, report| Event::HealthCheckEnded {
         endpoint: EndpointId(2),
         outcome,
         report,
     };
     assert_eq!(
         read("echo 0.01 e2 delivered 30.5,0.25"),
-        probed(Outcome::Success, vec![30.5, 0.25])
+        health_check_ended(Outcome::Success, vec![30.5, 0.25])
     );
     assert_eq!(
         read("echo 0.01 e2 shed"),
-        probed(Outcome::Rejected { retry_after: None }, Vec::new())
+        health_check_ended(Outcome::Rejected { retry_after: None }, Vec::new())
     );
     assert_eq!(read_batch_head("batch 1.0000015"), Ok(SECOND + 2));
     assert_eq!(read_list_head("4 17"), Ok((4, 17)));
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -34,15 +34,15 @@
         }
     }
 
-    fn need(&self, path: &str) -> Result<f64, SettingsError> {
+    fn required(&self, path: &str) -> Result<f64, SettingsError> {
         self.number(path)?.ok_or_else(|| missing(path))
     }
 
-    fn or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+    fn number_or(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         Ok(self.number(path)?.unwrap_or(default))
     }
 
-    fn span_or(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
+    fn duration_or(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
         Ok(self.number(path)?.map_or(default, to_micros))
     }
 
@@ -92,18 +92,18 @@
         zones: owned(pairs.list("zones")),
         kinds: owned(pairs.list("machineTypes")),
         report_fields: owned(pairs.list("report.fields")),
-        dial_timeout: pairs.span_or("caps.dialTimeout", SECOND)?,
+        dial_timeout: pairs.duration_or("caps.dialTimeout", SECOND)?,
         ..Names::default()
     };
-    let slots = pairs.need("specifics.callSlots")? as usize;
-    let mut settings = Settings::new(slots, pairs.need("caps.maxOpen")? as usize);
-    settings.senders = pairs.need("balancers")? as u32;
+    let call_slots = pairs.required("specifics.callSlots")? as usize;
+    let mut settings = Settings::new(call_slots, pairs.required("caps.maxOpen")? as usize);
+    settings.senders = pairs.required("balancers")? as u32;
     settings.zone = position(&names.zones, pairs.text("az").unwrap_or("")) as u16;
     read_caps(pairs, &mut settings)?;
     read_sources(pairs, &mut settings);
     read_prices(pairs, &mut settings)?;
     settings.safety = read_safety(pairs, &settings.safety)?;
-    for index in 0..pairs.need("classes.count")? as usize {
+    for index in 0..pairs.required("classes.count")? as usize {
         let class = read_class(pairs, index)?;
         names.classes.push(class.name.clone());
         settings.classes.push(class);
@@ -119,14 +119,14 @@
 }
 
 fn read_caps(pairs: &Pairs, settings: &mut Settings) -> Result<(), SettingsError> {
-    settings.max_attempts = pairs.need("caps.mostTries")? as usize;
+    settings.max_attempts = pairs.required("caps.mostTries")? as usize;
     settings.hedging_allowed = pairs.flag("caps.secondCopies");
     settings.cancellation_allowed = pairs.flag("caps.mayCancel");
     settings.health_checks_allowed = pairs.flag("caps.mayProbe");
     settings.notes_allowed = pairs.flag("caps.peers");
-    settings.connection_idle_timeout = pairs.span_or("caps.connIdle", 0)?;
+    settings.connection_idle_timeout = pairs.duration_or("caps.connIdle", 0)?;
     if pairs.flag("caps.retryAfter") {
-        settings.max_retry_after = pairs.span_or("caps.maxRetryAfter", 0)?;
+        settings.max_retry_after = pairs.duration_or("caps.maxRetryAfter", 0)?;
     }
     Ok(())
 }
@@ -147,10 +147,10 @@
 }
 
 fn read_prices(pairs: &Pairs, settings: &mut Settings) -> Result<(), SettingsError> {
-    settings.price_cross_zone = pairs.or("prices.crossZone", 0.0)?;
-    settings.price_health_check = pairs.or("prices.probe", 0.0)?;
-    settings.price_waste = pairs.or("prices.waste", 0.0)?;
-    settings.over_share_weight = pairs.or("overShareWorth", 1.0)?;
+    settings.price_cross_zone = pairs.number_or("prices.crossZone", 0.0)?;
+    settings.price_health_check = pairs.number_or("prices.probe", 0.0)?;
+    settings.price_waste = pairs.number_or("prices.waste", 0.0)?;
+    settings.over_share_weight = pairs.number_or("overShareWorth", 1.0)?;
     for fee in pairs.list("specifics.zoneFee") {
         let parsed = fee.parse().map_err(|_| SettingsError::NotANumber {
             setting: "specifics.zoneFee".to_string(),
@@ -166,14 +166,14 @@
 
 fn read_safety(pairs: &Pairs, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
-        drain_grace: to_micros(pairs.need("safety.stopSendingWithin")?),
-        warm_up_time: to_micros(pairs.need("safety.cold")?),
-        start_capacity: pairs.need("safety.startCapacity")?,
-        overload_multiple: pairs.need("safety.fallMultiple")?,
-        overload_span: to_micros(pairs.need("safety.fall")?),
-        answer_grace: pairs.span_or("safety.graceToAnswer", default.answer_grace)?,
-        key_backoff: pairs.span_or("safety.turnGap", 0)?,
-        poll_interval: pairs.span_or("safety.askEvery", default.poll_interval)?,
+        drain_grace: to_micros(pairs.required("safety.stopSendingWithin")?),
+        warm_up_time: to_micros(pairs.required("safety.cold")?),
+        start_capacity: pairs.required("safety.startCapacity")?,
+        overload_multiple: pairs.required("safety.fallMultiple")?,
+        overload_span: to_micros(pairs.required("safety.fall")?),
+        answer_grace: pairs.duration_or("safety.graceToAnswer", default.answer_grace)?,
+        key_backoff: pairs.duration_or("safety.turnGap", 0)?,
+        poll_interval: pairs.duration_or("safety.askEvery", default.poll_interval)?,
     })
 }
 
@@ -185,10 +185,10 @@
     Ok(Class {
         name: name.to_string(),
         effect: read_effect(pairs, path)?,
-        latency_objective: to_micros(pairs.need(&path("aim"))?),
-        deadline: to_micros(pairs.need(&path("deadline"))?),
-        priority_weight: pairs.or(&path("worth"), 1.0)?,
-        late_share: pairs.or(&path("lateShare"), 0.0)?,
+        latency_objective: to_micros(pairs.required(&path("aim"))?),
+        deadline: to_micros(pairs.required(&path("deadline"))?),
+        priority_weight: pairs.number_or(&path("worth"), 1.0)?,
+        late_share: pairs.number_or(&path("lateShare"), 0.0)?,
         ordered: pairs.flag(&path("oneAtATime")),
     })
 }
@@ -197,7 +197,7 @@
     match pairs.text(&path("effect")) {
         Some("idempotent") => Ok(Effect::Idempotent),
         Some("deduplicated") => Ok(Effect::IdempotencyKey {
-            window: to_micros(pairs.need(&path("window"))?),
+            window: to_micros(pairs.required(&path("window"))?),
             same_zone_only: pairs.text(&path("group")) != Some("all"),
         }),
         Some("at_most_once") => Ok(Effect::NonIdempotent),
@@ -234,12 +234,12 @@
 
 fn read_tenants(pairs: &Pairs) -> Result<Vec<Tenant>, SettingsError> {
     let mut tenants = Vec::new();
-    for index in 0..pairs.or("realms.count", 0.0)? as usize {
+    for index in 0..pairs.number_or("realms.count", 0.0)? as usize {
         let name = pairs
             .text(&format!("realms.{index}.name"))
             .unwrap_or("")
             .to_string();
-        let allowance = pairs.need(&format!("realms.{index}.allowancePerS"))?;
+        let allowance = pairs.required(&format!("realms.{index}.allowancePerS"))?;
         tenants.push(Tenant { name, allowance });
     }
     Ok(tenants)
