--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,59 +1,73 @@
-//! How long to back off before asking discovery again, and by when what a silent watch missed counts as told.
+//! Delays between calls to discovery.
+//!
+//! The platform holds a sender to a list change after a while, whether the change has arrived or not: from then on the
+//! change is binding. The delays let a sender receive missed changes before they become binding.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// An empty line is due every 2 s; a watch that is silent for longer has lost its connection.
+/// Time without data after which a watch counts as disconnected. Discovery sends at least an empty line every 2 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// What a silent watch missed counts as told so long after its last byte, arrived or not.
+/// Time after which a change that the sender has not received becomes binding. It counts from the last byte of a silent
+/// watch, or from when discovery can be reached again.
 pub const BINDING_AFTER: Duration = Duration::from_secs(6);
+/// First delay before a retry by a sender that does not share discovery with many others.
 pub const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before a retry by a sender that does not share discovery with many others.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
-/// The same for each sender that shares discovery: so many calls a second may come from all together, where all
-/// have lost their watches at one moment.
+/// First delay for each sender that shares discovery: when all senders lose their watches at the same time, their first
+/// retries reach discovery 25 ms apart on average.
 const INITIAL_DELAY_PER_SENDER: Duration = Duration::from_millis(25);
+/// Maximum delay for each sender that shares discovery: during a long outage the retries of all senders reach discovery
+/// 300 ms apart on average.
 const MAX_DELAY_PER_SENDER: Duration = Duration::from_millis(300);
-/// No longer than this, however many senders there are said to be: what discovery has counts as told [`TOLD`] after
-/// it can be reached again, and a call that finds it may take [`SILENCE`]. A backoff is half as long again at most.
+/// Upper bound of the nominal delay for any configured number of senders. Changes become binding [`BINDING_AFTER`] after
+/// discovery can be reached again, and the call that reaches it may take [`SILENCE_TIMEOUT`]. The drawn delay is at most
+/// one and a half times the nominal one.
 const MAX_NOMINAL_DELAY: Duration =
     Duration::from_millis((BINDING_AFTER.as_millis() - SILENCE_TIMEOUT.as_millis()) as u64 * 2 / 3);
-/// Tries of senders whose watches all fell silent at one moment are spread over this at most: with [`SILENCE`] it
-/// leaves a quarter of [`TOLD`] for the answer.
+/// Maximum time over which senders spread their calls after their watches fell silent together. After this time and
+/// [`SILENCE_TIMEOUT`] a quarter of [`BINDING_AFTER`] is left for the answer.
 const MAX_SILENCE_SPREAD: Duration = Duration::from_millis(2000);
-/// A sender that has not asked for the settings' time is held to what was listed then; one whose call failed, for so
-/// many times that.
+/// Ratio between two validity times of a list. The list of a sender that makes no call is valid for
+/// [`DiscoveryClients::poll_interval`]; the list of a sender whose call failed is valid for four times as long.
 const FAILED_CALL_VALIDITY_FACTOR: f64 = 4.0;
-/// Part of such a time that the longest backoff fills, which lasts one and a half times what is due.
+/// Nominal delay as a share of the time for which the list is valid. The drawn delay is at most one and a half times the
+/// nominal one, so it ends within 0.9 of that time.
 const VALIDITY_SHARE: f64 = 0.9 / 1.5;
 
-/// Who shares discovery, and how it is told apart.
+/// Number of senders that call discovery, and how they receive lists.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DiscoveryClients {
-    /// Senders that ask it.
+    /// Number of senders that call the same discovery.
     pub senders: u32,
-    /// It is asked: one service for all. Else each sender has an agent of its own, to which lists are pushed.
+    /// True if all senders call one common discovery service. False if each sender has its own agent on the local host,
+    /// to which the lists are pushed.
     pub is_common_service: bool,
-    /// Where it is asked: for how long the list of a sender that neither watches nor asks is good.
+    /// Time for which a list remains valid for a sender that neither watches nor calls a common discovery service.
     pub poll_interval: Duration,
 }
 
-/// How long to back off between two tries: longer each time, never just as long as others do, and by the number of
-/// senders, since their tries together are what discovery must bear.
+/// Randomized exponential backoff between calls. The delays grow with the number of senders, because discovery must
+/// bear the calls of all of them together.
 #[derive(Debug)]
 pub struct Backoff {
     random: Pcg32,
+    /// Nominal delay after a success.
     initial_delay: Duration,
+    /// Upper bound of the nominal delay after repeated failures.
     max_delay: Duration,
+    /// Nominal delay before the next call, before randomization.
     delay: Duration,
-    /// Between the tries of all senders that contend for discovery at once.
+    /// Time over which all senders together spread their calls, at 25 ms for each sender.
     contention: Duration,
 }
 
 impl Backoff {
-    /// For one of so many senders.
+    /// Creates the backoff of one sender among `clients`, with the random seed `seed`.
     pub fn new(clients: DiscoveryClients, seed: u64) -> Self {
-        // an agent of one's own bears as many tries as one sender makes
+        // a sender's own agent serves no other sender
         let senders = if clients.is_common_service {
             clients.senders
         } else {
@@ -83,7 +97,7 @@
         }
     }
 
-    /// Longer backoffs from now on, or again the first.
+    /// Doubles the nominal delay after a failure, up to the maximum, and resets it after a success.
     pub fn advance(&mut self, failed: bool) {
         self.delay = if failed {
             (self.delay * 2).min(self.max_delay)
@@ -92,7 +106,8 @@
         };
     }
 
-    /// The backoff before the first try; none for the few senders that can't overload discovery.
+    /// Returns the random delay before the first call of a process. It is zero if there are too few senders to overload
+    /// discovery.
     pub fn start_delay(&mut self) -> Duration {
         if self.initial_delay > MAX_RETRY_DELAY {
             self.initial_delay.mul_f64(1.5 * self.random_fraction())
@@ -101,18 +116,20 @@
         }
     }
 
-    /// The next backoff: from half to one and a half times as long as is due.
+    /// Returns a random delay between half of the nominal delay and one and a half times it.
     pub fn next_delay(&mut self) -> Duration {
         self.delay.mul_f64(0.5 + self.random_fraction())
     }
 
-    /// The backoff before a watch that fell silent is begun anew: a good part of its time has passed.
+    /// Returns the random delay before a new watch replaces a silent one. It is short, because [`SILENCE_TIMEOUT`] has
+    /// already passed since the last data.
     pub fn delay_after_silence(&mut self) -> Duration {
         self.contention
             .min(MAX_SILENCE_SPREAD)
             .mul_f64(self.random_fraction())
     }
 
+    /// Returns a random number from 0 to 1.
     pub fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! How many ask discovery when, in computed time.
+//! Tests when the senders of a fleet call discovery, on a simulated clock.
 
 use super::*;
 
@@ -10,7 +10,8 @@
     }
 }
 
-/// Tries within `from` and `to` of so many senders that all lose their watches at 0 and find no room.
+/// Counts the calls between the times `from` and `to` of senders that all lose their watches at time 0 and whose calls
+/// all fail.
 fn tries(senders: u32, from: Duration, to: Duration) -> usize {
     let count = |seed| {
         let (mut backoff, mut at, mut count) = (
@@ -29,10 +30,10 @@
 }
 
 #[test]
-fn many_senders_together_try_seldom_and_few_try_soon() {
+fn call_rate_is_bounded_for_many_senders_and_retries_are_fast_for_few() {
     let second = Duration::from_secs(1);
     assert!(tries(2, Duration::ZERO, second) >= 6);
-    // as seldom as the clock of what counts as told allows: a rest and a call fit into it
+    // the nominal delay is as long as BINDING_AFTER allows, with one call in it
     for senders in [24, 48, 300] {
         let tries = tries(senders, 20 * second, 40 * second) as f64;
         let max_tries =
@@ -43,8 +44,8 @@
         );
     }
     let first = tries(48, Duration::ZERO, second / 10);
-    assert_eq!(first, 0, "none comes back at once");
-    // those that start at one moment do not ask at one moment, where they have a list
+    assert_eq!(first, 0, "no sender of many retries immediately");
+    // senders that start together with a known list spread their first calls
     let mut starts: Vec<_> = (0..48)
         .map(|seed| Backoff::new(common_service(48), seed).start_delay())
         .collect();
@@ -54,7 +55,7 @@
         Backoff::new(common_service(3), 1).start_delay(),
         Duration::ZERO
     );
-    // a number that makes no sense keeps none from the list
+    // an absurdly large configured number of senders does not make the delays unbounded
     let mut absurd = Backoff::new(common_service(u32::MAX), 1);
     assert!(
         absurd.start_delay() <= BINDING_AFTER - SILENCE_TIMEOUT
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn no_rest_outlasts_the_time_for_which_a_list_is_good_nor_that_after_which_changes_count() {
+fn delays_end_before_list_validity_and_before_changes_become_binding() {
     for senders in [1, 30, 300, 3000, u32::MAX] {
         for seed in 0..200 {
             let clients = common_service(senders);
@@ -88,7 +89,7 @@
             );
         }
     }
-    // an agent of one's own is asked soon, however many other senders there are
+    // calls to a sender's own agent are not delayed by the number of other senders
     let mut own = Backoff::new(
         DiscoveryClients {
             is_common_service: false,
@@ -103,8 +104,8 @@
 }
 
 #[test]
-fn hundreds_that_fall_silent_together_are_back_in_time_without_a_crowd() {
-    // a discovery that takes 5 ms for each call, one after another; 300 senders, all silent since 0
+fn three_hundred_senders_with_silent_watches_reconnect_in_time_without_queueing_long() {
+    // discovery handles one call at a time, in 5 ms; the watches of all 300 senders are silent since time 0
     let mut calls: Vec<Duration> = (0..300)
         .map(|seed| SILENCE_TIMEOUT + Backoff::new(common_service(300), seed).delay_after_silence())
         .collect();
@@ -120,21 +121,21 @@
     );
     assert!(
         last_answer < BINDING_AFTER - Duration::from_secs(1),
-        "the last has its answer at {last_answer:?}"
+        "the last sender gets its answer at {last_answer:?}"
     );
     assert!(
         max_wait < Duration::from_millis(250),
-        "one waits for {max_wait:?}"
+        "a sender waits for {max_wait:?}"
     );
-    // alone, at once
+    // a single sender reconnects almost immediately
     assert!(Backoff::new(common_service(1), 1).delay_after_silence() <= Duration::from_millis(25));
 }
 
 #[test]
-fn hundreds_find_a_discovery_that_is_back_before_what_it_has_counts() {
-    // down for so long, with a no to each call at once; then 5 ms for each call, one after another
+fn three_hundred_senders_reach_restored_discovery_before_its_changes_become_binding() {
+    // while down, discovery rejects each call immediately; afterwards it handles one call at a time, in 5 ms
     for down in [1, 8, 60].map(Duration::from_secs) {
-        let found = (0..300).map(|seed| {
+        let call_times = (0..300).map(|seed| {
             let (mut backoff, mut at) = (Backoff::new(common_service(300), seed), Duration::ZERO);
             while at < down {
                 at += backoff.next_delay();
@@ -142,10 +143,10 @@
             }
             at
         });
-        let mut found: Vec<Duration> = found.collect();
-        found.sort_unstable();
+        let mut call_times: Vec<Duration> = call_times.collect();
+        call_times.sort_unstable();
         let (mut idle_at, mut longest) = (down, Duration::ZERO);
-        for at in found {
+        for at in call_times {
             idle_at = idle_at.max(at) + Duration::from_millis(5);
             longest = longest.max(idle_at - at);
         }
@@ -155,7 +156,7 @@
         );
         assert!(
             longest < SILENCE_TIMEOUT / 2,
-            "down for {down:?}: one waits for {longest:?}"
+            "down for {down:?}: a sender waits for {longest:?}"
         );
     }
 }
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -1,27 +1,28 @@
-//! Requests to discovery, byte for byte, and what is read of its lists.
+//! Compares the requests to discovery with recorded bytes, and parsed lists with recorded results.
 
 use super::*;
 use crate::net::http_golden as golden;
 use crate::net::journal::UndeliveredOutcome;
 use std::io::{Read, Write};
 
-/// One request on a connection to the listener, up to this end, which is answered so.
+/// Accepts a connection, reads from it until the text ends with `end`, sends `answer` and returns the text read.
 fn request_to(listener: &std::net::TcpListener, end: &str, answer: &str) -> String {
     let mut stream = listener.accept().expect("a call").0;
-    let mut seen = String::new();
+    let mut received = String::new();
     let mut byte = [0];
-    while !seen.ends_with(end) {
+    while !received.ends_with(end) {
         stream.read_exact(&mut byte).expect("more");
-        seen.push(char::from(byte[0]));
+        received.push(char::from(byte[0]));
     }
     stream.write_all(answer.as_bytes()).expect("written");
     let address = listener.local_addr().expect("bound");
-    seen.replace(&address.to_string(), "DISCOVERY")
+    received
+        .replace(&address.to_string(), "DISCOVERY")
         .replace("\r\n", "\n")
 }
 
 #[test]
-fn requests_to_discovery_are_the_recorded_bytes() {
+fn requests_to_discovery_match_recorded_bytes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -100,27 +101,33 @@
 }
 
 #[test]
-fn lists_are_read_as_recorded() {
+fn parsed_lists_match_recorded_results() {
     let target = |state: &str| {
         serde_json::json!({ "uid": "s-1", "endpoint": "10.1.0.18:8000", "az": "a", "model": "one",
             "pod_group": 7, "state": state, "capacity_hint": 1.5, "boot_ms": 3 })
     };
-    let mut short = target("up");
+    let mut required_keys_only = target("up");
     for key in ["az", "model", "capacity_hint"] {
-        short.as_object_mut().expect("an object").remove(key);
+        required_keys_only
+            .as_object_mut()
+            .expect("an object")
+            .remove(key);
     }
-    let mut cut = target("up");
-    cut.as_object_mut().expect("an object").remove("pod_group");
-    let mut elsewhere = target("up");
-    elsewhere["endpoint"] = "nowhere".into();
+    let mut without_destination = target("up");
+    without_destination
+        .as_object_mut()
+        .expect("an object")
+        .remove("pod_group");
+    let mut invalid_address = target("up");
+    invalid_address["endpoint"] = "nowhere".into();
     let targets = [
         target("up"),
         target("draining"),
         target("removed"),
         target("lost"),
-        short,
-        cut,
-        elsewhere,
+        required_keys_only,
+        without_destination,
+        invalid_address,
     ];
     let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets }))
         .expect("a list");
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -1,5 +1,8 @@
-//! How old the known list may be by what counts as told: once that is too old, the list is stale and nothing is sent
-//! by it. The rules have no sockets; the clock is passed in, but for the one task that waits for it.
+//! Decides when the known endpoint list is stale, so that sending must be suspended.
+//!
+//! A list change becomes binding after a while even if the sender has not received it. The list is stale once changes
+//! that the sender may have missed have been binding for a grace period. The state transitions take the time as an
+//! argument; only `report_staleness` waits for the clock.
 
 use super::backoff::BINDING_AFTER;
 use crate::net::events::DriverInput;
@@ -7,31 +10,32 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// After a move by SIGHUP, whatever discovery has to tell counts as told so long after the signal.
+/// Time after a change of discovery's address by SIGHUP from which all changes at the new address are binding.
 const BINDING_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// What the list that is known is worth.
+/// How current the known list is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// A watch is open and has told something: all that was told has come, as far as can be known.
+    /// A watch is open and has received data, so no change is known to be missing.
     Fresh,
-    /// The first try of this process has not ended: the agent may hold a later list, which counts as told.
+    /// The first call of this process has not ended. The agent may hold a newer list, whose changes are binding already.
     Starting,
-    /// No watch is open, or it is silent.
+    /// No watch is open, or the open watch is silent, so changes may have been missed.
     Missed(Missed),
 }
 
-/// What may have been missed.
+/// When changes that the sender may have missed become binding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Missed {
-    /// From then on it may count as told.
+    /// Earliest time at which a missed change may be binding.
     binding_from: Instant,
-    /// Discovery itself said no: it could not be reached, and what it has counts only so long after it can be again.
+    /// True if discovery was unavailable at the last call. Changes then become binding only [`BINDING_AFTER`] after it can
+    /// be reached again, so each further failed call moves `binding_from` to a later time.
     unavailable: bool,
 }
 
 impl State {
-    /// From when the list is stale; none: it is not.
+    /// Returns the time from which the list is stale, or `None` while no change can have been missed.
     fn stale_from(self, now: Instant, grace: Duration) -> Option<Instant> {
         match self {
             State::Fresh => None,
@@ -40,7 +44,8 @@
         }
     }
 
-    /// Nothing has come since then, for no reason that discovery gave: it may have been reached by others.
+    /// Returns the state after a watch or call that received nothing since `since` and no reason for that. Discovery may be
+    /// running and announcing changes to other senders.
     fn silent(self, since: Instant) -> Self {
         let binding_from = match self {
             State::Missed(before) => before.binding_from.min(since + BINDING_AFTER),
@@ -52,7 +57,8 @@
         })
     }
 
-    /// Discovery said no then, to a watch that it ended or to a call. An earlier silence counts on.
+    /// Returns the state after discovery was unavailable at `at`: it ended a watch, or refused or rejected a call. An
+    /// earlier silence keeps its binding time.
     fn unavailable(self, at: Instant) -> Self {
         match self {
             State::Missed(Missed {
@@ -65,7 +71,7 @@
         }
     }
 
-    /// The list is asked for elsewhere since then.
+    /// Returns the state after discovery's address changed at `at`.
     fn moved(self, at: Instant) -> Self {
         match self {
             State::Missed(before) => State::Missed(Missed {
@@ -80,20 +86,21 @@
     }
 }
 
-/// Knows of each silence, refusal and move, and tells the module when the list is stale.
+/// Tracks how current the endpoint list is, from the results of watches and calls. The list's state is shared by clones.
 #[derive(Debug, Clone)]
 pub struct Freshness(watch::Sender<State>);
 
 impl Freshness {
-    /// That of a process that starts, and what tells the inputs of it until both ends are gone. Where lists are
-    /// pushed, it waits for what its agent has; where they are asked for, the list that it starts with is good for as
-    /// long as any. Nothing may be sent any more for `grace` after a change counts as told.
+    /// Creates the state at the start of a process, and the future that sends changes of staleness to `inputs` until
+    /// either end is dropped. If lists are pushed, the list is stale until the first call to the agent has ended.
+    /// Otherwise the list that the process starts with stays valid as if discovery had just become unavailable. The list
+    /// becomes stale `grace` after a missed change may be binding.
     pub fn new(
         pushed: bool,
         grace: Duration,
         inputs: mpsc::UnboundedSender<DriverInput>,
     ) -> (Self, impl Future<Output = ()>) {
-        // the first turn must know
+        // the first turn of the decision module must already know whether the list is stale
         let _ = inputs.send(DriverInput::ListStale(pushed));
         let start = if pushed {
             State::Starting
@@ -107,29 +114,32 @@
         )
     }
 
-    /// A watch or a call is silent since then; an earlier silence that no new watch has ended counts on.
+    /// Records that a watch or call has received nothing since `since`. An earlier silence keeps its binding time until a
+    /// watch receives data.
     pub fn silent(&self, since: Instant) {
         self.0.send_modify(|state| *state = state.silent(since));
     }
 
-    /// Discovery said no to a call that was made then, or ended a watch that it last told something.
+    /// Records that discovery was unavailable. `at` is the start of the refused or rejected call, or the time of the last
+    /// data of a watch that discovery ended.
     pub fn unavailable(&self, at: Instant) {
         self.0.send_modify(|state| *state = state.unavailable(at));
     }
 
-    /// SIGHUP has moved discovery.
+    /// Records that a SIGHUP has changed discovery's address.
     pub fn moved(&self) {
         self.0
             .send_modify(|state| *state = state.moved(Instant::now()));
     }
 
-    /// A new watch has told something, which is all that was missed.
+    /// Records that a watch has received data: the list or an empty line. With it the sender has all missed changes.
     pub fn received(&self) {
         self.0
             .send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
     }
 
-    /// The first try has ended without a word.
+    /// Records that a call has ended without a list. If it was the first call of the process, the list that the process
+    /// started with may be used.
     pub fn first_try_ended(&self) {
         self.0.send_if_modified(|state| {
             let starting = *state == State::Starting;
@@ -138,7 +148,7 @@
         });
     }
 
-    /// From when something that was missed may count as told.
+    /// Returns the earliest time at which a missed change may be binding, or `None` if no change can have been missed.
     pub fn binding_from(&self) -> Option<Instant> {
         match *self.0.borrow() {
             State::Missed(missed) => Some(missed.binding_from),
@@ -146,12 +156,13 @@
         }
     }
 
-    /// Whether the first try has not ended.
+    /// Returns true until the first call of the process to its agent has ended.
     pub fn is_starting(&self) -> bool {
         *self.0.borrow() == State::Starting
     }
 }
 
+/// Sends a `ListStale` input each time the list becomes stale or current again.
 async fn report_staleness(
     mut state_changes: watch::Receiver<State>,
     mut stale: bool,
@@ -167,7 +178,7 @@
             if let State::Missed(missed) = state {
                 let binding_for = missed.binding_from.elapsed();
                 crate::net::log(format_args!(
-                    "discovery: changes may count as told for {binding_for:?}, nothing is sent until it tells"
+                    "discovery: list is stale, missed changes may be binding for {binding_for:?}; sending is suspended"
                 ));
             }
             if inputs.send(DriverInput::ListStale(stale)).is_err() {
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -1,4 +1,4 @@
-//! When the list is stale, in passed time.
+//! Tests when the list becomes stale and current again, on tokio's paused clock.
 
 use super::*;
 
@@ -20,7 +20,7 @@
     (freshness, received)
 }
 
-/// What the module hears until just before, and until just after, so long after `from`.
+/// Returns the staleness reports up to 20 ms before the time `from + after`, and those within 20 ms around it.
 async fn around(
     received: &mut mpsc::UnboundedReceiver<DriverInput>,
     from: Instant,
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silences_in_a_row_count_from_the_first_and_a_word_ends_them() {
+async fn repeated_silences_make_list_stale_after_first_until_data_is_received() {
     let (freshness, mut received) = started(false);
     freshness.received();
     let start = Instant::now();
@@ -52,7 +52,7 @@
     assert_eq!(
         reported(&mut received),
         Vec::<bool>::new(),
-        "only a word of discovery ends a silence"
+        "only data from discovery ends a silence"
     );
     freshness.received();
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -66,12 +66,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_discovery_has_counts_so_long_after_its_last_no() {
+async fn list_becomes_stale_after_binding_time_from_last_unavailable_call() {
     let (freshness, mut received) = started(false);
     freshness.received();
     let mut last = Instant::now();
     freshness.unavailable(last);
-    // down for a minute, and asked every few seconds
+    // discovery is down for a minute and called every 3 s
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_secs(3)).await;
         last = Instant::now();
@@ -80,7 +80,7 @@
     assert_eq!(
         reported(&mut received),
         [false],
-        "what can't be reached can't count"
+        "changes at an unavailable discovery are not binding"
     );
     assert_eq!(
         around(&mut received, last, BINDING_AFTER + GRACE).await,
@@ -89,14 +89,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_was_given_up_counts_on_from_the_last_no() {
+async fn call_timeout_after_unavailable_call_keeps_binding_time() {
     let (freshness, mut received) = started(false);
     freshness.received();
     let unavailable_at = Instant::now();
     freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.silent(Instant::now());
-    // it may have been back in between, and a later no takes nothing of that away
+    // discovery may have been available in between, so a later unavailable call does not postpone the binding time
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.unavailable(Instant::now());
     assert_eq!(
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_move_counts_sooner_and_a_second_one_takes_no_time_away() {
+async fn address_change_shortens_binding_time_and_second_change_keeps_it() {
     let (freshness, mut received) = started(false);
     freshness.received();
     let first = Instant::now();
@@ -117,7 +117,7 @@
         around(&mut received, first, BINDING_AFTER_MOVE + GRACE).await,
         (vec![false], vec![true])
     );
-    // the new address says no: it counts so long after it can be reached
+    // discovery is unavailable at the new address, so the binding time starts again
     let unavailable_at = Instant::now();
     freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -126,7 +126,7 @@
         around(&mut received, unavailable_at, BINDING_AFTER + GRACE).await,
         (vec![], vec![true])
     );
-    // during a silence the sooner of both holds
+    // during a silence the earlier of both binding times applies
     freshness.received();
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(reported(&mut received), [false]);
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_it_is_asked_a_start_trusts_its_list_no_longer_than_any() {
+async fn list_at_start_becomes_stale_after_binding_time_with_common_discovery() {
     let start = Instant::now();
     let (_freshness, mut received) = started(false);
     assert_eq!(
@@ -148,7 +148,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_lists_are_pushed_a_start_is_stale_until_its_first_try_has_ended() {
+async fn list_at_start_is_stale_until_first_call_ends_with_pushed_lists() {
     for list_received in [false, true] {
         let (freshness, mut received) = started(true);
         tokio::time::sleep(Duration::from_secs(60)).await;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,5 +1,7 @@
-//! The platform's agent: the watch of the endpoint list. Beside it: `reading` lists from bytes, `backoff` between tries,
-//! `freshness` when the list is too old to send by, `notices` that end undelivered messages.
+//! Client of discovery: watches the endpoint list and posts outcome notifications.
+//!
+//! `reading` parses lists, `backoff` spaces the calls to discovery, `freshness` decides when the list is too old to send
+//! by, and `notices` posts the notifications that end undelivered messages.
 
 mod backoff;
 mod freshness;
@@ -26,9 +28,11 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// An agent of one's own is on this machine and answers at once; a call that is owed gets at least as long.
+/// Minimum timeout of a call to discovery. The sender's own agent runs on the local host and answers within this time;
+/// a call to a common discovery gets at least this time even when changes are about to become binding.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// What such an agent holds comes right after its head.
+/// Time that a local agent has to send its stored list after the head of its answer. If nothing comes, the agent has no
+/// list.
 const INITIAL_LIST_WAIT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Error)]
@@ -37,9 +41,9 @@
     Silent,
     #[error("answered {0}")]
     Status(StatusCode),
-    #[error("the stream ended")]
+    #[error("discovery ended the stream")]
     Ended,
-    #[error("it told what can't be read: the whole list is asked for")]
+    #[error("received text that can't be parsed; requesting the full list")]
     Unreadable,
     #[error(transparent)]
     Connect(#[from] CallError),
@@ -47,7 +51,8 @@
     Http(#[from] hyper::Error),
 }
 
-/// Watches the list for ever, wherever the agent is, and hands each change on.
+/// Watches the endpoint list until the receiver of `inputs` is dropped and sends each received list there. Starts a new
+/// watch after each failure, and at the new address when the address in `agent` changes.
 pub async fn watch(
     agent: Receiver<SocketAddr>,
     version: u64,
@@ -77,15 +82,16 @@
     backoff: Backoff,
     freshness: Freshness,
     inputs: mpsc::UnboundedSender<DriverInput>,
-    /// Something could not be read: the next watch asks for the whole list, and takes of it what can be read.
+    /// True if the last watch received text that could not be parsed. The next watch then requests the full list and uses
+    /// those entries of it that can be parsed.
     full_list_needed: bool,
-    /// The last watch has told something.
+    /// True if the last watch has received a complete list or an empty line.
     list_received: bool,
 }
 
 impl Watch {
     async fn run(mut self) {
-        // with a list to serve from, many that start at one moment do not all ask at that moment
+        // a sender that already knows a list can wait, so senders that start together spread their first calls
         if self.version > 0 {
             sleep(self.backoff.start_delay()).await;
         }
@@ -113,14 +119,14 @@
                 super::log(format_args!("discovery: watch lost: {text}"));
                 logged_error = text;
             }
-            // a process that starts has waited for its agent once
+            // at a start, sending waits only until the first call to the agent has ended
             self.freshness.first_try_ended();
             if matches!(error, WatchError::Unreadable) {
                 continue;
             }
             let delay = match error {
                 WatchError::Silent => self.backoff.delay_after_silence(),
-                // it has taken its time already
+                // a local failure puts no load on discovery, so it is retried without a growing delay
                 WatchError::Connect(error) if error.is_local() => RETRY_INTERVAL,
                 _ => self.backoff.next_delay(),
             };
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Ends well only when nobody takes the changes any more.
+    /// Runs one watch until it fails. Returns `Ok` only if the receiver of `inputs` has been dropped.
     async fn watch_once(&mut self, agent: SocketAddr) -> Result<(), WatchError> {
         let requests_full = std::mem::take(&mut self.full_list_needed);
         let from = if requests_full { 0 } else { self.version };
@@ -148,7 +154,7 @@
         )
         .await;
         let response = response.inspect_err(|error| match error {
-            // an agent of one's own that refuses is down, and learns nothing
+            // a local agent that refuses connections is down and receives no changes, so the known list is current
             CallError::Connect(_) if !self.clients.is_common_service && error.is_rejection() => {
                 self.freshness.received()
             }
@@ -157,7 +163,7 @@
         })?;
         match response.status() {
             StatusCode::OK => {}
-            // so it ends calls while it is down
+            // discovery answers calls with 503 while it is down
             status @ StatusCode::SERVICE_UNAVAILABLE => {
                 self.freshness.unavailable(call_started);
                 return Err(WatchError::Status(status));
@@ -181,7 +187,7 @@
             };
             let frame = match timeout_at(last_data_at + wait, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                // so it ends watches when it goes down
+                // discovery ends its open watches when it goes down
                 Ok(ended) => {
                     self.freshness.unavailable(last_data_at);
                     return Err(ended
@@ -211,7 +217,9 @@
             for update in read.lists {
                 let Some(update) = update else {
                     unreadable = true;
-                    super::log(format_args!("discovery: text skipped: it is no list"));
+                    super::log(format_args!(
+                        "discovery: text skipped: not an endpoint list"
+                    ));
                     continue;
                 };
                 self.version = update.version;
@@ -219,7 +227,8 @@
                     return Ok(());
                 }
             }
-            // what changed meanwhile was never read; a second time what can be read must do
+            // the unparsed text may hold changes, so the full list is requested; if that can't be parsed completely
+            // either, its readable entries are used
             if unreadable && !requests_full {
                 self.full_list_needed = true;
                 self.freshness.silent(last_data_at);
@@ -232,7 +241,7 @@
         }
     }
 
-    /// How long a call may take: what was missed is to be here by the time that it counts as told.
+    /// Timeout of the next call: the missed changes should arrive before they become binding.
     fn call_timeout(&self) -> Duration {
         match self.freshness.binding_from() {
             Some(binding_from) => binding_from
@@ -244,7 +253,7 @@
     }
 }
 
-/// Backs off before another try, shorter if the agent moves meanwhile, which it tells.
+/// Waits for `delay`, or until the agent's address changes. Returns true if the address changed.
 async fn back_off_or_move(delay: Duration, agent: &mut Receiver<SocketAddr>) -> bool {
     tokio::select! {
         () = sleep(delay) => false,
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -1,4 +1,4 @@
-//! The notices that end undelivered messages.
+//! Posts the outcome notifications ("notices") of undelivered messages to the platform.
 
 use super::backoff::INITIAL_RETRY_DELAY;
 use crate::net::end_proof::EndProof;
@@ -18,24 +18,29 @@
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-/// The agent answers notices at once; one that is posted again does no harm.
+/// Time to wait for the answer to a post. The agent answers within milliseconds, and posting a notice twice is harmless.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// A message's end is overdue 300 ms after its time: what fails for a moment must not delay it beyond that.
+/// Maximum delay before a failed post is retried. A notification is overdue 300 ms after the message's deadline, and a
+/// short failure must not delay it longer.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Posts on their way at once. Each may wait for its answer while others are due; a connection is a descriptor.
+/// Maximum number of posts in flight. Several are allowed so that one unanswered post does not hold up later notices;
+/// the number is limited because each post uses a connection and thus a file descriptor.
 const MAX_POSTS: usize = 8;
-/// Notices in one request, some 60 bytes each; the next request has the next ones.
+/// Maximum number of notices in one request, about 60 bytes each. Further notices go into the next request.
 const MAX_BATCH_NOTICES: usize = 200;
 
-/// A notice that is owed, by the number of its message.
+/// Notification of the final outcome of an undelivered message.
 #[derive(Debug)]
 pub struct OutcomeNotification {
+    /// Number of the message in this process and its journal.
     pub number: u64,
+    /// Message id that the client chose.
     pub id: String,
+    /// Outcome that the platform receives.
     pub outcome: UndeliveredOutcome,
 }
 
-/// Why a batch of notifications is still owed.
+/// Why a batch of notifications must be posted again.
 #[derive(Debug, Error)]
 enum PostError {
     #[error("{count} notices answered {status}")]
@@ -47,7 +52,7 @@
 }
 
 impl PostError {
-    /// A fault of this machine, not of the platform.
+    /// Returns true if the failure is the local host's, not the platform's.
     fn is_local(&self) -> bool {
         match self {
             PostError::Status { .. } | PostError::Task(_) => false,
@@ -56,7 +61,8 @@
     }
 }
 
-/// Posts notices until each has been answered 204. One that waits for its answer holds up no other.
+/// Posts each notice from `queue` until the platform has answered it with 204, and sends the accepted ones to `inputs`.
+/// A post that waits for its answer does not hold up other notices.
 pub async fn post_notices(
     agent: Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<OutcomeNotification>,
@@ -89,22 +95,23 @@
     }
 }
 
-/// What came of a post.
+/// Result of one post: the accepted notifications, or why the batch must be posted again.
 type PostResult = Result<AcceptedNotifications, PostError>;
 
-/// The notifications that are owed, and the posts that are on their way.
+/// Notifications that must still be delivered, and the posts in flight.
 struct Poster {
     agent: Receiver<SocketAddr>,
-    /// Those that no post carries now, by number.
+    /// Notifications that are in no post at present, by message number.
     pending: BTreeMap<u64, OutcomeNotification>,
+    /// Tasks of the posts in flight.
     posts: JoinSet<PostResult>,
-    /// What each post carries, which is owed until it is accepted.
+    /// Notifications of each post in flight. They become pending again if the post fails.
     in_flight: HashMap<task::Id, Vec<OutcomeNotification>>,
-    /// The next pause after a failure.
+    /// Backoff after the next failure.
     retry_delay: Duration,
-    /// Nothing is posted before; none: at once.
+    /// End of the current backoff, or `None` if posts may start immediately.
     retry_at: Option<Instant>,
-    /// The last post failed, which is logged.
+    /// True if the last post failed. Only the first failure in a row is logged.
     failing: bool,
 }
 
@@ -125,7 +132,7 @@
         self.pending.insert(notice.number, notice);
     }
 
-    /// Posts what is owed, unless there is a pause or as many posts are on their way as may be.
+    /// Posts the pending notifications, unless a backoff is running or [`MAX_POSTS`] are in flight.
     fn post_pending(&mut self) {
         while self.retry_at.is_none() && !self.pending.is_empty() && self.posts.len() < MAX_POSTS {
             let mut batch = Vec::new();
@@ -142,7 +149,8 @@
         }
     }
 
-    /// What the platform has accepted, if it has; else the batch is owed again, also where its task panicked.
+    /// Returns the notifications that the platform has accepted. If the post failed or its task panicked, the batch
+    /// becomes pending again.
     fn post_ended(
         &mut self,
         ended: Result<(task::Id, PostResult), JoinError>,
@@ -165,7 +173,7 @@
         }
     }
 
-    /// The batch is owed again, after a pause.
+    /// Makes the batch pending again and starts a backoff if none is running.
     fn failed(&mut self, batch: Vec<OutcomeNotification>, error: &PostError) {
         if !std::mem::replace(&mut self.failing, true) {
             crate::net::log(format_args!("discovery: {error}"));
@@ -181,14 +189,14 @@
         }
     }
 
-    /// The platform has another address.
+    /// Ends the backoff, because the platform has a new address.
     fn address_changed(&mut self) {
         self.retry_delay = INITIAL_RETRY_DELAY;
         self.retry_at = None;
     }
 }
 
-/// Posts notifications in one request, on a connection of its own.
+/// Posts one batch of notifications in a single request on a new connection.
 async fn post(address: SocketAddr, numbers: Vec<u64>, text: String) -> PostResult {
     let count = numbers.len();
     let request = Request::post("/v1/outcomes")
@@ -207,6 +215,7 @@
     Ok(AcceptedNotifications { numbers, proof })
 }
 
+/// Returns the JSON line of one notification.
 fn line_of(notice: &OutcomeNotification) -> String {
     let mut object = serde_json::json!({ "id": notice.id });
     match notice.outcome {
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,16 +1,17 @@
-//! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
+//! Parses endpoint lists from a stream of JSON values, each on one line or indented, with a bounded buffer.
 
 use crate::net::events::{ListUpdate, ListedEndpoint};
 use message_sender::EndpointStatus;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
 
-/// A longer value is not kept.
+/// Maximum size of an incomplete JSON value in bytes. A longer one is dropped as unreadable.
 const MAX_VALUE_BYTES: usize = 4 << 20;
-/// A value that is not whole yet is looked at again once it has grown by such a part, or has an end in sight: looking
-/// at each piece anew would take the square of its length.
+/// An incomplete value is parsed again only after it has grown by 1/64 of its size, or when a piece ends with `}`. Parsing
+/// it again for each piece would take time quadratic in its length.
 const MIN_GROWTH_DIVISOR: usize = 64;
 
+/// Endpoint list in the JSON form of discovery.
 #[derive(Deserialize)]
 struct Line {
     rev: u64,
@@ -18,6 +19,7 @@
     targets: Vec<Value>,
 }
 
+/// Entry of an endpoint list in the JSON form of discovery.
 #[derive(Deserialize)]
 struct Target {
     uid: String,
@@ -32,7 +34,8 @@
     capacity_hint: f64,
 }
 
-/// Reads a list; none if it has not the form of one. Entries that can't be read are logged and left out.
+/// Parses an endpoint list. Returns `None` if `value` does not have the form of a list. Entries that can't be parsed are
+/// logged and left out.
 pub fn parse_list(value: &Value) -> Option<ListUpdate> {
     let line = Line::deserialize(value).ok()?;
     let read = |value: &Value| {
@@ -71,27 +74,28 @@
     })
 }
 
-/// What a watch has sent so far and nobody has read yet.
+/// Incremental parser of the lists that one watch sends.
 #[derive(Debug, Default)]
 pub struct ListReader {
+    /// Received bytes that have not been parsed as a complete value.
     buffer: Vec<u8>,
-    /// Bytes that were looked at without finding a whole value.
+    /// Length of the buffer in bytes when it was last parsed without finding a complete value.
     parsed_len: usize,
-    /// What came is dropped until a line begins with an object.
+    /// True after unreadable text: all bytes are dropped up to the next line that begins with `{`.
     skipping: bool,
 }
 
-/// What came of some bytes.
+/// Result of parsing some received bytes.
 #[derive(Debug, Default)]
 pub struct ReadResult {
-    /// Lists, in order; none: a value that is no list.
+    /// Lists in the order received; `None` stands for a JSON value that is not a list.
     pub lists: Vec<Option<ListUpdate>>,
-    /// The beginning of what could not be read.
+    /// First 80 bytes of the first text that could not be parsed.
     pub unreadable: Option<String>,
 }
 
 impl ListReader {
-    /// Takes further bytes in.
+    /// Appends `bytes` to the buffer and parses all complete values.
     pub fn read(&mut self, bytes: &[u8]) -> ReadResult {
         let mut read = ReadResult::default();
         self.buffer.extend_from_slice(bytes);
@@ -121,12 +125,13 @@
         read
     }
 
-    /// Whether nothing of a value has come that is not whole yet.
+    /// Returns true if no part of an incomplete value has been received.
     pub fn is_at_value_boundary(&self) -> bool {
         self.buffer.is_empty() && !self.skipping
     }
 
-    /// Reads whole values; how many bytes they took, and whether what follows can't be read.
+    /// Parses the complete values in the buffer into `read`. Returns how many bytes they took, and whether the text after
+    /// them is invalid rather than incomplete.
     fn values(&self, read: &mut ReadResult) -> (usize, bool) {
         let mut values = Deserializer::from_slice(&self.buffer).into_iter::<Value>();
         let mut used = 0;
@@ -142,7 +147,8 @@
         }
     }
 
-    /// Drops all up to the next line that begins with an object, but the last bytes where there is none.
+    /// Drops the bytes before the next line that begins with `{`. Returns false if there is no such line yet; then the
+    /// last byte is kept, because it may be the line break before an object.
     fn skip_to_object_line(&mut self) -> bool {
         let line = self.buffer.windows(2).position(|two| two == b"\n{");
         let drop = line.map_or(self.buffer.len().saturating_sub(1), |at| at + 1);
@@ -164,13 +170,13 @@
     }
 
     fn versions(pieces: &[&[u8]]) -> Vec<Option<u64>> {
-        let mut reading = ListReader::default();
-        let lists = pieces.iter().flat_map(|piece| reading.read(piece).lists);
+        let mut reader = ListReader::default();
+        let lists = pieces.iter().flat_map(|piece| reader.read(piece).lists);
         lists.map(|list| list.map(|list| list.version)).collect()
     }
 
     #[test]
-    fn an_indented_list_is_read_wherever_it_is_cut() {
+    fn indented_lists_cut_at_any_byte_are_parsed() {
         let text = format!(
             "\n\n{:#}\n\n{}\n{:#}\n",
             list(1, "s-\"{1"),
@@ -195,40 +201,40 @@
     }
 
     #[test]
-    fn what_cannot_be_read_is_told_once_and_what_follows_is_read() {
+    fn unreadable_text_is_reported_and_lists_after_it_are_parsed() {
         let text = format!(
             "no list\nnor this\n{:#}\n{{\"rev\":}}\n{}\n[1]\n",
             list(1, "a"),
             list(2, "b")
         );
         for size in [1, 7, 4096] {
-            let mut reading = ListReader::default();
-            let (mut lists, mut told) = (Vec::new(), Vec::new());
+            let mut reader = ListReader::default();
+            let (mut lists, mut unreadable) = (Vec::new(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
-                let read = reading.read(piece);
+                let read = reader.read(piece);
                 lists.extend(
                     read.lists
                         .into_iter()
                         .map(|list| list.map(|list| list.version)),
                 );
-                told.extend(read.unreadable);
+                unreadable.extend(read.unreadable);
             }
             assert_eq!(lists, [Some(1), Some(2), None], "pieces of {size}");
-            assert!((1..=3).contains(&told.len()), "{told:?}");
+            assert!((1..=3).contains(&unreadable.len()), "{unreadable:?}");
         }
     }
 
     #[test]
-    fn a_value_without_end_is_given_up_and_a_long_list_costs_no_square() {
-        let mut reading = ListReader::default();
+    fn endless_value_is_dropped_and_long_list_is_not_parsed_for_each_piece() {
+        let mut reader = ListReader::default();
         let piece = vec![b'['; 1 << 16];
-        let told = (0..100)
-            .filter(|_| reading.read(&piece).unreadable.is_some())
+        let unreadable = (0..100)
+            .filter(|_| reader.read(&piece).unreadable.is_some())
             .count();
-        assert!(told >= 1 && reading.buffer.len() <= MAX_VALUE_BYTES + piece.len());
-        let read = reading.read(format!("\n{}\n", list(4, "a")).as_bytes());
+        assert!(unreadable >= 1 && reader.buffer.len() <= MAX_VALUE_BYTES + piece.len());
+        let read = reader.read(format!("\n{}\n", list(4, "a")).as_bytes());
         assert_eq!(read.lists.len(), 1);
-        // ten thousand endpoints, in pieces of a segment
+        // 10 000 endpoints in pieces of 1448 bytes, the payload of a TCP segment
         let targets: Vec<Value> = (0..10_000)
             .map(|uid| list(1, &uid.to_string())["targets"][0].clone())
             .collect();
@@ -237,14 +243,14 @@
             json!({ "rev": 9, "all": true, "targets": targets })
         )
         .into_bytes();
-        let mut reading = ListReader::default();
+        let mut reader = ListReader::default();
         let mut parses = 0;
         let lists: usize = text
             .chunks(1448)
             .map(|piece| {
-                let before = reading.parsed_len;
-                let read = reading.read(piece);
-                parses += usize::from(reading.parsed_len != before);
+                let before = reader.parsed_len;
+                let read = reader.read(piece);
+                parses += usize::from(reader.parsed_len != before);
                 read.lists.len()
             })
             .sum();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of endpoints where watches fall silent, lists are indented, or an agent holds one from before a start.
+//! Tests a sender's endpoint list when watches fall silent, discovery is down, lists are indented or unreadable, or the
+//! agent holds a newer list than a starting process.
 
 mod node;
 
@@ -7,16 +8,16 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// One of so many senders that ask a common discovery.
-fn asking(agent: &Agent, senders: usize) -> Node {
+/// Starts a sender whose settings name a common discovery and a fleet of `senders` senders.
+fn start_with_common_discovery(agent: &Agent, senders: usize) -> Node {
     Node::configured_with(agent, |text| {
-        let asked = format!(r#""discovery":"on_request","balancers":{senders}"#);
-        text.replace(r#""balancers":1"#, &asked)
+        let settings = format!(r#""discovery":"on_request","balancers":{senders}"#);
+        text.replace(r#""balancers":1"#, &settings)
     })
     .ready()
 }
 
-fn one_of(uid: &str, address: SocketAddr, state: &str) -> String {
+fn list_with_one(uid: &str, address: SocketAddr, state: &str) -> String {
     list(&[(uid, address, "one", 7, state)])
 }
 
@@ -24,7 +25,8 @@
     *agent.lines.lock().expect("not poisoned") = lines;
 }
 
-/// From the next watch on the old endpoint of destination 7 is in this state, and the new one is up.
+/// Makes the agent serve a list to new watches in which destination 7's old endpoint has the state `state` and its new
+/// endpoint is up.
 fn replace(agent: &Agent, old: &Endpoint, state: &str, new: &Endpoint) {
     let entries = [
         ("s-1", old.address, "one", 7, state),
@@ -33,7 +35,7 @@
     set_lines(agent, vec![list(&entries)]);
 }
 
-/// No open watch tells anything more; the number of watches so far.
+/// Makes the open watches send nothing more. Returns the number of watches so far.
 fn mute(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
     agent.muted.store(watches, Ordering::SeqCst);
@@ -41,23 +43,23 @@
 }
 
 #[test]
-fn one_of_hundreds_has_a_new_watch_before_what_a_silent_one_missed_counts_as_told() {
+fn sender_of_300_replaces_silent_watch_before_missed_changes_become_binding() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
-    let node = asking(&agent, 300);
+    let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
+    let node = start_with_common_discovery(&agent, 300);
     sent(&node, "before", 7);
-    let (watches, silent) = (mute(&agent), Instant::now());
+    let (watches, silent_since) = (mute(&agent), Instant::now());
     replace(&agent, &old, "draining", &new);
     wait_until("a new watch", || {
         agent.watches.load(Ordering::SeqCst) > watches
     });
-    let after = silent.elapsed();
+    let after = silent_since.elapsed();
     assert!(
         after < Duration::from_millis(5500),
         "a new watch after {after:?}"
     );
     let mut tried = 0;
-    wait_until("the new list binds", || {
+    wait_until("the new list is in use", || {
         tried += 1;
         sent(&node, &format!("t{tried}"), 7);
         new.count() > 0
@@ -70,16 +72,16 @@
 }
 
 #[test]
-fn a_sender_that_hears_nothing_for_too_long_sends_nothing_until_it_knows_better() {
+fn silent_discovery_suspends_sending_until_list_is_received() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
-    let node = asking(&agent, 1);
+    let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
+    let node = start_with_common_discovery(&agent, 1);
     sent(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
-    // new watches open and tell nothing
+    // new watches are opened and receive nothing
     agent.muted.store(usize::MAX, Ordering::SeqCst);
-    wait_until("it says so", || {
-        node.logged("nothing is sent until it tells")
+    wait_until("the suspension is logged", || {
+        node.logged("sending is suspended")
     });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
@@ -95,38 +97,41 @@
 }
 
 #[test]
-fn a_start_with_open_messages_sends_nothing_by_an_older_list_than_its_agent_holds() {
+fn restart_with_pending_messages_waits_for_newer_list_of_agent() {
     let (old, new) = (
         Endpoint::new(|_, _| Reply::Answer("503 Full", String::new())),
         Endpoint::new(|_, _| OK),
     );
-    let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
-    let known = format!(r#""known":{}"#, one_of("s-1", old.address, "up"));
+    let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
+    let known = format!(r#""known":{}"#, list_with_one("s-1", old.address, "up"));
     let node = Node::configured_with(&agent, |text| {
         text.replace(r#""known":{"rev":0,"all":true,"targets":[]}"#, &known)
     });
     let mut node = node.ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("it is tried", || old.count() > 0);
+    wait_until("the first attempt", || old.count() > 0);
     node.kill();
-    let tried = old.count();
+    let attempts = old.count();
     replace(&agent, &old, "draining", &new);
     *agent.late.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
     wait_until("delivered", || new.times("m1") == 1);
     assert_eq!(
         old.count(),
-        tried,
-        "by the list that the process started with"
+        attempts,
+        "sent by the list that the process started with"
     );
 }
 
 #[test]
-fn an_agent_that_is_gone_keeps_no_start_from_serving() {
+fn start_without_running_agent_serves_by_known_list() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = Agent::new(vec![one_of("s-1", endpoint.address, "up")]);
-    let known = format!(r#""known":{}"#, one_of("s-1", endpoint.address, "up"));
-    // nobody listens there
+    let agent = Agent::new(vec![list_with_one("s-1", endpoint.address, "up")]);
+    let known = format!(
+        r#""known":{}"#,
+        list_with_one("s-1", endpoint.address, "up")
+    );
+    // a free port, so that the sender's connections to the agent are refused
     let free = std::net::TcpListener::bind("127.0.0.1:0")
         .and_then(|free| free.local_addr())
         .expect("a port");
@@ -140,23 +145,25 @@
 }
 
 #[test]
-fn an_indented_list_is_taken_and_what_cannot_be_read_brings_the_whole_list_again() {
+fn indented_list_is_accepted_and_unreadable_text_requests_full_list() {
     let endpoint = Endpoint::new(|_, _| OK);
     let value: serde_json::Value =
-        serde_json::from_str(&one_of("s-1", endpoint.address, "up")).expect("JSON");
+        serde_json::from_str(&list_with_one("s-1", endpoint.address, "up")).expect("JSON");
     let agent = Agent::new(vec![format!("{value:#}")]);
-    let node = asking(&agent, 1);
+    let node = start_with_common_discovery(&agent, 1);
     sent(&node, "m1", 7);
     let watches = agent.watches.load(Ordering::SeqCst);
     agent.tell("{\"rev\":9,\n \"all\":fals}".to_string());
-    wait_until("the list is asked for anew", || {
+    wait_until("the full list is requested", || {
         agent.watches.load(Ordering::SeqCst) > watches
     });
-    wait_until("it says why", || node.logged("the whole list is asked for"));
+    wait_until("the reason is logged", || {
+        node.logged("requesting the full list")
+    });
     sent(&node, "m2", 7);
 }
 
-/// All open watches end.
+/// Ends all open watches. Returns the number of watches so far.
 fn end_watches(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
     agent.ended.store(watches, Ordering::SeqCst);
@@ -164,45 +171,45 @@
 }
 
 #[test]
-fn one_of_hundreds_finds_a_discovery_that_is_back_before_what_it_has_counts_as_told() {
+fn sender_of_300_reaches_restored_discovery_before_its_changes_become_binding() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
-    let node = asking(&agent, 300);
+    let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
+    let node = start_with_common_discovery(&agent, 300);
     sent(&node, "before", 7);
     agent.down.store(true, Ordering::SeqCst);
     let watches = end_watches(&agent);
-    // its rests have grown by then
-    wait_until("two calls are refused", || {
+    // after two rejected calls the delays between calls have grown
+    wait_until("two calls are rejected", || {
         agent.refused.load(Ordering::SeqCst) >= 2
     });
     replace(&agent, &old, "draining", &new);
     agent.down.store(false, Ordering::SeqCst);
-    let back = Instant::now();
+    let restored_at = Instant::now();
     wait_until("a new watch", || {
         agent.watches.load(Ordering::SeqCst) > watches
     });
-    let after = back.elapsed();
+    let after = restored_at.elapsed();
     assert!(
         after < Duration::from_secs(5),
         "a new watch after {after:?}"
     );
-    wait_until("the new list binds", || {
+    wait_until("the new list is in use", || {
         sent(&node, &format!("t{}", old.count()), 7);
         new.count() > 0
     });
 }
 
 #[test]
-fn after_a_watch_that_ended_and_calls_without_an_answer_nothing_is_sent_by_what_may_have_changed() {
+fn ended_watch_and_unanswered_calls_suspend_sending() {
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = Agent::new(vec![one_of("s-1", old.address, "up")]);
-    let node = asking(&agent, 1);
+    let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
+    let node = start_with_common_discovery(&agent, 1);
     sent(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
     agent.held.store(true, Ordering::SeqCst);
     end_watches(&agent);
-    wait_until("it says so", || {
-        node.logged("nothing is sent until it tells")
+    wait_until("the suspension is logged", || {
+        node.logged("sending is suspended")
     });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
@@ -213,10 +220,10 @@
 }
 
 #[test]
-fn a_discovery_that_says_no_for_long_keeps_no_message_waiting() {
+fn unavailable_discovery_does_not_suspend_sending() {
     let endpoint = Endpoint::new(|_, _| OK);
-    let agent = Agent::new(vec![one_of("s-1", endpoint.address, "up")]);
-    let node = asking(&agent, 1);
+    let agent = Agent::new(vec![list_with_one("s-1", endpoint.address, "up")]);
+    let node = start_with_common_discovery(&agent, 1);
     sent(&node, "before", 7);
     agent.down.store(true, Ordering::SeqCst);
     end_watches(&agent);
@@ -226,5 +233,5 @@
         sent_so_far += 1;
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert!(!node.logged("nothing is sent until it tells"));
+    assert!(!node.logged("sending is suspended"));
 }
