--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,5 +1,7 @@
-//! The configuration: the file that `RELAY_CONFIG` names, and the environment. The nested settings are flattened for the
-//! reader of the simulator's lines, so that their names live in one place.
+//! The sender's configuration, from the file that `RELAY_CONFIG` names and from environment variables.
+//!
+//! The nested `settings` object is flattened and read by the same code as the simulator's settings, so that the names of
+//! the settings are defined in one place only.
 
 mod completeness;
 mod flatten;
@@ -33,114 +35,116 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The last good file, in the state folder.
+/// Name of the copy of the last valid configuration file in the state folder.
 const LAST_VALID_FILE: &str = "config.last";
-/// How long a start tries to read a file that this machine fails to read: most of the time to be ready is left.
+/// Time for which a starting process retries after a local error while reading the file. It is short, so that most of the
+/// time in which the process must become ready is left.
 const READ_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
-/// A block of the file system.
+/// Block size of the file system in bytes, reserved because a file takes whole blocks.
 const BLOCK_BYTES: u64 = 4096;
 
-/// Why the sender can't start, or keeps the configuration in force.
+/// Why a configuration can't be used. A starting process falls back to the last valid file; a running one keeps the
+/// configuration in force.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// An environment variable is missing.
-    #[error("the variable {0} is not set")]
+    /// A required environment variable is missing.
+    #[error("the environment variable {0} is not set")]
     Variable(&'static str),
-    /// The file can't be read.
+    /// Reading the configuration file failed.
     #[error("{path}: {error}", path = path.display())]
     Read {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The file is no JSON of the right form.
+    /// The configuration file is not valid JSON, or a top-level key is missing or has the wrong type.
     #[error("{path}: {error}", path = path.display())]
     Json {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the JSON parser, with line and column.
         error: serde_json::Error,
     },
-    /// A key has a value that it can't have.
+    /// The value of a key or environment variable is invalid.
     #[error("{name} is '{found}', not {wanted}")]
     Value {
-        /// The key.
+        /// Path of the key, or name of the environment variable.
         name: &'static str,
-        /// Its value.
+        /// Rejected value as text.
         found: String,
-        /// What it has to be.
+        /// Description of the valid values.
         wanted: &'static str,
     },
-    /// A key is missing that the file in force has.
+    /// A key of the file in force is missing in the new file, or has a value of another type there.
     #[error("{0} is missing")]
     Incomplete(String),
-    /// A key is not known.
-    #[error("{0} is no setting")]
+    /// The file has a key that does not exist.
+    #[error("{0} is not a known setting")]
     Unknown(String),
-    /// The `settings` object makes no sense.
+    /// The `settings` object is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The `membership`, `agreement`, `ledger` or `freeze` object makes no sense.
+    /// The `membership`, `agreement`, `ledger` or `freeze` object is invalid.
     #[error(transparent)]
     SettingsObject(#[from] SettingsObjectError),
 }
 
 impl ConfigError {
-    /// The file is there, and this machine failed to read it.
+    /// Returns true if the local host failed to read an existing file, so that a retry may succeed.
     pub fn is_local(&self) -> bool {
         matches!(self, ConfigError::Read { error, .. } if is_transient(error))
     }
 }
 
-/// True if reading a file may succeed a moment later, with nothing changed by operators.
+/// Returns true if reading the file again may succeed without any action of operators.
 fn is_transient(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{IsADirectory, NotFound};
     !is_permanent(error) && ![NotFound, IsADirectory].contains(&error.kind())
 }
 
-/// The configuration of one process.
+/// Validated configuration of one process.
 #[derive(Debug)]
 pub struct Config {
-    /// The sender's name, unique in the fleet.
+    /// Name of the sender, unique in the fleet.
     pub name: String,
-    /// Where clients hand messages in.
+    /// Address of the server that accepts messages from clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call, if they are to.
+    /// Address of the operators' endpoint, if one is configured.
     pub control: Option<SocketAddr>,
-    /// The number of the listening socket that the platform passed, if it did.
+    /// File descriptor of the listening socket, if the platform passed one to the process.
     pub passed_socket: Option<RawFd>,
-    /// The state folder, which outlasts the process.
+    /// Folder of the journal and other files that a later process of this sender reads.
     pub state_folder: PathBuf,
-    /// Seed of all draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// The file.
+    /// Content of the configuration file, which a reread compares with the new file.
     pub text: Vec<u8>,
-    /// Bytes that the journal may hold.
+    /// Maximum size of the journal in bytes: the disk limit less the space for other files of the state folder.
     pub journal_bytes: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// The endpoint list to begin with.
+    /// Endpoint list to use until discovery sends one, if the file holds one.
     pub known_list: Option<ListUpdate>,
-    /// Settings of the decision module.
+    /// Settings of the decision module, read from the `settings` object.
     pub settings: Settings,
-    /// The names that these settings number.
+    /// Names of the zones, classes, kinds and tenants that `settings` refers to by number.
     pub names: Names,
-    /// Settings of the connection pool.
+    /// Settings of the connection pool, read from the `pool` object.
     pub pool: PoolSettings,
-    /// How this sender takes part in membership, if it does.
+    /// Settings of fleet membership (SWIM), if this sender takes part.
     pub membership: Option<MembershipSettings>,
-    /// How this sender agrees on rules with the others, if it does.
+    /// Settings of the rules that are leased from the registry, if this sender uses them.
     pub agreement: Option<AgreementSettings>,
-    /// Limits that hold for all senders, if there are any.
+    /// Settings of the quotas of fleet-wide limits, if this sender uses them.
     pub ledger: Option<LedgerSettings>,
-    /// The freeze calendar, if it is kept to.
+    /// Settings of the freeze calendar, if this sender applies it.
     pub freeze: Option<FreezeSettings>,
 }
 
-/// The file, its parts unread.
+/// Top level of the configuration file. The nested objects are parsed and checked later.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -166,18 +170,22 @@
     settings: Value,
 }
 
+/// The `limits` object of the configuration file.
 #[derive(Deserialize)]
 struct Limits {
+    /// Maximum number of file descriptors of the process.
     sockets: usize,
+    /// Maximum size of the state folder in megabytes of 10^6 bytes.
     disk_mb: f64,
 }
 
 impl Config {
-    /// The file as it stands now, if it is complete beside the one in force. The variables are those of the start:
-    /// only the file can tell where discovery has moved.
+    /// Reads the configuration file again in a running process. `before` is the content of the file in force, whose keys
+    /// the new file must all have. The address of discovery comes from the file and not from `RELAY_DISCOVERY`: the
+    /// environment of a running process does not change, so only the file can hold a new address.
     ///
     /// # Errors
-    /// The file can't be read, or is wrong: the configuration in force stays.
+    /// The file can't be read or is invalid. The configuration in force stays.
     pub fn reread(before: &[u8]) -> Result<Self, ConfigError> {
         let text = read_file()?;
         let state = PathBuf::from(variable("RELAY_STATE")?);
@@ -187,12 +195,12 @@
         Ok(config)
     }
 
-    /// Reads the file that `RELAY_CONFIG` names; the other variables come before what stands in it. Where that
-    /// file is broken, the last good one does, which the state folder keeps. A start does not hold the file
-    /// against an older one: that is how operators drop a key.
+    /// Reads the configuration at the start of a process from the file that `RELAY_CONFIG` names. Other environment
+    /// variables override the values of the file. If the file is invalid, the last valid one in the state folder is
+    /// used. The file is not compared with an older one, so operators can remove a key by restarting the process.
     ///
     /// # Errors
-    /// There is no file that can be used.
+    /// Neither the file nor the last valid one can be used.
     pub fn from_env() -> Result<Self, ConfigError> {
         let state = PathBuf::from(variable("RELAY_STATE")?);
         let discovery = |file: &File| {
@@ -206,7 +214,7 @@
             (Ok(config), _) => config,
             (Err(error), Some(last)) => {
                 super::log(format_args!(
-                    "configuration broken, the last good one holds: {error}"
+                    "configuration invalid, using the last valid one: {error}"
                 ));
                 Config::read(last, state, None, discovery).map_err(|_| error)?
             }
@@ -216,7 +224,8 @@
         Ok(config)
     }
 
-    /// Keeps the text for a start beside a broken file. Without it all goes on, but for that.
+    /// Stores the file's content as the last valid one, for a later start that finds an invalid file. A failure is only
+    /// logged, because this process does not need the copy.
     fn keep(&self) {
         let new = self
             .state_folder
@@ -226,7 +235,9 @@
             .and_then(|()| std::fs::write(&new, &self.text))
             .and_then(|()| std::fs::rename(&new, self.state_folder.join(LAST_VALID_FILE)));
         if let Err(error) = written {
-            super::log(format_args!("configuration not kept: {error}"));
+            super::log(format_args!(
+                "configuration not stored as the last valid one: {error}"
+            ));
         }
     }
 
@@ -267,7 +278,7 @@
         } else {
             0
         };
-        // the last good file stands beside the journal, twice while it is replaced
+        // the copy of the last valid file takes space beside the journal, twice while it is replaced
         let last_valid_bytes = 2 * text.len() as u64 + BLOCK_BYTES;
         Ok(Config {
             name,
@@ -300,7 +311,7 @@
     let number = number.ok_or(ConfigError::Value {
         name: "RELAY_PASSED_SOCKET",
         found: text,
-        wanted: "the number of a descriptor",
+        wanted: "the number of a file descriptor",
     })?;
     Ok(Some(number))
 }
@@ -313,7 +324,7 @@
     })
 }
 
-/// Bytes that the state folder may hold.
+/// Converts the limit of the state folder from megabytes to bytes.
 fn read_disk_limit(megabytes: f64) -> Result<u64, ConfigError> {
     let bytes = megabytes * 1e6;
     if !(bytes.is_finite() && bytes >= 0.0) {
@@ -326,7 +337,7 @@
     Ok(bytes as u64)
 }
 
-/// The settings of the decision module, by the names that the simulator's lines have for them too.
+/// Reads the `settings` object, whose keys have the same names as the settings on the simulator's lines.
 fn read_sender_settings(value: &Value) -> Result<(Settings, Names), SettingsError> {
     let paths = flatten(value);
     let pairs = paths
@@ -351,7 +362,8 @@
     std::fs::read(&path).map_err(|error| ConfigError::Read { path, error })
 }
 
-/// The same at a start, where an older text would name an older discovery: tried for a while.
+/// Reads the configuration file at a start and retries local errors for [`READ_TIMEOUT`], because the last valid file may
+/// name an old address of discovery.
 fn read_file_with_retries() -> Result<Vec<u8>, ConfigError> {
     let started = std::time::Instant::now();
     loop {
--- a/src/net/config/completeness.rs
+++ b/src/net/config/completeness.rs
@@ -1,13 +1,13 @@
-//! Checks of a new file before anything of it is put in force.
+//! Checks a new configuration file for completeness before any of its values take effect.
 
 use super::ConfigError;
 use serde_json::{Map, Value};
 
-/// Keys of a class that may be absent by the rules of the settings.
+/// Keys of a message class that a new file may leave out, because they have defaults.
 const OPTIONAL_CLASS_KEYS: [&str; 2] = ["aimStretch", "oneAtATime"];
-/// Objects of the file that may come and go.
+/// Top-level objects that a new file may leave out or add.
 const OPTIONAL_OBJECTS: [&str; 5] = ["pool", "membership", "agreement", "ledger", "freeze"];
-/// For the start alone, or with defaults for all that is not set.
+/// Paths below which keys are not compared: they are used at the start only, or all their keys have defaults.
 const UNCHECKED_PATHS: [&str; 8] = [
     "/known",
     "/control",
@@ -19,11 +19,11 @@
     "/freeze",
 ];
 
-/// Checks that a new file holds what the one in force does, in the same form: each key of an object, and in each item of a
-/// list of objects the keys that all items have so far. Lists of endpoints may be empty, others not.
+/// Checks that the new file has each key of the file in force, with a value of the same type. Each object in a list must
+/// have the keys that all objects of the old list have. A list may become empty only if it was empty before.
 ///
 /// # Errors
-/// Names the first key that is missing or has another form.
+/// Names the first key that is missing or has a value of another type.
 pub(super) fn check_complete(before: &Value, new: &Value) -> Result<(), ConfigError> {
     check_value("", before, new)
 }
@@ -43,7 +43,7 @@
         | (Value::Number(_), Value::Number(_))
         | (Value::Bool(_), Value::Bool(_))
         | (Value::Null, _) => Ok(()),
-        _ => missing(path, " in its form"),
+        _ => missing(path, " with a value of the same type"),
     }
 }
 
@@ -78,10 +78,11 @@
     items.try_for_each(|(index, item)| check_value(&format!("{path}/{index}"), &common, item))
 }
 
-/// Checks that deadlines and attempts are numbers above zero, attempts whole ones.
+/// Checks that the deadlines of all classes are numbers above zero, and the maximum number of attempts a whole number
+/// above zero.
 ///
 /// # Errors
-/// Names the first one that is not.
+/// Names the first key with another value.
 pub(super) fn check_numbers(settings: &Value) -> Result<(), ConfigError> {
     check_positive("caps.mostTries", &settings["caps"]["mostTries"], true)?;
     let classes = settings["classes"].as_array();
--- a/src/net/config/flatten.rs
+++ b/src/net/config/flatten.rs
@@ -1,10 +1,10 @@
-//! Nested JSON to paths with text.
+//! Flattens nested JSON into pairs of a dotted path and a text.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Paths with text, as the simulator's `setup` line has them: a list of plain values is joined with commas, a list of
-/// objects has its length under `.count` and its items under their numbers.
+/// Returns the text of each value by its dotted path, in the form of the simulator's settings. The values of a list are
+/// joined with commas. A list of objects has its length under `.count` and its items under their indexes, from 0.
 pub(super) fn flatten(value: &Value) -> BTreeMap<String, String> {
     let mut paths = BTreeMap::new();
     flatten_below("", value, &mut paths);
@@ -43,6 +43,8 @@
     }
 }
 
+/// Returns the text of a value that is not a list or object. Spaces and commas in strings become `_`, because they
+/// separate values.
 fn plain(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
--- a/src/net/config/pool_settings.rs
+++ b/src/net/config/pool_settings.rs
@@ -1,22 +1,24 @@
-//! The `pool` object of the configuration, read strictly.
+//! Reads the `pool` object of the configuration. Unknown keys are errors.
 
 use super::ConfigError;
 use message_sender::pool::PoolSettings;
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-/// What a limit that is bounded by `pool.all` has to be.
+/// Text in the error for a limit that is out of range, if `pool.all` is its upper bound.
 const WITHIN_ALL: &str = "a whole number from 1 to pool.all";
 
-/// Connections to endpoints that so many descriptors allow: clients hold a third of them, files the rest.
+/// Returns the maximum number of connections to endpoints in a process with `descriptors` file descriptors: half of
+/// them. Clients' connections take a third, and files the rest.
 pub fn max_pool_connections(descriptors: usize) -> usize {
     (descriptors / 2).max(1)
 }
 
-/// Reads the object of a process that may hold so many descriptors; defaults if there is none.
+/// Reads the `pool` object of a process that may hold `descriptors` file descriptors. Returns the defaults if there is no
+/// such object.
 ///
 /// # Errors
-/// Names the first key that is wrong.
+/// Names the first key that is unknown or has an invalid value.
 pub(super) fn read_pool_settings(
     value: &Value,
     descriptors: usize,
@@ -49,7 +51,7 @@
     Ok(settings)
 }
 
-/// The limits; that of all connections bounds the others, whatever order they stand in.
+/// Reads the limits first: `pool.all` is the upper bound of the others, wherever it stands in the object.
 fn read_limits(fields: &Map<String, Value>, max: usize) -> Result<PoolSettings, ConfigError> {
     let within_descriptors = "a whole number from 1 to half of limits.sockets";
     let all = read_limit(fields, "pool.all", max, within_descriptors)?;
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -1,13 +1,13 @@
-//! The configuration file: one with every table and key, as operators have it, is read to the recorded settings.
+//! Tests that a configuration file with every object and key gives the recorded settings.
 
 use super::*;
 use crate::net::golden::assert_same_bytes;
 use message_sender::EndpointStatus;
 use serde_json::json;
 
-/// Every table and every key that the program reads.
+/// Configuration file with every object and key that the program reads.
 const EVERY_KEY: &[u8] = include_bytes!("../../../tests/golden/config/config.json");
-/// What its `settings` come to, as processes hand them to each other.
+/// Recorded result of reading the file's `settings` object, in the encoding of a handover.
 const SETTINGS: &[u8] = include_bytes!("../../../tests/golden/config/settings");
 const NAMES: &[u8] = include_bytes!("../../../tests/golden/config/names");
 
@@ -18,7 +18,7 @@
 }
 
 fn every_key() -> Config {
-    read_text(EVERY_KEY, PathBuf::from("state")).expect("a sound file")
+    read_text(EVERY_KEY, PathBuf::from("state")).expect("a valid file")
 }
 
 #[test]
@@ -58,7 +58,7 @@
         Some("127.0.0.1:8002")
     );
     assert_eq!(config.passed_socket, None);
-    // the last good file, twice, and what members are remembered take their part of the folder
+    // the state folder must also hold the last valid file twice and the remembered members
     let remembered = crate::net::membership::MAX_DISK_BYTES;
     assert_eq!(
         config.journal_bytes,
@@ -210,11 +210,11 @@
     let folder = std::env::temp_dir().join(format!("config-golden-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     read_text(EVERY_KEY, folder.clone())
-        .expect("a sound file")
+        .expect("a valid file")
         .keep();
     let kept = std::fs::read(folder.join("config.last")).expect("kept");
     assert_same_bytes("kept file", &kept, EVERY_KEY);
-    let again = read_text(&kept, folder.clone()).expect("a sound file");
+    let again = read_text(&kept, folder.clone()).expect("a valid file");
     assert_eq!(
         (again.settings, again.text.as_slice()),
         (every_key().settings, EVERY_KEY)
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -49,7 +49,7 @@
         let address = target
             .endpoint
             .parse()
-            .map_err(|_| format!("bad address '{}'", target.endpoint))?;
+            .map_err(|_| format!("invalid address '{}'", target.endpoint))?;
         Ok(ListedEndpoint {
             uid: target.uid,
             address,
--- a/src/net/settings_object.rs
+++ b/src/net/settings_object.rs
@@ -1,5 +1,5 @@
-//! Settings objects of the configuration that may be left out: `membership`, `agreement`, `ledger` and `freeze`, each read
-//! strictly.
+//! Reads the optional objects of the configuration: `membership`, `agreement`, `ledger` and `freeze`. Unknown keys are
+//! errors.
 
 use quota_ledger::LIMIT_KINDS;
 use serde::de::DeserializeOwned;
@@ -9,76 +9,76 @@
 use thiserror::Error;
 use versioned_config::InvalidRules;
 
-/// Replicas of the registry that an object may name beside discovery's own address.
+/// Maximum number of registry replicas that an object may name in addition to discovery's address.
 const MAX_REPLICAS: usize = 16;
 
-/// What is wrong with a settings object, and what to write instead.
+/// Why a settings object is invalid. The text tells the operator what to write instead.
 #[derive(Debug, Error)]
 pub enum SettingsObjectError {
-    /// It is not an object of this form.
-    #[error("{object}: {error}; it has {keys}")]
+    /// The value is not an object, or has an unknown or missing key or a value of the wrong type.
+    #[error("{object}: {error}; valid keys are {keys}")]
     Form {
-        /// The object's key in the configuration.
+        /// Key of the object in the configuration.
         object: &'static str,
-        /// Where it departs from the form.
+        /// Error of the JSON parser.
         error: serde_json::Error,
-        /// The keys that it may have.
+        /// Valid keys of the object, as a text.
         keys: &'static str,
     },
-    /// A value is out of range.
+    /// A value of the object is out of range.
     #[error("{object}.{key} is not {expected}")]
     Value {
-        /// The object's key in the configuration.
+        /// Key of the object in the configuration.
         object: &'static str,
-        /// The key within it.
+        /// Key within the object.
         key: &'static str,
-        /// What is allowed.
+        /// Description of the valid values.
         expected: String,
     },
-    /// The fallback rules make no sense.
+    /// The fallback rules (`agreement.floor`) are invalid.
     #[error("agreement.floor: {0}")]
     FallbackRules(#[from] InvalidRules),
-    /// A fallback quota is of something that is not limited.
+    /// A key of `ledger.floors` names no limit, so no fallback quota can be set for it.
     #[error("ledger.floors names '{0}'; write a kind ({kinds}) or a key like rate/7", kinds = LIMIT_KINDS.join(", "))]
     FallbackQuota(String),
-    /// Requests for quotas would have no room.
+    /// The byte budget of `ledger.bytes_a_second` is too small for quota requests.
     #[error("ledger.bytes_a_second is {found}; write {min} or more, or leave it out for {default}")]
     ByteBudget {
-        /// What was written.
+        /// Configured bytes per second.
         found: u64,
-        /// The least that is allowed.
+        /// Minimum number of bytes per second.
         min: u64,
-        /// What holds without the key.
+        /// Bytes per second that apply if the key is left out.
         default: u64,
     },
-    /// The key file can't be read.
+    /// Reading the file with the fleet's shared key failed.
     #[error("membership.key_file: {path}: {error}", path = path.display())]
     KeyFile {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
 }
 
-/// A settings object that may be left out.
+/// Optional object of the configuration.
 pub trait SettingsObject: DeserializeOwned {
-    /// Its key in the configuration.
+    /// Key of the object in the configuration.
     const NAME: &'static str;
-    /// The keys that it may have, for operators.
+    /// Valid keys of the object, for error messages.
     const KEYS: &'static str;
 
-    /// Checks what its form does not say.
+    /// Checks the values beyond the types that deserialization has checked.
     ///
     /// # Errors
-    /// Names the key that is wrong.
+    /// Names the key with an invalid value.
     fn validate(&self) -> Result<(), SettingsObjectError>;
 }
 
-/// Reads a settings object; none if it is left out.
+/// Reads and validates a settings object. Returns `None` if the configuration leaves the object out.
 ///
 /// # Errors
-/// Names the key that is wrong.
+/// Names the key that is unknown or has an invalid value.
 pub fn read<T: SettingsObject>(value: &Value) -> Result<Option<T>, SettingsObjectError> {
     if value.is_null() {
         return Ok(None);
@@ -92,10 +92,10 @@
     Ok(Some(settings))
 }
 
-/// Checks the replicas that an object names.
+/// Checks the number of replicas that an object names under `others`.
 ///
 /// # Errors
-/// There are too many.
+/// The object names more than 16 replicas.
 pub fn validate_replicas<T: SettingsObject>(
     replicas: &[SocketAddr],
 ) -> Result<(), SettingsObjectError> {
--- a/src/net/sorted_json.rs
+++ b/src/net/sorted_json.rs
@@ -1,10 +1,10 @@
-//! Reports and requests as JSON.
+//! Serializes reports and requests as JSON with sorted keys.
 
 use serde::Serialize;
 
-/// A report or request as JSON, its keys in alphabetical order: the form of all versions so far.
+/// Serializes a report or request as JSON with its keys in alphabetical order, as all earlier versions did.
 pub fn to_sorted_json(message: &impl Serialize) -> String {
-    // a message without maps of other keys than texts can't fail to be written into memory
+    // serialization into memory fails only for maps whose keys are not strings, and no message has such a map
     serde_json::to_value(message)
         .map(|value| value.to_string())
         .unwrap_or_default()
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -427,7 +427,7 @@
     assert!(
         lines
             .iter()
-            .any(|line| line.contains("the last good one holds")),
+            .any(|line| line.contains("using the last valid one")),
         "{lines:?}"
     );
     process.kill().expect("it listens");
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -203,7 +203,7 @@
             r#"{"learn_caps":1}"#,
             "pool.learn_caps is '1', not true or false",
         ),
-        (r#"{"idel":1}"#, "pool.idel is no setting"),
+        (r#"{"idel":1}"#, "pool.idel is not a known setting"),
         ("[]", "pool is '[]', not an object"),
     ] {
         let folder = fresh_folder();
