--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! The text wire: parses batches of events, hosts instances apart, prints their actions. Decides nothing.
+//! Line protocol of the simulator's adapter: parses batches of events, passes them to the simulated senders and prints
+//! the actions of each. All decisions are made by the decision module.
 
 mod base64;
 mod fields;
--- a/src/wire/base64.rs
+++ b/src/wire/base64.rs
@@ -1,9 +1,10 @@
-//! Base64, for what senders write to each other.
+//! Base64 encoding of the notes that senders send to each other.
 
 use super::fields::{Fault, fault};
 
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
+/// Encodes bytes as padded Base64; an empty slice becomes `-`.
 pub(super) fn encode(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_string();
@@ -26,6 +27,7 @@
     text
 }
 
+/// Decodes padded Base64; `-` gives no bytes.
 pub(super) fn decode(text: &str) -> Result<Vec<u8>, Fault> {
     if text == "-" {
         return Ok(Vec::new());
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -1,15 +1,16 @@
-//! The fields of one line, and the words and numbers in them.
+//! Parses the space-separated fields of one line.
 
 use crate::interface::{Micros, Outcome};
 
-/// What was expected and what was found; the line number is added by the reader.
+/// Parse error in a line: the expected text and the found one. The caller adds the line number.
 pub(super) type Fault = (String, String);
 
+/// Returns a parse error that quotes up to 80 characters of the found text.
 pub(super) fn fault<T>(expected: &str, found: &str) -> Result<T, Fault> {
     Err((expected.to_string(), found.chars().take(80).collect()))
 }
 
-/// The fields of one line, taken one by one.
+/// Iterator over the fields of one line. In each method `expected` describes the field in the error message.
 pub(super) struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
@@ -17,6 +18,7 @@
         Fields(line.split(' '))
     }
 
+    /// Returns the next field, which must not be empty.
     pub(super) fn text(&mut self, expected: &str) -> Result<&'a str, Fault> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
@@ -24,25 +26,30 @@
         }
     }
 
+    /// Returns the next field as a finite number.
     pub(super) fn number(&mut self, expected: &str) -> Result<f64, Fault> {
         let text = self.text(expected)?;
         parse_number(text, expected)
     }
 
+    /// Returns the next field, which is in seconds, in microseconds.
     pub(super) fn time(&mut self, expected: &str) -> Result<Micros, Fault> {
         Ok(to_micros(self.number(expected)?))
     }
 
+    /// Returns the next field as a whole number of zero or more.
     pub(super) fn whole(&mut self, expected: &str) -> Result<u64, Fault> {
         let text = self.text(expected)?;
         parse_whole(text, expected)
     }
 
+    /// Returns the next field, or `None` if it is `-`.
     pub(super) fn optional(&mut self, expected: &str) -> Result<Option<&'a str>, Fault> {
         let text = self.text(expected)?;
         Ok(if text == "-" { None } else { Some(text) })
     }
 
+    /// Returns the next field as a flag: `1` is true, `0` and `-` are false.
     pub(super) fn flag(&mut self, expected: &str) -> Result<bool, Fault> {
         match self.text(expected)? {
             "1" => Ok(true),
@@ -51,6 +58,7 @@
         }
     }
 
+    /// Returns the next field, which must be a known outcome.
     pub(super) fn outcome_word(&mut self) -> Result<&'a str, Fault> {
         let text = self.text("an outcome")?;
         match text {
@@ -60,6 +68,7 @@
         }
     }
 
+    /// Returns the numbers of a load report, separated by commas. A missing field or `-` gives an empty report.
     pub(super) fn report(&mut self) -> Result<Vec<f64>, Fault> {
         match self.0.next() {
             None | Some("" | "-") => Ok(Vec::new()),
@@ -78,6 +87,7 @@
     }
 }
 
+/// Parses a whole number of zero or more, also one that is written with a decimal point or an exponent.
 pub(super) fn parse_whole(text: &str, expected: &str) -> Result<u64, Fault> {
     if let Ok(value) = text.parse::<u64>() {
         return Ok(value);
@@ -88,10 +98,13 @@
     }
 }
 
+/// Converts seconds to microseconds, rounded to the nearest.
 pub(super) fn to_micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
+/// Converts an outcome and its remark. The remark of `shed` is a Retry-After delay in milliseconds; that of `unused` is 1
+/// if no call slot was free.
 pub(super) fn outcome(word: &str, remark: f64) -> Outcome {
     match word {
         "delivered" => Outcome::Success,
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of one process.
+//! Runs the simulated senders of one adapter process.
 
 use super::fields::{Fault, Fields, fault};
 use super::instance::Instance;
@@ -11,22 +11,26 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Hosts the instances of one process and speaks the wire.
+/// Runs all simulated senders ("instances") of one process: reads batches of events and writes the senders' actions.
 #[derive(Default)]
 pub struct Host {
+    /// Running instances by id.
     instances: BTreeMap<String, Instance>,
+    /// Rows of each endpoint list, by the number under which `announce` lines refer to the list.
     endpoint_lists: BTreeMap<u64, Vec<String>>,
+    /// Ids of the instances with events in the current batch, in the order of their first event.
     batch_order: Vec<String>,
+    /// Actions of one instance, kept here to reuse the allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// A host without instances.
+    /// Creates a host without instances.
     pub fn new() -> Self {
         Host::default()
     }
 
-    /// Reads batches until the input ends, writing one reply to each.
+    /// Reads batches until the input ends, and writes one reply to each batch.
     ///
     /// # Errors
     /// A malformed line, input that ends inside a batch, or a failed read or write.
@@ -74,7 +78,7 @@
         outcome.map_err(|(expected, found)| lines.error(&expected, &found))
     }
 
-    /// Takes in a list that later lines name by its number.
+    /// Reads the rows of an endpoint list and stores them under the number that later `announce` lines use.
     fn read_list(
         &mut self,
         (number, rows): (u64, u64),
@@ -96,6 +100,7 @@
         Ok(())
     }
 
+    /// Adds the event of a line to its instance; starts or stops the instance on `begin` and `crash_now`.
     fn event(&mut self, line: &str) -> Result<(), Fault> {
         let mut fields = Fields::new(line);
         let word = fields.text("a message")?;
@@ -122,6 +127,7 @@
         Ok(())
     }
 
+    /// Starts an instance with the seed and settings of a `begin` line, replacing a running one of the same id.
     fn begin(&mut self, id: &str, fields: &mut Fields, line: &str) -> Result<(), Fault> {
         let seed = fields.whole("a seed")?;
         let setup = line.splitn(4, ' ').nth(3).unwrap_or("");
@@ -142,6 +148,7 @@
         Ok(())
     }
 
+    /// Passes each instance its events of the batch and appends the resulting action lines to `reply`.
     fn reply(&mut self, now: Micros, reply: &mut String) {
         for id in &self.batch_order {
             let Some(instance) = self.instances.get_mut(id) else {
--- a/src/wire/instance.rs
+++ b/src/wire/instance.rs
@@ -1,21 +1,26 @@
-//! One instance on the wire.
+//! State of one simulated sender.
 
 use super::numbered::NameNumbers;
 use super::settings::Names;
 use crate::decisions::Sender;
 use crate::interface::Event;
 
-/// One instance: its module, its names and the events that wait for the end of the batch.
+/// Simulated sender, called an instance in the line protocol.
 pub(super) struct Instance {
+    /// Decision module of the sender.
     pub(super) sender: Sender,
+    /// Names that the settings define, for example of zones and classes.
     pub(super) names: Names,
+    /// Message names with the numbers that the decision module uses.
     pub(super) messages: NameNumbers,
+    /// Endpoint names with the numbers that the decision module uses.
     pub(super) endpoints: NameNumbers,
+    /// Events of the current batch, handled when the batch ends.
     pub(super) events: Vec<Event>,
 }
 
 impl Instance {
-    /// An instance that has been told nothing yet.
+    /// Creates an instance without messages, endpoints and events.
     pub(super) fn new(sender: Sender, names: Names) -> Self {
         Instance {
             sender,
--- a/src/wire/lines.rs
+++ b/src/wire/lines.rs
@@ -1,4 +1,4 @@
-//! The input, line by line, and what may be wrong with it.
+//! Reads the adapter's input line by line, and its errors.
 
 use super::fields::Fault;
 use std::fmt;
@@ -7,16 +7,16 @@
 /// Why the adapter stopped.
 #[derive(Debug)]
 pub enum WireError {
-    /// A line that is not as it should be.
+    /// A line is malformed, or the input ended inside a batch.
     Line {
-        /// Its number, from 1.
+        /// Line number, from 1.
         number: usize,
-        /// What should have stood there.
+        /// Description of the expected field or line.
         expected: String,
-        /// What did.
+        /// Text found instead, up to 80 characters of a field.
         found: String,
     },
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     Io(io::Error),
 }
 
@@ -43,13 +43,16 @@
     }
 }
 
-/// The input, line by line.
+/// Current line of the input.
 pub(super) struct Lines {
+    /// Line number, from 1; 0 before the first line.
     pub(super) number: usize,
+    /// Text of the line without the line break.
     pub(super) text: String,
 }
 
 impl Lines {
+    /// Reads the next line. Returns false at the end of the input.
     pub(super) fn next(&mut self, input: &mut impl BufRead) -> Result<bool, WireError> {
         self.text.clear();
         if input.read_line(&mut self.text)? == 0 {
@@ -62,6 +65,7 @@
         Ok(true)
     }
 
+    /// Returns an error for the current line.
     pub(super) fn error(&self, expected: &str, found: &str) -> WireError {
         WireError::Line {
             number: self.number,
@@ -70,6 +74,7 @@
         }
     }
 
+    /// Parses the current line with `read` and adds the line number to its error.
     pub(super) fn check<T>(&self, read: impl Fn(&str) -> Result<T, Fault>) -> Result<T, WireError> {
         read(&self.text).map_err(|(expected, found)| self.error(&expected, &found))
     }
--- a/src/wire/numbered.rs
+++ b/src/wire/numbered.rs
@@ -1,8 +1,8 @@
-//! Words of the host on one side, numbers of the module on the other.
+//! Maps the names on the lines to the numbers that the decision module uses.
 
 use std::collections::BTreeMap;
 
-/// Words of the host on one side, numbers of the module on the other.
+/// Names on the lines (of messages or endpoints) and their numbers, assigned from 0 in the order of first use.
 #[derive(Default)]
 pub(super) struct NameNumbers {
     by_name: BTreeMap<String, u64>,
@@ -10,6 +10,7 @@
 }
 
 impl NameNumbers {
+    /// Returns the number of `name`, and assigns the next number to a new name.
     pub(super) fn number(&mut self, name: &str) -> u64 {
         if let Some(&number) = self.by_name.get(name) {
             return number;
@@ -20,6 +21,7 @@
         number
     }
 
+    /// Returns the name with this number, which must have been assigned.
     pub(super) fn name(&self, number: u64) -> &str {
         &self.names[number as usize]
     }
--- a/src/wire/printing.rs
+++ b/src/wire/printing.rs
@@ -1,10 +1,11 @@
-//! Prints actions.
+//! Prints the actions of an instance as lines.
 
 use super::base64::encode;
 use super::instance::Instance;
 use crate::interface::{Action, EjectionReason, EndpointId, MessageId, Micros, RouteEvent, SECOND};
 use std::fmt::{self, Write as _};
 
+/// Time in microseconds, printed in seconds with six decimal places.
 struct Seconds(Micros);
 
 impl fmt::Display for Seconds {
@@ -13,7 +14,7 @@
     }
 }
 
-/// The simulator's text of a log event.
+/// Log event in the wording of the simulator's lines, which differs from the sender's log.
 struct LogText<'a>(&'a RouteEvent);
 
 impl fmt::Display for LogText<'_> {
@@ -38,6 +39,7 @@
     }
 }
 
+/// Appends the line of one action of the instance `id` to `reply`.
 pub(super) fn print(reply: &mut String, id: &str, action: &Action, instance: &Instance) {
     let message = |m: &MessageId| instance.messages.name(m.0);
     let endpoint = |e: &EndpointId| instance.endpoints.name(u64::from(e.0));
--- a/src/wire/printing/tests.rs
+++ b/src/wire/printing/tests.rs
@@ -10,10 +10,9 @@
     }
 }
 
-/// Every action as it is written, byte for byte.
 #[test]
-fn every_action_is_written_in_its_form() {
-    let sender = Sender::new(Settings::new(1, 1), 1).expect("settings make sense");
+fn every_action_is_printed_as_recorded_line() {
+    let sender = Sender::new(Settings::new(1, 1), 1).expect("the settings are valid");
     let mut instance = Instance::new(sender, Names::default());
     let message = MessageId(instance.messages.number("m7"));
     let endpoint = EndpointId(instance.endpoints.number("e9") as u32);
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -1,4 +1,4 @@
-//! Reads events.
+//! Parses the lines of a batch into events.
 
 use super::base64::decode;
 use super::fields::{Fault, Fields, fault, outcome, parse_number, parse_whole};
@@ -10,7 +10,7 @@
 };
 use std::collections::BTreeMap;
 
-/// The first words of all lines in a batch but those of lists.
+/// First words of all lines in a batch, except `manifest` and `row`, which define endpoint lists.
 pub(super) const EVENT_WORDS: [&str; 10] = [
     "begin",
     "crash_now",
@@ -24,11 +24,12 @@
     "heard",
 ];
 
-/// The bits of a message that a client has handed in before, and of one that comes from a sender that died.
+/// Bit in a `demand` line for a message that the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
+/// Bit in a `demand` line for a message that was pending at a sender that died.
 const ORPHAN_BIT: u64 = 16;
 
-/// The time of a batch.
+/// Parses the first line of a batch and returns its time.
 pub(super) fn read_batch_head(line: &str) -> Result<Micros, Fault> {
     let mut fields = Fields::new(line);
     match fields.text("batch")? {
@@ -37,19 +38,20 @@
     }
 }
 
-/// A list's number, and how many rows follow.
+/// Parses a `manifest` line after its first word. Returns the list's number and the number of rows that follow.
 pub(super) fn read_list_head(rest: &str) -> Result<(u64, u64), Fault> {
     let mut fields = Fields::new(rest);
     let number = fields.whole("a list number")?;
     Ok((number, fields.whole("a count of rows")?))
 }
 
-/// Checks a row of a list before any instance needs it.
+/// Checks a row when the list is read, so that the error names the row's own line number.
 pub(super) fn check_row(row: &str) -> Result<(), Fault> {
     read_row(row, &mut NameNumbers::default(), &Names::default()).map(drop)
 }
 
-/// What a line tells a running instance; the fields after its word and its instance.
+/// Parses the event of a line for a running instance. `word` is the line's first word, and `fields` are the fields after
+/// the instance's id.
 pub(super) fn read_event(
     word: &str,
     fields: &mut Fields,
--- a/src/wire/reading/tests.rs
+++ b/src/wire/reading/tests.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Outcome, SECOND, Settings};
 
 fn instance() -> Instance {
-    let sender = Sender::new(Settings::new(1, 1), 1).expect("settings make sense");
+    let sender = Sender::new(Settings::new(1, 1), 1).expect("the settings are valid");
     let words = |words: &[&str]| words.iter().map(|word| word.to_string()).collect();
     let names = Names {
         zones: words(&["a", "b"]),
@@ -22,7 +22,7 @@
     instance
 }
 
-/// What a line tells; the instance's name is not in it.
+/// Parses the event of a line that is given without the instance's id.
 fn read(line: &str) -> Event {
     let rows = [
         "e1 b apart 6 SERVING 10.5 -",
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn demand_is_read_with_every_field() {
+fn demand_line_is_parsed_with_every_field() {
     assert_eq!(
         read("demand m1 2.5 tin 77 18 40 0.5 order"),
         Event::Accepted(new_message())
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn announcements_are_read_with_every_field() {
+fn announce_lines_are_parsed_with_every_field() {
     let entry = |endpoint, destination, zone, kind, status, weight| EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn outcomes_are_read_with_every_field() {
+fn outcome_lines_are_parsed_with_every_field() {
     for (word, remark, outcome) in [
         ("delivered", "-", Outcome::Success),
         ("app_error", "-", Outcome::Error),
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn other_lines_are_read_with_every_field() {
+fn other_event_lines_are_parsed_with_every_field() {
     assert_eq!(
         read("first_byte m1 0.01 3 e2"),
         Event::ResponseStarted {
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as text: setting names live here only.
+//! Reads settings from text. The names of the settings are defined in this module only.
 
 use super::fields::to_micros;
 use crate::interface::{
@@ -7,20 +7,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Settings as text, looked up by path: those of a `begin` line, or of a real sender's configuration.
+/// Settings as pairs of a dotted path and a text, from a `begin` line or from a sender's configuration file.
 pub struct Pairs<'a>(pub BTreeMap<&'a str, &'a str>);
 
 impl Pairs<'_> {
+    /// Returns the text of a setting, or `None` if it is missing or empty.
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).copied().filter(|text| !text.is_empty())
     }
 
+    /// Returns the comma-separated items of a setting; a missing setting has none.
     fn list(&self, path: &str) -> Vec<&str> {
         self.text(path)
             .map(|text| text.split(',').collect())
             .unwrap_or_default()
     }
 
+    /// Returns the value of a setting that must be a finite number of zero or more, or `None` if it is missing.
     fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         let Some(text) = self.text(path) else {
             return Ok(None);
@@ -42,6 +45,7 @@
         Ok(self.number(path)?.unwrap_or(default))
     }
 
+    /// Returns a setting that is given in seconds in microseconds, or `default` (in microseconds) if it is missing.
     fn duration_or(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
         Ok(self.number(path)?.map_or(default, to_micros))
     }
@@ -57,24 +61,25 @@
     }
 }
 
-/// What a host needs of one instance's settings beside the module: the names that later lines use.
+/// Names that the settings define and the decision module refers to by position, and settings that only the host of the
+/// module uses.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Names {
-    /// Zones, in the order of their numbers.
+    /// Zone names; the position is the number of the zone.
     pub zones: Vec<String>,
-    /// Classes of message.
+    /// Names of the message classes; the position is the number of the class.
     pub classes: Vec<String>,
-    /// Kinds of destination.
+    /// Names of the destination kinds; the position is the number of the kind.
     pub kinds: Vec<String>,
-    /// Tenants.
+    /// Tenant names; the position is the number of the tenant.
     pub tenants: Vec<String>,
-    /// Fields of a load report, in the order in which the module reads them.
+    /// Names of the load report's fields, in the order in which the decision module expects the values.
     pub report_fields: Vec<String>,
-    /// A connection that is not up within this time is given up.
+    /// Timeout in microseconds for establishing a connection.
     pub dial_timeout: Micros,
 }
 
-/// Position of a name among those of the settings; `usize::MAX` for a name that is not there.
+/// Returns the position of `name` in `names`, or `usize::MAX` if the settings do not define the name.
 pub fn position(names: &[String], name: &str) -> usize {
     names
         .iter()
@@ -82,10 +87,10 @@
         .unwrap_or(usize::MAX)
 }
 
-/// Reads the settings, for the wire and for real senders alike: setting names live here only.
+/// Reads the settings of a simulated sender or of a real one.
 ///
 /// # Errors
-/// Names the first setting that is missing or makes no sense.
+/// Names the first setting that is missing or has an invalid value.
 pub fn read_settings(pairs: &Pairs) -> Result<(Settings, Names), SettingsError> {
     let owned = |list: Vec<&str>| list.into_iter().map(str::to_string).collect::<Vec<_>>();
     let mut names = Names {
@@ -131,7 +136,7 @@
     Ok(())
 }
 
-/// Where the sender learns of destinations: the list, its weights, load reports.
+/// Reads how the sender receives endpoint lists, how far it trusts their weights, and the fields of load reports.
 fn read_sources(pairs: &Pairs, settings: &mut Settings) {
     settings.list_by_subscription = pairs.text("discovery") == Some("on_request");
     settings.weight_trust = match pairs.text("weights") {
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -1,9 +1,7 @@
-//! What a version of the decisions must have in common with the one before it: the bytes of a
-//! serialized sender, which a handover carries from one to the other, and every action for the same
-//! events.
+//! Tests that the decision module is compatible with its previous version: a serialized sender, which a handover passes
+//! between versions, keeps its bytes, and the same events give the same actions.
 //!
-//! `UPDATE_GOLDEN=1` writes the golden files; only a change of behaviour that is meant may need
-//! that.
+//! `UPDATE_GOLDEN=1` writes the golden files. Use it only after an intended change of behaviour.
 
 mod decision_record;
 
@@ -11,25 +9,28 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
+/// Number of recorded scenarios with consecutive numbers from 0.
 const SCENARIOS: u64 = 48;
+/// Number of turns of each recorded scenario.
 const TURNS: u64 = 4000;
-/// Files of serialized senders, with their scenario and turn; together they hold at least one of
-/// everything.
+/// Files of serialized senders with the scenario and turn at which they were written. Together the senders hold at least
+/// one value of each field and variant.
 const GOLDEN_SENDERS: [(&str, u64, u64); 3] = [
     ("sender-1.postcard", 115, 1961),
     ("sender-2.postcard", 103, 2506),
     ("sender-3.postcard", 103, 1462),
 ];
-/// Turns that each golden sender goes on for.
-const CONTINUED: u64 = 500;
+/// Number of turns for which each golden sender continues after it has been deserialized.
+const CONTINUED_TURNS: u64 = 500;
 
+/// Returns the path of a golden file.
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/decisions")
         .join(name)
 }
 
-/// The content of a golden file, or this where the files are to be written.
+/// Returns the content of a golden file, after writing `actual` to the file if `UPDATE_GOLDEN` is set.
 fn expected(name: &str, actual: &[u8]) -> Vec<u8> {
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         std::fs::write(golden(name), actual).expect("written");
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn recorded_scenarios_run_again_take_the_same_actions() {
+fn recorded_scenarios_give_recorded_actions() {
     let mut lines = String::from("scenario turns digest actions_by_variant log_events_by_kind\n");
     let mut actions = [0; 10];
     let mut logged = [0; 5];
@@ -56,59 +57,59 @@
     }
     let expected = String::from_utf8(expected("actions.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
-    // no decision asks for probes or writes to other senders
-    let taken: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
+    // the decision module never emits HealthCheck (variant 5) or SendNote (variant 8)
+    let emitted: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
     assert_eq!(
-        taken,
+        emitted,
         [0, 1, 2, 3, 4, 6, 7, 9],
-        "each other action is there"
+        "each other variant of Action occurs"
     );
     assert!(
         logged.iter().all(|&count| count > 0),
-        "each log event is there: {logged:?}"
+        "each log event occurs: {logged:?}"
     );
 }
 
 #[test]
-fn golden_senders_read_and_written_keep_each_byte() {
+fn golden_senders_deserialized_and_serialized_keep_their_bytes() {
     let mut missing: Option<Vec<&str>> = None;
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
         host.run(turn);
         let bytes = host.state();
         let golden = expected(name, &bytes);
-        assert!(
-            bytes == golden,
-            "{name}: the same events led to other bytes"
-        );
+        assert!(bytes == golden, "{name}: the same events gave other bytes");
         let sender: message_sender::Sender = postcard::from_bytes(&golden).expect("a sender");
         assert!(
             postcard::to_allocvec(&sender).expect("bytes") == golden,
-            "{name}: written otherwise than read"
+            "{name}: serialized to other bytes than it was read from"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
-        let here = mirror.missing();
-        missing = Some(missing.map_or(here.clone(), |all| {
-            all.into_iter().filter(|what| here.contains(what)).collect()
+        let missing_here = mirror.missing();
+        missing = Some(missing.map_or(missing_here.clone(), |all| {
+            all.into_iter()
+                .filter(|name| missing_here.contains(name))
+                .collect()
         }));
     }
     assert_eq!(
         missing,
         Some(Vec::new()),
-        "together they hold at least one of everything"
+        "together the golden senders hold each field and variant"
     );
 }
 
 #[test]
-fn golden_senders_continued_take_the_same_actions() {
+fn deserialized_golden_senders_give_recorded_actions() {
     let mut lines = String::new();
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
         host.run(turn);
         let golden = std::fs::read(golden(name)).expect("the golden file");
         host.sender = postcard::from_bytes(&golden).expect("a sender");
-        host.run(CONTINUED);
-        writeln!(lines, "{name} {CONTINUED} {:016x}", host.digest.0).expect("written to a string");
+        host.run(CONTINUED_TURNS);
+        writeln!(lines, "{name} {CONTINUED_TURNS} {:016x}", host.digest.0)
+            .expect("written to a string");
     }
     let expected = String::from_utf8(expected("continued.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
--- a/tests/compatibility_simulator.rs
+++ b/tests/compatibility_simulator.rs
@@ -1,4 +1,5 @@
-//! What the simulator writes and reads stays byte for byte: recorded input gives the recorded answers.
+//! Tests that the line protocol of the simulator's adapter is unchanged: recorded input gives the recorded output, byte
+//! for byte.
 
 use message_sender::wire::{Host, Pairs, read_settings};
 use std::collections::BTreeSet;
@@ -26,12 +27,12 @@
 }
 
 #[test]
-fn recorded_traffic_gives_the_recorded_answers() {
+fn recorded_traffic_gives_recorded_answers() {
     assert_same_lines(&answers(TRAFFIC), TRAFFIC_ANSWERS);
 }
 
 #[test]
-fn recorded_outage_gives_the_recorded_answers() {
+fn recorded_outage_gives_recorded_answers() {
     assert_same_lines(&answers(OUTAGE), OUTAGE_ANSWERS);
 }
 
@@ -79,7 +80,7 @@
         assert!(held, "no outcome {outcome}");
     }
     let answers = first_words(&format!("{TRAFFIC_ANSWERS}{OUTAGE_ANSWERS}"));
-    // health_check and publish are printed but never asked for: see the tests beside the printing
+    // the decision module never emits health_check or publish; unit tests of the printing cover these two
     for word in [
         "issue",
         "withdraw",
@@ -96,14 +97,14 @@
 }
 
 #[test]
-fn every_setting_is_read_under_its_name() {
+fn recorded_settings_give_recorded_values() {
     let pairs = Pairs(
         SETTINGS
             .lines()
             .filter_map(|line| line.split_once('='))
             .collect(),
     );
-    let read = read_settings(&pairs).expect("the recorded settings make sense");
+    let read = read_settings(&pairs).expect("the recorded settings are valid");
     let text = serde_json::to_string_pretty(&read).expect("settings can be written") + "\n";
     assert_same_lines(&text, SETTINGS_READ);
 }
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -1,5 +1,5 @@
-//! The number that each sender scales by while the fleet is split, loses members and heals: the protocol of membership
-//! and the module together, on a passed-in clock.
+//! Tests the fleet size that each sender assumes while the fleet is split, loses members and recovers. Runs the membership
+//! protocol together with the decision module on a simulated clock.
 
 mod common;
 #[path = "../membership/tests/common/mod.rs"]
@@ -9,9 +9,10 @@
 use fleet::{Fleet, PERIOD};
 use message_sender::*;
 
+/// Number of members of the simulated fleet.
 const MEMBERS: usize = 20;
 
-/// A fleet, and the module of each of its members.
+/// Simulated fleet with a decision module for each member.
 struct Senders {
     fleet: Fleet,
     modules: Vec<Sender>,
@@ -27,7 +28,8 @@
         }
     }
 
-    /// One period; the sum of the parts that all that run take of a limit.
+    /// Runs one protocol period. Returns the sum of the shares of a limit (1 / assumed fleet size) that the running senders
+    /// use; a sum of 1 uses the limit exactly.
     fn step(&mut self) -> f64 {
         self.fleet.run(1.0);
         let now = self.fleet.now as Micros;
@@ -51,7 +53,7 @@
         }
     }
 
-    fn number(&self, index: usize) -> u32 {
+    fn fleet_size(&self, index: usize) -> u32 {
         self.modules[index].fleet_size()
     }
 
@@ -64,85 +66,91 @@
 fn module() -> Sender {
     let mut settings = settings(8);
     settings.senders = MEMBERS as u32;
-    Sender::new(settings, 1).expect("settings make sense")
+    Sender::new(settings, 1).expect("the settings are valid")
 }
 
-/// Whether one reaches another, by the number of those on the first side.
+/// Returns true if datagrams pass, given the number of members on the first side, the sender and the receiver.
 type Passes = fn(usize, usize, usize) -> bool;
 
+/// Returns name, number of members on the first side, and passing datagrams of each network split.
 fn splits() -> Vec<(&'static str, usize, Passes)> {
     vec![
         ("halves", 10, |first, from, to| {
             (from < first) == (to < first)
         }),
-        ("seven apart", 7, |first, from, to| {
+        ("seven cut off", 7, |first, from, to| {
             (from < first) == (to < first)
         }),
-        ("a fifth apart", 4, |first, from, to| {
+        ("a fifth cut off", 4, |first, from, to| {
             (from < first) == (to < first)
         }),
-        ("a fifth hears nobody else", 4, |first, from, to| {
-            to >= first || from < first
-        }),
-        ("nobody else hears a fifth", 4, |first, from, to| {
-            from >= first || to < first
-        }),
+        (
+            "a fifth receives nothing from the others",
+            4,
+            |first, from, to| to >= first || from < first,
+        ),
+        (
+            "the others receive nothing from a fifth",
+            4,
+            |first, from, to| from >= first || to < first,
+        ),
     ]
 }
 
-/// What a rule without care would scale by: those that answer.
-fn careless(view: FleetView) -> u32 {
+/// Returns the fleet size by the naive rule: all members that respond. It shows that the splits would break that rule.
+fn naive_fleet_size(view: FleetView) -> u32 {
     view.present - view.suspects
 }
 
 #[test]
-fn no_sender_in_a_minority_grows_bolder_and_the_sum_is_bounded() {
-    let mut careless_broke = 0;
-    for (what, first, passes) in splits() {
+fn minority_senders_never_lower_fleet_size_and_share_sum_is_bounded_in_splits() {
+    let mut naive_violations = 0;
+    for (split, first, passes) in splits() {
         for seed in 0..3 {
             let mut senders = Senders::new(seed);
             senders.fleet.passes = Box::new(move |from, to| passes(first, from, to));
             for period in 0..120 {
                 let sum = senders.step();
-                assert!(sum < 1.5, "{what}, seed {seed}, period {period}: {sum}");
+                assert!(sum < 1.5, "{split}, seed {seed}, period {period}: {sum}");
                 for index in 0..first {
                     assert!(
-                        senders.number(index) >= MEMBERS as u32,
-                        "{what}, seed {seed}: {index}"
+                        senders.fleet_size(index) >= MEMBERS as u32,
+                        "{split}, seed {seed}: {index}"
                     );
-                    careless_broke += usize::from(careless(senders.view(index)) < MEMBERS as u32);
+                    naive_violations +=
+                        usize::from(naive_fleet_size(senders.view(index)) < MEMBERS as u32);
                 }
             }
-            let lowered = senders.number(MEMBERS - 1);
-            let wanted = if 2 * first < MEMBERS {
+            let majority_size = senders.fleet_size(MEMBERS - 1);
+            let expected = if 2 * first < MEMBERS {
                 MEMBERS - first
             } else {
                 MEMBERS
             };
             assert_eq!(
-                lowered as usize, wanted,
-                "{what}, seed {seed}: the larger side"
+                majority_size as usize, expected,
+                "{split}, seed {seed}: the larger side"
             );
             senders.fleet.passes = Box::new(|_, _| true);
             let sum = (0..41).map(|_| senders.step()).last().unwrap_or_default();
-            assert!(sum <= 1.0001, "{what}, seed {seed}: {sum} after the heal");
+            assert!(sum <= 1.0001, "{split}, seed {seed}: {sum} after the heal");
         }
     }
     assert!(
-        careless_broke > 100,
-        "the check can fail: {careless_broke} times it would have"
+        naive_violations > 100,
+        "the naive rule violated the bound only {naive_violations} times"
     );
 }
 
 #[test]
-fn after_deaths_and_returns_the_parts_add_up_to_one_again() {
+fn share_sum_returns_to_one_after_deaths_and_restarts() {
     for seed in 0..4 {
         let mut senders = Senders::new(seed);
         (0..8).for_each(|index| senders.fleet.kill(index));
         let sums: Vec<f64> = (0..90).map(|_| senders.step()).collect();
         assert!(
             sums.iter().all(|sum| *sum <= 1.0001),
-            "seed {seed}: never more than the whole"
+            "seed {seed}: the shares exceed the limit"
         );
         let (first, last) = (sums[0], sums[sums.len() - 1]);
         assert!(
@@ -150,20 +158,27 @@
             "seed {seed}: {first}, {last}"
         );
         (0..8).for_each(|index| senders.start(index));
-        let back: Vec<f64> = (0..40).map(|_| senders.step()).collect();
-        assert!(back.iter().all(|sum| *sum < 1.5), "seed {seed}");
-        assert!(back[39] <= 1.0001, "seed {seed}: {}", back[39]);
+        let sums_after_restart: Vec<f64> = (0..40).map(|_| senders.step()).collect();
+        assert!(
+            sums_after_restart.iter().all(|sum| *sum < 1.5),
+            "seed {seed}"
+        );
+        assert!(
+            sums_after_restart[39] <= 1.0001,
+            "seed {seed}: {}",
+            sums_after_restart[39]
+        );
     }
 }
 
 #[test]
-fn senders_with_views_that_differ_stay_within_the_configured_number() {
-    // two hundred with wrong views, each another one: none is held by a majority
+fn senders_with_differing_views_keep_configured_fleet_size() {
+    // 200 senders with wrong views, no one of which is held by a majority
     let mut sum = 0.0;
     for index in 0..200u32 {
         let mut settings = settings(8);
         settings.senders = 200;
-        let mut module = Sender::new(settings, u64::from(index)).expect("settings make sense");
+        let mut module = Sender::new(settings, u64::from(index)).expect("the settings are valid");
         let view = FleetView {
             present: 101 + index % 90,
             suspects: 0,
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What a sender makes of the number of its fellows that live.
+//! Tests the fleet size that a sender derives from its view of the fleet's members.
 
 mod common;
 use common::*;
@@ -6,9 +6,11 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 
-/// Cold time of the settings: a view must stand for so long before the number falls.
-const STANDS: Micros = 10 * SECOND;
+/// Warm-up time of the settings, in microseconds. A view must stay unchanged for this time before the fleet size falls.
+const STABLE_TIME: Micros = 10 * SECOND;
 
+/// Returns a host with `senders` configured senders, and a function that lets time pass, passes a view to the decision
+/// module and returns the fleet size.
 fn sender(
     senders: u32,
 ) -> (
@@ -18,16 +20,16 @@
     let mut settings = settings(8);
     settings.senders = senders;
     let host = TestHost::new(settings, vec![entry(1, 7)]);
-    let tell = |host: &mut TestHost, after: Micros, view| {
+    let set_view = |host: &mut TestHost, after: Micros, view| {
         host.now += after;
         host.sender
             .handle(host.now, &[Event::FleetView(view)], &mut Vec::new());
         host.sender.fleet_size()
     };
-    (host, tell)
+    (host, set_view)
 }
 
-/// All that live hold this view.
+/// Returns a view that all present members hold.
 fn view(present: u32, departed: u32) -> FleetView {
     FleetView {
         present,
@@ -39,18 +41,25 @@
 }
 
 #[test]
-fn the_number_falls_once_the_view_has_stood_and_rises_at_once() {
-    let (mut host, tell) = sender(100);
-    assert_eq!(tell(&mut host, 0, Some(view(60, 40))), 100);
-    assert_eq!(tell(&mut host, STANDS - 1, Some(view(60, 40))), 100);
+fn fleet_size_falls_after_stable_view_and_rises_immediately() {
+    let (mut host, set_view) = sender(100);
+    assert_eq!(set_view(&mut host, 0, Some(view(60, 40))), 100);
+    assert_eq!(
+        set_view(&mut host, STABLE_TIME - 1, Some(view(60, 40))),
+        100
+    );
     let mut actions = Vec::new();
     host.now += 1;
     host.sender
         .handle(host.now, &[Event::TimerExpired], &mut actions);
-    assert_eq!(host.sender.fleet_size(), 60, "at its own alarm");
-    assert_eq!(tell(&mut host, SECOND, Some(view(61, 39))), 61, "at once");
+    assert_eq!(host.sender.fleet_size(), 60, "when its own timer expires");
+    assert_eq!(
+        set_view(&mut host, SECOND, Some(view(61, 39))),
+        61,
+        "rises immediately"
+    );
     assert_eq!(
-        tell(
+        set_view(
             &mut host,
             SECOND,
             Some(FleetView {
@@ -59,13 +68,13 @@
             })
         ),
         100,
-        "in doubt"
+        "while isolated"
     );
-    assert_eq!(tell(&mut host, SECOND, None), 100);
+    assert_eq!(set_view(&mut host, SECOND, None), 100);
 }
 
 #[test]
-fn it_rings_when_the_view_will_have_stood() {
+fn lower_view_sets_timer_for_end_of_stable_time() {
     let (mut host, _) = sender(100);
     let mut actions = Vec::new();
     host.sender.handle(
@@ -74,15 +83,15 @@
         &mut actions,
     );
     assert!(
-        actions.contains(&Action::SetTimer(host.now + STANDS)),
+        actions.contains(&Action::SetTimer(host.now + STABLE_TIME)),
         "{actions:?}"
     );
 }
 
 #[test]
-fn what_is_less_than_sure_never_lowers_the_number() {
+fn uncertain_view_never_lowers_fleet_size() {
     let lowered = view(60, 40);
-    for (what, view) in [
+    for (case, view) in [
         (
             "a suspect",
             FleetView {
@@ -91,7 +100,7 @@
             },
         ),
         (
-            "few hold it",
+            "no majority agrees",
             FleetView {
                 agreeing: 50,
                 ..lowered
@@ -99,25 +108,29 @@
         ),
         ("a minority", view(50, 50)),
         (
-            "doubt",
+            "isolated",
             FleetView {
                 isolated: true,
                 ..lowered
             },
         ),
-        ("never heard of", view(60, 0)),
+        ("others never seen", view(60, 0)),
     ] {
-        let (mut host, tell) = sender(100);
-        tell(&mut host, 0, Some(view));
-        assert_eq!(tell(&mut host, 100 * STANDS, Some(view)), 100, "{what}");
+        let (mut host, set_view) = sender(100);
+        set_view(&mut host, 0, Some(view));
+        assert_eq!(
+            set_view(&mut host, 100 * STABLE_TIME, Some(view)),
+            100,
+            "{case}"
+        );
     }
-    // one that is never still
-    let (mut host, tell) = sender(100);
+    // a view that changes before each stable time has passed
+    let (mut host, set_view) = sender(100);
     for step in 0..100 {
         assert_eq!(
-            tell(
+            set_view(
                 &mut host,
-                STANDS / 2,
+                STABLE_TIME / 2,
                 Some(view(60 + step % 2, 40 - step % 2))
             ),
             100
@@ -126,10 +139,10 @@
 }
 
 #[test]
-fn new_settings_bind_at_once() {
-    let (mut host, tell) = sender(100);
-    tell(&mut host, 0, Some(view(60, 40)));
-    assert_eq!(tell(&mut host, STANDS, Some(view(60, 40))), 60);
+fn changed_settings_apply_immediately() {
+    let (mut host, set_view) = sender(100);
+    set_view(&mut host, 0, Some(view(60, 40)));
+    assert_eq!(set_view(&mut host, STABLE_TIME, Some(view(60, 40))), 60);
     let mut settings = host.sender.settings().clone();
     settings.senders = 80;
     host.sender.handle(
@@ -137,11 +150,7 @@
         &[Event::SettingsChanged(Box::new(settings))],
         &mut Vec::new(),
     );
-    assert_eq!(
-        host.sender.fleet_size(),
-        60,
-        "forty of them are known to be gone"
-    );
+    assert_eq!(host.sender.fleet_size(), 60, "forty senders have departed");
     let (mut host, _) = sender(100);
     let mut settings = host.sender.settings().clone();
     settings.senders = 80;
@@ -154,12 +163,12 @@
 }
 
 #[test]
-fn in_any_run_of_views_the_number_is_no_lower_than_what_may_live_and_falls_only_when_sure() {
+fn random_views_never_give_fleet_size_below_present_members_or_uncertain_fall() {
     let mut random = Pcg32::seed_from_u64(4);
-    let mut below = |most: u32| random.next_u32() % most;
+    let mut below = |limit: u32| random.next_u32() % limit;
     for _ in 0..300 {
         let configured = 1 + below(40);
-        let (mut host, tell) = sender(configured);
+        let (mut host, set_view) = sender(configured);
         let (mut before, mut held): (u32, Option<(FleetView, Micros)>) = (configured, None);
         for _ in 0..60 {
             let view = FleetView {
@@ -169,24 +178,24 @@
                 agreeing: below(configured + 2),
                 isolated: below(5) == 0,
             };
-            // often the same one again, so that views stand
+            // repeats the previous view in three of four steps, so that some views reach the stable time
             let view = held.filter(|_| below(4) > 0).map_or(view, |(view, _)| view);
             let after = Micros::from(below(8)) * SECOND;
-            let now = tell(&mut host, after, Some(view));
-            let seen = |view: FleetView| FleetView {
+            let now = set_view(&mut host, after, Some(view));
+            let without_agreeing = |view: FleetView| FleetView {
                 agreeing: 0,
                 ..view
             };
             held = Some((
                 view,
-                held.filter(|(old, _)| seen(*old) == seen(view))
+                held.filter(|(old, _)| without_agreeing(*old) == without_agreeing(view))
                     .map_or(host.now, |(_, at)| at),
             ));
-            let stood = held.is_some_and(|(_, since)| host.now - since >= STANDS);
+            let is_stable = held.is_some_and(|(_, since)| host.now - since >= STABLE_TIME);
             assert!(now >= view.present.min(before), "{view:?}: {now}");
             if now < before && now < configured {
                 assert!(
-                    stood && view.suspects == 0 && 2 * view.agreeing > configured,
+                    is_stable && view.suspects == 0 && 2 * view.agreeing > configured,
                     "{view:?}: {before} to {now}"
                 );
             }
@@ -199,14 +208,15 @@
 }
 
 #[test]
-fn those_that_are_left_try_a_shut_destination_as_often_as_all_did() {
-    // twenty senders, nine of which have departed: what refuses all is tried by the eleven as often as by the twenty
+fn remaining_senders_try_closed_destination_as_often_as_full_fleet() {
+    // nine of twenty senders have departed: the other eleven together must try a destination that rejects all calls as
+    // often as the twenty did, so each one 20/11 times as often
     let tries = |view: Option<FleetView>| {
         let mut settings = settings(8);
         settings.senders = 20;
         let mut host = TestHost::new(settings, vec![entry(1, 7)]);
         host.handle(vec![Event::FleetView(view)]);
-        let begin = host.now + 2 * STANDS;
+        let begin = host.now + 2 * STABLE_TIME;
         host.run(begin);
         for id in 0..300 {
             host.handle(vec![message(id, IDEMPOTENT, 7)]);
@@ -229,13 +239,14 @@
     let ratio = left / all;
     assert!(
         (1.5..=2.1).contains(&ratio),
-        "{left} for {all} tries, 20/11 wanted"
+        "{left} tries against {all}, expected a ratio of 20/11"
     );
 }
 
 #[test]
-fn when_others_come_back_their_part_is_given_up_at_once() {
-    // calls in 3 s to a destination listed with 40 a second for twenty, after a first refusal
+fn fair_share_shrinks_immediately_when_departed_senders_return() {
+    // calls of one sender in 3 s, after a first rejection, to a destination whose listed rate is 40 calls per second for
+    // twenty senders
     let sent = |views: [Option<FleetView>; 2]| {
         let mut settings = settings(20);
         (settings.senders, settings.weight_trust) = (20, 1.0);
@@ -245,7 +256,7 @@
         }];
         let mut host = TestHost::new(settings, entries.clone());
         host.handle(vec![Event::FleetView(views[0])]);
-        host.run(START + 2 * STANDS);
+        host.run(START + 2 * STABLE_TIME);
         host.handle(vec![Event::EndpointList {
             scope: ListScope::Full,
             entries,
@@ -265,14 +276,14 @@
         host.sends.iter().filter(|send| send.0 > begin).count()
     };
     let few = Some(view(11, 9));
-    let (never, gone, back) = (
+    let (all_present, nine_departed, nine_returned) = (
         sent([None, None]),
         sent([few, few]),
         sent([few, Some(view(20, 0))]),
     );
     assert!(
-        gone > never,
-        "{gone} by one of eleven, {never} by one of twenty"
+        nine_departed > all_present,
+        "{nine_departed} calls by one of eleven, {all_present} by one of twenty"
     );
-    assert_eq!(back, never, "as if they had never been gone");
+    assert_eq!(nine_returned, all_present, "as if no sender had departed");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: bad input, restarts, instances together and apart.
+//! Tests the line protocol of the simulator's adapter: malformed input, restarts, and several senders in one process.
 
 use message_sender::wire::Host;
 use std::io::Write;
@@ -12,7 +12,8 @@
     safety.cold=10.0 safety.fall=2.0 safety.fallMultiple=2.0 safety.startCapacity=0.2 \
     safety.stopSendingWithin=1.0 zones=a,b colour=red";
 
-fn start(id: u32) -> String {
+/// Returns the lines that start an instance and announce two endpoints of destination 5 to it.
+fn start_lines(id: u32) -> String {
     format!(
         "begin sender/{id} 77 {}\nmanifest 0 2\nrow e1 a big 5 SERVING 1 -\nrow e2 a big 5 SERVING 1 -\n\
          announce sender/{id} cached 0 1\n",
@@ -20,7 +21,8 @@
     )
 }
 
-fn play(input: &str) -> String {
+/// Returns the output of a host in this process for `input`.
+fn run_host(input: &str) -> String {
     let mut output = Vec::new();
     Host::new()
         .run(input.as_bytes(), &mut output)
@@ -28,7 +30,8 @@
     String::from_utf8(output).expect("text")
 }
 
-fn drill(input: &str) -> Output {
+/// Runs the adapter as a process of its own with `input` on its standard input.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_message-sender-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -45,12 +48,12 @@
 }
 
 #[test]
-fn a_message_goes_out_and_ends() {
+fn accepted_message_is_issued() {
     let input = format!(
         "batch 1.5\n{}eof_batch\n\nbatch 2\ndemand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n",
-        start(3)
+        start_lines(3)
     );
-    let reply = play(&input);
+    let reply = run_host(&input);
     let issue = reply
         .lines()
         .find(|line| line.starts_with("issue "))
@@ -61,8 +64,8 @@
 }
 
 #[test]
-fn malformed_lines_stop_the_adapter_with_the_line_number() {
-    let good = format!("batch 1\n{}", start(3));
+fn malformed_line_stops_adapter_with_line_number() {
+    let good = format!("batch 1\n{}", start_lines(3));
     let cases = [
         (
             "batch x\n".to_string(),
@@ -110,7 +113,7 @@
         ),
     ];
     for (input, expected) in cases {
-        let output = drill(&input);
+        let output = run_adapter(&input);
         assert_eq!(output.status.code(), Some(2), "{input}");
         assert!(output.stdout.is_empty());
         let error = String::from_utf8(output.stderr).expect("text");
@@ -119,20 +122,20 @@
 }
 
 #[test]
-fn input_that_ends_between_batches_is_a_normal_end() {
+fn input_that_ends_between_batches_gives_exit_status_zero() {
     for input in [
         String::new(),
         "batch 1\neof_batch\n".into(),
-        format!("batch 1\n{}eof_batch\n\n", start(0)),
+        format!("batch 1\n{}eof_batch\n\n", start_lines(0)),
     ] {
-        let output = drill(&input);
+        let output = run_adapter(&input);
         assert_eq!(output.status.code(), Some(0));
         assert!(output.stderr.is_empty());
     }
 }
 
 #[test]
-fn senseless_settings_are_named() {
+fn invalid_setting_is_named_in_error() {
     for (from, to, named) in [
         ("safety.fall=2.0", "safety.fall=-2", "safety.fall is '-2'"),
         ("safety.fall=2.0", "", "safety.fall is missing"),
@@ -157,9 +160,9 @@
             "call_slots must be above zero",
         ),
     ] {
-        let output = drill(&format!(
+        let output = run_adapter(&format!(
             "batch 1\n{}eof_batch\n",
-            start(3).replace(from, to)
+            start_lines(3).replace(from, to)
         ));
         assert_eq!(output.status.code(), Some(2), "{to}");
         let error = String::from_utf8(output.stderr).expect("text");
@@ -168,16 +171,16 @@
 }
 
 #[test]
-fn a_restart_in_the_batch_of_a_stop_forgets_the_old_life() {
+fn instance_restarted_in_batch_of_its_crash_keeps_no_messages() {
     let input = format!(
         "batch 1\n{}demand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n\
          batch 2\ndemand sender/3 m2 10.0 - - 0 5 - notice\ncrash_now sender/3\n{}\
          demand sender/3 m3 10.0 - - 0 5 - notice\neof_batch\n\
          batch 9\ntick_due sender/3 wake\neof_batch\nbatch 10\ncrash_now sender/3\neof_batch\n",
-        start(3),
-        start(3)
+        start_lines(3),
+        start_lines(3)
     );
-    let reply = play(&input);
+    let reply = run_host(&input);
     let turns: Vec<&str> = reply.split("ready\n").collect();
     assert!(turns[0].contains("issue sender/3 m1"));
     assert!(
@@ -186,23 +189,24 @@
             && !turns[1].contains("m2")
     );
     assert!(!turns[2].contains("m1") && !turns[2].contains("m2"));
-    assert_eq!(turns[3], "", "a stopped instance is silent");
+    assert_eq!(turns[3], "", "a stopped instance takes no actions");
 }
 
 #[test]
-fn a_reused_list_number_is_read_in_order() {
+fn redefined_list_number_gives_latest_rows() {
     let input = format!(
         "batch 1\n{}manifest 0 1\nrow e9 a big 5 SERVING 1 -\nannounce sender/3 full 0 2\n\
          demand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n",
-        start(3)
+        start_lines(3)
     );
-    assert!(play(&input).contains(" e9\n"));
+    assert!(run_host(&input).contains(" e9\n"));
 }
 
+/// Returns 40 batches with one new message and one expired timer for each instance.
 fn traffic(ids: &[u32]) -> String {
     let mut text = String::from("batch 1\n");
     for id in ids {
-        text.push_str(&start(*id));
+        text.push_str(&start_lines(*id));
     }
     text.push_str("eof_batch\n");
     for n in 0..40 {
@@ -217,21 +221,22 @@
     text
 }
 
+/// Returns the lines of the reply that name the instance `id`.
 fn lines_of(reply: &str, id: u32) -> Vec<String> {
-    let own = format!(" sender/{id}");
+    let instance = format!(" sender/{id}");
     reply
         .lines()
-        .filter(|line| format!("{line} ").contains(&format!("{own} ")))
+        .filter(|line| format!("{line} ").contains(&format!("{instance} ")))
         .map(str::to_string)
         .collect()
 }
 
 #[test]
-fn the_same_events_give_the_same_actions_together_and_apart() {
-    let together = play(&traffic(&[1, 2]));
-    assert_eq!(together, play(&traffic(&[1, 2])));
+fn instances_in_one_process_act_as_in_separate_processes() {
+    let together = run_host(&traffic(&[1, 2]));
+    assert_eq!(together, run_host(&traffic(&[1, 2])));
     for id in [1, 2] {
-        let apart = lines_of(&play(&traffic(&[id])), id);
+        let apart = lines_of(&run_host(&traffic(&[id])), id);
         assert!(apart.len() > 10, "{} lines", apart.len());
         assert_eq!(lines_of(&together, id), apart);
     }
