--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -1,4 +1,5 @@
-//! Calls that have not ended, those of a predecessor included, and how a turn's sends become calls.
+//! Calls in flight, including those of a predecessor, and the bundling of a turn's attempts into
+//! calls.
 
 use super::Driver;
 use super::attempts::NOT_SENT;
@@ -9,63 +10,69 @@
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-/// A turn's sends to one endpoint that travel in one call.
+/// Attempts of one turn at the same endpoint that are sent in one call.
 pub(super) struct Bundle {
     endpoint: EndpointId,
-    /// The latest time at which an answer counts.
+    /// Time in microseconds after which an answer no longer counts: the latest of all
+    /// attempts.
     expires: Micros,
-    /// The call must not begin later.
+    /// Time in microseconds after which the call must not begin: the earliest of all
+    /// attempts.
     start_by: Option<Micros>,
-    /// The message and attempt of each position.
-    sends: Vec<(MessageId, usize)>,
-    /// Bytes of all messages.
-    size: usize,
+    /// Message and attempt number at each position of the call.
+    attempts: Vec<(MessageId, usize)>,
+    /// Total size of the messages in bytes.
+    size_bytes: usize,
 }
 
-/// One attempt that may begin.
-pub(super) struct Send {
+/// Attempt that is permitted and recorded, and not yet part of a call.
+pub(super) struct PermittedAttempt {
     pub attempt: InFlightAttempt,
     pub expires: Micros,
     pub start_by: Option<Micros>,
-    /// Bytes of the message in a call.
-    pub size: usize,
+    /// Size in bytes that the message takes in a bulk call.
+    pub size_bytes: usize,
 }
 
-/// Adds a send to a bundle that has room, or to a new one.
-pub(super) fn add_to_bundle(bundles: &mut Vec<Bundle>, send: Send, max_messages: usize) {
+/// Adds an attempt to a bundle for its endpoint that has room, or to a new bundle.
+pub(super) fn add_to_bundle(
+    bundles: &mut Vec<Bundle>,
+    permitted: PermittedAttempt,
+    max_messages: usize,
+) {
     let InFlightAttempt {
         message,
         number,
         endpoint,
-    } = send.attempt;
+    } = permitted.attempt;
     let has_room = |bundle: &&mut Bundle| {
         bundle.endpoint == endpoint
-            && bundle.sends.len() < max_messages
-            && bundle.size + send.size <= MAX_BODY_BYTES
+            && bundle.attempts.len() < max_messages
+            && bundle.size_bytes + permitted.size_bytes <= MAX_BODY_BYTES
     };
     match bundles.iter_mut().find(has_room) {
         Some(bundle) => {
-            bundle.sends.push((message, number));
-            bundle.expires = bundle.expires.max(send.expires);
-            let starts = [bundle.start_by, send.start_by];
+            bundle.attempts.push((message, number));
+            bundle.expires = bundle.expires.max(permitted.expires);
+            let starts = [bundle.start_by, permitted.start_by];
             bundle.start_by = starts.into_iter().flatten().min();
-            bundle.size += send.size;
+            bundle.size_bytes += permitted.size_bytes;
         }
         None => bundles.push(Bundle {
             endpoint,
-            expires: send.expires,
-            start_by: send.start_by,
-            sends: vec![(message, number)],
-            size: send.size,
+            expires: permitted.expires,
+            start_by: permitted.start_by,
+            attempts: vec![(message, number)],
+            size_bytes: permitted.size_bytes,
         }),
     }
 }
 
-/// Calls that have not ended, by number.
+/// Calls in flight, by call number.
 #[derive(Default)]
 pub(super) struct CallsInFlight {
     calls: BTreeMap<u64, InFlightCall>,
-    next: u64,
+    next_number: u64,
 }
 
 impl CallsInFlight {
@@ -85,27 +92,28 @@
         self.calls.insert(number, call);
     }
 
-    /// The message and attempt at a position of a call.
+    /// Returns the message and attempt number at a position of a call.
     pub fn attempt_at(&self, call: u64, item: usize) -> Option<(MessageId, usize)> {
         self.calls.get(&call)?.items.get(item).copied()
     }
 
-    /// The number of the next new call.
+    /// Returns the number that the next new call will get.
     pub fn next_number(&self) -> u64 {
-        self.next
+        self.next_number
     }
 
-    pub fn set_next_number(&mut self, next: u64) {
-        self.next = next;
+    pub fn set_next_number(&mut self, next_number: u64) {
+        self.next_number = next_number;
     }
 
     fn take_number(&mut self) -> u64 {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         number
     }
 
-    /// One message of a call has ended. Returns the call if that was the last.
+    /// Marks one message of a call as ended. Removes and returns the call if no other message of it
+    /// is left.
     pub fn end_item(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
         call.left -= 1;
@@ -115,7 +123,7 @@
         self.calls.remove(&number)
     }
 
-    /// Calls that a predecessor has in flight.
+    /// Returns the calls that the predecessor made and that are still in flight.
     pub fn of_predecessor(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
         self.iter().filter(|(_, call)| call.cancels.is_none())
     }
@@ -126,15 +134,15 @@
 }
 
 impl Driver {
-    /// Starts the call of a bundle.
+    /// Starts one call with all messages of a bundle.
     pub(super) fn start_call(&mut self, bundle: Bundle) {
         let number = self.calls_in_flight.take_number();
-        let Some(place) = self.endpoints.place_of(bundle.endpoint) else {
+        let Some(target) = self.endpoints.address_of(bundle.endpoint) else {
             return self.abandon_bundle(bundle);
         };
-        let mut items = Vec::with_capacity(bundle.sends.len());
-        for (position, &(message, attempt)) in bundle.sends.iter().enumerate() {
-            // an attempt that is in flight keeps its message
+        let mut items = Vec::with_capacity(bundle.attempts.len());
+        for (position, &(message, attempt)) in bundle.attempts.iter().enumerate() {
+            // never missing: a message is kept while one of its attempts is in flight
             let Some(held) = self.messages.get_mut(message) else {
                 continue;
             };
@@ -147,13 +155,13 @@
         let (cancels, cancelled) = mpsc::unbounded_channel();
         let in_flight = InFlightCall {
             cancels: Some(cancels),
-            left: bundle.sends.len(),
-            items: bundle.sends,
+            left: bundle.attempts.len(),
+            items: bundle.attempts,
         };
         self.calls_in_flight.insert(number, in_flight);
         let call = Call {
             number,
-            target: place,
+            target,
             items,
             expires: self.clock.instant(bundle.expires),
             start_by: bundle.start_by.map(|by| self.clock.instant(by)),
@@ -161,9 +169,9 @@
         self.calls.start(call, cancelled);
     }
 
-    /// The endpoint has no address: nothing of the bundle is sent.
+    /// Ends the attempts of a bundle as not sent, because its endpoint has no address.
     fn abandon_bundle(&mut self, bundle: Bundle) {
-        for &(message, number) in &bundle.sends {
+        for &(message, number) in &bundle.attempts {
             self.lifecycle
                 .end_attempt(message, NOT_SENT, Micros::MIN, 0);
             self.attempt_not_sent(InFlightAttempt {
@@ -174,7 +182,8 @@
         }
     }
 
-    /// One message of a call has its outcome.
+    /// Marks one message of a call as ended, and updates the number of the predecessor's calls if
+    /// that ends one of them.
     pub(super) fn end_call_item(&mut self, number: u64) {
         let ended = self.calls_in_flight.end_item(number);
         if ended.is_some_and(|call| call.cancels.is_none()) {
@@ -182,7 +191,8 @@
         }
     }
 
-    /// Connections of a predecessor's calls count among this process's.
+    /// Reports the number of the predecessor's calls to the connection pool, which counts their
+    /// connections against this process's limit.
     pub(super) fn count_calls_of_predecessor(&self) {
         let count = self.calls_in_flight.of_predecessor().count();
         self.calls.connections().set_predecessor_connections(count);
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -1,5 +1,6 @@
-//! What a freeze holds back of the endpoint list: such entries are not used, counted, reported, and admitted one after
-//! another once the freeze ends. What a list takes away is always obeyed.
+//! Filter of the endpoint list during a freeze. Entries that a freeze forbids are held back,
+//! counted and reported, and admitted one after another once the freeze ends. Removals from the
+//! list always apply.
 
 use super::Driver;
 use super::endpoints::EndpointRecord;
@@ -15,42 +16,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tokio::time::Instant;
 
-/// The freeze, while it is on in the configuration.
+/// State of the freeze, while the configuration has it switched on.
 pub(super) struct FreezeFilter {
     check: FreezeCheck,
     settings: FreezeSettings,
-    /// Entries that are held back, as they were listed last, by uid.
+    /// Latest versions of the entries that are held back, by uid.
     held_back: BTreeMap<String, ListedEndpoint>,
-    /// When the next one may be admitted.
+    /// Time in microseconds from which the next held-back entry may be admitted.
     next_admission: Micros,
-    /// How often an entry was held back.
+    /// Number of times that an entry was held back.
     held_back_count: u64,
-    /// Entries that were admitted afterwards.
+    /// Number of held-back entries that were admitted later.
     admitted_count: u64,
 }
 
-/// The answer to `GET /freeze` on the control address.
+/// Response to `GET /freeze` on the control address.
 #[derive(Debug, Serialize)]
 struct FreezeReport<'a> {
-    /// The calendar's revision; none: it is not known.
+    /// Revision of the freeze calendar; `None` while the calendar is not known.
     #[serde(rename = "calendar")]
     revision: Option<u64>,
-    /// The windows that are on, by name.
+    /// Freeze windows that are active, by name.
     #[serde(rename = "on")]
     active_windows: BTreeMap<String, ActiveWindow>,
-    /// Entries that are held back, by uid.
+    /// Uids of the entries that are held back.
     #[serde(rename = "held")]
     held_back: Vec<&'a str>,
-    /// How often an entry was held back.
+    /// Number of times that an entry was held back.
     #[serde(rename = "held_ever")]
     held_back_count: u64,
-    /// Entries that were admitted afterwards.
+    /// Number of held-back entries that were admitted later.
     #[serde(rename = "admitted")]
     admitted_count: u64,
 }
 
-/// An entry of the list as the freeze compares it.
-fn listed_state(listed: &ListedEndpoint) -> EndpointSnapshot {
+/// Returns the state of a list entry that the freeze compares with the endpoint's current state.
+fn listed_snapshot(listed: &ListedEndpoint) -> EndpointSnapshot {
     EndpointSnapshot {
         up: listed.status == EndpointStatus::Serving,
         destination: listed.destination,
@@ -59,8 +60,8 @@
     }
 }
 
-/// What is known of an endpoint that the last list had.
-fn known_state(record: &EndpointRecord) -> Option<EndpointSnapshot> {
+/// Returns the current state of an endpoint; `None` if it is not listed.
+fn known_snapshot(record: &EndpointRecord) -> Option<EndpointSnapshot> {
     record.listed.then(|| EndpointSnapshot {
         up: record.serving,
         destination: record.destination,
@@ -81,13 +82,14 @@
         }
     }
 
-    /// Forgets entries that a full list does not name any more.
+    /// Forgets held-back entries that a new full list no longer contains.
     fn retain_listed(&mut self, listed: &[ListedEndpoint]) {
         let names: BTreeSet<&str> = listed.iter().map(|entry| entry.uid.as_str()).collect();
         self.held_back.retain(|uid, _| names.contains(uid.as_str()));
     }
 
-    /// What of an entry may be used now; `before` is what the endpoint was so far.
+    /// Returns the entry with only the changes that are allowed now; `None` if nothing of it may be
+    /// used. `before` is the current state of the endpoint.
     fn filter(
         &mut self,
         now: u64,
@@ -95,7 +97,7 @@
         before: Option<EndpointSnapshot>,
     ) -> Option<ListedEndpoint> {
         self.held_back.remove(&entry.uid);
-        let resource = resource_change(before.as_ref(), &listed_state(&entry));
+        let resource = resource_change(before.as_ref(), &listed_snapshot(&entry));
         let verdict = resource.map(|resource| self.check.check_changes(now, &resource));
         let Some(Err(error)) = verdict else {
             return Some(entry);
@@ -105,7 +107,7 @@
         self.held_back.insert(entry.uid.clone(), entry.clone());
         let before = before?;
         if before.destination == entry.destination && before.zone == entry.zone {
-            // it stays what it was
+            // keep the endpoint's current weight and status
             entry.weight = before.weight;
             entry.status = if before.up {
                 EndpointStatus::Serving
@@ -134,7 +136,7 @@
 }
 
 impl Driver {
-    /// The freeze calendar or its settings changed.
+    /// Applies a change of the freeze calendar or of its settings.
     pub(super) fn change_freeze(&mut self, change: FreezeChange) {
         let now = self.freeze_time();
         match change {
@@ -159,12 +161,13 @@
         }
     }
 
-    /// Module time, as the freeze calendar counts it.
+    /// Returns the current time in microseconds, unsigned as the freeze calendar needs it.
     fn freeze_time(&self) -> u64 {
         u64::try_from(self.clock.at(Instant::now())).unwrap_or(0)
     }
 
-    /// The list without what is held back of it.
+    /// Removes from a list update the changes that the freeze forbids, and keeps them for later
+    /// admission.
     pub(super) fn hold_back_frozen(&mut self, mut update: ListUpdate) -> ListUpdate {
         let now = self.freeze_time();
         let Some(filter) = &mut self.freeze else {
@@ -173,44 +176,46 @@
         if update.full {
             filter.retain_listed(&update.targets);
         }
-        // with no list at all it serves with what it gets
+        // without any listed endpoint the sender could not serve, so the update applies in full
         if !self.endpoints.is_any_listed() {
             return update;
         }
         let endpoints = &self.endpoints;
         let usable = update.targets.into_iter().filter_map(|entry| {
-            let before = endpoints.by_uid(&entry.uid).and_then(known_state);
+            let before = endpoints.by_uid(&entry.uid).and_then(known_snapshot);
             filter.filter(now, entry, before)
         });
         update.targets = usable.collect();
         update
     }
 
-    /// Admits what is held back no more, one entry at a time; true if one was.
+    /// Admits one entry that the freeze no longer forbids, if the time for the next admission has
+    /// come. Returns true if an entry was admitted.
     pub(super) fn admit_unfrozen(&mut self) -> bool {
         let now = self.freeze_time();
-        let at = self.clock.at(Instant::now());
+        let now_us = self.clock.at(Instant::now());
         let Some(filter) = &mut self.freeze else {
             return false;
         };
-        if filter.held_back.is_empty() || at < filter.next_admission {
+        if filter.held_back.is_empty() || now_us < filter.next_admission {
             return false;
         }
         let endpoints = &self.endpoints;
-        let free = filter.held_back.iter().find(|(uid, entry)| {
-            let before = endpoints.by_uid(uid).and_then(known_state);
-            resource_change(before.as_ref(), &listed_state(entry))
+        let released = filter.held_back.iter().find(|(uid, entry)| {
+            let before = endpoints.by_uid(uid).and_then(known_snapshot);
+            resource_change(before.as_ref(), &listed_snapshot(entry))
                 .is_none_or(|resource| filter.check.check_changes(now, &resource).is_ok())
         });
-        let Some(uid) = free.map(|(uid, _)| uid.clone()) else {
+        let Some(uid) = released.map(|(uid, _)| uid.clone()) else {
             return false;
         };
         let Some(entry) = filter.held_back.remove(&uid) else {
             return false;
         };
-        // senders whose freeze ends at one moment do not admit the same entry at that moment
+        // random delays keep senders whose freeze ends at the same time from admitting the same
+        // entry together
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
-        filter.next_admission = at + interval / 2 + self.admission_jitter.next(interval);
+        filter.next_admission = now_us + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
         net::log(format_args!("freeze: {uid} is admitted"));
         self.admit_entries(vec![entry]);
@@ -227,20 +232,20 @@
         }
     }
 
-    /// Whether entries of the list are held back.
+    /// Returns true if the freeze holds back entries of the list.
     pub(super) fn has_held_back_entries(&self) -> bool {
         let filter = self.freeze.as_ref();
         filter.is_some_and(|filter| !filter.held_back.is_empty())
     }
 
-    /// The report for operators, as JSON; none while the freeze is off.
+    /// Returns the report for operators as JSON; `None` while the freeze is off.
     pub(super) fn freeze_report(&self) -> Option<String> {
         let filter = self.freeze.as_ref()?;
         Some(to_sorted_json(&filter.report(self.freeze_time())))
     }
 }
 
-/// Jitter between admissions, which differs from sender to sender.
+/// Generator of random delays between admissions. Its seed differs from sender to sender.
 pub(super) struct AdmissionJitter(u64);
 
 impl AdmissionJitter {
@@ -248,12 +253,12 @@
         AdmissionJitter(seed)
     }
 
-    /// A further time up to `interval`.
-    fn next(&mut self, interval: Micros) -> Micros {
+    /// Returns a random delay in microseconds from 0 to `interval`.
+    fn next_delay(&mut self, interval: Micros) -> Micros {
         self.0 = self.0.wrapping_add(1);
         let draw = Pcg32::seed_from_u64(self.0).next_u32();
-        let part = f64::from(draw) / f64::from(u32::MAX);
-        (interval as f64 * part) as Micros
+        let fraction = f64::from(draw) / f64::from(u32::MAX);
+        (interval as f64 * fraction) as Micros
     }
 }
 
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -1,7 +1,9 @@
-//! Tests that the decision module is compatible with its previous version: a serialized sender, which a handover passes
-//! between versions, keeps its bytes, and the same events give the same actions.
+//! Compatibility of the decision module with its previous version. A serialized sender must keep
+//! its bytes, because a handover passes it from a process of one version to a process of another,
+//! and the same events must give the same actions.
 //!
-//! `UPDATE_GOLDEN=1` writes the golden files. Use it only after an intended change of behaviour.
+//! `UPDATE_GOLDEN=1` rewrites the golden files. This is needed only after an intended change of
+//! behaviour.
 
 mod decision_record;
 
@@ -9,33 +11,33 @@
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-/// Number of recorded scenarios with consecutive numbers from 0.
+/// Number of recorded scenarios, apart from those of the golden senders.
 const SCENARIOS: u64 = 48;
-/// Number of turns of each recorded scenario.
+/// Number of turns of the decision module in each scenario.
 const TURNS: u64 = 4000;
-/// Files of serialized senders with the scenario and turn at which they were written. Together the senders hold at least
-/// one value of each field and variant.
+/// Files of serialized senders, with the scenario and the turn after which each was serialized.
+/// Together they contain every state that a sender can hold at least once.
 const GOLDEN_SENDERS: [(&str, u64, u64); 3] = [
     ("sender-1.postcard", 115, 1961),
     ("sender-2.postcard", 103, 2506),
     ("sender-3.postcard", 103, 1462),
 ];
-/// Number of turns for which each golden sender continues after it has been deserialized.
+/// Number of turns for which each golden sender is continued.
 const CONTINUED_TURNS: u64 = 500;
 
-/// Returns the path of a golden file.
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/decisions")
         .join(name)
 }
 
-/// Returns the content of a golden file, after writing `actual` to the file if `UPDATE_GOLDEN` is set.
+/// Returns the content of a golden file, after writing `actual` to the file if `UPDATE_GOLDEN` is
+/// set.
 fn expected(name: &str, actual: &[u8]) -> Vec<u8> {
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
-        std::fs::write(golden(name), actual).expect("written");
+        std::fs::write(golden_path(name), actual).expect("written");
     }
-    std::fs::read(golden(name)).expect("the golden file")
+    std::fs::read(golden_path(name)).expect("the golden file")
 }
 
 #[test]
@@ -57,16 +59,16 @@
     }
     let expected = String::from_utf8(expected("actions.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
-    // the decision module never emits HealthCheck (variant 5) or SendNote (variant 8)
-    let emitted: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
+    // the decisions never ask for a health check (5) or send a note (8)
+    let taken: Vec<usize> = (0..10).filter(|&index| actions[index] > 0).collect();
     assert_eq!(
-        emitted,
+        taken,
         [0, 1, 2, 3, 4, 6, 7, 9],
-        "each other variant of Action occurs"
+        "every other kind of action is taken"
     );
     assert!(
         logged.iter().all(|&count| count > 0),
-        "each log event occurs: {logged:?}"
+        "every kind of log event occurs: {logged:?}"
     );
 }
 
@@ -78,24 +80,27 @@
         host.run(turn);
         let bytes = host.state();
         let golden = expected(name, &bytes);
-        assert!(bytes == golden, "{name}: the same events gave other bytes");
+        assert!(
+            bytes == golden,
+            "{name}: the same events give a sender with different bytes"
+        );
         let sender: message_sender::Sender = postcard::from_bytes(&golden).expect("a sender");
         assert!(
             postcard::to_allocvec(&sender).expect("bytes") == golden,
-            "{name}: serialized to other bytes than it was read from"
+            "{name}: a sender that was read serializes to different bytes"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
         let missing_here = mirror.missing();
         missing = Some(missing.map_or(missing_here.clone(), |all| {
             all.into_iter()
-                .filter(|name| missing_here.contains(name))
+                .filter(|state| missing_here.contains(state))
                 .collect()
         }));
     }
     assert_eq!(
         missing,
         Some(Vec::new()),
-        "together the golden senders hold each field and variant"
+        "the golden senders together contain every state"
     );
 }
 
@@ -105,7 +110,7 @@
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
         host.run(turn);
-        let golden = std::fs::read(golden(name)).expect("the golden file");
+        let golden = std::fs::read(golden_path(name)).expect("the golden file");
         host.sender = postcard::from_bytes(&golden).expect("a sender");
         host.run(CONTINUED_TURNS);
         writeln!(lines, "{name} {CONTINUED_TURNS} {:016x}", host.digest.0)
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -38,7 +38,7 @@
 /// Makes the open watches send nothing more. Returns the number of watches so far.
 fn mute(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.muted.store(watches, Ordering::SeqCst);
+    agent.muted_watches.store(watches, Ordering::SeqCst);
     watches
 }
 
@@ -47,7 +47,7 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
     let node = start_with_common_discovery(&agent, 300);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     let (watches, silent_since) = (mute(&agent), Instant::now());
     replace(&agent, &old, "draining", &new);
     wait_until("a new watch", || {
@@ -61,12 +61,12 @@
     let mut tried = 0;
     wait_until("the new list is in use", || {
         tried += 1;
-        sent(&node, &format!("t{tried}"), 7);
+        deliver(&node, &format!("t{tried}"), 7);
         new.count() > 0
     });
     let calls = old.count();
     for n in 0..6 {
-        sent(&node, &format!("m{n}"), 7);
+        deliver(&node, &format!("m{n}"), 7);
     }
     assert_eq!((old.count(), new.count()), (calls, 7));
 }
@@ -76,10 +76,10 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
     let node = start_with_common_discovery(&agent, 1);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
     // new watches are opened and receive nothing
-    agent.muted.store(usize::MAX, Ordering::SeqCst);
+    agent.muted_watches.store(usize::MAX, Ordering::SeqCst);
     wait_until("the suspension is logged", || {
         node.logged("sending is suspended")
     });
@@ -89,7 +89,7 @@
         (old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")),
         (1, 202)
     );
-    agent.muted.store(0, Ordering::SeqCst);
+    agent.muted_watches.store(0, Ordering::SeqCst);
     wait_until("all is delivered", || {
         new.times("m1") + new.times("m2") == 2
     });
@@ -113,7 +113,7 @@
     node.kill();
     let attempts = old.count();
     replace(&agent, &old, "draining", &new);
-    *agent.late.lock().expect("not poisoned") = Duration::from_millis(150);
+    *agent.watch_delay.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
     wait_until("delivered", || new.times("m1") == 1);
     assert_eq!(
@@ -141,7 +141,7 @@
     });
     node.move_discovery(&agent);
     let node = node.ready();
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
 }
 
 #[test]
@@ -151,22 +151,22 @@
         serde_json::from_str(&list_with_one("s-1", endpoint.address, "up")).expect("JSON");
     let agent = Agent::new(vec![format!("{value:#}")]);
     let node = start_with_common_discovery(&agent, 1);
-    sent(&node, "m1", 7);
+    deliver(&node, "m1", 7);
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.tell("{\"rev\":9,\n \"all\":fals}".to_string());
+    agent.announce("{\"rev\":9,\n \"all\":fals}".to_string());
     wait_until("the full list is requested", || {
         agent.watches.load(Ordering::SeqCst) > watches
     });
     wait_until("the reason is logged", || {
         node.logged("requesting the full list")
     });
-    sent(&node, "m2", 7);
+    deliver(&node, "m2", 7);
 }
 
 /// Ends all open watches. Returns the number of watches so far.
 fn end_watches(agent: &Agent) -> usize {
     let watches = agent.watches.load(Ordering::SeqCst);
-    agent.ended.store(watches, Ordering::SeqCst);
+    agent.closed_watches.store(watches, Ordering::SeqCst);
     watches
 }
 
@@ -175,15 +175,15 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
     let node = start_with_common_discovery(&agent, 300);
-    sent(&node, "before", 7);
-    agent.down.store(true, Ordering::SeqCst);
+    deliver(&node, "before", 7);
+    agent.rejects_watches.store(true, Ordering::SeqCst);
     let watches = end_watches(&agent);
     // after two rejected calls the delays between calls have grown
     wait_until("two calls are rejected", || {
-        agent.refused.load(Ordering::SeqCst) >= 2
+        agent.rejected_watches.load(Ordering::SeqCst) >= 2
     });
     replace(&agent, &old, "draining", &new);
-    agent.down.store(false, Ordering::SeqCst);
+    agent.rejects_watches.store(false, Ordering::SeqCst);
     let restored_at = Instant::now();
     wait_until("a new watch", || {
         agent.watches.load(Ordering::SeqCst) > watches
@@ -194,7 +194,7 @@
         "a new watch after {after:?}"
     );
     wait_until("the new list is in use", || {
-        sent(&node, &format!("t{}", old.count()), 7);
+        deliver(&node, &format!("t{}", old.count()), 7);
         new.count() > 0
     });
 }
@@ -204,9 +204,9 @@
     let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
     let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
     let node = start_with_common_discovery(&agent, 1);
-    sent(&node, "before", 7);
+    deliver(&node, "before", 7);
     replace(&agent, &old, "removed", &new);
-    agent.held.store(true, Ordering::SeqCst);
+    agent.holds_watches.store(true, Ordering::SeqCst);
     end_watches(&agent);
     wait_until("the suspension is logged", || {
         node.logged("sending is suspended")
@@ -214,7 +214,7 @@
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(old.count(), 1);
-    agent.held.store(false, Ordering::SeqCst);
+    agent.holds_watches.store(false, Ordering::SeqCst);
     wait_until("all is delivered", || new.times("m1") == 1);
     assert_eq!(old.count(), 1);
 }
@@ -224,12 +224,12 @@
     let endpoint = Endpoint::new(|_, _| OK);
     let agent = Agent::new(vec![list_with_one("s-1", endpoint.address, "up")]);
     let node = start_with_common_discovery(&agent, 1);
-    sent(&node, "before", 7);
-    agent.down.store(true, Ordering::SeqCst);
+    deliver(&node, "before", 7);
+    agent.rejects_watches.store(true, Ordering::SeqCst);
     end_watches(&agent);
     let (down, mut sent_so_far) = (Instant::now(), 0);
     while down.elapsed() < Duration::from_secs(9) {
-        sent(&node, &format!("m{sent_so_far}"), 7);
+        deliver(&node, &format!("m{sent_so_far}"), 7);
         sent_so_far += 1;
         std::thread::sleep(Duration::from_millis(100));
     }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -152,7 +152,7 @@
         (
             "classes.1.name=order",
             "classes.1.name=notice",
-            "classes.notice.name stands twice",
+            "classes.notice.name is used twice",
         ),
         (
             "specifics.callSlots=12",
