--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -9,12 +9,12 @@
 
 /// Time without data after which a watch counts as disconnected. Discovery sends at least an empty line every 2 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time after which a change that the sender has not received becomes binding. It counts from the last byte of a silent
-/// watch, or from when discovery can be reached again.
+/// Time after which the platform holds a sender to a list change, received or not: the change is then binding. The time
+/// counts from the last byte of a silent watch, or from when discovery can be reached again.
 pub const BINDING_AFTER: Duration = Duration::from_secs(6);
-/// First delay before a retry by a sender that does not share discovery with many others.
+/// Minimum nominal delay before the first retry, which applies if few or no other senders call the same discovery.
 pub const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Maximum delay before a retry by a sender that does not share discovery with many others.
+/// Nominal delay up to which retries back off if few or no other senders call the same discovery.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 /// First delay for each sender that shares discovery: when all senders lose their watches at the same time, their first
 /// retries reach discovery 25 ms apart on average.
@@ -22,19 +22,19 @@
 /// Maximum delay for each sender that shares discovery: during a long outage the retries of all senders reach discovery
 /// 300 ms apart on average.
 const MAX_DELAY_PER_SENDER: Duration = Duration::from_millis(300);
-/// Upper bound of the nominal delay for any configured number of senders. Changes become binding [`BINDING_AFTER`] after
-/// discovery can be reached again, and the call that reaches it may take [`SILENCE_TIMEOUT`]. The drawn delay is at most
-/// one and a half times the nominal one.
+/// Upper bound of the nominal delay for any configured number of senders. The platform holds a sender to missed changes
+/// [`BINDING_AFTER`] after discovery can be reached again, and the call that reaches it may take [`SILENCE_TIMEOUT`]. The
+/// randomized delay is at most one and a half times the nominal one.
 const MAX_NOMINAL_DELAY: Duration =
     Duration::from_millis((BINDING_AFTER.as_millis() - SILENCE_TIMEOUT.as_millis()) as u64 * 2 / 3);
 /// Maximum time over which senders spread their calls after their watches fell silent together. After this time and
 /// [`SILENCE_TIMEOUT`] a quarter of [`BINDING_AFTER`] is left for the answer.
 const MAX_SILENCE_SPREAD: Duration = Duration::from_millis(2000);
-/// Ratio between two validity times of a list. The list of a sender that makes no call is valid for
-/// [`DiscoveryClients::poll_interval`]; the list of a sender whose call failed is valid for four times as long.
+/// Ratio between two times for which the platform accepts calls by an old list: [`DiscoveryClients::poll_interval`] for a
+/// sender that makes no call to discovery, and four times as long for a sender whose call failed.
 const FAILED_CALL_VALIDITY_FACTOR: f64 = 4.0;
-/// Nominal delay as a share of the time for which the list is valid. The drawn delay is at most one and a half times the
-/// nominal one, so it ends within 0.9 of that time.
+/// Maximum nominal delay as a share of the time for which the list is valid. The randomized delay is at most one and a
+/// half times the nominal one, so it ends within 0.9 of that time.
 const VALIDITY_SHARE: f64 = 0.9 / 1.5;
 
 /// Number of senders that call discovery, and how they receive lists.
@@ -67,7 +67,7 @@
 impl Backoff {
     /// Creates the backoff of one sender among `clients`, with the random seed `seed`.
     pub fn new(clients: DiscoveryClients, seed: u64) -> Self {
-        // a sender's own agent serves no other sender
+        // a sender's own agent serves no other sender, so the delays need not grow with the fleet
         let senders = if clients.is_common_service {
             clients.senders
         } else {
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -33,7 +33,7 @@
 fn call_rate_is_bounded_for_many_senders_and_retries_are_fast_for_few() {
     let second = Duration::from_secs(1);
     assert!(tries(2, Duration::ZERO, second) >= 6);
-    // the nominal delay is as long as BINDING_AFTER allows, with one call in it
+    // delays are as long as possible, but a delay and a call together end within BINDING_AFTER
     for senders in [24, 48, 300] {
         let tries = tries(senders, 20 * second, 40 * second) as f64;
         let max_tries =
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -1,8 +1,8 @@
 //! Decides when the known endpoint list is stale, so that sending must be suspended.
 //!
-//! A list change becomes binding after a while even if the sender has not received it. The list is stale once changes
-//! that the sender may have missed have been binding for a grace period. The state transitions take the time as an
-//! argument; only `report_staleness` waits for the clock.
+//! After a while the platform holds a sender to a list change even if the sender has not received it: the change is then
+//! binding. The list is stale once changes that the sender may have missed have been binding for a grace period. The
+//! state transitions take the time as an argument; only `report_staleness` waits for the clock.
 
 use super::backoff::BINDING_AFTER;
 use crate::net::events::DriverInput;
@@ -10,32 +10,35 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Time after a change of discovery's address by SIGHUP from which all changes at the new address are binding.
+/// Time after SIGHUP has changed discovery's address from which the platform holds the sender to all list changes at the
+/// new address, received or not.
 const BINDING_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// How current the known list is.
+/// Whether the known endpoint list may lack changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     /// A watch is open and has received data, so no change is known to be missing.
     Fresh,
-    /// The first call of this process has not ended. The agent may hold a newer list, whose changes are binding already.
+    /// The first call of this process to its agent has not ended. The agent may hold a newer list, and the platform already
+    /// holds the sender to it.
     Starting,
     /// No watch is open, or the open watch is silent, so changes may have been missed.
     Missed(Missed),
 }
 
-/// When changes that the sender may have missed become binding.
+/// Time at which the platform may hold the sender to changes that the sender has missed, and how it was determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Missed {
-    /// Earliest time at which a missed change may be binding.
+    /// Earliest time at which the platform may hold the sender to a missed change.
     binding_from: Instant,
-    /// True if discovery was unavailable at the last call. Changes then become binding only [`BINDING_AFTER`] after it can
-    /// be reached again, so each further failed call moves `binding_from` to a later time.
+    /// True if discovery was unavailable at the last call. The platform then holds the sender to changes only
+    /// [`BINDING_AFTER`] after discovery can be reached again, so each further failed call moves `binding_from` to a later
+    /// time.
     unavailable: bool,
 }
 
 impl State {
-    /// Returns the time from which the list is stale, or `None` while no change can have been missed.
+    /// Returns the time from which the list is too old to send by, or `None` while no change can have been missed.
     fn stale_from(self, now: Instant, grace: Duration) -> Option<Instant> {
         match self {
             State::Fresh => None,
@@ -44,8 +47,8 @@
         }
     }
 
-    /// Returns the state after a watch or call that received nothing since `since` and no reason for that. Discovery may be
-    /// running and announcing changes to other senders.
+    /// Returns the state after a watch or call that has received nothing since `since`, not even an error. Discovery may be
+    /// running, so changes may be announced in that time.
     fn silent(self, since: Instant) -> Self {
         let binding_from = match self {
             State::Missed(before) => before.binding_from.min(since + BINDING_AFTER),
@@ -58,7 +61,7 @@
     }
 
     /// Returns the state after discovery was unavailable at `at`: it ended a watch, or refused or rejected a call. An
-    /// earlier silence keeps its binding time.
+    /// earlier silence keeps its `binding_from`.
     fn unavailable(self, at: Instant) -> Self {
         match self {
             State::Missed(Missed {
@@ -94,7 +97,7 @@
     /// Creates the state at the start of a process, and the future that sends changes of staleness to `inputs` until
     /// either end is dropped. If lists are pushed, the list is stale until the first call to the agent has ended.
     /// Otherwise the list that the process starts with stays valid as if discovery had just become unavailable. The list
-    /// becomes stale `grace` after a missed change may be binding.
+    /// becomes stale `grace` after the platform may hold the sender to a missed change.
     pub fn new(
         pushed: bool,
         grace: Duration,
@@ -114,8 +117,8 @@
         )
     }
 
-    /// Records that a watch or call has received nothing since `since`. An earlier silence keeps its binding time until a
-    /// watch receives data.
+    /// Records that a watch or call has received nothing since `since`. After several silences the first one determines
+    /// when the list becomes stale, until a watch receives data.
     pub fn silent(&self, since: Instant) {
         self.0.send_modify(|state| *state = state.silent(since));
     }
@@ -148,7 +151,8 @@
         });
     }
 
-    /// Returns the earliest time at which a missed change may be binding, or `None` if no change can have been missed.
+    /// Returns the earliest time at which the platform may hold the sender to a missed change, or `None` if no change can
+    /// have been missed.
     pub fn binding_from(&self) -> Option<Instant> {
         match *self.0.borrow() {
             State::Missed(missed) => Some(missed.binding_from),
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -96,7 +96,8 @@
     freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.silent(Instant::now());
-    // discovery may have been available in between, so a later unavailable call does not postpone the binding time
+    // discovery may have been available in between, so a later failed call does not
+    // postpone the time from which changes are binding
     tokio::time::sleep(Duration::from_secs(2)).await;
     freshness.unavailable(Instant::now());
     assert_eq!(
@@ -117,7 +118,7 @@
         around(&mut received, first, BINDING_AFTER_MOVE + GRACE).await,
         (vec![false], vec![true])
     );
-    // discovery is unavailable at the new address, so the binding time starts again
+    // discovery is unavailable at the new address, so the time until changes become binding starts again
     let unavailable_at = Instant::now();
     freshness.unavailable(unavailable_at);
     tokio::time::sleep(Duration::from_millis(10)).await;
@@ -126,7 +127,7 @@
         around(&mut received, unavailable_at, BINDING_AFTER + GRACE).await,
         (vec![], vec![true])
     );
-    // during a silence the earlier of both binding times applies
+    // an address change during a silence does not postpone the time that the silence has set
     freshness.received();
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(reported(&mut received), [false]);
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -29,10 +29,10 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Minimum timeout of a call to discovery. The sender's own agent runs on the local host and answers within this time;
-/// a call to a common discovery gets at least this time even when changes are about to become binding.
+/// a call to a common discovery gets at least this time, even if the sender will be held to missed changes sooner.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time that a local agent has to send its stored list after the head of its answer. If nothing comes, the agent has no
-/// list.
+/// Time that a local agent has to send its stored list after the head of its answer. An agent that sends nothing in this
+/// time has no newer list.
 const INITIAL_LIST_WAIT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Error)]
@@ -119,14 +119,14 @@
                 super::log(format_args!("discovery: watch lost: {text}"));
                 logged_error = text;
             }
-            // at a start, sending waits only until the first call to the agent has ended
+            // a starting process waits for one call to its agent before it sends by the known list
             self.freshness.first_try_ended();
             if matches!(error, WatchError::Unreadable) {
                 continue;
             }
             let delay = match error {
                 WatchError::Silent => self.backoff.delay_after_silence(),
-                // a local failure puts no load on discovery, so it is retried without a growing delay
+                // connecting has already retried the local failure until the call's timeout
                 WatchError::Connect(error) if error.is_local() => RETRY_INTERVAL,
                 _ => self.backoff.next_delay(),
             };
@@ -187,7 +187,7 @@
             };
             let frame = match timeout_at(last_data_at + wait, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                // discovery ends its open watches when it goes down
+                // discovery ends its open watches when it goes down, so it counts as unavailable and not as silent
                 Ok(ended) => {
                     self.freshness.unavailable(last_data_at);
                     return Err(ended
@@ -241,7 +241,8 @@
         }
     }
 
-    /// Timeout of the next call: the missed changes should arrive before they become binding.
+    /// Returns the timeout of the next call. The call should end before the platform holds the sender to changes that it
+    /// has missed.
     fn call_timeout(&self) -> Duration {
         match self.freshness.binding_from() {
             Some(binding_from) => binding_from
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -107,7 +107,7 @@
     posts: JoinSet<PostResult>,
     /// Notifications of each post in flight. They become pending again if the post fails.
     in_flight: HashMap<task::Id, Vec<OutcomeNotification>>,
-    /// Backoff after the next failure.
+    /// Delay before the retry after the next failed post.
     retry_delay: Duration,
     /// End of the current backoff, or `None` if posts may start immediately.
     retry_at: Option<Instant>,
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -18,7 +18,7 @@
         Fields(line.split(' '))
     }
 
-    /// Returns the next field, which must not be empty.
+    /// Returns the text of the next field. An empty field or the end of the line is an error.
     pub(super) fn text(&mut self, expected: &str) -> Result<&'a str, Fault> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
--- a/src/wire/lines.rs
+++ b/src/wire/lines.rs
@@ -13,7 +13,7 @@
         number: usize,
         /// Description of the expected field or line.
         expected: String,
-        /// Text found instead, up to 80 characters of a field.
+        /// Text found in place of `expected`; a field is cut to 80 characters.
         found: String,
     },
     /// Reading the input or writing the output failed.
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -72,7 +72,8 @@
 /// Returns true if datagrams pass, given the number of members on the first side, the sender and the receiver.
 type Passes = fn(usize, usize, usize) -> bool;
 
-/// Returns name, number of members on the first side, and passing datagrams of each network split.
+/// Returns the simulated network splits, each with its name, the number of members on the first side, and the function
+/// that decides which datagrams pass.
 fn splits() -> Vec<(&'static str, usize, Passes)> {
     vec![
         ("halves", 10, |first, from, to| {
@@ -97,7 +98,8 @@
     ]
 }
 
-/// Returns the fleet size by the naive rule: all members that respond. It shows that the splits would break that rule.
+/// Returns the fleet size by a naive rule that counts only members that respond. The test checks that the splits violate
+/// this rule, so that passing it means something.
 fn naive_fleet_size(view: FleetView) -> u32 {
     view.present - view.suspects
 }
@@ -173,7 +175,7 @@
 
 #[test]
 fn senders_with_differing_views_keep_configured_fleet_size() {
-    // 200 senders with wrong views, no one of which is held by a majority
+    // each of the 200 senders has another wrong view, so no view is held by a majority
     let mut sum = 0.0;
     for index in 0..200u32 {
         let mut settings = settings(8);
