--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Concurrency limit of a route, the number of calls that may be in flight: additive increase,
 //! multiplicative decrease.
 
-use super::share_of;
+use super::count_for_share;
 use super::state::Route;
 use crate::interface::Micros;
 
@@ -20,17 +20,17 @@
 
 /// Returns the concurrency limit of a new route.
 pub(super) fn initial(call_slots: usize) -> f64 {
-    share_of(call_slots, INITIAL_SHARE) as f64
+    count_for_share(call_slots, INITIAL_SHARE) as f64
 }
 
 /// Returns the maximum number of calls in flight to one destination.
 pub(super) fn max_calls(call_slots: usize) -> usize {
-    share_of(call_slots, MAX_SHARE)
+    count_for_share(call_slots, MAX_SHARE)
 }
 
 /// Returns the maximum number of calls in flight on all ejected and lagging routes together.
 pub(super) fn max_unhealthy_calls(call_slots: usize) -> usize {
-    share_of(call_slots, UNHEALTHY_SHARE)
+    count_for_share(call_slots, UNHEALTHY_SHARE)
 }
 
 impl Route {
@@ -41,9 +41,9 @@
         self.concurrency_limit = increased.min(MAX_SHARE * call_slots as f64);
     }
 
-    /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion. The
-    /// limit decreases only once for all calls that were in flight at that time; returns true if
-    /// this call is the first of them.
+    /// Lowers the concurrency limit after a call that was sent at `sent` has shown congestion, and
+    /// returns true. If the call was sent before the last decrease, leaves the limit and returns
+    /// false: that decrease counts for all calls that were in flight then.
     pub(super) fn decrease_concurrency_limit(&mut self, sent: Micros, now: Micros) -> bool {
         let is_new = sent > self.decreased_at;
         if is_new {
--- a/src/decisions/outlier_detection.rs
+++ b/src/decisions/outlier_detection.rs
@@ -1,5 +1,5 @@
 //! Outlier detection: routes that fail, reject everything or do not answer are ejected. An ejected
-//! route gets only single calls.
+//! route gets only a few trial calls.
 
 mod lost_attempts;
 mod unresponsive;
@@ -18,36 +18,40 @@
 /// Failure score above which a route is ejected. Higher ejects later; lower ejects because of
 /// random failures.
 const EJECTION_SCORE: f64 = 0.55;
-/// Failure score below which a route is trusted with non-idempotent messages.
+/// Failure score below which a route is trusted. A recovering route above it gets no non-idempotent
+/// messages, and an ejected route below it may become healthy without a slow start.
 pub(super) const TRUSTED_SCORE: f64 = 0.25;
 /// Number of consecutive rejections, over at least `CLOSED_SPAN`, after which a destination counts
 /// as closed: out of service rather than throttled.
 const CLOSED_REJECTIONS: u32 = 4;
 /// Minimum time from the first to the last of the consecutive rejections after which a destination
-/// counts as closed: out of service rather than throttled.
+/// counts as closed: out of service rather than throttled. Their number must have reached
+/// `CLOSED_REJECTIONS` too.
 const CLOSED_SPAN: Micros = SECOND;
-/// Maximum number of doublings of the time for which failures of one class count against an
-/// endpoint. That time starts from a quarter of the overload span. Higher saves more messages from
-/// failing there; lower returns sooner to an endpoint that is healthy again.
+/// Maximum number of doublings of the time for which messages of one class avoid an endpoint after
+/// failures there. That time is a quarter of the overload span, doubled for each consecutive
+/// failure. Higher saves more messages from failing there; lower returns sooner to an endpoint that
+/// is healthy again.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 impl Sender {
-    /// Ejects a route. Until it is healthy again, its call rate follows from the recovery budget:
-    /// what it can take while it recovers.
+    /// Ejects a route, unless it is ejected already, and lowers its concurrency limit. Until the
+    /// route is healthy again, its call rate follows from the recovery budget: the rate that it can
+    /// presumably serve while it recovers.
     pub(super) fn eject(&mut self, id: RouteId, reason: EjectionReason, actions: &mut Vec<Action>) {
         let now = self.now;
         let max_calls = max_unhealthy_calls(self.settings.call_slots) as f64;
-        let random_phase = self.random_phase();
+        let random_tokens = self.random_tokens();
         let route = self.route_mut(id);
         if !route.is_ejected() {
-            route.bucket.tokens = random_phase;
+            route.bucket.tokens = random_tokens;
             // from here on the recovery budget sets the rate, not a limit that failures have
             // lowered
             if reason != EjectionReason::Closed {
                 route.rate_limit = route.rate_limit.max(route.best_rate);
             }
             route.health = Health::Ejected {
-                unresponsive: is_for_missing_answers(reason),
+                unresponsive: may_be_merely_slow(reason),
                 since: route.ejected_since(now),
             };
             actions.push(Action::Log(RouteEvent::Ejected {
@@ -84,7 +88,7 @@
         for id in routes.map(|(id, _)| *id).collect::<Vec<_>>() {
             let route = self.route_mut(id);
             match route.health {
-                Health::Healthy if unavailable && now - route.alive_at > span => {
+                Health::Healthy if unavailable && now - route.last_answer_at > span => {
                     self.eject(id, EjectionReason::FleetHealth, actions);
                 }
                 Health::Ejected { .. } if !unavailable => {
@@ -113,7 +117,7 @@
         let is_unanswered = outcome == Outcome::Cancelled && observation.latency > response_limit;
         if outcome == Outcome::Success {
             record.consecutive_failures = 0;
-            record.alive_at = now;
+            record.last_success_at = now;
         } else if outcome.failed() || is_unanswered {
             record.consecutive_failures += 1;
             let doublings = record.consecutive_failures.min(MAX_AVOIDANCE_DOUBLINGS);
@@ -122,9 +126,9 @@
     }
 }
 
-/// Returns true if a route ejected for this reason may be merely slow; it becomes healthy with its
-/// first answer.
-fn is_for_missing_answers(reason: EjectionReason) -> bool {
+/// Returns true if a route that is ejected for this reason may be merely slow. If few of its calls
+/// failed, its first success then makes it healthy at once, without a slow start.
+fn may_be_merely_slow(reason: EjectionReason) -> bool {
     matches!(
         reason,
         EjectionReason::Unresponsive | EjectionReason::FleetHealth
@@ -132,10 +136,10 @@
 }
 
 impl Route {
-    pub(super) fn record_signs_of_life(&mut self, outcome: Outcome, now: Micros) {
+    pub(super) fn record_outcome_times(&mut self, outcome: Outcome, now: Micros) {
         let is_rejected = matches!(outcome, Outcome::Rejected { .. });
         if is_rejected || matches!(outcome, Outcome::Success | Outcome::Error) {
-            self.alive_at = now;
+            self.last_answer_at = now;
         }
         if is_rejected || outcome.failed() {
             self.failed_at = now;
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -18,13 +18,14 @@
 /// Minimum number of calls that one sender tries on an ejected route per warm-up time, in a fleet
 /// of any size. With 0.5, the pause between two tries is at most twice the warm-up time.
 const MIN_TRIALS_PER_WARM_UP: f64 = 0.5;
-/// Lowest start capacity that the rate of trial calls is divided by; a smaller divisor would give
-/// rates that make no sense.
+/// Lowest start capacity by which the rate of trial calls is divided. A smaller divisor would make
+/// the minimum rate of a recovering route rise far above the rate of trial calls.
 const MIN_START_CAPACITY: f64 = 0.01;
 
 impl Sender {
-    /// Advances the recovery of a route after a successful call: an ejected route begins to
-    /// recover, and a route that has recovered for long enough becomes healthy.
+    /// Advances the recovery of a route after a successful call: an ejected route begins to recover,
+    /// or becomes healthy at once if it was only slow or throttled, and a route that has recovered
+    /// for long enough becomes healthy.
     pub(super) fn advance_recovery(&mut self, id: RouteId, actions: &mut Vec<Action>) {
         let now = self.now;
         let warm_up_time = self.settings.safety.warm_up_time;
@@ -32,8 +33,8 @@
         let contention = self.contention();
         let route = self.route_mut(id);
         match route.health {
-            // a trial call succeeds after missing answers, or soon after rejections, and few calls
-            // failed: the route was throttled or slow, not unavailable
+            // a trial call succeeds, few calls failed, and the route was ejected only for a short
+            // time, for missing answers or by the fleet: it was throttled or slow, not unavailable
             Health::Ejected {
                 unresponsive,
                 since,
@@ -68,13 +69,14 @@
     }
 
     /// Returns true unless the endpoint was enabled recently and has already received the calls
-    /// that it can take. Protects a restarted endpoint whose siblings are warm: it gets its part of
-    /// the rate that the destination is known to take, reduced as for a recovering destination.
+    /// that it can serve so far. Protects a restarted endpoint while the other endpoints of its
+    /// destination are warm: it gets its part of the rate that the destination is known to serve,
+    /// reduced as for a recovering destination.
     /// Drawback: an endpoint that was never restarted is held back for a while too.
     pub(super) fn is_warm_enough(&mut self, id: EndpointId, route: RouteId) -> bool {
         let now = self.now;
         let siblings = self.available_endpoints(route);
-        let known_rate = self.route_mut(route).rate_when_warm();
+        let known_rate = self.route_mut(route).capacity_for_warm_up();
         let safety = &self.settings.safety;
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return true;
@@ -98,7 +100,8 @@
         false
     }
 
-    /// Returns the number of endpoints of the destination that may receive calls, but at least 1.
+    /// Returns the number of endpoints of the route's destination that may receive calls, but
+    /// at least 1.
     fn available_endpoints(&self, route: RouteId) -> usize {
         let is_available = |id: &&EndpointId| {
             let endpoint = self.endpoints.get(id);
@@ -109,8 +112,8 @@
     }
 }
 
-/// Returns the fraction of its capacity that a route or endpoint takes at a warmth from 0 (cold) to
-/// 1 (warm).
+/// Returns the fraction of its full capacity that a route or endpoint can serve at a warmth from 0
+/// (cold) to 1 (warm).
 fn capacity_level(safety: &Safety, warmth: f64) -> f64 {
     safety.start_capacity + (1.0 - safety.start_capacity) * warmth
 }
@@ -131,7 +134,7 @@
         let warm_up_time = safety.warm_up_time.max(1);
         let warmth = (now - since) as f64 / warm_up_time as f64;
         let level = capacity_level(safety, warmth.min(1.0));
-        let budget = self.capacity(warm_up_time, senders, now)
+        let budget = self.capacity_for_recovery(warm_up_time, senders, now)
             * safety.overload_multiple
             * BUDGET_SHARE
             * level;
@@ -148,18 +151,21 @@
         budget.max(min_rate).min(max_rate)
     }
 
-    /// Returns the rate in calls per second that the warm destination takes from this sender, as
-    /// far as it is known.
-    fn capacity(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
+    /// Returns the rate in calls per second at which the destination, once warm, presumably serves
+    /// this sender; the budget of a recovery follows from it.
+    fn capacity_for_recovery(&self, warm_up_time: Micros, senders: f64, now: Micros) -> f64 {
         let usual_rate = self.usual_rate(now, warm_up_time);
-        let listed = self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
+        let certain_listed_rate =
+            self.listed_rate * (CERTAIN_LISTED_FRACTION * contention(senders));
         self.best_rate
             .clamp(usual_rate, 2.0 * usual_rate)
             .max(self.fair_share)
-            .max(listed)
+            .max(certain_listed_rate)
     }
 
-    fn rate_when_warm(&self) -> f64 {
+    /// Returns the rate in calls per second at which the destination presumably serves this sender
+    /// through all its endpoints, for the slow start of one of them.
+    fn capacity_for_warm_up(&self) -> f64 {
         if self.best_rate > 0.0 {
             self.best_rate.max(self.fair_share)
         } else {
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -132,7 +132,7 @@
     let list = parse_list(&serde_json::json!({ "rev": 9, "all": true, "targets": targets }))
         .expect("a list");
     let mut text = format!("version {}, full {}\n", list.version, list.full);
-    for listed in &list.targets {
+    for listed in &list.entries {
         text += &format!(
             "{} {} zone {:?} kind {:?} destination {} status {} weight {}\n",
             listed.uid,
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -14,29 +14,29 @@
 pub(super) struct ListState {
     /// Version of the list that is in force.
     pub version: u64,
-    /// True if agreement is on. The list then comes from the registry, and versions below the one
-    /// in force are rejected.
-    pub rules_agreed: bool,
-    /// True since an older version was received. Later changes build on that older list and are
-    /// rejected as well.
+    /// True if agreement is on: the senders agree on rules through the registry, which then also
+    /// serves the endpoint list. Versions of the list below the one in force are then rejected.
+    pub is_agreement_on: bool,
+    /// True after a list with an older version was rejected, until a list is accepted again.
+    /// Changes that arrive meanwhile build on the older list, so they are rejected as well.
     is_behind: bool,
     behind_log: RateLimitedLog,
 }
 
 impl ListState {
     /// Returns true if an update must be rejected because its list is older than the one in force.
-    /// That happens after a registry was restored from an older folder. Updates are accepted again
-    /// from the first full list that is not older.
+    /// The registry serves such a list after it was restored from an older state folder. Updates
+    /// are accepted again from the first full list that is not older.
     fn rejects(&mut self, update: &ListUpdate) -> bool {
-        if !self.rules_agreed {
+        if !self.is_agreement_on {
             return false;
         }
         self.is_behind = update.version < self.version || self.is_behind && !update.full;
         if self.is_behind {
-            let found = update.version;
-            let known = self.version;
+            let rejected = update.version;
+            let in_force = self.version;
             self.behind_log.log(format_args!(
-                "discovery: ignoring list version {found}, {known} is in force"
+                "discovery: ignoring list version {rejected}, {in_force} is in force"
             ));
         }
         self.is_behind
@@ -64,10 +64,11 @@
         self.apply_entries(update, scope);
     }
 
-    /// Applies the list of the configuration file, which may be older than discovery's.
-    pub(super) fn apply_known_list(&mut self, update: ListUpdate) {
+    /// Applies the endpoint list of the configuration file. The decision module receives it with
+    /// [`ListScope::Stale`], because discovery may have a newer list.
+    pub(super) fn apply_configured_list(&mut self, update: ListUpdate) {
         // an empty list sets no version, so that the first request to discovery gets the full list
-        if !update.targets.is_empty() {
+        if !update.entries.is_empty() {
             self.set_list_version(update.version);
         }
         self.apply_entries(update, ListScope::Stale);
@@ -82,8 +83,8 @@
         if update.full {
             self.endpoints.unlist_all();
         }
-        let mut entries = Vec::with_capacity(update.targets.len());
-        for listed in update.targets {
+        let mut entries = Vec::with_capacity(update.entries.len());
+        for listed in update.entries {
             let entry = self.apply_entry(listed);
             if !update.full {
                 self.update_pool(entry.endpoint);
@@ -108,9 +109,9 @@
         let zone = position(&self.names.zones, &listed.zone) as u16;
         let endpoint = self.endpoints.id_or_new(&listed.uid);
         if let Some(record) = self.endpoints.get_mut(endpoint) {
-            if let Some(address) = record.address.filter(|&before| before != listed.address) {
-                let before = EndpointAddress { address, endpoint };
-                self.calls.connections().set_serving(before, false);
+            if let Some(address) = record.address.filter(|&old| old != listed.address) {
+                let old_address = EndpointAddress { address, endpoint };
+                self.calls.connections().set_serving(old_address, false);
             }
             record.address = Some(listed.address);
             record.listed = listed.status != EndpointStatus::Removed;
@@ -130,8 +131,9 @@
         }
     }
 
-    /// Removes endpoints that have been unlisted for a while, are not disabled, and have no attempt
-    /// of a held message.
+    /// Removes the records of endpoints that have not been needed for some time. An endpoint is
+    /// needed while it is listed or disabled, or while a message that the driver holds has an
+    /// attempt there.
     fn forget_unneeded_endpoints(&mut self) {
         if self.endpoints.are_all_listed() {
             return;
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Applies a Retry-After from an answer that came after its attempt had ended.
+    /// Applies a Retry-After that is not part of an attempt's outcome, for example from an answer
+    /// that came after its call was abandoned.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
         self.events.push(Event::RetryAfter { endpoint, wait });
@@ -174,8 +177,8 @@
         let separate_routes = kind.is_some_and(|kind| kind.separate_routes);
         for (other, record) in self.endpoints.iter() {
             let same_route = !separate_routes && record.destination == origin.destination;
-            let concerned = other == endpoint || same_route;
-            if let Some(address) = record.address.filter(|_| concerned) {
+            let is_delayed = other == endpoint || same_route;
+            if let Some(address) = record.address.filter(|_| is_delayed) {
                 let endpoint_address = EndpointAddress {
                     address,
                     endpoint: other,
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -51,11 +51,11 @@
         writeln!(
             lines,
             "{number} {TURNS} {:016x} {:?} {:?}",
-            host.digest.0, host.actions, host.logged
+            host.digest.0, host.actions, host.log_counts
         )
         .expect("written to a string");
         (0..10).for_each(|index| actions[index] += host.actions[index]);
-        (0..5).for_each(|index| logged[index] += host.logged[index]);
+        (0..5).for_each(|index| logged[index] += host.log_counts[index]);
     }
     let expected = String::from_utf8(expected("actions.txt", lines.as_bytes())).expect("text");
     assert_eq!(lines, expected);
@@ -90,7 +90,7 @@
             "{name}: a sender that was read serializes to different bytes"
         );
         let mirror: layout::Sender = postcard::from_bytes(&golden).expect("the layout");
-        let missing_here = mirror.missing();
+        let missing_here = mirror.missing_states();
         missing = Some(missing.map_or(missing_here.clone(), |all| {
             all.into_iter()
                 .filter(|state| missing_here.contains(state))
--- a/tests/decision_record/layout.rs
+++ b/tests/decision_record/layout.rs
@@ -1,6 +1,8 @@
-//! The layout of a serialized sender, defined a second time independently of the program. Postcard
-//! writes no field names, so both definitions agree only while the order and the types of all
-//! fields and variants are the same.
+//! The layout of a serialized sender, defined a second time. Tests deserialize senders of the
+//! program with this definition: a sender that is handed over to a process of another version must
+//! keep its layout. Postcard writes no field names, so both definitions agree only while the order
+//! and the types of all fields and variants are the same. Types of the program's interface, such as
+//! the settings, are not defined again.
 #![allow(dead_code)]
 
 use message_sender::{AgreedRules, FleetView, Micros, Quotas, Settings};
@@ -62,7 +64,7 @@
 pub struct ClassRecord {
     pub consecutive_failures: u32,
     pub avoided_until: Micros,
-    pub alive_at: Micros,
+    pub last_success_at: Micros,
 }
 
 #[derive(Deserialize)]
@@ -127,7 +129,7 @@
     pub learned_hedge_delay: Option<Micros>,
     pub usual_latency: Option<Micros>,
     pub failure_score: f64,
-    pub alive_at: Micros,
+    pub last_answer_at: Micros,
     pub failed_at: Micros,
     pub rejected_since: Micros,
     pub consecutive_rejections: u32,
@@ -135,7 +137,7 @@
     pub unanswered: usize,
     pub oldest_unanswered: Micros,
     pub is_lagging: bool,
-    pub served: VecDeque<Micros>,
+    pub success_times: VecDeque<Micros>,
     pub best_rate: f64,
     pub sent: u64,
     pub since: Micros,
@@ -156,7 +158,7 @@
 
 impl Sender {
     /// Returns the names of the states and records that a sender can hold and this one does not.
-    pub fn missing(&self) -> Vec<&'static str> {
+    pub fn missing_states(&self) -> Vec<&'static str> {
         let routes = || self.routes.values();
         let messages = || self.messages.values();
         let attempts = || messages().flat_map(|message| &message.attempts);
