--- a/src/net/config/completeness.rs
+++ b/src/net/config/completeness.rs
@@ -3,7 +3,7 @@
 use super::ConfigError;
 use serde_json::{Map, Value};
 
-/// Keys of a message class that a new file may leave out, because they have defaults.
+/// Keys of a message class that are optional in the settings, so that a new file may leave them out.
 const OPTIONAL_CLASS_KEYS: [&str; 2] = ["aimStretch", "oneAtATime"];
 /// Top-level objects that a new file may leave out or add.
 const OPTIONAL_OBJECTS: [&str; 5] = ["pool", "membership", "agreement", "ledger", "freeze"];
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -85,7 +85,7 @@
     /// True if the last watch received text that could not be parsed. The next watch then requests the full list and uses
     /// those entries of it that can be parsed.
     full_list_needed: bool,
-    /// True if the last watch has received a complete list or an empty line.
+    /// True if the last watch has received a complete list or an empty line, which resets the backoff.
     list_received: bool,
 }
 
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -69,7 +69,8 @@
     Sender::new(settings, 1).expect("the settings are valid")
 }
 
-/// Returns true if datagrams pass, given the number of members on the first side, the sender and the receiver.
+/// Function that returns true if datagrams pass, given the number of members on the first side, and the indexes of the
+/// sending and the receiving member.
 type Passes = fn(usize, usize, usize) -> bool;
 
 /// Returns the simulated network splits, each with its name, the number of members on the first side, and the function
