--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -84,7 +84,7 @@
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
             resubmitted: submission.resubmitted,
-            orphan: submission.orphan,
+            accepted_by_failed_sender: submission.orphan,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
         let item = Item {
@@ -181,7 +181,7 @@
             key: submission.key.as_ref().map(header_text),
             class: class.name.clone(),
             destination: submission.destination,
-            accepted_at: new.received_at,
+            received_at: new.received_at,
             deadline: new.received_at + submission.time_limit,
             body: submission.body.to_vec(),
         };
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -15,7 +15,8 @@
 /// Time for which an address that is in use is retried. A predecessor exits and releases the address within it.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time for which other local errors of binding the address are retried, for example while the host does not have the
-/// address. A sender has to be ready by then.
+/// address. A sender has to be ready
+/// within this time.
 const ADDRESS_MISSING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay between two attempts to bind the operators' address.
 const OPERATORS_RETRY_DELAY: Duration = Duration::from_millis(250);
@@ -113,8 +114,8 @@
 fn inherit_listener(descriptor: RawFd) -> io::Result<TcpListener> {
     // SAFETY: the platform guarantees that the descriptor stays open as long as the process runs, and this function
     // closes only its duplicate. If no descriptor is open under the number, duplicating it fails.
-    let passed = unsafe { BorrowedFd::borrow_raw(descriptor) };
-    let listener = std::net::TcpListener::from(passed.try_clone_to_owned()?);
+    let inherited = unsafe { BorrowedFd::borrow_raw(descriptor) };
+    let listener = std::net::TcpListener::from(inherited.try_clone_to_owned()?);
     listener.local_addr()?; // fails now if the descriptor is not a socket, not only at the first client
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
--- a/src/pool/dials.rs
+++ b/src/pool/dials.rs
@@ -10,19 +10,20 @@
 /// doesn't answer dials must not use up all concurrent dials.
 const DIALS_PER_ENDPOINT_DIVISOR: usize = 4;
 
-/// Whether an allowed dial stays within the endpoint's learned cap.
+/// Whether an allowed dial stays within the cap on connections that the pool has learned for the
+/// endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DialKind {
-    /// The dial stays within the learned cap, or no cap has been learned.
+    /// The dial stays within the learned cap on connections, or no cap has been learned.
     Ordinary,
-    /// The dial would exceed the learned cap, and tests whether the endpoint accepts one more
-    /// connection.
+    /// The dial would exceed the learned cap on connections, and tests whether the endpoint accepts
+    /// one more connection.
     Trial,
 }
 
 impl Pool {
-    /// Dials one connection for each call that waits at an endpoint without a dial in flight, as
-    /// far as the limits allow. Queues the endpoint for the rest.
+    /// Dials for the waiting calls of an endpoint, until there are as many dials in flight as
+    /// waiting calls. Puts the endpoint into the dial queue if the limits allow fewer dials.
     pub(super) fn dial_for_waiting(
         &mut self,
         now: Micros,
@@ -85,12 +86,12 @@
         if !endpoint.is_serving || !self.limits_allow_dial(endpoint) {
             return None;
         }
-        // a dial was refused while connections were open: until an answer shows whether these work
-        // (a cap) or they break (an outage), no further connection is dialled
-        let awaits_proof = endpoint
+        // a dial was refused while connections were open: no further connection is dialled until
+        // an answer on one of these shows a cap, or they break because of an outage
+        let awaits_answer = endpoint
             .refused_dial
             .is_some_and(|refused| endpoint.open() >= refused.established);
-        if awaits_proof {
+        if awaits_answer {
             return None;
         }
         match &endpoint.cap {
@@ -126,7 +127,7 @@
             last_received_at: now,
             connected_at: now,
             calls: 0,
-            is_proven: false,
+            has_served_call: false,
             is_trial,
         };
         self.connections.insert(connection, new);
@@ -166,7 +167,7 @@
         let Some(record) = self.connections.get(&connection) else {
             return;
         };
-        let ConnectionState::Dialling { since } = record.state else {
+        let ConnectionState::Dialling { since: began_at } = record.state else {
             return;
         };
         let target = record.target;
@@ -178,7 +179,7 @@
         }
         let dial = FailedDial {
             target,
-            since,
+            began_at,
             is_trial,
             failure,
         };
@@ -191,7 +192,7 @@
         self.deny_beyond_dials(target, commands);
         self.dial_for_waiting(now, target, commands);
         self.run_dial_queue(now, commands);
-        self.forget_if_done(target);
+        self.remove_if_retired_and_unused(target);
     }
 
     /// Counts a failed dial at its endpoint. Returns false if the pool has no record of the
@@ -227,7 +228,7 @@
     /// - The dial timed out but had begun before the call came: its timeout says nothing about the
     ///   outcome of the next dial.
     /// - Connections to the endpoint are open and the dial was refused, or was a trial above the
-    ///   learned cap: the call may get one of the open connections.
+    ///   learned cap on connections: the call may get one of the open connections.
     fn fails_waiting_call(&self, dial: &FailedDial) -> bool {
         let Some(endpoint) = self.endpoints.get(&dial.target) else {
             return false;
@@ -238,7 +239,7 @@
             || dial.is_trial && has_established;
         let oldest = endpoint.waiting.front();
         let affects_oldest = dial.failure != DialFailure::TimedOut
-            || oldest.is_some_and(|waiter| waiter.since <= dial.since);
+            || oldest.is_some_and(|waiter| waiter.since <= dial.began_at);
         !may_get_another && affects_oldest
     }
 }
@@ -247,8 +248,8 @@
 struct FailedDial {
     target: EndpointAddress,
     /// Time in microseconds at which the dial began.
-    since: Micros,
-    /// The dial was a trial above the endpoint's learned cap.
+    began_at: Micros,
+    /// True if the dial was a trial above the endpoint's learned cap on connections.
     is_trial: bool,
     failure: DialFailure,
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -83,15 +83,15 @@
     wait_until("the suspension is logged", || {
         node.logged("sending is suspended")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(
-        (old.count(), node.hand_in("webhook", "m2", 7, 20_000, b"x")),
+        (old.count(), node.submit("webhook", "m2", 7, 20_000, b"x")),
         (1, 202)
     );
     agent.muted_watches.store(0, Ordering::SeqCst);
     wait_until("all is delivered", || {
-        new.times("m1") + new.times("m2") == 2
+        new.count_of("m1") + new.count_of("m2") == 2
     });
     assert_eq!(old.count(), 1);
 }
@@ -99,7 +99,7 @@
 #[test]
 fn restart_with_pending_messages_waits_for_newer_list_of_agent() {
     let (old, new) = (
-        Endpoint::new(|_, _| Reply::Answer("503 Full", String::new())),
+        Endpoint::new(|_, _| Reply::Response("503 Full", String::new())),
         Endpoint::new(|_, _| OK),
     );
     let agent = Agent::new(vec![list_with_one("s-1", old.address, "up")]);
@@ -108,14 +108,14 @@
         text.replace(r#""known":{"rev":0,"all":true,"targets":[]}"#, &known)
     });
     let mut node = node.ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the first attempt", || old.count() > 0);
     node.kill();
     let attempts = old.count();
     replace(&agent, &old, "draining", &new);
     *agent.watch_delay.lock().expect("not poisoned") = Duration::from_millis(150);
     let _next = node.successor_as_configured();
-    wait_until("delivered", || new.times("m1") == 1);
+    wait_until("delivered", || new.count_of("m1") == 1);
     assert_eq!(
         old.count(),
         attempts,
@@ -211,11 +211,11 @@
     wait_until("the suspension is logged", || {
         node.logged("sending is suspended")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(old.count(), 1);
     agent.holds_watches.store(false, Ordering::SeqCst);
-    wait_until("all is delivered", || new.times("m1") == 1);
+    wait_until("all is delivered", || new.count_of("m1") == 1);
     assert_eq!(old.count(), 1);
 }
 
