--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -1,17 +1,17 @@
-//! Reads events.
+//! Parses the lines of a batch into events.
 
 use super::base64::decode;
 use super::fields::{Fault, Fields, fault, outcome, parse_number, parse_whole};
 use super::instance::Instance;
-use super::numbered::Numbered;
+use super::numbered::NameNumbers;
 use super::settings::{Names, position};
 use crate::interface::{
     EndpointEntry, EndpointId, EndpointStatus, Event, ListScope, MessageId, Micros, NewMessage,
 };
 use std::collections::BTreeMap;
 
-/// The first words of all lines in a batch but those of lists.
-pub(super) const KNOWN: [&str; 10] = [
+/// First words of all lines in a batch, except `manifest` and `row`, which define endpoint lists.
+pub(super) const EVENT_WORDS: [&str; 10] = [
     "begin",
     "crash_now",
     "announce",
@@ -24,11 +24,12 @@
     "heard",
 ];
 
-/// The bits of a message that a client has handed in before, and of one that comes from a sender that died.
+/// Bit in a `demand` line for a message that the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
+/// Bit in a `demand` line for a message that was pending at a sender that died.
 const ORPHAN_BIT: u64 = 16;
 
-/// The time of a batch.
+/// Parses the first line of a batch and returns its time.
 pub(super) fn read_batch_head(line: &str) -> Result<Micros, Fault> {
     let mut fields = Fields::new(line);
     match fields.text("batch")? {
@@ -37,19 +38,20 @@
     }
 }
 
-/// A list's number, and how many rows follow.
+/// Parses a `manifest` line after its first word. Returns the list's number and the number of rows that follow.
 pub(super) fn read_list_head(rest: &str) -> Result<(u64, u64), Fault> {
     let mut fields = Fields::new(rest);
     let number = fields.whole("a list number")?;
     Ok((number, fields.whole("a count of rows")?))
 }
 
-/// Checks a row of a list before any instance needs it.
+/// Checks a row when the list is read, so that the error names the row's own line number.
 pub(super) fn check_row(row: &str) -> Result<(), Fault> {
-    read_row(row, &mut Numbered::default(), &Names::default()).map(drop)
+    read_row(row, &mut NameNumbers::default(), &Names::default()).map(drop)
 }
 
-/// What a line tells a running instance; the fields after its word and its instance.
+/// Parses the event of a line for a running instance. `word` is the line's first word, and `fields` are the fields after
+/// the instance's id.
 pub(super) fn read_event(
     word: &str,
     fields: &mut Fields,
@@ -57,12 +59,12 @@
     lists: &BTreeMap<u64, Vec<String>>,
 ) -> Result<Event, Fault> {
     match word {
-        "announce" => announce(fields, instance, lists),
-        "demand" => demand(fields, instance),
-        "first_byte" => first_byte(fields, instance),
-        "outcome" => ended(fields, instance),
+        "announce" => endpoint_list(fields, instance, lists),
+        "demand" => new_message(fields, instance),
+        "first_byte" => response_started(fields, instance),
+        "outcome" => attempt_ended(fields, instance),
         "dropped" => Ok(Event::MessageAbandoned(message(fields, instance)?)),
-        "echo" => probed(fields, instance),
+        "echo" => health_check_ended(fields, instance),
         "heard" => {
             let from = fields.whole("a sender's number")? as u32;
             Ok(Event::PeerNote {
@@ -89,7 +91,7 @@
     ))
 }
 
-fn first_byte(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn response_started(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let message = message(fields, instance)?;
     fields.number("a latency")?;
     let attempt = fields.whole("an attempt")? as usize;
@@ -97,7 +99,7 @@
     Ok(Event::ResponseStarted { message, attempt })
 }
 
-fn ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn attempt_ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let message = message(fields, instance)?;
     let attempt = fields.whole("an attempt")? as usize;
     let endpoint = endpoint(fields, instance)?;
@@ -120,7 +122,7 @@
     })
 }
 
-fn probed(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn health_check_ended(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     fields.number("a latency")?;
     let endpoint = endpoint(fields, instance)?;
     let outcome = outcome(fields.outcome_word()?, 0.0);
@@ -131,7 +133,7 @@
     })
 }
 
-fn read_row(row: &str, endpoints: &mut Numbered, names: &Names) -> Result<EndpointEntry, Fault> {
+fn read_row(row: &str, endpoints: &mut NameNumbers, names: &Names) -> Result<EndpointEntry, Fault> {
     let mut fields = Fields::new(row);
     let endpoint = EndpointId(endpoints.number(fields.text("an endpoint")?) as u32);
     let zone = position(&names.zones, fields.text("a zone")?) as u16;
@@ -156,7 +158,7 @@
     })
 }
 
-fn announce(
+fn endpoint_list(
     fields: &mut Fields,
     instance: &mut Instance,
     lists: &BTreeMap<u64, Vec<String>>,
@@ -168,9 +170,9 @@
         "failed" => return Ok(Event::EndpointListFailed),
         other => return fault("delta, full, cached or failed", other),
     };
-    let bank = fields.whole("a list number")?;
-    let Some(rows) = lists.get(&bank) else {
-        return fault("a list sent before", &bank.to_string());
+    let number = fields.whole("a list number")?;
+    let Some(rows) = lists.get(&number) else {
+        return fault("a list sent before", &number.to_string());
     };
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
@@ -179,7 +181,7 @@
     Ok(Event::EndpointList { scope, entries })
 }
 
-fn demand(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
+fn new_message(fields: &mut Fields, instance: &mut Instance) -> Result<Event, Fault> {
     let id = message(fields, instance)?;
     let time_left = fields.time("time left")?;
     let tenant = fields
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn recorded_scenarios_run_again_take_the_same_actions() {
+fn recorded_scenarios_give_recorded_actions() {
     let mut lines = String::from("scenario turns digest actions_by_variant log_events_by_kind\n");
     let mut actions = [0; 10];
     let mut logged = [0; 5];
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn golden_senders_read_and_written_keep_each_byte() {
+fn golden_senders_deserialized_and_serialized_keep_their_bytes() {
     let mut missing: Option<Vec<&str>> = None;
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn golden_senders_continued_take_the_same_actions() {
+fn deserialized_golden_senders_give_recorded_actions() {
     let mut lines = String::new();
     for (name, scenario, turn) in GOLDEN_SENDERS {
         let mut host = Host::new(scenario);
