--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -39,11 +39,11 @@
 pub struct InFlightCall {
     /// Sends the positions of cancelled messages to the task of the call. `None` if the predecessor of a handover made
     /// the call and still has it in flight.
-    pub cancels: Option<mpsc::UnboundedSender<usize>>,
+    pub cancellations: Option<mpsc::UnboundedSender<usize>>,
     /// Message and attempt number at each position of the call.
     pub items: Vec<(MessageId, usize)>,
     /// Number of positions whose attempt has not ended.
-    pub left: usize,
+    pub unfinished_messages: usize,
 }
 
 /// Call to be made to one endpoint.
@@ -90,7 +90,10 @@
     fn report_retry_after(&self, target: EndpointAddress, wait: Micros) {
         let endpoint = target.endpoint;
         // the receiver is dropped only when the process ends
-        let _ = self.inputs.send(DriverInput::RetryAfter { endpoint, wait });
+        let _ = self.inputs.send(DriverInput::RetryAfter {
+            endpoint,
+            delay: wait,
+        });
     }
 }
 
--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -43,21 +43,21 @@
     /// the attempt.
     pub(super) fn send(&mut self, now: Micros, request: SendRequest, bundles: &mut Vec<Bundle>) {
         let attempt = request.attempt;
-        let Some(pending) = self.messages.get(attempt.message) else {
+        let Some(held) = self.messages.get(attempt.message) else {
             // the message was dropped in this turn because the journal could not store it
             return self
                 .events
                 .push(ended_without_call(attempt, NOT_SENT, true));
         };
-        let open = pending.open;
-        if pending.attempts.len() != attempt.number {
+        let open = held.open;
+        if held.attempts.len() != attempt.number {
             self.violations
                 .count(Violation::AttemptNumber, format_args!("{attempt:?}"));
             return self
                 .events
                 .push(ended_without_call(attempt, NOT_SENT, !open));
         }
-        let size_bytes = calls::bulk_size(&pending.item);
+        let size_bytes = calls::bulk_size(&held.item);
         self.messages
             .begin_attempt(attempt.message, attempt.endpoint, now);
         let Some(endpoint) = self.endpoints.get(attempt.endpoint) else {
@@ -66,11 +66,11 @@
         let uid = endpoint.uid.clone();
         let kind = self.settings.kinds.get(endpoint.kind);
         let max_messages = kind.map_or(1, |kind| kind.bundle_max);
-        let Some(record) = self.permit_and_record(attempt, &uid, now, open) else {
+        let Some(record_position) = self.permit_and_record(attempt, &uid, now, open) else {
             return self.attempt_not_sent(attempt);
         };
         if let Some(held_attempt) = self.messages.attempt_mut(attempt.message, attempt.number) {
-            held_attempt.record = Some(record);
+            held_attempt.record_position = Some(record_position);
         }
         let began = MessageEvent::AttemptBegan {
             number: attempt.number,
@@ -105,14 +105,14 @@
             return None;
         }
         // the attempt of a message that has already ended is not recorded, and so not sent
-        let record = open
+        let record_position = open
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
-        if record.is_none() {
+        if record_position.is_none() {
             self.lifecycle
                 .end_attempt(attempt.message, NOT_SENT, now, 0);
         }
-        record
+        record_position
     }
 
     /// Ends an attempt that was marked as in flight but never sent.
@@ -181,16 +181,16 @@
             proof: end.proof,
         };
         self.log_event(message, &ended);
-        self.end_call_item(end.call);
+        self.end_message_of_call(end.call);
         let now = self.clock.at(Instant::now());
         let key_backoff = self.settings.safety.key_backoff;
         self.lifecycle
             .end_attempt(message, end.outcome, now, key_backoff);
-        if let Some(record) = attempt.record
+        if let Some(record_position) = attempt.record_position
             && end.outcome.never_ran()
             && self.messages.is_open(message)
         {
-            self.journal.attempt_never_ran(message, record);
+            self.journal.attempt_never_ran(message, record_position);
         }
         if let Outcome::Rejected {
             retry_after: Some(wait),
@@ -254,8 +254,8 @@
             );
         };
         // the send fails only if the call has just ended, and then its outcome is already queued
-        match (&in_flight.cancels, &self.predecessor) {
-            (Some(cancels), _) => drop(cancels.send(position)),
+        match (&in_flight.cancellations, &self.predecessor) {
+            (Some(cancellations), _) => drop(cancellations.send(position)),
             (None, Some(predecessor)) => {
                 predecessor.send(HandoverMessage::CancelAttempt { call, position });
             }
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -116,10 +116,10 @@
 
     /// Marks one message of a call as ended. Removes and returns the call if no other message of it
     /// is left.
-    pub fn end_item(&mut self, number: u64) -> Option<InFlightCall> {
+    pub fn end_message(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
-        call.left -= 1;
-        if call.left > 0 {
+        call.unfinished_messages -= 1;
+        if call.unfinished_messages > 0 {
             return None;
         }
         self.calls.remove(&number)
@@ -127,7 +127,7 @@
 
     /// Returns the calls that the predecessor made and that are still in flight.
     pub fn of_predecessor(&self) -> impl Iterator<Item = (u64, &InFlightCall)> {
-        self.iter().filter(|(_, call)| call.cancels.is_none())
+        self.iter().filter(|(_, call)| call.cancellations.is_none())
     }
 
     pub fn is_empty(&self) -> bool {
@@ -154,10 +154,10 @@
                 attempt.position = position;
             }
         }
-        let (cancels, cancelled) = mpsc::unbounded_channel();
+        let (cancellations, cancelled) = mpsc::unbounded_channel();
         let in_flight = InFlightCall {
-            cancels: Some(cancels),
-            left: bundle.attempts.len(),
+            cancellations: Some(cancellations),
+            unfinished_messages: bundle.attempts.len(),
             items: bundle.attempts,
         };
         self.calls_in_flight.insert(number, in_flight);
@@ -186,16 +186,16 @@
 
     /// Marks one message of a call as ended, and updates the number of the predecessor's calls if
     /// that ends one of them.
-    pub(super) fn end_call_item(&mut self, number: u64) {
-        let ended = self.calls_in_flight.end_item(number);
-        if ended.is_some_and(|call| call.cancels.is_none()) {
-            self.count_calls_of_predecessor();
+    pub(super) fn end_message_of_call(&mut self, number: u64) {
+        let ended = self.calls_in_flight.end_message(number);
+        if ended.is_some_and(|call| call.cancellations.is_none()) {
+            self.report_predecessor_calls();
         }
     }
 
     /// Reports the number of the predecessor's calls to the connection pool, which counts their
     /// connections against this process's limit.
-    pub(super) fn count_calls_of_predecessor(&self) {
+    pub(super) fn report_predecessor_calls(&self) {
         let count = self.calls_in_flight.of_predecessor().count();
         self.calls.connections().set_predecessor_connections(count);
     }
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -44,7 +44,10 @@
     /// Returns the earliest time in microseconds at which a pending notification can be sent without
     /// a durable end.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.pending.iter().map(|end| end.no_send_after).min()
+        self.pending
+            .iter()
+            .map(|pending| pending.no_send_after)
+            .min()
     }
 
     pub fn send(&self, notification: OutcomeNotification) {
@@ -54,13 +57,13 @@
 
     /// Sends the pending notifications whose messages no later process would send: the end of the
     /// message is durable, or its deadline is too near.
-    fn send_final(&mut self, now: Micros, all_durable: bool) {
-        let is_final = |end: &PendingNotification| all_durable || end.no_send_after <= now;
-        let pending = std::mem::take(&mut self.pending);
-        let (ready, waiting): (Vec<_>, Vec<_>) = pending.into_iter().partition(is_final);
+    fn send_ready(&mut self, now: Micros, all_durable: bool) {
+        let is_ready = |pending: &PendingNotification| all_durable || pending.no_send_after <= now;
+        let all_pending = std::mem::take(&mut self.pending);
+        let (ready, waiting): (Vec<_>, Vec<_>) = all_pending.into_iter().partition(is_ready);
         self.pending = waiting;
-        for end in ready {
-            self.send(end.notification);
+        for pending in ready {
+            self.send(pending.notification);
         }
     }
 }
@@ -77,12 +80,12 @@
 
     /// Ends a message undelivered, as the decision module decided, and queues its notification.
     pub(super) fn end_undelivered(&mut self, message: MessageId, outcome: UndeliveredOutcome) {
-        let Some(pending) = self.messages.get(message).filter(|held| held.open) else {
+        let Some(held) = self.messages.get(message).filter(|held| held.open) else {
             // the client received the outcome as the response to its request, so no notification is
             // needed
             return self.events.push(Event::NotificationDelivered(message));
         };
-        let id = pending.item.id.clone();
+        let id = held.item.id.clone();
         let unfinished = self.journal.unfinished().get(&message.0);
         let deadline = unfinished.map_or(Micros::MIN, |unfinished| unfinished.accepted.deadline);
         message_log::log_event(&id, &MessageEvent::EndedUndelivered(outcome));
@@ -101,11 +104,11 @@
     }
 
     /// Sends the pending notifications that no longer need to wait.
-    pub(super) fn send_final_notifications(&mut self) {
+    pub(super) fn send_ready_notifications(&mut self) {
         if self.notifications.has_pending() {
             let now = self.clock.at(Instant::now());
             let all_durable = !self.journal.has_pending();
-            self.notifications.send_final(now, all_durable);
+            self.notifications.send_ready(now, all_durable);
         }
     }
 
@@ -113,8 +116,8 @@
     pub(super) fn notifications_accepted(&mut self, accepted: AcceptedNotifications) {
         let AcceptedNotifications { numbers, proof } = accepted;
         for message in numbers.into_iter().map(MessageId) {
-            if let Some(held) = self.journal.unfinished().get(&message.0) {
-                message_log::log_event_of_id(&held.accepted.id, &MessageEvent::Notified);
+            if let Some(unfinished) = self.journal.unfinished().get(&message.0) {
+                message_log::log_event_of_id(&unfinished.accepted.id, &MessageEvent::Notified);
             }
             self.end_counts.count(proof);
             self.journal.complete(message, proof);
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -169,7 +169,7 @@
     }
 
     async fn report_attempt(&mut self, end: AttemptEnd) -> Result<(), LinkError> {
-        self.calls_in_flight.end_item(end.call);
+        self.calls_in_flight.end_message(end.call);
         let message = HandoverMessage::AttemptEnded(end);
         self.writer.send_message(message).await
     }
@@ -178,10 +178,10 @@
         match message {
             HandoverMessage::CancelAttempt { call, position } => {
                 let call = self.calls_in_flight.get(call);
-                if let Some(cancels) = call.and_then(|call| call.cancels.as_ref()) {
+                if let Some(cancellations) = call.and_then(|call| call.cancellations.as_ref()) {
                     // the send fails only if the call has just ended, and then its outcome is
                     // already queued
-                    let _ = cancels.send(position);
+                    let _ = cancellations.send(position);
                 }
             }
             HandoverMessage::Answered { number, result } => {
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -163,7 +163,7 @@
         call: attempt.call,
         item: attempt.position,
         in_flight: attempt.in_flight,
-        record: attempt.record,
+        record: attempt.record_position,
     }
 }
 
@@ -175,6 +175,6 @@
     CallState {
         number,
         items: call.items.iter().map(item).collect(),
-        left: call.left,
+        left: call.unfinished_messages,
     }
 }
--- a/src/net/driver/journal_state.rs
+++ b/src/net/driver/journal_state.rs
@@ -49,7 +49,7 @@
     /// Returns a change that the decision module must be notified of: `Some(true)` if the journal
     /// now fails, `Some(false)` if it no longer does. `None` if nothing changed since the last
     /// report.
-    pub fn take_change(&mut self) -> Option<bool> {
+    pub fn take_failing_change(&mut self) -> Option<bool> {
         let failing = self.journal.is_failing();
         if failing == self.reported_failing {
             return None;
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -59,7 +59,7 @@
 
 /// Interval of the periodic maintenance, which closes idle connections, retries failed journal
 /// writes, and checks whether endpoints that a freeze held back can be admitted.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of queued inputs that are handled in one turn, in addition to the input that
 /// started the turn. The limit keeps a turn short. 1024 covers the end of one call to each of 1024
 /// endpoints.
@@ -255,7 +255,7 @@
     /// Runs turns until the input channel is closed or a successor owns the messages. After a
     /// handover it also drains the calls and clients that are left.
     pub async fn run(mut self, mut channels: DriverChannels) {
-        let mut sweep = interval(SWEEP_INTERVAL);
+        let mut maintenance = interval(MAINTENANCE_INTERVAL);
         let mut journal_retry = interval(RETRY_INTERVAL);
         journal_retry.set_missed_tick_behavior(MissedTickBehavior::Delay);
         // rules and quotas that were sent before the first turn must already apply to it
@@ -282,8 +282,8 @@
                     }
                     AfterRequest::Exit => return,
                 },
-                _ = sweep.tick() => {
-                    if !self.sweep() {
+                _ = maintenance.tick() => {
+                    if !self.run_maintenance() {
                         continue;
                     }
                 }
@@ -313,7 +313,7 @@
     }
 
     /// Performs the periodic maintenance; returns true if a turn is due afterwards.
-    fn sweep(&mut self) -> bool {
+    fn run_maintenance(&mut self) -> bool {
         self.calls.connections().run_maintenance();
         self.end_counts.log_if_due(Instant::now());
         let journal_recovered = self.journal.retry();
@@ -340,7 +340,7 @@
                 });
             }
             DriverInput::AttemptEnded(end) => self.attempt_ended(end),
-            DriverInput::RetryAfter { endpoint, wait } => self.retry_after(endpoint, wait),
+            DriverInput::RetryAfter { endpoint, delay } => self.retry_after(endpoint, delay),
             DriverInput::EndpointList(update) => self.receive_list(update),
             DriverInput::ListStale(stale) => self.events.push(Event::EndpointListStale(stale)),
             DriverInput::NotificationsAccepted(accepted) => self.notifications_accepted(accepted),
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -110,7 +110,8 @@
             },
         };
         let in_flight = self.messages.get(number).map_or(0, |held| {
-            let recorded = |attempt: &&Attempt| attempt.in_flight && attempt.record.is_some();
+            let recorded =
+                |attempt: &&Attempt| attempt.in_flight && attempt.record_position.is_some();
             held.attempts.iter().filter(recorded).count()
         });
         let attempts = message.attempts.iter();
@@ -136,14 +137,17 @@
             .iter()
             .map(|attempt| self.past_attempt(attempt))
             .collect();
-        let attempts = past.iter().enumerate().map(|(record, past)| Attempt {
-            endpoint: past.endpoint,
-            sent_at: past.sent,
-            call: NO_CALL,
-            position: 0,
-            in_flight: false,
-            record: Some(record),
-        });
+        let attempts = past
+            .iter()
+            .enumerate()
+            .map(|(record_position, past)| Attempt {
+                endpoint: past.endpoint,
+                sent_at: past.sent,
+                call: NO_CALL,
+                position: 0,
+                in_flight: false,
+                record_position: Some(record_position),
+            });
         let attempts = attempts.collect();
         let attempts_before = past.len();
         message_log::log_event(
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -60,8 +60,8 @@
     /// and the guard of its request reports that.
     pub(super) fn receive_submission(&mut self, submission: Submission) {
         if let Some(message) = self.messages.open_message(&submission.id) {
-            if let Some(pending) = self.messages.get_mut(message) {
-                pending.clients += 1;
+            if let Some(held) = self.messages.get_mut(message) {
+                held.clients += 1;
             }
             self.clients.repeated.push(RepeatedSubmission {
                 message,
@@ -107,11 +107,11 @@
         let Some(message) = self.messages.open_message(id) else {
             return;
         };
-        let Some(pending) = self.messages.get_mut(message) else {
+        let Some(held) = self.messages.get_mut(message) else {
             return;
         };
-        pending.clients = pending.clients.saturating_sub(1);
-        if pending.clients == 0 {
+        held.clients = held.clients.saturating_sub(1);
+        if held.clients == 0 {
             message_log::log_event(id, &MessageEvent::ClientLeft);
             self.events.push(Event::MessageAbandoned(message));
             self.complete(message, EndProof::of_departed_client(client));
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -51,7 +51,7 @@
         for call in state.calls {
             self.take_over_call(call);
         }
-        self.count_calls_of_predecessor();
+        self.report_predecessor_calls();
         let delivered = state.delivered.iter();
         let delivered = delivered.filter_map(|id| HeaderValue::from_str(id).ok());
         self.messages.set_delivered_ids(delivered);
@@ -93,11 +93,11 @@
     fn take_over_call(&mut self, state: CallState) {
         let items = state.items.into_iter();
         let call = InFlightCall {
-            cancels: None,
+            cancellations: None,
             items: items
                 .map(|item| (MessageId(item.message), item.attempt))
                 .collect(),
-            left: state.left,
+            unfinished_messages: state.left,
         };
         self.calls_in_flight.insert(state.number, call);
     }
@@ -242,6 +242,6 @@
         call: state.call,
         position: state.item,
         in_flight: state.in_flight,
-        record: state.record,
+        record_position: state.record,
     }
 }
--- a/src/net/driver/turn.rs
+++ b/src/net/driver/turn.rs
@@ -18,7 +18,7 @@
         while !self.events.is_empty() || self.end_lost_attempts() {
             self.take_turn();
         }
-        self.send_final_notifications();
+        self.send_ready_notifications();
     }
 
     fn take_turn(&mut self) {
@@ -47,7 +47,7 @@
 
     /// Notifies the decision module when journal writes begin to fail, and when they succeed again.
     fn report_journal_change(&mut self) {
-        let Some(failing) = self.journal.take_change() else {
+        let Some(failing) = self.journal.take_failing_change() else {
             return;
         };
         let state = if failing {
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -36,7 +36,7 @@
         /// Endpoint that sent the answer.
         endpoint: EndpointId,
         /// Delay of the Retry-After in microseconds, from the time at which the answer was read.
-        wait: Micros,
+        delay: Micros,
     },
     /// Discovery sent the endpoint list, or changes to it.
     EndpointList(ListUpdate),
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -140,13 +140,13 @@
     let (endpoint, may_answer) = endpoint_that_waits_at("first");
     // the ordered class is idempotent here, so messages that a restarted process sends again show
     // at the endpoint
-    let repeatable = |text: String| {
+    let make_ordered_class_idempotent = |text: String| {
         text.replace(
             r#""effect":"at_most_once","oneAtATime":true"#,
             r#""effect":"idempotent","oneAtATime":true"#,
         )
     };
-    let sender = FaultySender::with_endpoint(endpoint).configured(repeatable);
+    let sender = FaultySender::with_endpoint(endpoint).configured(make_ordered_class_idempotent);
     let FaultySender {
         endpoint, faults, ..
     } = &sender;
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -106,9 +106,9 @@
             ids.push(id);
         }
     }
-    let whole = STATUS_LINE.len();
+    let line_length = STATUS_LINE.len();
     for (class, destination) in [("webhook", 6), ("order", 13)] {
-        let id = format!("{class}-{whole}");
+        let id = format!("{class}-{line_length}");
         wait_until(
             "the message with the complete line counts as delivered",
             || node.hand_in(class, &id, destination, LONG_MS, b"body") == 200,
@@ -175,12 +175,12 @@
         );
         ids.push(id);
     }
-    let whole = ids.pop().expect("at least one message");
+    let complete_id = ids.pop().expect("at least one message");
     // a message whose answer was cut may have run; its class allows a second call
     assert_proved_ends(&node, &agent, &endpoint, &ids);
     assert!(ids.iter().all(|id| endpoint.calls(id) == 2));
-    assert_eq!(endpoint.calls(&whole), 1);
-    assert!(!is_notified(&agent, &whole));
+    assert_eq!(endpoint.calls(&complete_id), 1);
+    assert!(!is_notified(&agent, &complete_id));
 }
 
 #[test]
@@ -194,10 +194,11 @@
             let [first, second] = pair;
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{first} ok\r\n{second} ok\r\n")
         };
-        let body_at = answer(&Default::default()).len() - " ok\r\n ok\r\n".len();
-        let pair_of = |length: usize| ["a", "b"].map(|name| format!("{name}-{then:?}-{length:03}"));
-        for length in body_at..=answer(&pair_of(0)).len() {
-            let pair = pair_of(length);
+        let body_start = answer(&Default::default()).len() - " ok\r\n ok\r\n".len();
+        let ids_for_cut =
+            |length: usize| ["a", "b"].map(|name| format!("{name}-{then:?}-{length:03}"));
+        for length in body_start..=answer(&ids_for_cut(0)).len() {
+            let pair = ids_for_cut(length);
             let bytes = answer(&pair).into_bytes()[..length].to_vec();
             endpoint.break_off(&pair[0], Fragment { bytes, then });
             let destination = cases.len() as u64;
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -33,7 +33,7 @@
 
     /// Returns the connection over which the sender has made 8 calls, each answered with 200. The
     /// sender keeps it open for its next call to this endpoint.
-    fn used_connection(&self, node: &Node) -> TcpStream {
+    fn connection_after_calls(&self, node: &Node) -> TcpStream {
         let (mut stream, mut served) = (None, 0);
         while served < 8 {
             let id = format!("warm-{served}");
@@ -74,7 +74,7 @@
         )
     });
     let node = node.ready();
-    let mut first_connection = endpoint.used_connection(&node);
+    let mut first_connection = endpoint.connection_after_calls(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
@@ -166,7 +166,7 @@
 fn requests_at_shutdown_idle_close_are_answered() {
     let endpoint = ManualEndpoint::new();
     let agent = endpoint.listed();
-    let sent_in_time = || {
+    let were_sent_before_close = || {
         let node = Node::new(&agent).ready();
         node.terminate();
         wait_until("draining", || node.logged("draining"));
@@ -176,14 +176,17 @@
         std::thread::sleep(Duration::from_millis(500));
         send_at_idle_close(&node, &mut clients, 503)
     };
-    assert!((0..5).any(|_| sent_in_time()), "too slow in all 5 tries");
+    assert!(
+        (0..5).any(|_| were_sent_before_close()),
+        "too slow in all 5 tries"
+    );
 }
 
 #[test]
 fn requests_at_idle_timeout_are_answered() {
     let endpoint = ManualEndpoint::new();
     let node = Node::new(&endpoint.listed()).ready();
-    let sent_in_time = || {
+    let were_sent_before_close = || {
         let mut clients: Vec<Client> = (0..16).map(|_| Client::new(&node)).collect();
         clients
             .iter_mut()
@@ -192,7 +195,10 @@
         std::thread::sleep(Duration::from_millis(1700));
         send_at_idle_close(&node, &mut clients, 200)
     };
-    assert!((0..5).any(|_| sent_in_time()), "too slow in all 5 tries");
+    assert!(
+        (0..5).any(|_| were_sent_before_close()),
+        "too slow in all 5 tries"
+    );
 }
 
 #[test]
@@ -249,7 +255,7 @@
         text.replace(r#""window":12.0"#, r#""window":1.0"#)
     })
     .ready();
-    let mut stream = endpoint.used_connection(&node);
+    let mut stream = endpoint.connection_after_calls(&node);
     let mut client = Client::new(&node);
     assert_eq!(
         client
