--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -253,8 +253,8 @@
                 format_args!("{message:?}, attempt {number}"),
             );
         };
-        // the send fails only if the call has just ended, and then its outcome is already queued
         match (&in_flight.cancellations, &self.predecessor) {
+            // the send fails only if the call has just ended, and then its outcome is already queued
             (Some(cancellations), _) => drop(cancellations.send(position)),
             (None, Some(predecessor)) => {
                 predecessor.send(HandoverMessage::CancelAttempt { call, position });
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -114,8 +114,8 @@
         number
     }
 
-    /// Marks one message of a call as ended. Removes and returns the call if no other message of it
-    /// is left.
+    /// Marks one message of a call as ended. Removes and returns the call if all its messages have
+    /// ended.
     pub fn end_message(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
         call.unfinished_messages -= 1;
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Marks one message of a call as ended, and updates the number of the predecessor's calls if
-    /// that ends one of them.
+    /// Marks one message of a call as ended. If that ends a call of the predecessor, reports to the
+    /// connection pool how many calls the predecessor still has in flight.
     pub(super) fn end_message_of_call(&mut self, number: u64) {
         let ended = self.calls_in_flight.end_message(number);
         if ended.is_some_and(|call| call.cancellations.is_none()) {
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -15,8 +15,9 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Notification held back until the end is durable, because a restarted process would not know of
-/// the end and could send the message again.
+/// Notification held back until the end of its message is durable or the time `no_send_after` is
+/// reached. Before that, a restarted process would not know of the end and could send the message
+/// again.
 struct PendingNotification {
     notification: OutcomeNotification,
     /// Time in microseconds from which no process sends the message.
@@ -55,8 +56,9 @@
         let _ = self.queue.send(notification);
     }
 
-    /// Sends the pending notifications whose messages no later process would send: the end of the
-    /// message is durable, or its deadline is too near.
+    /// Sends the pending notifications of messages that no process will send any more, not even after
+    /// a restart: all of them if `all_durable`, which means that the journal has stored the ends of
+    /// all messages, else those whose `no_send_after` has been reached.
     fn send_ready(&mut self, now: Micros, all_durable: bool) {
         let is_ready = |pending: &PendingNotification| all_durable || pending.no_send_after <= now;
         let all_pending = std::mem::take(&mut self.pending);
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -216,8 +216,9 @@
         let Some(entry) = filter.held_back.remove(&uid) else {
             return false;
         };
-        // random delays keep senders whose freeze ends at the same time from admitting the same
-        // entry together
+        // The next admission follows after a random delay from `interval / 2` to `interval * 3 / 2`.
+        // Without it, senders whose freeze ends at the same time would admit each further entry
+        // together.
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
         filter.next_admission = now + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
@@ -249,8 +250,9 @@
     }
 }
 
-/// Generator of random delays between admissions. Senders with different seeds get different
-/// delays.
+/// Generator of the random part of the delay between two admissions of held-back list entries. The
+/// seed is the one from the sender's configuration. Senders with different seeds get different
+/// delays, so they do not all admit the same entry at the same time.
 pub(super) struct AdmissionJitter(u64);
 
 impl AdmissionJitter {
@@ -258,7 +260,8 @@
         AdmissionJitter(seed)
     }
 
-    /// Returns a random delay in microseconds from 0 to `interval`.
+    /// Returns the random part of the delay until the next admission, in microseconds from 0 to
+    /// `interval`. The whole delay is `interval / 2` plus this part.
     fn next_delay(&mut self, interval: Micros) -> Micros {
         self.0 = self.0.wrapping_add(1);
         let draw = Pcg32::seed_from_u64(self.0).next_u32();
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -100,8 +100,8 @@
         self.clients.new.insert(message, new);
     }
 
-    /// Handles a client that disconnected before its response. The message is abandoned once no
-    /// client waits for it.
+    /// Handles a client that disconnected before its response. Abandons the message if every client
+    /// that submitted it has disconnected before its response.
     pub(super) fn client_disconnected(&mut self, client: &DepartedClient) {
         let DepartedClient { id } = client;
         let Some(message) = self.messages.open_message(id) else {
--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -1,17 +1,21 @@
 //! End proofs: evidence that a message is complete.
 //!
-//! A message is complete only after one of these, read in full and never from a part that was cut
-//! off:
+//! A message is complete only after one of these. An answer or response counts only if the named
+//! part was received in full:
 //! - a status line with 200, up to its line feed
 //! - a response head with 410
 //! - a line of a bulk answer that reports one of the two for a message
 //! - the platform's 204 to the outcome notification
-//! - a client that disconnected before its response
+//! - the disconnection of every client that submitted the message, each before its response
 //!
 //! After a handover, the successor accepts the predecessor's report that it had such evidence.
 //!
-//! Each constructor of [`EndProof`] checks the evidence itself, and every function that completes a
-//! message requires a proof. Code that completes a message without evidence does not compile.
+//! Every function that completes a message requires an [`EndProof`], so code that completes a message
+//! without a proof does not compile. The constructors check the evidence, with two exceptions:
+//! - [`EndProof::of_status_line`] takes a [`SuccessLine`], which only the parser of status lines
+//!   creates.
+//! - [`EndProof::of_departed_client`] checks nothing; its caller must have checked that every client
+//!   has disconnected.
 
 use super::pool::SuccessLine;
 use hyper::StatusCode;
@@ -36,7 +40,7 @@
     ClientLeft,
 }
 
-/// Proof that a message is complete. It can only be created from the evidence itself.
+/// Proof that a message is complete. Only this module can create one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndProof(Evidence);
 
@@ -76,7 +80,8 @@
         (status == StatusCode::NO_CONTENT).then_some(EndProof(Evidence::NotificationAccepted))
     }
 
-    /// Returns the proof for a message whose last client disconnected before its response.
+    /// Returns the proof for a message whose clients have all disconnected before their responses.
+    /// Valid only if the caller has checked that this client was the last one.
     pub fn of_departed_client(_: &DepartedClient) -> Self {
         EndProof(Evidence::ClientLeft)
     }
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -31,11 +31,13 @@
     ShuttingDown(Instant),
     /// The attempt to deliver one message of a call ended.
     AttemptEnded(AttemptEnd),
-    /// An answer that arrived after its call was abandoned carried a Retry-After.
+    /// An answer with a Retry-After arrived after its call had been abandoned, because the call
+    /// reached its time limit or the last of its unfinished messages was cancelled.
     RetryAfter {
         /// Endpoint that sent the answer.
         endpoint: EndpointId,
-        /// Delay of the Retry-After in microseconds, from the time at which the answer was read.
+        /// Delay in microseconds that the Retry-After states, counted from the time at which the
+        /// answer was read.
         delay: Micros,
     },
     /// Discovery sent the endpoint list, or changes to it.
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -62,7 +62,10 @@
         /// Number of the attempt, from 0.
         number: usize,
     },
-    /// The last client disconnected before its response, so the message was never accepted.
+    /// Every client that submitted the message disconnected before its response, so the message is
+    /// abandoned and counts as complete. The journal may already have recorded it as accepted, and
+    /// attempts may have begun: the last client can disconnect after the driver's decision and
+    /// before the response.
     ClientLeft,
     /// The message ended undelivered, and its notification is pending.
     EndedUndelivered(UndeliveredOutcome),
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -1,7 +1,8 @@
-//! Tests of answers that endpoints cut off at any byte. A cut answer must never count as a
-//! delivery: a message ends only with a complete 200 status line, a complete 410 head, a complete
-//! line of a bulk answer, or an outcome notification. The expected end of each message follows from
-//! what the endpoint has recorded as written.
+//! Tests of answers that endpoints cut off at any byte. What arrives completes a message only if it
+//! contains a whole 200 status line, a whole 410 head, or the message's whole line of a bulk answer.
+//! Other messages must be sent again or reported to the platform as undelivered. The endpoint
+//! records which messages' answers it wrote up to the end of the 200 status line or of the bulk
+//! line, and the tests derive the expected end of each message from that record.
 
 mod node;
 
@@ -86,12 +87,14 @@
     }
 }
 
-/// Lengths in bytes at which the status line is cut. An earlier version took some of them for a
-/// delivery.
+/// Numbers of bytes of the status line that arrive; the last number, 17, is the complete line. An
+/// earlier version of the sender counted some of the shorter parts as a delivery.
 const CUT_LENGTHS_BYTES: std::ops::RangeInclusive<usize> = 11..=17;
 
-/// Submits a message for each class and each length of [`CUT_LENGTHS_BYTES`]. The endpoint answers
-/// its first call with that part of the status line and leaves the connection open.
+/// Submits one message for each length of [`CUT_LENGTHS_BYTES`] in each of two classes. The endpoint
+/// answers the first call of a message with that many bytes of the status line and leaves the
+/// connection open. Waits until the two messages with the last length, the complete line, count as
+/// delivered, and returns the ids of all messages.
 fn submit_with_cut_status_lines(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
     let mut ids = Vec::new();
     for class in ["webhook", "order"] {
@@ -176,7 +179,8 @@
         ids.push(id);
     }
     let complete_id = ids.pop().expect("at least one message");
-    // a message whose answer was cut may have run; its class allows a second call
+    // the endpoint may have processed a message whose answer was cut; the class of these messages
+    // still allows a second call
     assert_proved_ends(&node, &agent, &endpoint, &ids);
     assert!(ids.iter().all(|id| endpoint.calls(id) == 2));
     assert_eq!(endpoint.calls(&complete_id), 1);
@@ -217,8 +221,8 @@
     }
     let ids: Vec<String> = cases.concat();
     assert_proved_ends(&node, &agent, &endpoint, &ids);
-    // messages without a complete line in the cut answer are called again; a reset may also discard
-    // earlier lines
+    // A message without its complete line in the cut answer is sent again, once. After a reset this
+    // is not checked, because a reset may also discard complete lines that were written before it.
     for id in ids.iter().filter(|id| id.contains("Close")) {
         let further_calls = endpoint.calls(id) - 1;
         assert!(
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -116,7 +116,7 @@
 #[test]
 fn connection_closed_at_client_limit_answers_received_request() {
     let endpoint = ManualEndpoint::new();
-    // 60 sockets leave room for 20 client connections
+    // the process may open at most 60 sockets, which leaves room for 20 client connections
     let node = Node::with_sockets(endpoint.listed().address, 3.0, 5.0, 60).ready();
     for round in 0..10 {
         let mut clients: Vec<Client> = (0..20).map(|_| Client::new(&node)).collect();
