--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -163,7 +163,10 @@
     /// that came after its call was abandoned.
     pub(super) fn retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
         self.delay_connections(endpoint, wait);
-        self.events.push(Event::RetryAfter { endpoint, wait });
+        self.events.push(Event::RetryAfter {
+            endpoint,
+            delay: wait,
+        });
     }
 
     /// Applies a Retry-After delay to connections. If the destination is one route, the delay holds
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -97,7 +97,7 @@
             items: items
                 .map(|item| (MessageId(item.message), item.attempt))
                 .collect(),
-            unfinished_messages: state.left,
+            unfinished_messages: state.pending_items,
         };
         self.calls_in_flight.insert(state.number, call);
     }
@@ -242,6 +242,6 @@
         call: state.call,
         position: state.item,
         in_flight: state.in_flight,
-        record_position: state.record,
+        record_position: state.journal_position,
     }
 }
--- a/src/net/message_log.rs
+++ b/src/net/message_log.rs
@@ -11,7 +11,7 @@
 use super::end_proof::EndProof;
 use super::events::SubmissionResult;
 use super::journal::UndeliveredOutcome;
-use super::{log, traces};
+use super::{log, trace_enabled};
 use hyper::header::HeaderValue;
 use message_sender::{MILLISECOND, Outcome};
 use std::cell::RefCell;
@@ -202,7 +202,7 @@
 /// submissions and successful first attempts are not logged, and the rate limit may suppress the
 /// line.
 pub fn log_event_of_id(id: &str, event: &MessageEvent<'_>) {
-    if traces() || !event.is_ordinary() {
+    if trace_enabled() || !event.is_ordinary() {
         write_line(format_args!("message {id}: {event}"));
     }
 }
@@ -220,7 +220,7 @@
 /// Logs why a connection was closed, if `RELAY_TRACE` is set. Reports on the control address count
 /// the closed connections by reason.
 pub fn log_connection_close(connection: fmt::Arguments<'_>, reason: &dyn fmt::Debug) {
-    if traces() {
+    if trace_enabled() {
         log(format_args!("{connection} closed: {reason:?}"));
     }
 }
@@ -248,7 +248,7 @@
     }
 
     fn write(&mut self, now: Instant, line: fmt::Arguments<'_>) {
-        let suppressed = if traces() {
+        let suppressed = if trace_enabled() {
             Some(0)
         } else {
             self.budget.take(now)
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -60,7 +60,7 @@
         (&report["limits"]["all"], &report["left_out"]),
         (&512.into(), &0.into())
     );
-    assert_eq!(node.operate("POST /pools", ""), 405);
+    assert_eq!(node.operator_status("POST /pools", ""), 405);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     wait_for_total(&node, "/endpoints", 2);
     deliver(&node, "m2", 7);
     deliver(&node, "m3", 8);
-    assert_eq!((new.times("m2"), old.times("m3")), (1, 1));
+    assert_eq!((new.count_of("m2"), old.count_of("m3")), (1, 1));
     assert_eq!(
         old.request(1).connection,
         1,
@@ -142,7 +142,7 @@
     let node = Node::configured(&agent, 60.0, 32, r#""pool":{"idle_per_endpoint":9},"#).ready();
     for n in 0..6 {
         assert_eq!(
-            node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"),
+            node.submit("webhook", &format!("m{n}"), 7, 20_000, b"x"),
             202
         );
     }
@@ -216,7 +216,7 @@
         let text = config("127.0.0.1:9".parse().expect("an address"), 3.0, 5.0, 1024);
         std::fs::write(
             folder.join("config.json"),
-            with_part(&text, &format!(r#""pool":{pool},"#)),
+            with_members(&text, &format!(r#""pool":{pool},"#)),
         )
         .expect("written");
         let output = command(&folder)
@@ -346,7 +346,7 @@
     let agent = Agent::new(vec![list(&entries)]);
     let node = Node::with(agent.address, 30.0, 600.0).ready();
     assert_eq!(
-        node.hand_in("order", "measure-0000", 899, 20_000, b"body"),
+        node.submit("order", "measure-0000", 899, 20_000, b"body"),
         202
     );
     wait_until("the length of a request is measured", || {
@@ -369,7 +369,7 @@
             }
             let begun = *cutter.begun.lock().expect("not poisoned");
             *cutter.cut.lock().expect("not poisoned") = Some(cut);
-            assert_eq!(node.hand_in("order", &id, dest, 20_000, b"body"), 202);
+            assert_eq!(node.submit("order", &id, dest, 20_000, b"body"), 202);
             // a whole status line with 200 proves the delivery; after anything less the message may have run, and the
             // non-idempotent message is not retried
             let delivered =
@@ -377,7 +377,7 @@
             let notice = format!(r#"{{"id":"{id}","state":"failed"}}"#);
             if delivered {
                 wait_until("delivered", || {
-                    node.hand_in("order", &id, dest, 20_000, b"body") == 200
+                    node.submit("order", &id, dest, 20_000, b"body") == 200
                 });
             } else {
                 wait_until("the failure is notified", || {
@@ -407,7 +407,7 @@
 #[test]
 fn sender_of_large_fleet_keeps_no_idle_connection_while_connections_are_scarce() {
     let served = Endpoint::new(|_, _| OK);
-    let full = Endpoint::new(|_, _| Reply::AnswerAndClose("503 Service Unavailable"));
+    let full = Endpoint::new(|_, _| Reply::ResponseAndClose("503 Service Unavailable"));
     let uids: Vec<String> = (0..6).map(|number| format!("f-{number}")).collect();
     let mut entries = vec![("s-1", served.address, "one", 7, "up")];
     entries.extend(
@@ -419,8 +419,8 @@
     let in_large_fleet = |text: String| text.replace(r#""balancers":1,"#, r#""balancers":300,"#);
     let node = Node::configured_with(&agent, in_large_fleet).ready();
     let deliver = |id: &str| {
-        node.hand_in("webhook", id, 7, 5_000, b"x");
-        wait_until("the message is delivered", || served.times(id) == 1);
+        node.submit("webhook", id, 7, 5_000, b"x");
+        wait_until("the message is delivered", || served.count_of(id) == 1);
     };
     ["a", "b", "c"].iter().for_each(|id| deliver(id));
     assert_eq!(
@@ -429,7 +429,7 @@
         "the connection is kept without scarcity"
     );
     for dest in 10..16 {
-        node.hand_in("webhook", &format!("t{dest}"), dest, 5_000, b"x");
+        node.submit("webhook", &format!("t{dest}"), dest, 5_000, b"x");
     }
     wait_until("new connections are rejected", || full.count() >= 6);
     deliver("d");
