--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -125,7 +125,7 @@
         node.submit("webhook", "after", 7, 20_000, b"x") == 202
     });
     wait_until("it is delivered", || endpoint.count_of("after") == 1);
-    // after a restart, messages recorded in the new file must be recovered
+    // after a restart, messages recorded in the journal file that compaction wrote must be recovered
     assert_eq!(node.submit("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
     let node = sender.start();
@@ -140,13 +140,13 @@
     let (endpoint, may_answer) = endpoint_that_waits_at("first");
     // the ordered class is idempotent here, so messages that a restarted process sends again show
     // at the endpoint
-    let repeatable = |text: String| {
+    let make_ordered_class_idempotent = |text: String| {
         text.replace(
             r#""effect":"at_most_once","oneAtATime":true"#,
             r#""effect":"idempotent","oneAtATime":true"#,
         )
     };
-    let sender = FaultySender::with_endpoint(endpoint).configured(repeatable);
+    let sender = FaultySender::with_endpoint(endpoint).configured(make_ordered_class_idempotent);
     let FaultySender {
         endpoint, faults, ..
     } = &sender;
