--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -254,7 +254,8 @@
             );
         };
         match (&in_flight.cancellations, &self.predecessor) {
-            // the send fails only if the call has just ended, and then its outcome is already queued
+            // the send fails only if the call has just ended, and then its outcome is already
+            // queued
             (Some(cancellations), _) => drop(cancellations.send(position)),
             (None, Some(predecessor)) => {
                 predecessor.send(HandoverMessage::CancelAttempt { call, position });
--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -56,9 +56,9 @@
         let _ = self.queue.send(notification);
     }
 
-    /// Sends the pending notifications of messages that no process will send any more, not even after
-    /// a restart: all of them if `all_durable`, which means that the journal has stored the ends of
-    /// all messages, else those whose `no_send_after` has been reached.
+    /// Sends the pending notifications of messages that no process will send any more, not even
+    /// after a restart: all of them if `all_durable`, which means that the journal has stored the
+    /// ends of all messages, else those whose `no_send_after` has been reached.
     fn send_ready(&mut self, now: Micros, all_durable: bool) {
         let is_ready = |pending: &PendingNotification| all_durable || pending.no_send_after <= now;
         let all_pending = std::mem::take(&mut self.pending);
--- a/src/net/driver/freeze_filter.rs
+++ b/src/net/driver/freeze_filter.rs
@@ -216,9 +216,9 @@
         let Some(entry) = filter.held_back.remove(&uid) else {
             return false;
         };
-        // The next admission follows after a random delay from `interval / 2` to `interval * 3 / 2`.
-        // Without it, senders whose freeze ends at the same time would admit each further entry
-        // together.
+        // The next admission follows after a random delay from `interval / 2` to
+        // `interval * 3 / 2`. Without it, senders whose freeze ends at the same time would admit
+        // each further entry together.
         let interval = Micros::try_from(filter.settings.ramp_ms).unwrap_or(0) * MILLISECOND;
         filter.next_admission = now + interval / 2 + self.admission_jitter.next_delay(interval);
         filter.admitted_count += 1;
--- a/src/net/end_proof.rs
+++ b/src/net/end_proof.rs
@@ -10,12 +10,13 @@
 //!
 //! After a handover, the successor accepts the predecessor's report that it had such evidence.
 //!
-//! Every function that completes a message requires an [`EndProof`], so code that completes a message
-//! without a proof does not compile. The constructors check the evidence, with two exceptions:
+//! Every function that completes a message requires an [`EndProof`], so code that completes a
+//! message without a proof does not compile. The constructors check the evidence, with two
+//! exceptions:
 //! - [`EndProof::of_status_line`] takes a [`SuccessLine`], which only the parser of status lines
 //!   creates.
-//! - [`EndProof::of_departed_client`] checks nothing; its caller must have checked that every client
-//!   has disconnected.
+//! - [`EndProof::of_departed_client`] checks nothing; its caller must have checked that every
+//!   client has disconnected.
 
 use super::pool::SuccessLine;
 use hyper::StatusCode;
--- a/src/net/end_proof/tests.rs
+++ b/src/net/end_proof/tests.rs
@@ -37,7 +37,8 @@
         let expected: &[&[u8]] = &[b"m1", b"m2"];
         assert_eq!(proved, expected[..whole_lines], "{length} bytes");
     }
-    // the last line needs a line feed unless the answer's length is known and all of it was received
+    // the last line needs a line feed, unless the answer's length is known and all of it was
+    // received
     assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", true).count(), 2);
     assert_eq!(BulkLine::parse_complete(b"m1 ok\nm2 ok", false).count(), 1);
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -125,7 +125,8 @@
         node.submit("webhook", "after", 7, 20_000, b"x") == 202
     });
     wait_until("it is delivered", || endpoint.count_of("after") == 1);
-    // after a restart, messages recorded in the journal file that compaction wrote must be recovered
+    // after a restart, messages recorded in the journal file that compaction wrote must be
+    // recovered
     assert_eq!(node.submit("webhook", "owed", 99, 20_000, b"x"), 202);
     drop(node);
     let node = sender.start();
--- a/tests/message_ends.rs
+++ b/tests/message_ends.rs
@@ -1,8 +1,8 @@
 //! Tests of answers that endpoints cut off at any byte. What arrives completes a message only if it
-//! contains a whole 200 status line, a whole 410 head, or the message's whole line of a bulk answer.
-//! Other messages must be sent again or reported to the platform as undelivered. The endpoint
-//! records which messages' answers it wrote up to the end of the 200 status line or of the bulk
-//! line, and the tests derive the expected end of each message from that record.
+//! contains a whole 200 status line, a whole 410 head, or the message's whole line of a bulk
+//! answer. Other messages must be sent again or reported to the platform as undelivered. The
+//! endpoint records which messages' answers it wrote up to the end of the 200 status line or of the
+//! bulk line, and the tests derive the expected end of each message from that record.
 
 mod node;
 
@@ -98,9 +98,9 @@
 /// earlier version of the sender counted some of the shorter parts as a delivery.
 const CUT_LENGTHS_BYTES: std::ops::RangeInclusive<usize> = 11..=17;
 
-/// Submits one message for each length of [`CUT_LENGTHS_BYTES`] in each of two classes. The endpoint
-/// answers the first call of a message with that many bytes of the status line and leaves the
-/// connection open. Waits until the two messages with the last length, the complete line, count as
+/// Submits one message for each length of [`CUT_LENGTHS_BYTES`] in each of two classes. The
+/// endpoint answers the first call of a message with that many bytes of the status line and leaves
+/// the connection open. Waits until the two messages with the last length, the complete line, count as
 /// delivered, and returns the ids of all messages.
 fn submit_with_cut_status_lines(node: &Node, endpoint: &FragmentingEndpoint) -> Vec<String> {
     let mut ids = Vec::new();
@@ -241,8 +241,9 @@
     }
     let ids: Vec<String> = cases.concat();
     assert_delivered_or_notified(&node, &agent, &endpoint, &ids);
-    // A message without its complete line in the cut answer is sent again, once. After a reset this
-    // is not checked, because a reset may also discard complete lines that were written before it.
+    // A message without its complete line in the cut answer is sent at most once more. After a
+    // reset this is not checked, because a reset may also discard complete lines that were written
+    // before it.
     for id in ids.iter().filter(|id| id.contains("Close")) {
         let further_calls = endpoint.calls(id) - 1;
         assert!(
