--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -43,7 +43,7 @@
     /// Message and attempt number at each position of the call.
     pub items: Vec<(MessageId, usize)>,
     /// Number of positions whose attempt has not ended.
-    pub left: usize,
+    pub attempts_in_flight: usize,
 }
 
 /// Call to be made to one endpoint.
@@ -73,7 +73,7 @@
     report_fields: RefCell<Vec<String>>,
     failure_log: RateLimitedLog,
     /// True once any endpoint has sent a Retry-After; abandoned calls then wait for a late one.
-    sees_retry_after: Cell<bool>,
+    has_seen_retry_after: Cell<bool>,
     inputs: mpsc::UnboundedSender<DriverInput>,
 }
 
@@ -82,7 +82,7 @@
     /// first one on, abandoned calls wait for a late answer.
     fn note_retry_after(&self, headers: &HeaderMap) -> Option<Micros> {
         let wait = answer::read_retry_after(headers)?;
-        self.sees_retry_after.set(true);
+        self.has_seen_retry_after.set(true);
         Some(wait)
     }
 
@@ -101,7 +101,7 @@
             connections,
             report_fields: RefCell::default(),
             failure_log: RateLimitedLog::default(),
-            sees_retry_after: Cell::default(),
+            has_seen_retry_after: Cell::default(),
             inputs,
         }))
     }
--- a/src/net/calls/exchange.rs
+++ b/src/net/calls/exchange.rs
@@ -147,7 +147,7 @@
             | LeaseDenied::ShuttingDown
             | LeaseDenied::Dial(DialFailure::Local),
         ) => Outcome::NotSent { no_slot: false },
-        LeaseError::DialTimeout | LeaseError::PoolEnded | LeaseError::Denied(_) => {
+        LeaseError::DialTimeout | LeaseError::NoAnswer | LeaseError::Denied(_) => {
             Outcome::NoConnection
         }
     }
--- a/src/net/calls/run.rs
+++ b/src/net/calls/run.rs
@@ -119,7 +119,7 @@
 struct FinishedCall {
     answer: CallAnswer,
     /// Traffic of the connection on which a Retry-After may still arrive; `None` if there is no need to wait for one.
-    late_answer: Option<Arc<Traffic>>,
+    late_answer_traffic: Option<Arc<Traffic>>,
 }
 
 /// Makes a call, and reports the end of each of its attempts to the driver.
@@ -157,7 +157,7 @@
     let finished = match first_end {
         FirstEnd::Answered(answer) => FinishedCall {
             answer,
-            late_answer: None,
+            late_answer_traffic: None,
         },
         FirstEnd::Abandoned(outcome) => {
             abandon(&context, &call, &progress, outcome, exchange.as_mut()).await
@@ -167,7 +167,7 @@
         log_incomplete(&call, &progress, &finished.answer);
     }
     reporter.report_remaining(&finished.answer);
-    if let Some(traffic) = finished.late_answer {
+    if let Some(traffic) = finished.late_answer_traffic {
         listen_for_retry_after(&context, &call, &traffic, exchange.as_mut()).await;
     }
 }
@@ -200,7 +200,7 @@
     mut exchange: Pin<&mut impl Future<Output = CallAnswer>>,
 ) -> FinishedCall {
     let traffic = progress.traffic.borrow().clone();
-    let endpoints_send_retry_after = context.sees_retry_after.get();
+    let endpoints_send_retry_after = context.has_seen_retry_after.get();
     // a cancelled message needs no answer, but an answer's Retry-After applies to the destination
     let needs_answer = outcome != Outcome::Cancelled || endpoints_send_retry_after;
     let abandoned = async {
@@ -222,7 +222,7 @@
         };
         return FinishedCall {
             answer,
-            late_answer: None,
+            late_answer_traffic: None,
         };
     }
     // a whole status line with 200 proves the delivery, even if the head never ends and whatever ended the call
@@ -230,12 +230,12 @@
     if let Some(line) = line.filter(|_| call.items.len() == 1) {
         return FinishedCall {
             answer: CallAnswer::of_status_line(&line),
-            late_answer: None,
+            late_answer_traffic: None,
         };
     }
     FinishedCall {
         answer: outcome.into(),
-        late_answer: traffic.filter(|_| endpoints_send_retry_after),
+        late_answer_traffic: traffic.filter(|_| endpoints_send_retry_after),
     }
 }
 
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -21,12 +21,12 @@
         ..Settings::new(8, 100)
     };
     let limits = limits(&PoolSettings::default(), 100, &settings);
-    let connections = ConnectionPool::ready(streams, limits);
+    let connections = ConnectionPool::with_prepared_streams(streams, limits);
     let target = EndpointAddress {
         address: ([127, 0, 0, 1], 9).into(),
         endpoint: EndpointId(0),
     };
-    connections.set_serving(target, true);
+    connections.set_endpoint_enabled(target, true);
     let calls = Calls::new(mpsc::unbounded_channel().0, connections);
     let id = HeaderValue::from_static("m1");
     let items = vec![Item {
@@ -62,7 +62,11 @@
 /// Makes a call whose endpoint reads at most `request_bytes` of the request, writes `answer` and closes the connection.
 /// The connection is new, or has carried a call before if `reused` is set. Returns the outcome and the bytes that were
 /// received over this connection and over a spare one, which a further dial would use.
-fn cut(reused: bool, request_bytes: usize, answer: &[u8]) -> (Outcome, Vec<u8>, Vec<u8>) {
+fn call_on_cut_connection(
+    reused: bool,
+    request_bytes: usize,
+    answer: &[u8],
+) -> (Outcome, Vec<u8>, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -126,30 +130,38 @@
 }
 
 #[test]
-fn call_cut_at_any_byte_ends_by_bytes_exchanged_and_uses_one_connection() {
-    let (_, whole, _) = cut(false, usize::MAX, ANSWER);
-    assert!(whole.starts_with(b"POST /inbox HTTP/1.1\r\n") && whole.ends_with(b"body"));
+fn call_on_connection_cut_at_any_byte_ends_by_bytes_exchanged_and_uses_no_other_connection() {
+    let (_, whole_request, _) = call_on_cut_connection(false, usize::MAX, ANSWER);
+    assert!(
+        whole_request.starts_with(b"POST /inbox HTTP/1.1\r\n") && whole_request.ends_with(b"body")
+    );
     for reused in [false, true] {
-        for length in 1..=whole.len() {
-            let (outcome, seen, spare) = cut(reused, length, b"");
+        for length in 1..=whole_request.len() {
+            let (outcome, seen, spare) = call_on_cut_connection(reused, length, b"");
             assert_eq!(
                 (seen, spare),
-                (whole[..length].to_vec(), vec![]),
+                (whole_request[..length].to_vec(), vec![]),
                 "reused {reused}, {length}"
             );
             // an endpoint that read less than the whole request cannot have run it; the sender has written at most one
             // byte more than was read
             match outcome {
-                Outcome::NoConnection => assert!(length < whole.len(), "reused {reused}, {length}"),
-                Outcome::Reset => assert!(length + 1 >= whole.len(), "reused {reused}, {length}"),
+                Outcome::NoConnection => {
+                    assert!(length < whole_request.len(), "reused {reused}, {length}")
+                }
+                Outcome::Reset => assert!(
+                    length + 1 >= whole_request.len(),
+                    "reused {reused}, {length}"
+                ),
                 other => panic!("reused {reused}, {length}: {other:?}"),
             }
         }
         for length in 0..=ANSWER.len() {
-            let (outcome, seen, spare) = cut(reused, usize::MAX, &ANSWER[..length]);
+            let (outcome, seen, spare) =
+                call_on_cut_connection(reused, usize::MAX, &ANSWER[..length]);
             assert_eq!(
                 (seen, spare),
-                (whole.clone(), vec![]),
+                (whole_request.clone(), vec![]),
                 "reused {reused}, answer {length}"
             );
             let is_line_complete = length >= b"HTTP/1.1 200 OK\r\n".len();
@@ -208,10 +220,10 @@
 fn call_on_idle_connection_closed_before_first_byte_uses_another() {
     // no byte of the call was written, so another connection cannot deliver it twice; a new connection that closes the
     // same way ends the call without a further dial
-    let (outcome, seen, spare) = cut(true, 0, b"");
+    let (outcome, seen, spare) = call_on_cut_connection(true, 0, b"");
     assert_eq!((outcome, seen.len()), (Outcome::Success, 0));
     assert!(spare.ends_with(b"body"));
-    let (outcome, seen, spare) = cut(false, 0, b"");
+    let (outcome, seen, spare) = call_on_cut_connection(false, 0, b"");
     assert_eq!(
         (outcome, seen.len(), spare.len()),
         (Outcome::NoConnection, 0, 0)
@@ -245,7 +257,7 @@
                 address,
                 endpoint: EndpointId(0),
             };
-            connections.set_serving(target, true);
+            connections.set_endpoint_enabled(target, true);
             let (inputs, mut driver_inputs) = mpsc::unbounded_channel();
             let calls = Calls::new(inputs, connections);
             let id = HeaderValue::from_static("m1");
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -171,14 +171,14 @@
     }
 
     /// Returns whether the connection may end now, provided that the kernel has no more bytes to read.
-    fn may_end_input(&self) -> bool {
+    fn may_end_if_drained(&self) -> bool {
         self.state.is_closing() && !self.write_blocked.get() && self.state.may_close(Instant::now())
     }
 
     /// Reads from the kernel directly, since the runtime polls the socket only between task turns and a timer may fire
     /// before it has noticed received bytes. If there are none, reports the end of the input to hyper, which then ends
     /// the connection between requests.
-    fn read_before_end(
+    fn read_or_end_input(
         &self,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
@@ -208,7 +208,7 @@
     ) -> Poll<io::Result<()>> {
         let filled_before = buffer.filled().len();
         match self.with(|stream| stream.poll_read(context, buffer)) {
-            Poll::Pending if self.may_end_input() => self.read_before_end(context, buffer),
+            Poll::Pending if self.may_end_if_drained() => self.read_or_end_input(context, buffer),
             Poll::Pending => Poll::Pending,
             Poll::Ready(result) => {
                 if buffer.filled().len() > filled_before {
@@ -309,10 +309,10 @@
     stream.shutdown().await?;
     let mut remaining_bytes = MAX_LATE_BYTES;
     while remaining_bytes > 0 {
-        let mut bytes = Discarded {
+        let mut reader = DiscardingReader {
             stream: &mut stream,
         };
-        let read = std::future::poll_fn(|context| bytes.poll(context)).await?;
+        let read = std::future::poll_fn(|context| reader.poll(context)).await?;
         if read == 0 {
             return Ok(());
         }
@@ -322,11 +322,11 @@
 }
 
 /// Reads and discards bytes with a buffer on the stack, so that no memory is held while the read waits.
-struct Discarded<'a> {
+struct DiscardingReader<'a> {
     stream: &'a mut Stream,
 }
 
-impl Discarded<'_> {
+impl DiscardingReader<'_> {
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut bytes = [0; 8 * 1024];
         let mut buffer = ReadBuf::new(&mut bytes);
--- a/src/net/driver/calls_in_flight.rs
+++ b/src/net/driver/calls_in_flight.rs
@@ -116,8 +116,8 @@
     /// is left.
     pub fn end_item(&mut self, number: u64) -> Option<InFlightCall> {
         let call = self.calls.get_mut(&number)?;
-        call.left -= 1;
-        if call.left > 0 {
+        call.attempts_in_flight -= 1;
+        if call.attempts_in_flight > 0 {
             return None;
         }
         self.calls.remove(&number)
@@ -155,7 +155,7 @@
         let (cancels, cancelled) = mpsc::unbounded_channel();
         let in_flight = InFlightCall {
             cancels: Some(cancels),
-            left: bundle.attempts.len(),
+            attempts_in_flight: bundle.attempts.len(),
             items: bundle.attempts,
         };
         self.calls_in_flight.insert(number, in_flight);
--- a/src/net/driver/draining_predecessor.rs
+++ b/src/net/driver/draining_predecessor.rs
@@ -155,7 +155,7 @@
             time_limit: submission.time_limit,
             received_at: self.clock.at(submission.received_at),
             resubmitted: submission.resubmitted,
-            orphan: submission.orphan,
+            previous_sender_failed: submission.previous_sender_failed,
             body: submission.body.to_vec(),
         };
         self.clients.insert(number, submission.reply);
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -110,7 +110,7 @@
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             if let Some(address) = record.address.filter(|&before| before != listed.address) {
                 let before = EndpointAddress { address, endpoint };
-                self.calls.connections().set_serving(before, false);
+                self.calls.connections().set_endpoint_enabled(before, false);
             }
             record.address = Some(listed.address);
             record.listed = listed.status != EndpointStatus::Removed;
@@ -153,7 +153,7 @@
             let endpoint_address = EndpointAddress { address, endpoint };
             self.calls
                 .connections()
-                .set_serving(endpoint_address, serving);
+                .set_endpoint_enabled(endpoint_address, serving);
         }
     }
 
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -172,6 +172,6 @@
     CallState {
         number,
         items: call.items.iter().map(item).collect(),
-        left: call.left,
+        left: call.attempts_in_flight,
     }
 }
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -97,7 +97,7 @@
             items: items
                 .map(|item| (MessageId(item.message), item.attempt))
                 .collect(),
-            left: state.left,
+            attempts_in_flight: state.left,
         };
         self.calls_in_flight.insert(state.number, call);
     }
@@ -188,7 +188,7 @@
             time_limit: forwarded.time_limit,
             received_at: self.clock.instant(forwarded.received_at),
             resubmitted: forwarded.resubmitted,
-            orphan: forwarded.orphan,
+            previous_sender_failed: forwarded.previous_sender_failed,
             body: forwarded.body.into(),
             reply,
         })
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -196,7 +196,7 @@
     /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
     /// True if the client that first submitted the message is gone.
-    pub orphan: bool,
+    pub previous_sender_failed: bool,
     /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Bytes,
     /// Channel on which the client's response is sent.
@@ -351,7 +351,7 @@
     /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
     /// True if the client that first submitted the message is gone.
-    pub orphan: bool,
+    pub previous_sender_failed: bool,
     /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Vec<u8>,
 }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -149,7 +149,7 @@
         time_limit: 20_000_004,
         received_at: 1_700_000_000_000_005,
         resubmitted: true,
-        orphan: false,
+        previous_sender_failed: false,
         body: b"passed on".to_vec(),
     }
 }
@@ -168,7 +168,7 @@
         subject: None,
         tenant: None,
         resubmitted: false,
-        orphan: true,
+        previous_sender_failed: true,
         ..forwarded_submission()
     };
     vec![
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -57,12 +57,15 @@
 
     /// Creates a pool whose dials return `streams` one after another instead of TCP connections.
     #[cfg(test)]
-    pub fn ready(streams: Vec<tokio::io::DuplexStream>, limits: PoolLimits) -> Self {
+    pub fn with_prepared_streams(
+        streams: Vec<tokio::io::DuplexStream>,
+        limits: PoolLimits,
+    ) -> Self {
         let resources = PoolResources {
             descriptors: 100,
             seed: 1,
         };
-        let connector = Connector::ready(streams);
+        let connector = Connector::prepared(streams);
         let state = PoolState::new(connector, limits, message_sender::SECOND, resources);
         ConnectionPool(Rc::new(state))
     }
@@ -76,10 +79,10 @@
 
     /// Opens the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
     /// whose dial is in flight may still get their connection.
-    pub fn set_serving(&self, target: EndpointAddress, is_serving: bool) {
+    pub fn set_endpoint_enabled(&self, target: EndpointAddress, is_enabled: bool) {
         let now = self.0.now();
         self.0.update(|pool, commands| {
-            if is_serving {
+            if is_enabled {
                 pool.enable_endpoint(now, target);
             } else {
                 pool.retire_endpoint(target, commands);
@@ -157,7 +160,7 @@
         let answer = match wait.receiver.try_recv() {
             Ok(answer) => answer,
             Err(_) => match timeout_at(deadline, &mut wait.receiver).await {
-                Ok(answer) => answer.map_err(|_| LeaseError::PoolEnded)?,
+                Ok(answer) => answer.map_err(|_| LeaseError::NoAnswer)?,
                 Err(_) if self.0.failed_locally_since(asked_at) => {
                     let failure = LeaseDenied::Dial(DialFailure::Local);
                     return Err(LeaseError::Denied(failure));
--- a/src/net/pool/compatibility.rs
+++ b/src/net/pool/compatibility.rs
@@ -18,13 +18,13 @@
         };
         let limits = limits(&PoolSettings::default(), 100, &settings);
         let (pool_side, _endpoint_side) = tokio::io::duplex(64);
-        let connections = ConnectionPool::ready(vec![pool_side], limits);
+        let connections = ConnectionPool::with_prepared_streams(vec![pool_side], limits);
         let target = |port, endpoint| EndpointAddress {
             address: ([127, 0, 0, 1], port).into(),
             endpoint: EndpointId(endpoint),
         };
-        connections.set_serving(target(9, 0), true);
-        connections.set_serving(target(10, 1), true);
+        connections.set_endpoint_enabled(target(9, 0), true);
+        connections.set_endpoint_enabled(target(10, 1), true);
         let close_reason = Rc::new(Cell::new(CloseReason::Cancelled));
         let lease = connections
             .acquire(target(9, 0), &close_reason)
--- a/src/net/pool/connector.rs
+++ b/src/net/pool/connector.rs
@@ -25,7 +25,7 @@
 /// New connection, with the hyper future that must be polled until the connection closes.
 pub(super) struct NewConnection {
     pub(super) connection: Connection,
-    pub(super) driver: Pin<Box<dyn Future<Output = ()>>>,
+    pub(super) connection_task: Pin<Box<dyn Future<Output = ()>>>,
 }
 
 /// Source of new connections: real dials, or prepared streams in tests.
@@ -33,13 +33,13 @@
     Tcp,
     /// Prepared streams, one for each dial; further dials fail as refused.
     #[cfg(test)]
-    Ready(std::cell::RefCell<std::collections::VecDeque<tokio::io::DuplexStream>>),
+    Prepared(std::cell::RefCell<std::collections::VecDeque<tokio::io::DuplexStream>>),
 }
 
 impl Connector {
     #[cfg(test)]
-    pub(super) fn ready(streams: Vec<tokio::io::DuplexStream>) -> Self {
-        Connector::Ready(std::cell::RefCell::new(streams.into()))
+    pub(super) fn prepared(streams: Vec<tokio::io::DuplexStream>) -> Self {
+        Connector::Prepared(std::cell::RefCell::new(streams.into()))
     }
 
     /// Dials `address` and completes the HTTP handshake.
@@ -51,7 +51,7 @@
         let connected = match self {
             Connector::Tcp => handshake(Stream::connect(address, timeout).await?).await,
             #[cfg(test)]
-            Connector::Ready(streams) => {
+            Connector::Prepared(streams) => {
                 let stream = streams.borrow_mut().pop_front();
                 let refused = || ConnectError::Peer(io::ErrorKind::ConnectionRefused.into());
                 handshake(stream.ok_or_else(refused)?).await
@@ -78,6 +78,6 @@
     Ok(NewConnection {
         connection: Connection { sender, traffic },
         // an error of the connection is also returned to the call on it, so it is dropped here
-        driver: Box::pin(async move { drop(connection.await) }),
+        connection_task: Box::pin(async move { drop(connection.await) }),
     })
 }
--- a/src/net/pool/lease.rs
+++ b/src/net/pool/lease.rs
@@ -24,7 +24,7 @@
     Denied(LeaseDenied),
     /// The pool was dropped while the call waited for a connection.
     #[error("the connection pool has ended")]
-    PoolEnded,
+    NoAnswer,
 }
 
 /// Answer of the pool to a call that waits for a connection: its lease, or the reason for denying one.
@@ -48,7 +48,7 @@
 /// [`ConnectionLease::release`].
 pub struct ConnectionLease {
     pool: Rc<PoolState>,
-    number: u64,
+    connection_number: u64,
     connection: Option<Connection>,
     /// Time that the connection was idle before this lease; `None` if the connection is new.
     pub idle_for: Option<Duration>,
@@ -60,13 +60,13 @@
 impl ConnectionLease {
     pub(super) fn new(
         pool: Rc<PoolState>,
-        number: u64,
+        connection_number: u64,
         connection: Option<Connection>,
         idle_for: Option<Duration>,
     ) -> Self {
         ConnectionLease {
             pool,
-            number,
+            connection_number,
             connection,
             idle_for,
             reason_if_dropped: None,
@@ -87,7 +87,7 @@
     /// Records the kind of an answer on this connection. Returns true if the endpoint rejected the call because it had
     /// no capacity for another connection.
     pub fn record_answer(&self, answer: AnswerKind) -> bool {
-        self.pool.record_answer(self.number, answer)
+        self.pool.record_answer(self.connection_number, answer)
     }
 
     /// Ends the lease after a complete answer; the connection returns to the pool for another call.
@@ -113,8 +113,12 @@
             // the answer arrived after its call was abandoned, when the sending side was already shut
             None if connection.traffic.is_shut() => CloseReason::Cancelled,
             None if connection.sender.is_closed() => CloseReason::ClosedByPeer,
-            None => return self.pool.return_connection(self.number, connection),
+            None => {
+                return self
+                    .pool
+                    .return_connection(self.connection_number, connection);
+            }
         };
-        self.pool.discard(self.number, reason);
+        self.pool.discard(self.connection_number, reason);
     }
 }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -28,13 +28,14 @@
     // a reloaded configuration may name more descriptors than the process started with; they do not raise the limit
     let max_total = max_pool_connections(descriptors);
     let total = pool.all.unwrap_or(max_total).min(max_total);
-    let cap = |set: Option<usize>, usual: usize| set.unwrap_or(usual).min(total);
+    let limit_or_default =
+        |setting: Option<usize>, default: usize| setting.unwrap_or(default).min(total);
     PoolLimits {
-        per_endpoint: cap(pool.per_endpoint, total),
-        concurrent_dials: cap(pool.dials, total),
+        per_endpoint: limit_or_default(pool.per_endpoint, total),
+        concurrent_dials: limit_or_default(pool.dials, total),
         total,
-        idle: cap(pool.idle, (descriptors / 3).clamp(1, MAX_IDLE)),
-        idle_per_endpoint: cap(pool.idle_per_endpoint, MAX_IDLE_PER_ENDPOINT),
+        idle: limit_or_default(pool.idle, (descriptors / 3).clamp(1, MAX_IDLE)),
+        idle_per_endpoint: limit_or_default(pool.idle_per_endpoint, MAX_IDLE_PER_ENDPOINT),
         idle_timeout: micros(idle_timeout),
         demand_half_life: (pool.decay_s * 1e6) as Micros,
         learn_caps: pool.learn_caps,
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -26,7 +26,7 @@
     pool: RefCell<Pool>,
     /// Established connections that no call holds, by connection number.
     idle: RefCell<HashMap<u64, Connection>>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<WaitAnswer>>>,
+    answer_senders: RefCell<HashMap<u64, oneshot::Sender<WaitAnswer>>>,
     next_waiter: Cell<u64>,
     dial_timeout: Cell<Duration>,
     /// Time of the last dial that failed by an error of the local host.
@@ -47,7 +47,7 @@
             resources,
             pool: RefCell::new(Pool::new(limits, resources.seed)),
             idle: RefCell::default(),
-            waiting: RefCell::default(),
+            answer_senders: RefCell::default(),
             next_waiter: Cell::default(),
             dial_timeout: Cell::new(duration(dial_timeout)),
             last_local_failure: Cell::default(),
@@ -94,11 +94,11 @@
         let mut commands = Vec::new();
         change(&mut self.pool.borrow_mut(), &mut commands);
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, command: Command) {
+    fn execute(self: &Rc<Self>, command: Command) {
         match command {
             Command::Dial { connection, target } => {
                 let pool = self.clone();
@@ -117,17 +117,17 @@
                 let idle_for = idle_for.map(duration);
                 let lease =
                     ConnectionLease::new(self.clone(), connection, idle_connection, idle_for);
-                self.answer(waiter, Ok(lease));
+                self.send_answer(waiter, Ok(lease));
             }
-            Command::Deny { waiter, reason } => self.answer(waiter, Err(reason)),
+            Command::Deny { waiter, reason } => self.send_answer(waiter, Err(reason)),
         }
     }
 
-    fn answer(&self, waiter: u64, answer: WaitAnswer) {
-        let waiting = self.waiting.borrow_mut().remove(&waiter);
+    fn send_answer(&self, waiter: u64, answer: WaitAnswer) {
+        let answer_sender = self.answer_senders.borrow_mut().remove(&waiter);
         // a call that stopped waiting has removed its entry; an unsent lease returns its connection when dropped
-        if let Some(waiting) = waiting {
-            drop(waiting.send(answer));
+        if let Some(answer_sender) = answer_sender {
+            drop(answer_sender.send(answer));
         }
     }
 
@@ -136,7 +136,7 @@
         let waiter = self.next_waiter.get();
         self.next_waiter.set(waiter + 1);
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(waiter, sender);
+        self.answer_senders.borrow_mut().insert(waiter, sender);
         let wait = ConnectionWait {
             pool: self,
             waiter,
@@ -148,50 +148,57 @@
     }
 
     pub(super) fn end_wait(&self, waiter: u64) {
-        self.waiting.borrow_mut().remove(&waiter);
+        self.answer_senders.borrow_mut().remove(&waiter);
         self.pool.borrow_mut().cancel_wait(waiter);
     }
 
-    pub(super) fn record_answer(&self, connection: u64, answer: AnswerKind) -> bool {
+    pub(super) fn record_answer(&self, connection_number: u64, answer: AnswerKind) -> bool {
         let now = self.now();
         self.pool
             .borrow_mut()
-            .record_answer(now, connection, answer)
+            .record_answer(now, connection_number, answer)
     }
 
     /// Returns a connection to the pool at the end of its lease, so that it can carry another call.
-    pub(super) fn return_connection(self: &Rc<Self>, number: u64, connection: Connection) {
+    pub(super) fn return_connection(
+        self: &Rc<Self>,
+        connection_number: u64,
+        connection: Connection,
+    ) {
         let now = self.now();
-        self.idle.borrow_mut().insert(number, connection);
-        self.update(|pool, commands| pool.release(now, number, commands));
+        self.idle.borrow_mut().insert(connection_number, connection);
+        self.update(|pool, commands| pool.release(now, connection_number, commands));
     }
 
     /// Ends a lease whose connection is closed, and logs `reason`.
-    pub(super) fn discard(self: &Rc<Self>, number: u64, reason: CloseReason) {
-        message_log::record_close(format_args!("connection {number}"), &reason);
+    pub(super) fn discard(self: &Rc<Self>, connection_number: u64, reason: CloseReason) {
+        message_log::record_close(format_args!("connection {connection_number}"), &reason);
         let now = self.now();
-        self.update(|pool, commands| pool.discard(now, number, reason, commands));
+        self.update(|pool, commands| pool.discard(now, connection_number, reason, commands));
     }
 
-    async fn dial(self: &Rc<Self>, connection: u64, target: EndpointAddress) {
+    async fn dial(self: &Rc<Self>, connection_number: u64, target: EndpointAddress) {
         let timeout = self.dial_timeout.get();
         let error = match self.connector.connect(target.address, timeout).await {
             Ok(new) => {
                 let pool = self.clone();
                 tokio::task::spawn_local(async move {
-                    new.driver.await;
-                    pool.update(|pool, commands| pool.peer_closed(connection, commands));
+                    new.connection_task.await;
+                    pool.update(|pool, commands| pool.peer_closed(connection_number, commands));
                 });
-                self.idle.borrow_mut().insert(connection, new.connection);
+                self.idle
+                    .borrow_mut()
+                    .insert(connection_number, new.connection);
                 let now = self.now();
-                return self
-                    .update(|pool, commands| pool.dial_succeeded(now, connection, commands));
+                return self.update(|pool, commands| {
+                    pool.dial_succeeded(now, connection_number, commands)
+                });
             }
             Err(error) => error,
         };
         let failure = self.classify(error);
         let now = self.now();
-        self.update(|pool, commands| pool.dial_failed(now, connection, failure, commands));
+        self.update(|pool, commands| pool.dial_failed(now, connection_number, failure, commands));
     }
 
     /// Classifies a failed dial. An error of the local host is also logged and its time recorded, since it says nothing
--- a/src/net/pool/status_line.rs
+++ b/src/net/pool/status_line.rs
@@ -5,9 +5,9 @@
 pub struct SuccessLine(());
 
 /// Start of an expected status line, up to the minor version.
-const VERSION: &[u8] = b"HTTP/1.";
+const VERSION_PREFIX: &[u8] = b"HTTP/1.";
 /// Status 200 as it follows the minor version, with the space between them.
-const STATUS: &[u8] = b" 200";
+const STATUS_200: &[u8] = b" 200";
 
 /// State of the status line parser.
 #[derive(Debug, Clone, Copy, Default)]
@@ -21,10 +21,10 @@
     /// A carriage return has followed the status directly; only the line feed may follow.
     CarriageReturn,
     /// The whole line with status 200 has been received.
-    Whole,
+    Success,
     /// The line has another status, or is no valid status line of HTTP/1.0 or HTTP/1.1.
     #[default]
-    Other,
+    NotSuccess,
 }
 
 /// Status line parser that accepts the bytes of an answer in pieces of any size.
@@ -41,39 +41,41 @@
     /// Parses the next bytes of the answer; bytes after the line are ignored.
     pub(super) fn read(&mut self, bytes: &[u8]) {
         for &byte in bytes {
-            if matches!(self.0, Progress::Whole | Progress::Other) {
+            if matches!(self.0, Progress::Success | Progress::NotSuccess) {
                 return;
             }
-            self.0 = next(self.0, byte);
+            self.0 = advance(self.0, byte);
         }
     }
 
     /// Returns the proof of success once a whole line with status 200 has been parsed.
     pub(super) fn success(&self) -> Option<SuccessLine> {
-        matches!(self.0, Progress::Whole).then_some(SuccessLine(()))
+        matches!(self.0, Progress::Success).then_some(SuccessLine(()))
     }
 }
 
-fn next(progress: Progress, byte: u8) -> Progress {
+fn advance(progress: Progress, byte: u8) -> Progress {
     match (progress, byte) {
-        (Progress::Prefix(length), _) => after_prefix(length, byte),
+        (Progress::Prefix(length), _) => advance_prefix(length, byte),
         (Progress::Status, b' ') => Progress::Reason,
         (Progress::Status, b'\r') => Progress::CarriageReturn,
-        (Progress::Status | Progress::Reason | Progress::CarriageReturn, b'\n') => Progress::Whole,
+        (Progress::Status | Progress::Reason | Progress::CarriageReturn, b'\n') => {
+            Progress::Success
+        }
         (Progress::Reason, _) => Progress::Reason,
-        _ => Progress::Other,
+        _ => Progress::NotSuccess,
     }
 }
 
-fn after_prefix(length: usize, byte: u8) -> Progress {
-    let is_expected = match length.checked_sub(VERSION.len()) {
-        None => byte == VERSION[length],
+fn advance_prefix(length: usize, byte: u8) -> Progress {
+    let is_expected = match length.checked_sub(VERSION_PREFIX.len()) {
+        None => byte == VERSION_PREFIX[length],
         Some(0) => matches!(byte, b'0' | b'1'),
-        Some(after_version) => byte == STATUS[after_version - 1],
+        Some(after_version) => byte == STATUS_200[after_version - 1],
     };
     if !is_expected {
-        Progress::Other
-    } else if length == VERSION.len() + STATUS.len() {
+        Progress::NotSuccess
+    } else if length == VERSION_PREFIX.len() + STATUS_200.len() {
         Progress::Status
     } else {
         Progress::Prefix(length + 1)
--- a/src/net/pool/traffic/tests.rs
+++ b/src/net/pool/traffic/tests.rs
@@ -7,7 +7,7 @@
 /// Guards against losing an answer that arrives between two requests to abandon its call: the second request must read
 /// what was received after the first, although the sending side is shut already.
 #[test]
-fn abandon_call_twice_reads_what_came_in_between() {
+fn second_abandon_call_reads_bytes_received_after_the_first() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -177,7 +177,7 @@
         time_limit: head.time_limit,
         received_at,
         resubmitted: head.resubmitted,
-        orphan: head.client_departed,
+        previous_sender_failed: head.previous_sender_failed,
         body,
         reply,
     };
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -30,7 +30,7 @@
         submission.destination,
         submission.time_limit,
         submission.resubmitted,
-        submission.orphan,
+        submission.previous_sender_failed,
         submission.body
     )
 }
--- a/src/net/server/headers.rs
+++ b/src/net/server/headers.rs
@@ -26,7 +26,7 @@
     /// True if the client has submitted the message before (`X-Retried` is present).
     pub(super) resubmitted: bool,
     /// True if `X-Retried` is `again`: the client that submitted the message first has departed.
-    pub(super) client_departed: bool,
+    pub(super) previous_sender_failed: bool,
 }
 
 impl MessageHead {
@@ -69,7 +69,7 @@
             destination,
             time_limit,
             resubmitted: retried.is_some(),
-            client_departed: retried.is_some_and(|value| value == "again"),
+            previous_sender_failed: retried.is_some_and(|value| value == "again"),
         })
     }
 }
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -30,7 +30,7 @@
     /// Calls per second that the destination accepts from all senders together.
     limit: f64,
     /// Rate that the endpoint list states, as a fraction of the real limit.
-    listed: f64,
+    listed_fraction: f64,
     /// Rate of submitted messages, as a fraction of the limit.
     demand: f64,
     /// True if rejected calls use up the limit as well.
@@ -45,7 +45,7 @@
 impl Scenario {
     const STEADY: Scenario = Scenario {
         limit: 60.0,
-        listed: 1.0,
+        listed_fraction: 1.0,
         demand: 0.8,
         rejections_count: false,
         stale: (0, 0),
@@ -128,7 +128,7 @@
     random: Pcg32,
     now: Micros,
     messages_due: f64,
-    served: Deliveries,
+    deliveries: Deliveries,
 }
 
 impl Fleet {
@@ -151,7 +151,7 @@
             random: Pcg32::seed_from_u64(scenario.seed),
             now: START,
             messages_due: 0.0,
-            served: Deliveries::default(),
+            deliveries: Deliveries::default(),
         };
         fleet.start(0);
         fleet
@@ -166,8 +166,8 @@
         self.timers = vec![BTreeSet::new(); SENDERS];
     }
 
-    fn listed(&self) -> Event {
-        let weight = self.scenario.limit * self.scenario.listed;
+    fn endpoint_list(&self) -> Event {
+        let weight = self.scenario.limit * self.scenario.listed_fraction;
         let entries = (1..=2)
             .map(|n| EndpointEntry {
                 weight,
@@ -185,7 +185,7 @@
     fn resume(&mut self) -> Vec<Vec<Event>> {
         self.calls.clear();
         self.start(1);
-        let mut events = vec![vec![self.listed()]; SENDERS];
+        let mut events = vec![vec![self.endpoint_list()]; SENDERS];
         for (&id, message) in self
             .messages
             .iter()
@@ -226,7 +226,7 @@
                     is_pending: true,
                 },
             );
-            self.served.submitted += 1;
+            self.deliveries.submitted += 1;
         }
     }
 
@@ -237,8 +237,8 @@
             if call.outcome == Outcome::Success {
                 message.is_pending = false;
                 let in_time = now - message.submitted_at <= LATENCY_OBJECTIVE;
-                self.served.in_time += usize::from(in_time);
-                self.served.late += usize::from(!in_time);
+                self.deliveries.in_time += usize::from(in_time);
+                self.deliveries.late += usize::from(!in_time);
             }
             let ended = common::ended(
                 call.message,
@@ -293,7 +293,7 @@
         } else {
             Outcome::Rejected { retry_after: None }
         };
-        self.served.rejected_calls += usize::from(!accepted);
+        self.deliveries.rejected_calls += usize::from(!accepted);
         let (ends_at, attempt) = (self.now + LATENCY, message.attempts);
         message.attempts += 1;
         self.calls.push(Call {
@@ -316,7 +316,7 @@
 
 fn run(scenario: Scenario) -> Deliveries {
     let mut fleet = Fleet::new(scenario);
-    let first_events = vec![vec![fleet.listed()]; SENDERS];
+    let first_events = vec![vec![fleet.endpoint_list()]; SENDERS];
     let (mut pending_events, mut was_stale) = (first_events, false);
     while fleet.now < START + RUN_TIME {
         if scenario.restart == Some(fleet.now - START) {
@@ -338,7 +338,7 @@
         }
         fleet.now += STEP;
     }
-    fleet.served
+    fleet.deliveries
 }
 
 /// Runs the scenario with three random seeds.
@@ -348,13 +348,19 @@
 
 #[test]
 fn limit_with_capacity_for_all_is_shared_without_rejections() {
-    for listed in [0.6, 1.0, 1.4] {
-        for served in runs(Scenario {
-            listed,
+    for listed_fraction in [0.6, 1.0, 1.4] {
+        for deliveries in runs(Scenario {
+            listed_fraction,
             ..Scenario::STEADY
         }) {
-            assert!(served.share_in_time() > 0.95, "{listed} {served:?}");
-            assert!(served.rejected_share() < 0.02, "{listed} {served:?}");
+            assert!(
+                deliveries.share_in_time() > 0.95,
+                "{listed_fraction} {deliveries:?}"
+            );
+            assert!(
+                deliveries.rejected_share() < 0.02,
+                "{listed_fraction} {deliveries:?}"
+            );
         }
     }
 }
@@ -363,19 +369,19 @@
 fn backlog_of_stale_list_is_sent_gradually() {
     let stale = (6 * SECOND, 9 * SECOND);
     for (limit, rejections_count) in [(60.0, false), (60.0, true), (600.0, false), (600.0, true)] {
-        for served in runs(Scenario {
+        for deliveries in runs(Scenario {
             limit,
             rejections_count,
             stale,
             ..Scenario::STEADY
         }) {
             assert!(
-                served.rejected_share() < 0.04,
-                "{limit} {rejections_count} {served:?}"
+                deliveries.rejected_share() < 0.04,
+                "{limit} {rejections_count} {deliveries:?}"
             );
             assert!(
-                served.share_delivered() > 0.88,
-                "{limit} {rejections_count} {served:?}"
+                deliveries.share_delivered() > 0.88,
+                "{limit} {rejections_count} {deliveries:?}"
             );
         }
     }
@@ -385,19 +391,19 @@
 fn backlog_of_restart_is_sent_gradually() {
     let restart = Some(8 * SECOND);
     for rejections_count in [false, true] {
-        for served in runs(Scenario {
+        for deliveries in runs(Scenario {
             limit: 60.0,
             rejections_count,
             restart,
             ..Scenario::STEADY
         }) {
             assert!(
-                served.rejected_share() < 0.04,
-                "{rejections_count} {served:?}"
+                deliveries.rejected_share() < 0.04,
+                "{rejections_count} {deliveries:?}"
             );
             assert!(
-                served.share_delivered() > 0.88,
-                "{rejections_count} {served:?}"
+                deliveries.share_delivered() > 0.88,
+                "{rejections_count} {deliveries:?}"
             );
         }
     }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -268,9 +268,9 @@
     /// Cut to apply to the next request.
     cut: Arc<Mutex<Option<Cut>>>,
     /// Message ids and lengths in bytes of all requests that were read whole.
-    whole: Arc<Mutex<Vec<(String, usize)>>>,
+    complete_requests: Arc<Mutex<Vec<(String, usize)>>>,
     /// Number of requests of which at least one byte was received.
-    begun: Arc<Mutex<usize>>,
+    begun_requests: Arc<Mutex<usize>>,
 }
 
 impl Cutter {
@@ -280,14 +280,14 @@
         let cutter = Cutter {
             address,
             cut: Arc::default(),
-            whole: Arc::default(),
-            begun: Arc::default(),
+            complete_requests: Arc::default(),
+            begun_requests: Arc::default(),
         };
-        let here = cutter.clone();
+        let serving_cutter = cutter.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let here = here.clone();
-                std::thread::spawn(move || here.serve(stream));
+                let serving_cutter = serving_cutter.clone();
+                std::thread::spawn(move || serving_cutter.serve(stream));
             }
         });
         cutter
@@ -296,7 +296,7 @@
     fn serve(&self, mut stream: std::net::TcpStream) {
         // the cut is read only when the request begins, since the connection may have been idle for long before
         while matches!(stream.peek(&mut [0]), Ok(1)) {
-            *self.begun.lock().expect("not poisoned") += 1;
+            *self.begun_requests.lock().expect("not poisoned") += 1;
             let cut = self.cut.lock().expect("not poisoned").take();
             if let Some(Cut::Request(length)) = cut {
                 let _ = stream.read_exact(&mut vec![0; length]);
@@ -309,7 +309,7 @@
                 .lines()
                 .find_map(|line| line.strip_prefix("x-request-id: "))
                 .unwrap_or_default();
-            self.whole
+            self.complete_requests
                 .lock()
                 .expect("not poisoned")
                 .push((id.to_string(), length));
@@ -325,8 +325,8 @@
         }
     }
 
-    fn whole(&self, id: &str) -> usize {
-        self.whole
+    fn complete_request_count(&self, id: &str) -> usize {
+        self.complete_requests
             .lock()
             .expect("not poisoned")
             .iter()
@@ -350,10 +350,10 @@
         202
     );
     wait_until("the length of a request is measured", || {
-        cutter.whole("measure-0000") == 1
+        cutter.complete_request_count("measure-0000") == 1
     });
     // the remaining time in a later request may take one digit less
-    let length = cutter.whole.lock().expect("not poisoned")[0].1 - 1;
+    let length = cutter.complete_requests.lock().expect("not poisoned")[0].1 - 1;
     let requests = (0..=length).map(Cut::Request);
     let cuts: Vec<Cut> = requests
         .chain((0..=ANSWER.len()).map(Cut::Answer))
@@ -367,7 +367,7 @@
                 // the connection of this destination, and the one of the measurement
                 wait_for_total(&node, "/idle", 2);
             }
-            let begun = *cutter.begun.lock().expect("not poisoned");
+            let begun_requests = *cutter.begun_requests.lock().expect("not poisoned");
             *cutter.cut.lock().expect("not poisoned") = Some(cut);
             assert_eq!(node.hand_in("order", &id, dest, 20_000, b"body"), 202);
             // a whole status line with 200 proves the delivery; after anything less the message may have run, and the
@@ -385,10 +385,10 @@
                 });
             }
             assert!(!delivered || !agent.notices().contains(&notice), "{cut:?}");
-            let seen = *cutter.begun.lock().expect("not poisoned") - begun;
+            let seen = *cutter.begun_requests.lock().expect("not poisoned") - begun_requests;
             assert_eq!(seen, 1, "{cut:?}, reused {reused}: {seen} requests begun");
             assert!(
-                cutter.whole(&id) <= 1,
+                cutter.complete_request_count(&id) <= 1,
                 "{cut:?}, reused {reused}: received twice"
             );
             dest += 1;
