--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints: sends the request over a pooled connection, enforces the time limit and interprets the answer.
 //!
 //! This module never retries a call by itself: a retry that the decision module does not know of could deliver a
-//! message twice. If it is unknown whether the endpoint ran a call, the reported outcome says so.
+//! message twice. If it is unknown whether the endpoint processed a call, the reported outcome says so.
 //!
 //! `run` races a call against its time limit and its cancellations, `exchange` makes the call on one connection,
 //! `request` builds the request, `answer` interprets the answer.
@@ -42,7 +42,7 @@
     pub cancels: Option<mpsc::UnboundedSender<usize>>,
     /// Message and attempt number at each position of the call.
     pub items: Vec<(MessageId, usize)>,
-    /// Number of positions whose attempt has not ended.
+    /// Number of messages in the call whose attempt has not ended.
     pub attempts_in_flight: usize,
 }
 
@@ -57,8 +57,8 @@
     pub items: Vec<Item>,
     /// Time limit of the call: it is abandoned at this instant.
     pub expires: Instant,
-    /// Latest time at which the call may begin. A retry that began later, after a slow dial, could reach the endpoint
-    /// after its deduplication window and be run twice.
+    /// Latest time at which the call may begin; `None` for no limit. A retry that began later, after a slow dial, could
+    /// reach the endpoint after its deduplication window, and the endpoint could process the message twice.
     pub start_by: Option<Instant>,
 }
 
@@ -72,7 +72,8 @@
     /// Names of the fields of an endpoint's load report, in the order of the settings.
     report_fields: RefCell<Vec<String>>,
     failure_log: RateLimitedLog,
-    /// True once any endpoint has sent a Retry-After; abandoned calls then wait for a late one.
+    /// True once any endpoint has sent a Retry-After. Abandoned calls then wait for a late answer, which may contain
+    /// one.
     has_seen_retry_after: Cell<bool>,
     inputs: mpsc::UnboundedSender<DriverInput>,
 }
@@ -111,8 +112,8 @@
         self.0.report_fields.replace(report_fields);
     }
 
-    /// Starts a call in a task of its own. The end of each attempt is sent to the driver; `cancellations` receives the
-    /// positions of messages to cancel.
+    /// Starts a call in a task of its own, which reports the end of each attempt to the driver. `cancellations` yields
+    /// the positions (in `call.items`) of the messages to cancel.
     pub fn start(&self, call: Call, cancellations: mpsc::UnboundedReceiver<usize>) {
         let context = self.0.clone();
         tokio::task::spawn_local(async move { run::run(context, call, cancellations).await });
--- a/src/net/calls/answer.rs
+++ b/src/net/calls/answer.rs
@@ -24,14 +24,14 @@
 const SLOTS_TAKEN: &str = "slots-taken";
 /// Maximum Retry-After delay in milliseconds, one day; longer ones are cut to it.
 const MAX_RETRY_AFTER_MS: Micros = 86_400_000;
-/// Outcome of a message that the endpoint says it did not run.
+/// Outcome of a message that the endpoint says it did not process.
 const NOT_SENT: Outcome = Outcome::NotSent { no_slot: false };
 
 /// Result of the attempt to deliver one message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct AttemptResult {
     pub(super) outcome: Outcome,
-    /// Proof that the message is complete and needs no further attempt; `None` if the answer proves no such thing.
+    /// Proof that the message is complete and needs no further attempt; `None` if there is no such proof.
     pub(super) proof: Option<EndProof>,
 }
 
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Creates the result of a message that the endpoint declares gone: it did not run, and it must not be sent again.
+    /// Creates the result of a message that the endpoint declares gone: the endpoint did not process it, and the
+    /// message must not be sent again.
     fn gone(proof: EndProof) -> Self {
         AttemptResult {
             outcome: NOT_SENT,
@@ -72,7 +73,7 @@
 
 impl CallResults {
     /// Returns the result of the message at position `item`. A position without a result counts as an error, after
-    /// which the message may have run.
+    /// which the endpoint may have processed the message.
     pub(super) fn of_item(&self, item: usize) -> AttemptResult {
         match self {
             CallResults::Same(result) => *result,
@@ -230,8 +231,8 @@
     }
 }
 
-/// Returns whether the head says where the body ends. Without that the end of the connection ends the body, so a cut
-/// body cannot be told from a whole one.
+/// Returns whether the head says where the body ends. Otherwise the body ends with the connection, so that a body that
+/// was cut short cannot be distinguished from a complete one.
 fn is_length_known(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
@@ -269,7 +270,7 @@
 }
 
 /// Returns the result of each message of a bulk call. A message without a line in the answer, or with an unknown result
-/// word, counts as an error, after which it may have run.
+/// word, counts as an error, after which the endpoint may have processed it.
 pub(super) fn bulk_results(
     answer: BulkText<'_>,
     items: &[Item],
--- a/src/net/calls/compatibility.rs
+++ b/src/net/calls/compatibility.rs
@@ -19,7 +19,8 @@
     }
 }
 
-/// Returns the bytes that hyper writes for a call of these items, after the computed lower bound of their number.
+/// Returns a text with the computed lower bound of the request's size in bytes, followed by the request of a call with
+/// `items` as hyper writes it.
 fn written_request(items: &[Item]) -> String {
     let address = ([10, 1, 2, 3], 8000).into();
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/src/net/calls/exchange.rs
+++ b/src/net/calls/exchange.rs
@@ -20,7 +20,8 @@
 /// together with that line; the protocol's time limits leave 50 ms of slack, so a longer wait could exceed them.
 const HEAD_REMAINDER_WAIT: Duration = Duration::from_millis(50);
 
-/// State of a call in flight that the task racing it with its time limit can see.
+/// State of a call in flight, shared between [`exchange`] and its caller, which abandons the call when its time limit
+/// has passed.
 #[derive(Default)]
 pub(super) struct CallProgress {
     /// Traffic of the connection that carries the call; `None` before a connection is acquired.
@@ -69,8 +70,8 @@
             return CallAnswer::of_status_line(&line);
         }
         let written = traffic.written() - written_before;
-        // no byte was written to an idle connection that had closed, so another one can carry the call without any risk
-        // of running it twice
+        // the endpoint had closed the idle connection and no byte of the request was written to it, so the call can use
+        // another connection without any risk that its messages are processed twice
         if lease.idle_for.is_some() && written == 0 {
             progress.traffic.take();
             lease.discard(CloseReason::ClosedByPeer);
@@ -94,8 +95,8 @@
     line
 }
 
-/// Remainder of an answer whose message is known to be delivered. Reading it frees the connection, and a Retry-After
-/// in it is still applied.
+/// Remainder of an answer whose status line has already proven the delivery of the message. The remainder is read to
+/// free the connection for other calls, and a Retry-After in it is still reported to the driver.
 struct LateAnswer {
     context: Rc<CallContext>,
     target: EndpointAddress,
@@ -138,8 +139,8 @@
 
 fn outcome_without_connection(error: &LeaseError) -> Outcome {
     match error {
-        // errors of the local host, changes of the endpoint list, waits and the shutdown say nothing about the
-        // endpoint's health
+        // a start that came too late, a Retry-After delay, a retired endpoint, the shutdown of this process and an
+        // error of the local host say nothing about the endpoint's health
         LeaseError::TooLate
         | LeaseError::Denied(
             LeaseDenied::RetryAfter
--- a/src/net/calls/request.rs
+++ b/src/net/calls/request.rs
@@ -1,4 +1,4 @@
-//! Builds the HTTP request of a call: a single message is sent as it is, several are sent as a bulk request.
+//! Builds the HTTP request of a call: a single message is the body of a plain request, several form a bulk request.
 
 use super::Item;
 use bytes::Bytes;
@@ -8,14 +8,15 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Upper bound of the bytes that separators and the length field add to an item of a bulk request.
+/// Upper bound of the bytes that separators and the length field add to each message of a bulk request.
 const BULK_ITEM_OVERHEAD: usize = 16;
 
 /// Request that is ready to be sent.
 #[derive(Debug)]
 pub(super) struct CallRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// Lower bound of the request's size on the wire, in bytes. If fewer were written, the endpoint cannot have run it.
+    /// Lower bound of the request's size on the wire, in bytes. If fewer bytes were written, the endpoint has not
+    /// received the whole request and cannot have processed it.
     pub(super) min_bytes: u64,
 }
 
--- a/src/net/calls/run.rs
+++ b/src/net/calls/run.rs
@@ -23,7 +23,7 @@
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(100);
 
 /// Reports the end of each attempt of a call to the driver exactly once. Attempts that are unreported when this is
-/// dropped end as `Reset`, since they may have run.
+/// dropped are reported as `Reset`, since the endpoint may have processed their messages.
 struct AttemptReporter<'a> {
     inputs: &'a mpsc::UnboundedSender<DriverInput>,
     call: u64,
@@ -77,8 +77,8 @@
         self.report(item, Outcome::Cancelled.into(), Vec::new(), None);
     }
 
-    /// Reports all attempts that are still unreported. A Retry-After delay that is not part of an outcome is sent with
-    /// the first of them.
+    /// Reports all attempts that are still unreported. The answer's Retry-After delay is attached to the first of them
+    /// whose outcome does not contain a delay itself, so that the driver receives it once beside the outcomes.
     fn report_remaining(&mut self, answer: &CallAnswer) {
         let mut retry_after = answer.retry_after;
         for item in 0..self.unreported.len() {
@@ -111,14 +111,16 @@
 /// First event that ended a call: its answer, or its time limit or cancellation.
 enum FirstEnd {
     Answered(CallAnswer),
-    /// The time limit has passed, or the last unreported message was cancelled; the outcome says which.
+    /// The time limit has passed (`TimedOut`), or the last message without a reported attempt was cancelled
+    /// (`Cancelled`).
     Abandoned(Outcome),
 }
 
 /// Ended call whose remaining attempts can be reported.
 struct FinishedCall {
     answer: CallAnswer,
-    /// Traffic of the connection on which a Retry-After may still arrive; `None` if there is no need to wait for one.
+    /// Traffic of the connection on which a late answer with a Retry-After may still arrive; `None` if there is no need
+    /// to wait for one.
     late_answer_traffic: Option<Arc<Traffic>>,
 }
 
@@ -147,7 +149,7 @@
                     continue;
                 }
                 if reporter.unreported_count() == 1 {
-                    // no message of the call is left, so the whole call is abandoned
+                    // the attempts of all other messages have been reported, so the whole call is abandoned
                     break FirstEnd::Abandoned(Outcome::Cancelled);
                 }
                 reporter.report_cancelled(item);
@@ -172,8 +174,8 @@
     }
 }
 
-/// Logs a call that ended without a complete answer head, unless it was cancelled before a byte of the answer arrived:
-/// nothing can be learned from such a call.
+/// Logs a call that ended without a complete answer head. A call that was cancelled before a byte of the answer arrived
+/// is not logged, since its end says nothing about the endpoint.
 fn log_incomplete(call: &Call, progress: &CallProgress, answer: &CallAnswer) {
     let outcome = answer.results.of_item(0).outcome;
     let traffic = progress.traffic.borrow().clone();
@@ -190,8 +192,9 @@
     });
 }
 
-/// Abandons a call. An answer that had arrived before counts; otherwise the call ends with `outcome`, the reason for
-/// which it is abandoned.
+/// Abandons a call for the reason `outcome`, after reading the bytes that have already been received. A complete answer
+/// among them still counts, unless the call is cancelled and no endpoint has sent a Retry-After so far; a status line
+/// with 200 always proves the delivery of a single message. Otherwise the call ends with `outcome`.
 async fn abandon(
     context: &CallContext,
     call: &Call,
@@ -225,7 +228,8 @@
             late_answer_traffic: None,
         };
     }
-    // a whole status line with 200 proves the delivery, even if the head never ends and whatever ended the call
+    // a complete status line with 200 proves the delivery of a single message, whether the call timed out or was
+    // cancelled, and even if the remainder of the head never arrives
     let line = traffic.as_ref().and_then(|traffic| traffic.success_line());
     if let Some(line) = line.filter(|_| call.items.len() == 1) {
         return FinishedCall {
--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of calls whose connection is cut at any byte, and of abandoned calls.
+//! Tests of calls whose connection the endpoint closes after any number of bytes, and of abandoned calls.
 
 use super::super::pool::limits;
 use super::answer::{ANSWER_REMAINDER_TIMEOUT, AttemptResult, CallResults};
@@ -14,7 +14,8 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Returns a context whose pool dials `streams` in turn, and a call of one message to its only endpoint.
+/// Returns a context whose pool uses `streams` one after another as the connections that it dials, and a call of one
+/// message to its only endpoint.
 fn context_and_call(streams: Vec<DuplexStream>) -> (Rc<CallContext>, Call) {
     let settings = Settings {
         connection_idle_timeout: 60 * SECOND,
@@ -47,7 +48,8 @@
     )
 }
 
-/// Reads up to `max_bytes`, one at a time, so that the other side has written at most one byte more.
+/// Reads until `max_bytes` or the whole request have been read, or the stream ends. The bytes are read one by one from
+/// a stream that buffers a single byte, so the other side has written at most one byte more than was read.
 async fn read_bytes(stream: &mut DuplexStream, max_bytes: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     while bytes.len() < max_bytes && !bytes.ends_with(b"\r\n\r\nbody") {
@@ -60,8 +62,9 @@
 }
 
 /// Makes a call whose endpoint reads at most `request_bytes` of the request, writes `answer` and closes the connection.
-/// The connection is new, or has carried a call before if `reused` is set. Returns the outcome and the bytes that were
-/// received over this connection and over a spare one, which a further dial would use.
+/// The connection is new, or has carried a call before if `reused` is set. Returns the outcome of the call, the bytes
+/// of its request that were received over this connection, and the bytes received over a spare connection, which a
+/// further dial would use.
 fn call_on_cut_connection(
     reused: bool,
     request_bytes: usize,
@@ -102,9 +105,10 @@
                     proof: Some(_)
                 })
             ));
-            // let the pool read the remainder of the first answer and take the connection back
+            // wait until the remainder of the first answer has been read and the connection is back in the pool
             tokio::time::sleep(Duration::from_millis(1)).await;
-            call.expires += Duration::from_millis(1); // the request states the time left, so both requests are equal
+            // the request states the remaining time, so the wait is added to make both requests equal
+            call.expires += Duration::from_millis(1);
         }
         let CallResults::Same(AttemptResult { outcome, .. }) =
             exchange(&context, &call, &close_reason, &CallProgress::default())
@@ -143,8 +147,9 @@
                 (whole_request[..length].to_vec(), vec![]),
                 "reused {reused}, {length}"
             );
-            // an endpoint that read less than the whole request cannot have run it; the sender has written at most one
-            // byte more than was read
+            // the call may end as `NoConnection` (certainly not processed) only if the endpoint read less than the
+            // whole request. It may end as `Reset` (possibly processed) only if the whole request was written; since
+            // the sender has written at most one byte more than was read, all but the last byte must have been read
             match outcome {
                 Outcome::NoConnection => {
                     assert!(length < whole_request.len(), "reused {reused}, {length}")
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -2,7 +2,7 @@
 //! since the kernel would then reset the connection, and answers in flight would be lost.
 //!
 //! A closing connection ends at an instant at which the kernel has no more bytes to read. Bytes that arrived before are
-//! a request and are answered; bytes that arrive later cross the close on the network and are discarded.
+//! treated as a request; bytes that arrive later were sent before the peer noticed the close, and are discarded.
 
 use super::events::MAX_BODY_BYTES;
 use super::stream::Stream;
@@ -58,7 +58,7 @@
 pub struct ConnectionState {
     /// Time since which no request has been open; `None` while one is.
     idle_since: Cell<Option<Instant>>,
-    /// Time at which the first byte of a request was received whose head is still incomplete.
+    /// Time at which the first byte was received of a request whose head is still incomplete; `None` if there is none.
     request_began: Cell<Option<Instant>>,
     phase: Cell<Phase>,
     close_requested: Notify,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Records that a request is open from now on (false), or that its answer has been produced (true).
+    /// Records that a request is open from now on (false), or that none is (true), because its answer has been produced
+    /// or the connection has ended.
     pub fn set_idle(&self, idle: bool) {
         self.set_idle_since(idle.then(Instant::now));
     }
@@ -113,15 +114,16 @@
         self.phase.get() != Phase::Open
     }
 
-    /// Waits until the connection is evicted.
+    /// Waits until a close is requested while late bytes are read after the sending side was shut: a new connection
+    /// then needs this one's permit at once.
     async fn evicted(&self) {
         while self.phase.get() != Phase::Evicted {
             self.close_requested.notified().await;
         }
     }
 
-    /// Returns the time from which the connection has been without a request for [`CLOSE_GRACE`]; `None` while one is
-    /// open.
+    /// Returns the time from which the connection may be closed: [`CLOSE_GRACE`] after the end of the last request, or
+    /// after the first byte of a request head that is still incomplete. `None` while a request is open.
     fn closable_from(&self) -> Option<Instant> {
         let idle = self.idle_since.get()?;
         Some(self.request_began.get().unwrap_or(idle).max(idle) + CLOSE_GRACE)
@@ -130,7 +132,7 @@
     /// Returns the time of the next check, and asks the connection to close if it has been idle for `idle_timeout`.
     fn next_check(&self, now: Instant, idle_timeout: Duration) -> Instant {
         match self.idle_since.get() {
-            // an open request delays the close by at least this, since its answer is followed by a grace period
+            // the close follows the answer of the open request by at least `CLOSE_GRACE`, so it is not due earlier
             None if self.is_closing() => now + CLOSE_GRACE,
             None => now + idle_timeout,
             Some(_) if self.is_closing() => self
@@ -170,7 +172,8 @@
         poll(Pin::new(&mut *self.stream.borrow_mut()))
     }
 
-    /// Returns whether the connection may end now, provided that the kernel has no more bytes to read.
+    /// Returns whether the connection may end if the kernel has no more bytes to read: it is closing, the time returned
+    /// by `closable_from` has passed, and the kernel has accepted all bytes of the answers that were written.
     fn may_end_if_drained(&self) -> bool {
         self.state.is_closing() && !self.write_blocked.get() && self.state.may_close(Instant::now())
     }
@@ -279,8 +282,8 @@
         loop {
             let next_check = state.next_check(Instant::now(), idle_timeout);
             tokio::select! {
-                // poll the connection first: received requests take precedence over a close, and only its read finds
-                // out whether the connection may end
+                // poll the connection first: received requests take precedence over a close, and its read decides
+                // whether the connection ends
                 biased;
                 // the result is ignored, since clients may disconnect at any time; the guard of an unanswered request
                 // informs the driver
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -195,7 +195,8 @@
     pub received_at: Instant,
     /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
-    /// True if the client that first submitted the message is gone.
+    /// True if the client submits the message again because the sender to which it had submitted the
+    /// message before failed or did not answer.
     pub previous_sender_failed: bool,
     /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Bytes,
@@ -350,7 +351,8 @@
     pub received_at: Micros,
     /// True if the client marked the message as submitted before.
     pub resubmitted: bool,
-    /// True if the client that first submitted the message is gone.
+    /// True if the client submits the message again because the sender to which it had submitted the
+    /// message before failed or did not answer.
     pub previous_sender_failed: bool,
     /// Message body as received from the client, at most [`MAX_BODY_BYTES`].
     pub body: Vec<u8>,
--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// Reason why a request to the registry got no usable answer. The texts tell operators where to look.
+/// Reason why a request to the registry got no usable answer. The texts of [`RequestError::Json`],
+/// [`RequestError::Compact`] and [`RequestError::IncompleteBody`] name what operators should check first.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// The call got no response.
@@ -77,7 +78,8 @@
     /// The body is no valid message of the compact quota format.
     #[error("the answer can't be read: {0}; does the registry run the same version?")]
     Compact(#[from] CompactError),
-    /// The body is too long or was incomplete at the time limit.
+    /// The body is longer than the limit, was incomplete at the time limit, or ended early because the connection
+    /// failed.
     #[error(
         "the answer was too long or incomplete at the time limit; see GET /v1/status of each replica"
     )]
@@ -90,7 +92,7 @@
 /// Limits on the duration of a request and on the size of its answer.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLimits {
-    /// Time limit from the start of the connection to the end of the answer's body.
+    /// Time limit of the whole request, from the start of the dial to the end of the answer's body.
     pub timeout: Duration,
     /// Maximum size of the answer's body, in bytes.
     pub max_answer_bytes: usize,
@@ -109,7 +111,7 @@
 /// Sends a request with an optional JSON body to one replica, and parses its JSON answer.
 ///
 /// # Errors
-/// The replica does not answer in time, rejects the request, or its answer is not JSON of the expected form.
+/// The request fails as in [`round_trip`], or the answer is not JSON of the expected form.
 pub async fn round_trip_json<T: DeserializeOwned>(
     replica: SocketAddr,
     method: Method,
@@ -132,7 +134,8 @@
 /// Sends a request to one replica and returns the body of its answer.
 ///
 /// # Errors
-/// The replica does not answer in time, rejects the request, or its answer exceeds the size limit.
+/// The connection to the replica fails, the replica does not answer in time or rejects the request, or its answer
+/// exceeds the size limit.
 pub async fn round_trip(
     replica: SocketAddr,
     request: RegistryRequest<'_>,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -30,7 +30,7 @@
 /// Inputs of a new pool that no settings reload can change.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolResources {
-    /// Number of file descriptors that the process may hold open.
+    /// Number of file descriptors that the process may hold open for all purposes. Bounds the number of connections.
     pub descriptors: usize,
     /// Seed of the random delays before dials are retried and before connections are dialled ahead of demand.
     pub seed: u64,
@@ -77,7 +77,7 @@
         self.0.set_limits(limits);
     }
 
-    /// Opens the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
+    /// Enables the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
     /// whose dial is in flight may still get their connection.
     pub fn set_endpoint_enabled(&self, target: EndpointAddress, is_enabled: bool) {
         let now = self.0.now();
@@ -90,7 +90,7 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint, which stays open for calls over new connections.
+    /// Closes the idle connections to an endpoint. The endpoint stays enabled for calls over new connections.
     pub fn close_idle(&self, target: EndpointAddress) {
         self.0
             .update(|pool, commands| pool.close_idle(target, commands));
@@ -156,7 +156,8 @@
         deadline: Instant,
     ) -> Result<ConnectionLease, LeaseError> {
         let mut wait = self.0.begin_wait(target);
-        // an answer that is ready counts even after the deadline
+        // check for an answer first: a call that comes here after its deadline may still get a connection that the pool
+        // can lease at once
         let answer = match wait.receiver.try_recv() {
             Ok(answer) => answer,
             Err(_) => match timeout_at(deadline, &mut wait.receiver).await {
--- a/src/net/pool/connector.rs
+++ b/src/net/pool/connector.rs
@@ -18,7 +18,7 @@
 pub struct Connection {
     /// Hyper's handle that sends requests over the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Byte counts of the connection, and the means to abandon its call.
+    /// Tracks the bytes written and received, and abandons a call without losing an answer that has already arrived.
     pub traffic: Arc<Traffic>,
 }
 
--- a/src/net/pool/lease.rs
+++ b/src/net/pool/lease.rs
@@ -1,5 +1,5 @@
-//! Guards that a call holds: first a wait for a connection, then the lease of the connection. Dropping either one
-//! informs the pool.
+//! Guards that a call holds: first a wait for a connection, then the lease of the connection. Dropping a guard ends the
+//! wait or the lease in the pool.
 
 use super::connector::Connection;
 use super::state::PoolState;
@@ -19,11 +19,12 @@
     /// No connection was available before the latest time at which the call may begin.
     #[error("no connection was available before the call had to begin")]
     TooLate,
-    /// The pool's decision module denied the call a connection, for this reason.
+    /// The call was denied a connection for this reason: by the pool's decision module, or at the dial timeout because
+    /// a dial had failed by an error of the local host since the call began to wait.
     #[error("no connection: {0:?}")]
     Denied(LeaseDenied),
-    /// The pool was dropped while the call waited for a connection.
-    #[error("the connection pool has ended")]
+    /// The channel for the pool's answer was closed without an answer.
+    #[error("the connection pool gave no answer")]
     NoAnswer,
 }
 
@@ -50,7 +51,7 @@
     pool: Rc<PoolState>,
     connection_number: u64,
     connection: Option<Connection>,
-    /// Time that the connection was idle before this lease; `None` if the connection is new.
+    /// Time that the connection was idle before this lease; `None` if the connection has not carried a call before.
     pub idle_for: Option<Duration>,
     /// Reason recorded for the close if the call drops the lease. `None` before the call has received the connection
     /// and after `release`; the connection then returns to the pool if it is still usable.
@@ -84,13 +85,14 @@
             .expect("present until the lease is dropped")
     }
 
-    /// Records the kind of an answer on this connection. Returns true if the endpoint rejected the call because it had
-    /// no capacity for another connection.
+    /// Records the kind of an answer on this connection. Returns true if the answer is a rejection that the pool attributes
+    /// to a lack of connection capacity at the endpoint.
     pub fn record_answer(&self, answer: AnswerKind) -> bool {
         self.pool.record_answer(self.connection_number, answer)
     }
 
-    /// Ends the lease after a complete answer; the connection returns to the pool for another call.
+    /// Ends the lease without closing the connection. The connection returns to the pool for another call if it is
+    /// still usable.
     pub fn release(mut self) {
         self.reason_if_dropped = None;
     }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -9,13 +9,14 @@
 /// Default maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 /// Upper bound of the default maximum number of idle connections in total; enough for one to each of 1,024 endpoints.
-/// A process with few file descriptors gets a lower default.
+/// The default is a third of the file descriptors that the process may hold open, if that is less.
 const MAX_IDLE: usize = 1024;
-/// Time after which endpoints are assumed to close an idle connection if the settings give no time.
+/// Time after which endpoints are assumed to close an idle connection if the settings do not state their idle timeout.
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns the pool's limits. A limit that is missing in the settings is derived from `descriptors`, the number of file
-/// descriptors that the process may hold.
+/// Returns the pool's limits. `descriptors` is the number of file descriptors that the process may hold open for all
+/// purposes. The total number of connections is at most half of them, and the limits on connections per endpoint, on
+/// concurrent dials and on idle connections in total are derived from them where the settings give none.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> PoolLimits {
     let endpoint_timeout = if settings.connection_idle_timeout > 0 {
         duration(settings.connection_idle_timeout)
@@ -25,7 +26,8 @@
     // close idle connections before the endpoint does, so that no request is written to a closing connection
     let idle_timeout = (endpoint_timeout * 9 / 10)
         .min(endpoint_timeout.saturating_sub(Duration::from_millis(300)));
-    // a reloaded configuration may name more descriptors than the process started with; they do not raise the limit
+    // a reload may raise `pool.all` together with the descriptor limit, but the process keeps the descriptor limit of
+    // its start
     let max_total = max_pool_connections(descriptors);
     let total = pool.all.unwrap_or(max_total).min(max_total);
     let limit_or_default =
--- a/src/net/pool/report.rs
+++ b/src/net/pool/report.rs
@@ -6,8 +6,7 @@
 use serde_json::json;
 use std::cmp::Reverse;
 
-/// Maximum number of endpoints in one report, which bounds its size: an endpoint takes about 300 bytes. Shorter
-/// lists are reported whole.
+/// Maximum number of endpoints in one report, which bounds its size: an endpoint takes about 300 bytes.
 const MAX_REPORTED_ENDPOINTS: usize = 1024;
 
 impl ConnectionPool {
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -26,10 +26,11 @@
     pool: RefCell<Pool>,
     /// Established connections that no call holds, by connection number.
     idle: RefCell<HashMap<u64, Connection>>,
+    /// Channels on which the waiting calls receive the pool's answer, by waiter number.
     answer_senders: RefCell<HashMap<u64, oneshot::Sender<WaitAnswer>>>,
     next_waiter: Cell<u64>,
     dial_timeout: Cell<Duration>,
-    /// Time of the last dial that failed by an error of the local host.
+    /// Time of the last dial that failed by an error of the local host, such as a lack of file descriptors.
     last_local_failure: Cell<Option<Instant>>,
     failure_log: RateLimitedLog,
 }
@@ -125,7 +126,8 @@
 
     fn send_answer(&self, waiter: u64, answer: WaitAnswer) {
         let answer_sender = self.answer_senders.borrow_mut().remove(&waiter);
-        // a call that stopped waiting has removed its entry; an unsent lease returns its connection when dropped
+        // a call that stopped waiting has removed its entry; the lease that it would have received returns its
+        // connection to the pool when dropped
         if let Some(answer_sender) = answer_sender {
             drop(answer_sender.send(answer));
         }
@@ -201,8 +203,8 @@
         self.update(|pool, commands| pool.dial_failed(now, connection_number, failure, commands));
     }
 
-    /// Classifies a failed dial. An error of the local host is also logged and its time recorded, since it says nothing
-    /// of the endpoint's health.
+    /// Classifies a failed dial. An error of the local host is logged and its time recorded, so that a call that waited
+    /// for a connection at that time does not count against the endpoint's health.
     fn classify(&self, error: ConnectError) -> DialFailure {
         match error {
             ConnectError::Peer(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
--- a/src/net/pool/status_line.rs
+++ b/src/net/pool/status_line.rs
@@ -4,15 +4,15 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SuccessLine(());
 
-/// Start of an expected status line, up to the minor version.
+/// Start of a status line of HTTP/1.0 or HTTP/1.1, up to the minor version.
 const VERSION_PREFIX: &[u8] = b"HTTP/1.";
-/// Status 200 as it follows the minor version, with the space between them.
+/// Status 200 with the space that separates it from the version.
 const STATUS_200: &[u8] = b" 200";
 
 /// State of the status line parser.
 #[derive(Debug, Clone, Copy, Default)]
 enum Progress {
-    /// This many bytes of version and status have been received, and all are as expected.
+    /// The given number of bytes of version and status have been received, and all match HTTP/1.0 or HTTP/1.1 and 200.
     Prefix(usize),
     /// The status 200 has been received; a space, a carriage return or the line feed must follow.
     Status,
@@ -20,7 +20,7 @@
     Reason,
     /// A carriage return has followed the status directly; only the line feed may follow.
     CarriageReturn,
-    /// The whole line with status 200 has been received.
+    /// The complete line with status 200 has been received.
     Success,
     /// The line has another status, or is no valid status line of HTTP/1.0 or HTTP/1.1.
     #[default]
--- a/src/net/pool/traffic.rs
+++ b/src/net/pool/traffic.rs
@@ -33,11 +33,11 @@
     status_line: StatusLineReader,
 }
 
-/// Progress of abandoning a call. The call ends at the instant at which the kernel has no more bytes to read, so that
-/// an answer that has arrived by then still counts.
+/// Progress of abandoning a call. The call ends once the kernel has no more received bytes to read, so that an answer
+/// that has arrived by then still counts.
 #[derive(Default)]
 struct Abandonment {
-    /// True while the call is to be abandoned at the next read that finds no more bytes.
+    /// True while the call must be abandoned as soon as a read finds no more received bytes.
     is_requested: bool,
     /// True once all bytes received before the end of the call have been read, or the connection has closed.
     is_input_drained: bool,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Withdraws the request to abandon the call, since its answer arrived first; the connection stays open.
+    /// Withdraws the request to abandon the call after its answer has arrived, so that the connection can be kept.
     pub fn keep_connection(&self) {
         self.abandonment().is_requested = false;
     }
@@ -134,8 +134,8 @@
     }
 }
 
-/// Stream that records its bytes in [`Traffic`]. The count of written bytes shows whether a call may have run: the
-/// endpoint cannot have run a request whose last byte was never written.
+/// Stream that records its bytes in [`Traffic`]. The count of written bytes shows whether the endpoint may have
+/// processed a request: it cannot have processed one whose last byte was never written.
 pub(super) struct TrafficStream<S> {
     pub(super) stream: S,
     pub(super) traffic: Arc<Traffic>,
@@ -154,7 +154,7 @@
 
 impl<S> Drop for TrafficStream<S> {
     fn drop(&mut self) {
-        // a closed connection needs no further reads: whoever waits to abandon its call is released
+        // nothing more can be read from a closed connection, so a task that waits in `abandon_call` may continue
         let mut abandonment = self.traffic.abandonment();
         abandonment.is_input_drained = true;
         abandonment.is_closed = true;
--- a/src/net/server/accept.rs
+++ b/src/net/server/accept.rs
@@ -66,9 +66,9 @@
 
 /// Acquires the permit of one more connection; `None` if the semaphore is closed.
 ///
-/// At the limit one accepted connection waits here and further ones wait in the kernel's queue, so that calls to
-/// endpoints never lack file descriptors. Idle connections are closed to free a permit, so that peers without requests
-/// cannot block the waiting one.
+/// The limit keeps file descriptors free for calls to endpoints. At the limit, one accepted connection waits here for a
+/// permit and further ones wait in the kernel's queue. Meanwhile idle connections are closed to free a permit, since
+/// peers that send no requests could otherwise keep all permits.
 async fn acquire_permit(
     subsystem: &'static str,
     permits: &Arc<Semaphore>,
--- a/src/net/server/compatibility.rs
+++ b/src/net/server/compatibility.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::net::http_golden as golden;
 
-/// Plays the driver: returns the result that the message id asks for.
+/// Returns the result with which the simulated driver answers a message; each message id stands for one result.
 fn answer_of(id: &str) -> SubmissionResult {
     match id {
         "taken" => SubmissionResult::Accepted,
@@ -42,7 +42,7 @@
     )
 }
 
-/// Returns the requests to make, each with its name in the golden file. Each goes over a connection of its own.
+/// Returns the requests to make, each with its name in the golden file. Each is sent over a connection of its own.
 fn requests() -> Vec<(String, String)> {
     let mut requests = Vec::new();
     let mut add = |name: &str, text: String| requests.push((name.to_string(), text));
--- a/src/net/server/error.rs
+++ b/src/net/server/error.rs
@@ -45,7 +45,6 @@
 }
 
 impl RequestError {
-    /// Returns the HTTP status with which the request is answered.
     pub(super) fn status(self) -> StatusCode {
         match self {
             RequestError::NotReady | RequestError::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
--- a/src/net/server/headers.rs
+++ b/src/net/server/headers.rs
@@ -21,11 +21,12 @@
     /// Position of the message's class in the settings.
     pub(super) class: usize,
     pub(super) destination: u64,
-    /// Time for the delivery in microseconds, from the arrival of the request.
+    /// Time in microseconds, from the arrival of the request, within which the message must be delivered.
     pub(super) time_limit: Micros,
     /// True if the client has submitted the message before (`X-Retried` is present).
     pub(super) resubmitted: bool,
-    /// True if `X-Retried` is `again`: the client that submitted the message first has departed.
+    /// True if `X-Retried` is `again`: the client submits the message again because the sender to which it had
+    /// submitted the message before failed or did not answer.
     pub(super) previous_sender_failed: bool,
 }
 
@@ -33,8 +34,8 @@
     /// Parses the head of a request.
     ///
     /// # Errors
-    /// Names the first header or parameter that is missing, repeated or invalid. The order of the checks decides which
-    /// error a client gets for a request with several.
+    /// The request's path, method or class is wrong, or a header or parameter is missing, repeated or invalid. If
+    /// several checks fail, the client gets the error of the first one.
     pub(super) fn read<B>(
         request: &Request<B>,
         classes: &[ClassEntry],
@@ -145,8 +146,9 @@
     }
 }
 
-/// Copies a header value. The original shares the connection's read buffer and would keep all of it in memory while the
-/// message is pending, and in the case of its id for long after.
+/// Returns a copy of a header value. The original shares the connection's read buffer, and would keep the whole buffer
+/// in memory as long as the value is used: the key while the message is pending, and the id beyond that, since the ids
+/// of delivered messages are remembered to recognise resubmissions.
 fn detached(value: &HeaderValue) -> HeaderValue {
     HeaderValue::from_bytes(value.as_bytes()).unwrap_or_else(|_| value.clone())
 }
@@ -182,7 +184,7 @@
 }
 
 /// Parses the destination from the `dest=` parameter of the `Envelope` header. Numbers of more than 16 bits are
-/// invalid, since no endpoint list contains one.
+/// invalid: clients can address only destinations below 65,536, although endpoint lists may contain larger numbers.
 fn parse_destination(text: &str) -> Option<u64> {
     let mut values = text
         .split([';', ','])
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -20,8 +20,8 @@
 /// File descriptors of the sender: a third of them serve clients, and half serve endpoints, enough for a connection to
 /// each.
 const SOCKETS: usize = 4096;
-/// Maximum resident memory of the sender in bytes: a quarter of `memory_mb` in its configuration, and 1.5 times what it
-/// usually takes.
+/// Maximum resident memory of the sender in bytes: a quarter of `memory_mb` in its configuration, and 1.5 times its
+/// usual memory in this test.
 const MAX_RESIDENT_BYTES: usize = 48 << 20;
 
 /// Returns the sender's resident memory in bytes, as the kernel reports it.
@@ -113,7 +113,7 @@
     let count = |value: &Value| value.as_u64().unwrap_or(0) as usize;
     let (dials, closes) = (count(&counts["dials"]), &counts["closes"]);
     assert!(dials >= MANY, "{counts}");
-    // one idle connection to each endpoint is kept; only connections beyond these may be closed as surplus
+    // one idle connection to each endpoint is kept; only further connections may be closed as surplus or evicted
     assert!(
         count(&closes["surplus"]) + count(&closes["evicted"]) <= dials - MANY,
         "{counts}"
--- a/tests/contention.rs
+++ b/tests/contention.rs
@@ -29,15 +29,17 @@
 struct Scenario {
     /// Calls per second that the destination accepts from all senders together.
     limit: f64,
-    /// Rate that the endpoint list states, as a fraction of the real limit.
+    /// Rate that the endpoint list states, as a fraction of `limit`.
     listed_fraction: f64,
-    /// Rate of submitted messages, as a fraction of the limit.
+    /// Messages submitted per second, as a fraction of `limit`.
     demand: f64,
     /// True if rejected calls use up the limit as well.
     rejections_count: bool,
-    /// Start and end of the time in which the senders' endpoint lists are stale, in microseconds of the run.
+    /// Start and end of the time in which the senders' endpoint lists are stale, in microseconds from the start of the
+    /// run.
     stale: (Micros, Micros),
-    /// Time in microseconds of the run at which all senders return from a restart with their pending messages.
+    /// Time in microseconds, from the start of the run, at which all senders resume with their pending messages after a
+    /// restart.
     restart: Option<Micros>,
     seed: u64,
 }
@@ -76,8 +78,8 @@
     }
 }
 
-/// Rate limit of the destination as a token bucket. It holds at most the calls of half a second, and its debt is
-/// bounded by the same amount.
+/// Rate limit of the destination as a token bucket. The bucket holds at most the calls of half a second. Rejected calls
+/// that use up the limit can make it negative, down to minus the same amount.
 struct Limit {
     tokens: f64,
     /// Simulated time in microseconds at which `tokens` was last updated.
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Runs one sender's turn if it has an event or its timer has expired, and carries out its actions.
+    /// Runs one sender's turn if it has an event or its timer has expired, and executes its actions.
     fn turn(&mut self, sender: usize, mut events: Vec<Event>) {
         if self.timers[sender]
             .first()
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -122,7 +122,7 @@
 
 #[test]
 fn non_idempotent_messages_wait_while_route_is_unanswered() {
-    // guards against losing the messages that are sent in the first second in which a destination has stopped answering
+    // guards against losing the messages that are sent in the first second after a destination stops answering
     let mut host = TestHost::new(settings(40), two_destinations());
     warm(&mut host);
     host.handle(vec![message(1, IDEMPOTENT, 7)]);
@@ -143,7 +143,7 @@
 
 #[test]
 fn lagging_destination_leaves_half_of_the_slots() {
-    // guards against a destination that answers only now and then and so comes to occupy every call slot
+    // guards against a destination that answers only a few of its calls and so occupies more and more call slots
     let mut host = TestHost::new(settings(8), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
     warm(&mut host);
     host.handle(
@@ -261,8 +261,8 @@
         let ends = ends.collect();
         host.handle(ends);
     }
-    // counts[0] is the second second, still near the fair share of 2 calls per second; counts[1] is the last second,
-    // near the whole limit of 16
+    // counts[0] is the number of calls in the second second, whose rate is still near the fair share of 2 calls per
+    // second; counts[1] is that of the last second, whose rate is near the whole limit of 16
     assert!(counts[0] <= 8, "starts near the fair share: {counts:?}");
     assert!(
         counts[1] >= 10 && counts[1] <= 17,
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -260,14 +260,14 @@
     Some((head, text.len() + length))
 }
 
-/// Endpoint that answers all requests, except that it cuts the connection of the next one after a cut is set. A cut
-/// within the request leaves bytes unread, which resets the connection.
+/// Endpoint that answers all requests, except that it cuts the connection of the first request after a cut is set. A
+/// cut within the request leaves bytes unread, so the connection is reset.
 #[derive(Clone)]
 struct Cutter {
     address: SocketAddr,
     /// Cut to apply to the next request.
     cut: Arc<Mutex<Option<Cut>>>,
-    /// Message ids and lengths in bytes of all requests that were read whole.
+    /// Message id and length in bytes of each request that was read to its end.
     complete_requests: Arc<Mutex<Vec<(String, usize)>>>,
     /// Number of requests of which at least one byte was received.
     begun_requests: Arc<Mutex<usize>>,
@@ -294,7 +294,7 @@
     }
 
     fn serve(&self, mut stream: std::net::TcpStream) {
-        // the cut is read only when the request begins, since the connection may have been idle for long before
+        // the cut is read only when a request begins, since it may be set while the connection is idle
         while matches!(stream.peek(&mut [0]), Ok(1)) {
             *self.begun_requests.lock().expect("not poisoned") += 1;
             let cut = self.cut.lock().expect("not poisoned").take();
@@ -352,7 +352,7 @@
     wait_until("the length of a request is measured", || {
         cutter.complete_request_count("measure-0000") == 1
     });
-    // the remaining time in a later request may take one digit less
+    // the `X-Timeout` of a later request may have one digit less, which makes the request one byte shorter
     let length = cutter.complete_requests.lock().expect("not poisoned")[0].1 - 1;
     let requests = (0..=length).map(Cut::Request);
     let cuts: Vec<Cut> = requests
@@ -364,14 +364,14 @@
             let id = format!("cut-{dest:08}");
             if reused {
                 deliver(&node, &format!("pre-{dest:08}"), dest);
-                // the connection of this destination, and the one of the measurement
+                // the idle connections are that of this destination and that of the measured request
                 wait_for_total(&node, "/idle", 2);
             }
             let begun_requests = *cutter.begun_requests.lock().expect("not poisoned");
             *cutter.cut.lock().expect("not poisoned") = Some(cut);
             assert_eq!(node.hand_in("order", &id, dest, 20_000, b"body"), 202);
-            // a whole status line with 200 proves the delivery; after anything less the message may have run, and the
-            // non-idempotent message is not retried
+            // a complete status line with 200 proves the delivery; after anything less the endpoint may have processed
+            // the message, which is non-idempotent and therefore not retried
             let delivered =
                 matches!(cut, Cut::Answer(length) if length >= "HTTP/1.1 200 OK\r\n".len());
             let notice = format!(r#"{{"id":"{id}","state":"failed"}}"#);
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Creates a state of scarcity: calls on one kept connection are served, and all new connections are rejected.
+/// Returns a pool with enough evidence of scarcity to close connections after the next answer. Two calls to endpoint 0
+/// were served over one kept connection, and the first calls on new connections to endpoints 2 to 5 were rejected.
 fn scarce_pool() -> PoolHarness {
     let mut harness = PoolHarness::new();
     for number in 1..3 {
@@ -128,7 +129,7 @@
         harness.was_connection_rejected,
         "a rejection under scarcity is not attributed to a limit on calls"
     );
-    // occasional service on a new connection does not end the scarcity
+    // one call that is served on a new connection does not end the scarcity
     assert!(!harness.call(9, AnswerKind::Served));
     harness.call(10, AnswerKind::Rejected);
     assert!(!harness.call(0, AnswerKind::Served));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -80,7 +80,7 @@
     let node = Node::with_sockets(agent.address, 3.0, 60.0, 60).ready();
     let before = node.descriptors();
     (0..30).for_each(|dest| deliver(&node, &format!("m{dest}"), dest));
-    // wait, since a client connection may still be closing
+    // the number is polled, since a client connection may still be closing
     wait_until("at most 20 connections are kept", || {
         node.descriptors() <= before + 20
     });
@@ -119,7 +119,7 @@
         0,
         "the retried call had reused the first connection"
     );
-    // at least as long an idle time as before
+    // leave the retry's connection idle for at least as long as the first one was when its endpoint closed it
     std::thread::sleep(began.elapsed());
     deliver(&node, "m3", 7);
     assert_eq!(
@@ -210,7 +210,7 @@
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let mut client = Client::new(&node);
     let before = node.memory();
-    // guards against ids that keep the 20 KB read buffer of their request in memory
+    // guards against remembered ids of delivered messages that keep the 20 KB read buffer of their request in memory
     let padding = format!("Host: app.svc\r\nX-Pad: {}", "p".repeat(20_000));
     for n in 0..800 {
         let text =
@@ -236,7 +236,8 @@
 
 #[test]
 fn messages_of_one_subject_are_sent_in_order_across_restart() {
-    // the endpoint answers the first message once the gate is open; no later one of its subject may be sent before
+    // the endpoint answers the first message once the gate is open; no other message of its subject may be sent before
+    // that
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |request, _| {
@@ -432,7 +433,7 @@
     for client in &mut clients {
         assert_eq!(client.send(ready).expect("answered").0, 200);
     }
-    // the last clients were served only because earlier idle connections were closed
+    // the last clients could be served only after idle connections of earlier ones were closed
     let closed_count = clients
         .iter_mut()
         .map(Client::has_ended)
@@ -447,7 +448,7 @@
 
 /// Submits one message with an idempotency key and one non-idempotent message, and answers the first call of each with
 /// `first`. Returns how often each message was received, and the outcome notifications. A non-idempotent message is
-/// retried only if it cannot have run; one with a key is retried whenever it was not delivered.
+/// retried only if the endpoint cannot have processed it; one with a key is retried whenever it was not delivered.
 fn sends_after_first_reply(first: Reply) -> (usize, usize, Vec<String>) {
     let failed: Arc<Mutex<Vec<String>>> = Arc::default();
     let endpoint = Endpoint::new(move |request, _| {
@@ -595,7 +596,7 @@
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
     wait_until("the notification", || !agent.notices().is_empty());
-    // a non-idempotent message may be returned only if none of its calls ran
+    // a non-idempotent message may be reported as returned only if the endpoint processed none of its calls
     assert!(
         agent.notices()[0].contains("returned"),
         "{:?}",
@@ -699,8 +700,8 @@
 
 #[test]
 fn restarted_sender_resumes_pending_messages_after_kill() {
-    // one message in each state: accepted and not sent; in flight, with a key and non-idempotent; complete with its
-    // notification pending
+    // when the sender is killed, it has one message in each of these states: accepted but not sent; in flight with an
+    // idempotency key; in flight and non-idempotent; complete with its notification pending
     let endpoint = Endpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
             Reply::Silence
@@ -956,7 +957,8 @@
     *agent.lines.lock().expect("not poisoned") =
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
-    // the silent watch must be replaced well before 6 s, after which missed list changes count as received
+    // a change of the list counts as known to the sender 6 s after discovery had it, so a silent watch, over which
+    // changes are missed, must be replaced well before
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "{:?}",
