--- a/src/net/driver/completion.rs
+++ b/src/net/driver/completion.rs
@@ -41,17 +41,19 @@
         !self.pending.is_empty()
     }
 
-    /// Returns the earliest time at which a pending notification can be sent without a durable end.
+    /// Returns the earliest time in microseconds at which a pending notification can be sent without
+    /// a durable end.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.pending.iter().map(|end| end.no_send_after).min()
     }
 
     pub fn send(&self, notification: OutcomeNotification) {
-        // the send can't fail earlier: the receiving task runs until the process ends
+        // the send fails only at the end of the process, because the receiving task runs until then
         let _ = self.queue.send(notification);
     }
 
-    /// Sends the pending notifications whose messages no later process can send.
+    /// Sends the pending notifications whose messages no later process would send: the end of the
+    /// message is durable, or its deadline is too near.
     fn send_final(&mut self, now: Micros, all_durable: bool) {
         let is_final = |end: &PendingNotification| all_durable || end.no_send_after <= now;
         let pending = std::mem::take(&mut self.pending);
@@ -83,7 +85,7 @@
         let id = pending.item.id.clone();
         let unfinished = self.journal.unfinished().get(&message.0);
         let deadline = unfinished.map_or(Micros::MIN, |unfinished| unfinished.accepted.deadline);
-        message_log::record(&id, &MessageEvent::EndedUndelivered(outcome));
+        message_log::log_event(&id, &MessageEvent::EndedUndelivered(outcome));
         self.journal.end_undelivered(message, outcome);
         self.lifecycle.close(message);
         self.messages.close(message);
@@ -112,7 +114,7 @@
         let AcceptedNotifications { numbers, proof } = accepted;
         for message in numbers.into_iter().map(MessageId) {
             if let Some(held) = self.journal.unfinished().get(&message.0) {
-                message_log::record_text(&held.accepted.id, &MessageEvent::Notified);
+                message_log::log_event_of_id(&held.accepted.id, &MessageEvent::Notified);
             }
             self.end_counts.count(proof);
             self.journal.complete(message, proof);
--- a/src/net/pool/state.rs
+++ b/src/net/pool/state.rs
@@ -174,7 +174,7 @@
 
     /// Ends a lease whose connection is closed, and logs `reason`.
     pub(super) fn discard(self: &Rc<Self>, connection_number: u64, reason: CloseReason) {
-        message_log::record_close(format_args!("connection {connection_number}"), &reason);
+        message_log::log_connection_close(format_args!("connection {connection_number}"), &reason);
         let now = self.now();
         self.update(|pool, commands| pool.discard(now, connection_number, reason, commands));
     }
