--- a/src/net/http_client.rs
+++ b/src/net/http_client.rs
@@ -31,7 +31,7 @@
     /// The connection failed, or the response is not HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The request could not be built.
+    /// The HTTP request could not be built from its path and headers.
     #[error("bad request: {0}")]
     Request(#[from] hyper::http::Error),
     /// No response arrived within the time limit.
@@ -84,7 +84,7 @@
         "the answer was too long or incomplete at the time limit; see GET /v1/status of each replica"
     )]
     IncompleteBody,
-    /// The request could not be built.
+    /// The HTTP request could not be built from its path and headers.
     #[error("bad request: {0}")]
     Request(#[from] hyper::http::Error),
 }
--- a/src/net/pool/connector.rs
+++ b/src/net/pool/connector.rs
@@ -1,4 +1,4 @@
-//! Dials connections: TCP first, then the HTTP/1 client on top.
+//! Dials endpoints: establishes the TCP connection and sets up hyper's HTTP/1 client on it.
 
 use super::traffic::{ImmediateRead, Traffic, TrafficStream};
 use crate::net::events::MAX_BODY_BYTES;
--- a/src/net/pool/lease.rs
+++ b/src/net/pool/lease.rs
@@ -85,8 +85,8 @@
             .expect("present until the lease is dropped")
     }
 
-    /// Records the kind of an answer on this connection. Returns true if the answer is a rejection that the pool attributes
-    /// to a lack of connection capacity at the endpoint.
+    /// Records the kind of an answer on this connection. Returns true if the answer is a rejection that the pool
+    /// attributes to a lack of connection capacity at the endpoint.
     pub fn record_answer(&self, answer: AnswerKind) -> bool {
         self.pool.record_answer(self.connection_number, answer)
     }
--- a/tests/scarcity.rs
+++ b/tests/scarcity.rs
@@ -4,7 +4,7 @@
 use message_sender::pool::{AnswerKind, CloseReason, Command, EndpointAddress, Pool, PoolLimits};
 use message_sender::{EndpointId, Micros, SECOND};
 
-/// Start of each test, in microseconds of the pool's clock.
+/// Time in microseconds of the pool's clock at which each test starts.
 const START: Micros = 100 * SECOND;
 
 fn limits() -> PoolLimits {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -236,8 +236,8 @@
 
 #[test]
 fn messages_of_one_subject_are_sent_in_order_across_restart() {
-    // the endpoint answers the first message once the gate is open; no other message of its subject may be sent before
-    // that
+    // the endpoint answers the first message once the gate is open; until then no other message of its subject may be
+    // sent
     let gate: Arc<Mutex<bool>> = Arc::default();
     let opened = gate.clone();
     let endpoint = Endpoint::new(move |request, _| {
