--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -1,131 +1,149 @@
-//! How old the known list may be by what counts as told: once that is too old, the list is stale and nothing is sent
-//! by it. The rules have no sockets; the clock is passed in, but for the one task that waits for it.
+//! Decides when the known endpoint list is stale, so that sending must be suspended.
+//!
+//! After a while the platform holds a sender to a list change even if the sender has not received it: the change is then
+//! binding. The list is stale once changes that the sender may have missed have been binding for a grace period. The
+//! state transitions take the time as an argument; only `report_staleness` waits for the clock.
 
-use super::backoff::TOLD;
+use super::backoff::BINDING_AFTER;
 use crate::net::events::DriverInput;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// After a move by SIGHUP, whatever discovery has to tell counts as told so long after the signal.
-const MOVED: Duration = Duration::from_secs(4);
+/// Time after SIGHUP has changed discovery's address from which the platform holds the sender to all list changes at the
+/// new address, received or not.
+const BINDING_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// What the list that is known is worth.
+/// Whether the known endpoint list may lack changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// A watch is open and has told something: all that was told has come, as far as can be known.
+    /// A watch is open and has received data, so no change is known to be missing.
     Fresh,
-    /// The first try of this process has not ended: the agent may hold a later list, which counts as told.
+    /// The first call of this process to its agent has not ended. The agent may hold a newer list, and the platform already
+    /// holds the sender to it.
     Starting,
-    /// No watch is open, or it is silent.
+    /// No watch is open, or the open watch is silent, so changes may have been missed.
     Missed(Missed),
 }
 
-/// What may have been missed.
+/// Time at which the platform may hold the sender to changes that the sender has missed, and how it was determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Missed {
-    /// From then on it may count as told.
-    counts: Instant,
-    /// Discovery itself said no: it could not be reached, and what it has counts only so long after it can be again.
-    refused: bool,
+    /// Earliest time at which the platform may hold the sender to a missed change.
+    binding_from: Instant,
+    /// True if discovery was unavailable at the last call. The platform then holds the sender to changes only
+    /// [`BINDING_AFTER`] after discovery can be reached again, so each further failed call moves `binding_from` to a later
+    /// time.
+    unavailable: bool,
 }
 
 impl State {
-    /// From when the list is stale; none: it is not.
+    /// Returns the time from which the list is too old to send by, or `None` while no change can have been missed.
     fn stale_from(self, now: Instant, grace: Duration) -> Option<Instant> {
         match self {
             State::Fresh => None,
             State::Starting => Some(now),
-            State::Missed(missed) => Some(missed.counts + grace),
+            State::Missed(missed) => Some(missed.binding_from + grace),
         }
     }
 
-    /// Nothing has come since then, for no reason that discovery gave: it may have been reached by others.
+    /// Returns the state after a watch or call that has received nothing since `since`, not even an error. Discovery may be
+    /// running, so changes may be announced in that time.
     fn silent(self, since: Instant) -> Self {
-        let counts = match self {
-            State::Missed(before) => before.counts.min(since + TOLD),
-            State::Fresh | State::Starting => since + TOLD,
+        let binding_from = match self {
+            State::Missed(before) => before.binding_from.min(since + BINDING_AFTER),
+            State::Fresh | State::Starting => since + BINDING_AFTER,
         };
         State::Missed(Missed {
-            counts,
-            refused: false,
+            binding_from,
+            unavailable: false,
         })
     }
 
-    /// Discovery said no then, to a watch that it ended or to a call. An earlier silence counts on.
-    fn refused(self, at: Instant) -> Self {
+    /// Returns the state after discovery was unavailable at `at`: it ended a watch, or refused or rejected a call. An
+    /// earlier silence keeps its `binding_from`.
+    fn unavailable(self, at: Instant) -> Self {
         match self {
-            State::Missed(Missed { refused: false, .. }) => self,
+            State::Missed(Missed {
+                unavailable: false, ..
+            }) => self,
             _ => State::Missed(Missed {
-                counts: at + TOLD,
-                refused: true,
+                binding_from: at + BINDING_AFTER,
+                unavailable: true,
             }),
         }
     }
 
-    /// The list is asked for elsewhere since then.
+    /// Returns the state after discovery's address changed at `at`.
     fn moved(self, at: Instant) -> Self {
         match self {
             State::Missed(before) => State::Missed(Missed {
-                counts: before.counts.min(at + MOVED),
+                binding_from: before.binding_from.min(at + BINDING_AFTER_MOVE),
                 ..before
             }),
             State::Fresh | State::Starting => State::Missed(Missed {
-                counts: at + MOVED,
-                refused: true,
+                binding_from: at + BINDING_AFTER_MOVE,
+                unavailable: true,
             }),
         }
     }
 }
 
-/// Knows of each silence, refusal and move, and tells the module when the list is stale.
+/// Tracks how current the endpoint list is, from the results of watches and calls. The list's state is shared by clones.
 #[derive(Debug, Clone)]
 pub struct Freshness(watch::Sender<State>);
 
 impl Freshness {
-    /// That of a process that starts, and what tells the inputs of it until both ends are gone. Where lists are
-    /// pushed, it waits for what its agent has; where they are asked for, the list that it starts with is good for as
-    /// long as any. Nothing may be sent any more for `grace` after a change counts as told.
+    /// Creates the state at the start of a process, and the future that sends changes of staleness to `inputs` until
+    /// either end is dropped. If lists are pushed, the list is stale until the first call to the agent has ended.
+    /// Otherwise the list that the process starts with stays valid as if discovery had just become unavailable. The list
+    /// becomes stale `grace` after the platform may hold the sender to a missed change.
     pub fn new(
         pushed: bool,
         grace: Duration,
         inputs: mpsc::UnboundedSender<DriverInput>,
     ) -> (Self, impl Future<Output = ()>) {
-        // the first turn must know
+        // the first turn of the decision module must already know whether the list is stale
         let _ = inputs.send(DriverInput::ListStale(pushed));
         let start = if pushed {
             State::Starting
         } else {
-            State::Fresh.refused(Instant::now())
+            State::Fresh.unavailable(Instant::now())
         };
-        let (state, seen) = watch::channel(start);
-        (Freshness(state), tell(seen, pushed, grace, inputs))
+        let (state, state_changes) = watch::channel(start);
+        (
+            Freshness(state),
+            report_staleness(state_changes, pushed, grace, inputs),
+        )
     }
 
-    /// A watch or a call is silent since then; an earlier silence that no new watch has ended counts on.
+    /// Records that a watch or call has received nothing since `since`. After several silences the first one determines
+    /// when the list becomes stale, until a watch receives data.
     pub fn silent(&self, since: Instant) {
         self.0.send_modify(|state| *state = state.silent(since));
     }
 
-    /// Discovery said no to a call that was made then, or ended a watch that it last told something.
-    pub fn refused(&self, at: Instant) {
-        self.0.send_modify(|state| *state = state.refused(at));
+    /// Records that discovery was unavailable. `at` is the start of the refused or rejected call, or the time of the last
+    /// data of a watch that discovery ended.
+    pub fn unavailable(&self, at: Instant) {
+        self.0.send_modify(|state| *state = state.unavailable(at));
     }
 
-    /// SIGHUP has moved discovery.
+    /// Records that a SIGHUP has changed discovery's address.
     pub fn moved(&self) {
         self.0
             .send_modify(|state| *state = state.moved(Instant::now()));
     }
 
-    /// A new watch has told something, which is all that was missed.
-    pub fn told(&self) {
+    /// Records that a watch has received data: the list or an empty line. With it the sender has all missed changes.
+    pub fn received(&self) {
         self.0
             .send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
     }
 
-    /// The first try has ended without a word.
-    pub fn started(&self) {
+    /// Records that a call has ended without a list. If it was the first call of the process, the list that the process
+    /// started with may be used.
+    pub fn first_try_ended(&self) {
         self.0.send_if_modified(|state| {
             let starting = *state == State::Starting;
             *state = if starting { State::Fresh } else { *state };
@@ -133,36 +151,38 @@
         });
     }
 
-    /// From when something that was missed may count as told.
-    pub fn counts(&self) -> Option<Instant> {
+    /// Returns the earliest time at which the platform may hold the sender to a missed change, or `None` if no change can
+    /// have been missed.
+    pub fn binding_from(&self) -> Option<Instant> {
         match *self.0.borrow() {
-            State::Missed(missed) => Some(missed.counts),
+            State::Missed(missed) => Some(missed.binding_from),
             State::Fresh | State::Starting => None,
         }
     }
 
-    /// Whether the first try has not ended.
+    /// Returns true until the first call of the process to its agent has ended.
     pub fn is_starting(&self) -> bool {
         *self.0.borrow() == State::Starting
     }
 }
 
-async fn tell(
-    mut seen: watch::Receiver<State>,
+/// Sends a `ListStale` input each time the list becomes stale or current again.
+async fn report_staleness(
+    mut state_changes: watch::Receiver<State>,
     mut stale: bool,
     grace: Duration,
     inputs: mpsc::UnboundedSender<DriverInput>,
 ) {
     loop {
-        let state = *seen.borrow_and_update();
+        let state = *state_changes.borrow_and_update();
         let from = state.stale_from(Instant::now(), grace);
-        let now = from.is_some_and(|from| from <= Instant::now());
-        if now != stale {
-            stale = now;
+        let is_stale = from.is_some_and(|from| from <= Instant::now());
+        if is_stale != stale {
+            stale = is_stale;
             if let State::Missed(missed) = state {
-                let counted = missed.counts.elapsed();
+                let binding_for = missed.binding_from.elapsed();
                 crate::net::log(format_args!(
-                    "discovery: changes may count as told for {counted:?}, nothing is sent until it tells"
+                    "discovery: list is stale, missed changes may be binding for {binding_for:?}; sending is suspended"
                 ));
             }
             if inputs.send(DriverInput::ListStale(stale)).is_err() {
@@ -170,7 +190,7 @@
             }
         }
         tokio::select! {
-            changed = seen.changed() => if changed.is_err() { return },
+            changed = state_changes.changed() => if changed.is_err() { return },
             () = sleep_until(from.unwrap_or_else(Instant::now)), if from.is_some() && !stale => {}
         }
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,5 +1,7 @@
-//! The platform's agent: the watch of the endpoint list. Beside it: `reading` lists from bytes, `backoff` between tries,
-//! `freshness` when the list is too old to send by, `notices` that end undelivered messages.
+//! Client of discovery: watches the endpoint list and posts outcome notifications.
+//!
+//! `reading` parses lists, `backoff` spaces the calls to discovery, `freshness` decides when the list is too old to send
+//! by, and `notices` posts the notifications that end undelivered messages.
 
 mod backoff;
 mod freshness;
@@ -9,15 +11,15 @@
 use super::events::DriverInput;
 use super::http_client::{CallError, call};
 use super::local_errors::RETRY_INTERVAL;
-use backoff::SILENCE;
-pub use backoff::{Backoff, Shared};
+use backoff::SILENCE_TIMEOUT;
+pub use backoff::{Backoff, DiscoveryClients};
 use bytes::Bytes;
 pub use freshness::Freshness;
 use http_body_util::{BodyExt, Empty};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 pub use notices::{OutcomeNotification, post_notices};
-use reading::Reading;
+use reading::ListReader;
 pub use reading::parse_list;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,32 +28,35 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// An agent of one's own is on this machine and answers at once; a call that is owed gets at least as long.
-const ANSWER: Duration = Duration::from_secs(1);
-/// What such an agent holds comes right after its head.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Minimum timeout of a call to discovery. The sender's own agent runs on the local host and answers within this time;
+/// a call to a common discovery gets at least this time, even if the sender will be held to missed changes sooner.
+const MIN_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time that a local agent has to send its stored list after the head of its answer. An agent that sends nothing in this
+/// time has no newer list.
+const INITIAL_LIST_WAIT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("silent for {SILENCE:?}")]
+    #[error("silent for {SILENCE_TIMEOUT:?}")]
     Silent,
     #[error("answered {0}")]
     Status(StatusCode),
-    #[error("the stream ended")]
+    #[error("discovery ended the stream")]
     Ended,
-    #[error("it told what can't be read: the whole list is asked for")]
-    Gap,
+    #[error("received text that can't be parsed; requesting the full list")]
+    Unreadable,
     #[error(transparent)]
     Connect(#[from] CallError),
     #[error(transparent)]
     Http(#[from] hyper::Error),
 }
 
-/// Watches the list for ever, wherever the agent is, and hands each change on.
+/// Watches the endpoint list until the receiver of `inputs` is dropped and sends each received list there. Starts a new
+/// watch after each failure, and at the new address when the address in `agent` changes.
 pub async fn watch(
     agent: Receiver<SocketAddr>,
     version: u64,
-    shared: Shared,
+    clients: DiscoveryClients,
     backoff: Backoff,
     freshness: Freshness,
     inputs: mpsc::UnboundedSender<DriverInput>,
@@ -59,12 +64,12 @@
     Watch {
         agent,
         version,
-        shared,
+        clients,
         backoff,
         freshness,
         inputs,
-        whole: false,
-        open: false,
+        full_list_needed: false,
+        list_received: false,
     }
     .run()
     .await;
@@ -73,56 +78,57 @@
 struct Watch {
     agent: Receiver<SocketAddr>,
     version: u64,
-    shared: Shared,
+    clients: DiscoveryClients,
     backoff: Backoff,
     freshness: Freshness,
     inputs: mpsc::UnboundedSender<DriverInput>,
-    /// Something could not be read: the next watch asks for the whole list, and takes of it what can be read.
-    whole: bool,
-    /// The last watch has told something.
-    open: bool,
+    /// True if the last watch received text that could not be parsed. The next watch then requests the full list and uses
+    /// those entries of it that can be parsed.
+    full_list_needed: bool,
+    /// True if the last watch has received a complete list or an empty line, which resets the backoff.
+    list_received: bool,
 }
 
 impl Watch {
     async fn run(mut self) {
-        // with a list to serve from, many that start at one moment do not all ask at that moment
+        // a sender that already knows a list can wait, so senders that start together spread their first calls
         if self.version > 0 {
-            sleep(self.backoff.start()).await;
+            sleep(self.backoff.start_delay()).await;
         }
-        let mut told = String::new();
+        let mut logged_error = String::new();
         loop {
-            self.open = false;
+            self.list_received = false;
             let address = *self.agent.borrow_and_update();
-            let mut moves = self.agent.clone();
-            let ended = tokio::select! {
-                ended = self.once(address) => ended,
-                Ok(()) = moves.changed() => {
+            let mut address_changes = self.agent.clone();
+            let result = tokio::select! {
+                result = self.watch_once(address) => result,
+                Ok(()) = address_changes.changed() => {
                     self.freshness.moved();
                     self.backoff.advance(false);
-                    told.clear();
+                    logged_error.clear();
                     continue;
                 }
             };
-            let Err(error) = ended else { return };
-            if self.open {
+            let Err(error) = result else { return };
+            if self.list_received {
                 self.backoff.advance(false);
-                told.clear();
+                logged_error.clear();
             }
             let text = error.to_string();
-            if text != told {
+            if text != logged_error {
                 super::log(format_args!("discovery: watch lost: {text}"));
-                told = text;
+                logged_error = text;
             }
-            // a process that starts has waited for its agent once
-            self.freshness.started();
-            if matches!(error, WatchError::Gap) {
+            // a starting process waits for one call to its agent before it sends by the known list
+            self.freshness.first_try_ended();
+            if matches!(error, WatchError::Unreadable) {
                 continue;
             }
             let delay = match error {
-                WatchError::Silent => self.backoff.after_silence(),
-                // it has taken its time already
+                WatchError::Silent => self.backoff.delay_after_silence(),
+                // connecting has already retried the local failure until the call's timeout
                 WatchError::Connect(error) if error.is_local() => RETRY_INTERVAL,
-                _ => self.backoff.spread(),
+                _ => self.backoff.next_delay(),
             };
             let moved = back_off_or_move(delay, &mut self.agent).await;
             if moved {
@@ -132,74 +138,88 @@
         }
     }
 
-    /// Ends well only when nobody takes the changes any more.
-    async fn once(&mut self, agent: SocketAddr) -> Result<(), WatchError> {
-        let whole = std::mem::take(&mut self.whole);
-        let from = if whole { 0 } else { self.version };
+    /// Runs one watch until it fails. Returns `Ok` only if the receiver of `inputs` has been dropped.
+    async fn watch_once(&mut self, agent: SocketAddr) -> Result<(), WatchError> {
+        let requests_full = std::mem::take(&mut self.full_list_needed);
+        let from = if requests_full { 0 } else { self.version };
         let path = format!("/v1/endpoints?watch=1&from={from}");
         let request = Request::get(path)
             .header(HOST, agent.to_string())
             .body(Empty::<Bytes>::new());
-        let began = Instant::now();
-        let response = call(agent, request.map_err(CallError::from)?, self.patience()).await;
+        let call_started = Instant::now();
+        let response = call(
+            agent,
+            request.map_err(CallError::from)?,
+            self.call_timeout(),
+        )
+        .await;
         let response = response.inspect_err(|error| match error {
-            // an agent of one's own that refuses is down, and learns nothing
-            CallError::Connect(_) if !self.shared.asked && error.is_rejection() => {
-                self.freshness.told()
+            // a local agent that refuses connections is down and receives no changes, so the known list is current
+            CallError::Connect(_) if !self.clients.is_common_service && error.is_rejection() => {
+                self.freshness.received()
             }
-            error if error.is_rejection() => self.freshness.refused(began),
-            _ => self.freshness.silent(began),
+            error if error.is_rejection() => self.freshness.unavailable(call_started),
+            _ => self.freshness.silent(call_started),
         })?;
         match response.status() {
             StatusCode::OK => {}
-            // so it ends calls while it is down
+            // discovery answers calls with 503 while it is down
             status @ StatusCode::SERVICE_UNAVAILABLE => {
-                self.freshness.refused(began);
+                self.freshness.unavailable(call_started);
                 return Err(WatchError::Status(status));
             }
             status => {
-                self.freshness.silent(began);
+                self.freshness.silent(call_started);
                 return Err(WatchError::Status(status));
             }
         }
         let mut body = response.into_body();
-        let (mut reading, mut last, mut settling) =
-            (Reading::default(), Instant::now(), !self.shared.asked);
+        let (mut reader, mut last_data_at, mut awaits_initial_list) = (
+            ListReader::default(),
+            Instant::now(),
+            !self.clients.is_common_service,
+        );
         loop {
-            let wait = if settling { SETTLE } else { SILENCE };
-            let frame = match timeout_at(last + wait, body.frame()).await {
+            let wait = if awaits_initial_list {
+                INITIAL_LIST_WAIT
+            } else {
+                SILENCE_TIMEOUT
+            };
+            let frame = match timeout_at(last_data_at + wait, body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                // so it ends watches when it goes down
+                // discovery ends its open watches when it goes down, so it counts as unavailable and not as silent
                 Ok(ended) => {
-                    self.freshness.refused(last);
+                    self.freshness.unavailable(last_data_at);
                     return Err(ended
                         .and_then(Result::err)
                         .map_or(WatchError::Ended, WatchError::Http));
                 }
-                Err(_) if settling => {
-                    settling = false;
-                    self.freshness.told();
+                Err(_) if awaits_initial_list => {
+                    awaits_initial_list = false;
+                    self.freshness.received();
                     continue;
                 }
                 Err(_) => {
-                    self.freshness.silent(last);
+                    self.freshness.silent(last_data_at);
                     return Err(WatchError::Silent);
                 }
             };
-            (last, settling) = (Instant::now(), false);
+            (last_data_at, awaits_initial_list) = (Instant::now(), false);
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            let read = reading.take(&data);
-            let told = reading.is_between() || !read.lists.is_empty();
-            let mut gap = read.unreadable.is_some();
+            let read = reader.read(&data);
+            let is_complete = reader.is_at_value_boundary() || !read.lists.is_empty();
+            let mut unreadable = read.unreadable.is_some();
             if let Some(text) = read.unreadable {
                 super::log(format_args!("discovery: text skipped: {text}"));
             }
             for update in read.lists {
                 let Some(update) = update else {
-                    gap = true;
-                    super::log(format_args!("discovery: text skipped: it is no list"));
+                    unreadable = true;
+                    super::log(format_args!(
+                        "discovery: text skipped: not an endpoint list"
+                    ));
                     continue;
                 };
                 self.version = update.version;
@@ -207,32 +227,34 @@
                     return Ok(());
                 }
             }
-            // what changed meanwhile was never read; a second time what can be read must do
-            if gap && !whole {
-                self.whole = true;
-                self.freshness.silent(last);
-                return Err(WatchError::Gap);
+            // the unparsed text may hold changes, so the full list is requested; if that can't be parsed completely
+            // either, its readable entries are used
+            if unreadable && !requests_full {
+                self.full_list_needed = true;
+                self.freshness.silent(last_data_at);
+                return Err(WatchError::Unreadable);
             }
-            if told {
-                self.open = true;
-                self.freshness.told();
+            if is_complete {
+                self.list_received = true;
+                self.freshness.received();
             }
         }
     }
 
-    /// How long a call may take: what was missed is to be here by the time that it counts as told.
-    fn patience(&self) -> Duration {
-        match self.freshness.counts() {
-            Some(counts) => counts
+    /// Returns the timeout of the next call. The call should end before the platform holds the sender to changes that it
+    /// has missed.
+    fn call_timeout(&self) -> Duration {
+        match self.freshness.binding_from() {
+            Some(binding_from) => binding_from
                 .saturating_duration_since(Instant::now())
-                .clamp(ANSWER, SILENCE),
-            None if self.freshness.is_starting() => ANSWER,
-            None => SILENCE,
+                .clamp(MIN_CALL_TIMEOUT, SILENCE_TIMEOUT),
+            None if self.freshness.is_starting() => MIN_CALL_TIMEOUT,
+            None => SILENCE_TIMEOUT,
         }
     }
 }
 
-/// Backs off before another try, shorter if the agent moves meanwhile, which it tells.
+/// Waits for `delay`, or until the agent's address changes. Returns true if the address changed.
 async fn back_off_or_move(delay: Duration, agent: &mut Receiver<SocketAddr>) -> bool {
     tokio::select! {
         () = sleep(delay) => false,
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -60,8 +60,8 @@
     /// and the guard of its request reports that.
     pub(super) fn receive_submission(&mut self, submission: Submission) {
         if let Some(message) = self.messages.open_message(&submission.id) {
-            if let Some(pending) = self.messages.get_mut(message) {
-                pending.clients += 1;
+            if let Some(held) = self.messages.get_mut(message) {
+                held.clients += 1;
             }
             self.clients.repeated.push(RepeatedSubmission {
                 message,
@@ -84,7 +84,7 @@
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
             resubmitted: submission.resubmitted,
-            orphan: submission.previous_sender_failed,
+            accepted_by_failed_sender: submission.previous_sender_failed,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
         let item = Item {
@@ -100,18 +100,18 @@
         self.clients.new.insert(message, new);
     }
 
-    /// Handles a client that disconnected before its response. The message is abandoned once no
-    /// client waits for it.
+    /// Handles a client that disconnected before its response. Abandons the message if every client
+    /// that submitted it has disconnected before its response.
     pub(super) fn client_disconnected(&mut self, client: &DepartedClient) {
         let DepartedClient { id } = client;
         let Some(message) = self.messages.open_message(id) else {
             return;
         };
-        let Some(pending) = self.messages.get_mut(message) else {
+        let Some(held) = self.messages.get_mut(message) else {
             return;
         };
-        pending.clients = pending.clients.saturating_sub(1);
-        if pending.clients == 0 {
+        held.clients = held.clients.saturating_sub(1);
+        if held.clients == 0 {
             message_log::log_event(id, &MessageEvent::ClientLeft);
             self.events.push(Event::MessageAbandoned(message));
             self.complete(message, EndProof::of_departed_client(client));
@@ -181,7 +181,7 @@
             key: submission.key.as_ref().map(header_text),
             class: class.name.clone(),
             destination: submission.destination,
-            accepted_at: new.received_at,
+            received_at: new.received_at,
             deadline: new.received_at + submission.time_limit,
             body: submission.body.to_vec(),
         };
--- a/src/net/process/reload.rs
+++ b/src/net/process/reload.rs
@@ -50,7 +50,7 @@
             let current_text = self.text.clone();
             let read = tokio::task::spawn_blocking(move || Config::reread(&current_text)).await;
             match read {
-                Ok(Err(error)) if error.is_of_this_machine() => {
+                Ok(Err(error)) if error.is_local() => {
                     self.log.log(format_args!(
                         "SIGHUP: configuration can't be read yet; retrying: {error}"
                     ));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -25,7 +25,7 @@
     let endpoint = Endpoint::new(|_, _| OK);
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.count() == 1);
     let call = endpoint.request(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
@@ -37,11 +37,11 @@
     assert_eq!(call.body, body);
     // a resubmission of the delivered message is answered 200, and the message is not sent again, even after a restart
     wait_until("the delivery is known", || {
-        node.hand_in("webhook", "m1", 7, 20_000, body) == 200
+        node.submit("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
     wait_until("the startup line", || node.logged("0 unfinished messages"));
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(endpoint.count_of("m1"), 1);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     deliver(&node, "m1", 7);
     std::thread::sleep(Duration::from_millis(400));
     deliver(&node, "m2", 7);
-    assert_eq!(endpoint.times("m2"), 2, "the message is retried");
+    assert_eq!(endpoint.count_of("m2"), 2, "the message is retried");
     assert_eq!(
         endpoint.request(1).connection,
         0,
@@ -176,13 +176,13 @@
         ("no request at all\r\n\r\n".to_string(), 400),
     ];
     for (text, expected) in cases {
-        assert_eq!(node.raw(text.as_bytes()).0, expected, "{text}");
+        assert_eq!(node.send_bytes(text.as_bytes()).0, expected, "{text}");
     }
     let chunks = format!("{:x}\r\n{}\r\n", 70_000, "y".repeat(70_000));
     let large = good
         .replace("Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nx", "\r\n\r\n");
-    assert_eq!(node.raw((large + &chunks).as_bytes()).0, 413);
+    assert_eq!(node.send_bytes((large + &chunks).as_bytes()).0, 413);
     // guards against request smuggling: a request with both Content-Length and Transfer-Encoding is rejected in either
     // order, and the request hidden behind its body is not processed
     let hidden = String::from_utf8(message("webhook", "hidden", 7, 9000, b"x")).expect("text");
@@ -192,14 +192,18 @@
         let text = good
             .replace("Content-Length: 1\r\n", lengths)
             .replace("\r\n\r\nx", "\r\n\r\n0\r\n\r\n");
-        assert_eq!(node.raw((text + &hidden).as_bytes()).0, 411, "{lengths}");
+        assert_eq!(
+            node.send_bytes((text + &hidden).as_bytes()).0,
+            411,
+            "{lengths}"
+        );
     }
     assert_eq!(
-        node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
+        node.submit("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
     wait_until("the message with the largest body is sent", || {
-        endpoint.times("most") == 1
+        endpoint.count_of("most") == 1
     });
     assert_eq!(endpoint.count(), 1);
 }
@@ -227,11 +231,11 @@
 fn resubmitted_pending_message_is_sent_once() {
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
-    wait_until("both calls are in flight", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
+    wait_until("both calls are in flight", || endpoint.count_of("m2") == 1);
+    assert_eq!(endpoint.count_of("m1"), 1);
 }
 
 #[test]
@@ -253,25 +257,27 @@
     let node = Node::new(&agent).ready();
     let charge = |node: &Node, subject: &str, id: &str, dest: u64| {
         assert_eq!(
-            node.raw(&message_with_subject(subject, "charge", id, dest, 20_000))
+            node.send_bytes(&message_with_subject(subject, "charge", id, dest, 20_000))
                 .0,
             202
         );
     };
     charge(&node, "a", "a1", 7);
-    wait_until("the first message is sent", || endpoint.times("a1") == 1);
+    wait_until("the first message is sent", || endpoint.count_of("a1") == 1);
     charge(&node, "a", "a2", 8);
     charge(&node, "b", "b1", 8);
     wait_until("a message of another subject is sent", || {
-        endpoint.times("b1") == 1
+        endpoint.count_of("b1") == 1
     });
     assert_eq!(
-        endpoint.times("a2"),
+        endpoint.count_of("a2"),
         0,
         "sent while the first message of its subject is in flight"
     );
     *gate.lock().expect("not poisoned") = true;
-    wait_until("the second message is sent", || endpoint.times("a2") == 1);
+    wait_until("the second message is sent", || {
+        endpoint.count_of("a2") == 1
+    });
     // two messages of a subject are pending when the process is killed; the first one has no endpoint, so the second
     // must not be sent either
     charge(&node, "c", "c1", 99);
@@ -279,15 +285,15 @@
     let node = node.restart().ready();
     charge(&node, "d", "d1", 8);
     wait_until("a message of another subject is sent", || {
-        endpoint.times("d1") == 1
+        endpoint.count_of("d1") == 1
     });
     assert_eq!(
-        endpoint.times("c2"),
+        endpoint.count_of("c2"),
         0,
         "sent while the first message of its subject is pending"
     );
     assert_eq!(
-        node.raw(&message_with_subject(
+        node.send_bytes(&message_with_subject(
             "e&subject=f",
             "charge",
             "e1",
@@ -303,7 +309,7 @@
 fn next_message_of_subject_waits_for_notification_of_previous_across_restart() {
     let endpoint = Endpoint::new(|request, _| {
         if request.ids()[0] == "a1" {
-            Reply::Answer("500 Oops", String::new())
+            Reply::Response("500 Oops", String::new())
         } else {
             OK
         }
@@ -312,34 +318,36 @@
     agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
     assert_eq!(
-        node.raw(&message_with_subject("a", "charge", "a1", 7, 20_000))
+        node.send_bytes(&message_with_subject("a", "charge", "a1", 7, 20_000))
             .0,
         202
     );
     assert_eq!(
-        node.raw(&message_with_subject("a", "charge", "a2", 7, 20_000))
+        node.send_bytes(&message_with_subject("a", "charge", "a2", 7, 20_000))
             .0,
         202
     );
     wait_until("the notification of the first message fails", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.count_of("a2"), 0);
     let node = node.restart().ready();
     wait_until("the notification fails again", || {
         node.logged("notices answered 500")
     });
     assert_eq!(
-        node.raw(&message_with_subject("b", "charge", "b1", 7, 20_000))
+        node.send_bytes(&message_with_subject("b", "charge", "b1", 7, 20_000))
             .0,
         202
     );
     wait_until("a message of another subject is sent", || {
-        endpoint.times("b1") == 1
+        endpoint.count_of("b1") == 1
     });
-    assert_eq!(endpoint.times("a2"), 0);
+    assert_eq!(endpoint.count_of("a2"), 0);
     agent.failing_posts.store(0, Ordering::SeqCst);
-    wait_until("the second message is sent", || endpoint.times("a2") == 1);
+    wait_until("the second message is sent", || {
+        endpoint.count_of("a2") == 1
+    });
     assert_eq!(agent.notices(), [failed("a1")]);
 }
 
@@ -359,7 +367,7 @@
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
     let hand_in = |tenant, id| {
         assert_eq!(
-            node.raw(&message_of_tenant(tenant, "order", id, 7, 20_000))
+            node.send_bytes(&message_of_tenant(tenant, "order", id, 7, 20_000))
                 .0,
             202
         )
@@ -379,9 +387,9 @@
     *gate.lock().expect("not poisoned") = true;
     wait_until(
         "both messages within their tenants' shares are sent",
-        || endpoint.times("inside") + endpoint.times("later") == 2,
+        || endpoint.count_of("inside") + endpoint.count_of("later") == 2,
     );
-    assert_eq!(endpoint.times("over1") + endpoint.times("over2"), 0);
+    assert_eq!(endpoint.count_of("over1") + endpoint.count_of("over2"), 0);
 }
 
 #[test]
@@ -417,11 +425,11 @@
     let ends: Vec<_> = ends.iter().collect();
     assert!(ends.iter().all(|(_, ended, _)| *ended), "{ends:?}");
     assert_eq!(ends[0], ("half body", true, true), "{ends:?}");
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("a complete message is delivered", || {
-        endpoint.times("m2") == 1
+        endpoint.count_of("m2") == 1
     });
-    assert_eq!(endpoint.times("m1"), 0);
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
@@ -462,28 +470,29 @@
     });
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("the message with a key is sent", || {
-        endpoint.times("keyed") > 0
+        endpoint.count_of("keyed") > 0
     });
-    let retried_or_notified =
-        |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
+    let retried_or_notified = |id: &str| {
+        endpoint.count_of(id) > 1 || agent.notices().iter().any(|line| line.contains(id))
+    };
     let is_complete = |id: &str| {
-        retried_or_notified(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200
+        retried_or_notified(id) || node.send_bytes(&message("webhook", id, 7, 1, b"x")).0 == 200
     };
     wait_until("the message with a key is retried or complete", || {
         is_complete("keyed")
     });
-    assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("order", "unsafe", 7, 3_000, b"x"), 202);
     wait_until("the non-idempotent message is sent", || {
-        endpoint.times("unsafe") > 0
+        endpoint.count_of("unsafe") > 0
     });
     wait_until("the non-idempotent message is retried or complete", || {
-        retried_or_notified("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
+        retried_or_notified("unsafe") || node.submit("order", "unsafe", 7, 1, b"x") == 200
     });
     (
-        endpoint.times("keyed"),
-        endpoint.times("unsafe"),
+        endpoint.count_of("keyed"),
+        endpoint.count_of("unsafe"),
         agent.notices(),
     )
 }
@@ -497,7 +506,7 @@
 fn message_answered_200_is_complete() {
     assert_eq!(sends_after_first_reply(OK), (1, 1, vec![]));
     assert_eq!(
-        sends_after_first_reply(Reply::AnswerAndClose("200 OK")),
+        sends_after_first_reply(Reply::ResponseAndClose("200 OK")),
         (1, 1, vec![])
     );
 }
@@ -505,11 +514,11 @@
 #[test]
 fn message_answered_with_error_is_retried_only_with_key() {
     assert_eq!(
-        sends_after_first_reply(Reply::Answer("500 Oops", String::new())),
+        sends_after_first_reply(Reply::Response("500 Oops", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
     assert_eq!(
-        sends_after_first_reply(Reply::Answer("418 Teapot", String::new())),
+        sends_after_first_reply(Reply::Response("418 Teapot", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -517,7 +526,7 @@
 #[test]
 fn message_with_malformed_answer_is_retried_only_with_key() {
     assert_eq!(
-        sends_after_first_reply(Reply::AnswerAndClose("nonsense\r\n\x01")),
+        sends_after_first_reply(Reply::ResponseAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -531,13 +540,13 @@
         "200 OK\r\nBad Name: x",
     ] {
         assert_eq!(
-            sends_after_first_reply(Reply::Answer(head, "a body".to_string())),
+            sends_after_first_reply(Reply::Response(head, "a body".to_string())),
             (1, 1, vec![]),
             "{head}"
         );
     }
     assert_eq!(
-        sends_after_first_reply(Reply::AnswerAndClose("2x0 OK")),
+        sends_after_first_reply(Reply::ResponseAndClose("2x0 OK")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -565,7 +574,7 @@
         "504 Spent",
     ] {
         assert_eq!(
-            sends_after_first_reply(Reply::Answer(head, String::new())),
+            sends_after_first_reply(Reply::Response(head, String::new())),
             (2, 2, vec![]),
             "{head}"
         );
@@ -574,14 +583,14 @@
 
 #[test]
 fn message_answered_410_ends_without_notification() {
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
+    let endpoint = Endpoint::new(|_, _| Reply::Response("410 Gone", String::new()));
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("the message is sent", || endpoint.count() == 1);
     // the first message's deadline passes before the later one's, so the later one's notification shows that none was
     // sent for the first
-    assert_eq!(node.hand_in("webhook", "m2", 99, 900, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 99, 900, b"x"), 202);
     wait_until("the notification of the later message", || {
         !agent.notices().is_empty()
     });
@@ -594,7 +603,7 @@
     let (address, _kept) = refusing_address();
     let agent = Agent::new(vec![list(&[("s-1", address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 700, b"x"), 202);
     wait_until("the notification", || !agent.notices().is_empty());
     // a non-idempotent message may be reported as returned only if the endpoint processed none of its calls
     assert!(
@@ -617,15 +626,15 @@
     let endpoint = Endpoint::new(move |_, number| {
         recorded.lock().expect("not poisoned").push(Instant::now());
         if number == 0 {
-            Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new())
+            Reply::Response("429 Later\r\nRetry-After: 1.2", String::new())
         } else {
             OK
         }
     });
     let node = Node::new(&agent_with_one_endpoint(&endpoint)).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message is sent", || endpoint.count() == 1);
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("both are delivered", || {
         received_at.lock().expect("not poisoned").len() == 3
     });
@@ -658,7 +667,7 @@
                 .and_then(|n| n.parse().ok())
                 .map_or("ok", |n: usize| results[n])
         };
-        Reply::Answer(
+        Reply::Response(
             "200 OK",
             ids.iter()
                 .map(|id| format!("{id} {}\r\n", word(id)))
@@ -669,13 +678,13 @@
     let node = Node::new(&agent).ready();
     for n in 0..2 {
         assert_eq!(
-            node.hand_in("order", &format!("first{n}"), 7, 20_000, b"x"),
+            node.submit("order", &format!("first{n}"), 7, 20_000, b"x"),
             202
         );
     }
     wait_until("the concurrency limit is reached", || endpoint.count() == 2);
     for n in 0..5 {
-        assert_eq!(node.hand_in("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
+        assert_eq!(node.submit("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
     *is_gate_closed.lock().expect("not poisoned") = false;
     wait_until("a bulk call", || {
@@ -685,10 +694,10 @@
         agent.notices().contains(&failed("b1"))
     });
     wait_until("messages that never ran are retried", || {
-        endpoint.times("b2") > 1 && endpoint.times("b4") > 1
+        endpoint.count_of("b2") > 1 && endpoint.count_of("b4") > 1
     });
     for id in ["b0", "b1", "b3"] {
-        assert_eq!(endpoint.times(id), 1, "{id}");
+        assert_eq!(endpoint.count_of(id), 1, "{id}");
     }
     assert!(
         !agent
@@ -711,17 +720,17 @@
     });
     let agent = agent_with_one_endpoint(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
-    assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
+    assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
     wait_until("both calls are in flight", || {
-        endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1
+        endpoint.count_of("sent") == 1 && endpoint.count_of("unsafe") == 1
     });
     assert_eq!(
-        node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
+        node.submit("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
     agent.failing_posts.store(usize::MAX, Ordering::SeqCst);
-    assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
+    assert_eq!(node.submit("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("the notification fails", || {
         node.logged("notices answered 500")
     });
@@ -736,11 +745,13 @@
     *agent.lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     wait_until("the startup line", || node.logged("4 unfinished messages"));
-    wait_until("the unsent message is sent", || other.times("unsent") == 1);
+    wait_until("the unsent message is sent", || {
+        other.count_of("unsent") == 1
+    });
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
     wait_until("the message with a key is retried", || {
-        endpoint.times("sent") >= 2
+        endpoint.count_of("sent") >= 2
     });
     wait_until(
         "the non-idempotent message and the pending notification are notified",
@@ -749,7 +760,7 @@
             notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
         },
     );
-    assert_eq!(endpoint.times("unsafe"), 1);
+    assert_eq!(endpoint.count_of("unsafe"), 1);
     assert_eq!(agent.notices().len(), 2, "{:?}", agent.notices());
 }
 
@@ -758,7 +769,7 @@
     let endpoint = Endpoint::new(|_, _| Reply::Silence);
     let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 3_000, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(3_100)); // until the deadline has passed
     assert!(agent.notices().is_empty());
@@ -774,7 +785,7 @@
     let agent = Agent::new(vec![list(&[("s-9", endpoint.address, "one", 5, "up")])]);
     let mut node = Node::new(&agent).ready();
     for id in ["m1", "m2"] {
-        assert_eq!(node.hand_in("webhook", id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
     node.kill();
     let sound = std::fs::read(node.journal()).expect("the journal");
@@ -793,9 +804,9 @@
         node.logged("1 unfinished messages") && node.logged("damaged")
     });
     wait_until("the message of the sound record is delivered", || {
-        endpoint.times("m2") == 1
+        endpoint.count_of("m2") == 1
     });
-    assert_eq!(endpoint.times("m1"), 0);
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
@@ -812,7 +823,7 @@
     };
     let mut statuses = Vec::new();
     for n in 0..10 {
-        statuses.push(node.hand_in("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
+        statuses.push(node.submit("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
         assert!(size() <= 300_000, "{}", size());
     }
     assert!(
@@ -821,7 +832,7 @@
     );
     // records of small complete messages are removed by compaction, so old messages never fill the journal
     for n in 0..400 {
-        let status = node.hand_in("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
+        let status = node.submit("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
@@ -843,15 +854,15 @@
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
-        full |= node.hand_in("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
+        full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
     assert!(full);
     wait_until(
         "a new message is accepted once the pending ones have ended",
-        || node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202,
+        || node.submit("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202,
     );
     wait_until("the new message is delivered", || {
-        endpoint.times("after") == 1
+        endpoint.count_of("after") == 1
     });
 }
 
@@ -877,13 +888,15 @@
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
     assert_eq!(
-        node.hand_in("webhook", "m3", 7, 20_000, b"x"),
+        node.submit("webhook", "m3", 7, 20_000, b"x"),
         202,
         "new connections are accepted for a while"
     );
-    assert_eq!(node.get_ready(), 503);
+    assert_eq!(node.readiness_status(), 503);
     wait_until("all are delivered", || {
-        ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1)
+        ["m1", "m2", "m3"]
+            .iter()
+            .all(|id| endpoint.count_of(id) == 1)
     });
     let status = node.process.wait().expect("the process ends");
     assert!(
@@ -903,13 +916,13 @@
     node.terminate();
     wait_until("draining", || node.logged("draining"));
     std::thread::sleep(Duration::from_millis(2450)); // into the last second, reserved for calls of unknown latency
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
     assert!(node.process.wait().expect("the process ends").success());
     assert_eq!(endpoint.count(), 0);
     let _node = node.restart();
     wait_until("the restarted sender delivers the message", || {
-        endpoint.times("m1") == 1
+        endpoint.count_of("m1") == 1
     });
 }
 
@@ -929,8 +942,8 @@
     });
     for n in 0..6 {
         let id = format!("m{n}");
-        assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || new.times(&id) + old.times(&id) > 0);
+        assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
+        wait_until("delivered", || new.count_of(&id) + old.count_of(&id) > 0);
     }
     assert!(
         new.count() >= 5,
@@ -949,11 +962,11 @@
     });
     let began = Instant::now();
     assert_eq!(
-        node.get_ready(),
+        node.readiness_status(),
         503,
         "the sender is not ready without an endpoint list"
     );
-    assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
+    assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
     *agent.lines.lock().expect("not poisoned") =
         vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
@@ -964,8 +977,8 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
+    wait_until("delivered", || endpoint.count_of("m1") == 1);
 }
 
 #[test]
@@ -980,12 +993,12 @@
     wait_until("a watch is open at the new address", || {
         after.watches.load(Ordering::SeqCst) > 0
     });
-    assert_eq!(node.hand_in("webhook", "m1", 8, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 8, 20_000, b"x"), 202);
     wait_until(
         "the message is delivered to the endpoint of the new list",
-        || new.times("m1") == 1,
+        || new.count_of("m1") == 1,
     );
-    assert_eq!(node.hand_in("webhook", "m2", 9, 100, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 9, 100, b"x"), 202);
     wait_until("the notification is sent to the new address", || {
         after.notices().iter().any(|line| line.contains("m2"))
     });
@@ -996,21 +1009,21 @@
     wait_until("the rejected configuration is logged", || {
         node.logged("configuration left as it was")
     });
-    assert_eq!(node.hand_in("webhook", "m3", 8, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m3", 8, 20_000, b"x"), 202);
     wait_until(
         "the message is delivered by the previous configuration",
-        || new.times("m3") == 1,
+        || new.count_of("m3") == 1,
     );
 }
 
 #[test]
 fn closed_log_pipe_does_not_end_sender() {
     // guards against eprintln!, which panics when its pipe is closed
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
+    let endpoint = Endpoint::new(|_, _| Reply::Response("418 Teapot", String::new()));
     let agent = agent_with_one_endpoint(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.close_log();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("the notification", || {
         agent.notices().contains(&failed("m1"))
     });
@@ -1029,11 +1042,11 @@
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("the message of the other client is delivered", || {
-        endpoint.times("m2") == 1
+        endpoint.count_of("m2") == 1
     });
-    assert_eq!(endpoint.times("m1"), 0);
+    assert_eq!(endpoint.count_of("m1"), 0);
 }
 
 #[test]
