--- a/src/net/calls/tests.rs
+++ b/src/net/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of calls whose connection is cut at any byte, and of abandoned calls.
+//! Tests of calls whose connection the endpoint closes after any number of bytes, and of abandoned calls.
 
 use super::super::pool::limits;
 use super::answer::{ANSWER_REMAINDER_TIMEOUT, AttemptResult, CallResults};
@@ -14,19 +14,20 @@
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Returns a context whose pool dials `streams` in turn, and a call of one message to its only endpoint.
+/// Returns a context whose pool uses `streams` one after another as the connections that it dials, and a call of one
+/// message to its only endpoint.
 fn context_and_call(streams: Vec<DuplexStream>) -> (Rc<CallContext>, Call) {
     let settings = Settings {
         connection_idle_timeout: 60 * SECOND,
         ..Settings::new(8, 100)
     };
     let limits = limits(&PoolSettings::default(), 100, &settings);
-    let connections = ConnectionPool::ready(streams, limits);
+    let connections = ConnectionPool::with_prepared_streams(streams, limits);
     let target = EndpointAddress {
         address: ([127, 0, 0, 1], 9).into(),
         endpoint: EndpointId(0),
     };
-    connections.set_serving(target, true);
+    connections.set_endpoint_enabled(target, true);
     let calls = Calls::new(mpsc::unbounded_channel().0, connections);
     let id = HeaderValue::from_static("m1");
     let items = vec![Item {
@@ -47,7 +48,8 @@
     )
 }
 
-/// Reads up to `max_bytes`, one at a time, so that the other side has written at most one byte more.
+/// Reads until `max_bytes` or the whole request have been read, or the stream ends. The bytes are read one by one from
+/// a stream that buffers a single byte, so the other side has written at most one byte more than was read.
 async fn read_bytes(stream: &mut DuplexStream, max_bytes: usize) -> Vec<u8> {
     let mut bytes = Vec::new();
     while bytes.len() < max_bytes && !bytes.ends_with(b"\r\n\r\nbody") {
@@ -60,9 +62,14 @@
 }
 
 /// Makes a call whose endpoint reads at most `request_bytes` of the request, writes `answer` and closes the connection.
-/// The connection is new, or has carried a call before if `reused` is set. Returns the outcome and the bytes that were
-/// received over this connection and over a spare one, which a further dial would use.
-fn cut(reused: bool, request_bytes: usize, answer: &[u8]) -> (Outcome, Vec<u8>, Vec<u8>) {
+/// The connection is new, or has carried a call before if `reused` is set. Returns the outcome of the call, the bytes
+/// of its request that were received over this connection, and the bytes received over a spare connection, which a
+/// further dial would use.
+fn call_on_cut_connection(
+    reused: bool,
+    request_bytes: usize,
+    answer: &[u8],
+) -> (Outcome, Vec<u8>, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -98,9 +105,10 @@
                     proof: Some(_)
                 })
             ));
-            // let the pool read the remainder of the first answer and take the connection back
+            // wait until the remainder of the first answer has been read and the connection is back in the pool
             tokio::time::sleep(Duration::from_millis(1)).await;
-            call.expires += Duration::from_millis(1); // the request states the time left, so both requests are equal
+            // the request states the remaining time, so the wait is added to make both requests equal
+            call.expires += Duration::from_millis(1);
         }
         let CallResults::Same(AttemptResult { outcome, .. }) =
             exchange(&context, &call, &close_reason, &CallProgress::default())
@@ -126,30 +134,39 @@
 }
 
 #[test]
-fn call_cut_at_any_byte_ends_by_bytes_exchanged_and_uses_one_connection() {
-    let (_, whole, _) = cut(false, usize::MAX, ANSWER);
-    assert!(whole.starts_with(b"POST /inbox HTTP/1.1\r\n") && whole.ends_with(b"body"));
+fn call_on_connection_cut_at_any_byte_ends_by_bytes_exchanged_and_uses_no_other_connection() {
+    let (_, whole_request, _) = call_on_cut_connection(false, usize::MAX, ANSWER);
+    assert!(
+        whole_request.starts_with(b"POST /inbox HTTP/1.1\r\n") && whole_request.ends_with(b"body")
+    );
     for reused in [false, true] {
-        for length in 1..=whole.len() {
-            let (outcome, seen, spare) = cut(reused, length, b"");
+        for length in 1..=whole_request.len() {
+            let (outcome, seen, spare) = call_on_cut_connection(reused, length, b"");
             assert_eq!(
                 (seen, spare),
-                (whole[..length].to_vec(), vec![]),
+                (whole_request[..length].to_vec(), vec![]),
                 "reused {reused}, {length}"
             );
-            // an endpoint that read less than the whole request cannot have run it; the sender has written at most one
-            // byte more than was read
+            // the call may end as `NoConnection` (certainly not processed) only if the endpoint read less than the
+            // whole request. It may end as `Reset` (possibly processed) only if the whole request was written; since
+            // the sender has written at most one byte more than was read, all but the last byte must have been read
             match outcome {
-                Outcome::NoConnection => assert!(length < whole.len(), "reused {reused}, {length}"),
-                Outcome::Reset => assert!(length + 1 >= whole.len(), "reused {reused}, {length}"),
+                Outcome::NoConnection => {
+                    assert!(length < whole_request.len(), "reused {reused}, {length}")
+                }
+                Outcome::Reset => assert!(
+                    length + 1 >= whole_request.len(),
+                    "reused {reused}, {length}"
+                ),
                 other => panic!("reused {reused}, {length}: {other:?}"),
             }
         }
         for length in 0..=ANSWER.len() {
-            let (outcome, seen, spare) = cut(reused, usize::MAX, &ANSWER[..length]);
+            let (outcome, seen, spare) =
+                call_on_cut_connection(reused, usize::MAX, &ANSWER[..length]);
             assert_eq!(
                 (seen, spare),
-                (whole.clone(), vec![]),
+                (whole_request.clone(), vec![]),
                 "reused {reused}, answer {length}"
             );
             let is_line_complete = length >= b"HTTP/1.1 200 OK\r\n".len();
@@ -208,10 +225,10 @@
 fn call_on_idle_connection_closed_before_first_byte_uses_another() {
     // no byte of the call was written, so another connection cannot deliver it twice; a new connection that closes the
     // same way ends the call without a further dial
-    let (outcome, seen, spare) = cut(true, 0, b"");
+    let (outcome, seen, spare) = call_on_cut_connection(true, 0, b"");
     assert_eq!((outcome, seen.len()), (Outcome::Success, 0));
     assert!(spare.ends_with(b"body"));
-    let (outcome, seen, spare) = cut(false, 0, b"");
+    let (outcome, seen, spare) = call_on_cut_connection(false, 0, b"");
     assert_eq!(
         (outcome, seen.len(), spare.len()),
         (Outcome::NoConnection, 0, 0)
@@ -245,7 +262,7 @@
                 address,
                 endpoint: EndpointId(0),
             };
-            connections.set_serving(target, true);
+            connections.set_endpoint_enabled(target, true);
             let (inputs, mut driver_inputs) = mpsc::unbounded_channel();
             let calls = Calls::new(inputs, connections);
             let id = HeaderValue::from_static("m1");
--- a/src/net/driver/endpoint_list.rs
+++ b/src/net/driver/endpoint_list.rs
@@ -111,7 +111,9 @@
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             if let Some(address) = record.address.filter(|&old| old != listed.address) {
                 let old_address = EndpointAddress { address, endpoint };
-                self.calls.connections().set_serving(old_address, false);
+                self.calls
+                    .connections()
+                    .set_endpoint_enabled(old_address, false);
             }
             record.address = Some(listed.address);
             record.listed = listed.status != EndpointStatus::Removed;
@@ -155,7 +157,7 @@
             let endpoint_address = EndpointAddress { address, endpoint };
             self.calls
                 .connections()
-                .set_serving(endpoint_address, serving);
+                .set_endpoint_enabled(endpoint_address, serving);
         }
     }
 
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -188,7 +188,7 @@
             time_limit: forwarded.time_limit,
             received_at: self.clock.instant(forwarded.received_at),
             resubmitted: forwarded.resubmitted,
-            orphan: forwarded.orphan,
+            previous_sender_failed: forwarded.previous_sender_failed,
             body: forwarded.body.into(),
             reply,
         })
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -30,7 +30,7 @@
 /// Inputs of a new pool that no settings reload can change.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolResources {
-    /// Number of file descriptors that the process may hold open.
+    /// Number of file descriptors that the process may hold open for all purposes. Bounds the number of connections.
     pub descriptors: usize,
     /// Seed of the random delays before dials are retried and before connections are dialled ahead of demand.
     pub seed: u64,
@@ -57,12 +57,15 @@
 
     /// Creates a pool whose dials return `streams` one after another instead of TCP connections.
     #[cfg(test)]
-    pub fn ready(streams: Vec<tokio::io::DuplexStream>, limits: PoolLimits) -> Self {
+    pub fn with_prepared_streams(
+        streams: Vec<tokio::io::DuplexStream>,
+        limits: PoolLimits,
+    ) -> Self {
         let resources = PoolResources {
             descriptors: 100,
             seed: 1,
         };
-        let connector = Connector::ready(streams);
+        let connector = Connector::prepared(streams);
         let state = PoolState::new(connector, limits, message_sender::SECOND, resources);
         ConnectionPool(Rc::new(state))
     }
@@ -74,12 +77,12 @@
         self.0.set_limits(limits);
     }
 
-    /// Opens the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
+    /// Enables the endpoint for calls, or retires it: its idle connections are closed and no new one is dialled. Calls
     /// whose dial is in flight may still get their connection.
-    pub fn set_serving(&self, target: EndpointAddress, is_serving: bool) {
+    pub fn set_endpoint_enabled(&self, target: EndpointAddress, is_enabled: bool) {
         let now = self.0.now();
         self.0.update(|pool, commands| {
-            if is_serving {
+            if is_enabled {
                 pool.enable_endpoint(now, target);
             } else {
                 pool.retire_endpoint(target, commands);
@@ -87,7 +90,7 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint, which stays open for calls over new connections.
+    /// Closes the idle connections to an endpoint. The endpoint stays enabled for calls over new connections.
     pub fn close_idle(&self, target: EndpointAddress) {
         self.0
             .update(|pool, commands| pool.close_idle(target, commands));
@@ -153,11 +156,12 @@
         deadline: Instant,
     ) -> Result<ConnectionLease, LeaseError> {
         let mut wait = self.0.begin_wait(target);
-        // an answer that is ready counts even after the deadline
+        // check for an answer first: a call that comes here after its deadline may still get a connection that the pool
+        // can lease at once
         let answer = match wait.receiver.try_recv() {
             Ok(answer) => answer,
             Err(_) => match timeout_at(deadline, &mut wait.receiver).await {
-                Ok(answer) => answer.map_err(|_| LeaseError::PoolEnded)?,
+                Ok(answer) => answer.map_err(|_| LeaseError::NoAnswer)?,
                 Err(_) if self.0.failed_locally_since(asked_at) => {
                     let failure = LeaseDenied::Dial(DialFailure::Local);
                     return Err(LeaseError::Denied(failure));
--- a/src/net/pool/connector.rs
+++ b/src/net/pool/connector.rs
@@ -1,4 +1,4 @@
-//! Dials connections: TCP first, then the HTTP/1 client on top.
+//! Dials endpoints: establishes the TCP connection and sets up hyper's HTTP/1 client on it.
 
 use super::traffic::{ImmediateRead, Traffic, TrafficStream};
 use crate::net::events::MAX_BODY_BYTES;
@@ -18,14 +18,14 @@
 pub struct Connection {
     /// Hyper's handle that sends requests over the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Byte counts of the connection, and the means to abandon its call.
+    /// Tracks the bytes written and received, and abandons a call without losing an answer that has already arrived.
     pub traffic: Arc<Traffic>,
 }
 
 /// New connection, with the hyper future that must be polled until the connection closes.
 pub(super) struct NewConnection {
     pub(super) connection: Connection,
-    pub(super) driver: Pin<Box<dyn Future<Output = ()>>>,
+    pub(super) connection_task: Pin<Box<dyn Future<Output = ()>>>,
 }
 
 /// Source of new connections: real dials, or prepared streams in tests.
@@ -33,13 +33,13 @@
     Tcp,
     /// Prepared streams, one for each dial; further dials fail as refused.
     #[cfg(test)]
-    Ready(std::cell::RefCell<std::collections::VecDeque<tokio::io::DuplexStream>>),
+    Prepared(std::cell::RefCell<std::collections::VecDeque<tokio::io::DuplexStream>>),
 }
 
 impl Connector {
     #[cfg(test)]
-    pub(super) fn ready(streams: Vec<tokio::io::DuplexStream>) -> Self {
-        Connector::Ready(std::cell::RefCell::new(streams.into()))
+    pub(super) fn prepared(streams: Vec<tokio::io::DuplexStream>) -> Self {
+        Connector::Prepared(std::cell::RefCell::new(streams.into()))
     }
 
     /// Dials `address` and completes the HTTP handshake.
@@ -51,7 +51,7 @@
         let connected = match self {
             Connector::Tcp => handshake(Stream::connect(address, timeout).await?).await,
             #[cfg(test)]
-            Connector::Ready(streams) => {
+            Connector::Prepared(streams) => {
                 let stream = streams.borrow_mut().pop_front();
                 let refused = || ConnectError::Peer(io::ErrorKind::ConnectionRefused.into());
                 handshake(stream.ok_or_else(refused)?).await
@@ -78,6 +78,6 @@
     Ok(NewConnection {
         connection: Connection { sender, traffic },
         // an error of the connection is also returned to the call on it, so it is dropped here
-        driver: Box::pin(async move { drop(connection.await) }),
+        connection_task: Box::pin(async move { drop(connection.await) }),
     })
 }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -9,13 +9,14 @@
 /// Default maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 16;
 /// Upper bound of the default maximum number of idle connections in total; enough for one to each of 1,024 endpoints.
-/// A process with few file descriptors gets a lower default.
+/// The default is a third of the file descriptors that the process may hold open, if that is less.
 const MAX_IDLE: usize = 1024;
-/// Time after which endpoints are assumed to close an idle connection if the settings give no time.
+/// Time after which endpoints are assumed to close an idle connection if the settings do not state their idle timeout.
 const DEFAULT_ENDPOINT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns the pool's limits. A limit that is missing in the settings is derived from `descriptors`, the number of file
-/// descriptors that the process may hold.
+/// Returns the pool's limits. `descriptors` is the number of file descriptors that the process may hold open for all
+/// purposes. The total number of connections is at most half of them, and the limits on connections per endpoint, on
+/// concurrent dials and on idle connections in total are derived from them where the settings give none.
 pub fn limits(pool: &PoolSettings, descriptors: usize, settings: &Settings) -> PoolLimits {
     let endpoint_timeout = if settings.connection_idle_timeout > 0 {
         duration(settings.connection_idle_timeout)
@@ -25,16 +26,18 @@
     // close idle connections before the endpoint does, so that no request is written to a closing connection
     let idle_timeout = (endpoint_timeout * 9 / 10)
         .min(endpoint_timeout.saturating_sub(Duration::from_millis(300)));
-    // a reloaded configuration may name more descriptors than the process started with; they do not raise the limit
+    // a reload may raise `pool.all` together with the descriptor limit, but the process keeps the descriptor limit of
+    // its start
     let max_total = max_pool_connections(descriptors);
     let total = pool.all.unwrap_or(max_total).min(max_total);
-    let cap = |set: Option<usize>, usual: usize| set.unwrap_or(usual).min(total);
+    let limit_or_default =
+        |setting: Option<usize>, default: usize| setting.unwrap_or(default).min(total);
     PoolLimits {
-        per_endpoint: cap(pool.per_endpoint, total),
-        concurrent_dials: cap(pool.dials, total),
+        per_endpoint: limit_or_default(pool.per_endpoint, total),
+        concurrent_dials: limit_or_default(pool.dials, total),
         total,
-        idle: cap(pool.idle, (descriptors / 3).clamp(1, MAX_IDLE)),
-        idle_per_endpoint: cap(pool.idle_per_endpoint, MAX_IDLE_PER_ENDPOINT),
+        idle: limit_or_default(pool.idle, (descriptors / 3).clamp(1, MAX_IDLE)),
+        idle_per_endpoint: limit_or_default(pool.idle_per_endpoint, MAX_IDLE_PER_ENDPOINT),
         idle_timeout: micros(idle_timeout),
         demand_half_life: (pool.decay_s * 1e6) as Micros,
         learn_caps: pool.learn_caps,
