--- a/src/decisions/concurrency_limit.rs
+++ b/src/decisions/concurrency_limit.rs
@@ -14,8 +14,9 @@
 /// Share of the call slots that all ejected and lagging routes together may hold. Higher serves
 /// those routes faster; lower leaves more slots to the others.
 const UNHEALTHY_SHARE: f64 = 0.5;
-/// Factor on the concurrency limit when a call shows congestion. Lower drains queues sooner and
-/// costs more throughput.
+/// Factor on the concurrency limit after a rejection or a failure. An error answer lowers the limit
+/// only if no call has succeeded since an earlier failure or decrease of the rate limit. Lower
+/// drains a queue at the destination sooner; higher keeps more throughput.
 const DECREASE_FACTOR: f64 = 0.7;
 
 /// Returns the concurrency limit of a new route.
--- a/src/decisions/demand.rs
+++ b/src/decisions/demand.rs
@@ -1,5 +1,5 @@
-//! The part of a sender's state that the host reads: attempts in flight, and the demand for quotas.
-//! Nothing is decided here.
+//! The part of a sender's state that the driver reads: attempts in flight, and the demand for
+//! quotas. Nothing is decided here.
 
 use super::Sender;
 use super::state::{Health, PendingMessage, Route, RouteId};
@@ -18,8 +18,8 @@
 }
 
 impl Sender {
-    /// Returns the number of attempts that have started and have no outcome yet. The host must have
-    /// the same number in flight.
+    /// Returns the number of attempts that have started and have no outcome yet. The driver must
+    /// have the same number in flight.
     pub fn attempts_in_flight(&self) -> usize {
         self.calls.values().map(|call| call.pending).sum()
     }
--- a/src/decisions/dispatch.rs
+++ b/src/decisions/dispatch.rs
@@ -15,7 +15,8 @@
 struct AttemptTimes {
     /// Time at which the attempt times out.
     expires: Micros,
-    /// Time by which the host must have started the attempt; `None` if it may start at any time.
+    /// Time by which the driver must have started the attempt; `None` if it may start at any
+    /// time.
     start_by: Option<Micros>,
 }
 
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -87,7 +87,9 @@
         if let Some(endpoint) = disabled {
             endpoint.disabled = false;
             endpoint.warm_up = Some(WarmUp::new(self.now));
-            endpoint.classes.clear(); // the endpoint may have been restarted meanwhile
+            // the outcomes from before the endpoint was disabled no longer count: it may have been
+            // restarted since
+            endpoint.classes.clear();
         }
         actions.push(Action::Disconnect(id));
         self.forget_unused();
--- a/src/decisions/expiry.rs
+++ b/src/decisions/expiry.rs
@@ -9,10 +9,10 @@
 /// that a last answer can still arrive, or this close to the end of the window of an idempotency
 /// key.
 pub const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
-/// Share of the maximum number of pending messages above which messages are rejected whose
-/// destination has no available endpoint on a healthy route with a trusted failure score. Higher
-/// keeps more messages for a destination that recovers; lower leaves more capacity to the other
-/// destinations.
+/// Share of the maximum number of pending messages. While more are pending, messages may be
+/// rejected whose destination has no available endpoint, or only endpoints whose route is ejected,
+/// is recovering or has had many recent failures. Higher keeps more messages for a destination that
+/// recovers; lower leaves more capacity to the other destinations.
 const SHEDDING_SHARE: f64 = 0.85;
 
 /// A pending message that may be rejected to make room for others.
--- a/src/decisions/key_ordering.rs
+++ b/src/decisions/key_ordering.rs
@@ -58,7 +58,8 @@
     }
 
     /// Makes all keys back off after a restart: the earlier process may have ended just now, and
-    /// destinations may still be processing calls that it cancelled.
+    /// destinations may still be processing calls that it cancelled, or that timed out or were
+    /// reset.
     pub(super) fn back_off_all_keys(&mut self) {
         self.key_backoff_until = self.now + self.settings.safety.key_backoff;
     }
--- a/src/decisions/outcomes.rs
+++ b/src/decisions/outcomes.rs
@@ -6,7 +6,7 @@
 use super::state::{Attempt, RouteId};
 use crate::interface::{Action, EndpointId, MessageId, Micros, Outcome};
 
-/// End of an attempt, as the host reports it.
+/// End of an attempt, as the driver reports it.
 pub(super) struct AttemptResult<'a> {
     pub message: MessageId,
     /// Position of the attempt among the attempts of the message.
@@ -200,9 +200,11 @@
                 known_rate: route.known_rate(now, contention),
                 success_rate: success_rate * (1.0 - contention),
                 senders,
-                // contention makes a decrease smaller and adds a pause. With a Retry-After delay the
-                // decrease is a full one without that pause: this sender sends nothing on the route
-                // until the delay ends, when the destination should have room again.
+                // contention is the estimated fraction of the fleet that has not noticed the limit
+                // yet. It makes the decrease smaller and adds a pause, while calls of those senders
+                // use up the limit. With a Retry-After delay neither applies: this sender sends
+                // nothing on the route until the delay ends, so it needs no other pause, and the
+                // rate is decreased in full.
                 contention: if retry_after.is_some() {
                     0.0
                 } else {
--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -10,15 +10,17 @@
 /// has answered nothing since the attempt was sent. While call slots are scarce, one response limit
 /// is enough. Lower frees slots sooner; higher waits for late answers.
 const EJECTED_RESPONSE_LIMITS: i64 = 2;
-/// Factor on the number of response limits after which an attempt is cancelled because its
-/// message's class has had no success at the endpoint since the attempt was sent, although the
-/// route is not ejected or has answered other calls since then.
+/// Factor on the wait before an attempt is cancelled because its message's class has had no success
+/// at the endpoint since the attempt was sent, on a route that is not ejected or has answered since
+/// then. Such an attempt waits this factor times as long as one on an ejected route that has
+/// answered nothing.
 const SILENT_CLASS_FACTOR: i64 = 2;
 /// Number of response limits after which an attempt counts as lost even if its route answers. Lower
 /// frees slots sooner; higher waits for late answers.
 const LOST_RESPONSE_LIMITS: i64 = 3;
-/// Share of the call slots in use from which on attempts of non-idempotent messages are cancelled
-/// too. Lower abandons more attempts; higher frees fewer slots.
+/// Share of the call slots: while at least this share is in use, call slots count as scarce.
+/// Attempts that are presumed lost are then cancelled sooner, and those of non-idempotent messages
+/// are cancelled too. Lower abandons more attempts; higher frees fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
 
 /// How scarce free call slots are.
--- a/src/decisions/outlier_detection/unresponsive.rs
+++ b/src/decisions/outlier_detection/unresponsive.rs
@@ -25,8 +25,9 @@
 
 impl Sender {
     /// Ejects healthy routes that leave calls unanswered: several calls for longer than the
-    /// response limit, or a single call for twice that long. Calls that were opened for a hedge,
-    /// and calls since whose start the route has answered anything, do not count as unanswered.
+    /// response limit, or a single such call if the oldest unanswered call, which may be one opened
+    /// for a hedge, is older than twice the limit. Otherwise calls opened for a hedge do not count,
+    /// and calls since whose start the route has answered anything never do.
     /// Protects call slots against hung, vanished or very slow destinations that would fill the
     /// slots of healthy ones. A single call gets twice the time because the only traffic of a
     /// healthy route may be one long call.
--- a/src/decisions/priority.rs
+++ b/src/decisions/priority.rs
@@ -7,8 +7,9 @@
 /// Fraction of the latency objective up to which a message becomes more urgent with age. Higher
 /// serves more messages just in time; lower leaves more time for a retry.
 const RISING_FRACTION: f64 = 0.9;
-/// Factor on the remaining priority weight of a message that is too old to become more urgent:
-/// messages that can still meet their latency objective are sent first.
+/// Factor on the remaining priority weight of a message older than `RISING_FRACTION` of its latency
+/// objective. It is below 1, so that of messages of equal weight those are sent first that can more
+/// likely meet their latency objective.
 const LATE_FACTOR: f64 = 0.8;
 
 impl Sender {
--- a/src/decisions/rate_limit.rs
+++ b/src/decisions/rate_limit.rs
@@ -208,10 +208,11 @@
         self.best_rate = self.best_rate.max(counted);
     }
 
-    /// Lowers the rate limit after a rejection, or after a failure when no call has succeeded since
-    /// the last decrease. Where the destination reports a limit, the result is at most the fair
-    /// share of that limit or half of the previous rate, whichever is higher: the other senders may
-    /// need the rest.
+    /// Lowers the rate limit after a rejection, or after a failure on a seldom called route when no
+    /// call has succeeded since the last decrease or failure. Where the destination reports a
+    /// limit, the result is at most this sender's fair share or half of the previous rate,
+    /// whichever is higher: the other senders may need the rest. The minimum rates are applied
+    /// last, so the result is never below them.
     pub(super) fn decrease_rate_limit(&mut self, decrease: &RateDecrease) {
         let contention = decrease.contention;
         let full_factor = if self.succeeded {
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -12,7 +12,7 @@
     /// Sets the time from which the message may be tried again, after an attempt that ended with
     /// `outcome`.
     pub(super) fn back_off(&mut self, outcome: Outcome, now: Micros) {
-        // a message that the host could not send backs off too, unless only a call slot was
+        // a message that the driver could not send backs off too, unless only a call slot was
         // missing; otherwise a lasting local fault would use up all attempts at once
         if matches!(
             outcome,
--- a/src/decisions/routing.rs
+++ b/src/decisions/routing.rs
@@ -177,8 +177,9 @@
     }
 
     /// Returns true if the limits, the tokens and the health of the route make the call advisable.
-    /// If they do not and the bucket lacks a token, may schedule a turn for the time at which it
-    /// holds one.
+    /// If they do not and the route's token bucket lacks a token, schedules a turn for the time at
+    /// which the bucket holds one, unless the call is forbidden already because of the route's
+    /// health or because the route is lagging.
     fn is_advisable(&mut self, id: RouteId, call: ProposedCall) -> bool {
         let now = self.now;
         let senders = f64::from(self.fleet_size);
--- a/src/decisions/state/pending_message.rs
+++ b/src/decisions/state/pending_message.rs
@@ -22,7 +22,7 @@
     pub may_have_run: bool,
     /// True if a later attempt of the message started while this one was in flight, or may have.
     pub overlapped: bool,
-    /// True once the host was asked to cancel the attempt because it seemed lost.
+    /// True once the driver was asked to cancel the attempt because it seemed lost.
     pub cancelled: bool,
 }
 
@@ -67,8 +67,9 @@
     pub max_attempts: usize,
     /// True while the message has no outcome.
     pub open: bool,
-    /// True if the message has an outcome of which the client has not been notified. Until then the
-    /// message keeps its place in the queue of its key.
+    /// True while the client must still be notified of the outcome of the message; never set for
+    /// outcomes that need no notification. While it is true, the message keeps its place in the
+    /// queue of its key.
     pub notification_pending: bool,
     pub attempts: Vec<Attempt>,
     /// Earliest time of the next attempt while none is in flight.
--- a/src/decisions/state/route.rs
+++ b/src/decisions/state/route.rs
@@ -70,7 +70,8 @@
     pub latencies: Samples,
     /// Hedge delay in microseconds that follows from the latencies of successful calls.
     pub learned_hedge_delay: Option<Micros>,
-    /// Moving average of the latencies of successful calls over a long time, in microseconds.
+    /// Moving average of the latencies of many successful calls, in microseconds: each call changes
+    /// it by one 50th of the difference.
     pub usual_latency: Option<Micros>,
     /// Weighted average of recent outcomes: 0 if all calls succeed, 1 if all fail.
     pub failure_score: f64,
@@ -87,8 +88,9 @@
     /// hedge, and since whose start the route has not answered any call. Observed again in each
     /// turn.
     pub unanswered: usize,
-    /// Age in microseconds of the oldest call in flight since whose start the destination has not
-    /// answered any call. Observed again in each turn.
+    /// Age in microseconds of the oldest call in flight that began after the last answer on the
+    /// route; calls opened for a hedge count too. 0 if there is no such call. Observed again in
+    /// each turn.
     pub oldest_unanswered: Micros,
     /// True if a call has been in flight far longer than the usual latency. Observed again in each
     /// turn.
