--- a/src/decisions/outlier_detection/lost_attempts.rs
+++ b/src/decisions/outlier_detection/lost_attempts.rs
@@ -13,7 +13,7 @@
 /// Factor on the wait before an attempt is cancelled because its message's class has had no success
 /// at the endpoint since the attempt was sent, on a route that is not ejected or has answered since
 /// then. Such an attempt waits this factor times as long as one on an ejected route that has
-/// answered nothing.
+/// answered nothing, but at most `LOST_RESPONSE_LIMITS` response limits.
 const SILENT_CLASS_FACTOR: i64 = 2;
 /// Number of response limits after which an attempt counts as lost even if its route answers. Lower
 /// frees slots sooner; higher waits for late answers.
