--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -25,7 +25,7 @@
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// Message whose attempt to cancel.
+        /// Message that the attempt belongs to.
         message: MessageId,
         /// Number of the attempt to cancel, counted from 0 for each message.
         attempt: usize,
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -37,9 +37,9 @@
     pub kind: usize,
     /// Whether new calls may go to the endpoint.
     pub status: EndpointStatus,
-    /// Calls a second from all senders that the destination accepts according to the list, or that
-    /// the endpoint accepts where [`Kind::separate_routes`](super::Kind::separate_routes) is true.
-    /// Used only where
+    /// Rate, in calls per second from all senders together, that the destination accepts according
+    /// to the list. Where [`Kind::separate_routes`](super::Kind::separate_routes) is true, it is the
+    /// rate that this endpoint accepts. Used only where
     /// [`Settings::weight_trust`](super::Settings::weight_trust) is above 0.
     pub weight: f64,
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -26,7 +26,8 @@
     FleetView(Option<FleetView>),
     /// The complete endpoint list, or changes of it, have come in.
     EndpointList {
-        /// Whether the entries are the complete list or only those that have changed.
+        /// Whether the entries are the complete list, the complete list as it was stored before a
+        /// restart, or only the entries that have changed.
         scope: ListScope,
         /// Entries of the list, one for each endpoint.
         entries: Vec<EndpointEntry>,
--- a/src/interface/quotas.rs
+++ b/src/interface/quotas.rs
@@ -151,7 +151,8 @@
 
 impl Demand {
     /// Returns true if the demand must be reported again at the next poll even if no event changes
-    /// it until then: fields such as `alive` may change because time passes.
+    /// it until then. This holds while messages wait, calls are in flight, the destination is
+    /// unhealthy or `alive` is true; `alive` changes as time passes, without an event.
     pub fn must_be_repeated(&self) -> bool {
         self.waiting > 0 || self.in_flight > 0 || self.unhealthy || self.alive
     }
--- a/src/message_index/candidates.rs
+++ b/src/message_index/candidates.rs
@@ -41,8 +41,9 @@
         self.heap.extend(candidate);
     }
 
-    /// Removes and returns the most urgent candidate whose group is not skipped. Candidates of
-    /// skipped groups on the way are added to the skipped sides.
+    /// Removes and returns the most urgent candidate whose group is not skipped. More urgent
+    /// candidates of skipped groups are removed too; their group sides are recorded, so that
+    /// [`Candidates::take_skipped`] returns them.
     pub fn pop(&mut self) -> Option<Candidate> {
         loop {
             let candidate = self.heap.pop()?;
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Skips the group of `group_side` until [`Candidates::take_skipped`] is called for its
-    /// destination, which is done when something has been sent there.
+    /// Skips the group of `group_side`: [`Candidates::pop`] does not return its candidates until
+    /// [`Candidates::take_skipped`] is called for the destination, after a message was sent there.
     pub fn skip(&mut self, group_side: GroupSide) {
         let skipped = self.skipped.entry(group_side.destination).or_default();
         skipped.push(group_side);
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -64,7 +64,7 @@
     pub deadline: Micros,
     /// Priority weight of one message that is delivered within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that remains at the deadline.
+    /// Minimum fraction of the priority weight, from 0 to 1, that a late delivery keeps.
     pub late_share: f64,
     /// Whether messages of one subject are delivered one at a time, in order.
     pub ordered: bool,
@@ -114,11 +114,12 @@
 /// One record of the journal. The position of a variant is its encoding on disk, so new variants are added at the end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Record {
-    /// A client's message was accepted, without its origin. Older program versions wrote this record; it is only read.
+    /// A client's message with this number was accepted. Older program versions wrote this record, without the
+    /// message's subject and tenant and without the terms of its class; this version only reads it.
     AcceptedWithoutOrigin(u64, AcceptedMessage),
     /// An attempt to deliver the message with this number starts.
     AttemptStarted(u64, RecordedAttempt),
-    /// The outcome of an attempt shows whether the endpoint can have executed the call.
+    /// An attempt ended, and its outcome shows whether the endpoint can have executed the call.
     AttemptOutcome {
         /// Number of the message.
         message: u64,
@@ -131,14 +132,14 @@
     Undelivered(u64, UndeliveredOutcome),
     /// The message with this number is complete: it needs no further attempt and no notification.
     Completed(u64),
-    /// A client's message was accepted, without the terms of its class. Older program versions wrote this record; it is
-    /// only read.
+    /// A client's message with this number was accepted, with its subject and tenant. Older program versions wrote this
+    /// record, without the terms of the message's class; this version only reads it.
     AcceptedWithoutTerms(u64, AcceptedMessage, MessageOrigin),
     /// Operators disabled the endpoint with this uid.
     EndpointDisabled(String),
     /// Operators enabled the endpoint with this uid again.
     EndpointEnabled(String),
-    /// A client's message was accepted, with its origin and the terms of its class.
+    /// A client's message with this number was accepted, with its subject and tenant and the terms of its class.
     Accepted(u64, AcceptedMessage, MessageOrigin, ClassTerms),
 }
 
--- a/src/net/journal/recovery.rs
+++ b/src/net/journal/recovery.rs
@@ -40,8 +40,8 @@
     recovery
 }
 
-/// Returns true if another record starts inside the unreadable end of the file. A kill during a write leaves at most
-/// one incomplete record, so a further marker means damage.
+/// Returns true if the unreadable end of the file contains a record marker after its first byte. A kill during a write
+/// leaves at most one incomplete record, so a further marker is treated as damage.
 fn has_further_mark(tail: &[u8]) -> bool {
     (1..tail.len()).any(|start| tail[start..].starts_with(&MARK))
 }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -37,7 +37,8 @@
             ClassTerms::of(&class, 12),
         )
         .expect("room");
-    // the first attempt's record does not fit, the second attempt may have run, the third never ran
+    // The first attempt's record is too large for the journal. The second attempt gets no outcome record. For the third,
+    // the journal records that the endpoint did not process it.
     assert!(matches!(
         journal.start_attempt(5, &"x".repeat(20_000), 1),
         Err(JournalError::Full)
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -268,8 +268,8 @@
         Calls::new(self.senders.inputs.clone(), connections)
     }
 
-    /// Calculates the client connections that this process may accept: the limit of the descriptors, minus the
-    /// connections that the predecessor still holds. At least one slot remains.
+    /// Calculates how many client connections this process may accept: the descriptor limit divided by
+    /// [`CLIENT_DESCRIPTOR_DIVISOR`], minus the connections that the predecessor still holds, but at least one.
     fn client_capacity(&self, received: Option<&ReceivedHandover>) -> ClientCapacity {
         let total = (self.config.max_descriptors / CLIENT_DESCRIPTOR_DIVISOR).max(1);
         let held = received.map_or(0, |received| received.state.client_connections);
--- a/src/net/process/part_settings.rs
+++ b/src/net/process/part_settings.rs
@@ -12,7 +12,7 @@
 /// The settings in force, with one watch channel per subsystem.
 #[derive(Clone)]
 pub(super) struct SubsystemSettings {
-    /// Address of discovery and the registry.
+    /// Address for requests to discovery, which serves the endpoint list, and to the registry; both have one address.
     pub discovery: watch::Sender<SocketAddr>,
     pub membership: watch::Sender<Option<MembershipSettings>>,
     pub agreement: watch::Sender<Option<AgreementSettings>>,
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -14,9 +14,8 @@
 
 /// Time for which an address that is in use is retried. A predecessor exits and releases the address within it.
 const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for which other local errors of binding the address are retried, for example while the host does not have the
-/// address. A sender has to be ready
-/// within this time.
+/// Time for which binding the address is retried after other local errors, for example while the host does not have
+/// the address yet. A sender has to be ready within this time.
 const ADDRESS_MISSING_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay between two attempts to bind the operators' address.
 const OPERATORS_RETRY_DELAY: Duration = Duration::from_millis(250);
--- a/src/pool/endpoints.rs
+++ b/src/pool/endpoints.rs
@@ -18,9 +18,10 @@
         }
     }
 
-    /// Stops dials to an endpoint that drains, was removed or disabled, or has another address now,
-    /// and closes its idle connections. As many calls as there are dials in flight may go on
-    /// waiting.
+    /// Begins no further dial to an endpoint that drains, was removed or disabled, or has another
+    /// address now, and closes its idle connections. Dials in flight go on, and as many waiting
+    /// calls as there are such dials may go on waiting. Of more waiting calls, those that have
+    /// waited the shortest are denied a connection.
     pub fn retire_endpoint(&mut self, target: EndpointAddress, commands: &mut Vec<Command>) {
         let Some(endpoint) = self.serving_endpoint_mut(target) else {
             return;
--- a/tests/node/config.rs
+++ b/tests/node/config.rs
@@ -6,8 +6,8 @@
 
 static FOLDER_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// Creates an empty folder with an empty `state` folder in it. Removes an existing folder first, because process ids
-/// are reused and an earlier run may have left files under the same name.
+/// Creates a folder that holds only an empty `state` folder. The folder's name contains the process id. Process ids are
+/// reused, so the function first removes a folder that an earlier run may have left under the same name.
 pub fn fresh_folder() -> PathBuf {
     let number = FOLDER_COUNT.fetch_add(1, Ordering::SeqCst);
     let name = format!("node-{}-{number}", std::process::id());
--- a/tests/node/registry.rs
+++ b/tests/node/registry.rs
@@ -106,8 +106,8 @@
         self.process = Registry::run(&self.folder);
     }
 
-    /// Starts a sender that uses this registry for discovery, with further members of the configuration (see
-    /// [`with_members`]).
+    /// Starts a sender that uses this registry for discovery, and waits until it is ready. `members` is JSON text of
+    /// further configuration fields, which ends with a comma (see [`with_members`]).
     pub fn sender(&self, name: &str, members: &str) -> Node {
         let mut agent = Agent::new(Vec::new());
         agent.address = self.address;
--- a/tests/node/shim.rs
+++ b/tests/node/shim.rs
@@ -36,7 +36,8 @@
     })
 }
 
-/// Starts processes of one sender whose system calls can be made to fail. A fault that is on applies to all of them.
+/// Starts sender processes in one folder whose system calls can be made to fail. Each fault that is on affects all of
+/// these processes.
 pub struct FaultInjector {
     folder: PathBuf,
     /// Folder with one file for each fault that is on, which the preloaded library reads.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -477,7 +477,8 @@
     node.kill();
     let socket = node.journal().with_file_name("upgrade.sock");
     let _ = std::fs::remove_file(&socket);
-    // a folder stands at the socket's path, which the sender can't remove as a file
+    // Puts a folder at the path of the handover socket. The sender removes only a file there, so it can't bind the
+    // socket.
     std::fs::create_dir(&socket).expect("a folder in its place");
     let node = node.restart().ready();
     wait_until("the missing socket is logged", || {
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1274,7 +1274,8 @@
         report.idle > 1 && report.idle <= report.wanted_connections.max(2),
         "{report:?}"
     );
-    // no prewarming if it is off, after a Retry-After, a failure or a retirement, or without use
+    // The pool does not prewarm an endpoint if prewarming is off, until a Retry-After has passed,
+    // right after a call failed, after the endpoint was retired, or without recent calls.
     assert_eq!(prewarm_dials(&mut busy(limits())), []);
     let mut fixture = busy(warm.clone());
     let (target, until) = (fixture.target, fixture.now + 2 * SECOND);
