--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -20,7 +20,7 @@
     Io(#[from] io::Error),
     /// A frame can't be encoded or decoded.
     #[error("frame can't be encoded or decoded: {0}")]
-    Unreadable(#[from] postcard::Error),
+    Codec(#[from] postcard::Error),
     /// A frame of an unexpected kind or of an invalid length arrived, or a frame to be sent is too long.
     #[error("unexpected frame")]
     Unexpected,
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -63,7 +63,7 @@
             Ok(_) => {}
             Err(LinkError::NewerProcess) => return FolderOwnership::NewerProcess,
             Err(error) => {
-                if matches!(error, LinkError::Unreadable(_)) {
+                if matches!(error, LinkError::Codec(_)) {
                     version = JOURNAL_ONLY;
                 }
                 log_once(&mut logged_error, &error);
--- a/src/net/journal/contents.rs
+++ b/src/net/journal/contents.rs
@@ -69,7 +69,7 @@
     /// Uid of each disabled endpoint, with the size in bytes of the record that disabled it.
     pub disabled_endpoints: BTreeMap<String, u64>,
     /// Size in bytes of a compacted file with the current state.
-    pub live_bytes: u64,
+    pub compacted_bytes: u64,
 }
 
 impl Contents {
@@ -95,7 +95,7 @@
             }
             Record::Completed(number) => {
                 if let Some(old) = self.unfinished.remove(&number) {
-                    self.live_bytes -= old.size;
+                    self.compacted_bytes -= old.size;
                 }
             }
             Record::AttemptStarted(number, attempt) => {
@@ -112,10 +112,10 @@
             }),
             Record::EndpointDisabled(uid) => {
                 let old_length = self.disabled_endpoints.insert(uid, length);
-                self.live_bytes += length - old_length.unwrap_or(0);
+                self.compacted_bytes += length - old_length.unwrap_or(0);
             }
             Record::EndpointEnabled(uid) => {
-                self.live_bytes -= self.disabled_endpoints.remove(&uid).unwrap_or(0);
+                self.compacted_bytes -= self.disabled_endpoints.remove(&uid).unwrap_or(0);
             }
             Record::Undelivered(number, outcome) => {
                 self.update_message(number, length, |message| message.outcome = Some(outcome));
@@ -124,9 +124,9 @@
     }
 
     fn insert(&mut self, number: u64, message: UnfinishedMessage) {
-        self.live_bytes += message.size;
+        self.compacted_bytes += message.size;
         if let Some(old) = self.unfinished.insert(number, message) {
-            self.live_bytes -= old.size;
+            self.compacted_bytes -= old.size;
         }
     }
 
@@ -140,7 +140,7 @@
     ) {
         if let Some(message) = self.unfinished.get_mut(&number) {
             message.size += length;
-            self.live_bytes += length;
+            self.compacted_bytes += length;
             change(message);
         }
     }
@@ -151,7 +151,7 @@
     /// # Errors
     /// Returns an error if a message can't be encoded.
     pub fn presume_attempts(&mut self) -> Result<(), postcard::Error> {
-        self.live_bytes = self.disabled_endpoints.values().sum();
+        self.compacted_bytes = self.disabled_endpoints.values().sum();
         for (&number, message) in &mut self.unfinished {
             let presumed = RecordedAttempt {
                 uid: String::new(),
@@ -160,7 +160,7 @@
             };
             message.attempts.insert(0, presumed);
             message.size = message.encode(number)?.len() as u64;
-            self.live_bytes += message.size;
+            self.compacted_bytes += message.size;
         }
         Ok(())
     }
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -141,8 +141,10 @@
             failing: false,
         };
         let recovery = recovery::read(&bytes, &mut journal.contents);
-        if recovery.torn_bytes > 0 {
-            journal.file.mark_partial_record(recovery.torn_bytes);
+        if recovery.partial_record_bytes > 0 {
+            journal
+                .file
+                .mark_partial_record(recovery.partial_record_bytes);
         }
         if recovery.damaged_bytes > 0 {
             journal.contents.presume_attempts()?;
@@ -352,11 +354,12 @@
     /// space.
     fn append(&mut self, bytes: &[u8], reserve_bytes: u64) -> Result<(), JournalError> {
         let length = bytes.len() as u64;
-        let live_bytes = self.contents.live_bytes;
+        let compacted_bytes = self.contents.compacted_bytes;
         // a later compaction, also one right after this record, must have space for the old and the new file together
-        let fits = |size: u64| size + live_bytes + 2 * length + reserve_bytes <= self.limit_bytes;
+        let fits =
+            |size: u64| size + compacted_bytes + 2 * length + reserve_bytes <= self.limit_bytes;
         if !fits(self.file.whole_bytes) {
-            if !fits(live_bytes) {
+            if !fits(compacted_bytes) {
                 return Err(JournalError::Full);
             }
             self.compact()?;
--- a/src/net/journal/records.rs
+++ b/src/net/journal/records.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Marker bytes at the start of each record.
-pub const MARK: [u8; 4] = *b"MTJ1";
+pub const MARKER: [u8; 4] = *b"MTJ1";
 /// Size in bytes of a record's header: marker, payload length and checksum of 4 bytes each.
 const HEADER_BYTES: usize = 12;
 /// Maximum payload size of a record in bytes, larger than any record that is written. A header with a longer length is
@@ -168,7 +168,7 @@
 pub fn encode(record: &Record) -> Result<Vec<u8>, postcard::Error> {
     let payload = postcard::to_allocvec(record)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
-    bytes.extend_from_slice(&MARK);
+    bytes.extend_from_slice(&MARKER);
     bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
     bytes.extend_from_slice(&payload);
@@ -178,7 +178,7 @@
 /// Decodes the record at the start of the bytes. Returns it with its length in bytes, or `None` if the bytes don't
 /// start with a valid record.
 pub fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
-    if !bytes.starts_with(&MARK) {
+    if !bytes.starts_with(&MARKER) {
         return None;
     }
     let length = u32_at(bytes, 4)? as usize;
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -84,7 +84,7 @@
 
 impl SeededNumbers {
     /// Returns a number below the bound.
-    fn below(&mut self, bound: u64) -> u64 {
+    fn next_below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -101,8 +101,8 @@
 ) -> bool {
     let unfinished: Vec<u64> = journal.unfinished().keys().copied().collect();
     let number = (!unfinished.is_empty())
-        .then(|| unfinished[numbers.below(unfinished.len() as u64) as usize]);
-    match (numbers.below(5), number) {
+        .then(|| unfinished[numbers.next_below(unfinished.len() as u64) as usize]);
+    match (numbers.next_below(5), number) {
         (0, _) | (_, None) => {
             let (accepted, origin, terms) = message(*next_number);
             let written = journal.accept(*next_number, accepted, origin, terms);
@@ -129,9 +129,9 @@
         let (mut journal, _) = Journal::open(&folder, limit, 16).expect("opened");
         let (mut numbers, mut next_number) = (SeededNumbers(seed), 0);
         let mut states = vec![journal.unfinished().clone()];
-        let mut durable_step = 0;
+        let mut last_durable_step = 0;
         for _ in 0..150 {
-            match numbers.below(8) {
+            match numbers.next_below(8) {
                 // writing and truncating fail through a read-only handle
                 0 => journal.file.handle = File::open(&journal.file.path).expect("opened"),
                 // a failed write leaves half a record in the file
@@ -154,7 +154,7 @@
                         .open(&journal.file.path)
                         .expect("opened");
                     journal.retry_pending().expect("writes succeed");
-                    durable_step = states.len() - 1;
+                    last_durable_step = states.len() - 1;
                 }
                 _ => {}
             }
@@ -165,7 +165,7 @@
                     !journal.has_pending(),
                     "confirmed while earlier records are pending"
                 );
-                durable_step = states.len() - 1;
+                last_durable_step = states.len() - 1;
             }
             let (reopened, recovery) = {
                 let copy = fresh_folder("journal-prefix-copy");
@@ -174,14 +174,14 @@
                 Journal::open(&copy, limit, 16).expect("opened")
             };
             assert_eq!(recovery.damaged_bytes, 0, "seed {seed}");
-            let found = states[durable_step..]
+            let found = states[last_durable_step..]
                 .iter()
                 .any(|state| state == reopened.unfinished());
             assert!(
                 found,
-                "seed {seed}: {:?} is no state since step {durable_step}: {:?}",
+                "seed {seed}: {:?} is no state since step {last_durable_step}: {:?}",
                 reopened.unfinished(),
-                &states[durable_step..]
+                &states[last_durable_step..]
             );
         }
     }
--- a/src/net/journal/tests/format.rs
+++ b/src/net/journal/tests/format.rs
@@ -159,7 +159,7 @@
         recovery,
         Recovery {
             records: every_record().len(),
-            torn_bytes: 0,
+            partial_record_bytes: 0,
             damaged_bytes: 0
         }
     );
@@ -261,7 +261,7 @@
     assert_eq!(
         (
             found.unfinished(),
-            recovery.torn_bytes,
+            recovery.partial_record_bytes,
             recovery.damaged_bytes
         ),
         (&state, 0, 0)
--- a/src/net/process.rs
+++ b/src/net/process.rs
@@ -119,7 +119,7 @@
     tokio::task::spawn_local(async move {
         let listener = match listener {
             Some(listener) => listener,
-            None => startup::wait_for_operators_address(address).await,
+            None => startup::retry_listen_for_operators(address).await,
         };
         let address = listener.local_addr().unwrap_or(address);
         net::log(format_args!("{name}: control API at {address}"));
@@ -177,7 +177,7 @@
         let server = self.server(&slots);
         let (mut driver, link) = self.driver(folder, slots, server.classes.clone(), &fleet)?;
         if let Some(link) = link {
-            self.follow_predecessor(&mut driver, link, held_by_predecessor)
+            self.confirm_takeover(&mut driver, link, held_by_predecessor)
                 .await;
         }
         let listener = self.listen().await?;
@@ -294,7 +294,7 @@
 
     /// Notifies the predecessor that this process owns the messages, and connects the driver to the predecessor. If the
     /// link is lost, this process still owns the messages, because it holds the lock of the state folder.
-    async fn follow_predecessor(
+    async fn confirm_takeover(
         &self,
         driver: &mut Driver,
         mut link: Link,
--- a/src/net/process/state_folder.rs
+++ b/src/net/process/state_folder.rs
@@ -63,13 +63,13 @@
 fn log_recovery(name: &str, journal: &Journal, recovery: &Recovery) {
     let Recovery {
         records,
-        torn_bytes,
+        partial_record_bytes,
         damaged_bytes,
     } = recovery;
-    if *records + *torn_bytes + *damaged_bytes > 0 {
+    if *records + *partial_record_bytes + *damaged_bytes > 0 {
         let unfinished = journal.unfinished().len();
         net::log(format_args!(
-            "{name}: journal has {records} records, {unfinished} unfinished messages, {torn_bytes} bytes of an incomplete record dropped"
+            "{name}: journal has {records} records, {unfinished} unfinished messages, {partial_record_bytes} bytes of an incomplete record dropped"
         ));
     }
     if *damaged_bytes > 0 {
--- a/src/net/startup.rs
+++ b/src/net/startup.rs
@@ -162,7 +162,7 @@
 }
 
 /// Binds the operators' address, and retries until that succeeds.
-pub async fn wait_for_operators_address(address: SocketAddr) -> TcpListener {
+pub async fn retry_listen_for_operators(address: SocketAddr) -> TcpListener {
     loop {
         sleep(OPERATORS_RETRY_DELAY).await;
         if let Ok(listener) = TcpListener::bind(address).await {
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -129,12 +129,14 @@
 
 /// Starts an endpoint that holds back its response to messages whose id has the prefix until the returned gate is set
 /// to true. It answers all other messages at once.
-fn gated(prefix: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
+fn endpoint_with_gate(prefix: &'static str) -> (Endpoint, Arc<Mutex<bool>>) {
     let gate: Arc<Mutex<bool>> = Arc::default();
-    let opened = gate.clone();
+    let gate_open = gate.clone();
     let endpoint = Endpoint::new(move |request, _| {
         if request.ids()[0].starts_with(prefix) {
-            wait_until("the gate opens", || *opened.lock().expect("not poisoned"));
+            wait_until("the gate opens", || {
+                *gate_open.lock().expect("not poisoned")
+            });
         }
         OK
     });
@@ -143,7 +145,7 @@
 
 #[test]
 fn handover_keeps_calls_keys_ids_disabled_endpoints_and_connections() {
-    let (endpoint, gate) = gated("held");
+    let (endpoint, gate) = endpoint_with_gate("held");
     let agent = Agent::new(vec![list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", endpoint.address, "one", 8, "up"),
@@ -232,7 +234,7 @@
 
 #[test]
 fn calls_of_killed_predecessor_may_have_run() {
-    let (endpoint, _gate) = gated("held");
+    let (endpoint, _gate) = endpoint_with_gate("held");
     let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
     let mut old = Node::with_passed_socket(&agent).ready();
     assert_eq!(old.submit("order", "held-once", 7, 20_000, b"x"), 202);
@@ -289,7 +291,7 @@
 
 #[test]
 fn successor_of_other_version_gets_only_the_journal() {
-    let (endpoint, gate) = gated("held");
+    let (endpoint, gate) = endpoint_with_gate("held");
     let agent = agent_with_two_endpoints(&endpoint, &endpoint);
     let mut old = Node::with_passed_socket(&agent).ready();
     assert_eq!(old.submit("webhook", "held", 7, 20_000, b"x"), 202);
