--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -21,8 +21,9 @@
     pub tenant: Option<usize>,
     /// True if the client has submitted this message before.
     pub resubmitted: bool,
-    /// True if the client resubmits the message because the sender that had accepted it failed.
-    pub accepted_by_failed_sender: bool,
+    /// True if the client submits the message again after it was with another sender that died or
+    /// did not answer.
+    pub previous_sender_failed: bool,
     /// Maximum number of attempts for this message, fixed when the message was accepted. `None`
     /// stands for [`Settings::max_attempts`](super::Settings::max_attempts) at the time at which the
     /// sender receives the message.
@@ -40,7 +41,7 @@
             key: None,
             tenant: None,
             resubmitted: false,
-            accepted_by_failed_sender: false,
+            previous_sender_failed: false,
             max_attempts: None,
         }
     }
--- a/src/net/driver/submissions.rs
+++ b/src/net/driver/submissions.rs
@@ -84,7 +84,7 @@
             key: submission.subject.as_deref().map(key_of),
             tenant: tenant.map(|name| position(&self.names.tenants, name)),
             resubmitted: submission.resubmitted,
-            accepted_by_failed_sender: submission.previous_sender_failed,
+            previous_sender_failed: submission.previous_sender_failed,
             ..NewMessage::new(message, submission.class, submission.destination, time_left)
         }));
         let item = Item {
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -205,7 +205,7 @@
         key,
         tenant,
         resubmitted: bits & RESUBMITTED_BIT != 0,
-        accepted_by_failed_sender: bits & ORPHAN_BIT != 0,
+        previous_sender_failed: bits & ORPHAN_BIT != 0,
         ..new
     }))
 }
--- a/src/wire/reading/tests.rs
+++ b/src/wire/reading/tests.rs
@@ -44,7 +44,7 @@
         key: Some(77),
         tenant: Some(1),
         resubmitted: true,
-        accepted_by_failed_sender: true,
+        previous_sender_failed: true,
         max_attempts: None,
     }
 }
@@ -56,7 +56,7 @@
         Event::Accepted(new_message())
     );
     let resubmitted = NewMessage {
-        accepted_by_failed_sender: false,
+        previous_sender_failed: false,
         ..new_message()
     };
     assert_eq!(
@@ -75,7 +75,7 @@
         key: None,
         tenant: None,
         resubmitted: false,
-        accepted_by_failed_sender: false,
+        previous_sender_failed: false,
         ..new_message()
     };
     assert_eq!(
