--- a/src/net/driver/attempts.rs
+++ b/src/net/driver/attempts.rs
@@ -66,11 +66,11 @@
         let uid = endpoint.uid.clone();
         let kind = self.settings.kinds.get(endpoint.kind);
         let max_messages = kind.map_or(1, |kind| kind.bundle_max);
-        let Some(record_position) = self.permit_and_record(attempt, &uid, now, open) else {
+        let Some(journal_position) = self.permit_and_record(attempt, &uid, now, open) else {
             return self.attempt_not_sent(attempt);
         };
         if let Some(held_attempt) = self.messages.attempt_mut(attempt.message, attempt.number) {
-            held_attempt.record_position = Some(record_position);
+            held_attempt.journal_position = Some(journal_position);
         }
         let began = MessageEvent::AttemptBegan {
             number: attempt.number,
@@ -105,14 +105,14 @@
             return None;
         }
         // the attempt of a message that has already ended is not recorded, and so not sent
-        let record_position = open
+        let journal_position = open
             .then(|| self.journal.start_attempt(attempt.message, uid, now))
             .flatten();
-        if record_position.is_none() {
+        if journal_position.is_none() {
             self.lifecycle
                 .end_attempt(attempt.message, NOT_SENT, now, 0);
         }
-        record_position
+        journal_position
     }
 
     /// Ends an attempt that was marked as in flight but never sent.
@@ -186,11 +186,11 @@
         let key_backoff = self.settings.safety.key_backoff;
         self.lifecycle
             .end_attempt(message, end.outcome, now, key_backoff);
-        if let Some(record_position) = attempt.record_position
+        if let Some(journal_position) = attempt.journal_position
             && end.outcome.never_ran()
             && self.messages.is_open(message)
         {
-            self.journal.attempt_never_ran(message, record_position);
+            self.journal.attempt_never_ran(message, journal_position);
         }
         if let Outcome::Rejected {
             retry_after: Some(wait),
--- a/src/net/driver/handover.rs
+++ b/src/net/driver/handover.rs
@@ -163,7 +163,7 @@
         call: attempt.call,
         item: attempt.position,
         in_flight: attempt.in_flight,
-        journal_position: attempt.record_position,
+        journal_position: attempt.journal_position,
     }
 }
 
--- a/src/net/driver/messages.rs
+++ b/src/net/driver/messages.rs
@@ -26,7 +26,7 @@
     pub in_flight: bool,
     /// Position of the attempt among the message's journal records; `None` if it was not recorded,
     /// and so never sent.
-    pub record_position: Option<usize>,
+    pub journal_position: Option<usize>,
 }
 
 /// Message that is incomplete or has attempts in flight.
@@ -172,7 +172,7 @@
             call: NO_CALL,
             position: 0,
             in_flight: true,
-            record_position: None,
+            journal_position: None,
         });
         self.attempts_in_flight += 1;
     }
--- a/src/net/driver/recovery.rs
+++ b/src/net/driver/recovery.rs
@@ -111,7 +111,7 @@
         };
         let in_flight = self.messages.get(number).map_or(0, |held| {
             let recorded =
-                |attempt: &&Attempt| attempt.in_flight && attempt.record_position.is_some();
+                |attempt: &&Attempt| attempt.in_flight && attempt.journal_position.is_some();
             held.attempts.iter().filter(recorded).count()
         });
         let attempts = message.attempts.iter();
@@ -140,13 +140,13 @@
         let attempts = past
             .iter()
             .enumerate()
-            .map(|(record_position, past)| Attempt {
+            .map(|(journal_position, past)| Attempt {
                 endpoint: past.endpoint,
                 sent_at: past.sent,
                 call: NO_CALL,
                 position: 0,
                 in_flight: false,
-                record_position: Some(record_position),
+                journal_position: Some(journal_position),
             });
         let attempts = attempts.collect();
         let attempts_before = past.len();
--- a/src/net/driver/takeover.rs
+++ b/src/net/driver/takeover.rs
@@ -242,6 +242,6 @@
         call: state.call,
         position: state.item,
         in_flight: state.in_flight,
-        record_position: state.journal_position,
+        journal_position: state.journal_position,
     }
 }
