--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -52,7 +52,7 @@
     settings: Settings,
     random: Pcg32,
     now: Micros,
-    /// Time at which the host's timer expires; `Micros::MAX` while it is not set.
+    /// Time at which the driver's timer expires; `Micros::MAX` while it is not set.
     timer_at: Micros,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     endpoints_by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types that the decision module and its host exchange: settings, rules and quotas, events,
+//! The types that the decision module and its driver exchange: settings, rules and quotas, events,
 //! outcomes and actions. Ids and units of time are in this file. Settings are validated here; no
 //! decision is made here.
 
@@ -28,7 +28,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a time span, in integer microseconds. The host chooses the epoch of its
+/// A point in time or a time span, in integer microseconds. The driver chooses the epoch of its
 /// clock.
 pub type Micros = i64;
 /// One second, in microseconds.
@@ -36,11 +36,11 @@
 /// One millisecond, in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// Number that the host gives a message; it is not reused once the message is complete.
+/// Number that the driver gives a message; it is not reused once the message is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// Number that the host gives an endpoint.
+/// Number that the driver gives an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,8 +1,8 @@
-//! Actions: the requests that the sender makes to its host.
+//! Actions: the requests that the sender makes to its driver.
 
 use super::{EndpointId, MessageId, Micros, RouteEvent};
 
-/// A request from the sender to its host.
+/// A request from the sender to its driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a message to an endpoint. Sends to the same endpoint in one turn share a
@@ -10,7 +10,7 @@
     Send {
         /// Message to send.
         message: MessageId,
-        /// Number of the attempt, counted from 0 for each message. The host reports the attempt's
+        /// Number of the attempt, counted from 0 for each message. The driver reports the attempt's
         /// end under this number, in exactly one
         /// [`Event::AttemptEnded`](super::Event::AttemptEnded).
         attempt: usize,
@@ -42,7 +42,7 @@
     /// End this message as failed: no attempt is known to have succeeded, but the destination may
     /// have processed the message, and processing it again could do harm.
     Fail(MessageId),
-    /// Set the sender's timer to this time, in microseconds, at which the host must report
+    /// Set the sender's timer to this time, in microseconds, at which the driver must report
     /// [`Event::TimerExpired`](super::Event::TimerExpired).
     SetTimer(Micros),
     /// Make a health check of this endpoint.
--- a/src/interface/attempts.rs
+++ b/src/interface/attempts.rs
@@ -3,7 +3,7 @@
 use super::{EndpointId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// An attempt made before a restart, as recorded in the host's journal.
+/// An attempt made before a restart, as recorded in the driver's journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PastAttempt {
     /// Endpoint that the attempt was sent to. If the list no longer has the endpoint, its zone
@@ -45,7 +45,7 @@
     /// The sender cancelled the attempt; the destination may have processed the message, or may
     /// still process it.
     Cancelled,
-    /// The host did not send the attempt, so the destination did not process the message because
+    /// The driver did not send the attempt, so the destination did not process the message because
     /// of it.
     #[serde(rename = "Unsent")]
     NotSent {
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints that discovery serves, as the host passes it to the sender.
+//! The list of endpoints that discovery serves, as the driver passes it to the sender.
 
 use super::{DestinationId, EndpointId};
 
@@ -31,7 +31,7 @@
     pub endpoint: EndpointId,
     /// Number of the destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Zone of the endpoint, as an index into the host's list of zones.
+    /// Zone of the endpoint, as an index into the driver's list of zones.
     pub zone: u16,
     /// Kind of the destination, as an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,11 +1,11 @@
-//! Events: what the host reports to the sender.
+//! Events: what the driver reports to the sender.
 
 use super::{
     AgreedRules, DestinationId, EndpointEntry, EndpointId, FleetView, ListScope, MessageId, Micros,
     NewMessage, Outcome, PastAttempt, Quotas, Settings,
 };
 
-/// Something that has happened, reported by the host to the sender.
+/// Something that has happened, reported by the driver to the sender.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The rules on which all senders agree have changed. `None`: there are none, and only this
@@ -39,9 +39,10 @@
     /// nothing is sent. `false`: the list is known to be up to date again.
     EndpointListStale(bool),
     /// `true`: the local host cannot record attempts in the journal, so nothing is sent. `false`:
-    /// the host can record attempts again. The event says nothing about the health of any endpoint.
+    /// the local host can record attempts again. The event says nothing about the health of any
+    /// endpoint.
     HostFailing(bool),
-    /// The host has accepted this new message from a client.
+    /// The driver has accepted this new message from a client.
     Accepted(NewMessage),
     /// A message accepted before a restart has been read back from the journal, with all its
     /// attempts. Its deadline may have passed.
--- a/src/interface/messages.rs
+++ b/src/interface/messages.rs
@@ -1,11 +1,11 @@
-//! The properties of a message that the host passes to the sender.
+//! The properties of a message that the driver passes to the sender.
 
 use super::{DestinationId, MessageId, Micros};
 
-/// A message that the sender has to deliver. The body stays with the host.
+/// A message that the sender has to deliver. The body stays with the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
-    /// Number that the host has given the message.
+    /// Number that the driver has given the message.
     pub id: MessageId,
     /// Class of the message, as an index into [`Settings::classes`](super::Settings::classes).
     /// An unknown class is treated as not idempotent.
--- a/src/interface/route_events.rs
+++ b/src/interface/route_events.rs
@@ -1,4 +1,4 @@
-//! Changes of a route's health that the host writes to the log. The log names only the route's
+//! Changes of a route's health that the driver writes to the log. The log names only the route's
 //! destination.
 
 use super::DestinationId;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -71,7 +71,7 @@
 pub struct Settings {
     /// Number of senders in the fleet, including this one.
     pub senders: u32,
-    /// Zone of this sender, as an index into the host's list of zones.
+    /// Zone of this sender, as an index into the driver's list of zones.
     pub zone: u16,
     /// Maximum number of calls in flight to all destinations together.
     pub call_slots: usize,
@@ -102,7 +102,7 @@
     /// Retry-After.
     #[serde(rename = "max_client_wait")]
     pub max_retry_after: Micros,
-    /// Whether the sender must subscribe to the endpoint list itself; otherwise the host receives
+    /// Whether the sender must subscribe to the endpoint list itself; otherwise the driver receives
     /// the list without being asked.
     #[serde(rename = "list_on_request")]
     pub list_by_subscription: bool,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! A [`Sender`] receives events (messages submitted by clients, outcomes of calls, changes of the
 //! endpoint list, timers that expired) and returns actions (send, cancel, reject, fail). It opens
-//! no sockets and reads no clock: the program that hosts it does both. The same sequence of events
-//! always produces the same actions.
+//! no sockets and reads no clock: its driver does both. The driver is the event loop that passes
+//! events to the decision module and carries out its actions. The same sequence of events always
+//! produces the same actions.
 //!
 //! ```
 //! use message_sender::{Action, Class, Effect, EndpointEntry, Event, EndpointId, ListScope, MessageId, NewMessage,
--- a/src/lifecycle.rs
+++ b/src/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Second, independent check that a call may begin, made by the host before each call.
+//! Second, independent check that a call may begin, made by the driver before each call.
 //!
 //! The decision module ([`crate::decisions`]) decides which calls to make. This module records only
 //! what has happened to each message, and checks each call against two rules: a
 //! message that the destination must not process twice is not sent again once the destination may
 //! have processed it, and messages of one key go one at a time, in order. A violation
-//! means a defect of the decision module or of the host; it is never caused by a peer or by the
-//! local host's state. The host counts the violation and does not make the call.
+//! means a defect of the decision module or of the driver; it is never caused by a peer or by the
+//! local host's state. The driver counts the violation and does not make the call.
 
 use crate::interface::{Effect, MessageId, Micros, Outcome};
 use std::collections::{BTreeMap, BTreeSet};
