--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -35,7 +35,7 @@
     })
 }
 
-/// Hands messages in as the shape of the load has it, and counts the dials for each thousand.
+/// Submits messages as the shape of the load has it, and counts the dials for each thousand.
 fn dials_of(program: &std::path::Path, shape: &str) -> f64 {
     let endpoints: Vec<Endpoint> = (0..4).map(|_| working(10)).collect();
     let uids: Vec<String> = (0..4).map(|n| format!("s-{n}")).collect();
