--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -143,7 +143,7 @@
 
     /// Records that a call has ended without a list. If it was the first call of the process, the list that the process
     /// started with may be used.
-    pub fn first_try_ended(&self) {
+    pub fn call_ended(&self) {
         self.0.send_if_modified(|state| {
             let starting = *state == State::Starting;
             *state = if starting { State::Fresh } else { *state };
--- a/src/net/discovery/freshness/tests.rs
+++ b/src/net/discovery/freshness/tests.rs
@@ -46,7 +46,7 @@
         around(&mut received, start, BINDING_AFTER + GRACE).await,
         (vec![false], vec![true])
     );
-    freshness.first_try_ended();
+    freshness.call_ended();
     freshness.unavailable(Instant::now());
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(
@@ -157,7 +157,7 @@
         if list_received {
             freshness.received()
         } else {
-            freshness.first_try_ended()
+            freshness.call_ended()
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(reported(&mut received), [false]);
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -120,7 +120,7 @@
                 logged_error = text;
             }
             // a starting process waits for one call to its agent before it sends by the known list
-            self.freshness.first_try_ended();
+            self.freshness.call_ended();
             if matches!(error, WatchError::Unreadable) {
                 continue;
             }
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -13,7 +13,7 @@
 
 /// Endpoint list in the JSON form of discovery.
 #[derive(Deserialize)]
-struct Line {
+struct ListBody {
     rev: u64,
     all: bool,
     targets: Vec<Value>,
@@ -37,7 +37,7 @@
 /// Parses an endpoint list. Returns `None` if `value` does not have the form of a list. Entries that can't be parsed are
 /// logged and left out.
 pub fn parse_list(value: &Value) -> Option<ListUpdate> {
-    let line = Line::deserialize(value).ok()?;
+    let body = ListBody::deserialize(value).ok()?;
     let read = |value: &Value| {
         let target = Target::deserialize(value).map_err(|error| error.to_string())?;
         let status = match target.state.as_str() {
@@ -60,7 +60,7 @@
             weight: target.capacity_hint,
         })
     };
-    let targets = line.targets.iter().filter_map(|value| match read(value) {
+    let targets = body.targets.iter().filter_map(|value| match read(value) {
         Ok(listed) => Some(listed),
         Err(error) => {
             crate::net::log(format_args!("discovery: entry skipped: {error}"));
@@ -68,8 +68,8 @@
         }
     });
     Some(ListUpdate {
-        version: line.rev,
-        full: line.all,
+        version: body.rev,
+        full: body.all,
         entries: targets.collect(),
     })
 }
@@ -99,8 +99,8 @@
     pub fn read(&mut self, bytes: &[u8]) -> ReadResult {
         let mut read = ReadResult::default();
         self.buffer.extend_from_slice(bytes);
-        let ends = bytes.trim_ascii_end().ends_with(b"}");
-        if !ends
+        let ends_with_brace = bytes.trim_ascii_end().ends_with(b"}");
+        if !ends_with_brace
             && !self.skipping
             && self.parsed_len > 0
             && self.buffer.len() - self.parsed_len < self.parsed_len / MIN_GROWTH_DIVISOR
@@ -111,15 +111,15 @@
             if self.skipping && !self.skip_to_object_line() {
                 break;
             }
-            let (used, problem) = self.values(&mut read);
+            let (used, problem) = self.parse_values(&mut read);
             self.buffer.drain(..used);
             self.parsed_len = self.buffer.len();
             if !problem && self.buffer.len() <= MAX_VALUE_BYTES {
                 break;
             }
-            let start = self.buffer[..self.buffer.len().min(80)].trim_ascii();
+            let excerpt = self.buffer[..self.buffer.len().min(80)].trim_ascii();
             read.unreadable
-                .get_or_insert_with(|| String::from_utf8_lossy(start).into_owned());
+                .get_or_insert_with(|| String::from_utf8_lossy(excerpt).into_owned());
             self.skipping = true;
         }
         read
@@ -132,7 +132,7 @@
 
     /// Parses the complete values in the buffer into `read`. Returns how many bytes they took, and whether the text after
     /// them is invalid rather than incomplete.
-    fn values(&self, read: &mut ReadResult) -> (usize, bool) {
+    fn parse_values(&self, read: &mut ReadResult) -> (usize, bool) {
         let mut values = Deserializer::from_slice(&self.buffer).into_iter::<Value>();
         let mut used = 0;
         loop {
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -4,7 +4,7 @@
 use super::instance::Instance;
 use super::lines::{Lines, WireError};
 use super::printing::print;
-use super::reading::{EVENT_WORDS, check_row, read_batch_head, read_event, read_list_head};
+use super::reading::{LINE_WORDS, check_row, read_batch_head, read_event, read_list_head};
 use super::settings::{Pairs, read_settings};
 use crate::decisions::Sender;
 use crate::interface::{Action, Micros};
@@ -104,7 +104,7 @@
     fn event(&mut self, line: &str) -> Result<(), Fault> {
         let mut fields = Fields::new(line);
         let word = fields.text("a message")?;
-        if !EVENT_WORDS.contains(&word) {
+        if !LINE_WORDS.contains(&word) {
             return fault("a known message", word);
         }
         let id = fields.text("an instance")?;
--- a/src/wire/reading.rs
+++ b/src/wire/reading.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// First words of all lines in a batch, except `manifest` and `row`, which define endpoint lists.
-pub(super) const EVENT_WORDS: [&str; 10] = [
+pub(super) const LINE_WORDS: [&str; 10] = [
     "begin",
     "crash_now",
     "announce",
@@ -27,7 +27,7 @@
 /// Bit in a `demand` line for a message that the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
 /// Bit in a `demand` line for a message that was pending at a sender that died.
-const ORPHAN_BIT: u64 = 16;
+const FAILED_SENDER_BIT: u64 = 16;
 
 /// Parses the first line of a batch and returns its time.
 pub(super) fn read_batch_head(line: &str) -> Result<Micros, Fault> {
@@ -205,7 +205,7 @@
         key,
         tenant,
         resubmitted: bits & RESUBMITTED_BIT != 0,
-        accepted_by_failed_sender: bits & ORPHAN_BIT != 0,
+        accepted_by_failed_sender: bits & FAILED_SENDER_BIT != 0,
         ..new
     }))
 }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -105,7 +105,7 @@
     settings.senders = pairs.required("balancers")? as u32;
     settings.zone = position(&names.zones, pairs.text("az").unwrap_or("")) as u16;
     read_caps(pairs, &mut settings)?;
-    read_sources(pairs, &mut settings);
+    read_list_and_report_settings(pairs, &mut settings);
     read_prices(pairs, &mut settings)?;
     settings.safety = read_safety(pairs, &settings.safety)?;
     for index in 0..pairs.required("classes.count")? as usize {
@@ -137,7 +137,7 @@
 }
 
 /// Reads how the sender receives endpoint lists, how far it trusts their weights, and the fields of load reports.
-fn read_sources(pairs: &Pairs, settings: &mut Settings) {
+fn read_list_and_report_settings(pairs: &Pairs, settings: &mut Settings) {
     settings.list_by_subscription = pairs.text("discovery") == Some("on_request");
     settings.weight_trust = match pairs.text("weights") {
         Some("nominal") => 1.0,
@@ -216,7 +216,7 @@
 }
 
 fn read_kinds(pairs: &Pairs, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
-    let apart = pairs.list("specifics.routesApart");
+    let separate_route_flags = pairs.list("specifics.routesApart");
     let bundles = pairs.list("specifics.bundleMax");
     let mut kinds = Vec::with_capacity(names.len());
     for (index, name) in names.iter().enumerate() {
@@ -227,7 +227,7 @@
             })?,
             None => 1,
         };
-        let separate_routes = apart.get(index) == Some(&"true");
+        let separate_routes = separate_route_flags.get(index) == Some(&"true");
         kinds.push(Kind {
             name: name.clone(),
             separate_routes,
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -77,24 +77,24 @@
 /// that decides which datagrams pass.
 fn splits() -> Vec<(&'static str, usize, Passes)> {
     vec![
-        ("halves", 10, |first, from, to| {
-            (from < first) == (to < first)
+        ("halves", 10, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
-        ("seven cut off", 7, |first, from, to| {
-            (from < first) == (to < first)
+        ("seven cut off", 7, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
-        ("a fifth cut off", 4, |first, from, to| {
-            (from < first) == (to < first)
+        ("a fifth cut off", 4, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
         (
             "a fifth receives nothing from the others",
             4,
-            |first, from, to| to >= first || from < first,
+            |first_side_size, from, to| to >= first_side_size || from < first_side_size,
         ),
         (
             "the others receive nothing from a fifth",
             4,
-            |first, from, to| from >= first || to < first,
+            |first_side_size, from, to| from >= first_side_size || to < first_side_size,
         ),
     ]
 }
@@ -108,14 +108,14 @@
 #[test]
 fn minority_senders_never_lower_fleet_size_and_share_sum_is_bounded_in_splits() {
     let mut naive_violations = 0;
-    for (split, first, passes) in splits() {
+    for (split, first_side_size, passes) in splits() {
         for seed in 0..3 {
             let mut senders = Senders::new(seed);
-            senders.fleet.passes = Box::new(move |from, to| passes(first, from, to));
+            senders.fleet.passes = Box::new(move |from, to| passes(first_side_size, from, to));
             for period in 0..120 {
                 let sum = senders.step();
                 assert!(sum < 1.5, "{split}, seed {seed}, period {period}: {sum}");
-                for index in 0..first {
+                for index in 0..first_side_size {
                     assert!(
                         senders.fleet_size(index) >= MEMBERS as u32,
                         "{split}, seed {seed}: {index}"
@@ -125,8 +125,8 @@
                 }
             }
             let majority_size = senders.fleet_size(MEMBERS - 1);
-            let expected = if 2 * first < MEMBERS {
-                MEMBERS - first
+            let expected = if 2 * first_side_size < MEMBERS {
+                MEMBERS - first_side_size
             } else {
                 MEMBERS
             };
