--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -79,7 +79,7 @@
     /// A key of the file in force is missing in the new file, or has a value of another type there.
     #[error("{0} is missing")]
     Incomplete(String),
-    /// The file has a key that does not exist.
+    /// The `pool` object has an unknown key. The text is the path of that key.
     #[error("{0} is not a known setting")]
     Unknown(String),
     /// The `settings` object is invalid.
@@ -337,7 +337,8 @@
     Ok(bytes as u64)
 }
 
-/// Reads the `settings` object, whose keys have the same names as the settings on the simulator's lines.
+/// Reads the `settings` object. The path of each key is the name of that setting in a `begin` line of the simulator's
+/// line protocol.
 fn read_sender_settings(value: &Value) -> Result<(Settings, Names), SettingsError> {
     let paths = flatten(value);
     let pairs = paths
--- a/src/net/config/completeness.rs
+++ b/src/net/config/completeness.rs
@@ -5,7 +5,7 @@
 
 /// Keys of a message class that are optional in the settings, so that a new file may leave them out.
 const OPTIONAL_CLASS_KEYS: [&str; 2] = ["aimStretch", "oneAtATime"];
-/// Top-level objects that a new file may leave out or add.
+/// Top-level objects that a new file may leave out. A new file may also add any key.
 const OPTIONAL_OBJECTS: [&str; 5] = ["pool", "membership", "agreement", "ledger", "freeze"];
 /// Paths below which keys are not compared: they are used at the start only, or all their keys have defaults.
 const UNCHECKED_PATHS: [&str; 8] = [
@@ -19,8 +19,9 @@
     "/freeze",
 ];
 
-/// Checks that the new file has each key of the file in force, with a value of the same type. Each object in a list must
-/// have the keys that all objects of the old list have. A list may become empty only if it was empty before.
+/// Checks that the new file has each key of the file in force, with a value of the same type, except for optional keys and
+/// those below [`UNCHECKED_PATHS`]. Each object in a list must have the keys that all objects of the old list have. A list
+/// may become empty only if it was empty before.
 ///
 /// # Errors
 /// Names the first key that is missing or has a value of another type.
--- a/src/net/config/tests.rs
+++ b/src/net/config/tests.rs
@@ -58,7 +58,8 @@
         Some("127.0.0.1:8002")
     );
     assert_eq!(config.passed_socket, None);
-    // the state folder must also hold the last valid file twice and the remembered members
+    // the journal gets the disk limit less the space for the remembered members, one block of 4096 bytes and two copies
+    // of the last valid configuration file, both of which exist while it is replaced
     let remembered = crate::net::membership::MAX_DISK_BYTES;
     assert_eq!(
         config.journal_bytes,
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -17,10 +17,10 @@
 /// Nominal delay up to which retries back off if few or no other senders call the same discovery.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1000);
 /// First delay for each sender that shares discovery: when all senders lose their watches at the same time, their first
-/// retries reach discovery 25 ms apart on average.
+/// retries reach discovery 25 ms apart on average, or closer together where an upper bound shortens the delay.
 const INITIAL_DELAY_PER_SENDER: Duration = Duration::from_millis(25);
 /// Maximum delay for each sender that shares discovery: during a long outage the retries of all senders reach discovery
-/// 300 ms apart on average.
+/// 300 ms apart on average, or closer together where an upper bound shortens the delay.
 const MAX_DELAY_PER_SENDER: Duration = Duration::from_millis(300);
 /// Upper bound of the nominal delay for any configured number of senders. The platform holds a sender to missed changes
 /// [`BINDING_AFTER`] after discovery can be reached again, and the call that reaches it may take [`SILENCE_TIMEOUT`]. The
@@ -49,8 +49,8 @@
     pub poll_interval: Duration,
 }
 
-/// Randomized exponential backoff between calls. The delays grow with the number of senders, because discovery must
-/// bear the calls of all of them together.
+/// Randomized exponential backoff between calls to discovery. The delays grow with the number of senders that share a
+/// common discovery service, because that service must handle the calls of all of them.
 #[derive(Debug)]
 pub struct Backoff {
     random: Pcg32,
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -33,7 +33,9 @@
 fn call_rate_is_bounded_for_many_senders_and_retries_are_fast_for_few() {
     let second = Duration::from_secs(1);
     assert!(tries(2, Duration::ZERO, second) >= 6);
-    // delays are as long as possible, but a delay and a call together end within BINDING_AFTER
+    // with that many senders the nominal delay between failed calls is MAX_NOMINAL_DELAY: the longest randomized delay,
+    // one and a half times as long, and a call of SILENCE_TIMEOUT together end within BINDING_AFTER; `max_tries` is the
+    // number of calls at this mean delay
     for senders in [24, 48, 300] {
         let tries = tries(senders, 20 * second, 40 * second) as f64;
         let max_tries =
@@ -89,7 +91,7 @@
             );
         }
     }
-    // calls to a sender's own agent are not delayed by the number of other senders
+    // the delays between calls to a sender's own agent do not grow with the number of senders
     let mut own = Backoff::new(
         DiscoveryClients {
             is_common_service: false,
--- a/src/net/discovery/freshness.rs
+++ b/src/net/discovery/freshness.rs
@@ -17,7 +17,9 @@
 /// Whether the known endpoint list may lack changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// A watch is open and has received data, so no change is known to be missing.
+    /// No change is known to be missing: a watch has received data, the sender's own agent refuses connections or sends
+    /// nothing in the first time of a watch (it has no newer list), or the first call of the process has ended without
+    /// any sign of a missed change.
     Fresh,
     /// The first call of this process to its agent has not ended. The agent may hold a newer list, and the platform already
     /// holds the sender to it.
@@ -38,7 +40,7 @@
 }
 
 impl State {
-    /// Returns the time from which the list is too old to send by, or `None` while no change can have been missed.
+    /// Returns the time from which the list is too old to send by, or `None` while no change is known to be missing.
     fn stale_from(self, now: Instant, grace: Duration) -> Option<Instant> {
         match self {
             State::Fresh => None,
@@ -135,14 +137,15 @@
             .send_modify(|state| *state = state.moved(Instant::now()));
     }
 
-    /// Records that a watch has received data: the list or an empty line. With it the sender has all missed changes.
+    /// Records that the sender has all changes: a watch has received data (a list or an empty line), or the sender's own
+    /// agent has shown that it has no newer list.
     pub fn received(&self) {
         self.0
             .send_if_modified(|state| std::mem::replace(state, State::Fresh) != State::Fresh);
     }
 
-    /// Records that a call has ended without a list. If it was the first call of the process, the list that the process
-    /// started with may be used.
+    /// Records that a call or watch has ended. A process that has been waiting for its first call may then use the list
+    /// that it started with.
     pub fn call_ended(&self) {
         self.0.send_if_modified(|state| {
             let starting = *state == State::Starting;
@@ -151,8 +154,8 @@
         });
     }
 
-    /// Returns the earliest time at which the platform may hold the sender to a missed change, or `None` if no change can
-    /// have been missed.
+    /// Returns the earliest time at which the platform may hold the sender to a missed change, or `None` if no change is
+    /// known to be missing.
     pub fn binding_from(&self) -> Option<Instant> {
         match *self.0.borrow() {
             State::Missed(missed) => Some(missed.binding_from),
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -90,7 +90,7 @@
 pub struct ReadResult {
     /// Lists in the order received; `None` stands for a JSON value that is not a list.
     pub lists: Vec<Option<ListUpdate>>,
-    /// First 80 bytes of the first text that could not be parsed.
+    /// Up to 80 bytes of the beginning of the first text that could not be parsed.
     pub unreadable: Option<String>,
 }
 
--- a/src/net/settings_object.rs
+++ b/src/net/settings_object.rs
@@ -51,12 +51,12 @@
         /// Bytes per second that apply if the key is left out.
         default: u64,
     },
-    /// Reading the file with the fleet's shared key failed.
+    /// The file with the fleet's shared key can't be read, or is too long.
     #[error("membership.key_file: {path}: {error}", path = path.display())]
     KeyFile {
         /// Path of the key file.
         path: PathBuf,
-        /// Error of the operating system.
+        /// Why the key file can't be read, or that it is too long.
         error: std::io::Error,
     },
 }
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -10,7 +10,8 @@
     Err((expected.to_string(), found.chars().take(80).collect()))
 }
 
-/// Iterator over the fields of one line. In each method `expected` describes the field in the error message.
+/// Reads the fields of one line one after the other. The argument `expected` of a method describes the field for the
+/// error message.
 pub(super) struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -69,8 +69,8 @@
     Sender::new(settings, 1).expect("the settings are valid")
 }
 
-/// Function that returns true if datagrams pass, given the number of members on the first side, and the indexes of the
-/// sending and the receiving member.
+/// Function that returns true if a network split lets a datagram pass. Its arguments are the number of members on the
+/// first side of the split (those with the lowest indexes), and the indexes of the sending and the receiving member.
 type Passes = fn(usize, usize, usize) -> bool;
 
 /// Returns the simulated network splits, each with its name, the number of members on the first side, and the function
--- a/tests/fleet_view.rs
+++ b/tests/fleet_view.rs
@@ -245,8 +245,8 @@
 
 #[test]
 fn fair_share_shrinks_immediately_when_departed_senders_return() {
-    // calls of one sender in 3 s, after a first rejection, to a destination whose listed rate is 40 calls per second for
-    // twenty senders
+    // returns the number of calls that one sender makes in the 3 s after a first rejection; the listed rate of the
+    // destination is 40 calls per second in total, shared by twenty senders
     let sent = |views: [Option<FleetView>; 2]| {
         let mut settings = settings(20);
         (settings.senders, settings.weight_trust) = (20, 1.0);
