--- a/tests/fleet_counts.rs
+++ b/tests/fleet_counts.rs
@@ -69,32 +69,32 @@
     Sender::new(settings, 1).expect("the settings are valid")
 }
 
-/// Function that returns true if datagrams pass, given the number of members on the first side, and the indexes of the
-/// sending and the receiving member.
+/// Function that returns true if a network split lets a datagram pass. Its arguments are the number of members on the
+/// first side of the split (those with the lowest indexes), and the indexes of the sending and the receiving member.
 type Passes = fn(usize, usize, usize) -> bool;
 
 /// Returns the simulated network splits, each with its name, the number of members on the first side, and the function
 /// that decides which datagrams pass.
 fn splits() -> Vec<(&'static str, usize, Passes)> {
     vec![
-        ("halves", 10, |first, from, to| {
-            (from < first) == (to < first)
+        ("halves", 10, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
-        ("seven cut off", 7, |first, from, to| {
-            (from < first) == (to < first)
+        ("seven cut off", 7, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
-        ("a fifth cut off", 4, |first, from, to| {
-            (from < first) == (to < first)
+        ("a fifth cut off", 4, |first_side_size, from, to| {
+            (from < first_side_size) == (to < first_side_size)
         }),
         (
             "a fifth receives nothing from the others",
             4,
-            |first, from, to| to >= first || from < first,
+            |first_side_size, from, to| to >= first_side_size || from < first_side_size,
         ),
         (
             "the others receive nothing from a fifth",
             4,
-            |first, from, to| from >= first || to < first,
+            |first_side_size, from, to| from >= first_side_size || to < first_side_size,
         ),
     ]
 }
@@ -108,14 +108,14 @@
 #[test]
 fn minority_senders_never_lower_fleet_size_and_share_sum_is_bounded_in_splits() {
     let mut naive_violations = 0;
-    for (split, first, passes) in splits() {
+    for (split, first_side_size, passes) in splits() {
         for seed in 0..3 {
             let mut senders = Senders::new(seed);
-            senders.fleet.passes = Box::new(move |from, to| passes(first, from, to));
+            senders.fleet.passes = Box::new(move |from, to| passes(first_side_size, from, to));
             for period in 0..120 {
                 let sum = senders.step();
                 assert!(sum < 1.5, "{split}, seed {seed}, period {period}: {sum}");
-                for index in 0..first {
+                for index in 0..first_side_size {
                     assert!(
                         senders.fleet_size(index) >= MEMBERS as u32,
                         "{split}, seed {seed}: {index}"
@@ -125,8 +125,8 @@
                 }
             }
             let majority_size = senders.fleet_size(MEMBERS - 1);
-            let expected = if 2 * first < MEMBERS {
-                MEMBERS - first
+            let expected = if 2 * first_side_size < MEMBERS {
+                MEMBERS - first_side_size
             } else {
                 MEMBERS
             };
