--- a/agreement/src/lease_holder.rs
+++ b/agreement/src/lease_holder.rs
@@ -1,4 +1,5 @@
-//! The sender's side: what it may act on now.
+//! The sender's side of leases: it requests leases from the registry, acts on the leased rules
+//! while its lease is valid, and on its fallback rules without a valid lease.
 
 use crate::Micros;
 use crate::leases::Grant;
@@ -6,33 +7,38 @@
 use crate::versions::VersionTag;
 use serde::{Deserialize, Serialize};
 
-/// A request for a lease.
+/// Request of a sender to the registry for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The incarnation of the sender; an answer to an earlier one's request counts for nothing.
+    /// Incarnation of the sender; the sender ignores answers to requests of another incarnation.
     pub incarnation: u64,
-    /// Numbers the request; only the last one's answer counts.
+    /// Number of the request within the incarnation; the sender accepts only answers to its latest
+    /// request.
     pub sequence: u64,
-    /// What the sender acts on; none: its fallback rules.
+    /// Version and step of the leased rules that the sender acts on; `None` if it acts on its
+    /// fallback rules.
     pub acts_on: Option<VersionTag>,
 }
 
-/// What became of a grant.
+/// Result of [`LeaseHolder::apply_grant`]. The sender applies a grant that is `Renewed` or
+/// `Changed`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantResult {
-    /// The lease is longer, the rules are as they were.
+    /// The sender held a valid lease on the same version and step, which now has a new expiry.
     Renewed,
-    /// Other rules hold.
+    /// The sender held no valid lease, or one on another version or step.
     Changed,
-    /// It answers a request that counts no more.
+    /// The grant answers an earlier request or one of another incarnation, and is ignored.
     Outdated,
-    /// It is of a step below one that this sender has had: the registry was restored from older data.
+    /// The grant is ignored: its version and step are before one granted in this incarnation, for
+    /// example because the registry was restored from older data.
     VersionRegressed,
-    /// The rules forbid what this sender does without a lease: its fallback rules are not the registry's.
+    /// The grant is ignored: its rules forbid something that this sender's fallback rules allow, so
+    /// these differ from the registry's fallback rules.
     BelowFallback,
 }
 
-/// Rules under a lease.
+/// Rules that a sender may act on until its lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LeasedRules {
     tag: VersionTag,
@@ -40,27 +46,31 @@
     until: Micros,
 }
 
-/// The lease that a sender holds. It begins on its fallback rules, whatever it knew in an earlier incarnation.
+/// Lease that a sender holds, and its fallback rules. A new incarnation begins on the fallback
+/// rules: leases are not kept across restarts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     fallback: Rules,
     incarnation: u64,
     leased: Option<LeasedRules>,
-    /// The greatest that it ever was granted in this incarnation: it never goes back.
-    highest: VersionTag,
-    /// Of the last request.
+    /// Greatest version and step granted in this incarnation; grants of earlier ones are
+    /// rejected.
+    highest_tag: VersionTag,
+    /// Number of the latest request; 0 before the first.
     sequence: u64,
+    /// Time in microseconds on the sender's clock at which the latest request was sent.
     requested_at: Micros,
 }
 
 impl LeaseHolder {
-    /// A sender that has just started; no two incarnations of one sender have the same number.
+    /// Creates the state of a sender that has just started. `incarnation` must differ between any
+    /// two incarnations of one sender.
     pub fn new(fallback: Rules, incarnation: u64) -> Self {
         LeaseHolder {
             fallback,
             incarnation,
             leased: None,
-            highest: VersionTag::default(),
+            highest_tag: VersionTag::default(),
             sequence: 0,
             requested_at: 0,
         }
@@ -70,23 +80,26 @@
         self.leased.as_ref().filter(|leased| now < leased.until)
     }
 
-    /// The version that it acts on now, if its lease lasts.
+    /// Returns the version and step of the leased rules, or `None` without a valid lease at `now`.
     pub fn tag(&self, now: Micros) -> Option<VersionTag> {
         self.current(now).map(|leased| leased.tag)
     }
 
-    /// The rules that it acts on now.
+    /// Returns the rules that the sender acts on at `now`: the leased rules, or the fallback rules
+    /// without a valid lease.
     pub fn rules(&self, now: Micros) -> &Rules {
         self.current(now)
             .map_or(&self.fallback, |leased| &leased.rules)
     }
 
-    /// Until when its lease lasts, if it does.
+    /// Returns the time in microseconds on the sender's clock at which the lease expires, or `None`
+    /// without a valid lease at `now`.
     pub fn valid_until(&self, now: Micros) -> Option<Micros> {
         self.current(now).map(|leased| leased.until)
     }
 
-    /// A request for a lease that is sent now.
+    /// Creates a request for a lease, to be sent at `now`. Answers to earlier requests no longer
+    /// count.
     pub fn request(&mut self, now: Micros) -> LeaseRequest {
         self.sequence += 1;
         self.requested_at = now;
@@ -97,26 +110,27 @@
         }
     }
 
-    /// Takes the grant that answers a request. The lease counts from when the request was sent, for the registry may have
-    /// granted it at once and the answer have been long under way.
-    pub fn apply_grant(&mut self, to: LeaseRequest, grant: Grant, now: Micros) -> GrantResult {
-        if (to.incarnation, to.sequence) != (self.incarnation, self.sequence) {
+    /// Applies the grant that answers `request`. The lease counts from the time at which the
+    /// request was sent, because the sender does not know when the registry granted it: the
+    /// answer may have been delayed, while the registry counts the lease from the grant.
+    pub fn apply_grant(&mut self, request: LeaseRequest, grant: Grant, now: Micros) -> GrantResult {
+        if (request.incarnation, request.sequence) != (self.incarnation, self.sequence) {
             return GrantResult::Outdated;
         }
-        if grant.tag < self.highest {
+        if grant.tag < self.highest_tag {
             return GrantResult::VersionRegressed;
         }
         if !self.fallback.is_within(&grant.rules) {
             return GrantResult::BelowFallback;
         }
-        let before = self.tag(now);
-        self.highest = grant.tag;
+        let previous_tag = self.tag(now);
+        self.highest_tag = grant.tag;
         self.leased = Some(LeasedRules {
             tag: grant.tag,
             rules: grant.rules,
             until: self.requested_at + grant.lease,
         });
-        if before == Some(grant.tag) {
+        if previous_tag == Some(grant.tag) {
             GrantResult::Renewed
         } else {
             GrantResult::Changed
--- a/agreement/src/leases.rs
+++ b/agreement/src/leases.rs
@@ -1,5 +1,7 @@
-//! The leader's side: who may still act on what. Leases are not replicated: one that becomes leader knows none, and takes
-//! it that every sender holds one for as long as the longest may last.
+//! The registry's side of leases: the leader grants them and tracks which senders may still act on
+//! earlier rules. A lease allows a sender to act on the rules of one version and step for a limited
+//! time. Leases are not replicated: a new leader knows none of them, and assumes that senders may
+//! hold leases of an earlier leader until the longest of these has expired.
 
 use crate::Micros;
 use crate::rules::Rules;
@@ -7,62 +9,69 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long leases last.
+/// Duration of leases, and the allowance for clocks that run at different rates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTerms {
-    /// On the sender's clock, counted from when it asked.
+    /// Duration of a lease in microseconds on the sender's clock, counted from its request.
     pub lease: Micros,
-    /// What that may be longer at most on the registry's clock: twice the bound on the drift of one clock, of the lease.
+    /// Maximum time in microseconds by which the lease may last longer on the registry's clock:
+    /// the sender's clock may run slow and the registry's fast, so about twice the drift of one
+    /// clock over a lease.
     pub max_drift: Micros,
 }
 
 impl LeaseTerms {
-    /// The longest that a sender may act on a lease after it was given, on the registry's clock.
+    /// Returns the maximum time in microseconds on the registry's clock for which a sender may act
+    /// on a lease after the registry has granted it.
     pub fn longest_validity(self) -> Micros {
         self.lease + self.max_drift
     }
 }
 
-/// What a sender is allowed.
+/// Answer of the registry that grants a lease to a sender.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Which rules these are.
+    /// Version and step of the granted rules.
     pub tag: VersionTag,
-    /// What it may do.
+    /// Rules that the sender may act on during the lease.
     pub rules: Rules,
-    /// For how long, counted from when it asked, on its clock.
+    /// Duration of the lease in microseconds on the sender's clock, counted from the time at
+    /// which the sender sent its request.
     pub lease: Micros,
 }
 
-/// What a sender may act on, by what it was given and what it said.
+/// Versions and steps that one sender may act on, as far as the leader knows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct HolderEntry {
-    /// What it said it acts on.
+    /// Greatest version and step that the sender has reported in its requests; `None` if it has
+    /// reported only its fallback rules.
     acts_on: Option<VersionTag>,
-    /// Until when each grant may last that it has not gone beyond.
+    /// Time in microseconds on the leader's clock until which the sender may act on each granted
+    /// version and step.
     grants: BTreeMap<VersionTag, Micros>,
 }
 
-/// Who is waited for, and until when at the latest.
+/// Lease on earlier rules that delays the next step of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BlockingLease {
-    /// None: leases that one before this leader may have given.
+    /// Number of the sender; `None` stands for leases that an earlier leader may have granted.
     pub sender: Option<u64>,
-    /// On the leader's clock.
+    /// Time in microseconds on the leader's clock at which the lease has expired at the latest.
     pub until: Micros,
 }
 
-/// The leases that this leader gave.
+/// Leases that this leader has granted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Leases {
     terms: LeaseTerms,
-    /// Leases of before that may still last until then, whoever holds them.
+    /// Time in microseconds on the leader's clock until which any sender may hold a lease of an
+    /// earlier leader.
     unknown_until: Micros,
     senders: BTreeMap<u64, HolderEntry>,
 }
 
 impl Leases {
-    /// Of one that becomes leader now.
+    /// Creates the state of a replica that becomes leader at `now`.
     pub fn new(terms: LeaseTerms, now: Micros) -> Self {
         Leases {
             terms,
@@ -71,8 +80,13 @@
         }
     }
 
-    /// Grants a lease to an incarnation of a sender, which says what it acts on; none: its fallback rules. To be called only once a majority
-    /// has confirmed, after the request came in, that this one still leads; else the next leader may be past waiting.
+    /// Grants a lease on the rules of the current step to a sender. `sender` is a number that
+    /// differs between any two incarnations; `acts_on` is the version and step that the sender
+    /// reports, or `None` if it acts on its fallback rules.
+    ///
+    /// The caller must first have a majority confirm, after the request arrived, that this replica
+    /// still leads. A deposed leader could otherwise grant a lease after the next leader has
+    /// stopped waiting for leases of earlier leaders.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -83,7 +97,7 @@
         let tag = versions.tag();
         let holder = self.senders.entry(sender).or_default();
         holder.acts_on = holder.acts_on.max(acts_on);
-        // what it has gone beyond it acts on no more
+        // a sender never returns to a version and step below one that it has acted on
         let acts_on = holder.acts_on;
         holder
             .grants
@@ -98,7 +112,9 @@
         }
     }
 
-    /// Who may still act on rules before this step; none: nobody, and the next step may begin.
+    /// Returns the lease that expires last of those on rules before `tag`, or `None` if no sender
+    /// can still act on such rules, so that the next step may begin. Leases of an earlier leader
+    /// count as leases on rules before `tag`.
     pub fn blocking_lease(&self, now: Micros, tag: VersionTag) -> Option<BlockingLease> {
         let unknown = (self.unknown_until > now).then_some(BlockingLease {
             sender: None,
@@ -107,10 +123,11 @@
         unknown
             .into_iter()
             .chain(self.senders_behind(now, tag))
-            .max_by_key(|wait| wait.until)
+            .max_by_key(|lease| lease.until)
     }
 
-    /// The senders that may still act on rules before this step.
+    /// Returns the senders that may still act on rules before `tag` under a lease of this leader:
+    /// they have not reported `tag` or a later one, and such a lease has not expired.
     pub fn senders_behind(
         &self,
         now: Micros,
@@ -126,7 +143,8 @@
         })
     }
 
-    /// Whether the version in force is in force everywhere, so that another change may begin.
+    /// Returns whether the current version is complete and no sender can still act under a lease
+    /// on earlier rules, so that another change may begin.
     pub fn is_settled(&self, now: Micros, versions: &VersionedRules) -> bool {
         versions.tag().complete && self.blocking_lease(now, versions.tag()).is_none()
     }
@@ -144,7 +162,8 @@
         expired
     }
 
-    /// Each sender with a lease, what it said it acts on, and until when it may act at all.
+    /// Returns each known sender, the greatest version and step that it has reported, and the time
+    /// in microseconds on the leader's clock at which the last of its leases expires.
     pub fn holders(&self) -> impl Iterator<Item = (u64, Option<VersionTag>, Micros)> {
         self.senders.iter().map(|(sender, holder)| {
             (
--- a/agreement/src/lib.rs
+++ b/agreement/src/lib.rs
@@ -1,10 +1,13 @@
-//! Rules with versions on which senders agree, without sockets or clock.
+//! Versioned rules on which senders agree. The crate opens no sockets and reads no clock: callers
+//! pass the time in.
 //!
-//! [`Rules`] says what a sender may do; [`Rules::intersection`] is the strictest of two, key by key. [`VersionedRules`], which a
-//! replicated log keeps, takes each change through two steps, old to intersection and intersection to new; [`Leases`] is the leader's
-//! knowledge of who may still act on what, by which it sees when a step may begin; a [`LeaseHolder`] is the sender's side: it
-//! acts on what its lease allows, and on its fallback rules once that has expired. `docs/agreement.md` states the protocol, its
-//! bound and why.
+//! [`Rules`] state what a sender may do; [`Rules::intersection`] takes the stricter of two rules,
+//! field by field. [`VersionedRules`] is the registry's replicated state: it takes each change
+//! through two steps, from the old rules to the intersection, and from the intersection to the new
+//! rules. [`Leases`] tell the registry's leader which senders may still act on earlier rules, and
+//! so when the next step may begin. [`LeaseHolder`] is the sender's side: a sender acts on the
+//! rules of its lease, and on its fallback rules without a valid lease. `docs/agreement.md`
+//! describes the protocol and its bound.
 
 mod lease_holder;
 mod leases;
@@ -16,5 +19,6 @@
 pub use rules::{Attempts, ClassRules, Effect, InvalidRules, LIMIT_NAMES, NoIntersection, Rules};
 pub use versions::{Proposal, ProposalError, VersionTag, VersionedRules};
 
-/// Microseconds on a clock that does not run backwards; each process has its own.
+/// Time or duration in microseconds on a monotonic clock. Each process has its own clock, so times
+/// of two processes are not comparable.
 pub type Micros = u64;
--- a/agreement/src/rules.rs
+++ b/agreement/src/rules.rs
@@ -1,39 +1,45 @@
-//! What a sender may do, as a document, and when two documents contradict each other.
+//! Rules: a document that states what a sender may do, and the comparison of two such documents.
 //!
-//! Every key has an order from strict to free. One document is no freer than another ([`Rules::within`]) if that holds
-//! for each key; two contradict each other where neither is within the other, for then each allows what the other
-//! forbids. The intersection takes the stricter of both for each key, so it is within both.
+//! A document is within another ([`Rules::is_within`]) if it allows nothing that the other forbids,
+//! field by field. Two documents contradict each other if neither is within the other: each then
+//! allows something that the other forbids. The intersection takes the stricter value of each
+//! field, so it is within both. Two documents that order the same class by keys of different
+//! meanings have no intersection.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// How often a message of a class may take effect.
+/// Effect that senders may assume for a repeated attempt of a message at its destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Once: what may have run is not sent again.
+    /// The messages are not idempotent: a message that the destination may have processed is not
+    /// sent again.
     #[serde(rename = "at_most_once")]
     NonIdempotent,
-    /// Repeats are dropped for so long, at the same zone's endpoints only.
+    /// The destination drops repeats with the same idempotency key for a limited time, but only at
+    /// endpoints of the same zone.
     #[serde(rename = "deduplicated_in_zone")]
     IdempotencyKeyInZone {
-        /// How long, ms.
+        /// Time in milliseconds for which the destination drops repeats.
         window_ms: u64,
     },
-    /// Repeats are dropped for so long at all endpoints of the destination.
+    /// The destination drops repeats with the same idempotency key for a limited time, at all of
+    /// its endpoints.
     #[serde(rename = "deduplicated")]
     IdempotencyKey {
-        /// How long, ms.
+        /// Time in milliseconds for which the destination drops repeats.
         window_ms: u64,
     },
-    /// It may be repeated freely.
+    /// The messages are idempotent: attempts may be repeated.
     Idempotent,
 }
 
 impl Effect {
-    /// Where repeats are dropped, and how long, ms: more of either allows more.
-    fn freedom(self) -> (u8, u64) {
+    /// Returns a rank for the scope in which attempts may be repeated, and the time in milliseconds
+    /// for which they may. A higher value of either is more permissive.
+    fn scope_and_window_ms(self) -> (u8, u64) {
         match self {
             Effect::NonIdempotent => (0, 0),
             Effect::IdempotencyKeyInZone { window_ms } => (1, window_ms),
@@ -43,16 +49,17 @@
     }
 
     fn is_within(self, other: Effect) -> bool {
-        let (scope, window) = self.freedom();
-        let (other_scope, other_window) = other.freedom();
-        scope <= other_scope && window <= other_window
+        let (scope, window_ms) = self.scope_and_window_ms();
+        let (other_scope, other_window_ms) = other.scope_and_window_ms();
+        scope <= other_scope && window_ms <= other_window_ms
     }
 
-    /// The freest that is within both: the narrower scope and the shorter window.
+    /// Returns the most permissive effect that is within both: it has the narrower scope and the
+    /// shorter window.
     fn intersection(self, other: Effect) -> Effect {
-        let (scope, window) = self.freedom();
-        let (other_scope, other_window) = other.freedom();
-        let window_ms = window.min(other_window);
+        let (scope, window_ms) = self.scope_and_window_ms();
+        let (other_scope, other_window_ms) = other.scope_and_window_ms();
+        let window_ms = window_ms.min(other_window_ms);
         match scope.min(other_scope) {
             0 => Effect::NonIdempotent,
             1 => Effect::IdempotencyKeyInZone { window_ms },
@@ -62,68 +69,72 @@
     }
 }
 
-/// Attempts that a message may have.
+/// Number of attempts to deliver one message.
 pub type Attempts = u32;
 
-/// What can be limited for each sender: calls in flight, and pending messages.
+/// Names of the limits that rules may set for each sender: calls in flight, and pending messages.
 pub const LIMIT_NAMES: [&str; 2] = ["calls", "messages"];
-/// Classes that a document may name.
-const CLASSES_MOST: usize = 256;
-/// Longest name of a class or of what keys mean.
-const NAME_MOST: usize = 128;
+/// Maximum number of classes in one document.
+const MAX_CLASSES: usize = 256;
+/// Maximum length in bytes of a class name, and of the `keyed_by` text of an ordered class.
+const MAX_NAME_BYTES: usize = 128;
 
-/// The rules of one class.
+/// Rules of one class of messages.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRules {
-    /// Clients may hand messages in.
+    /// Whether senders accept new messages of the class from clients.
     pub accepted: bool,
-    /// How often one may take effect.
+    /// Most permissive effect that senders may assume for a repeated attempt.
     pub effect: Effect,
-    /// Attempts of one message at most.
+    /// Maximum number of attempts for one message.
     #[serde(rename = "attempts")]
     pub max_attempts: Attempts,
-    /// Messages of one key go one at a time, in order.
+    /// Whether messages of one key are delivered one at a time, in order.
     pub in_order: bool,
-    /// What the keys mean; keys of two meanings can't be kept in one order.
+    /// What the keys of an ordered class identify, for example a reader. Messages can't be kept in
+    /// order by keys of two meanings at once.
     #[serde(rename = "keyed_by")]
     pub key_meaning: String,
-    /// Pause of a key after an attempt that may still run, in ms.
+    /// Minimum time in milliseconds before the next message of a key is sent after an attempt that
+    /// the destination may still be processing.
     #[serde(rename = "gap_ms")]
     pub key_backoff_ms: u64,
 }
 
-/// A document of rules.
+/// Document that states what a sender may do.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// By name; a class that is not named is not accepted, and nothing of it is sent.
+    /// Rules of each class, by class name. Senders accept no new messages of other classes, and
+    /// send no messages of other classes.
     #[serde(default)]
     pub classes: BTreeMap<String, ClassRules>,
-    /// What one sender may have at once, by [`LIMIT_NAMES`]. A limit that is not named is none.
+    /// Maximum number that one sender may have at the same time, by a name of [`LIMIT_NAMES`]. A
+    /// name that is absent sets no limit.
     #[serde(default)]
     pub limits: BTreeMap<String, u64>,
 }
 
-/// Why two documents have no intersection.
+/// Error: two documents order the same class by keys of different meanings.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("class {class} is kept in order by {one} in one and by {other} in the other")]
 pub struct NoIntersection {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// What its keys mean in one.
+    /// What the keys of the class identify in the first document.
     pub one: String,
-    /// What they mean in the other.
+    /// What the keys of the class identify in the second document.
     pub other: String,
 }
 
-/// Why a document is none that senders can act on.
+/// Error: a document contains an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{location}: {problem}")]
 pub struct InvalidRules {
-    /// Where.
+    /// Dotted path of the invalid value, such as `limits.calls`.
     pub location: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: &'static str,
 }
 
@@ -158,69 +169,70 @@
 }
 
 impl Rules {
-    /// Checks that the document makes sense.
+    /// Checks the number of classes, the names of classes and limits, and that each attempt count,
+    /// window, limit and meaning of the keys that must be set is set.
     ///
     /// # Errors
-    /// Names the first key that does not.
+    /// Returns the location of the first invalid value.
     pub fn validate(&self) -> Result<(), InvalidRules> {
-        let holds = |holds: bool, place: &str, problem| {
-            if holds {
+        let require = |condition: bool, location: &str, problem| {
+            if condition {
                 Ok(())
             } else {
                 Err(InvalidRules {
-                    location: place.to_string(),
+                    location: location.to_string(),
                     problem,
                 })
             }
         };
-        holds(
-            self.classes.len() <= CLASSES_MOST,
+        require(
+            self.classes.len() <= MAX_CLASSES,
             "classes",
             "more than 256",
         )?;
         for (name, class) in &self.classes {
-            let named = |text: &str| (1..=NAME_MOST).contains(&text.len());
-            let place = |key: &str| format!("classes.{name}.{key}");
-            holds(
-                named(name),
+            let has_valid_length = |text: &str| (1..=MAX_NAME_BYTES).contains(&text.len());
+            let location = |key: &str| format!("classes.{name}.{key}");
+            require(
+                has_valid_length(name),
                 "classes",
                 "a name is empty or longer than 128 bytes",
             )?;
-            holds(
+            require(
                 class.max_attempts > 0,
-                &place("attempts"),
+                &location("attempts"),
                 "must be above zero",
             )?;
-            let keyed = !class.in_order || named(&class.key_meaning);
-            holds(
-                keyed,
-                &place("keyed_by"),
+            let has_key_meaning = !class.in_order || has_valid_length(&class.key_meaning);
+            require(
+                has_key_meaning,
+                &location("keyed_by"),
                 "a class in order names what its keys mean",
             )?;
-            let window = match class.effect {
+            let window_ms = match class.effect {
                 Effect::IdempotencyKeyInZone { window_ms }
                 | Effect::IdempotencyKey { window_ms } => window_ms,
                 Effect::NonIdempotent | Effect::Idempotent => 1,
             };
-            holds(
-                window > 0,
-                &place("effect"),
+            require(
+                window_ms > 0,
+                &location("effect"),
                 "its window must be above zero",
             )?;
         }
-        for (name, most) in &self.limits {
-            let place = format!("limits.{name}");
-            holds(
+        for (name, max) in &self.limits {
+            let location = format!("limits.{name}");
+            require(
                 LIMIT_NAMES.contains(&name.as_str()),
-                &place,
+                &location,
                 "no such limit",
             )?;
-            holds(*most > 0, &place, "must be above zero")?;
+            require(*max > 0, &location, "must be above zero")?;
         }
         Ok(())
     }
 
-    /// Whether all that these rules allow is allowed by the others too.
+    /// Returns whether `other` allows everything that these rules allow.
     pub fn is_within(&self, other: &Rules) -> bool {
         self.classes.iter().all(|(name, class)| {
             other
@@ -230,18 +242,18 @@
         }) && other
             .limits
             .iter()
-            .all(|(name, most)| self.limits.get(name).is_some_and(|own| own <= most))
+            .all(|(name, max)| self.limits.get(name).is_some_and(|own| own <= max))
     }
 
-    /// Whether each allows what the other forbids.
+    /// Returns whether each of the two rules allows something that the other forbids.
     pub fn contradicts(&self, other: &Rules) -> bool {
         !self.is_within(other) && !other.is_within(self)
     }
 
-    /// The freest rules that are within both.
+    /// Returns the most permissive rules that are within both.
     ///
     /// # Errors
-    /// Names the class whose order has two meanings.
+    /// Returns the first class that both order, but by keys of different meanings.
     pub fn intersection(&self, other: &Rules) -> Result<Rules, NoIntersection> {
         let mut intersection = Rules::default();
         for (name, class) in &self.classes {
@@ -251,9 +263,9 @@
                     .insert(name.clone(), class.intersection(other, name)?);
             }
         }
-        for (name, most) in self.limits.iter().chain(&other.limits) {
-            let least = intersection.limits.entry(name.clone()).or_insert(*most);
-            *least = (*least).min(*most);
+        for (name, max) in self.limits.iter().chain(&other.limits) {
+            let limit = intersection.limits.entry(name.clone()).or_insert(*max);
+            *limit = (*limit).min(*max);
         }
         Ok(intersection)
     }
--- a/agreement/src/rules/tests.rs
+++ b/agreement/src/rules/tests.rs
@@ -36,43 +36,44 @@
 }
 
 #[test]
-fn the_meet_is_the_freest_that_is_within_both() {
+fn intersection_of_random_rules_is_the_most_permissive_within_both() {
     let mut random = Pcg64::seed_from_u64(3);
-    let mut freer = 0;
+    let mut within_both = 0;
     for _ in 0..20_000 {
         let (one, other, third) = (rules(&mut random), rules(&mut random), rules(&mut random));
-        let meet = one.intersection(&other).expect("one meaning of keys");
+        let intersection = one.intersection(&other).expect("one meaning of keys");
         assert!(
-            meet.is_within(&one) && meet.is_within(&other),
-            "{one:?} {other:?} {meet:?}"
+            intersection.is_within(&one) && intersection.is_within(&other),
+            "{one:?} {other:?} {intersection:?}"
         );
-        let back = other.intersection(&one).expect("one meaning of keys");
+        let reversed = other.intersection(&one).expect("one meaning of keys");
         assert!(
-            meet.is_within(&back) && back.is_within(&meet),
+            intersection.is_within(&reversed) && reversed.is_within(&intersection),
             "the same either way"
         );
         assert!(one.is_within(&one) && !one.contradicts(&one));
         if third.is_within(&one) && third.is_within(&other) {
-            freer += 1;
+            within_both += 1;
             assert!(
-                third.is_within(&meet),
-                "{third:?} is within both and not within {meet:?}"
+                third.is_within(&intersection),
+                "{third:?} is within both and not within {intersection:?}"
             );
         }
         if one.is_within(&other) && other.is_within(&third) {
             assert!(one.is_within(&third));
         }
     }
-    assert!(freer > 50, "{freer} within both");
+    assert!(within_both > 50, "{within_both} within both");
 }
 
 #[test]
-fn a_document_that_makes_no_sense_names_its_place() {
-    let good = r#"{"classes":{"c":{"accepted":true,"effect":{"deduplicated":{"window_ms":5}},"attempts":3,
+fn validating_invalid_rules_returns_the_location_of_the_error() {
+    let valid = r#"{"classes":{"c":{"accepted":true,"effect":{"deduplicated":{"window_ms":5}},"attempts":3,
         "in_order":true,"keyed_by":"reader","gap_ms":0}},"limits":{"calls":4}}"#;
-    let read = |text: &str| serde_json::from_str::<Rules>(text).expect(text).validate();
-    assert_eq!(read(good), Ok(()));
-    for (from, to, place) in [
+    let parse_and_validate =
+        |text: &str| serde_json::from_str::<Rules>(text).expect(text).validate();
+    assert_eq!(parse_and_validate(valid), Ok(()));
+    for (valid_text, invalid_text, location) in [
         ("\"attempts\":3", "\"attempts\":0", "classes.c.attempts"),
         ("\"reader\"", "\"\"", "classes.c.keyed_by"),
         ("\"window_ms\":5", "\"window_ms\":0", "classes.c.effect"),
@@ -80,14 +81,15 @@
         ("\"calls\":4", "\"cals\":4", "limits.cals"),
     ] {
         assert_eq!(
-            read(&good.replace(from, to)).map_err(|error| error.location),
-            Err(place.to_string())
+            parse_and_validate(&valid.replace(valid_text, invalid_text))
+                .map_err(|error| error.location),
+            Err(location.to_string())
         );
     }
 }
 
 #[test]
-fn each_key_has_its_strict_side() {
+fn rules_with_one_stricter_class_field_are_within_the_original_rules() {
     let base = ClassRules {
         accepted: true,
         effect: Effect::IdempotencyKey { window_ms: 10_000 },
--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -1,54 +1,60 @@
-//! What the replicated log keeps: the versions, and the step of the change under way. No lease and no time is in it.
+//! The registry's replicated state of the rules: the current version, and the step of a change.
+//! Versions count the accepted changes. Each change has two steps: first senders are granted the
+//! intersection of the old and the new rules, then the new rules. Leases and times are not part of
+//! this state.
 
 use crate::rules::{NoIntersection, Rules};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A version and the step on the way to it. Greater ones come later.
+/// Version of the rules and step of the change to this version. Later steps and versions compare
+/// greater.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(deny_unknown_fields)]
 pub struct VersionTag {
-    /// The version that holds, or is to hold.
+    /// Number of the version that is in force or being introduced; the first is 1.
     pub version: u64,
-    /// False while the intersection of it and the one before is in force.
+    /// True once the rules of this version are granted; false while the intersection of these
+    /// rules and those of the version before is granted.
     #[serde(rename = "whole")]
     pub complete: bool,
 }
 
-/// What is to be in force next.
+/// Proposed change of the rules.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The version that it was made from.
+    /// Number of the version on which the proposal is based.
     pub from: u64,
-    /// The rules.
+    /// Rules of the next version.
     pub rules: Rules,
 }
 
-/// Why a proposal is not taken.
+/// Reason why a proposal is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum ProposalError {
-    /// It was made from a version that is not the last.
+    /// The proposal is based on a version that is not the current one.
     #[error("version {now} holds, the proposal was made from {from}")]
     Stale {
-        /// The version that holds.
+        /// Number of the current version.
         now: u64,
-        /// What it was made from.
+        /// Number of the version on which the proposal is based.
         from: u64,
     },
-    /// Another change is under way.
+    /// The change to this version is not complete, or, as the leader checks, a sender may still act
+    /// on earlier rules.
     #[error("version {0} may not be in force everywhere yet")]
     ChangeInProgress(u64),
-    /// A sender without a lease would act more freely than these rules allow.
+    /// The rules forbid something that the fallback rules allow to a sender without a lease.
     #[error("the floor is not within the rules")]
     BelowFallback,
-    /// No sender can keep both while the change goes through.
+    /// The old and the new rules have no intersection that senders could follow during the change.
     #[error(transparent)]
     NoIntersection(#[from] NoIntersection),
 }
 
-/// The versions.
+/// Current version of the rules, the step of its change, and the fallback rules.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedRules {
     fallback: Rules,
@@ -58,10 +64,10 @@
 }
 
 impl VersionedRules {
-    /// Versions of which these rules are the first.
+    /// Creates the state with `rules` as version 1, which is complete.
     ///
     /// # Errors
-    /// The fallback rules are not within the rules.
+    /// Returns [`ProposalError::BelowFallback`] if the fallback rules are not within the rules.
     pub fn new(fallback: Rules, rules: Rules) -> Result<Self, ProposalError> {
         if !fallback.is_within(&rules) {
             return Err(ProposalError::BelowFallback);
@@ -77,12 +83,12 @@
         })
     }
 
-    /// The version and step in force.
+    /// Returns the current version and step.
     pub fn tag(&self) -> VersionTag {
         self.tag
     }
 
-    /// The rules that are granted now.
+    /// Returns the rules that the registry grants in the current step.
     pub fn rules(&self) -> &Rules {
         if self.tag.complete {
             &self.target
@@ -91,21 +97,23 @@
         }
     }
 
-    /// The rules that hold once the change under way is through.
+    /// Returns the rules of the current version, also while the change to it is not complete.
     pub fn target_rules(&self) -> &Rules {
         &self.target
     }
 
-    /// What is within every version.
+    /// Returns the fallback rules, on which senders act without a lease; every version allows them.
     pub fn fallback(&self) -> &Rules {
         &self.fallback
     }
 
-    /// Takes a change up: from now on the intersection of both is granted. The same rules again make no version. It is for the
-    /// leader to see first that nobody can still act on the intersection of the change before ([`crate::Leases::is_settled`]).
+    /// Begins a change: from now on the intersection of the old and the new rules is granted. A
+    /// proposal of the current version's rules changes nothing and succeeds. The leader must
+    /// check first ([`crate::Leases::is_settled`]) that no sender can still act on the
+    /// intersection of the change before.
     ///
     /// # Errors
-    /// Says why it is not taken; nothing has changed then.
+    /// Returns the reason why the proposal is rejected; the state is then unchanged.
     pub fn propose(&mut self, proposal: Proposal) -> Result<VersionTag, ProposalError> {
         if proposal.from != self.tag.version {
             return Err(ProposalError::Stale {
@@ -132,8 +140,10 @@
         Ok(self.tag)
     }
 
-    /// Goes on from the intersection of this version to its rules; whether it did. It is for the leader to see first that nobody
-    /// can still act on the rules before ([`crate::Leases::blocking_lease`]).
+    /// Completes the change to `version`: its rules are granted instead of the intersection.
+    /// Returns false if no change to this version is in progress. The leader must check first
+    /// ([`crate::Leases::blocking_lease`]) that no sender can still act on rules before the
+    /// intersection.
     pub fn advance(&mut self, version: u64) -> bool {
         let advances = self.tag
             == VersionTag {
