--- a/agreement/tests/common/exploration.rs
+++ b/agreement/tests/common/exploration.rs
@@ -1,16 +1,19 @@
-//! What the model checks of leases share: the size of a model, the clocks of its senders, and the search of all states.
+//! Shared parts of the model checks of leases: the duration of a lease, the clocks of the senders,
+//! and the search through all reachable states.
 
 use stateright::{Checker, HasDiscoveries, Model};
 use std::collections::BTreeSet;
 use std::hash::Hash;
 use versioned_config::Micros;
 
-/// On a sender's clock; one that runs slow by the bound takes twice as long.
+/// Duration of a lease in ticks of the sender's clock. On a clock that runs slow by the bound this
+/// takes twice as many ticks of the registry's clock.
 pub const LEASE: Micros = 1;
-/// The bound on a clock's drift over a lease.
+/// Maximum number of ticks by which a lease may last longer on the registry's clock.
 pub const DRIFT: Micros = 1;
 
-/// A sender's clock: the first one's runs slow by the bound.
+/// Returns the time on a sender's clock when the registry's clock shows `now`. The clock of sender
+/// 0 runs slow by the bound; the clocks of the others show the registry's time.
 pub fn sender_clock(sender: usize, now: Micros) -> Micros {
     if sender == 0 {
         now * LEASE / (LEASE + DRIFT)
@@ -19,14 +22,16 @@
     }
 }
 
-/// Visits every reachable state until a property fails: how many states, and the properties that were discovered.
+/// Visits every reachable state until a property fails. Returns the number of distinct states and
+/// the names of the discovered properties: `always` that failed, and `sometimes` that held in a
+/// state.
 pub fn explore<M>(model: M) -> (usize, BTreeSet<&'static str>)
 where
     M: Model + Send + Sync + 'static,
     M::State: Hash + Send + Sync + 'static,
 {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    // one that breaks is found and no more is asked
+    // the first property that fails ends the search
     let checker = model
         .checker()
         .threads(threads)
--- a/agreement/tests/common/golden.rs
+++ b/agreement/tests/common/golden.rs
@@ -1,14 +1,17 @@
-//! Golden files: what an earlier version wrote, one record a line, `name encoded`. A record is written again byte for
-//! byte and read back as the same value. Records in postcard stand in hexadecimal, records in JSON as they are.
+//! Golden files: values as an earlier version encoded them, one record per line: `name encoded`.
+//! The tests check that each value is still encoded to the same bytes, and that the record is
+//! decoded to the same value. Records in postcard are written in hexadecimal, records in JSON as
+//! text.
 //!
-//! `UPDATE_GOLDEN=1 cargo test --test golden` writes the files anew: only for records that are new.
+//! `UPDATE_GOLDEN=1 cargo test --test golden` rewrites the files without checking them. Use it only
+//! to add new records; existing records must not change.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 use std::path::PathBuf;
 
-/// One golden file, and what is written in its place.
+/// Golden file under check, and the contents that the current code writes for the same values.
 pub struct GoldenFile {
     path: PathBuf,
     recorded: String,
@@ -29,7 +32,7 @@
         }
     }
 
-    /// A value in postcard: stored, or sent between replicas.
+    /// Checks a value that is encoded in postcard: it is stored, or sent between replicas.
     pub fn postcard<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -40,7 +43,8 @@
         self.record(name, value, encode, decode);
     }
 
-    /// A value in JSON: sent to or by clients, or read from a file.
+    /// Checks a value that is encoded in JSON: clients send or receive it, or it is read from a
+    /// file.
     pub fn json<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -51,7 +55,7 @@
         self.record(name, value, encode, decode);
     }
 
-    /// A value in a form of its own.
+    /// Checks a value that `encode` and `decode` convert to and from the text of its record.
     pub fn record<T: PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -82,7 +86,7 @@
         assert_eq!(encode(&read), recorded, "{name} changes on the way");
     }
 
-    /// Checks that no record of the file was left out.
+    /// Checks that all records of the file were checked, in order; when updating, writes the file.
     pub fn finish(self) {
         if updates() {
             std::fs::write(&self.path, &self.written).expect("written");
@@ -96,12 +100,12 @@
     std::env::var_os("UPDATE_GOLDEN").is_some()
 }
 
-/// Bytes as hexadecimal digits.
+/// Returns the bytes as hexadecimal digits.
 pub fn hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Bytes from hexadecimal digits.
+/// Returns the bytes that the hexadecimal digits encode.
 pub fn bytes(digits: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
     (0..digits.len()).step_by(2).map(byte).collect()
--- a/agreement/tests/golden.rs
+++ b/agreement/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What is stored or sent keeps its form: rules, versions, leases, and the errors that replicas send to each other.
+//! Checks that rules, versions, leases and proposal errors keep their stored and sent forms, so
+//! that earlier data and other processes can be read.
 
 #[path = "common/golden.rs"]
 mod golden;
@@ -32,7 +33,7 @@
     ]
 }
 
-/// One class of each effect, and both limits.
+/// Returns rules with one class of each effect, and with both limits.
 fn rules() -> Rules {
     Rules {
         classes: effects()
@@ -46,7 +47,7 @@
     }
 }
 
-fn floor() -> Rules {
+fn fallback() -> Rules {
     let closed = ClassRules {
         accepted: false,
         max_attempts: 1,
@@ -68,22 +69,22 @@
     }
 }
 
-/// The first version; a change to the second that is under way; and the second.
+/// Returns the states of version 1, of the change to version 2, and of the complete version 2.
 fn versions() -> [(&'static str, VersionedRules); 3] {
-    let first = VersionedRules::new(floor(), rules()).expect("above the floor");
-    let mut under_way = first.clone();
-    under_way.propose(proposal()).expect("taken");
-    let mut second = under_way.clone();
+    let first = VersionedRules::new(fallback(), rules()).expect("fallback is within the rules");
+    let mut in_progress = first.clone();
+    in_progress.propose(proposal()).expect("accepted");
+    let mut second = in_progress.clone();
     assert!(second.advance(2));
     [
         ("first", first),
-        ("under_way", under_way),
+        ("under_way", in_progress),
         ("second", second),
     ]
 }
 
-fn refusals() -> [(&'static str, ProposalError); 4] {
-    let no_meet = NoIntersection {
+fn proposal_errors() -> [(&'static str, ProposalError); 4] {
+    let no_intersection = NoIntersection {
         class: "receipts".to_string(),
         one: "reader".to_string(),
         other: "shop".to_string(),
@@ -92,7 +93,7 @@
         ("stale", ProposalError::Stale { now: 300, from: 2 }),
         ("under_way", ProposalError::ChangeInProgress(300)),
         ("below_floor", ProposalError::BelowFallback),
-        ("no_meet", ProposalError::NoIntersection(no_meet)),
+        ("no_meet", ProposalError::NoIntersection(no_intersection)),
     ]
 }
 
@@ -145,8 +146,8 @@
             lease: 6_000_000,
         },
     );
-    for (name, refusal) in refusals() {
-        file.postcard(&format!("refusal.{name}"), &refusal);
+    for (name, error) in proposal_errors() {
+        file.postcard(&format!("refusal.{name}"), &error);
     }
     file.finish();
 }
@@ -172,7 +173,8 @@
 }
 
 #[test]
-fn a_rules_document_without_its_optional_tables_is_read_and_an_unknown_key_is_not() {
+fn rules_without_optional_tables_are_read_and_documents_with_unknown_or_missing_keys_are_rejected()
+{
     assert_eq!(
         serde_json::from_str::<Rules>("{}").expect("read"),
         Rules::default()
@@ -188,10 +190,10 @@
     }
 }
 
-/// Clients see these texts: the registry answers with them.
+/// The registry sends these error texts to clients.
 #[test]
-fn the_texts_of_refusals_stay() {
-    let texts = refusals().map(|(_, refusal)| refusal.to_string());
+fn proposal_error_texts_sent_to_clients_stay_unchanged() {
+    let texts = proposal_errors().map(|(_, error)| error.to_string());
     assert_eq!(
         texts,
         [
@@ -203,25 +205,30 @@
     );
 }
 
-/// A field of another width would read or write some of these in another form, or not at all.
+/// Guards against a change of the width of a number: the maximum values would then be encoded in
+/// another form, or fail to decode.
 #[test]
 fn the_largest_numbers_stay_byte_for_byte() {
-    let most = u64::MAX;
-    let widest = ClassRules {
+    let max = u64::MAX;
+    let widest_class = ClassRules {
         max_attempts: u32::MAX,
-        key_backoff_ms: most,
-        ..class(Effect::IdempotencyKey { window_ms: most })
+        key_backoff_ms: max,
+        ..class(Effect::IdempotencyKey { window_ms: max })
     };
-    let zone = ClassRules {
+    let zone_class = ClassRules {
         max_attempts: 1,
-        ..class(Effect::IdempotencyKeyInZone { window_ms: most })
+        ..class(Effect::IdempotencyKeyInZone { window_ms: max })
     };
     let rules = Rules {
-        classes: [("widest".to_string(), widest), ("zone".to_string(), zone)].into(),
-        limits: [("calls".to_string(), most)].into(),
+        classes: [
+            ("widest".to_string(), widest_class),
+            ("zone".to_string(), zone_class),
+        ]
+        .into(),
+        limits: [("calls".to_string(), max)].into(),
     };
     let tag = VersionTag {
-        version: most,
+        version: max,
         complete: false,
     };
     let mut file = GoldenFile::open("largest.txt");
@@ -230,32 +237,32 @@
         &Grant {
             tag,
             rules: rules.clone(),
-            lease: most,
+            lease: max,
         },
     );
-    file.postcard("proposal", &Proposal { from: most, rules });
+    file.postcard("proposal", &Proposal { from: max, rules });
     file.postcard(
         "terms",
         &LeaseTerms {
-            lease: most,
-            max_drift: most,
+            lease: max,
+            max_drift: max,
         },
     );
     file.postcard(
         "ask",
         &LeaseRequest {
-            incarnation: most,
-            sequence: most,
+            incarnation: max,
+            sequence: max,
             acts_on: Some(tag),
         },
     );
     file.postcard(
         "refusal.stale",
         &ProposalError::Stale {
-            now: most,
-            from: most,
+            now: max,
+            from: max,
         },
     );
-    file.postcard("refusal.under_way", &ProposalError::ChangeInProgress(most));
+    file.postcard("refusal.under_way", &ProposalError::ChangeInProgress(max));
     file.finish();
 }
--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -1,7 +1,9 @@
-//! A model check of the steps, on the code that the programs run: senders that ask, answers that come late, out of
-//! order, twice or never, lives that end, a log whose last entry may be committed by the next leader or lost, a leader that
-//! is deposed and does not know it, clocks at the bound of their drift. Every reachable state of the size given is visited.
-//! With any one guard taken out, a contradiction is found.
+//! Checks the protocol of rules and leases by visiting every reachable state of small models. The
+//! models run the code of this crate with senders that request leases and restart, answers that are
+//! late, reordered, duplicated or lost, a change of the leader whose last log entry is kept or
+//! lost, a deposed leader that still grants leases if leaders need no confirmation, and clocks at
+//! the bound of their drift. If any one guard of the protocol is removed, the check must find a
+//! contradiction.
 
 #[path = "common/exploration.rs"]
 mod exploration;
@@ -14,61 +16,63 @@
     Rules, VersionTag, VersionedRules,
 };
 
-/// Ticks of the registry's clock, and changes.
-const TIME: Micros = 3;
-const PROPOSALS: usize = 1;
+/// Time on the registry's clock, in ticks, at which a model stops.
+const MAX_TIME: Micros = 3;
+/// Maximum number of proposed changes of the rules.
+const MAX_PROPOSALS: usize = 1;
 
-/// Senders, messages under way at once, and questions of each sender.
+/// Number of senders, and the maximum numbers of messages in flight and of requests by each sender.
 #[derive(Debug, Clone, Copy)]
-struct Size {
+struct ModelSize {
     senders: usize,
-    under_way: usize,
-    asks: usize,
+    max_in_flight: usize,
+    max_requests: usize,
 }
 
-/// Few messages at once and more questions, the other way round, and more senders: together they reach what none alone
-/// does.
-const SIZES: [Size; 3] = [
-    Size {
+/// Sizes of the checked models: more requests with one message in flight, more messages in flight
+/// with fewer requests, and more senders. Together they reach states that none reaches alone.
+const SIZES: [ModelSize; 3] = [
+    ModelSize {
         senders: 2,
-        under_way: 1,
-        asks: 3,
+        max_in_flight: 1,
+        max_requests: 3,
     },
-    Size {
+    ModelSize {
         senders: 2,
-        under_way: 2,
-        asks: 2,
+        max_in_flight: 2,
+        max_requests: 2,
     },
-    Size {
+    ModelSize {
         senders: 3,
-        under_way: 1,
-        asks: 1,
+        max_in_flight: 1,
+        max_requests: 1,
     },
 ];
 
-/// What is taken out.
+/// Guard of the protocol that a model leaves out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
-    Nothing,
-    /// A sender acts on its last rules however old they are.
-    LeaseCheck,
-    /// The new rules are granted at once.
-    Meet,
-    /// The second step does not wait for those that have not acknowledged the first.
+enum RemovedGuard {
+    None,
+    /// A sender acts on its last leased rules even after the lease has expired.
+    LeaseExpiry,
+    /// The registry grants the rules of a new version during its first step, without the
+    /// intersection.
+    Intersection,
+    /// The second step begins while senders may still act on the rules before the first step.
     Acknowledgement,
-    /// One sender's floor allows what the rules do not.
-    Floor,
-    /// Clocks that run slow are not allowed for.
-    Drift,
-    /// One that takes over takes it that nobody holds a lease.
-    TakeOver,
-    /// Answers to an earlier life's questions count.
-    Life,
-    /// A leader grants leases without a majority's word that it still leads.
-    Confirmation,
+    /// The first sender has fallback rules that allow what the agreed rules forbid.
+    SharedFallback,
+    /// The registry adds no time to a lease for the drift of the clocks.
+    DriftAllowance,
+    /// A new leader assumes that no sender holds a lease.
+    NewLeaderWait,
+    /// A sender accepts answers to requests of its earlier incarnation.
+    Incarnation,
+    /// A deposed leader grants leases without confirmation by a majority that it still leads.
+    LeaderConfirmation,
 }
 
-/// What the log takes.
+/// Command that the leader appends to the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Command {
     Propose(Proposal),
@@ -77,13 +81,13 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Message {
-    Ask {
+    Request {
         sender: usize,
-        ask: LeaseRequest,
+        request: LeaseRequest,
     },
     Grant {
         sender: usize,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         tag: VersionTag,
         rules: Rules,
     },
@@ -93,42 +97,43 @@
 struct State {
     now: Micros,
     versions: VersionedRules,
-    /// Appended by a leader, not committed yet.
+    /// Log entry that a leader has appended and that is not committed yet.
     appended: Option<Command>,
     leases: Leases,
-    /// What the leader before had applied when it was deposed.
+    /// Rules that the previous leader had applied when it was deposed; set only if the guard
+    /// [`RemovedGuard::LeaderConfirmation`] is removed.
     deposed: Option<VersionedRules>,
     holders: Vec<LeaseHolder>,
-    under_way: Vec<Message>,
-    proposed: usize,
-    restarted: usize,
-    taken_over: usize,
-    /// When each version was proposed.
-    since: BTreeMap<u64, Micros>,
-    /// How often each sender has asked.
-    asked: Vec<usize>,
+    in_flight: Vec<Message>,
+    proposal_count: usize,
+    restart_count: usize,
+    leader_change_count: usize,
+    /// Time on the registry's clock, in ticks, at which the proposal of each version was committed.
+    proposal_committed_at: BTreeMap<u64, Micros>,
+    /// Number of lease requests that each sender has made.
+    request_counts: Vec<usize>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    Ask(usize),
-    /// It arrives, and may come again.
+    Request(usize),
+    /// The message with this index arrives; if the flag is set, a copy stays in flight.
     Deliver(usize, bool),
-    /// It arrives at a leader that has been deposed.
-    DeliverDeposed(usize),
+    /// The lease request with this index arrives at the deposed leader.
+    DeliverToDeposed(usize),
     Lose(usize),
     Propose,
     Advance,
     Commit,
     Restart(usize),
-    /// Another leads, which has what was appended last or has not.
-    TakeOver(bool),
+    /// Another replica becomes leader; the flag tells whether its log has the uncommitted entry.
+    ChangeLeader(bool),
 }
 
-struct Steps(Without, Size);
+struct StepsModel(RemovedGuard, ModelSize);
 
-/// Classes that are accepted.
+/// Returns rules that name and accept only these classes.
 fn rules(names: &[&str]) -> Rules {
     let class = ClassRules {
         accepted: true,
@@ -147,39 +152,45 @@
     }
 }
 
-/// Each version allows what the one before forbids.
+/// Returns the rules of a version, counted from 0: each version accepts only a class that no other
+/// version names, so that any two versions contradict each other.
 fn version(number: usize) -> Rules {
     rules([&["x"], &["y"], &["z"]][number])
 }
 
-impl Steps {
-    fn floor(&self, sender: usize) -> Rules {
-        if self.0 == Without::Floor && sender == 0 {
+impl StepsModel {
+    fn fallback(&self, sender: usize) -> Rules {
+        if self.0 == RemovedGuard::SharedFallback && sender == 0 {
             rules(&["w"])
         } else {
             Rules::default()
         }
     }
 
-    /// The answer that goes back.
-    fn grant(&self, sender: usize, ask: LeaseRequest, Grant { tag, rules, .. }: Grant) -> Message {
-        let early = self.0 == Without::Meet && !tag.complete;
-        let rules = if early {
+    /// Returns the message that carries a grant to the sender.
+    fn grant(
+        &self,
+        sender: usize,
+        request: LeaseRequest,
+        Grant { tag, rules, .. }: Grant,
+    ) -> Message {
+        let skips_intersection = self.0 == RemovedGuard::Intersection && !tag.complete;
+        let rules = if skips_intersection {
             version(tag.version as usize - 1)
         } else {
             rules
         };
         Message::Grant {
             sender,
-            ask,
+            request,
             tag,
             rules,
         }
     }
 
-    /// What a sender acts on.
+    /// Returns the rules that a sender acts on in this state.
     fn acts_on<'a>(&self, state: &'a State, sender: usize) -> &'a Rules {
-        let now = if self.0 == Without::LeaseCheck {
+        let now = if self.0 == RemovedGuard::LeaseExpiry {
             0
         } else {
             sender_clock(sender, state.now)
@@ -188,14 +199,19 @@
     }
 }
 
-impl Model for Steps {
+impl Model for StepsModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let drift = if self.0 == Without::Drift { 0 } else { DRIFT };
-        let versions = VersionedRules::new(Rules::default(), version(0)).expect("above the floor");
-        let Size { senders, .. } = self.1;
+        let drift = if self.0 == RemovedGuard::DriftAllowance {
+            0
+        } else {
+            DRIFT
+        };
+        let versions = VersionedRules::new(Rules::default(), version(0))
+            .expect("fallback is within the rules");
+        let ModelSize { senders, .. } = self.1;
         vec![State {
             now: 0,
             versions,
@@ -209,53 +225,53 @@
             ),
             deposed: None,
             holders: (0..senders)
-                .map(|sender| LeaseHolder::new(self.floor(sender), 0))
+                .map(|sender| LeaseHolder::new(self.fallback(sender), 0))
                 .collect(),
-            under_way: Vec::new(),
-            proposed: 0,
-            restarted: 0,
-            taken_over: 0,
-            since: BTreeMap::new(),
-            asked: vec![0; senders],
+            in_flight: Vec::new(),
+            proposal_count: 0,
+            restart_count: 0,
+            leader_change_count: 0,
+            proposal_committed_at: BTreeMap::new(),
+            request_counts: vec![0; senders],
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        let Size {
+        let ModelSize {
             senders,
-            under_way,
-            asks,
+            max_in_flight,
+            max_requests,
         } = self.1;
-        if state.now < TIME {
+        if state.now < MAX_TIME {
             actions.push(Action::Tick);
         }
-        if state.under_way.len() < under_way {
+        if state.in_flight.len() < max_in_flight {
             actions.extend(
                 (0..senders)
-                    .filter(|sender| state.asked[*sender] < asks)
-                    .map(Action::Ask),
+                    .filter(|sender| state.request_counts[*sender] < max_requests)
+                    .map(Action::Request),
             );
         }
-        for at in 0..state.under_way.len() {
-            actions.extend([Action::Deliver(at, false), Action::Lose(at)]);
-            // an answer that comes twice; a question that does is one that was asked twice
-            if matches!(state.under_way[at], Message::Grant { .. }) {
-                actions.push(Action::Deliver(at, true));
-            } else if self.0 == Without::Confirmation && state.deposed.is_some() {
-                actions.push(Action::DeliverDeposed(at));
+        for index in 0..state.in_flight.len() {
+            actions.extend([Action::Deliver(index, false), Action::Lose(index)]);
+            // only answers are duplicated: a duplicate request has the effect of a second request
+            if matches!(state.in_flight[index], Message::Grant { .. }) {
+                actions.push(Action::Deliver(index, true));
+            } else if self.0 == RemovedGuard::LeaderConfirmation && state.deposed.is_some() {
+                actions.push(Action::DeliverToDeposed(index));
             }
         }
-        if state.proposed < PROPOSALS {
+        if state.proposal_count < MAX_PROPOSALS {
             actions.push(Action::Propose);
         }
         actions.extend([Action::Advance, Action::Commit]);
-        if state.restarted < 1 {
+        if state.restart_count < 1 {
             actions.push(Action::Restart(senders - 1));
         }
-        if state.taken_over < 1 {
-            actions.push(Action::TakeOver(true));
+        if state.leader_change_count < 1 {
+            actions.push(Action::ChangeLeader(true));
             if state.appended.is_some() {
-                actions.push(Action::TakeOver(false));
+                actions.push(Action::ChangeLeader(false));
             }
         }
     }
@@ -268,40 +284,42 @@
                 state.now += 1;
                 state.leases.remove_expired(state.now);
             }
-            Action::Ask(sender) => {
-                let ask = state.holders[sender].request(sender_clock(sender, now));
-                state.asked[sender] += 1;
-                state.under_way.push(Message::Ask { sender, ask });
+            Action::Request(sender) => {
+                let request = state.holders[sender].request(sender_clock(sender, now));
+                state.request_counts[sender] += 1;
+                state.in_flight.push(Message::Request { sender, request });
             }
-            Action::Deliver(at, again) => {
-                let message = if again {
-                    state.under_way[at].clone()
+            Action::Deliver(index, keeps_copy) => {
+                let message = if keeps_copy {
+                    state.in_flight[index].clone()
                 } else {
-                    state.under_way.remove(at)
+                    state.in_flight.remove(index)
                 };
                 match message {
-                    Message::Ask { sender, ask } => {
-                        let key = (sender as u64) << 8 | ask.incarnation;
-                        let grant = state.leases.grant(now, key, ask.acts_on, &state.versions);
-                        state.under_way.push(self.grant(sender, ask, grant));
+                    Message::Request { sender, request } => {
+                        let key = (sender as u64) << 8 | request.incarnation;
+                        let grant = state
+                            .leases
+                            .grant(now, key, request.acts_on, &state.versions);
+                        state.in_flight.push(self.grant(sender, request, grant));
                     }
                     Message::Grant {
                         sender,
-                        ask,
+                        request,
                         tag,
                         rules,
                     } => {
-                        let ask = LeaseRequest {
-                            incarnation: if self.0 == Without::Life {
+                        let request = LeaseRequest {
+                            incarnation: if self.0 == RemovedGuard::Incarnation {
                                 0
                             } else {
-                                ask.incarnation
+                                request.incarnation
                             },
-                            ..ask
+                            ..request
                         };
                         let local = sender_clock(sender, now);
                         state.holders[sender].apply_grant(
-                            ask,
+                            request,
                             Grant {
                                 tag,
                                 rules,
@@ -312,8 +330,8 @@
                     }
                 }
             }
-            Action::DeliverDeposed(at) => {
-                let Message::Ask { sender, ask } = state.under_way.remove(at) else {
+            Action::DeliverToDeposed(index) => {
+                let Message::Request { sender, request } = state.in_flight.remove(index) else {
                     return None;
                 };
                 let versions = state.deposed.as_ref()?;
@@ -322,10 +340,10 @@
                     rules: versions.rules().clone(),
                     lease: LEASE,
                 };
-                state.under_way.push(self.grant(sender, ask, grant));
+                state.in_flight.push(self.grant(sender, request, grant));
             }
-            Action::Lose(at) => {
-                state.under_way.remove(at);
+            Action::Lose(index) => {
+                state.in_flight.remove(index);
             }
             Action::Propose => {
                 if state.appended.is_some() || !state.leases.is_settled(now, &state.versions) {
@@ -334,15 +352,15 @@
                 let from = state.versions.tag().version;
                 state.appended = Some(Command::Propose(Proposal {
                     from,
-                    rules: version(state.proposed + 1),
+                    rules: version(state.proposal_count + 1),
                 }));
-                state.proposed += 1;
+                state.proposal_count += 1;
             }
             Action::Advance => {
                 let tag = state.versions.tag();
-                let waits = state.leases.blocking_lease(now, tag).is_some()
-                    && self.0 != Without::Acknowledgement;
-                if state.appended.is_some() || tag.complete || waits {
+                let must_wait = state.leases.blocking_lease(now, tag).is_some()
+                    && self.0 != RemovedGuard::Acknowledgement;
+                if state.appended.is_some() || tag.complete || must_wait {
                     return None;
                 }
                 state.appended = Some(Command::Advance(tag.version));
@@ -350,38 +368,43 @@
             Action::Commit => match state.appended.take()? {
                 Command::Propose(proposal) => {
                     let tag = state.versions.propose(proposal).ok()?;
-                    state.since.insert(tag.version, now);
+                    state.proposal_committed_at.insert(tag.version, now);
                 }
                 Command::Advance(version) => {
                     state.versions.advance(version);
                 }
             },
             Action::Restart(sender) => {
-                state.restarted += 1;
-                let life = if self.0 == Without::Life {
+                state.restart_count += 1;
+                let incarnation = if self.0 == RemovedGuard::Incarnation {
                     0
                 } else {
-                    state.restarted as u64
+                    state.restart_count as u64
                 };
-                state.holders[sender] = LeaseHolder::new(self.floor(sender), life);
+                state.holders[sender] = LeaseHolder::new(self.fallback(sender), incarnation);
             }
-            Action::TakeOver(keeps) => {
-                state.taken_over += 1;
-                state.appended = state.appended.filter(|_| keeps);
-                let longest = LEASE + DRIFT;
-                let since = match self.0 {
-                    Without::TakeOver => now.checked_sub(longest)?,
+            Action::ChangeLeader(keeps_entry) => {
+                state.leader_change_count += 1;
+                state.appended = state.appended.filter(|_| keeps_entry);
+                let longest_validity = LEASE + DRIFT;
+                let leader_since = match self.0 {
+                    RemovedGuard::NewLeaderWait => now.checked_sub(longest_validity)?,
                     _ => now,
                 };
-                let drift = if self.0 == Without::Drift { 0 } else { DRIFT };
+                let drift = if self.0 == RemovedGuard::DriftAllowance {
+                    0
+                } else {
+                    DRIFT
+                };
                 state.leases = Leases::new(
                     LeaseTerms {
                         lease: LEASE,
                         max_drift: drift,
                     },
-                    since,
+                    leader_since,
                 );
-                state.deposed = (self.0 == Without::Confirmation).then(|| state.versions.clone());
+                state.deposed =
+                    (self.0 == RemovedGuard::LeaderConfirmation).then(|| state.versions.clone());
             }
         }
         Some(state)
@@ -391,7 +414,7 @@
         vec![
             Property::always(
                 "no two act on rules that contradict each other",
-                |model: &Steps, state: &State| {
+                |model: &StepsModel, state: &State| {
                     let senders = 0..model.1.senders;
                     let acts: Vec<&Rules> =
                         senders.map(|sender| model.acts_on(state, sender)).collect();
@@ -400,16 +423,19 @@
                 },
             ),
             Property::always(
-                "nobody acts on rules of before for longer than a lease",
-                |model: &Steps, state: &State| {
-                    // the bound: from the moment at which a change was taken up
+                "no sender acts on an earlier version for longer than a lease and its drift",
+                |model: &StepsModel, state: &State| {
+                    // a sender may act on a version for at most a lease and its drift after the
+                    // proposal of the next version was committed
                     (0..model.1.senders).all(|sender| {
                         let local = sender_clock(sender, state.now);
                         let tag = state.holders[sender]
                             .tag(local)
-                            .filter(|_| model.0 == Without::Nothing);
-                        let next = tag.and_then(|tag| state.since.get(&(tag.version + 1)));
-                        next.is_none_or(|since| state.now <= since + LEASE + DRIFT)
+                            .filter(|_| model.0 == RemovedGuard::None);
+                        let next_committed_at =
+                            tag.and_then(|tag| state.proposal_committed_at.get(&(tag.version + 1)));
+                        next_committed_at
+                            .is_none_or(|committed_at| state.now <= committed_at + LEASE + DRIFT)
                     })
                 },
             ),
@@ -428,14 +454,14 @@
     }
 }
 
-fn check(without: Without, size: Size) -> (usize, BTreeSet<&'static str>) {
-    explore(Steps(without, size))
+fn check(removed: RemovedGuard, size: ModelSize) -> (usize, BTreeSet<&'static str>) {
+    explore(StepsModel(removed, size))
 }
 
 #[test]
-fn no_reachable_state_has_a_contradiction() {
+fn no_reachable_state_has_contradicting_senders_when_all_guards_hold() {
     for size in SIZES {
-        let (states, found) = check(Without::Nothing, size);
+        let (states, found) = check(RemovedGuard::None, size);
         println!("{size:?}: {states} states");
         assert_eq!(
             found,
@@ -447,25 +473,26 @@
 }
 
 #[test]
-fn with_any_guard_taken_out_a_contradiction_is_found() {
+fn a_contradiction_is_reachable_when_any_one_guard_is_removed() {
     let contradiction = "no two act on rules that contradict each other";
-    for without in [
-        Without::LeaseCheck,
-        Without::Meet,
-        Without::Acknowledgement,
-        Without::Floor,
-        Without::Drift,
-        Without::TakeOver,
-        Without::Life,
-        Without::Confirmation,
+    for removed in [
+        RemovedGuard::LeaseExpiry,
+        RemovedGuard::Intersection,
+        RemovedGuard::Acknowledgement,
+        RemovedGuard::SharedFallback,
+        RemovedGuard::DriftAllowance,
+        RemovedGuard::NewLeaderWait,
+        RemovedGuard::Incarnation,
+        RemovedGuard::LeaderConfirmation,
     ] {
-        // an answer of an earlier life is under way beside a question of the next
-        let size = SIZES[usize::from(without == Without::Life)];
-        let (states, found) = check(without, size);
-        println!("without {without:?}: {states} states");
+        // only a size with two messages in flight has an answer to the earlier incarnation beside a
+        // request of the next one
+        let size = SIZES[usize::from(removed == RemovedGuard::Incarnation)];
+        let (states, found) = check(removed, size);
+        println!("without {removed:?}: {states} states");
         assert!(
             found.contains(contradiction),
-            "without {without:?}: none in {states} states"
+            "without {removed:?}: none in {states} states"
         );
     }
 }
