--- a/src/net/config/pool_settings.rs
+++ b/src/net/config/pool_settings.rs
@@ -1,22 +1,24 @@
-//! The `pool` object of the configuration, read strictly.
+//! Reads the `pool` object of the configuration. Unknown keys are errors.
 
 use super::ConfigError;
 use message_sender::pool::PoolSettings;
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-/// What a limit that is bounded by `pool.all` has to be.
+/// Text in the error for a limit that is out of range, if `pool.all` is its upper bound.
 const WITHIN_ALL: &str = "a whole number from 1 to pool.all";
 
-/// Connections to endpoints that so many descriptors allow: clients hold a third of them, files the rest.
+/// Returns the maximum number of connections to endpoints in a process with `descriptors` file descriptors: half of
+/// them. Clients' connections take a third, and files the rest.
 pub fn max_pool_connections(descriptors: usize) -> usize {
     (descriptors / 2).max(1)
 }
 
-/// Reads the object of a process that may hold so many descriptors; defaults if there is none.
+/// Reads the `pool` object of a process that may hold `descriptors` file descriptors. Returns the defaults if there is no
+/// such object.
 ///
 /// # Errors
-/// Names the first key that is wrong.
+/// Names the first key that is unknown or has an invalid value.
 pub(super) fn read_pool_settings(
     value: &Value,
     descriptors: usize,
@@ -49,11 +51,11 @@
     Ok(settings)
 }
 
-/// The limits; that of all connections bounds the others, whatever order they stand in.
-fn read_limits(fields: &Map<String, Value>, most: usize) -> Result<PoolSettings, ConfigError> {
+/// Reads the limits first: `pool.all` is the upper bound of the others, wherever it stands in the object.
+fn read_limits(fields: &Map<String, Value>, max: usize) -> Result<PoolSettings, ConfigError> {
     let within_descriptors = "a whole number from 1 to half of limits.sockets";
-    let all = read_limit(fields, "pool.all", most, within_descriptors)?;
-    let within_all = |name| read_limit(fields, name, all.unwrap_or(most), WITHIN_ALL);
+    let all = read_limit(fields, "pool.all", max, within_descriptors)?;
+    let within_all = |name| read_limit(fields, name, all.unwrap_or(max), WITHIN_ALL);
     Ok(PoolSettings {
         all,
         per_endpoint: within_all("pool.per_endpoint")?,
@@ -67,14 +69,14 @@
 fn read_limit(
     fields: &Map<String, Value>,
     name: &'static str,
-    most: usize,
+    max: usize,
     wanted: &'static str,
 ) -> Result<Option<usize>, ConfigError> {
     let Some(value) = fields.get(name.trim_start_matches("pool.")) else {
         return Ok(None);
     };
     let number = value.as_u64().and_then(|number| number.try_into().ok());
-    match number.filter(|number| (1..=most).contains(number)) {
+    match number.filter(|number| (1..=max).contains(number)) {
         Some(number) => Ok(Some(number)),
         None => Err(wrong(name, value, wanted)),
     }
--- a/src/net/discovery/notices.rs
+++ b/src/net/discovery/notices.rs
@@ -1,6 +1,6 @@
-//! The notices that end undelivered messages.
+//! Posts the outcome notifications ("notices") of undelivered messages to the platform.
 
-use super::backoff::RETRY_FIRST;
+use super::backoff::INITIAL_RETRY_DELAY;
 use crate::net::end_proof::EndProof;
 use crate::net::events::{AcceptedNotifications, DriverInput};
 use crate::net::http_client::{CallError, call};
@@ -18,24 +18,29 @@
 use tokio::task::{self, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-/// The agent answers notices at once; one that is posted again does no harm.
-const ANSWER: Duration = Duration::from_millis(500);
-/// A message's end is overdue 300 ms after its time: what fails for a moment must not delay it beyond that.
-const RETRY_MOST: Duration = Duration::from_millis(200);
-/// Posts on their way at once. Each may wait for its answer while others are due; a connection is a descriptor.
+/// Time to wait for the answer to a post. The agent answers within milliseconds, and posting a notice twice is harmless.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum delay before a failed post is retried. A notification is overdue 300 ms after the message's deadline, and a
+/// short failure must not delay it longer.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Maximum number of posts in flight. Several are allowed so that one unanswered post does not hold up later notices;
+/// the number is limited because each post uses a connection and thus a file descriptor.
 const MAX_POSTS: usize = 8;
-/// Notices in one request, some 60 bytes each; the next request has the next ones.
-const BATCH: usize = 200;
+/// Maximum number of notices in one request, about 60 bytes each. Further notices go into the next request.
+const MAX_BATCH_NOTICES: usize = 200;
 
-/// A notice that is owed, by the number of its message.
+/// Notification of the final outcome of an undelivered message.
 #[derive(Debug)]
 pub struct OutcomeNotification {
+    /// Number of the message in this process and its journal.
     pub number: u64,
+    /// Message id that the client chose.
     pub id: String,
+    /// Outcome that the platform receives.
     pub outcome: UndeliveredOutcome,
 }
 
-/// Why a batch of notifications is still owed.
+/// Why a batch of notifications must be posted again.
 #[derive(Debug, Error)]
 enum PostError {
     #[error("{count} notices answered {status}")]
@@ -47,7 +52,7 @@
 }
 
 impl PostError {
-    /// A fault of this machine, not of the platform.
+    /// Returns true if the failure is the local host's, not the platform's.
     fn is_local(&self) -> bool {
         match self {
             PostError::Status { .. } | PostError::Task(_) => false,
@@ -56,7 +61,8 @@
     }
 }
 
-/// Posts notices until each has been answered 204. One that waits for its answer holds up no other.
+/// Posts each notice from `queue` until the platform has answered it with 204, and sends the accepted ones to `inputs`.
+/// A post that waits for its answer does not hold up other notices.
 pub async fn post_notices(
     agent: Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<OutcomeNotification>,
@@ -83,28 +89,29 @@
             () = sleep_until(retry_at.unwrap_or_else(Instant::now)), if retry_at.is_some() => {
                 poster.retry_at = None;
             }
-            Ok(()) = poster.agent.changed() => poster.moved(),
+            Ok(()) = poster.agent.changed() => poster.address_changed(),
         }
-        poster.post_owed();
+        poster.post_pending();
     }
 }
 
-/// What came of a post.
+/// Result of one post: the accepted notifications, or why the batch must be posted again.
 type PostResult = Result<AcceptedNotifications, PostError>;
 
-/// The notifications that are owed, and the posts that are on their way.
+/// Notifications that must still be delivered, and the posts in flight.
 struct Poster {
     agent: Receiver<SocketAddr>,
-    /// Those that no post carries now, by number.
-    owed: BTreeMap<u64, OutcomeNotification>,
+    /// Notifications that are in no post at present, by message number.
+    pending: BTreeMap<u64, OutcomeNotification>,
+    /// Tasks of the posts in flight.
     posts: JoinSet<PostResult>,
-    /// What each post carries, which is owed until it is accepted.
-    carried: HashMap<task::Id, Vec<OutcomeNotification>>,
-    /// The next pause after a failure.
-    delay: Duration,
-    /// Nothing is posted before; none: at once.
+    /// Notifications of each post in flight. They become pending again if the post fails.
+    in_flight: HashMap<task::Id, Vec<OutcomeNotification>>,
+    /// Delay before the retry after the next failed post.
+    retry_delay: Duration,
+    /// End of the current backoff, or `None` if posts may start immediately.
     retry_at: Option<Instant>,
-    /// The last post failed, which is logged.
+    /// True if the last post failed. Only the first failure in a row is logged.
     failing: bool,
 }
 
@@ -112,25 +119,25 @@
     fn new(agent: Receiver<SocketAddr>) -> Self {
         Poster {
             agent,
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             posts: JoinSet::new(),
-            carried: HashMap::new(),
-            delay: RETRY_FIRST,
+            in_flight: HashMap::new(),
+            retry_delay: INITIAL_RETRY_DELAY,
             retry_at: None,
             failing: false,
         }
     }
 
     fn add(&mut self, notice: OutcomeNotification) {
-        self.owed.insert(notice.number, notice);
+        self.pending.insert(notice.number, notice);
     }
 
-    /// Posts what is owed, unless there is a pause or as many posts are on their way as may be.
-    fn post_owed(&mut self) {
-        while self.retry_at.is_none() && !self.owed.is_empty() && self.posts.len() < MAX_POSTS {
+    /// Posts the pending notifications, unless a backoff is running or [`MAX_POSTS`] are in flight.
+    fn post_pending(&mut self) {
+        while self.retry_at.is_none() && !self.pending.is_empty() && self.posts.len() < MAX_POSTS {
             let mut batch = Vec::new();
-            while batch.len() < BATCH
-                && let Some((_, notice)) = self.owed.pop_first()
+            while batch.len() < MAX_BATCH_NOTICES
+                && let Some((_, notice)) = self.pending.pop_first()
             {
                 batch.push(notice);
             }
@@ -138,11 +145,12 @@
             let numbers = batch.iter().map(|notice| notice.number).collect();
             let text = batch.iter().map(line_of).collect();
             let post = self.posts.spawn_local(post(address, numbers, text));
-            self.carried.insert(post.id(), batch);
+            self.in_flight.insert(post.id(), batch);
         }
     }
 
-    /// What the platform has accepted, if it has; else the batch is owed again, also where its task panicked.
+    /// Returns the notifications that the platform has accepted. If the post failed or its task panicked, the batch
+    /// becomes pending again.
     fn post_ended(
         &mut self,
         ended: Result<(task::Id, PostResult), JoinError>,
@@ -151,10 +159,10 @@
             Ok(ended) => ended,
             Err(error) => (error.id(), Err(error.into())),
         };
-        let batch = self.carried.remove(&post).unwrap_or_default();
+        let batch = self.in_flight.remove(&post).unwrap_or_default();
         match result {
             Ok(accepted) => {
-                self.delay = RETRY_FIRST;
+                self.retry_delay = INITIAL_RETRY_DELAY;
                 self.failing = false;
                 Some(accepted)
             }
@@ -165,30 +173,30 @@
         }
     }
 
-    /// The batch is owed again, after a pause.
+    /// Makes the batch pending again and starts a backoff if none is running.
     fn failed(&mut self, batch: Vec<OutcomeNotification>, error: &PostError) {
         if !std::mem::replace(&mut self.failing, true) {
             crate::net::log(format_args!("discovery: {error}"));
         }
         batch.into_iter().for_each(|notice| self.add(notice));
         if self.retry_at.is_none() {
-            self.retry_at = Some(Instant::now() + self.delay);
-            self.delay = if error.is_local() {
-                RETRY_FIRST
+            self.retry_at = Some(Instant::now() + self.retry_delay);
+            self.retry_delay = if error.is_local() {
+                INITIAL_RETRY_DELAY
             } else {
-                (self.delay * 2).min(RETRY_MOST)
+                (self.retry_delay * 2).min(MAX_RETRY_DELAY)
             };
         }
     }
 
-    /// The platform has another address.
-    fn moved(&mut self) {
-        self.delay = RETRY_FIRST;
+    /// Ends the backoff, because the platform has a new address.
+    fn address_changed(&mut self) {
+        self.retry_delay = INITIAL_RETRY_DELAY;
         self.retry_at = None;
     }
 }
 
-/// Posts notifications in one request, on a connection of its own.
+/// Posts one batch of notifications in a single request on a new connection.
 async fn post(address: SocketAddr, numbers: Vec<u64>, text: String) -> PostResult {
     let count = numbers.len();
     let request = Request::post("/v1/outcomes")
@@ -196,7 +204,7 @@
         .header(CONTENT_TYPE, "application/x-ndjson")
         .body(Full::new(Bytes::from(text)));
     let answer = match request {
-        Ok(request) => call(address, request, ANSWER).await,
+        Ok(request) => call(address, request, ANSWER_TIMEOUT).await,
         Err(error) => Err(CallError::from(error)),
     };
     let status = answer
@@ -207,6 +215,7 @@
     Ok(AcceptedNotifications { numbers, proof })
 }
 
+/// Returns the JSON line of one notification.
 fn line_of(notice: &OutcomeNotification) -> String {
     let mut object = serde_json::json!({ "id": notice.id });
     match notice.outcome {
--- a/src/net/discovery/reading.rs
+++ b/src/net/discovery/reading.rs
@@ -1,16 +1,17 @@
-//! Lists from bytes: a stream of JSON values, on one line each or indented, over a bounded buffer.
+//! Parses endpoint lists from a stream of JSON values, each on one line or indented, with a bounded buffer.
 
 use crate::net::events::{ListUpdate, ListedEndpoint};
 use message_sender::EndpointStatus;
 use serde::Deserialize;
 use serde_json::{Deserializer, Value};
 
-/// A longer value is not kept.
-const LONGEST: usize = 4 << 20;
-/// A value that is not whole yet is looked at again once it has grown by such a part, or has an end in sight: looking
-/// at each piece anew would take the square of its length.
-const GROWN: usize = 64;
+/// Maximum size of an incomplete JSON value in bytes. A longer one is dropped as unreadable.
+const MAX_VALUE_BYTES: usize = 4 << 20;
+/// An incomplete value is parsed again only after it has grown by 1/64 of its size, or when a piece ends with `}`. Parsing
+/// it again for each piece would take time quadratic in its length.
+const MIN_GROWTH_DIVISOR: usize = 64;
 
+/// Endpoint list in the JSON form of discovery.
 #[derive(Deserialize)]
 struct Line {
     rev: u64,
@@ -18,6 +19,7 @@
     targets: Vec<Value>,
 }
 
+/// Entry of an endpoint list in the JSON form of discovery.
 #[derive(Deserialize)]
 struct Target {
     uid: String,
@@ -32,7 +34,8 @@
     capacity_hint: f64,
 }
 
-/// Reads a list; none if it has not the form of one. Entries that can't be read are logged and left out.
+/// Parses an endpoint list. Returns `None` if `value` does not have the form of a list. Entries that can't be parsed are
+/// logged and left out.
 pub fn parse_list(value: &Value) -> Option<ListUpdate> {
     let line = Line::deserialize(value).ok()?;
     let read = |value: &Value| {
@@ -46,7 +49,7 @@
         let address = target
             .endpoint
             .parse()
-            .map_err(|_| format!("bad address '{}'", target.endpoint))?;
+            .map_err(|_| format!("invalid address '{}'", target.endpoint))?;
         Ok(ListedEndpoint {
             uid: target.uid,
             address,
@@ -71,63 +74,65 @@
     })
 }
 
-/// What a watch has sent so far and nobody has read yet.
+/// Incremental parser of the lists that one watch sends.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct ListReader {
+    /// Received bytes that have not been parsed as a complete value.
     buffer: Vec<u8>,
-    /// Bytes that were looked at without finding a whole value.
-    looked: usize,
-    /// What came is dropped until a line begins with an object.
-    lost: bool,
+    /// Length of the buffer in bytes when it was last parsed without finding a complete value.
+    parsed_len: usize,
+    /// True after unreadable text: all bytes are dropped up to the next line that begins with `{`.
+    skipping: bool,
 }
 
-/// What came of some bytes.
+/// Result of parsing some received bytes.
 #[derive(Debug, Default)]
-pub struct Read {
-    /// Lists, in order; none: a value that is no list.
+pub struct ReadResult {
+    /// Lists in the order received; `None` stands for a JSON value that is not a list.
     pub lists: Vec<Option<ListUpdate>>,
-    /// The beginning of what could not be read.
+    /// First 80 bytes of the first text that could not be parsed.
     pub unreadable: Option<String>,
 }
 
-impl Reading {
-    /// Takes further bytes in.
-    pub fn take(&mut self, bytes: &[u8]) -> Read {
-        let mut read = Read::default();
+impl ListReader {
+    /// Appends `bytes` to the buffer and parses all complete values.
+    pub fn read(&mut self, bytes: &[u8]) -> ReadResult {
+        let mut read = ReadResult::default();
         self.buffer.extend_from_slice(bytes);
         let ends = bytes.trim_ascii_end().ends_with(b"}");
         if !ends
-            && !self.lost
-            && self.looked > 0
-            && self.buffer.len() - self.looked < self.looked / GROWN
+            && !self.skipping
+            && self.parsed_len > 0
+            && self.buffer.len() - self.parsed_len < self.parsed_len / MIN_GROWTH_DIVISOR
         {
             return read;
         }
         loop {
-            if self.lost && !self.find_line() {
+            if self.skipping && !self.skip_to_object_line() {
                 break;
             }
             let (used, problem) = self.values(&mut read);
             self.buffer.drain(..used);
-            self.looked = self.buffer.len();
-            if !problem && self.buffer.len() <= LONGEST {
+            self.parsed_len = self.buffer.len();
+            if !problem && self.buffer.len() <= MAX_VALUE_BYTES {
                 break;
             }
             let start = self.buffer[..self.buffer.len().min(80)].trim_ascii();
             read.unreadable
                 .get_or_insert_with(|| String::from_utf8_lossy(start).into_owned());
-            self.lost = true;
+            self.skipping = true;
         }
         read
     }
 
-    /// Whether nothing of a value has come that is not whole yet.
-    pub fn is_between(&self) -> bool {
-        self.buffer.is_empty() && !self.lost
+    /// Returns true if no part of an incomplete value has been received.
+    pub fn is_at_value_boundary(&self) -> bool {
+        self.buffer.is_empty() && !self.skipping
     }
 
-    /// Reads whole values; how many bytes they took, and whether what follows can't be read.
-    fn values(&self, read: &mut Read) -> (usize, bool) {
+    /// Parses the complete values in the buffer into `read`. Returns how many bytes they took, and whether the text after
+    /// them is invalid rather than incomplete.
+    fn values(&self, read: &mut ReadResult) -> (usize, bool) {
         let mut values = Deserializer::from_slice(&self.buffer).into_iter::<Value>();
         let mut used = 0;
         loop {
@@ -142,13 +147,14 @@
         }
     }
 
-    /// Drops all up to the next line that begins with an object, but the last bytes where there is none.
-    fn find_line(&mut self) -> bool {
+    /// Drops the bytes before the next line that begins with `{`. Returns false if there is no such line yet; then the
+    /// last byte is kept, because it may be the line break before an object.
+    fn skip_to_object_line(&mut self) -> bool {
         let line = self.buffer.windows(2).position(|two| two == b"\n{");
         let drop = line.map_or(self.buffer.len().saturating_sub(1), |at| at + 1);
         self.buffer.drain(..drop);
-        self.looked = 0;
-        self.lost = line.is_none();
+        self.parsed_len = 0;
+        self.skipping = line.is_none();
         line.is_some()
     }
 }
@@ -164,13 +170,13 @@
     }
 
     fn versions(pieces: &[&[u8]]) -> Vec<Option<u64>> {
-        let mut reading = Reading::default();
-        let lists = pieces.iter().flat_map(|piece| reading.take(piece).lists);
+        let mut reader = ListReader::default();
+        let lists = pieces.iter().flat_map(|piece| reader.read(piece).lists);
         lists.map(|list| list.map(|list| list.version)).collect()
     }
 
     #[test]
-    fn an_indented_list_is_read_wherever_it_is_cut() {
+    fn indented_lists_cut_at_any_byte_are_parsed() {
         let text = format!(
             "\n\n{:#}\n\n{}\n{:#}\n",
             list(1, "s-\"{1"),
@@ -195,40 +201,40 @@
     }
 
     #[test]
-    fn what_cannot_be_read_is_told_once_and_what_follows_is_read() {
+    fn unreadable_text_is_reported_and_lists_after_it_are_parsed() {
         let text = format!(
             "no list\nnor this\n{:#}\n{{\"rev\":}}\n{}\n[1]\n",
             list(1, "a"),
             list(2, "b")
         );
         for size in [1, 7, 4096] {
-            let mut reading = Reading::default();
-            let (mut lists, mut told) = (Vec::new(), Vec::new());
+            let mut reader = ListReader::default();
+            let (mut lists, mut unreadable) = (Vec::new(), Vec::new());
             for piece in text.as_bytes().chunks(size) {
-                let read = reading.take(piece);
+                let read = reader.read(piece);
                 lists.extend(
                     read.lists
                         .into_iter()
                         .map(|list| list.map(|list| list.version)),
                 );
-                told.extend(read.unreadable);
+                unreadable.extend(read.unreadable);
             }
             assert_eq!(lists, [Some(1), Some(2), None], "pieces of {size}");
-            assert!((1..=3).contains(&told.len()), "{told:?}");
+            assert!((1..=3).contains(&unreadable.len()), "{unreadable:?}");
         }
     }
 
     #[test]
-    fn a_value_without_end_is_given_up_and_a_long_list_costs_no_square() {
-        let mut reading = Reading::default();
+    fn endless_value_is_dropped_and_long_list_is_not_parsed_for_each_piece() {
+        let mut reader = ListReader::default();
         let piece = vec![b'['; 1 << 16];
-        let told = (0..100)
-            .filter(|_| reading.take(&piece).unreadable.is_some())
+        let unreadable = (0..100)
+            .filter(|_| reader.read(&piece).unreadable.is_some())
             .count();
-        assert!(told >= 1 && reading.buffer.len() <= LONGEST + piece.len());
-        let read = reading.take(format!("\n{}\n", list(4, "a")).as_bytes());
+        assert!(unreadable >= 1 && reader.buffer.len() <= MAX_VALUE_BYTES + piece.len());
+        let read = reader.read(format!("\n{}\n", list(4, "a")).as_bytes());
         assert_eq!(read.lists.len(), 1);
-        // ten thousand endpoints, in pieces of a segment
+        // 10 000 endpoints in pieces of 1448 bytes, the payload of a TCP segment
         let targets: Vec<Value> = (0..10_000)
             .map(|uid| list(1, &uid.to_string())["targets"][0].clone())
             .collect();
@@ -237,21 +243,21 @@
             json!({ "rev": 9, "all": true, "targets": targets })
         )
         .into_bytes();
-        let mut reading = Reading::default();
-        let mut looks = 0;
+        let mut reader = ListReader::default();
+        let mut parses = 0;
         let lists: usize = text
             .chunks(1448)
             .map(|piece| {
-                let before = reading.looked;
-                let read = reading.take(piece);
-                looks += usize::from(reading.looked != before);
+                let before = reader.parsed_len;
+                let read = reader.read(piece);
+                parses += usize::from(reader.parsed_len != before);
                 read.lists.len()
             })
             .sum();
         assert_eq!(lists, 1);
         assert!(
-            looks < 600,
-            "looked at {looks} times in {} pieces",
+            parses < 600,
+            "parsed {parses} times in {} pieces",
             text.len() / 1448
         );
     }
--- a/src/wire/host.rs
+++ b/src/wire/host.rs
@@ -1,32 +1,36 @@
-//! Hosts the instances of one process.
+//! Runs the simulated senders of one adapter process.
 
 use super::fields::{Fault, Fields, fault};
 use super::instance::Instance;
 use super::lines::{Lines, WireError};
 use super::printing::print;
-use super::reading::{KNOWN, check_row, read_batch_head, read_event, read_list_head};
+use super::reading::{EVENT_WORDS, check_row, read_batch_head, read_event, read_list_head};
 use super::settings::{Pairs, read_settings};
 use crate::decisions::Sender;
 use crate::interface::{Action, Micros};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Hosts the instances of one process and speaks the wire.
+/// Runs all simulated senders ("instances") of one process: reads batches of events and writes the senders' actions.
 #[derive(Default)]
 pub struct Host {
+    /// Running instances by id.
     instances: BTreeMap<String, Instance>,
-    lists: BTreeMap<u64, Vec<String>>,
-    order: Vec<String>,
+    /// Rows of each endpoint list, by the number under which `announce` lines refer to the list.
+    endpoint_lists: BTreeMap<u64, Vec<String>>,
+    /// Ids of the instances with events in the current batch, in the order of their first event.
+    batch_order: Vec<String>,
+    /// Actions of one instance, kept here to reuse the allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// A host without instances.
+    /// Creates a host without instances.
     pub fn new() -> Self {
         Host::default()
     }
 
-    /// Reads batches until the input ends, writing one reply to each.
+    /// Reads batches until the input ends, and writes one reply to each batch.
     ///
     /// # Errors
     /// A malformed line, input that ends inside a batch, or a failed read or write.
@@ -45,7 +49,7 @@
                 continue;
             }
             let now = lines.check(read_batch_head)?;
-            self.order.clear();
+            self.batch_order.clear();
             loop {
                 if !lines.next(&mut input)? {
                     lines.number += 1;
@@ -74,7 +78,7 @@
         outcome.map_err(|(expected, found)| lines.error(&expected, &found))
     }
 
-    /// Takes in a list that later lines name by its number.
+    /// Reads the rows of an endpoint list and stores them under the number that later `announce` lines use.
     fn read_list(
         &mut self,
         (number, rows): (u64, u64),
@@ -92,14 +96,15 @@
             check_row(row).map_err(|(expected, found)| lines.error(&expected, &found))?;
             list.push(row.to_string());
         }
-        self.lists.insert(number, list);
+        self.endpoint_lists.insert(number, list);
         Ok(())
     }
 
+    /// Adds the event of a line to its instance; starts or stops the instance on `begin` and `crash_now`.
     fn event(&mut self, line: &str) -> Result<(), Fault> {
         let mut fields = Fields::new(line);
         let word = fields.text("a message")?;
-        if !KNOWN.contains(&word) {
+        if !EVENT_WORDS.contains(&word) {
             return fault("a known message", word);
         }
         let id = fields.text("an instance")?;
@@ -111,17 +116,18 @@
         };
         if word == "crash_now" {
             self.instances.remove(id);
-            self.order.retain(|name| name != id);
+            self.batch_order.retain(|name| name != id);
             return Ok(());
         }
-        let event = read_event(word, &mut fields, instance, &self.lists)?;
+        let event = read_event(word, &mut fields, instance, &self.endpoint_lists)?;
         instance.events.push(event);
-        if !self.order.iter().any(|name| name == id) {
-            self.order.push(id.to_string());
+        if !self.batch_order.iter().any(|name| name == id) {
+            self.batch_order.push(id.to_string());
         }
         Ok(())
     }
 
+    /// Starts an instance with the seed and settings of a `begin` line, replacing a running one of the same id.
     fn begin(&mut self, id: &str, fields: &mut Fields, line: &str) -> Result<(), Fault> {
         let seed = fields.whole("a seed")?;
         let setup = line.splitn(4, ' ').nth(3).unwrap_or("");
@@ -137,13 +143,14 @@
             Sender::new(settings, seed).map_err(|e| (e.to_string(), "begin".to_string()))?;
         self.instances
             .insert(id.to_string(), Instance::new(sender, names));
-        self.order.retain(|name| name != id);
-        self.order.push(id.to_string());
+        self.batch_order.retain(|name| name != id);
+        self.batch_order.push(id.to_string());
         Ok(())
     }
 
+    /// Passes each instance its events of the batch and appends the resulting action lines to `reply`.
     fn reply(&mut self, now: Micros, reply: &mut String) {
-        for id in &self.order {
+        for id in &self.batch_order {
             let Some(instance) = self.instances.get_mut(id) else {
                 continue;
             };
--- a/src/wire/numbered.rs
+++ b/src/wire/numbered.rs
@@ -1,26 +1,28 @@
-//! Words of the host on one side, numbers of the module on the other.
+//! Maps the names on the lines to the numbers that the decision module uses.
 
 use std::collections::BTreeMap;
 
-/// Words of the host on one side, numbers of the module on the other.
+/// Names on the lines (of messages or endpoints) and their numbers, assigned from 0 in the order of first use.
 #[derive(Default)]
-pub(super) struct Numbered {
-    by_word: BTreeMap<String, u64>,
-    words: Vec<String>,
+pub(super) struct NameNumbers {
+    by_name: BTreeMap<String, u64>,
+    names: Vec<String>,
 }
 
-impl Numbered {
-    pub(super) fn number(&mut self, word: &str) -> u64 {
-        if let Some(&number) = self.by_word.get(word) {
+impl NameNumbers {
+    /// Returns the number of `name`, and assigns the next number to a new name.
+    pub(super) fn number(&mut self, name: &str) -> u64 {
+        if let Some(&number) = self.by_name.get(name) {
             return number;
         }
-        let number = self.words.len() as u64;
-        self.words.push(word.to_string());
-        self.by_word.insert(word.to_string(), number);
+        let number = self.names.len() as u64;
+        self.names.push(name.to_string());
+        self.by_name.insert(name.to_string(), number);
         number
     }
 
-    pub(super) fn word(&self, number: u64) -> &str {
-        &self.words[number as usize]
+    /// Returns the name with this number, which must have been assigned.
+    pub(super) fn name(&self, number: u64) -> &str {
+        &self.names[number as usize]
     }
 }
--- a/src/wire/reading/tests.rs
+++ b/src/wire/reading/tests.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Outcome, SECOND, Settings};
 
 fn instance() -> Instance {
-    let sender = Sender::new(Settings::new(1, 1), 1).expect("settings make sense");
+    let sender = Sender::new(Settings::new(1, 1), 1).expect("the settings are valid");
     let words = |words: &[&str]| words.iter().map(|word| word.to_string()).collect();
     let names = Names {
         zones: words(&["a", "b"]),
@@ -22,7 +22,7 @@
     instance
 }
 
-/// What a line tells; the instance's name is not in it.
+/// Parses the event of a line that is given without the instance's id.
 fn read(line: &str) -> Event {
     let rows = [
         "e1 b apart 6 SERVING 10.5 -",
@@ -50,18 +50,18 @@
 }
 
 #[test]
-fn demand_is_read_with_every_field() {
+fn demand_line_is_parsed_with_every_field() {
     assert_eq!(
         read("demand m1 2.5 tin 77 18 40 0.5 order"),
         Event::Accepted(new_message())
     );
-    let again = NewMessage {
+    let resubmitted = NewMessage {
         accepted_by_failed_sender: false,
         ..new_message()
     };
     assert_eq!(
         read("demand m1 2.5 tin 77 2 40 - order"),
-        Event::Accepted(again)
+        Event::Accepted(resubmitted)
     );
     let orphan = NewMessage {
         resubmitted: false,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn announcements_are_read_with_every_field() {
+fn announce_lines_are_parsed_with_every_field() {
     let entry = |endpoint, destination, zone, kind, status, weight| EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn outcomes_are_read_with_every_field() {
+fn outcome_lines_are_parsed_with_every_field() {
     for (word, remark, outcome) in [
         ("delivered", "-", Outcome::Success),
         ("app_error", "-", Outcome::Error),
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn other_lines_are_read_with_every_field() {
+fn other_event_lines_are_parsed_with_every_field() {
     assert_eq!(
         read("first_byte m1 0.01 3 e2"),
         Event::ResponseStarted {
@@ -191,18 +191,18 @@
         }
     );
     assert_eq!(read("tick_due wake"), Event::TimerExpired);
-    let probed = |outcome, report| Event::HealthCheckEnded {
+    let health_check_ended = |outcome, report| Event::HealthCheckEnded {
         endpoint: EndpointId(2),
         outcome,
         report,
     };
     assert_eq!(
         read("echo 0.01 e2 delivered 30.5,0.25"),
-        probed(Outcome::Success, vec![30.5, 0.25])
+        health_check_ended(Outcome::Success, vec![30.5, 0.25])
     );
     assert_eq!(
         read("echo 0.01 e2 shed"),
-        probed(Outcome::Rejected { retry_after: None }, Vec::new())
+        health_check_ended(Outcome::Rejected { retry_after: None }, Vec::new())
     );
     assert_eq!(read_batch_head("batch 1.0000015"), Ok(SECOND + 2));
     assert_eq!(read_list_head("4 17"), Ok((4, 17)));
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -209,7 +209,7 @@
             r#"{"learn_caps":1}"#,
             "pool.learn_caps is '1', not true or false",
         ),
-        (r#"{"idel":1}"#, "pool.idel is no setting"),
+        (r#"{"idel":1}"#, "pool.idel is not a known setting"),
         ("[]", "pool is '[]', not an object"),
     ] {
         let folder = fresh_folder();
