--- a/agreement/src/rules.rs
+++ b/agreement/src/rules.rs
@@ -169,8 +169,8 @@
 }
 
 impl Rules {
-    /// Checks the number of classes, the names of classes and limits, and that each attempt count,
-    /// window, limit and meaning of the keys that must be set is set.
+    /// Checks the number of classes and the names of classes and limits. Attempts, windows and
+    /// limits must be above zero, and an ordered class must say what its keys identify.
     ///
     /// # Errors
     /// Returns the location of the first invalid value.
