--- a/agreement/src/leases.rs
+++ b/agreement/src/leases.rs
@@ -1,7 +1,8 @@
-//! The registry's side of leases: the leader grants them and tracks which senders may still act on
-//! earlier rules. A lease allows a sender to act on the rules of one version and step for a limited
-//! time. Leases are not replicated: a new leader knows none of them, and assumes that senders may
-//! hold leases of an earlier leader until the longest of these has expired.
+//! The registry's side of leases. A lease allows a sender to act for a limited time on the rules
+//! granted in one step of a change: first the intersection of the old and the new rules, then the
+//! new rules. The leader grants leases and tracks which senders may still act on earlier rules,
+//! because the next step must wait for them. Leases are not replicated: a new leader assumes that
+//! senders may hold leases of an earlier leader until the last of these must have expired.
 
 use crate::Micros;
 use crate::rules::Rules;
@@ -14,9 +15,9 @@
 pub struct LeaseTerms {
     /// Duration of a lease in microseconds on the sender's clock, counted from its request.
     pub lease: Micros,
-    /// Maximum time in microseconds by which the lease may last longer on the registry's clock:
-    /// the sender's clock may run slow and the registry's fast, so about twice the drift of one
-    /// clock over a lease.
+    /// Maximum time in microseconds by which a lease may last longer on the registry's clock than
+    /// on the sender's. The sender's clock may run slow and the registry's fast, so this is about
+    /// twice the drift of one clock over a lease.
     pub max_drift: Micros,
 }
 
@@ -60,7 +61,8 @@
     pub until: Micros,
 }
 
-/// Leases that this leader has granted.
+/// Leases that this leader has granted, and the time until which leases of earlier leaders may be
+/// valid.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Leases {
     terms: LeaseTerms,
--- a/agreement/src/versions.rs
+++ b/agreement/src/versions.rs
@@ -54,12 +54,16 @@
     NoIntersection(#[from] NoIntersection),
 }
 
-/// Current version of the rules, the step of its change, and the fallback rules.
+/// Replicated state of the rules: the current version, whether the change to this version is
+/// complete, its rules, the intersection granted during the change, and the fallback rules.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedRules {
     fallback: Rules,
     tag: VersionTag,
+    /// Rules of the current version, granted once the change to this version is complete.
     target: Rules,
+    /// Intersection of the rules of the current version and of the version before, granted until
+    /// the change is complete; for version 1 the same as its rules.
     intersection: Rules,
 }
 
@@ -107,10 +111,11 @@
         &self.fallback
     }
 
-    /// Begins a change: from now on the intersection of the old and the new rules is granted. A
-    /// proposal of the current version's rules changes nothing and succeeds. The leader must
-    /// check first ([`crate::Leases::is_settled`]) that no sender can still act on the
-    /// intersection of the change before.
+    /// Begins a change: from now on the registry grants the intersection of the old and the new
+    /// rules. A proposal based on the current version, with the rules of this version, changes
+    /// nothing and succeeds. Before a change, the leader must check
+    /// ([`crate::Leases::is_settled`]) that no sender can still act on rules from before the
+    /// current version was complete: these may contradict the new intersection.
     ///
     /// # Errors
     /// Returns the reason why the proposal is rejected; the state is then unchanged.
--- a/agreement/tests/common/exploration.rs
+++ b/agreement/tests/common/exploration.rs
@@ -9,7 +9,8 @@
 /// Duration of a lease in ticks of the sender's clock. On a clock that runs slow by the bound this
 /// takes twice as many ticks of the registry's clock.
 pub const LEASE: Micros = 1;
-/// Maximum number of ticks by which a lease may last longer on the registry's clock.
+/// Maximum number of ticks by which a lease may last longer on the registry's clock than on the
+/// sender's, which may run slow.
 pub const DRIFT: Micros = 1;
 
 /// Returns the time on a sender's clock when the registry's clock shows `now`. The clock of sender
--- a/agreement/tests/golden.rs
+++ b/agreement/tests/golden.rs
@@ -190,7 +190,7 @@
     }
 }
 
-/// The registry sends these error texts to clients.
+/// The registry's HTTP API returns these error texts to its callers.
 #[test]
 fn proposal_error_texts_sent_to_clients_stay_unchanged() {
     let texts = proposal_errors().map(|(_, error)| error.to_string());
--- a/agreement/tests/model.rs
+++ b/agreement/tests/model.rs
@@ -254,7 +254,8 @@
         }
         for index in 0..state.in_flight.len() {
             actions.extend([Action::Deliver(index, false), Action::Lose(index)]);
-            // only answers are duplicated: a duplicate request has the effect of a second request
+            // Only answers are duplicated: for the registry a duplicate request is like a further
+            // request that reports the same version and step.
             if matches!(state.in_flight[index], Message::Grant { .. }) {
                 actions.push(Action::Deliver(index, true));
             } else if self.0 == RemovedGuard::LeaderConfirmation && state.deposed.is_some() {
@@ -425,8 +426,9 @@
             Property::always(
                 "no sender acts on an earlier version for longer than a lease and its drift",
                 |model: &StepsModel, state: &State| {
-                    // a sender may act on a version for at most a lease and its drift after the
-                    // proposal of the next version was committed
+                    // Once the next version is committed, no further lease on this version is
+                    // granted, and the last one expires after at most LEASE + DRIFT ticks. This is
+                    // checked only with all guards in place.
                     (0..model.1.senders).all(|sender| {
                         let local = sender_clock(sender, state.now);
                         let tag = state.holders[sender]
@@ -485,8 +487,9 @@
         RemovedGuard::Incarnation,
         RemovedGuard::LeaderConfirmation,
     ] {
-        // only a size with two messages in flight has an answer to the earlier incarnation beside a
-        // request of the next one
+        // Without the incarnation guard, the contradiction needs an answer to the earlier
+        // incarnation and a request of the next one in flight at the same time. Only SIZES[1]
+        // allows this.
         let size = SIZES[usize::from(removed == RemovedGuard::Incarnation)];
         let (states, found) = check(removed, size);
         println!("without {removed:?}: {states} states");
