--- a/src/interface/attempts.rs
+++ b/src/interface/attempts.rs
@@ -45,11 +45,13 @@
     /// The sender cancelled the attempt; the destination may have processed the message, or may
     /// still process it.
     Cancelled,
-    /// The driver did not send the attempt, so the destination did not process the message because
-    /// of it.
+    /// The driver did not send the attempt, or the endpoint's answer shows that it did not process
+    /// the message and does not count as a rejection. The destination did not process the message
+    /// because of this attempt.
     #[serde(rename = "Unsent")]
     NotSent {
-        /// True if none of [`Settings::call_slots`](super::Settings::call_slots) was free.
+        /// True if the endpoint answered that this sender already occupies all of its call slots
+        /// at the endpoint (status 503 with `slots-taken: 1`).
         no_slot: bool,
     },
 }
--- a/src/interface/rules.rs
+++ b/src/interface/rules.rs
@@ -119,7 +119,7 @@
     }
 }
 
-/// Rules on which all senders agree.
+/// The leased bounds, and the fallback rules that replace them when no lease is valid.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgreedRules {
     /// Bounds granted by a lease, which hold until it expires. `None`: this sender has no lease.
--- a/src/interface/settings/error.rs
+++ b/src/interface/settings/error.rs
@@ -42,7 +42,7 @@
     NotPositive {
         /// Name of the setting.
         setting: String,
-        /// Value that was not positive.
+        /// The value: zero or a negative number.
         value: i128,
     },
     /// The value is a time span and must not be negative.
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of the settings.
+//! Checks of the settings that go beyond their types, such as the ranges of numbers.
 
 use super::{Settings, SettingsError};
 use crate::interface::{Class, Effect, Micros};
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -22,7 +22,8 @@
         reading(Some("a"), 150, 7).module_time_from(&anchor),
         Some(1_000_050)
     );
-    // another boot, an unknown boot, and a monotonic clock before the anchor's
+    // module time does not continue in another boot, in an unknown boot, or if the monotonic clock is before the
+    // anchor's
     assert_eq!(reading(Some("b"), 150, 7).module_time_from(&anchor), None);
     assert_eq!(reading(None, 150, 7).module_time_from(&anchor), None);
     assert_eq!(reading(Some("a"), 50, 7).module_time_from(&anchor), None);
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -144,7 +144,7 @@
     pub freeze: Option<FreezeSettings>,
 }
 
-/// Top level of the configuration file. The nested objects are parsed and checked later.
+/// Top level of the configuration file, with its `limits`. The other nested objects are parsed and checked later.
 #[derive(Deserialize)]
 struct File {
     name: String,
--- a/src/net/discovery/compatibility.rs
+++ b/src/net/discovery/compatibility.rs
@@ -5,7 +5,8 @@
 use crate::net::journal::UndeliveredOutcome;
 use std::io::{Read, Write};
 
-/// Accepts a connection, reads from it until the text ends with `end`, sends `answer` and returns the text read.
+/// Accepts a connection, reads from it until the text ends with `end`, and sends `answer`. Returns the text read, in
+/// which the listener's address is replaced by `DISCOVERY` and CRLF by LF.
 fn request_to(listener: &std::net::TcpListener, end: &str, answer: &str) -> String {
     let mut stream = listener.accept().expect("a call").0;
     let mut received = String::new();
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -126,7 +126,8 @@
             }
             let delay = match error {
                 WatchError::Silent => self.backoff.delay_after_silence(),
-                // connecting has already retried the local failure until the call's timeout
+                // connecting has already retried until the call's timeout, so after a failure of the local host the
+                // delay is short and does not grow
                 WatchError::Connect(error) if error.is_local() => RETRY_INTERVAL,
                 _ => self.backoff.next_delay(),
             };
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -49,7 +49,8 @@
                 continue;
             }
             Err(error) => {
-                // if the folder can't be locked, no other process can hold the lock and hand over, so the start goes on
+                // locking fails, and LOCK_TIMEOUT has passed since the first attempt: the process starts without the
+                // lock and without a handover
                 net::log(format_args!(
                     "handover: disabled, the state folder can't be locked: {error}"
                 ));
--- a/src/net/journal/mod.rs
+++ b/src/net/journal/mod.rs
@@ -1,8 +1,11 @@
 //! The journal: a file with the accepted messages and their attempts, from which the next process restores them.
 //!
-//! Each record is appended by one unbuffered write, so that written records survive a SIGKILL without a sync. The file
-//! is compacted while the old and the new file still fit together under the size limit: the records of incomplete
-//! messages are written to a new file, which is then renamed over the old one.
+//! Each record is appended by one unbuffered write, so that written records survive a SIGKILL without a sync.
+//!
+//! A compaction writes the records of the current state to a new file, which is then renamed over the old one. The file
+//! is compacted before an append that would otherwise leave too little space for a later compaction, when the old and
+//! the new file must fit together under the size limit. It is also compacted if a partial record can't be cut off, and
+//! on opening if the file is large or damaged.
 //!
 //! Writes may fail for some time. Records are always written in the order of their events, also after a failure:
 //! - Records of past events (an attempt's outcome, the end of a message) wait in a queue and are written first once
@@ -10,8 +13,9 @@
 //! - Records of future events (the acceptance of a message, the start of an attempt, an operator's change of an
 //!   endpoint) are not queued. The event must not happen until its record could be written.
 //!
-//! A partial record is cut off before the next append. So a later process always reads a prefix of the history, never
-//! an event without the events before it.
+//! A partial record is cut off before the next append. So unless the file is damaged, a later process reads a prefix of
+//! the history, never an event without the events before it. The only exception: when a message is complete, its other
+//! pending records are dropped.
 
 mod contents;
 mod file;
@@ -169,7 +173,7 @@
         Ok(())
     }
 
-    /// Returns the incomplete messages by message number, as given to [`Journal::accept`].
+    /// Returns the incomplete messages by the number that [`Journal::accept`] was given for each.
     pub fn unfinished(&self) -> &BTreeMap<u64, UnfinishedMessage> {
         &self.contents.unfinished
     }
--- a/src/net/journal/tests.rs
+++ b/src/net/journal/tests.rs
@@ -83,7 +83,7 @@
 struct SeededNumbers(u64);
 
 impl SeededNumbers {
-    /// Returns a number below the bound.
+    /// Returns the next number, which is at least 0 and below `bound`.
     fn next_below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
--- a/src/net/settings_object.rs
+++ b/src/net/settings_object.rs
@@ -78,7 +78,8 @@
 /// Reads and validates a settings object. Returns `None` if the configuration leaves the object out.
 ///
 /// # Errors
-/// Names the key that is unknown or has an invalid value.
+/// The value can't be read as the object, for example because a key is unknown or missing, or a key has an invalid
+/// value. The error names the object, and the key if it is known.
 pub fn read<T: SettingsObject>(value: &Value) -> Result<Option<T>, SettingsObjectError> {
     if value.is_null() {
         return Ok(None);
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -19,8 +19,8 @@
 /// Error of opening a connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// At least one attempt failed because of the local host, and no later attempt succeeded within the time limit.
-    /// Operators must check file descriptors, local ports and routes.
+    /// The local host caused the last failure before the time limit, or before the last attempt timed out. Operators
+    /// must check file descriptors, local ports and routes.
     #[error("local host: {0}")]
     Local(io::Error),
     /// The peer refused the connection, or the network failed.
--- a/src/pool/accounting.rs
+++ b/src/pool/accounting.rs
@@ -104,7 +104,8 @@
         self.connections.len() + self.predecessor_connections
     }
 
-    /// Removes the record of a connection and asks the host to close the connection.
+    /// Removes the record of a connection and asks the code that owns the sockets to close the
+    /// connection.
     pub(super) fn close(
         &mut self,
         connection: u64,
--- a/src/pool/learned_caps.rs
+++ b/src/pool/learned_caps.rs
@@ -36,10 +36,12 @@
     next_trial_at: Micros,
     /// Backoff in microseconds that was last used; it doubles with each trial that fails.
     backoff: Micros,
-    /// Maximum number of trials, dials above the cap, that may be in flight now. It doubles while
-    /// trials succeed and falls to 1 when a trial fails.
+    /// Maximum of `trials` at present: a trial may begin only while fewer are counted. The maximum
+    /// doubles while trials succeed and falls to 1 when a trial fails.
     max_trials_now: usize,
-    /// Number of trials, dials above the cap, that are in flight.
+    /// Number of trials that have not ended: each is a connection above the cap whose dial is in
+    /// flight or whose first call has not been answered yet. A trial whose dial failed because of
+    /// the local host also stays counted.
     pub(super) trials: usize,
 }
 
@@ -48,12 +50,13 @@
         now >= self.next_trial_at && self.trials < self.max_trials_now
     }
 
-    /// Records that a trial, a dial above the cap, has ended.
+    /// Records that a trial has ended: the network or the endpoint made its dial fail, its first
+    /// call was answered, or its connection was closed before that.
     pub(super) fn end_trial(&mut self) {
         self.trials = self.trials.saturating_sub(1);
     }
 
-    /// Raises the cap by one after a trial that succeeded. Once no trial is in flight, twice as
+    /// Raises the cap by one after a trial that succeeded. Once all trials have ended, twice as
     /// many are allowed at once. Returns the time in microseconds until the next trial, before
     /// jitter.
     fn raise(&mut self, first_backoff: Micros, max_trials: usize) -> Micros {
--- a/src/pool/messages.rs
+++ b/src/pool/messages.rs
@@ -92,13 +92,14 @@
 pub enum AnswerKind {
     /// The endpoint served the call.
     Served,
-    /// The endpoint rejected the call with status 503, for whatever reason.
+    /// The endpoint rejected the call with status 503, for any reason other than a lack of call
+    /// slots.
     Rejected,
     /// Any other answer, from which nothing is learned.
     Other,
 }
 
-/// A request from the pool's rules to the host, which owns the sockets.
+/// A request from the pool's rules to the code that owns the sockets (`src/net/pool`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Dial a new connection.
--- a/src/pool/mod.rs
+++ b/src/pool/mod.rs
@@ -1,10 +1,10 @@
 //! The rules of the connection pool: which connections to endpoints are dialled, kept, leased to
 //! calls and closed.
 //!
-//! The rules open no sockets and read no clock. The host reports what happens, together with the
-//! time, and carries out the [`Command`]s that the rules return. Which endpoint gets a call is
-//! decided by [`crate::decisions`]; the pool sends no call, repeats none and moves none to another
-//! endpoint.
+//! The rules open no sockets and read no clock. The code that owns the sockets (`src/net/pool`)
+//! reports what happens, together with the time, and carries out the [`Command`]s that the rules
+//! return. Which endpoint gets a call is decided by [`crate::decisions`]; the pool sends no call,
+//! repeats none and moves none to another endpoint.
 //!
 //! Each file covers one concern: `leases` gives connections to calls and takes them back, `dials`
 //! and `prewarm` open new connections, `sizing` determines how many connections an endpoint needs,
--- a/src/wire/fields.rs
+++ b/src/wire/fields.rs
@@ -33,7 +33,7 @@
         parse_number(text, expected)
     }
 
-    /// Returns the next field, which is in seconds, in microseconds.
+    /// Reads the next field as a number of seconds and returns it in microseconds.
     pub(super) fn time(&mut self, expected: &str) -> Result<Micros, Fault> {
         Ok(to_micros(self.number(expected)?))
     }
--- a/src/wire/numbered.rs
+++ b/src/wire/numbered.rs
@@ -1,4 +1,4 @@
-//! Maps the names on the lines to the numbers that the decision module uses.
+//! Assigns the numbers by which the decision module knows the messages and endpoints that the lines name.
 
 use std::collections::BTreeMap;
 
--- a/tests/compatibility_decisions.rs
+++ b/tests/compatibility_decisions.rs
@@ -1,9 +1,9 @@
-//! Compatibility of the decision module with its previous version. A serialized sender must keep
-//! its bytes, because a handover passes it from a process of one version to a process of another,
-//! and the same events must give the same actions.
+//! Compatibility of the decision module with its previous version. The same events must give the
+//! same actions and, byte for byte, the same serialized state, since in a handover a process of one
+//! version passes this state to a process of another.
 //!
-//! `UPDATE_GOLDEN=1` rewrites the golden files. This is needed only after an intended change of
-//! behaviour.
+//! `UPDATE_GOLDEN=1` rewrites the golden files. This is needed only after an intended change of the
+//! actions or of the serialized state.
 
 mod decision_record;
 
--- a/tests/node/fragments.rs
+++ b/tests/node/fragments.rs
@@ -53,8 +53,8 @@
     fragments: HashMap<String, Vec<Fragment>>,
     /// Number of completely received calls that contained a message, by the message's id.
     calls: HashMap<String, usize>,
-    /// Ids of messages whose delivery was confirmed: a complete status line 200 or, in a bulk response, a complete line
-    /// was sent for them.
+    /// Ids of messages whose delivery a response confirms by a complete status line 200 or, in a bulk response, by a
+    /// complete line. They are recorded just before the response is sent.
     delivered: HashSet<String>,
 }
 
